--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -46,7 +46,7 @@
         self.deferred_settings: RouterSettings | None = None
         self.exceptions_used = self.denied_count = 0
         # Over 0: one more deferred change may be released now, and this uses it up.
-        self.take_release: Callable[[float], int] = lambda now: 1
+        self.take_release: Callable[[float], int] = lambda now_ms: 1
 
     # Questions.
 
@@ -60,7 +60,7 @@
 
     def can_send(
         self,
-        now: float,
+        now_ms: float,
         *,
         function_id: int,
         worker_id: int,
@@ -76,41 +76,41 @@
         if not self.is_active:
             return True
         if is_placed:
-            self.placements.record(now, function_id, worker_id)
+            self.placements.record(now_ms, function_id, worker_id)
         is_emergency = self.is_emergency(function_id, has_alternatives)
         change = PlacementChange("first-copy", worker_id, function_id, zone_index, tenant_index, is_emergency)
-        if self._can_place(now, change):
+        if self._can_place(now_ms, change):
             return True
         self._defer(change)
         return False
 
-    def _can_place(self, now: float, change: PlacementChange) -> bool:
+    def _can_place(self, now_ms: float, change: PlacementChange) -> bool:
         if self._is_known_placement(change):
             return True
         if not self.is_frozen(change):
             return change.is_emergency or not self.deferred_changes.includes(change.kind, change.function_id)
-        return change.is_emergency and self._has_exception(now, change)
+        return change.is_emergency and self._has_exception(now_ms, change)
 
-    def admit(self, now: float, change: PlacementChange) -> AdmissionDecision:
+    def admit(self, now_ms: float, change: PlacementChange) -> AdmissionDecision:
         """The final decision before a change is made. Where it is frozen, one exception is used up."""
         if not self.is_active or self._is_known_placement(change):
             return AdmissionDecision(AdmissionAnswer.PERMITTED)
         rules = self._rules_for(change)
         if not rules and not self.is_uncertain:
             is_deferred = self.deferred_changes.includes(change.kind, change.function_id)
-            if change.is_emergency or not is_deferred or self._try_release(now, change):
+            if change.is_emergency or not is_deferred or self._try_release(now_ms, change):
                 return AdmissionDecision(AdmissionAnswer.PERMITTED)
             return self._deny(change, RELEASING)
-        if change.is_emergency and self._use_exception(now, change, rules):
+        if change.is_emergency and self._use_exception(now_ms, change, rules):
             self.exceptions_used += 1
             if change.function_id is not None and change.worker_id is not None:
-                self.placements.record(now, change.function_id, change.worker_id)
+                self.placements.record(now_ms, change.function_id, change.worker_id)
             return AdmissionDecision(AdmissionAnswer.PERMITTED_BY_EXCEPTION, rules[0].window_id)
         return self._deny(change, rules[0].window_id if rules else UNCERTAIN)
 
     def route_call(
         self,
-        now: float,
+        now_ms: float,
         function_id: int,
         tenant_index: int | None,
         candidates: Sequence[PlacementCandidate],
@@ -127,7 +127,7 @@
             )
 
         def can_place(candidate: PlacementCandidate, is_emergency: bool) -> bool:
-            return not self.is_active or self._can_place(now, first_copy(candidate, is_emergency))
+            return not self.is_active or self._can_place(now_ms, first_copy(candidate, is_emergency))
 
         seen = [
             replace(candidate, is_open=candidate.is_open or can_place(candidate, is_emergency=False))
@@ -149,7 +149,7 @@
         return verdict, worker_id
 
     def home_workers(
-        self, now: float, function_id: int, ready_workers: Sequence[int], home_count: int
+        self, now_ms: float, function_id: int, ready_workers: Sequence[int], home_count: int
     ) -> tuple[Sequence[int], int]:
         """The ready workers in the order of preference for the function, and how many of them are its homes.
 
@@ -174,20 +174,20 @@
         others = (worker_id for worker_id in ready_workers if worker_id not in known)
         return [*retained_ready, *others], len(retained_ready)
 
-    def admitted_settings(self, now: float, old: RouterSettings, new: RouterSettings) -> RouterSettings:
+    def admitted_settings(self, now_ms: float, old: RouterSettings, new: RouterSettings) -> RouterSettings:
         """The settings that may be in force now: the new ones, but what would move instances is deferred."""
         if not self.is_active or (without_moves := _with_placement_settings_of(old, new)) == new:
             self.deferred_settings = None
             return new
-        if self.admit(now, PlacementChange("retune", None, None)).is_permitted:
+        if self.admit(now_ms, PlacementChange("retune", None, None)).is_permitted:
             self.deferred_settings = None
             return new
         self.deferred_settings = new
         return without_moves
 
-    def release(self, now: float) -> list[DeferredChange]:
+    def release(self, now_ms: float) -> list[DeferredChange]:
         """The deferred changes that the host may make now: not frozen, and as many as the rate permits."""
-        released = self.deferred_changes.release(now, self.is_frozen, self.take_release)
+        released = self.deferred_changes.release(now_ms, self.is_frozen, self.take_release)
         for deferred in released:
             if deferred.kind == "homes" and deferred.function_id is not None:
                 self.retained_homes.pop(deferred.function_id, None)
@@ -204,20 +204,20 @@
             return False
         return self.placements.has_placement(change.function_id, change.worker_id)
 
-    def _has_exception(self, now: float, change: PlacementChange) -> bool:
+    def _has_exception(self, now_ms: float, change: PlacementChange) -> bool:
         rules = self._rules_for(change)
         for rule in rules:
-            self.escrow.request(now, exception_pool_name(rule.window_id), 1)
+            self.escrow.request(now_ms, exception_pool_name(rule.window_id), 1)
         return bool(rules) and all(
-            self.escrow.available(now, exception_pool_name(rule.window_id)) > 0 for rule in rules
+            self.escrow.available(now_ms, exception_pool_name(rule.window_id)) > 0 for rule in rules
         )
 
-    def _use_exception(self, now: float, change: PlacementChange, rules: list[FreezeRule]) -> bool:
+    def _use_exception(self, now_ms: float, change: PlacementChange, rules: list[FreezeRule]) -> bool:
         """Use one of each window's budget, if all have one: where windows overlap, the strictest holds."""
-        if change.kind not in LOADING_KINDS or not self._has_exception(now, change):
+        if change.kind not in LOADING_KINDS or not self._has_exception(now_ms, change):
             return False
         # A list, not a generator: one is used of each, also where an earlier one failed.
-        return all([self.escrow.consume(now, exception_pool_name(rule.window_id)) for rule in rules])
+        return all([self.escrow.consume(now_ms, exception_pool_name(rule.window_id)) for rule in rules])
 
     def _deny(self, change: PlacementChange, cause: str) -> AdmissionDecision:
         self.denied_count += 1
@@ -228,8 +228,8 @@
         if self.rules:  # without a declared window there is no end after which changes are to be released
             self.deferred_changes.add(change)
 
-    def _try_release(self, now: float, change: PlacementChange) -> bool:
-        if self.take_release(now) < 1:
+    def _try_release(self, now_ms: float, change: PlacementChange) -> bool:
+        if self.take_release(now_ms) < 1:
             return False
         self.deferred_changes.discard(change.kind, change.function_id)
         return True
--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -53,7 +53,7 @@
         replicated_state: ReplicatedState,
         escrow: QuotaEscrow,
         *,
-        now: float = 0.0,
+        now_ms: float = 0.0,
         has_read_enough_peers: Callable[[], bool] = bool,
     ) -> None:
         """``has_read_enough_peers``: several other routers were read completely in this incarnation.
@@ -62,53 +62,53 @@
         self.replicated_state, self.escrow, self.settings = replicated_state, escrow, settings
         self.wall_clock = WallClock(max(1, settings.router_count), sharing.clock_error, sharing.clock_rate)
         self.gate = AdmissionGate(escrow)
-        self.gate.take_release = ReleaseRateLimiter(refilled_at_ms=now)
+        self.gate.take_release = ReleaseRateLimiter(refilled_at_ms=now_ms)
         self.registry = WindowRegistry()
-        self.stale_hold = StaleHold(now, has_read_enough_peers)
+        self.stale_hold = StaleHold(now_ms, has_read_enough_peers)
         self.opened_pools: dict[str, tuple[int, float]] = {}  # by window: total and end (steady ms)
-        self.last_expiry_at_ms = now
+        self.last_expiry_at_ms = now_ms
         self.reported_deviation_ms = 0.0
         self.pending_messages: list[OutboundMessage] = []
-        self._update_gate(now)
+        self._update_gate(now_ms)
 
     # The component interface.
 
-    def on_message(self, now: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
+    def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
         """No datagram is its own."""
         return ()
 
-    def on_notification(self, now: float, notification: Notification) -> Sequence[OutboundMessage]:
+    def on_notification(self, now_ms: float, notification: Notification) -> Sequence[OutboundMessage]:
         """Follow entries, settings, the endpoint list and the wall clock, and note where instances are."""
         if isinstance(notification, AttemptCompleted):
-            self._on_attempt_completed(now, notification)
+            self._on_attempt_completed(now_ms, notification)
         elif isinstance(notification, EndpointUpdate):
             self.gate.placements.on_endpoint_update(notification)
         elif isinstance(notification, WallClockRead):
             unix_ms = notification.unix_ms
-            self._log(self.wall_clock.on_host_reading(now, unix_ms, self._has_relevant_window(unix_ms)))
+            self._log(self.wall_clock.on_host_reading(now_ms, unix_ms, self._has_relevant_window(unix_ms)))
         elif isinstance(notification, SettingsChanged):
             self.settings = notification.settings
             self.wall_clock.router_count = max(1, notification.settings.router_count)
-            self._update_gate(now)
+            self._update_gate(now_ms)
         elif isinstance(notification, EntriesChanged):
-            self._take_entries(now, notification.entries)
-            self._update_gate(now)
+            self._take_entries(now_ms, notification.entries)
+            self._update_gate(now_ms)
         return self._take_messages()
 
-    def on_tick(self, now: float) -> Sequence[OutboundMessage]:
+    def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
         """Look at the clocks and the replicated store, and set the gate by them."""
         for kind in WINDOW_ENTRY_KINDS:
-            self._take_entries(now, self.replicated_state.entries(kind))
+            self._take_entries(now_ms, self.replicated_state.entries(kind))
         for window_id in self.registry.forget_removed(self.replicated_state):
             self.opened_pools.pop(window_id, None)
-        self._report_clock_deviation(now)
-        self._update_gate(now)
-        if now - self.last_expiry_at_ms >= PLACEMENT_EXPIRY_INTERVAL_MS:
-            self.last_expiry_at_ms = now
-            self.gate.placements.expire(now)
+        self._report_clock_deviation(now_ms)
+        self._update_gate(now_ms)
+        if now_ms - self.last_expiry_at_ms >= PLACEMENT_EXPIRY_INTERVAL_MS:
+            self.last_expiry_at_ms = now_ms
+            self.gate.placements.expire(now_ms)
         return self._take_messages()
 
-    def status(self, now: float) -> Mapping[str, str]:
+    def status(self, now_ms: float) -> Mapping[str, str]:
         """The figures that operators read; their names are part of the operators' interface."""
         figures = {
             "freeze_wanted": str(len(self.gate.deferred_changes)),
@@ -124,19 +124,19 @@
 
     # What the host asks and tells.
 
-    def release_deferred_changes(self, now: float) -> list[DeferredChange]:
+    def release_deferred_changes(self, now_ms: float) -> list[DeferredChange]:
         """The deferred changes that may be made now, at the gate's rate: the host makes them."""
-        released = self.gate.release(now) if self.gate.deferred_changes else []
-        self._update_gate(now)
+        released = self.gate.release(now_ms) if self.gate.deferred_changes else []
+        self._update_gate(now_ms)
         return released
 
-    def on_worker_down(self, now: float, worker_id: int) -> None:
+    def on_worker_down(self, now_ms: float, worker_id: int) -> None:
         """The host found a worker's process gone: no connection to it comes up."""
         self.gate.placements.on_worker_down(worker_id)
 
     # Entries and clocks.
 
-    def _take_entries(self, now: float, entries: Iterable[ReplicatedEntry]) -> None:
+    def _take_entries(self, now_ms: float, entries: Iterable[ReplicatedEntry]) -> None:
         for finding in self.registry.add(entries):
             if isinstance(finding, UnreadableEntry):
                 entry = finding.entry
@@ -149,10 +149,10 @@
                     )
                 )
             else:
-                self._on_window_declared(now, finding.window, finding.terms)
+                self._on_window_declared(now_ms, finding.window, finding.terms)
 
-    def _on_window_declared(self, now: float, window: FreezeWindow, terms: WindowTerms) -> None:
-        unix_ms = self.wall_clock.unix_ms(now)
+    def _on_window_declared(self, now_ms: float, window: FreezeWindow, terms: WindowTerms) -> None:
+        unix_ms = self.wall_clock.unix_ms(now_ms)
         earliest_start = max(float(terms.start_unix_ms), unix_ms + self.replicated_state.staleness_bound_ms)
         window.was_declared_late = (
             not math.isnan(unix_ms) and terms.start_unix_ms < earliest_start and unix_ms < terms.end_unix_ms
@@ -177,8 +177,8 @@
         )
         return is_sensitive or self.gate.is_uncertain
 
-    def _report_clock_deviation(self, now: float) -> None:
-        deviation_ms = self.wall_clock.deviation_ms(now)
+    def _report_clock_deviation(self, now_ms: float) -> None:
+        deviation_ms = self.wall_clock.deviation_ms(now_ms)
         reported_ms = self.reported_deviation_ms
         has_changed = abs(deviation_ms - reported_ms) > 2 * self.wall_clock.max_error_ms
         if (deviation_ms != 0.0) != (reported_ms != 0.0) or has_changed:
@@ -189,16 +189,18 @@
                 self._log(format_event("wall_clock_synchronized"))
             self.reported_deviation_ms = deviation_ms
 
-    def _clock_reading(self, now: float) -> ClockReading:
-        earliest, latest = self.wall_clock.unix_ms_bounds(now)
-        return ClockReading(now, earliest, latest, self.replicated_state.staleness_bound_ms, WINDOW_LEAD_MS)
+    def _clock_reading(self, now_ms: float) -> ClockReading:
+        earliest, latest = self.wall_clock.unix_ms_bounds(now_ms)
+        return ClockReading(
+            now_ms, earliest, latest, self.replicated_state.staleness_bound_ms, WINDOW_LEAD_MS
+        )
 
     # The gate.
 
-    def _update_uncertainty(self, now: float) -> None:
-        is_fresh = self.replicated_state.is_fresh(now)
-        is_uncertain = self.stale_hold.is_uncertain(now, is_fresh, self.registry.has_entries)
-        if is_uncertain != self.gate.is_uncertain and now > self.stale_hold.started_at_ms:
+    def _update_uncertainty(self, now_ms: float) -> None:
+        is_fresh = self.replicated_state.is_fresh(now_ms)
+        is_uncertain = self.stale_hold.is_uncertain(now_ms, is_fresh, self.registry.has_entries)
+        if is_uncertain != self.gate.is_uncertain and now_ms > self.stale_hold.started_at_ms:
             self._log(
                 format_event("change_freeze_hold_started", reason="this router may have missed a window")
                 if is_uncertain
@@ -206,10 +208,10 @@
             )
         self.gate.is_uncertain = is_uncertain
 
-    def _update_gate(self, now: float) -> None:
+    def _update_gate(self, now_ms: float) -> None:
         """Set the gate by the windows that are in force at this moment."""
-        self._update_uncertainty(now)
-        reading = self._clock_reading(now)
+        self._update_uncertainty(now_ms)
+        reading = self._clock_reading(now_ms)
         rules: list[FreezeRule] = []
         for window in self.registry.windows.values():
             previous_state = window.state
@@ -222,7 +224,7 @@
             rules += [self._rule_for(window, terms) for terms in in_force]
             if window.state in BUDGETED_STATES:
                 remaining_ms = max(0.0, window.latest_end_unix_ms() - reading.earliest_unix_ms)
-                self._update_exception_pool(window, now + remaining_ms)
+                self._update_exception_pool(window, now_ms + remaining_ms)
         gate = self.gate
         gate.rules = tuple(dict.fromkeys(rules))  # each once, in order
         gate.placements.is_frozen = bool(rules) or gate.is_uncertain
@@ -252,9 +254,9 @@
             window.minimum_exception_budget(),
         )
 
-    def _on_attempt_completed(self, now: float, completed: AttemptCompleted) -> None:
+    def _on_attempt_completed(self, now_ms: float, completed: AttemptCompleted) -> None:
         if completed.outcome is Outcome.OK or completed.was_warm:
-            self.gate.placements.record(now, completed.function_id, completed.worker_id)
+            self.gate.placements.record(now_ms, completed.function_id, completed.worker_id)
 
     # Messages.
 
--- a/cedarthread/change_freeze/deferred_changes.py
+++ b/cedarthread/change_freeze/deferred_changes.py
@@ -22,10 +22,10 @@
     tokens: float = RELEASE_BURST
     refilled_at_ms: float = 0.0
 
-    def __call__(self, now: float) -> int:
+    def __call__(self, now_ms: float) -> int:
         """1 where one change may be released now, else 0."""
-        self.tokens = min(self.burst, self.tokens + self.rate_per_ms * max(0.0, now - self.refilled_at_ms))
-        self.refilled_at_ms = now
+        self.tokens = min(self.burst, self.tokens + self.rate_per_ms * max(0.0, now_ms - self.refilled_at_ms))
+        self.refilled_at_ms = now_ms
         if self.tokens < 1.0:
             return 0
         self.tokens -= 1.0
@@ -89,7 +89,10 @@
         self.changes.pop((kind, function_id), None)
 
     def release(
-        self, now: float, is_frozen: Callable[[PlacementChange], bool], take_release: Callable[[float], int]
+        self,
+        now_ms: float,
+        is_frozen: Callable[[PlacementChange], bool],
+        take_release: Callable[[float], int],
     ) -> list[DeferredChange]:
         """Take out what is not frozen now, as much as the rate permits.
 
@@ -97,7 +100,7 @@
         due = [deferred for deferred in self.changes.values() if not is_frozen(deferred.as_change())]
         due.sort(key=lambda deferred: (not deferred.is_emergency, -deferred.request_count))
         released: list[DeferredChange] = []
-        while due and take_release(now) > 0:
+        while due and take_release(now_ms) > 0:
             deferred = due.pop(0)
             del self.changes[deferred.kind, deferred.function_id]
             released.append(deferred)
--- a/cedarthread/change_freeze/placement_table.py
+++ b/cedarthread/change_freeze/placement_table.py
@@ -35,14 +35,14 @@
     placement_count: int = 0
     is_frozen: bool = False  # a window is in force
 
-    def record(self, now: float, function_id: int, worker_id: int) -> None:
+    def record(self, now_ms: float, function_id: int, worker_id: int) -> None:
         """An instance of the function is on the worker now."""
         last_seen = self.last_seen_by_function.pop(function_id, None)
         if last_seen is None:
             last_seen = {}
         self.last_seen_by_function[function_id] = last_seen  # in the order of use, the least recent first
         self.placement_count += worker_id not in last_seen
-        last_seen[worker_id] = now
+        last_seen[worker_id] = now_ms
         while self.placement_count > MAX_PLACEMENTS:
             least_recent = next(iter(self.last_seen_by_function))
             self.placement_count -= len(self.last_seen_by_function.pop(least_recent))
@@ -55,7 +55,7 @@
         """Whether more placements were lost than are left, which will be overloaded."""
         return self.lost_placements.get(function_id, 0) > len(self.last_seen_by_function.get(function_id, ()))
 
-    def expire(self, now: float) -> None:
+    def expire(self, now_ms: float) -> None:
         """Outside windows, forget placements of which nothing was known for long."""
         if self.is_frozen:
             return
@@ -63,7 +63,9 @@
         for function_id in list(self.last_seen_by_function):
             last_seen = self.last_seen_by_function[function_id]
             for worker_id in [
-                worker_id for worker_id, seen_at in last_seen.items() if now - seen_at > PLACEMENT_MEMORY_MS
+                worker_id
+                for worker_id, seen_at in last_seen.items()
+                if now_ms - seen_at > PLACEMENT_MEMORY_MS
             ]:
                 del last_seen[worker_id]
                 self.placement_count -= 1
--- a/cedarthread/change_freeze/stale_hold.py
+++ b/cedarthread/change_freeze/stale_hold.py
@@ -23,13 +23,13 @@
     has_read_enough_peers: Callable[[], bool]  # several others were read completely in this incarnation
     last_fresh_at_ms: float | None = None
 
-    def is_uncertain(self, now: float, is_fresh: bool, has_entries: bool) -> bool:
+    def is_uncertain(self, now_ms: float, is_fresh: bool, has_entries: bool) -> bool:
         """Whether all placements must stay as they are now. ``has_entries``: about windows."""
         if is_fresh:
-            self.last_fresh_at_ms = now
+            self.last_fresh_at_ms = now_ms
         if self.last_fresh_at_ms is not None:
             since_ms, hold_ms = self.last_fresh_at_ms, STALE_HOLD_MS
         else:
             since_ms, hold_ms = self.started_at_ms, RESTART_HOLD_MS if has_entries else FIRST_START_HOLD_MS
         knows_from_start = self.last_fresh_at_ms is None and self.has_read_enough_peers()
-        return not is_fresh and not knows_from_start and now - since_ms < hold_ms
+        return not is_fresh and not knows_from_start and now_ms - since_ms < hold_ms
--- a/cedarthread/components/attempt_observer.py
+++ b/cedarthread/components/attempt_observer.py
@@ -48,7 +48,7 @@
             if self._components.load_gossip is not None:
                 self._components.load_gossip.on_attempt_sent(action.worker_id, request.function_id)
 
-    def record_ended(self, now: float, event: AttemptEnded) -> None:
+    def record_ended(self, now_ms: float, event: AttemptEnded) -> None:
         """Record the end of an attempt; one that was not recorded as started is ignored."""
         attempt = self._in_flight.pop((event.request_id, event.worker_id), None)
         if attempt is None:
@@ -56,10 +56,12 @@
         components = self._components
         if components.load_gossip is not None:
             is_loaded = _is_loaded_after(event)
-            components.load_gossip.on_attempt_ended(now, event.worker_id, attempt.function_id, is_loaded)
+            components.load_gossip.on_attempt_ended(now_ms, event.worker_id, attempt.function_id, is_loaded)
         if components.fleet is not None:
             was_warm = _WAS_WARM.get(event.start_kind)
-            components.fleet.on_attempt_ended(now, event, attempt.function_id, attempt.tenant_index, was_warm)
+            components.fleet.on_attempt_ended(
+                now_ms, event, attempt.function_id, attempt.tenant_index, was_warm
+            )
             reported_load = self._router.feedback.reported_load(event)
             if reported_load is not None:
                 components.fleet.recovery.on_load_report(*reported_load)
--- a/cedarthread/components/component_set.py
+++ b/cedarthread/components/component_set.py
@@ -42,29 +42,31 @@
             message_type: component for component in self.active for message_type in component.message_types
         }
 
-    def on_tick(self, now: float) -> list[Action]:
+    def on_tick(self, now_ms: float) -> list[Action]:
         """Tick each component."""
-        return [action for component in self.active for action in component.on_tick(now)]
+        return [action for component in self.active for action in component.on_tick(now_ms)]
 
-    def notify(self, now: float, notification: Notification) -> list[Action]:
+    def notify(self, now_ms: float, notification: Notification) -> list[Action]:
         """Pass a notification to each component."""
         return [
-            action for component in self.active for action in component.on_notification(now, notification)
+            action for component in self.active for action in component.on_notification(now_ms, notification)
         ]
 
-    def on_peer_message(self, now: float, event: PeerMessageReceived) -> list[Action]:
+    def on_peer_message(self, now_ms: float, event: PeerMessageReceived) -> list[Action]:
         """Pass a datagram to the component of its type; gossip counts those of no known type."""
         if self.membership is not None:
-            self.membership.record_activity(now, event.sender_index)
+            self.membership.record_activity(now_ms, event.sender_index)
         message_type = event.data[0] if event.data else 0
         component = self.by_message_type.get(message_type, self.load_gossip)
         return (
-            list(component.on_message(now, event.sender_index, event.data)) if component is not None else []
+            list(component.on_message(now_ms, event.sender_index, event.data))
+            if component is not None
+            else []
         )
 
-    def status(self, now: float) -> dict[str, str]:
+    def status(self, now_ms: float) -> dict[str, str]:
         """The figures of all components, by name."""
         figures = dict(self.fleet.status()) if self.fleet is not None else {}
         for component in self.active:
-            figures.update(component.status(now))
+            figures.update(component.status(now_ms))
         return figures
--- a/cedarthread/components/constraints.py
+++ b/cedarthread/components/constraints.py
@@ -24,17 +24,17 @@
         self.priority, self.gate, self.recovery = priority, gate, recovery
         self.limits_loading = False  # a freeze or the recovery limits which instances may be started now
 
-    def refresh(self, now: float) -> None:
+    def refresh(self, now_ms: float) -> None:
         """Bring ``limits_loading`` up to date: at each tick, and when entries have changed."""
         self.limits_loading = self.gate.is_active or not self.recovery.is_in_service()
 
-    def expected_instances(self, now: float, function_id: int) -> dict[int, InstanceLoad]:
+    def expected_instances(self, now_ms: float, function_id: int) -> dict[int, InstanceLoad]:
         """Instances by worker id as persisted state and peers know them, while this router recovers."""
-        return {} if self.recovery.is_in_service() else self.recovery.warm_instances(now, function_id)
+        return {} if self.recovery.is_in_service() else self.recovery.warm_instances(now_ms, function_id)
 
     def may_route(
         self,
-        now: float,
+        now_ms: float,
         pending: PendingRequest,
         worker: WorkerRecord,
         is_loaded: bool,
@@ -48,7 +48,7 @@
             return False
         request, endpoint = pending.request, worker.endpoint
         return self.gate.can_send(
-            now,
+            now_ms,
             function_id=request.function_id,
             worker_id=endpoint.worker_id,
             zone_index=endpoint.zone,
@@ -58,7 +58,7 @@
         )
 
     def may_load(
-        self, now: float, pending: PendingRequest, worker: WorkerRecord, has_alternative: bool
+        self, now_ms: float, pending: PendingRequest, worker: WorkerRecord, has_alternative: bool
     ) -> bool:
         """May the request start a first instance at the worker? Asked last, just before: a yes may consume
         one of the freeze's exceptions and one load of the recovery's pace."""
@@ -72,12 +72,12 @@
                 request.tenant_index,
                 self.gate.is_emergency(request.function_id, has_alternative),
             )
-            if not self.gate.admit(now, change).is_permitted:
+            if not self.gate.admit(now_ms, change).is_permitted:
                 return False
-        return self.recovery.try_acquire_load(now, request.function_id)
+        return self.recovery.try_acquire_load(now_ms, request.function_id)
 
     def home_workers(
-        self, now: float, function_id: int, workers: Sequence[WorkerRecord], home_count: int
+        self, now_ms: float, function_id: int, workers: Sequence[WorkerRecord], home_count: int
     ) -> tuple[Sequence[WorkerRecord], int]:
         """The function's workers in placement order, and how many are its homes, as a freeze has it."""
         if not self.gate.is_active:
@@ -87,36 +87,36 @@
             for worker in workers
             if worker.endpoint.state is EndpointState.READY
         }
-        worker_ids, home_count = self.gate.home_workers(now, function_id, list(ready), home_count)
+        worker_ids, home_count = self.gate.home_workers(now_ms, function_id, list(ready), home_count)
         return [ready[worker_id] for worker_id in worker_ids], home_count
 
-    def retry_after_range(self, now: float) -> tuple[float, float]:
+    def retry_after_range(self, now_ms: float) -> tuple[float, float]:
         """Between which fractions of the longest Retry-After that of a rejected request is drawn."""
-        return self.recovery.retry_after_fractions(now)
+        return self.recovery.retry_after_fractions(now_ms)
 
     def shed_probability(
-        self, now: float, pending: PendingRequest, value: float, utilization: float, shed_fraction: float
+        self, now_ms: float, pending: PendingRequest, value: float, utilization: float, shed_fraction: float
     ) -> float | None:
         """Give a request that arrived its priority; returns with which probability to shed requests like it
         where ``shed_fraction`` of all must be shed, None: with ``shed_fraction`` as usual."""
         request = pending.request
         tenant = request.caller if request.tenant_index is None else request.tenant_index
-        priority = self.priority.on_arrival(now, tenant, value, utilization, request.is_client_retry)
+        priority = self.priority.on_arrival(now_ms, tenant, value, utilization, request.is_client_retry)
         pending.call_priority = priority
-        return self.priority.shed_probability(now, priority, shed_fraction, value)
+        return self.priority.shed_probability(now_ms, priority, shed_fraction, value)
 
-    def on_rejected(self, now: float, pending: PendingRequest) -> None:
+    def on_rejected(self, now_ms: float, pending: PendingRequest) -> None:
         """A request was rejected: it counts for the floor of its tenant."""
         if pending.call_priority is not None:
-            self.priority.record_rejected(now, pending.call_priority, pending.request.is_client_retry)
+            self.priority.record_rejected(now_ms, pending.call_priority, pending.request.is_client_retry)
 
-    def overload_level(self, now: float) -> int:
+    def overload_level(self, now_ms: float) -> int:
         """How overloaded the fleet is; 0: it is not, or that is not known."""
-        return self.priority.overload_level(now)
+        return self.priority.overload_level(now_ms)
 
     def preemption_victim(
         self,
-        now: float,
+        now_ms: float,
         pending: PendingRequest,
         worker: WorkerRecord | None,
         expected_ms: float,
@@ -129,9 +129,9 @@
         if pending.call_priority is None or pending.attempts or worker is None:
             return None
         request_id = self.priority.choose_victim(
-            now,
-            preemption_claim(now, pending, worker, expected_ms),
-            preemption_candidates(now, pending_requests, queue, worker),
+            now_ms,
+            preemption_claim(now_ms, pending, worker, expected_ms),
+            preemption_candidates(now_ms, pending_requests, queue, worker),
         )
         if request_id is not None:
             victim = pending_requests[request_id]
--- a/cedarthread/components/escrow_pools.py
+++ b/cedarthread/components/escrow_pools.py
@@ -18,7 +18,7 @@
 
     def __init__(self, escrow: Escrow, store: ReplicatedStore) -> None:
         self.escrow = escrow  # replaced when persisted state has been recovered
-        self.now = 0.0  # of the notification that is being handled
+        self.now_ms = 0.0  # of the notification that is being handled
         self._store = store
         self._is_new_pool: dict[str, bool] = {}  # consumable pools: declared in this incarnation?
 
@@ -39,19 +39,19 @@
 
         A router that has been fresh for a while had every entry in force before. Shortly after a start of all
         routers, a slow disk may still bring an older entry."""
-        since = self._store.fresh_since(self.now)
+        since = self._store.fresh_since(self.now_ms)
         if since is None:
             return False
-        return self.now - since >= self._store.staleness_bound_ms + DISK_OPEN_GRACE_MS
+        return self.now_ms - since >= self._store.staleness_bound_ms + DISK_OPEN_GRACE_MS
 
-    def available(self, now: float, name: str) -> int:
+    def available(self, now_ms: float, name: str) -> int:
         """How much of a pool this router may use now."""
-        return self.escrow.available(now, name)
+        return self.escrow.available(now_ms, name)
 
-    def consume(self, now: float, name: str, amount: int = 1) -> bool:
+    def consume(self, now_ms: float, name: str, amount: int = 1) -> bool:
         """Use up an amount of a consumable pool; False where not so much is available."""
-        return self.escrow.consume(now, name, amount)
+        return self.escrow.consume(now_ms, name, amount)
 
-    def request(self, now: float, name: str, amount: int) -> None:
+    def request(self, now_ms: float, name: str, amount: int) -> None:
         """Tell how much of a pool this router could use in all."""
-        self.escrow.request(now, name, amount)
+        self.escrow.request(now_ms, name, amount)
--- a/cedarthread/components/fleet.py
+++ b/cedarthread/components/fleet.py
@@ -55,7 +55,7 @@
         seed: int,
         incarnation: int,
         *,
-        now: float,
+        now_ms: float,
         wall_clock_ms: Callable[[], float],
     ) -> None:
         """``wall_clock_ms``: reads the wall clock, Unix ms."""
@@ -78,9 +78,9 @@
             period_ms=sharing.period,
             window_ms=sharing.fresh,
             clock_rate=sharing.clock_rate,
-            now=now,
+            now_ms=now_ms,
         )
-        self.escrow = self._new_escrow(now, has_memory=self.router_count == 1, is_durable=False)
+        self.escrow = self._new_escrow(now_ms, has_memory=self.router_count == 1, is_durable=False)
         self.escrow_pools = EscrowPools(self.escrow, self.store)
         self.priority = PriorityComponent(self.store, self.escrow_pools, settings, seed)
         self.change_freeze = ChangeFreezeComponent(
@@ -88,16 +88,16 @@
             sharing,
             self.store,
             self.escrow_pools,
-            now=now,
+            now_ms=now_ms,
             has_read_enough_peers=self.store.has_read_enough_peers,
         )
-        self.recovery = RecoveryComponent(settings, seed ^ incarnation, now)
+        self.recovery = RecoveryComponent(settings, seed ^ incarnation, now_ms)
         self.constraints = RoutingConstraints(self.priority, self.change_freeze.gate, self.recovery)
         self.change_freeze.gate.take_release = lambda at: int(self.recovery.admission.try_acquire_release(at))
-        self.persister = self._new_persister(now) if fleet_config.disk else None
+        self.persister = self._new_persister(now_ms) if fleet_config.disk else None
         self.rejected_entries = 0  # of the fleet file, by the replicated store
 
-    def _new_escrow(self, now: float, *, has_memory: bool, is_durable: bool) -> Escrow:
+    def _new_escrow(self, now_ms: float, *, has_memory: bool, is_durable: bool) -> Escrow:
         identity = self._identity
         return Escrow(
             identity.router_index,
@@ -105,20 +105,20 @@
             identity.incarnation,
             identity.seed,
             clock_rate=identity.clock_rate,
-            now=now,
+            now_ms=now_ms,
             has_memory=has_memory,
             is_durable=is_durable,
         )
 
-    def _new_persister(self, now: float) -> StatePersister:
-        return StatePersister(self.store, self.recovery, self._on_state_recovered, now)
+    def _new_persister(self, now_ms: float) -> StatePersister:
+        return StatePersister(self.store, self.recovery, self._on_state_recovered, now_ms)
 
-    def _on_state_recovered(self, now: float, escrow_image: bytes | None) -> None:
+    def _on_state_recovered(self, now_ms: float, escrow_image: bytes | None) -> None:
         """Begin the escrow anew with its persisted image; None where none could be recovered."""
         persister = self.persister
         is_durable = persister is not None and not persister.is_degraded
         has_memory = escrow_image is not None or self.router_count == 1
-        self.escrow = self._new_escrow(now, has_memory=has_memory, is_durable=is_durable)
+        self.escrow = self._new_escrow(now_ms, has_memory=has_memory, is_durable=is_durable)
         if escrow_image is not None:
             self.escrow.restore(escrow_image)
         self.escrow_pools.escrow = self.escrow
@@ -130,61 +130,61 @@
         """The components, in the order of their ticks."""
         return (self.store, self.escrow, self.priority, self.change_freeze, self.recovery)
 
-    def apply_fleet_config(self, now: float, fleet_config: FleetConfig) -> list[OutboundMessage]:
+    def apply_fleet_config(self, now_ms: float, fleet_config: FleetConfig) -> list[OutboundMessage]:
         """Propose the file's entries to the replicated store; those that it holds already change nothing."""
         messages: list[OutboundMessage] = []
         for kind, name, body in (
             *contract_entries.entries_from_config(fleet_config),
             *window_entries.entries_from_config(fleet_config),
         ):
-            proposed = self.store.propose(now, kind, name, body)
+            proposed = self.store.propose(now_ms, kind, name, body)
             if isinstance(proposed, RejectedEntry):
                 self.rejected_entries += 1
                 error = f"{proposed.location}: {proposed.problem}"
                 line = format_event("entry_rejected", kind=kind, name=name, error=error)
                 messages.append(LogMessage(line))
-        return messages + list(self.on_entries_changed(now))
+        return messages + list(self.on_entries_changed(now_ms))
 
-    def on_entries_changed(self, now: float) -> Sequence[OutboundMessage]:
+    def on_entries_changed(self, now_ms: float) -> Sequence[OutboundMessage]:
         """Pass entries that came or changed to the components, and refresh the routing constraints."""
         entries = self.store.take_changes()
         if entries and self.persister is not None:
             self.persister.on_entries_changed(entries)
-        messages = self.notify(now, EntriesChanged(entries)) if entries else []
-        self.constraints.refresh(now)
+        messages = self.notify(now_ms, EntriesChanged(entries)) if entries else []
+        self.constraints.refresh(now_ms)
         return messages
 
-    def before_tick(self, now: float) -> Sequence[OutboundMessage]:
+    def before_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
         """Before a tick: read the wall clock, and take the samples of the peers' clocks."""
         clock, samples = self.change_freeze.wall_clock, self.store.peer_clock_samples
         for sender, (unix_ms, sent_at_ms, received_at_ms) in samples.items():
             clock.add_sample(received_at_ms, sender, unix_ms, sent_at_ms)
         samples.clear()
-        messages = self.notify(now, WallClockRead(self.wall_clock_ms()))
-        self.store.unix_ms = clock.unix_ms(now)
+        messages = self.notify(now_ms, WallClockRead(self.wall_clock_ms()))
+        self.store.unix_ms = clock.unix_ms(now_ms)
         return messages
 
-    def released_settings(self, now: float) -> RouterSettings | None:
+    def released_settings(self, now_ms: float) -> RouterSettings | None:
         """Settings that a change freeze deferred and that may be in force now; None where there are none.
 
         Deferred loads and home workers need no such release: the router's own calls want them again. Here
         they are only removed from the deferred changes, at the pace of the recovery."""
         deferred = self.change_freeze.gate.deferred_settings
-        released = self.change_freeze.release_deferred_changes(now)
+        released = self.change_freeze.release_deferred_changes(now_ms)
         return deferred if any(change.kind == "retune" for change in released) else None
 
-    def notify(self, now: float, notification: Notification) -> list[OutboundMessage]:
+    def notify(self, now_ms: float, notification: Notification) -> list[OutboundMessage]:
         """Pass a notification to these components."""
-        self.escrow_pools.now = now
+        self.escrow_pools.now_ms = now_ms
         return [
             message
             for component in self.components
-            for message in component.on_notification(now, notification)
+            for message in component.on_notification(now_ms, notification)
         ]
 
     def on_attempt_ended(
         self,
-        now: float,
+        now_ms: float,
         event: AttemptEnded,
         function_id: int,
         tenant_index: int | None,
@@ -192,11 +192,11 @@
     ) -> None:
         """An attempt has ended. ``was_warm``: an instance was loaded before it; None: unknown."""
         if event.outcome is Outcome.CONNECT_FAILED and event.is_unreachable:
-            self.change_freeze.on_worker_down(now, event.worker_id)
+            self.change_freeze.on_worker_down(now_ms, event.worker_id)
         completed = AttemptCompleted(
             event.worker_id, function_id, tenant_index, event.latency_ms, event.outcome, was_warm
         )
-        self.notify(now, completed)
+        self.notify(now_ms, completed)
 
     def status(self) -> Mapping[str, str]:
         """The figures that belong to no single component."""
--- a/cedarthread/components/interface.py
+++ b/cedarthread/components/interface.py
@@ -129,16 +129,16 @@
     def message_types(self) -> frozenset[int]:
         """The types (first bytes) of the datagrams that this component handles."""
 
-    def on_message(self, now: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
+    def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
         """Handle a datagram of one of its types; malformed ones are counted, never raised on."""
 
-    def on_tick(self, now: float) -> Sequence[OutboundMessage]:
+    def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
         """Called several times a second: returns what is to be sent now."""
 
-    def on_notification(self, now: float, notification: Notification) -> Sequence[OutboundMessage]:
+    def on_notification(self, now_ms: float, notification: Notification) -> Sequence[OutboundMessage]:
         """Handle a change that components share."""
 
-    def status(self, now: float) -> Mapping[str, str]:
+    def status(self, now_ms: float) -> Mapping[str, str]:
         """The component's figures for operators (``INFO``): text by name."""
 
 
@@ -158,10 +158,10 @@
     def entries(self, kind: EntryKind) -> tuple[ReplicatedEntry, ...]:
         """All entries of a kind, in the order of their names."""
 
-    def is_fresh(self, now: float) -> bool:
+    def is_fresh(self, now_ms: float) -> bool:
         """Whether a majority of routers confirmed lately that this one lacks none of their entries."""
 
-    def fresh_since(self, now: float) -> float | None:
+    def fresh_since(self, now_ms: float) -> float | None:
         """Since when it has been fresh without interruption; None: it is not fresh."""
 
 
@@ -180,11 +180,11 @@
         ``ends_at_ms``: when the pool ends, on the steady clock; None: never.
         """
 
-    def available(self, now: float, name: str) -> int:
+    def available(self, now_ms: float, name: str) -> int:
         """How much of a pool this router may use now; 0 for one that is unknown or has ended."""
 
-    def consume(self, now: float, name: str, amount: int = 1) -> bool:
+    def consume(self, now_ms: float, name: str, amount: int = 1) -> bool:
         """Use an amount of a consumable pool; False, and nothing used, if this router may not."""
 
-    def request(self, now: float, name: str, amount: int) -> None:
+    def request(self, now_ms: float, name: str, amount: int) -> None:
         """This router could use this amount in all; what it lacks is requested from its peers."""
--- a/cedarthread/components/node.py
+++ b/cedarthread/components/node.py
@@ -59,68 +59,68 @@
         """What acts on the fleet file; None where none is named."""
         return self.components.fleet
 
-    def handle(self, now: float, event: Event) -> list[Action]:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Take one event; returns the actions to execute, in order."""
         components = self.components
         if not components.active:
-            return self.router.handle(now, event)
+            return self.router.handle(now_ms, event)
         actions: list[Action] = []
-        if components.fleet is not None and now - self._last_tick_at_ms > TICK_STALLED_MS:
-            actions += self._on_tick(now)  # what began or ended during the stall counts before this event
-            actions += components.fleet.on_entries_changed(now)
+        if components.fleet is not None and now_ms - self._last_tick_at_ms > TICK_STALLED_MS:
+            actions += self._on_tick(now_ms)  # what began or ended during the stall counts before this event
+            actions += components.fleet.on_entries_changed(now_ms)
         if type(event) is PeerMessageReceived:
-            actions += components.on_peer_message(now, event)
+            actions += components.on_peer_message(now_ms, event)
         elif type(event) is TimerFired and event.token == COMPONENT_TIMER_TOKEN:
-            actions += self._on_tick(now)
+            actions += self._on_tick(now_ms)
         else:
-            actions += self._on_router_event(now, event)
+            actions += self._on_router_event(now_ms, event)
         if components.membership is not None and components.membership.status_changes:
-            actions += self._on_membership_changes(now, components.membership)
+            actions += self._on_membership_changes(now_ms, components.membership)
         if components.fleet is not None:
-            actions += components.fleet.on_entries_changed(now)
+            actions += components.fleet.on_entries_changed(now_ms)
         if components.load_gossip is not None:
             if components.load_gossip.changed_workers:
                 self._apply_peer_load(components.load_gossip.changed_workers)
-            actions += components.load_gossip.collect_due_datagrams(now)
-        self._set_timer(now, actions)
+            actions += components.load_gossip.collect_due_datagrams(now_ms)
+        self._set_timer(now_ms, actions)
         return actions
 
-    def status(self, now: float) -> dict[str, str]:
+    def status(self, now_ms: float) -> dict[str, str]:
         """The components' figures for operators, by name."""
-        return self.components.status(now)
+        return self.components.status(now_ms)
 
     def apply_fleet_config(
-        self, now: float, fleet_config: FleetConfig, wall_clock_ms: Callable[[], float]
+        self, now_ms: float, fleet_config: FleetConfig, wall_clock_ms: Callable[[], float]
     ) -> list[Action]:
         """Take the operators' fleet file. ``wall_clock_ms``: reads the wall clock, Unix ms."""
         if self.components.fleet is None:
-            self._create_fleet_components(now, fleet_config, wall_clock_ms)
+            self._create_fleet_components(now_ms, fleet_config, wall_clock_ms)
         assert self.components.fleet is not None
-        actions: list[Action] = [*self.components.fleet.apply_fleet_config(now, fleet_config)]
-        self._set_timer(now, actions)
+        actions: list[Action] = [*self.components.fleet.apply_fleet_config(now_ms, fleet_config)]
+        self._set_timer(now_ms, actions)
         return actions
 
     def _create_fleet_components(
-        self, now: float, fleet_config: FleetConfig, wall_clock_ms: Callable[[], float]
+        self, now_ms: float, fleet_config: FleetConfig, wall_clock_ms: Callable[[], float]
     ) -> None:
         from cedarthread.components.fleet import FleetComponents  # with its libraries: only where needed
 
         incarnation = self.seed if self.incarnation is None else self.incarnation
         fleet = FleetComponents(
-            fleet_config, self.settings, self.seed, incarnation, now=now, wall_clock_ms=wall_clock_ms
+            fleet_config, self.settings, self.seed, incarnation, now_ms=now_ms, wall_clock_ms=wall_clock_ms
         )
         self.components.fleet = fleet
         self.router.state.constraints = fleet.constraints
         self.components.update(self.settings)
-        self._notify_peers_changed(now)
-        fleet.notify(now, self.router.state.workers.snapshot())
-        self._on_tick(now)
+        self._notify_peers_changed(now_ms)
+        fleet.notify(now_ms, self.router.state.workers.snapshot())
+        self._on_tick(now_ms)
 
-    def update_settings(self, settings: RouterSettings, now: float = 0.0) -> None:
+    def update_settings(self, settings: RouterSettings, now_ms: float = 0.0) -> None:
         """Take new settings, whose classes extend the old ones. What they forbid now ends."""
         if self.components.fleet is not None:  # a change freeze may defer what would move instances
             gate = self.components.fleet.change_freeze.gate
-            settings = gate.admitted_settings(now, self.settings, settings)
+            settings = gate.admitted_settings(now_ms, self.settings, settings)
         self.settings = settings
         self.router.update_settings(settings)
         self.router.state.live_router_count = max(1, settings.router_count)
@@ -129,48 +129,48 @@
             self._is_timer_set = self._is_timer_set and bool(self.components.active)
             self._forget_peer_load()
         self.router.state.gossip = self.components.load_gossip
-        self.components.notify(now, SettingsChanged(settings))
-        self._notify_peers_changed(now)
+        self.components.notify(now_ms, SettingsChanged(settings))
+        self._notify_peers_changed(now_ms)
 
-    def _set_timer(self, now: float, actions: list[Action]) -> None:
+    def _set_timer(self, now_ms: float, actions: list[Action]) -> None:
         """Have the components ticked again, unless that is arranged already."""
         if not self._is_timer_set:
             self._is_timer_set = True
-            actions.append(SetTimer(now + TICK_PERIOD_MS, COMPONENT_TIMER_TOKEN))
+            actions.append(SetTimer(now_ms + TICK_PERIOD_MS, COMPONENT_TIMER_TOKEN))
 
-    def _on_tick(self, now: float) -> list[Action]:
+    def _on_tick(self, now_ms: float) -> list[Action]:
         actions: list[Action] = []
         fleet = self.components.fleet
         if fleet is not None:
-            actions += fleet.before_tick(now)
-            if (settings := fleet.released_settings(now)) is not None:
-                self.update_settings(settings, now)
+            actions += fleet.before_tick(now_ms)
+            if (settings := fleet.released_settings(now_ms)) is not None:
+                self.update_settings(settings, now_ms)
             self.components.update(self.settings)
-        actions += self.components.on_tick(now)
-        self._is_timer_set, self._last_tick_at_ms = False, now
+        actions += self.components.on_tick(now_ms)
+        self._is_timer_set, self._last_tick_at_ms = False, now_ms
         return actions
 
-    def _on_router_event(self, now: float, event: Event) -> list[Action]:
+    def _on_router_event(self, now_ms: float, event: Event) -> list[Action]:
         load_gossip, fleet = self.components.load_gossip, self.components.fleet
         if type(event) is AttemptEnded:
-            self._attempts.record_ended(now, event)
+            self._attempts.record_ended(now_ms, event)
         elif type(event) is EndpointUpdate and fleet is not None:
-            fleet.notify(now, event)
-        actions = self.router.handle(now, event)
+            fleet.notify(now_ms, event)
+        actions = self.router.handle(now_ms, event)
         if type(event) is RequestArrived and not event.is_client_retry and load_gossip is not None:
             load_gossip.on_first_attempt()
         self._attempts.record_started(actions)
         return actions
 
-    def _notify_peers_changed(self, now: float) -> list[Action]:
+    def _notify_peers_changed(self, now_ms: float) -> list[Action]:
         """Tell router and components which peers are alive: quotas and gossip targets depend on them."""
         membership = self.components.membership
         if membership is None:
             return []
         self.router.state.live_router_count = membership.alive_count()
-        return self.components.notify(now, membership.peers_changed(now))
+        return self.components.notify(now_ms, membership.peers_changed(now_ms))
 
-    def _on_membership_changes(self, now: float, membership: SwimMembership) -> list[Action]:
+    def _on_membership_changes(self, now_ms: float, membership: SwimMembership) -> list[Action]:
         """Pass on that peers have joined or failed, and log it; a mere suspicion is not logged."""
         changes = [
             f"{change.member_index}:{change.status.name.lower()}"
@@ -178,7 +178,7 @@
             if change.status is not MemberStatus.SUSPECT
         ]
         membership.status_changes.clear()
-        actions = self._notify_peers_changed(now)
+        actions = self._notify_peers_changed(now_ms)
         if not changes:
             return actions
         line = format_event(
--- a/cedarthread/components/preemption_view.py
+++ b/cedarthread/components/preemption_view.py
@@ -13,13 +13,13 @@
 
 
 def preemption_claim(
-    now: float, pending: PendingRequest, worker: WorkerRecord, expected_ms: float
+    now_ms: float, pending: PendingRequest, worker: WorkerRecord, expected_ms: float
 ) -> PreemptionClaim:
     """The claim of a request that would go to ``worker`` and be served there in ``expected_ms``."""
     assert pending.call_priority is not None
-    wait_ms = expected_ms * worker.read_excess_load(now)
+    wait_ms = expected_ms * worker.read_excess_load(now_ms)
     objective_ms = pending.arrived_at_ms + pending.request_class.latency_objective_ms
-    left_ms = min(pending.request.deadline_ms, objective_ms) - now
+    left_ms = min(pending.request.deadline_ms, objective_ms) - now_ms
     in_flight = worker.in_flight + worker.peers_in_flight
     wait_with_one_less_ms = wait_ms * (1.0 - 1.0 / max(1.0, in_flight))
     return PreemptionClaim(
@@ -32,7 +32,7 @@
 
 
 def preemption_candidates(
-    now: float,
+    now_ms: float,
     pending_requests: Mapping[int, PendingRequest],
     queue: Mapping[int, PendingRequest],
     worker: WorkerRecord,
@@ -42,7 +42,7 @@
         pending = pending_requests[request_id]
         is_queued = request_id in queue
         if pending.call_priority is not None and (is_queued or _is_in_flight_at(pending, worker)):
-            yield _candidate(now, request_id, pending, worker, is_queued)
+            yield _candidate(now_ms, request_id, pending, worker, is_queued)
 
 
 def _is_in_flight_at(pending: PendingRequest, worker: WorkerRecord) -> bool:
@@ -61,7 +61,7 @@
 
 
 def _candidate(
-    now: float, request_id: int, pending: PendingRequest, worker: WorkerRecord, is_queued: bool
+    now_ms: float, request_id: int, pending: PendingRequest, worker: WorkerRecord, is_queued: bool
 ) -> PreemptionCandidate:
     assert pending.call_priority is not None
     request_class = pending.request_class
@@ -71,9 +71,9 @@
     deduplication_remaining_ms = request_class.deduplication_window_ms
     if possibly_executed:
         first_at_ms = possibly_executed[0].started_at_ms
-        deduplication_remaining_ms = first_at_ms + request_class.deduplication_window_ms - now
+        deduplication_remaining_ms = first_at_ms + request_class.deduplication_window_ms - now_ms
     expected_ms = last.expected_ms if last is not None else QUEUED_EXPECTED_MS
-    spent_ms = now - last.started_at_ms if last is not None else 0.0
+    spent_ms = now_ms - last.started_at_ms if last is not None else 0.0
     return PreemptionCandidate(
         request_id=request_id,
         retry_identity=request_id,
--- a/cedarthread/escrow/count_pool.py
+++ b/cedarthread/escrow/count_pool.py
@@ -73,21 +73,21 @@
     def _update_free(self) -> None:
         self.free = min(self.free, self.balance) if self.is_durable else self.balance
 
-    def shortfall(self, now: float) -> int:
+    def shortfall(self, now_ms: float) -> int:
         """What only others could give; units that wait for the disk do not count."""
         return max(0, self.demand - self.balance)
 
-    def available(self, now: float) -> int:
+    def available(self, now_ms: float) -> int:
         """Units that are free to be used."""
-        return 0 if self.has_ended(now) else self.free
+        return 0 if self.has_ended(now_ms) else self.free
 
-    def can_be_removed(self, now: float) -> bool:
+    def can_be_removed(self, now_ms: float) -> bool:
         """Not soon after its end: if the end were postponed, the allotment would come in a second time."""
-        return self.ends_at_ms is not None and now >= self.ends_at_ms + RETENTION_MS
+        return self.ends_at_ms is not None and now_ms >= self.ends_at_ms + RETENTION_MS
 
-    def consume(self, now: float, amount: int) -> bool:
+    def consume(self, now_ms: float, amount: int) -> bool:
         """Use up units if they are free."""
-        if amount > self.available(now):
+        if amount > self.available(now_ms):
             self.wanted_free = max(self.wanted_free, amount)
             return False
         self._deduct(amount)
@@ -95,10 +95,10 @@
         self.demand = max(0, self.demand - amount)
         return True
 
-    def give(self, now: float, taker: int, requested: int) -> int:
+    def give(self, now_ms: float, taker: int, requested: int) -> int:
         """Lower the balance by what this router does not want itself, up to ``requested``; the amount
         given."""
-        amount = min(requested, max(0, self.available(now) - self.demand))
+        amount = min(requested, max(0, self.available(now_ms) - self.demand))
         if amount < requested:
             self.wanted_free = max(self.wanted_free, self.demand + requested)
         if amount:
--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -47,7 +47,7 @@
         seed: int,
         *,
         clock_rate: float,
-        now: float = 0.0,
+        now_ms: float = 0.0,
         has_memory: bool = False,
         is_durable: bool = False,
     ) -> None:
@@ -55,15 +55,15 @@
         self.incarnation = incarnation % 2**64
         self.rng = random.Random(seed ^ _RNG_SALT ^ router_index << 32)
         self.clock_drift_factor = (1.0 + clock_rate) / (1.0 - clock_rate)
-        self.ready_at_ms = now + LEASE_TERM_MS * self.clock_drift_factor
+        self.ready_at_ms = now_ms + LEASE_TERM_MS * self.clock_drift_factor
         self.pools: dict[int, QuotaPool] = {}  # by key
         self.keys_by_name: dict[str, int] = {}
         self.counters = dict.fromkeys(COUNTERS, 0)
         self.image = EscrowImage(has_memory=has_memory, is_durable=is_durable)
         self.requester = self.requester_type(
-            router_index, router_count, self.incarnation, rng=self.rng, counters=self.counters, now=now
+            router_index, router_count, self.incarnation, rng=self.rng, counters=self.counters, now_ms=now_ms
         )
-        self.grantor = self.grantor_type(self.incarnation, self.rng, self.counters, now)
+        self.grantor = self.grantor_type(self.incarnation, self.rng, self.counters, now_ms)
 
     # For other components.
 
@@ -110,22 +110,22 @@
         key = self.keys_by_name.get(name)
         return None if key is None else self.pools.get(key)
 
-    def available(self, now: float, name: str) -> int:
+    def available(self, now_ms: float, name: str) -> int:
         """Units that this router may use now; 0 for a pool that is not open or has ended."""
         pool = self.pool_named(name)
-        return 0 if pool is None else pool.available(now)
+        return 0 if pool is None else pool.available(now_ms)
 
-    def consume(self, now: float, name: str, amount: int = 1) -> bool:
+    def consume(self, now_ms: float, name: str, amount: int = 1) -> bool:
         """Use up units of a count; false, and nothing used, where this router may not."""
         pool = self.pool_named(name)
-        return isinstance(pool, CountPool) and amount > 0 and pool.consume(now, amount)
+        return isinstance(pool, CountPool) and amount > 0 and pool.consume(now_ms, amount)
 
-    def request(self, now: float, name: str, amount: int) -> None:
+    def request(self, now_ms: float, name: str, amount: int) -> None:
         """Set what this router could use in all, until the next call; 0 ends it.
 
         Of a rate its present demand; of a count what it would have ready, which each use lowers."""
         if (pool := self.pool_named(name)) is not None:
-            set_demand(now, pool, amount)
+            set_demand(now_ms, pool, amount)
 
     # The disk.
 
@@ -139,11 +139,11 @@
         False, and nothing taken, if it cannot be read: then there is no memory."""
         return self.image.restore(data)
 
-    def image_to_write(self, now: float) -> bytes | None:
+    def image_to_write(self, now_ms: float) -> bytes | None:
         """The image that the host is to persist, if any; its end is reported by the two methods below."""
-        return self.image.next_write(now, self.pools)
+        return self.image.next_write(now_ms, self.pools)
 
-    def mark_written(self, now: float) -> None:
+    def mark_written(self, now_ms: float) -> None:
         """The image last given is on the disk."""
         self.image.mark_written(self.pools)
 
@@ -153,54 +153,54 @@
 
     # The component interface.
 
-    def on_message(self, now: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
+    def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
         """Take a peer's request or response. Never raises, whatever the bytes are."""
         message = decode(data)
         if isinstance(message, MalformedDatagram):
             self.counters["unreadable"] += 1
         elif sender == self.router_index or not 0 <= sender < self.router_count:
             self.counters["strangers"] += 1
-        elif (pool := self.pools.get(message.pool_key)) is None or pool.has_ended(now):
+        elif (pool := self.pools.get(message.pool_key)) is None or pool.has_ended(now_ms):
             self.counters["unknown"] += 1
         elif isinstance(message, EscrowResponse):
-            self.requester.on_response(now, sender, pool, message)
-        elif not self.grantor.response_budget.take(now):
+            self.requester.on_response(now_ms, sender, pool, message)
+        elif not self.grantor.response_budget.take(now_ms):
             self.counters["drowned"] += 1
         else:
-            return self.grantor.on_request(now, sender, pool, message)
+            return self.grantor.on_request(now_ms, sender, pool, message)
         return ()
 
-    def on_tick(self, now: float) -> Sequence[OutboundMessage]:
+    def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
         """Request what is lacking; called several times a second."""
-        self.requester.expire(now)
-        self._remove_ended_pools(now)
-        messages = self.requester.retry(now)
-        keys = [key for key, pool in self.pools.items() if pool.demand and not pool.has_ended(now)]
+        self.requester.expire(now_ms)
+        self._remove_ended_pools(now_ms)
+        messages = self.requester.retry(now_ms)
+        keys = [key for key, pool in self.pools.items() if pool.demand and not pool.has_ended(now_ms)]
         self.rng.shuffle(keys)  # so that no pool takes the whole request budget
         for key in keys:
-            messages += self.requester.request_units(now, self.pools[key])
+            messages += self.requester.request_units(now_ms, self.pools[key])
         return messages
 
-    def _remove_ended_pools(self, now: float) -> None:
+    def _remove_ended_pools(self, now_ms: float) -> None:
         for key, pool in list(self.pools.items()):
             if isinstance(pool, RatePool):
-                pool.drop_expired(now)
-            if pool.can_be_removed(now):
+                pool.drop_expired(now_ms)
+            if pool.can_be_removed(now_ms):
                 del self.pools[key], self.keys_by_name[pool.name]
 
-    def on_notification(self, now: float, notification: Notification) -> Sequence[OutboundMessage]:
+    def on_notification(self, now_ms: float, notification: Notification) -> Sequence[OutboundMessage]:
         """Requests go to peers that are alive."""
         if isinstance(notification, PeersChanged):
             self.requester.set_alive(notification.alive_peers)
         return ()
 
-    def status(self, now: float) -> Mapping[str, str]:
+    def status(self, now_ms: float) -> Mapping[str, str]:
         """Figures for ``INFO``."""
         rates = [pool for pool in self.pools.values() if isinstance(pool, RatePool)]
         figures = {
             "pools": len(self.pools),
-            "lent": sum(pool.amount_loaned(now) for pool in rates),
-            "borrowed": sum(pool.amount_borrowed(now) for pool in rates),
+            "lent": sum(pool.amount_loaned(now_ms) for pool in rates),
+            "borrowed": sum(pool.amount_borrowed(now_ms) for pool in rates),
             "asks-out": len(self.requester.outstanding),
             **self.counters,
         }
--- a/cedarthread/escrow/image.py
+++ b/cedarthread/escrow/image.py
@@ -55,7 +55,7 @@
         """The restored balance of a pool that is being opened."""
         return self.restored_balances.pop(key, None)
 
-    def next_write(self, now: float, pools: Mapping[int, QuotaPool]) -> bytes | None:
+    def next_write(self, now_ms: float, pools: Mapping[int, QuotaPool]) -> bytes | None:
         """The image that the disk must have before more units are used or given.
 
         None: no more are wanted, or a write is under way. The host reports its end by ``mark_written`` or
@@ -65,7 +65,7 @@
         write_offs = {
             key: pool.amount_to_write_off()
             for key, pool in pools.items()
-            if isinstance(pool, CountPool) and not pool.has_ended(now)
+            if isinstance(pool, CountPool) and not pool.has_ended(now_ms)
         }
         if not any(write_offs.values()):
             return None
--- a/cedarthread/escrow/quota_pool.py
+++ b/cedarthread/escrow/quota_pool.py
@@ -57,18 +57,18 @@
         """This router's allotment of the total."""
         return allotment(self.total, self.router_count, self.place)
 
-    def has_ended(self, now: float) -> bool:
+    def has_ended(self, now_ms: float) -> bool:
         """Whether the pool has ended."""
-        return self.ends_at_ms is not None and now >= self.ends_at_ms
+        return self.ends_at_ms is not None and now_ms >= self.ends_at_ms
 
-    def available(self, now: float) -> int:
+    def available(self, now_ms: float) -> int:
         """What this router may use now."""
         raise NotImplementedError
 
-    def can_be_removed(self, now: float) -> bool:
+    def can_be_removed(self, now_ms: float) -> bool:
         """Whether nothing depends on the pool any more."""
         raise NotImplementedError
 
-    def shortfall(self, now: float) -> int:
+    def shortfall(self, now_ms: float) -> int:
         """What this router would need from others."""
-        return max(0, self.demand - self.available(now))
+        return max(0, self.demand - self.available(now_ms))
--- a/cedarthread/escrow/request_rounds.py
+++ b/cedarthread/escrow/request_rounds.py
@@ -26,12 +26,12 @@
 MAX_HINTS_FOLLOWED = 2  # rounds in a row that start at once on a hint
 
 
-def set_demand(now: float, pool: QuotaPool, amount: int) -> None:
+def set_demand(now_ms: float, pool: QuotaPool, amount: int) -> None:
     """Set what this router could use of a pool; growing demand may cut a backoff short."""
     rounds = pool.rounds
-    if amount > pool.demand and now - rounds.woken_at_ms >= WAKE_INTERVAL_MS:
-        rounds.woken_at_ms = now
-        rounds.next_at_ms = min(rounds.next_at_ms, now + BACKOFF_BASE_MS)
+    if amount > pool.demand and now_ms - rounds.woken_at_ms >= WAKE_INTERVAL_MS:
+        rounds.woken_at_ms = now_ms
+        rounds.next_at_ms = min(rounds.next_at_ms, now_ms + BACKOFF_BASE_MS)
         rounds.failed = min(rounds.failed, MAX_FAILED_ROUNDS_WHEN_WOKEN)
     pool.demand = max(0, amount)
 
@@ -43,38 +43,38 @@
         self.rng = rng
 
     def next_round(
-        self, now: float, pool: QuotaPool, alive_peers: Sequence[int], awaited: Collection[int]
+        self, now_ms: float, pool: QuotaPool, alive_peers: Sequence[int], awaited: Collection[int]
     ) -> list[int] | None:
         """The peers to ask for a pool's shortfall; None: no round may start now.
 
         ``awaited``: peers that were asked and still have time to respond."""
         rounds = pool.rounds
         is_waiting = bool(awaited) and not rounds.has_gained and rounds.is_open
-        if now < rounds.next_at_ms or is_waiting:
+        if now_ms < rounds.next_at_ms or is_waiting:
             return None
-        if rounds.is_open and not self._finish_round(now, pool):
+        if rounds.is_open and not self._finish_round(now_ms, pool):
             return None
         candidates = [peer for peer in alive_peers if peer not in awaited]
-        return self._choose_peers(now, pool, candidates, _round_size(pool, pool.shortfall(now)))
+        return self._choose_peers(now_ms, pool, candidates, _round_size(pool, pool.shortfall(now_ms)))
 
-    def _finish_round(self, now: float, pool: QuotaPool) -> bool:
+    def _finish_round(self, now_ms: float, pool: QuotaPool) -> bool:
         """The last round is over; whether the next may start at once."""
         rounds = pool.rounds
         rounds.is_open = False
         if rounds.has_gained:
             rounds.has_gained, rounds.failed = False, 0
             return True
-        if rounds.hints_followed < MAX_HINTS_FOLLOWED and _has_recent_hint(now, pool):
+        if rounds.hints_followed < MAX_HINTS_FOLLOWED and _has_recent_hint(now_ms, pool):
             rounds.hints_followed += 1
             return True
         rounds.hints_followed, rounds.failed = 0, min(rounds.failed + 1, MAX_FAILED_ROUNDS)
         max_ms = COUNT_BACKOFF_MAX_MS if pool.is_consumable else RATE_BACKOFF_MAX_MS
         backoff_ms = min(BACKOFF_BASE_MS * 2.0**rounds.failed, max_ms)
-        rounds.next_at_ms = now + backoff_ms * self.rng.uniform(*RETRY_JITTER)
+        rounds.next_at_ms = now_ms + backoff_ms * self.rng.uniform(*RETRY_JITTER)
         return False
 
     def _choose_peers(
-        self, now: float, pool: QuotaPool, candidates: Sequence[int], max_peers: int
+        self, now_ms: float, pool: QuotaPool, candidates: Sequence[int], max_peers: int
     ) -> list[int]:
         """Peers to ask, best first: last known to have units; had units at the start; not known to have none.
 
@@ -85,7 +85,7 @@
         without_units: list[int] = []
         for peer in candidates:
             known = pool.peer_available.get(peer, NEVER_SEEN)
-            if now - known.seen_at_ms < LEASE_TERM_MS:
+            if now_ms - known.seen_at_ms < LEASE_TERM_MS:
                 (with_units if known.units else without_units).append(peer)
             else:
                 has_allotment = pool.is_consumable and pool.place_by_router[peer] < pool.total
@@ -107,7 +107,8 @@
     return min(limit, math.ceil(shortfall / half_allotment))
 
 
-def _has_recent_hint(now: float, pool: QuotaPool) -> bool:
+def _has_recent_hint(now_ms: float, pool: QuotaPool) -> bool:
     return any(
-        units and now - seen_at_ms < RESPONSE_TIMEOUT_MS for units, seen_at_ms in pool.peer_available.values()
+        units and now_ms - seen_at_ms < RESPONSE_TIMEOUT_MS
+        for units, seen_at_ms in pool.peer_available.values()
     )
--- a/cedarthread/escrow/requester.py
+++ b/cedarthread/escrow/requester.py
@@ -52,7 +52,7 @@
         *,
         rng: random.Random,
         counters: dict[str, int],
-        now: float,
+        now_ms: float,
     ) -> None:
         self.router_index, self.router_count, self.incarnation = router_index, router_count, incarnation
         self.rng, self.counters = rng, counters
@@ -62,7 +62,7 @@
         self.outstanding: dict[int, OutstandingRequest] = {}  # by nonce
         self.last_nonce = rng.randrange(NONCE_MODULUS)
         self.planner = RoundPlanner(rng)
-        self.request_budget = TokenBucket(REQUESTS_PER_SECOND, REQUEST_BURST, REQUEST_BURST, now)
+        self.request_budget = TokenBucket(REQUESTS_PER_SECOND, REQUEST_BURST, REQUEST_BURST, now_ms)
 
     def set_alive(self, peers: Sequence[int]) -> None:
         """Only these peers are asked from now on."""
@@ -70,7 +70,7 @@
             peer for peer in peers if peer != self.router_index and 0 <= peer < self.router_count
         )
 
-    def on_response(self, now: float, sender: int, pool: QuotaPool, response: EscrowResponse) -> None:
+    def on_response(self, now_ms: float, sender: int, pool: QuotaPool, response: EscrowResponse) -> None:
         """Take a response if its request is outstanding."""
         request = self.outstanding.get(response.nonce)
         if request is None or not self._is_answered_by(request, sender, pool, response):
@@ -79,12 +79,12 @@
         if not _is_consistent(request, response):
             self.counters["lies"] += 1
             return
-        self._note_availability(now, sender, pool, response)
+        self._note_availability(now_ms, sender, pool, response)
         if pool.is_consumable and not response.amount:
-            request.was_denied, request.timeout_at_ms = True, now
+            request.was_denied, request.timeout_at_ms = True, now_ms
             return  # the grant to an earlier attempt may still be on its way
         del self.outstanding[response.nonce]
-        has_gained = self._take_units(now, request, response)
+        has_gained = self._take_units(now_ms, request, response)
         pool.rounds.has_gained |= has_gained
         self.counters["taken"] += has_gained
 
@@ -94,32 +94,34 @@
         is_own = response.requester_incarnation == self.incarnation
         return is_own and request.peer == sender and request.pool is pool
 
-    def _take_units(self, now: float, request: OutstandingRequest, response: EscrowResponse) -> bool:
+    def _take_units(self, now_ms: float, request: OutstandingRequest, response: EscrowResponse) -> bool:
         """Add what a response grants to the pool; whether there is more than before."""
         pool = request.pool
         if isinstance(pool, RatePool):
-            return pool.borrow(now, request.peer, response.amount, request.sent_at_ms, response.term_ms)
+            return pool.borrow(now_ms, request.peer, response.amount, request.sent_at_ms, response.term_ms)
         if isinstance(pool, CountPool) and response.total <= pool.total:
             pool.receive(response.amount)
             return True
         return False  # a greater total: granted before this router learnt that the total was lowered
 
-    def _note_availability(self, now: float, sender: int, pool: QuotaPool, response: EscrowResponse) -> None:
-        pool.peer_available[sender] = PeerAvailability(response.available, now)
+    def _note_availability(
+        self, now_ms: float, sender: int, pool: QuotaPool, response: EscrowResponse
+    ) -> None:
+        pool.peer_available[sender] = PeerAvailability(response.available, now_ms)
         hinted_peer = response.hinted_peer
         if 0 <= hinted_peer < self.router_count and hinted_peer != self.router_index:
             known = pool.peer_available.get(hinted_peer, NEVER_SEEN)
-            if known.units or now - known.seen_at_ms > 2 * RESPONSE_TIMEOUT_MS:
-                pool.peer_available[hinted_peer] = PeerAvailability(max(1, known.units), now)
+            if known.units or now_ms - known.seen_at_ms > 2 * RESPONSE_TIMEOUT_MS:
+                pool.peer_available[hinted_peer] = PeerAvailability(max(1, known.units), now_ms)
 
-    def expire(self, now: float) -> None:
+    def expire(self, now_ms: float) -> None:
         """Forget requests whose response would not be accepted any more."""
         for nonce, request in list(self.outstanding.items()):
             limit_ms = LATE_RESPONSE_LIMIT_MS if request.pool.is_consumable else LEASE_TERM_MS
-            if now - request.sent_at_ms >= limit_ms:
+            if now_ms - request.sent_at_ms >= limit_ms:
                 del self.outstanding[nonce]
 
-    def retry(self, now: float) -> list[SendToPeer]:
+    def retry(self, now_ms: float) -> list[SendToPeer]:
         """Ask the same peers again for what may have been granted and lost.
 
         A count under the same nonce, so that it is granted once; a rate once, under a new nonce, because a
@@ -127,78 +129,83 @@
         messages: list[SendToPeer] = []
         for nonce, request in list(self.outstanding.items()):
             pool = request.pool
-            if request.was_denied or now < request.timeout_at_ms or request.attempts >= MAX_ATTEMPTS:
+            if request.was_denied or now_ms < request.timeout_at_ms or request.attempts >= MAX_ATTEMPTS:
                 continue
             if isinstance(pool, RatePool):
-                if request.peer not in pool.leases_taken and pool.shortfall(now):
-                    messages += self._send(now, pool, request.peer, request.requested, MAX_ATTEMPTS)
+                if request.peer not in pool.leases_taken and pool.shortfall(now_ms):
+                    messages += self._send(now_ms, pool, request.peer, request.requested, MAX_ATTEMPTS)
                 request.attempts = MAX_ATTEMPTS
-            elif self.request_budget.take(now):
+            elif self.request_budget.take(now_ms):
                 request.attempts += 1
                 backoff_ms = RESPONSE_TIMEOUT_MS * 2.0**request.attempts
-                request.timeout_at_ms = now + backoff_ms * self.rng.uniform(*RETRY_JITTER)
+                request.timeout_at_ms = now_ms + backoff_ms * self.rng.uniform(*RETRY_JITTER)
                 messages.append(self._message(pool, request.peer, nonce, request.requested))
         return messages
 
-    def request_units(self, now: float, pool: QuotaPool) -> list[SendToPeer]:
+    def request_units(self, now_ms: float, pool: QuotaPool) -> list[SendToPeer]:
         """Renew leases of a pool and start a round of requests, as far as units are wanted."""
-        messages = self._renew_leases(now, pool) if isinstance(pool, RatePool) else []
-        return messages + self._start_round(now, pool)
+        messages = self._renew_leases(now_ms, pool) if isinstance(pool, RatePool) else []
+        return messages + self._start_round(now_ms, pool)
 
     def _send(
-        self, now: float, pool: QuotaPool, peer: int, requested: int, attempts: int = 1
+        self, now_ms: float, pool: QuotaPool, peer: int, requested: int, attempts: int = 1
     ) -> list[SendToPeer]:
-        if not self.request_budget.take(now):
+        if not self.request_budget.take(now_ms):
             return []
         self.last_nonce = (self.last_nonce + 1) % NONCE_MODULUS
         requested = min(requested, MAX_AMOUNT)
         self.outstanding[self.last_nonce] = OutstandingRequest(
-            pool, peer, requested, sent_at_ms=now, timeout_at_ms=now + RESPONSE_TIMEOUT_MS, attempts=attempts
+            pool,
+            peer,
+            requested,
+            sent_at_ms=now_ms,
+            timeout_at_ms=now_ms + RESPONSE_TIMEOUT_MS,
+            attempts=attempts,
         )
         return [self._message(pool, peer, self.last_nonce, requested)]
 
     def _message(self, pool: QuotaPool, peer: int, nonce: int, requested: int) -> SendToPeer:
         return SendToPeer(encode(EscrowRequest(pool.key, self.incarnation, nonce, requested)), peer)
 
-    def _expected_peers(self, now: float, pool: QuotaPool) -> set[int]:
+    def _expected_peers(self, now_ms: float, pool: QuotaPool) -> set[int]:
         """Peers that were asked and still have time to respond."""
         return {
             request.peer
             for request in self.outstanding.values()
             if request.pool is pool
-            and request.timeout_at_ms > now
+            and request.timeout_at_ms > now_ms
             and (request.attempts == 1 or not pool.is_consumable)
         }
 
-    def _renew_leases(self, now: float, pool: RatePool) -> list[SendToPeer]:
+    def _renew_leases(self, now_ms: float, pool: RatePool) -> list[SendToPeer]:
         """Ask givers to go on lending as far as it is still wanted, the greatest lease first."""
         messages: list[SendToPeer] = []
-        needed = pool.demand - max(0, pool.own_rate(now) - pool.amount_loaned(now))
-        awaited = self._expected_peers(now, pool)
+        needed = pool.demand - max(0, pool.own_rate(now_ms) - pool.amount_loaned(now_ms))
+        awaited = self._expected_peers(now_ms, pool)
         leases = sorted(
-            ((lease.amount_at(now), giver) for giver, lease in pool.leases_taken.items()), reverse=True
+            ((lease.amount_at(now_ms), giver) for giver, lease in pool.leases_taken.items()), reverse=True
         )
         for amount, giver in leases:
             if needed <= 0:
                 break
-            age_ms = now - pool.leases_taken[giver].requested_at_ms
+            age_ms = now_ms - pool.leases_taken[giver].requested_at_ms
             if amount and age_ms >= RENEW_AFTER_FRACTION * LEASE_TERM_MS and giver not in awaited:
-                messages += self._send(now, pool, giver, min(needed, amount))
+                messages += self._send(now_ms, pool, giver, min(needed, amount))
             needed -= amount
         return messages
 
-    def _start_round(self, now: float, pool: QuotaPool) -> list[SendToPeer]:
+    def _start_round(self, now_ms: float, pool: QuotaPool) -> list[SendToPeer]:
         """Ask some peers for the shortfall, if a round may start."""
-        shortfall = pool.shortfall(now)
+        shortfall = pool.shortfall(now_ms)
         if shortfall <= 0:
             return []
-        peers = self.planner.next_round(now, pool, self.alive_peers, self._expected_peers(now, pool))
+        peers = self.planner.next_round(now_ms, pool, self.alive_peers, self._expected_peers(now_ms, pool))
         if peers is None:
             return []
         messages: list[SendToPeer] = []
         for peer in peers:
-            borrowed = pool.amount_borrowed_from(peer, now) if isinstance(pool, RatePool) else 0
-            messages += self._send(now, pool, peer, math.ceil(shortfall / len(peers)) + borrowed)
+            borrowed = pool.amount_borrowed_from(peer, now_ms) if isinstance(pool, RatePool) else 0
+            messages += self._send(now_ms, pool, peer, math.ceil(shortfall / len(peers)) + borrowed)
         pool.rounds.is_open = bool(messages)
         return messages
 
--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -72,7 +72,7 @@
         self.fanout = min(MAX_FANOUT, len(self.peers))
         self.keep_alive_ms = min(settings.keep_alive_ms, codec.MAX_AGE_MS)
 
-    def on_notification(self, now: float, notification: Notification) -> list[OutboundMessage]:
+    def on_notification(self, now_ms: float, notification: Notification) -> list[OutboundMessage]:
         """Send to, and count, only the peers that are alive; use new settings at once."""
         if isinstance(notification, PeersChanged):
             self.peers = list(notification.alive_peers) or self.peers
@@ -83,7 +83,7 @@
             self.budget.configure(notification.settings.prices.peer_message, self.fanout)
         return []
 
-    def on_message(self, now: float, sender_index: int, data: bytes) -> list[OutboundMessage]:
+    def on_message(self, now_ms: float, sender_index: int, data: bytes) -> list[OutboundMessage]:
         """Merge a peer's datagram."""
         if sender_index == self.router_index or not 0 <= sender_index < self.router_count:
             self.unknown_senders += 1
@@ -92,17 +92,17 @@
         if isinstance(update, MalformedDatagram):
             self.malformed_datagrams += 1
             return []
-        self.changed_workers |= self.peer_views.merge(now, sender_index, update)
+        self.changed_workers |= self.peer_views.merge(now_ms, sender_index, update)
         return []
 
-    def on_tick(self, now: float) -> list[OutboundMessage]:
+    def on_tick(self, now_ms: float) -> list[OutboundMessage]:
         """Expire what peers reported and did not report again."""
-        self.changed_workers |= self.peer_views.expire(now, self.keep_alive_ms)
+        self.changed_workers |= self.peer_views.expire(now_ms, self.keep_alive_ms)
         return []
 
-    def status(self, now: float) -> dict[str, str]:
+    def status(self, now_ms: float) -> dict[str, str]:
         """Figures for the `INFO` command, under the names that operators' tools read."""
-        coverage = self.peer_coverage(now)
+        coverage = self.peer_coverage(now_ms)
         return {"talk.heard": f"{coverage:.2f}", "talk.unreadable": str(self.malformed_datagrams)}
 
     def on_first_attempt(self) -> None:
@@ -113,10 +113,12 @@
         """An attempt was sent to a worker."""
         self.local.record_start(worker_id, codec.fold_function_id(function_id))
 
-    def on_attempt_ended(self, now: float, worker_id: int, function_id: int, was_warm: bool | None) -> None:
+    def on_attempt_ended(
+        self, now_ms: float, worker_id: int, function_id: int, was_warm: bool | None
+    ) -> None:
         """An attempt ended; `was_warm`: whether an instance was there then, None if that is not known."""
         function_hash = codec.fold_function_id(function_id)
-        is_known = self.local.record_end(now, worker_id, function_hash, was_warm)
+        is_known = self.local.record_end(now_ms, worker_id, function_hash, was_warm)
         if is_known and was_warm is False:
             self.peer_views.discard_instance(worker_id, function_hash)
 
@@ -125,22 +127,22 @@
         self.local.forget_warm_instances(worker_id)
         self.peer_views.forget_warm_instances(worker_id)
 
-    def in_flight_of_peers(self, now: float, worker_id: int) -> float:
+    def in_flight_of_peers(self, now_ms: float, worker_id: int) -> float:
         """Calls of other routers in flight at a worker, as far as they were reported lately."""
-        return self.peer_views.in_flight(now, worker_id)
+        return self.peer_views.in_flight(now_ms, worker_id)
 
-    def peer_coverage(self, now: float) -> float:
+    def peer_coverage(self, now_ms: float) -> float:
         """The fraction of the other routers that were heard lately, 0 to 1."""
-        return self.peer_views.coverage(now, len(self.peers))
+        return self.peer_views.coverage(now_ms, len(self.peers))
 
-    def instances(self, now: float, function_id: int) -> dict[int, InstanceLoad]:
+    def instances(self, now_ms: float, function_id: int) -> dict[int, InstanceLoad]:
         """Load and warm instances of a function by worker id: own calls, and what peers reported."""
         function_hash, loads = codec.fold_function_id(function_id), dict[int, InstanceLoad]()
         for worker_id in self.local.workers_by_function.get(function_hash, ()):
             loads[worker_id] = InstanceLoad(self.local.instances[worker_id, function_hash].in_flight, None)
         for worker_id, report in self.peer_views.instance_reports(function_hash):
-            in_flight = report.in_flight if now - report.received_at_ms <= IN_FLIGHT_EXPIRY_MS else 0
-            warm_age_ms = None if report.warm_at_ms is None else now - report.warm_at_ms
+            in_flight = report.in_flight if now_ms - report.received_at_ms <= IN_FLIGHT_EXPIRY_MS else 0
+            warm_age_ms = None if report.warm_at_ms is None else now_ms - report.warm_at_ms
             if warm_age_ms is not None and warm_age_ms > self.keep_alive_ms:
                 warm_age_ms = None
             if in_flight or warm_age_ms is not None:
@@ -150,24 +152,24 @@
                 loads[worker_id] = InstanceLoad(known.in_flight + in_flight, youngest_ms)
         return loads
 
-    def collect_due_datagrams(self, now: float) -> list[SendToPeer]:
+    def collect_due_datagrams(self, now_ms: float) -> list[SendToPeer]:
         """The datagrams that are to be sent now, if any."""
-        if now < self._next_send_at_ms or not self.peers:
+        if now_ms < self._next_send_at_ms or not self.peers:
             return []
         if not self.has_started:
             self.has_started = True
             return [self._build_datagram((), requests_full_state=True)]
-        if now >= self._next_refresh_at_ms:
-            self._next_refresh_at_ms = now + REFRESH_INTERVAL_MS
-            self.local.refresh(now, self.keep_alive_ms)
-        self.budget.refill(now)
+        if now_ms >= self._next_refresh_at_ms:
+            self._next_refresh_at_ms = now_ms + REFRESH_INTERVAL_MS
+            self.local.refresh(now_ms, self.keep_alive_ms)
+        self.budget.refill(now_ms)
         datagrams: list[SendToPeer] = []
         while self.local.dirty and self._can_send_dirty():
-            datagrams.append(self._build_datagram(self.local.take_dirty(now)))
+            datagrams.append(self._build_datagram(self.local.take_dirty(now_ms)))
         if datagrams:
-            self._next_send_at_ms = now + MIN_SEND_INTERVAL_MS
+            self._next_send_at_ms = now_ms + MIN_SEND_INTERVAL_MS
         for peer_index in self.peer_views.full_state_requests:
-            datagrams += self._build_full_state(now, peer_index)
+            datagrams += self._build_full_state(now_ms, peer_index)
         self.peer_views.full_state_requests.clear()
         return datagrams
 
@@ -175,14 +177,14 @@
         needed_bytes = codec.encoded_size(len(self.local.dirty), 0) * self.fanout
         return self.budget.available_bytes >= needed_bytes
 
-    def _build_full_state(self, now: float, peer_index: int) -> Iterator[SendToPeer]:
+    def _build_full_state(self, now_ms: float, peer_index: int) -> Iterator[SendToPeer]:
         """The warm instances for a peer that has just started, the most recently found first."""
         smallest_record = codec.WORKER_BYTES + codec.INSTANCE_BYTES
         records_per_datagram = (MAX_DATAGRAM_BYTES - codec.HEADER_BYTES) // smallest_record
         self.local.mark_warm_dirty(MAX_FULL_STATE_DATAGRAMS * records_per_datagram)
         for _ in range(MAX_FULL_STATE_DATAGRAMS):
             if self.local.dirty:
-                yield self._build_datagram(self.local.take_dirty(now), peer_index=peer_index)
+                yield self._build_datagram(self.local.take_dirty(now_ms), peer_index=peer_index)
 
     def _build_datagram(
         self,
--- a/cedarthread/gossip/local_load.py
+++ b/cedarthread/gossip/local_load.py
@@ -42,7 +42,7 @@
         self.workers_by_function.setdefault(function_hash, set()).add(worker_id)
         self.mark_dirty(worker_id, function_hash)
 
-    def record_end(self, now: float, worker_id: int, function_hash: int, was_warm: bool | None) -> bool:
+    def record_end(self, now_ms: float, worker_id: int, function_hash: int, was_warm: bool | None) -> bool:
         """An attempt ended; `was_warm`: whether an instance was there then, None if that is not known.
 
         Returns False, and changes nothing, for an attempt that was never recorded.
@@ -56,7 +56,7 @@
             if not workers:
                 del self.workers_by_function[function_hash]
         if was_warm is not None:
-            instance.warm_at_ms = now if was_warm else None
+            instance.warm_at_ms = now_ms if was_warm else None
         self.mark_dirty(worker_id, function_hash)
         return True
 
@@ -72,10 +72,10 @@
         """The entry is to be sent with the next datagrams."""
         self.dirty.setdefault(worker_id, {})[function_hash] = None
 
-    def refresh(self, now: float, keep_alive_ms: float) -> None:
+    def refresh(self, now_ms: float, keep_alive_ms: float) -> None:
         """Mark entries with calls in flight to be sent again; drop those that are neither busy nor warm."""
         for (worker_id, function_hash), instance in list(self.instances.items()):
-            if instance.warm_at_ms is not None and now - instance.warm_at_ms > keep_alive_ms:
+            if instance.warm_at_ms is not None and now_ms - instance.warm_at_ms > keep_alive_ms:
                 instance.warm_at_ms = None
             if instance.in_flight:
                 self.mark_dirty(worker_id, function_hash)
@@ -92,7 +92,7 @@
         for _, (worker_id, function_hash) in sorted(warm, reverse=True)[:limit]:
             self.mark_dirty(worker_id, function_hash)
 
-    def take_dirty(self, now: float) -> tuple[codec.WorkerUpdate, ...]:
+    def take_dirty(self, now_ms: float) -> tuple[codec.WorkerUpdate, ...]:
         """Remove from the dirty set as much as one datagram holds, the longest waiting first."""
         free_bytes = MAX_DATAGRAM_BYTES - codec.HEADER_BYTES
         updates: list[codec.WorkerUpdate] = []
@@ -105,16 +105,16 @@
                 del function_hashes[function_hash]
             if not function_hashes:
                 del self.dirty[worker_id]
-            updates.append(self._worker_update(now, worker_id, fitting))
+            updates.append(self._worker_update(now_ms, worker_id, fitting))
         return tuple(updates)
 
-    def _worker_update(self, now: float, worker_id: int, function_hashes: list[int]) -> codec.WorkerUpdate:
+    def _worker_update(self, now_ms: float, worker_id: int, function_hashes: list[int]) -> codec.WorkerUpdate:
         instances = tuple(
-            self._instance_update(now, worker_id, function_hash) for function_hash in function_hashes
+            self._instance_update(now_ms, worker_id, function_hash) for function_hash in function_hashes
         )
         return codec.WorkerUpdate(worker_id, self.in_flight_by_worker.get(worker_id, 0), instances)
 
-    def _instance_update(self, now: float, worker_id: int, function_hash: int) -> codec.InstanceUpdate:
+    def _instance_update(self, now_ms: float, worker_id: int, function_hash: int) -> codec.InstanceUpdate:
         instance = self.instances.get((worker_id, function_hash)) or LocalInstance()
-        warm_age_ms = None if instance.warm_at_ms is None else now - instance.warm_at_ms
+        warm_age_ms = None if instance.warm_at_ms is None else now_ms - instance.warm_at_ms
         return codec.InstanceUpdate(function_hash, instance.in_flight, warm_age_ms)
--- a/cedarthread/gossip/peer_views.py
+++ b/cedarthread/gossip/peer_views.py
@@ -39,10 +39,10 @@
     sequence_number: int
     received_at_ms: float
 
-    def is_expired(self, now: float, keep_alive_ms: float) -> bool:
+    def is_expired(self, now_ms: float, keep_alive_ms: float) -> bool:
         """Neither its in-flight calls nor its warm instance count any more."""
-        is_warm = self.warm_at_ms is not None and now - self.warm_at_ms <= keep_alive_ms
-        return now - self.received_at_ms > IN_FLIGHT_EXPIRY_MS and not is_warm
+        is_warm = self.warm_at_ms is not None and now_ms - self.warm_at_ms <= keep_alive_ms
+        return now_ms - self.received_at_ms > IN_FLIGHT_EXPIRY_MS and not is_warm
 
 
 @dataclass(slots=True)
@@ -66,19 +66,19 @@
         self.full_state_requests: list[int] = []  # peers that wait for a full state, in order of arrival
         self._coverage, self._coverage_valid_until_ms = 0.0, -math.inf
 
-    def merge(self, now: float, sender_index: int, update: codec.LoadUpdate) -> dict[int, float]:
+    def merge(self, now_ms: float, sender_index: int, update: codec.LoadUpdate) -> dict[int, float]:
         """Take a peer's datagram; returns the peers' in-flight calls at each worker that it mentions."""
-        view = self._current_view(now, sender_index, update.incarnation)
+        view = self._current_view(now_ms, sender_index, update.incarnation)
         if view is None:
             return {}
-        if update.requests_full_state and now - view.full_state_sent_at_ms >= FULL_STATE_INTERVAL_MS:
-            view.full_state_sent_at_ms = now
+        if update.requests_full_state and now_ms - view.full_state_sent_at_ms >= FULL_STATE_INTERVAL_MS:
+            view.full_state_sent_at_ms = now_ms
             self.full_state_requests.append(sender_index)
         for worker in update.workers:
-            _merge_worker(now, view, worker, update.sequence_number)
-        return {worker.worker_id: self.in_flight(now, worker.worker_id) for worker in update.workers}
+            _merge_worker(now_ms, view, worker, update.sequence_number)
+        return {worker.worker_id: self.in_flight(now_ms, worker.worker_id) for worker in update.workers}
 
-    def _current_view(self, now: float, sender_index: int, incarnation: int) -> PeerView | None:
+    def _current_view(self, now_ms: float, sender_index: int, incarnation: int) -> PeerView | None:
         """The sender's view in this incarnation, empty if it is a new one; None for a past incarnation."""
         view = self.views.get(sender_index)
         if view is None or view.incarnation != incarnation:
@@ -88,28 +88,28 @@
                 return None
             if view is not None:
                 past_incarnations.append(view.incarnation)
-            view = PeerView(incarnation, now, past_incarnations=past_incarnations)
+            view = PeerView(incarnation, now_ms, past_incarnations=past_incarnations)
             self.views[sender_index] = view
             self.reset_coverage()
-        view.received_at_ms = now
+        view.received_at_ms = now_ms
         return view
 
-    def in_flight(self, now: float, worker_id: int) -> float:
+    def in_flight(self, now_ms: float, worker_id: int) -> float:
         """The peers' calls in flight at a worker, as far as they were reported lately."""
         reports = (view.workers.get(worker_id) for view in self.views.values())
         return float(
             sum(
                 report.in_flight
                 for report in reports
-                if report is not None and now - report.received_at_ms <= IN_FLIGHT_EXPIRY_MS
+                if report is not None and now_ms - report.received_at_ms <= IN_FLIGHT_EXPIRY_MS
             )
         )
 
-    def coverage(self, now: float, peer_count: int) -> float:
+    def coverage(self, now_ms: float, peer_count: int) -> float:
         """The fraction of the other routers that were heard lately, 0 to 1."""
-        if now >= self._coverage_valid_until_ms:
-            heard = sum(now - view.received_at_ms <= IN_FLIGHT_EXPIRY_MS for view in self.views.values())
-            self._coverage_valid_until_ms = now + COVERAGE_CACHE_MS
+        if now_ms >= self._coverage_valid_until_ms:
+            heard = sum(now_ms - view.received_at_ms <= IN_FLIGHT_EXPIRY_MS for view in self.views.values())
+            self._coverage_valid_until_ms = now_ms + COVERAGE_CACHE_MS
             self._coverage = heard / max(1, peer_count)
         return self._coverage
 
@@ -136,41 +136,41 @@
             for reports in view.instances_by_function.values():
                 reports.pop(worker_id, None)
 
-    def expire(self, now: float, keep_alive_ms: float) -> dict[int, float]:
+    def expire(self, now_ms: float, keep_alive_ms: float) -> dict[int, float]:
         """Drop expired reports; returns the peers' in-flight calls at each worker where that changed them."""
         changed_workers: dict[int, None] = {}
         for view in self.views.values():
             for worker_id in [
                 worker_id
                 for worker_id, report in view.workers.items()
-                if now - report.received_at_ms > IN_FLIGHT_EXPIRY_MS
+                if now_ms - report.received_at_ms > IN_FLIGHT_EXPIRY_MS
             ]:
                 del view.workers[worker_id]
                 changed_workers[worker_id] = None
-            _expire_instances(now, view, keep_alive_ms)
-        return {worker_id: self.in_flight(now, worker_id) for worker_id in changed_workers}
+            _expire_instances(now_ms, view, keep_alive_ms)
+        return {worker_id: self.in_flight(now_ms, worker_id) for worker_id in changed_workers}
 
 
-def _merge_worker(now: float, view: PeerView, update: codec.WorkerUpdate, sequence_number: int) -> None:
+def _merge_worker(now_ms: float, view: PeerView, update: codec.WorkerUpdate, sequence_number: int) -> None:
     known = view.workers.get(update.worker_id)
     if sequence_number > (0 if known is None else known.sequence_number):
         in_flight = min(update.in_flight, MAX_IN_FLIGHT_PER_PEER)
-        view.workers[update.worker_id] = WorkerReport(in_flight, sequence_number, now)
+        view.workers[update.worker_id] = WorkerReport(in_flight, sequence_number, now_ms)
     for instance in update.instances:
         reports = view.instances_by_function.setdefault(instance.function_hash, {})
         if update.worker_id not in reports or sequence_number > reports[update.worker_id].sequence_number:
             reports[update.worker_id] = InstanceReport(
                 min(instance.in_flight, MAX_IN_FLIGHT_PER_PEER),
-                None if instance.warm_age_ms is None else now - instance.warm_age_ms,
+                None if instance.warm_age_ms is None else now_ms - instance.warm_age_ms,
                 sequence_number,
-                now,
+                now_ms,
             )
 
 
-def _expire_instances(now: float, view: PeerView, keep_alive_ms: float) -> None:
+def _expire_instances(now_ms: float, view: PeerView, keep_alive_ms: float) -> None:
     for function_hash, reports in list(view.instances_by_function.items()):
         for worker_id in [
-            worker_id for worker_id, report in reports.items() if report.is_expired(now, keep_alive_ms)
+            worker_id for worker_id, report in reports.items() if report.is_expired(now_ms, keep_alive_ms)
         ]:
             del reports[worker_id]
         if not reports:
--- a/cedarthread/gossip/send_budget.py
+++ b/cedarthread/gossip/send_budget.py
@@ -32,12 +32,12 @@
         """A first attempt of an own call came."""
         self.available_bytes = min(self.available_bytes + self.bytes_per_call, self.burst_bytes)
 
-    def refill(self, now: float) -> None:
+    def refill(self, now_ms: float) -> None:
         """Add what came by time alone; no effect where datagrams have a price."""
         if self.bytes_per_ms:
-            earned = self.bytes_per_ms * (now - self._refilled_at_ms)
+            earned = self.bytes_per_ms * (now_ms - self._refilled_at_ms)
             self.available_bytes = min(self.available_bytes + earned, self.burst_bytes)
-            self._refilled_at_ms = now
+            self._refilled_at_ms = now_ms
 
     def spend(self, sent_bytes: int) -> None:
         """Bytes were sent."""
--- a/cedarthread/membership/dissemination.py
+++ b/cedarthread/membership/dissemination.py
@@ -20,20 +20,20 @@
 class DisseminationBuffer:
     """Members whose update is pending, by the number of times that it is still to be sent."""
 
-    def __init__(self, router_count: int, now: float) -> None:
+    def __init__(self, router_count: int, now_ms: float) -> None:
         self.pending: dict[int, int] = {}
         self._transmissions = math.ceil(RETRANSMIT_MULTIPLIER * math.log2(router_count + 1))
-        self._available_bytes, self._refilled_at_ms = BURST_BYTES, now
+        self._available_bytes, self._refilled_at_ms = BURST_BYTES, now_ms
 
     def add(self, member_index: int) -> None:
         """The member's state has changed: send it, from the full number of times on."""
         self.pending[member_index] = self._transmissions
 
-    def refill(self, now: float) -> None:
+    def refill(self, now_ms: float) -> None:
         """Add what the budget earned since the last time."""
-        earned = BUDGET_BYTES_PER_MS * (now - self._refilled_at_ms)
+        earned = BUDGET_BYTES_PER_MS * (now_ms - self._refilled_at_ms)
         self._available_bytes = min(self._available_bytes + earned, BURST_BYTES)
-        self._refilled_at_ms = now
+        self._refilled_at_ms = now_ms
 
     def can_send_batch(self) -> bool:
         """There are pending updates, and the budget suffices for a message that carries them alone."""
--- a/cedarthread/membership/failure_detector.py
+++ b/cedarthread/membership/failure_detector.py
@@ -55,10 +55,10 @@
 class FailureDetector:
     """Probes members one after the other, and suspects one that does not answer in time."""
 
-    def __init__(self, table: MemberTable, rng: random.Random, now: float) -> None:
+    def __init__(self, table: MemberTable, rng: random.Random, now_ms: float) -> None:
         self._table, self._rng = table, rng
-        self._started_at_ms = now
-        self._next_probe_at_ms = now + rng.uniform(0.0, PROBE_INTERVAL_MS)
+        self._started_at_ms = now_ms
+        self._next_probe_at_ms = now_ms + rng.uniform(0.0, PROBE_INTERVAL_MS)
         self._pending: Probe | None = None
         self._probe_order: list[int] = []
         self._probes_started = self._last_nonce = 0
@@ -70,11 +70,11 @@
             self._pending = None
 
     def on_ping_request(
-        self, now: float, requester_index: int, nonce: int, target_index: int
+        self, now_ms: float, requester_index: int, nonce: int, target_index: int
     ) -> OutgoingMessage:
         """Ping a member in another's place."""
         own_nonce = self._next_nonce()
-        self._relayed[own_nonce] = RelayedPing(requester_index, nonce, now)
+        self._relayed[own_nonce] = RelayedPing(requester_index, nonce, now_ms)
         return OutgoingMessage(MessageKind.PING, target_index, own_nonce)
 
     def on_ack(self, sender_index: int, nonce: int) -> list[OutgoingMessage]:
@@ -88,16 +88,16 @@
             OutgoingMessage(MessageKind.ACK, relayed.requester_index, relayed.requester_nonce, sender_index)
         ]
 
-    def on_tick(self, now: float) -> list[OutgoingMessage]:
+    def on_tick(self, now_ms: float) -> list[OutgoingMessage]:
         """The messages of the pending probe if it timed out, or of the next one if that is due."""
-        for nonce in [n for n, ping in self._relayed.items() if now - ping.sent_at_ms > RELAY_EXPIRY_MS]:
+        for nonce in [n for n, ping in self._relayed.items() if now_ms - ping.sent_at_ms > RELAY_EXPIRY_MS]:
             del self._relayed[nonce]
         messages: list[OutgoingMessage] = []
-        if self._pending is not None and now - self._pending.sent_at_ms >= ACK_TIMEOUT_MS:
-            messages += self._on_ack_timeout(now, self._pending)
-        if self._pending is None and now >= self._next_probe_at_ms:
-            self._next_probe_at_ms = now + PROBE_INTERVAL_MS * self._rng.uniform(*PROBE_JITTER)
-            messages += self._start_probe(now)
+        if self._pending is not None and now_ms - self._pending.sent_at_ms >= ACK_TIMEOUT_MS:
+            messages += self._on_ack_timeout(now_ms, self._pending)
+        if self._pending is None and now_ms >= self._next_probe_at_ms:
+            self._next_probe_at_ms = now_ms + PROBE_INTERVAL_MS * self._rng.uniform(*PROBE_JITTER)
+            messages += self._start_probe(now_ms)
         return messages
 
     def reset(self) -> None:
@@ -109,7 +109,7 @@
         self._last_nonce = (self._last_nonce + 1) % 2**16  # 16 bits on the wire
         return self._last_nonce
 
-    def _start_probe(self, now: float) -> list[OutgoingMessage]:
+    def _start_probe(self, now_ms: float) -> list[OutgoingMessage]:
         """Ping the next member in the order that was not heard lately, or a dead one if it is its turn."""
         self._probes_started += 1
         dead = self._table.dead_peers()
@@ -121,16 +121,16 @@
                 self._probe_order = self._rng.sample(sorted(members), len(members))
             index = self._probe_order.pop()
             member = members[index]
-            if member.status is not MemberStatus.DEAD and now - member.received_at_ms > PROBE_INTERVAL_MS:
-                self._pending = Probe(index, self._next_nonce(), now)
+            if member.status is not MemberStatus.DEAD and now_ms - member.received_at_ms > PROBE_INTERVAL_MS:
+                self._pending = Probe(index, self._next_nonce(), now_ms)
                 return [OutgoingMessage(MessageKind.PING, index, self._pending.nonce)]
         return []
 
-    def _on_ack_timeout(self, now: float, probe: Probe) -> list[OutgoingMessage]:
+    def _on_ack_timeout(self, now_ms: float, probe: Probe) -> list[OutgoingMessage]:
         """Probe through others after the direct ping; suspect the member after those have failed as well."""
         helpers = [index for index in self._table.alive_peers() if index != probe.member_index]
         if not probe.is_indirect and helpers:
-            probe.is_indirect, probe.sent_at_ms = True, now
+            probe.is_indirect, probe.sent_at_ms = True, now_ms
             chosen = self._rng.sample(helpers, min(INDIRECT_PROBES, len(helpers)))
             return [
                 OutgoingMessage(MessageKind.PING_REQUEST, index, probe.nonce, probe.member_index)
@@ -139,7 +139,7 @@
         self._pending = None
         member = self._table.members[probe.member_index]
         is_never_received = member.received_at_ms == -math.inf
-        is_excused = is_never_received and now - self._started_at_ms < STARTUP_GRACE_MS
+        is_excused = is_never_received and now_ms - self._started_at_ms < STARTUP_GRACE_MS
         if member.status is MemberStatus.ALIVE and not is_excused:
-            self._table.set_status(now, probe.member_index, MemberStatus.SUSPECT)
+            self._table.set_status(now_ms, probe.member_index, MemberStatus.SUSPECT)
         return []
--- a/cedarthread/membership/member_table.py
+++ b/cedarthread/membership/member_table.py
@@ -43,11 +43,11 @@
     """
 
     def __init__(
-        self, router_index: int, router_count: int, dissemination: DisseminationBuffer, now: float
+        self, router_index: int, router_count: int, dissemination: DisseminationBuffer, now_ms: float
     ) -> None:
         self.router_index, self.incarnation = router_index, 0
         self.members = {
-            index: Member(status_since_ms=now, incarnation_since_ms=now)
+            index: Member(status_since_ms=now_ms, incarnation_since_ms=now_ms)
             for index in range(router_count)
             if index != router_index
         }
@@ -76,7 +76,7 @@
         member = self.members[member_index]
         return MemberUpdate(member_index, member.incarnation, member.status)
 
-    def merge(self, now: float, update: MemberUpdate) -> None:
+    def merge(self, now_ms: float, update: MemberUpdate) -> None:
         """Take what another router sent of a member, or of this router."""
         if update.member_index == self.router_index:
             self._refute(update)
@@ -88,10 +88,10 @@
         is_newer = update.incarnation > member.incarnation
         is_worse = update.incarnation == member.incarnation and update.status > member.status
         if is_newer:
-            member.incarnation_since_ms = now
+            member.incarnation_since_ms = now_ms
         if is_newer or is_worse:
             member.incarnation = update.incarnation
-            self.set_status(now, update.member_index, update.status)
+            self.set_status(now_ms, update.member_index, update.status)
 
     def _refute(self, update: MemberUpdate) -> None:
         """Override what others say of this router: of an earlier start, or because they do not hear it."""
@@ -108,11 +108,11 @@
         self.incarnation += 1
         self._dissemination.add(self.router_index)
 
-    def set_status(self, now: float, member_index: int, status: MemberStatus) -> None:
+    def set_status(self, now_ms: float, member_index: int, status: MemberStatus) -> None:
         """Set a member's status, and disseminate it also if only its incarnation is new."""
         member = self.members[member_index]
         if status is not member.status:
             self.status_changes.append(StatusChange(member_index, status))
-            member.status_since_ms = now
+            member.status_since_ms = now_ms
         member.status = status
         self._dissemination.add(member_index)
--- a/cedarthread/membership/swim.py
+++ b/cedarthread/membership/swim.py
@@ -38,14 +38,14 @@
 
     message_types = frozenset({MessageType.MEMBERSHIP})
 
-    def __init__(self, router_index: int, router_count: int, seed: int, now: float = 0.0) -> None:
+    def __init__(self, router_index: int, router_count: int, seed: int, now_ms: float = 0.0) -> None:
         self.router_index, self.router_count = router_index, router_count
         self._rng = random.Random(seed ^ _RNG_SALT)
-        self._dissemination = DisseminationBuffer(router_count, now)
-        self.table = MemberTable(router_index, router_count, self._dissemination, now)
+        self._dissemination = DisseminationBuffer(router_count, now_ms)
+        self.table = MemberTable(router_index, router_count, self._dissemination, now_ms)
         self.status_changes = self.table.status_changes
-        self._failure_detector = FailureDetector(self.table, self._rng, now)
-        self._last_active_at_ms = now
+        self._failure_detector = FailureDetector(self.table, self._rng, now_ms)
+        self._last_active_at_ms = now_ms
         self._suspicion_ms = SUSPICION_INTERVALS * PROBE_INTERVAL_MS * max(1.0, math.log10(router_count))
         self.malformed_datagrams = 0
 
@@ -57,45 +57,47 @@
         """The other routers that are not held dead."""
         return self.table.alive_peers()
 
-    def peers_changed(self, now: float) -> PeersChanged:
+    def peers_changed(self, now_ms: float) -> PeersChanged:
         """Who is alive, as a notification for the other components."""
         alive_peers = self.alive_peers()
-        alive_for_ms = {index: now - self.table.members[index].incarnation_since_ms for index in alive_peers}
+        alive_for_ms = {
+            index: now_ms - self.table.members[index].incarnation_since_ms for index in alive_peers
+        }
         return PeersChanged(tuple(alive_peers), self.router_count, alive_for_ms)
 
     def member_status(self, member_index: int) -> MemberStatus:
         """The status of one router."""
         return self.table.status_of(member_index)
 
-    def on_notification(self, now: float, notification: Notification) -> list[OutboundMessage]:
+    def on_notification(self, now_ms: float, notification: Notification) -> list[OutboundMessage]:
         """Nothing that other components notify of changes who is alive."""
         return []
 
-    def status(self, now: float) -> dict[str, str]:
+    def status(self, now_ms: float) -> dict[str, str]:
         """Figures for the `INFO` command, under the names that operators' tools read."""
         return {"members.present": str(self.alive_count()), "members.configured": str(self.router_count)}
 
-    def record_activity(self, now: float, sender_index: int) -> None:
+    def record_activity(self, now_ms: float, sender_index: int) -> None:
         """A datagram of any component came from the member itself."""
         if (member := self.table.members.get(sender_index)) is not None:
-            member.received_at_ms = now
+            member.received_at_ms = now_ms
             self._failure_detector.on_activity(sender_index)
 
-    def on_message(self, now: float, sender_index: int, data: bytes) -> list[SendToPeer]:
+    def on_message(self, now_ms: float, sender_index: int, data: bytes) -> list[SendToPeer]:
         """Take a member's datagram; returns what is to be sent in return."""
         message = codec.decode(data)
         if isinstance(message, MalformedDatagram) or sender_index not in self.table.members:
             self.malformed_datagrams += 1
             return []
-        self._detect_pause(now)
-        self.record_activity(now, sender_index)
-        self.table.merge(now, MemberUpdate(sender_index, message.incarnation, MemberStatus.ALIVE))
+        self._detect_pause(now_ms)
+        self.record_activity(now_ms, sender_index)
+        self.table.merge(now_ms, MemberUpdate(sender_index, message.incarnation, MemberStatus.ALIVE))
         for update in message.updates:
-            self.table.merge(now, update)
-        replies = [self._build_datagram(reply) for reply in self._replies(now, sender_index, message)]
-        return replies + self._correct(now, sender_index, message.incarnation)
+            self.table.merge(now_ms, update)
+        replies = [self._build_datagram(reply) for reply in self._replies(now_ms, sender_index, message)]
+        return replies + self._correct(now_ms, sender_index, message.incarnation)
 
-    def _replies(self, now: float, sender_index: int, message: SwimMessage) -> list[OutgoingMessage]:
+    def _replies(self, now_ms: float, sender_index: int, message: SwimMessage) -> list[OutgoingMessage]:
         match message.kind:
             case MessageKind.PING:
                 return [OutgoingMessage(MessageKind.ACK, sender_index, message.nonce)]
@@ -103,43 +105,43 @@
                 return self._failure_detector.on_ack(sender_index, message.nonce)
             case MessageKind.PING_REQUEST if message.target_index in self.table.members:
                 detector, target_index = self._failure_detector, message.target_index
-                return [detector.on_ping_request(now, sender_index, message.nonce, target_index)]
+                return [detector.on_ping_request(now_ms, sender_index, message.nonce, target_index)]
             case MessageKind.PING_REQUEST:
                 self.table.implausible_updates += 1
                 return []
             case MessageKind.UPDATE:
                 return []
 
-    def _correct(self, now: float, member_index: int, incarnation: int) -> list[SendToPeer]:
+    def _correct(self, now_ms: float, member_index: int, incarnation: int) -> list[SendToPeer]:
         """Send a member that is alive how it is seen here, if that is wrong: it may refute it."""
         member = self.table.members[member_index]
         is_seen_right = member.status is MemberStatus.ALIVE and incarnation >= member.incarnation
-        if is_seen_right or now - member.corrected_at_ms < CORRECTION_INTERVAL_MS:
+        if is_seen_right or now_ms - member.corrected_at_ms < CORRECTION_INTERVAL_MS:
             return []
-        member.corrected_at_ms = now
+        member.corrected_at_ms = now_ms
         return [self._build_datagram(OutgoingMessage(MessageKind.UPDATE, member_index), (member_index,))]
 
-    def on_tick(self, now: float) -> list[SendToPeer]:
+    def on_tick(self, now_ms: float) -> list[SendToPeer]:
         """Several times a second: end suspicions, probe, and disseminate; returns what is to be sent."""
         if not self.table.members:
             return []
-        self._detect_pause(now)
-        self._dissemination.refill(now)
-        datagrams = self._end_suspicions(now)
-        datagrams += [self._build_datagram(message) for message in self._failure_detector.on_tick(now)]
+        self._detect_pause(now_ms)
+        self._dissemination.refill(now_ms)
+        datagrams = self._end_suspicions(now_ms)
+        datagrams += [self._build_datagram(message) for message in self._failure_detector.on_tick(now_ms)]
         if self._dissemination.can_send_batch():
             datagrams += self._send_updates()
         return datagrams
 
-    def _end_suspicions(self, now: float) -> list[SendToPeer]:
+    def _end_suspicions(self, now_ms: float) -> list[SendToPeer]:
         """Hold members dead whose suspicion was not refuted in time; correct those that were just heard."""
         corrections: list[SendToPeer] = []
         for index, member in self.table.members.items():
-            is_overdue = now - member.status_since_ms >= self._suspicion_ms
+            is_overdue = now_ms - member.status_since_ms >= self._suspicion_ms
             if member.status is MemberStatus.SUSPECT and is_overdue:
-                self.table.set_status(now, index, MemberStatus.DEAD)
-            if member.status is not MemberStatus.ALIVE and now - member.received_at_ms < PROBE_INTERVAL_MS:
-                corrections += self._correct(now, index, member.incarnation)
+                self.table.set_status(now_ms, index, MemberStatus.DEAD)
+            if member.status is not MemberStatus.ALIVE and now_ms - member.received_at_ms < PROBE_INTERVAL_MS:
+                corrections += self._correct(now_ms, index, member.incarnation)
         return corrections
 
     def _send_updates(self) -> list[SendToPeer]:
@@ -152,17 +154,17 @@
             if self._dissemination.pending
         ]
 
-    def _detect_pause(self, now: float) -> None:
+    def _detect_pause(self, now_ms: float) -> None:
         """After a pause all others look silent, and may hold this router dead: trust nothing from before."""
-        was_paused = now - self._last_active_at_ms > PAUSE_THRESHOLD_MS
-        self._last_active_at_ms = now
+        was_paused = now_ms - self._last_active_at_ms > PAUSE_THRESHOLD_MS
+        self._last_active_at_ms = now_ms
         if not was_paused:
             return
         self._failure_detector.reset()
         for member in self.table.members.values():
-            member.received_at_ms = max(member.received_at_ms, now - PROBE_INTERVAL_MS)
+            member.received_at_ms = max(member.received_at_ms, now_ms - PROBE_INTERVAL_MS)
             if member.status is MemberStatus.SUSPECT:
-                member.status_since_ms = now
+                member.status_since_ms = now_ms
         self.table.raise_incarnation()
 
     def _build_datagram(self, message: OutgoingMessage, required: tuple[int, ...] = ()) -> SendToPeer:
--- a/cedarthread/persistence/reopen_policy.py
+++ b/cedarthread/persistence/reopen_policy.py
@@ -52,24 +52,24 @@
         self.next_attempt_at_ms = 0.0
         self.failed_attempts = 0  # in a row
 
-    def take_due_attempt(self, now: float) -> bool:
+    def take_due_attempt(self, now_ms: float) -> bool:
         """Whether the store is to be opened again now; says so once for each attempt."""
-        if self.state not in (StoreState.FAULTED, StoreState.GIVEN_UP) or now < self.next_attempt_at_ms:
+        if self.state not in (StoreState.FAULTED, StoreState.GIVEN_UP) or now_ms < self.next_attempt_at_ms:
             return False
         self.state = StoreState.REOPENING
         return True
 
-    def on_failure(self, now: float, fault: StoreFault) -> str | None:
+    def on_failure(self, now_ms: float, fault: StoreFault) -> str | None:
         """A write or an opening ended with a fault."""
         if self.fault is None:
-            self.faulted_since_ms = now
+            self.faulted_since_ms = now_ms
         if self.state is StoreState.REOPENING:
             self.failed_attempts += 1
         is_another_fault = fault is not self.fault
         self.fault = fault
         if self.failed_attempts >= MAX_ATTEMPTS:
             self.state = StoreState.GIVEN_UP
-            self.next_attempt_at_ms = now + GIVEN_UP_PAUSE_MS
+            self.next_attempt_at_ms = now_ms + GIVEN_UP_PAUSE_MS
             self.failed_attempts = 0
             return format_event(
                 "store_given_up",
@@ -79,30 +79,30 @@
             )
         backoff_ms = min(INITIAL_BACKOFF_MS * 2.0**self.failed_attempts, MAX_BACKOFF_MS)
         self.state = StoreState.FAULTED
-        self.next_attempt_at_ms = now + backoff_ms * self.rng.uniform(*BACKOFF_JITTER)
+        self.next_attempt_at_ms = now_ms + backoff_ms * self.rng.uniform(*BACKOFF_JITTER)
         return format_event("store_fault", fault=fault.value) if is_another_fault else None
 
-    def on_timeout(self, now: float) -> str | None:
+    def on_timeout(self, now_ms: float) -> str | None:
         """The disk has not answered in time; it is asked nothing else until it does."""
         is_first_opening = self.state is StoreState.REOPENING and self.fault is None
         if self.state is not StoreState.HEALTHY and not is_first_opening:
             return None
         self.state = StoreState.SLOW
-        self.faulted_since_ms = now
+        self.faulted_since_ms = now_ms
         self.fault = StoreFault.UNRESPONSIVE
         return format_event("store_fault", fault=self.fault.value)
 
-    def on_opened(self, now: float, fault: StoreFault | None = None) -> str | None:
+    def on_opened(self, now_ms: float, fault: StoreFault | None = None) -> str | None:
         """An opening succeeded; CORRUPTED where some content was left out."""
         line = format_event("store_content_lost", fault=fault.value) if fault else None
-        return self._enter_healthy(now, line)
+        return self._enter_healthy(now_ms, line)
 
-    def on_write_succeeded(self, now: float) -> str | None:
+    def on_write_succeeded(self, now_ms: float) -> str | None:
         """A write was acknowledged."""
-        return self._enter_healthy(now, None)
+        return self._enter_healthy(now_ms, None)
 
-    def _enter_healthy(self, now: float, line: str | None) -> str | None:
+    def _enter_healthy(self, now_ms: float, line: str | None) -> str | None:
         if line is None and self.fault is not None:
-            line = format_event("store_recovered", after_s=f"{(now - self.faulted_since_ms) / 1000:.1f}")
+            line = format_event("store_recovered", after_s=f"{(now_ms - self.faulted_since_ms) / 1000:.1f}")
         self.state, self.fault, self.failed_attempts = StoreState.HEALTHY, None, 0
         return line
--- a/cedarthread/persistence/state_persister.py
+++ b/cedarthread/persistence/state_persister.py
@@ -61,64 +61,64 @@
         replicated_store: ReplicatedStore,
         recovery: RecoveryComponent,
         start_escrow: Callable[[float, bytes | None], None],
-        now: float,
+        now_ms: float,
     ) -> None:
         """``start_escrow``: called once, with what the store remembers of the escrow, if that is believed."""
         self.replicated_store = replicated_store
         self.recovery = recovery
         self.start_escrow = start_escrow
         self.escrow: Escrow | None = None
-        self.started_at_ms = now
+        self.started_at_ms = now_ms
         self.has_started = False  # what is believed of the store is decided
         self.is_degraded = False  # the disk has a fault: what is confirmed from now on may be forgotten
         self.load_result: LoadResult | None = None
         self.image = RecoveredImage()
         self.queued_writes: list[PendingWrite] = []
-        self.last_snapshot_at_ms = now
+        self.last_snapshot_at_ms = now_ms
         self.was_voter = False  # as last written
         self.reset_above_generation: int | None = None  # the host is to reset the store above this generation
         self.log_messages: list[OutboundMessage] = []
         replicated_store.set_durable(True)
 
-    def on_store_opened(self, now: float, load_result: LoadResult, image: RecoveredImage) -> None:
+    def on_store_opened(self, now_ms: float, load_result: LoadResult, image: RecoveredImage) -> None:
         """The store has been opened, after a restart or a fault."""
         if self.has_started:
             self._on_store_reopened(load_result)
             return
         self.load_result, self.image = load_result, image
         self.replicated_store.store_generation = load_result.generation
-        self._start_when_assessable(now)
+        self._start_when_assessable(now_ms)
 
-    def _start_when_assessable(self, now: float) -> None:
+    def _start_when_assessable(self, now_ms: float) -> None:
         """Start once enough peers have said what they remember, or it is too late for them to."""
         if self.load_result is None:
-            if now - self.started_at_ms >= OPEN_TIMEOUT_MS:
+            if now_ms - self.started_at_ms >= OPEN_TIMEOUT_MS:
                 self._log(format_event("store_open_timeout", timeout_ms=f"{OPEN_TIMEOUT_MS:.0f}"))
-                self._start_without_store(now)
+                self._start_without_store(now_ms)
             return
         peer_generations = self.replicated_store.generation_known_to_peer
         min_reports = min(MIN_PEER_REPORTS, len(self.replicated_store.all_peers))
-        is_too_early = now - self.started_at_ms < self.replicated_store.window_ms
+        is_too_early = now_ms - self.started_at_ms < self.replicated_store.window_ms
         if len(peer_generations) < min_reports and is_too_early:
             return
         verdict = recovered_image.assess_content(self.load_result, peer_generations.values())
         if verdict is ContentVerdict.REJECTED:
-            self._start(now, None)
+            self._start(now_ms, None)
             newest = max(peer_generations.values())
             generation = self.load_result.generation
             self._log(format_event("store_content_dropped", generation=generation, remembered=newest))
             self.reset_above_generation = newest
             return
-        self._start_from_image(now, self.image, is_trusted=verdict is ContentVerdict.TRUSTED)
+        self._start_from_image(now_ms, self.image, is_trusted=verdict is ContentVerdict.TRUSTED)
         if self.image.rejected_count:
             self._log(format_event("store_values_rejected", count=self.image.rejected_count))
 
-    def _start_without_store(self, now: float) -> None:
+    def _start_without_store(self, now_ms: float) -> None:
         self.has_started = True
-        self._enter_degraded_mode(now)
-        self.start_escrow(now, None)
+        self._enter_degraded_mode(now_ms)
+        self.start_escrow(now_ms, None)
 
-    def _start_from_image(self, now: float, image: RecoveredImage, *, is_trusted: bool) -> None:
+    def _start_from_image(self, now_ms: float, image: RecoveredImage, *, is_trusted: bool) -> None:
         """Take over what the store remembers; a vote and the escrow only if nothing can be missing."""
         is_complete = (
             is_trusted
@@ -127,14 +127,14 @@
             and not image.rejected_count
         )
         self.has_started = True
-        self.replicated_store.restore(image.entries, is_complete, now)
+        self.replicated_store.restore(image.entries, is_complete, now_ms)
         if image.warm_state is not None:
-            self.recovery.restore(now, image.warm_state)
-        self.start_escrow(now, image.escrow if is_complete else None)
+            self.recovery.restore(now_ms, image.warm_state)
+        self.start_escrow(now_ms, image.escrow if is_complete else None)
 
-    def _start(self, now: float, escrow: bytes | None) -> None:
+    def _start(self, now_ms: float, escrow: bytes | None) -> None:
         self.has_started = True
-        self.start_escrow(now, escrow)
+        self.start_escrow(now_ms, escrow)
 
     def on_entries_changed(self, changes: tuple[ReplicatedEntry, ...]) -> None:
         """Entries of the replicated store were added or replaced."""
@@ -146,15 +146,15 @@
         revision = self.replicated_store.revision
         self.queued_writes.append(PendingWrite(key, value, WriteKind.ENTRY, revision))
 
-    def on_tick(self, now: float) -> list[PendingWrite]:
+    def on_tick(self, now_ms: float) -> list[PendingWrite]:
         """Some times a second: what is to be written now."""
         if not self.has_started:
-            self._start_when_assessable(now)
+            self._start_when_assessable(now_ms)
         is_writing = self.has_started and not self.is_degraded
         if is_writing:
             self._queue_incarnation()
-            self._queue_escrow(now)
-            self._queue_warm_state(now)
+            self._queue_escrow(now_ms)
+            self._queue_warm_state(now_ms)
         writes, self.queued_writes = self.queued_writes, []
         return writes if is_writing else []
 
@@ -172,16 +172,16 @@
         key, value = recovered_image.encode_incarnation(incarnation)
         self.queued_writes.append(PendingWrite(key, value, WriteKind.INCARNATION))
 
-    def _queue_escrow(self, now: float) -> None:
-        if self.escrow is not None and (value := self.escrow.image_to_write(now)) is not None:
+    def _queue_escrow(self, now_ms: float) -> None:
+        if self.escrow is not None and (value := self.escrow.image_to_write(now_ms)) is not None:
             self.queued_writes.append(PendingWrite(recovered_image.ESCROW_KEY, value, WriteKind.ESCROW))
 
-    def _queue_warm_state(self, now: float) -> None:
-        if now - self.last_snapshot_at_ms < SNAPSHOT_INTERVAL_MS:
+    def _queue_warm_state(self, now_ms: float) -> None:
+        if now_ms - self.last_snapshot_at_ms < SNAPSHOT_INTERVAL_MS:
             return
-        value = self.recovery.snapshot(now)
+        value = self.recovery.snapshot(now_ms)
         if value is not None:
-            self.last_snapshot_at_ms = now
+            self.last_snapshot_at_ms = now_ms
             write = PendingWrite(recovered_image.WARM_STATE_KEY, value, WriteKind.WARM_STATE)
             self.queued_writes.append(write)
 
@@ -191,33 +191,33 @@
         return log_messages
 
     def on_write_completed(
-        self, now: float, write: PendingWrite, fault: StoreFault | None, generation: int
+        self, now_ms: float, write: PendingWrite, fault: StoreFault | None, generation: int
     ) -> None:
         """A write has ended; ``generation``: that of the store by then."""
         if fault is None:
-            self._on_write_succeeded(now, write, generation)
+            self._on_write_succeeded(now_ms, write, generation)
             return
         if write.kind is WriteKind.ESCROW and self.escrow is not None:
             self.escrow.mark_write_failed()
         if not self.is_degraded:
             self._log(format_event("store_degraded", fault=fault.value, effect="changes are not kept"))
-            self._enter_degraded_mode(now)
+            self._enter_degraded_mode(now_ms)
 
-    def _on_write_succeeded(self, now: float, write: PendingWrite, generation: int) -> None:
+    def _on_write_succeeded(self, now_ms: float, write: PendingWrite, generation: int) -> None:
         self.replicated_store.store_generation = max(self.replicated_store.store_generation, generation)
         if write.kind is WriteKind.ENTRY:
-            self.replicated_store.mark_persisted(now, write.revision)
+            self.replicated_store.mark_persisted(now_ms, write.revision)
         elif write.kind is WriteKind.ESCROW and self.escrow is not None:
-            self.escrow.mark_written(now)
+            self.escrow.mark_written(now_ms)
 
-    def _enter_degraded_mode(self, now: float) -> None:
+    def _enter_degraded_mode(self, now_ms: float) -> None:
         """Go on without the disk. The next restart must find its content stale, for it lacks what comes now.
 
         So peers are told a generation that the disk has not reached."""
         self.is_degraded = True
         self.replicated_store.set_durable(False)
         self.replicated_store.store_generation += 1
-        self.replicated_store.mark_persisted(now, self.replicated_store.revision)
+        self.replicated_store.mark_persisted(now_ms, self.replicated_store.revision)
 
     def _on_store_reopened(self, load_result: LoadResult) -> None:
         """The fault is over: write everything anew, above the generation that peers were told."""
--- a/cedarthread/persistence/store_thread.py
+++ b/cedarthread/persistence/store_thread.py
@@ -165,10 +165,10 @@
         """Run the callbacks of what has ended, and do what is due by the clock."""
         while self._completions:
             self._completions.popleft()()
-        now, busy_since_ms = self._clock(), self._busy_since_ms
-        if busy_since_ms is not None and now - busy_since_ms >= self._response_timeout_ms:
-            self._on_response_timeout(now)
-        if not self._is_closing and self.policy.take_due_attempt(now):
+        now_ms, busy_since_ms = self._clock(), self._busy_since_ms
+        if busy_since_ms is not None and now_ms - busy_since_ms >= self._response_timeout_ms:
+            self._on_response_timeout(now_ms)
+        if not self._is_closing and self.policy.take_due_attempt(now_ms):
             with self._condition:
                 self._is_open_requested = True
                 self._condition.notify_all()
@@ -182,8 +182,8 @@
         self.run_callbacks()
         self._fail_pending(self.fault or StoreFault.UNRESPONSIVE)
 
-    def _on_response_timeout(self, now: float) -> None:
-        self._log_line(self.policy.on_timeout(now))
+    def _on_response_timeout(self, now_ms: float) -> None:
+        self._log_line(self.policy.on_timeout(now_ms))
         if self._load_result is None:
             self._load_result = LoadResult({}, 0, StoreFault.UNRESPONSIVE)
             self._on_opened(self._load_result)
@@ -219,14 +219,14 @@
             self._log(line)
 
     def _after_open(self, load_result: LoadResult) -> None:
-        is_first, now = self._load_result is None, self._clock()
+        is_first, now_ms = self._load_result is None, self._clock()
         self._load_result = load_result
         if load_result.is_writable:
             self.generation = load_result.generation
-            self._log_line(self.policy.on_opened(now, load_result.fault))
+            self._log_line(self.policy.on_opened(now_ms, load_result.fault))
         else:
             fault = load_result.fault or StoreFault.IO_ERROR
-            self._log_line(self.policy.on_failure(now, fault))
+            self._log_line(self.policy.on_failure(now_ms, fault))
             self._fail_pending(fault)
         if is_first or load_result.is_writable:
             self._on_opened(load_result)
--- a/cedarthread/priority/contracts.py
+++ b/cedarthread/priority/contracts.py
@@ -64,19 +64,19 @@
         """Entries whose body could not be read; they are treated as if they had not come."""
         return self.tier_orders.unreadable_count + self.contract_terms.unreadable_count
 
-    def refresh(self, now: float) -> None:
+    def refresh(self, now_ms: float) -> None:
         """Follow the replicated store: at each of its changes and at each tick."""
         self.tier_orders.refresh(self.replicated_state)
         self.contract_terms.refresh(self.replicated_state)
         staleness_bound_ms = self.replicated_state.staleness_bound_ms
-        self.is_fresh = self.replicated_state.is_fresh(now)
+        self.is_fresh = self.replicated_state.is_fresh(now_ms)
         history = self.tier_orders.histories.get(TIER_ORDER_NAME)
-        effective_orders = history.effective_bodies(now, staleness_bound_ms) if history is not None else ()
+        effective_orders = history.effective_bodies(now_ms, staleness_bound_ms) if history is not None else ()
         is_certain = history is not None and history.is_certain() and self.is_fresh
         self.overload_parameters = _greatest_lower_bound(effective_orders) if effective_orders else None
         self.effective = {
             tenant_name: _effective_contract(
-                terms.effective_bodies(now, staleness_bound_ms),
+                terms.effective_bodies(now_ms, staleness_bound_ms),
                 effective_orders,
                 is_certain and terms.is_certain(),
             )
--- a/cedarthread/priority/load_pressure.py
+++ b/cedarthread/priority/load_pressure.py
@@ -27,25 +27,25 @@
         self.completions = DecayingCounter(PRESSURE_TIME_CONSTANT_MS)
         self.utilization = DecayingCounter(PRESSURE_TIME_CONSTANT_MS)
 
-    def record_arrival(self, now: float, utilization: float) -> None:
+    def record_arrival(self, now_ms: float, utilization: float) -> None:
         """A call came, no retry. ``utilization``: the expected wait over the one at which overload begins."""
-        self.arrivals.add(now, 1.0)
-        self.utilization.add(now, min(1.0, max(0.0, utilization)))
+        self.arrivals.add(now_ms, 1.0)
+        self.utilization.add(now_ms, min(1.0, max(0.0, utilization)))
 
-    def record_completion(self, now: float) -> None:
+    def record_completion(self, now_ms: float) -> None:
         """A call was served."""
-        self.completions.add(now, 1.0)
+        self.completions.add(now_ms, 1.0)
 
-    def pressure(self, now: float) -> float:
+    def pressure(self, now_ms: float) -> float:
         """Under 1: there is spare capacity; 2: twice what is served is offered."""
-        arrivals = self.arrivals.read(now)
-        utilization = self.utilization.read(now) / (arrivals + PRIOR_CALLS)
+        arrivals = self.arrivals.read(now_ms)
+        utilization = self.utilization.read(now_ms) / (arrivals + PRIOR_CALLS)
         return (
             min(1.0, utilization / OVERLOAD_UTILIZATION)
             * (arrivals + PRIOR_CALLS)
-            / (self.completions.read(now) + PRIOR_CALLS)
+            / (self.completions.read(now_ms) + PRIOR_CALLS)
         )
 
-    def calls_per_second(self, now: float) -> float:
+    def calls_per_second(self, now_ms: float) -> float:
         """First attempts per second."""
-        return self.arrivals.read(now) / PRESSURE_TIME_CONSTANT_MS * MS_PER_SECOND
+        return self.arrivals.read(now_ms) / PRESSURE_TIME_CONSTANT_MS * MS_PER_SECOND
--- a/cedarthread/priority/load_shedding.py
+++ b/cedarthread/priority/load_shedding.py
@@ -50,11 +50,11 @@
         self.calls_since_sort = 0
         self.smoothed_shed_probability, self.smoothed_at_ms = 0.0, 0.0
 
-    def smooth(self, now: float, shed_probability: float) -> float:
+    def smooth(self, now_ms: float, shed_probability: float) -> float:
         """The shed probability without short random peaks, so that the order of the calls is kept."""
-        gain = 1.0 - math.exp((self.smoothed_at_ms - now) / SMOOTHING_MS)
+        gain = 1.0 - math.exp((self.smoothed_at_ms - now_ms) / SMOOTHING_MS)
         self.smoothed_shed_probability += gain * (shed_probability - self.smoothed_shed_probability)
-        self.smoothed_at_ms = now
+        self.smoothed_at_ms = now_ms
         return self.smoothed_shed_probability
 
     def record_arrival(self, score: SheddingScore) -> None:
--- a/cedarthread/priority/overload_level.py
+++ b/cedarthread/priority/overload_level.py
@@ -29,17 +29,17 @@
         self.requested_since_ms: float | None = None  # when the pressure first asked for ``requested_step``
         self.requested_step = 0  # -1, 0 or 1
 
-    def update(self, now: float, pressure: float | None, parameters: OverloadParameters | None) -> int:
+    def update(self, now_ms: float, pressure: float | None, parameters: OverloadParameters | None) -> int:
         """Take the fleet's pressure now and return the level."""
         if pressure is None or parameters is None:
             self.level, self.requested_since_ms, self.requested_step = 0, None, 0
             return 0
         requested_step = self._requested_step(pressure, parameters)
         if requested_step != self.requested_step or self.requested_since_ms is None:
-            self.requested_step, self.requested_since_ms = requested_step, now
-        if requested_step and now - self.requested_since_ms >= parameters.dwell_ms:
+            self.requested_step, self.requested_since_ms = requested_step, now_ms
+        if requested_step and now_ms - self.requested_since_ms >= parameters.dwell_ms:
             self.level += requested_step
-            self.requested_since_ms = now
+            self.requested_since_ms = now_ms
             self.requested_step = self._requested_step(pressure, parameters)
         return self.level
 
--- a/cedarthread/priority/pressure_gossip.py
+++ b/cedarthread/priority/pressure_gossip.py
@@ -41,7 +41,7 @@
         self.next_send_at_ms = self.rng.uniform(0.0, GOSSIP_INTERVAL_MS)
         self.unreadable_count = self.invalid_count = 0
 
-    def on_message(self, now: float, sender: int, data: bytes) -> None:
+    def on_message(self, now_ms: float, sender: int, data: bytes) -> None:
         """Take a datagram; one that is malformed, or names a wrong router, is counted and ignored."""
         reports = codec.decode(data)
         if isinstance(reports, MalformedDatagram):
@@ -53,7 +53,7 @@
             self.invalid_count += 1
             return
         for report in reports:
-            measured_at_ms = now - report.age_ms
+            measured_at_ms = now_ms - report.age_ms
             previous = self.reports.get(report.router_index)
             if (
                 report.router_index != self.router_index
@@ -64,39 +64,39 @@
                     report.pressure, report.calls_per_second, measured_at_ms
                 )
 
-    def record_own(self, now: float, pressure: float, calls_per_second: float) -> None:
+    def record_own(self, now_ms: float, pressure: float, calls_per_second: float) -> None:
         """What this router measured itself."""
-        self.reports[self.router_index] = _PressureReport(pressure, calls_per_second, now)
+        self.reports[self.router_index] = _PressureReport(pressure, calls_per_second, now_ms)
 
-    def messages_due(self, now: float) -> list[tuple[int, bytes]]:
+    def messages_due(self, now_ms: float) -> list[tuple[int, bytes]]:
         """Peer and datagram of each message that is due now: as many bytes in a fleet of any size."""
-        if now < self.next_send_at_ms or not self.alive_peers or self.router_index not in self.reports:
+        if now_ms < self.next_send_at_ms or not self.alive_peers or self.router_index not in self.reports:
             return []
-        self.next_send_at_ms = now + GOSSIP_INTERVAL_MS * self.rng.uniform(*GOSSIP_JITTER)
+        self.next_send_at_ms = now_ms + GOSSIP_INTERVAL_MS * self.rng.uniform(*GOSSIP_JITTER)
         peers = self.rng.sample(self.alive_peers, min(GOSSIP_FANOUT, len(self.alive_peers)))
-        return [(peer_index, codec.encode(self._reports_to_send(now))) for peer_index in peers]
+        return [(peer_index, codec.encode(self._reports_to_send(now_ms))) for peer_index in peers]
 
-    def _reports_to_send(self, now: float) -> list[RouterPressure]:
+    def _reports_to_send(self, now_ms: float) -> list[RouterPressure]:
         """The own report first, then the latest ones, so that each spreads while it counts.
 
         Measured with 200 routers at a loss of 0.2: with others at random instead, one router had 72 of them
         within 6 s, not 106."""
         others = (
-            (now - report.measured_at_ms, router_index)
+            (now_ms - report.measured_at_ms, router_index)
             for router_index, report in self.reports.items()
-            if router_index != self.router_index and now - report.measured_at_ms < MAX_FORWARDED_AGE_MS
+            if router_index != self.router_index and now_ms - report.measured_at_ms < MAX_FORWARDED_AGE_MS
         )
         latest = sorted(others)[: MAX_REPORTS_PER_MESSAGE - 1]
         chosen = [self.router_index, *(router_index for _, router_index in latest)]
-        return [self._encodable(now, router_index) for router_index in chosen]
+        return [self._encodable(now_ms, router_index) for router_index in chosen]
 
-    def _encodable(self, now: float, router_index: int) -> RouterPressure:
+    def _encodable(self, now_ms: float, router_index: int) -> RouterPressure:
         report = self.reports[router_index]
         return RouterPressure(
-            router_index, report.pressure, report.calls_per_second, now - report.measured_at_ms
+            router_index, report.pressure, report.calls_per_second, now_ms - report.measured_at_ms
         )
 
-    def fleet_pressure(self, now: float) -> float | None:
+    def fleet_pressure(self, now_ms: float) -> float | None:
         """The pressure that more than half of the fleet is under, by calls and by number: the lesser of both.
 
         None: reports of too few routers are here to know it; so a partitioned router sees no overload."""
@@ -104,7 +104,7 @@
         recent = [
             report
             for router_index, report in self.reports.items()
-            if router_index in alive and now - report.measured_at_ms <= MAX_REPORT_AGE_MS
+            if router_index in alive and now_ms - report.measured_at_ms <= MAX_REPORT_AGE_MS
         ]
         if 2 * len(recent) <= self.router_count:
             return None
--- a/cedarthread/priority/usage.py
+++ b/cedarthread/priority/usage.py
@@ -38,18 +38,18 @@
     rate_milli_per_second: int = 0
     filled_at_ms: float | None = None
 
-    def refill(self, now: float, rate_milli_per_second: int) -> None:
+    def refill(self, now_ms: float, rate_milli_per_second: int) -> None:
         """Add the tokens since the last refill, by the lower of the rates at both ends.
 
         An amount may have been given away just after the last refill, or have come just before this one."""
-        if self.filled_at_ms is not None and now > self.filled_at_ms:
+        if self.filled_at_ms is not None and now_ms > self.filled_at_ms:
             rate = min(rate_milli_per_second, self.rate_milli_per_second) / FIXED_POINT_SCALE
-            self.tokens += rate * (now - self.filled_at_ms) / MS_PER_SECOND
+            self.tokens += rate * (now_ms - self.filled_at_ms) / MS_PER_SECOND
         depth = 0.0
         if rate_milli_per_second > 0:
             depth = max(1.0, rate_milli_per_second / FIXED_POINT_SCALE * BUCKET_DEPTH_MS / MS_PER_SECOND)
         self.tokens, self.rate_milli_per_second = min(self.tokens, depth), rate_milli_per_second
-        self.filled_at_ms = now
+        self.filled_at_ms = now_ms
 
     def try_take(self) -> bool:
         """Take one token; False where there is none."""
@@ -80,7 +80,7 @@
         self.pool_totals: dict[str, int] = {}  # by tenant, as the pools were last opened
 
     def record_call(
-        self, now: float, tenant_name: str, contract: EffectiveContract, is_client_retry: bool
+        self, now_ms: float, tenant_name: str, contract: EffectiveContract, is_client_retry: bool
     ) -> bool:
         """Count a call of a tenant; whether it is within quota.
 
@@ -89,32 +89,32 @@
         counters = self.tenants.get(tenant_name)
         if counters is None:
             counters = self.tenants[tenant_name] = _TenantCounters()
-            self._request_quota(now, tenant_name, counters)
-        counters.demand.add(now, 1.0)
+            self._request_quota(now_ms, tenant_name, counters)
+        counters.demand.add(now_ms, 1.0)
         if not is_client_retry:
-            counters.calls.add(now, 1.0)
-        self._refill(now, tenant_name, counters, contract)
+            counters.calls.add(now_ms, 1.0)
+        self._refill(now_ms, tenant_name, counters, contract)
         is_within_quota = counters.bucket.try_take()
         if is_within_quota and not is_client_retry:
-            counters.calls_within_quota.add(now, 1.0)
+            counters.calls_within_quota.add(now_ms, 1.0)
         return is_within_quota
 
-    def record_rejected(self, now: float, tenant_name: str | None) -> None:
+    def record_rejected(self, now_ms: float, tenant_name: str | None) -> None:
         """Count a call that was rejected or preempted."""
         if tenant_name is not None and (counters := self.tenants.get(tenant_name)) is not None:
-            counters.rejected_calls.add(now, 1.0)
+            counters.rejected_calls.add(now_ms, 1.0)
 
-    def can_reject(self, now: float, tenant_name: str | None, floor_permille: int) -> bool:
+    def can_reject(self, now_ms: float, tenant_name: str | None, floor_permille: int) -> bool:
         """Whether with one call less the tenant is still at its floor, a part of its calls within quota.
 
         Each router holds the floor of the calls that came to it, so the fleet holds it of all calls."""
         counters = self.tenants.get(tenant_name) if tenant_name is not None else None
         if counters is None or floor_permille <= 0:
             return True
-        served_calls = counters.calls.read(now) - counters.rejected_calls.read(now) - 1.0
-        return served_calls >= floor_permille / FIXED_POINT_SCALE * counters.calls_within_quota.read(now)
+        served_calls = counters.calls.read(now_ms) - counters.rejected_calls.read(now_ms) - 1.0
+        return served_calls >= floor_permille / FIXED_POINT_SCALE * counters.calls_within_quota.read(now_ms)
 
-    def on_tick(self, now: float, contracts: Mapping[str, EffectiveContract]) -> None:
+    def on_tick(self, now_ms: float, contracts: Mapping[str, EffectiveContract]) -> None:
         """Open and change pools, and request what this router could use of each."""
         for tenant_name, contract in contracts.items():
             rate = contract.rate_milli_per_second
@@ -124,26 +124,26 @@
                     quota_pool_name(tenant_name), rate, is_consumable=False, ends_at_ms=None
                 )
         for tenant_name, counters in list(self.tenants.items()):
-            if now - counters.demand.updated_at_ms > IDLE_TENANT_TIMEOUT_MS:
+            if now_ms - counters.demand.updated_at_ms > IDLE_TENANT_TIMEOUT_MS:
                 del self.tenants[tenant_name]
                 continue
             if tenant_name in contracts:
-                self._refill(now, tenant_name, counters, contracts[tenant_name])
-                self._request_quota(now, tenant_name, counters)
+                self._refill(now_ms, tenant_name, counters, contracts[tenant_name])
+                self._request_quota(now_ms, tenant_name, counters)
 
     def _refill(
-        self, now: float, tenant_name: str, counters: _TenantCounters, contract: EffectiveContract
+        self, now_ms: float, tenant_name: str, counters: _TenantCounters, contract: EffectiveContract
     ) -> None:
-        available = self.escrow.available(now, quota_pool_name(tenant_name))
-        counters.bucket.refill(now, min(available, contract.rate_milli_per_second))
+        available = self.escrow.available(now_ms, quota_pool_name(tenant_name))
+        counters.bucket.refill(now_ms, min(available, contract.rate_milli_per_second))
 
-    def _request_quota(self, now: float, tenant_name: str, counters: _TenantCounters) -> None:
+    def _request_quota(self, now_ms: float, tenant_name: str, counters: _TenantCounters) -> None:
         """Request a growing demand at once, a falling one once it differs by over 1/``REQUEST_STEPS``."""
         calls_per_second = (
-            DEMAND_HEADROOM * counters.demand.read(now) / DEMAND_TIME_CONSTANT_MS * MS_PER_SECOND
+            DEMAND_HEADROOM * counters.demand.read(now_ms) / DEMAND_TIME_CONSTANT_MS * MS_PER_SECOND
         )
         requested = int(calls_per_second * FIXED_POINT_SCALE)
         previous = counters.requested_milli_per_second
         if abs(requested - previous) * REQUEST_STEPS > max(requested, previous) or requested > previous:
             counters.requested_milli_per_second = requested
-            self.escrow.request(now, quota_pool_name(tenant_name), requested)
+            self.escrow.request(now_ms, quota_pool_name(tenant_name), requested)
--- a/cedarthread/protocols/invoke_connection.py
+++ b/cedarthread/protocols/invoke_connection.py
@@ -147,14 +147,14 @@
         if not self.is_closed and not self.is_busy and len(self.buffer.peek()):
             self.buffer_updated(0)
 
-    def sweep(self, now: float) -> None:
+    def sweep(self, now_s: float) -> None:
         """End a request that arrives too slowly, close a connection that has been idle for long.
 
-        ``now`` is loop time in seconds."""
+        ``now_s`` is loop time in seconds."""
         if self.is_busy:
             return
-        if self.request_started_at is not None and now - self.request_started_at > REQUEST_TIMEOUT_S:
+        if self.request_started_at is not None and now_s - self.request_started_at > REQUEST_TIMEOUT_S:
             self.keep_alive, self.has_unparsed_input = False, True
             self.respond(problem_response(408, "the request took too long to arrive"))
-        elif self.request_started_at is None and now - self.last_read_at > IDLE_TIMEOUT_S:
+        elif self.request_started_at is None and now_s - self.last_read_at > IDLE_TIMEOUT_S:
             self.close()
--- a/cedarthread/protocols/invoke_server.py
+++ b/cedarthread/protocols/invoke_server.py
@@ -134,11 +134,11 @@
             self._acceptor.close()
             self._acceptor = None
 
-    def sweep(self, now: float) -> None:
-        """End what is idle or slow, and drop expired results; ``now`` is loop time in seconds."""
+    def sweep(self, now_s: float) -> None:
+        """End what is idle or slow, and drop expired results; ``now_s`` is loop time in seconds."""
         self.calls.deferred_calls.evict_expired()
         for connection in list(self.connections):
-            connection.sweep(now)
+            connection.sweep(now_s)
 
     def is_drained(self) -> bool:
         """All responses have left, and every deferred one has been collected by its owner."""
--- a/cedarthread/protocols/platform_server.py
+++ b/cedarthread/protocols/platform_server.py
@@ -114,14 +114,14 @@
             if connection.is_idle():
                 connection.lingering_close()
 
-    def sweep(self, now: float) -> None:
+    def sweep(self, now_s: float) -> None:
         """Close what has sent no complete message in time, or has been silent for too long.
 
-        ``now`` is loop time in seconds."""
+        ``now_s`` is loop time in seconds."""
         for connection in [*self.unproven_connections, *self.connections]:
             started_at = connection.message_started_at
-            is_late = started_at is not None and now - started_at > MESSAGE_TIMEOUT_S
-            is_gone = not connection.calls.open and now - connection.last_read_at > SILENT_CLIENT_TIMEOUT_S
+            is_late = started_at is not None and now_s - started_at > MESSAGE_TIMEOUT_S
+            is_gone = not connection.calls.open and now_s - connection.last_read_at > SILENT_CLIENT_TIMEOUT_S
             is_up = connection.transport is not None and connection.discard_budget is None
             if is_up and not connection.has_unprocessed_messages and (is_late or is_gone):
                 log.info(format_event("client_timed_out"))
--- a/cedarthread/protocols/worker_pool.py
+++ b/cedarthread/protocols/worker_pool.py
@@ -111,9 +111,9 @@
                 buffered = list(connection.lines.buffered)
                 asyncio.get_running_loop().call_later(flush_s, connection.abort_if_unwritten, buffered)
 
-    def sweep(self, now: float, idle_limit_s: float) -> None:
+    def sweep(self, now_s: float, idle_limit_s: float) -> None:
         """Close what has been idle for long, before the worker does and a request crosses its close."""
         for connection in list(self.connections):
-            is_expired = connection.is_retired or now - connection.last_used_at > idle_limit_s
+            is_expired = connection.is_retired or now_s - connection.last_used_at > idle_limit_s
             if is_expired and connection.transport is not None and not connection.in_flight:
                 connection.close_empty()
--- a/cedarthread/protocols/workers.py
+++ b/cedarthread/protocols/workers.py
@@ -240,10 +240,10 @@
             longest_idle.abort()
         return longest_idle is not None
 
-    def sweep(self, now: float) -> None:
-        """Close what has been idle for long; ``now`` is loop time in seconds."""
+    def sweep(self, now_s: float) -> None:
+        """Close what has been idle for long; ``now_s`` is loop time in seconds."""
         for pool in self.pools.values():
-            pool.sweep(now, self.idle_limit_s())
+            pool.sweep(now_s, self.idle_limit_s())
 
     def close(self) -> None:
         """Close every connection."""
--- a/cedarthread/recovery/action_baseline.py
+++ b/cedarthread/recovery/action_baseline.py
@@ -35,22 +35,22 @@
         """A recovery begins: what is done from now on is not the usual."""
         self.in_service_since_ms = math.inf
 
-    def enter_service(self, now: float) -> None:
+    def enter_service(self, now_ms: float) -> None:
         """The recovery is over: from now on the usual rate is measured anew."""
-        self.in_service_since_ms = now
+        self.in_service_since_ms = now_ms
         self._reset_counters()
 
-    def record(self, now: float, action: PacedAction) -> None:
+    def record(self, now_ms: float, action: PacedAction) -> None:
         """The router did it once."""
-        self._counters[action].add(now, 1.0)
+        self._counters[action].add(now_ms, 1.0)
 
-    def update(self, now: float) -> Mapping[PacedAction, float]:
+    def update(self, now_ms: float) -> Mapping[PacedAction, float]:
         """The router's own usual rates per second, measured anew once it is in service for long enough."""
-        if now - self.in_service_since_ms >= MIN_TIME_CONSTANTS * TIME_CONSTANT_MS:
+        if now_ms - self.in_service_since_ms >= MIN_TIME_CONSTANTS * TIME_CONSTANT_MS:
             # The counters began empty: the part of their final value that they can have reached by now.
-            filled = 1.0 - math.exp((self.in_service_since_ms - now) / TIME_CONSTANT_MS)
+            filled = 1.0 - math.exp((self.in_service_since_ms - now_ms) / TIME_CONSTANT_MS)
             self.own_per_second = {
-                action: 1000.0 * counter.read(now) / TIME_CONSTANT_MS / filled
+                action: 1000.0 * counter.read(now_ms) / TIME_CONSTANT_MS / filled
                 for action, counter in self._counters.items()
             }
         return self.own_per_second
--- a/cedarthread/recovery/admission.py
+++ b/cedarthread/recovery/admission.py
@@ -25,22 +25,22 @@
     def __contains__(self, wanted: Hashable) -> bool:
         return wanted in self._first_and_last_ms
 
-    def record(self, now: float, wanted: Hashable, was_granted: bool) -> None:
+    def record(self, now_ms: float, wanted: Hashable, was_granted: bool) -> None:
         """Something was asked for, and granted or deferred."""
         if was_granted:
             self._first_and_last_ms.pop(wanted, None)
             return
-        first_ms, _ = self._first_and_last_ms.get(wanted, (now, now))
-        self._first_and_last_ms[wanted] = (first_ms, now)
+        first_ms, _ = self._first_and_last_ms.get(wanted, (now_ms, now_ms))
+        self._first_and_last_ms[wanted] = (first_ms, now_ms)
 
-    def has_long_deferral(self, now: float) -> bool:
+    def has_long_deferral(self, now_ms: float) -> bool:
         """Whether anything has been deferred for long. What was not asked for again lately is dropped."""
         self._first_and_last_ms = {
             wanted: (first_ms, last_ms)
             for wanted, (first_ms, last_ms) in self._first_and_last_ms.items()
-            if now - last_ms <= LONG_DEFERRAL_MS
+            if now_ms - last_ms <= LONG_DEFERRAL_MS
         }
-        return any(now - first_ms > LONG_DEFERRAL_MS for first_ms, _ in self._first_and_last_ms.values())
+        return any(now_ms - first_ms > LONG_DEFERRAL_MS for first_ms, _ in self._first_and_last_ms.values())
 
     def clear(self) -> None:
         """Nothing is wanted any more."""
@@ -65,65 +65,65 @@
         """By function; one at a time, since its instance will serve all calls that wait."""
         self.deferrals = DeferralTracker()
 
-    def restart(self, now: float) -> None:
+    def restart(self, now_ms: float) -> None:
         """A recovery begins after a pause."""
-        self.pacer.restart(now)
+        self.pacer.restart(now_ms)
         self.pending_loads.clear()
         self.deferrals.clear()
         self.is_paced = True
 
-    def on_tick(self, now: float, is_in_service: bool) -> None:
+    def on_tick(self, now_ms: float, is_in_service: bool) -> None:
         """After the state machine: raise the load rate while something waits, else end the pacing."""
-        if self.is_paced and self.deferrals.has_long_deferral(now):
-            self.pacer.grow_load_rate(now)
+        if self.is_paced and self.deferrals.has_long_deferral(now_ms):
+            self.pacer.grow_load_rate(now_ms)
         elif is_in_service:
             self.is_paced = False
 
-    def try_acquire_load(self, now: float, function_id: int, awaits_peers: bool) -> bool:
+    def try_acquire_load(self, now_ms: float, function_id: int, awaits_peers: bool) -> bool:
         """Whether a load of a function may be begun now; a yes takes its tokens.
 
         ``awaits_peers``: peers are about to say where it is warm, which takes less time than a load."""
         if not self.is_paced:
             return True
         pending = self.pending_loads.get(function_id)
-        if pending is not None and now - pending.sent_at_ms < PENDING_LOAD_TIMEOUT_MS:
+        if pending is not None and now_ms - pending.sent_at_ms < PENDING_LOAD_TIMEOUT_MS:
             return False
-        tokens_taken = 0.0 if awaits_peers else self.pacer.try_acquire_load(now)
+        tokens_taken = 0.0 if awaits_peers else self.pacer.try_acquire_load(now_ms)
         was_granted = tokens_taken > 0
-        self.deferrals.record(now, (PacedAction.LOAD, function_id), was_granted)
+        self.deferrals.record(now_ms, (PacedAction.LOAD, function_id), was_granted)
         if was_granted:
-            self.pending_loads[function_id] = PendingLoad(now, tokens_taken)
+            self.pending_loads[function_id] = PendingLoad(now_ms, tokens_taken)
         return was_granted
 
-    def settle_load(self, now: float, function_id: int, was_warm: bool, succeeded: bool) -> None:
+    def settle_load(self, now_ms: float, function_id: int, was_warm: bool, succeeded: bool) -> None:
         """A call of a function ended; if it was the one that might begin a load, its tokens are settled."""
         pending = self.pending_loads.pop(function_id, None)
         if pending is not None:
-            self.pacer.settle_load(now, pending.tokens_taken, was_warm)
+            self.pacer.settle_load(now_ms, pending.tokens_taken, was_warm)
             self.pacer.record_result(PacedAction.LOAD, succeeded)
 
-    def try_acquire_connection(self, now: float, worker_id: int) -> bool:
+    def try_acquire_connection(self, now_ms: float, worker_id: int) -> bool:
         """Whether one more connection to a worker may be begun now; a yes takes its token."""
         if not self.is_paced:
-            self.pacer.record_unpaced(now, PacedAction.CONNECT)
+            self.pacer.record_unpaced(now_ms, PacedAction.CONNECT)
             return True
         wanted = (PacedAction.CONNECT, worker_id)
         if wanted not in self.deferrals:
             self.pacer.record_call(worker_id)
-        was_granted = self.pacer.try_acquire_connection(now, worker_id)
-        self.deferrals.record(now, wanted, was_granted)
+        was_granted = self.pacer.try_acquire_connection(now_ms, worker_id)
+        self.deferrals.record(now_ms, wanted, was_granted)
         return was_granted
 
-    def try_acquire_discovery_query(self, now: float) -> bool:
+    def try_acquire_discovery_query(self, now_ms: float) -> bool:
         """Whether a discovery query may be sent now; a yes takes its token."""
         if not self.is_paced:
-            self.pacer.record_unpaced(now, PacedAction.DISCOVERY_QUERY)
+            self.pacer.record_unpaced(now_ms, PacedAction.DISCOVERY_QUERY)
             return True
-        return self.pacer.try_acquire(now, PacedAction.DISCOVERY_QUERY)
+        return self.pacer.try_acquire(now_ms, PacedAction.DISCOVERY_QUERY)
 
-    def try_acquire_release(self, now: float) -> bool:
+    def try_acquire_release(self, now_ms: float) -> bool:
         """Whether one change that a freeze had deferred may be carried out now; a yes takes its token."""
-        was_granted = self.pacer.try_acquire(now, PacedAction.RELEASE)
+        was_granted = self.pacer.try_acquire(now_ms, PacedAction.RELEASE)
         if was_granted:
             self.pacer.record_result(PacedAction.RELEASE, True)
         return was_granted
@@ -136,6 +136,6 @@
         """A discovery query was answered, or has failed."""
         self.pacer.record_result(PacedAction.DISCOVERY_QUERY, succeeded)
 
-    def on_freeze_ended(self, now: float) -> None:
+    def on_freeze_ended(self, now_ms: float) -> None:
         """A freeze ended: the changes that it deferred are released at a low rate first."""
-        self.pacer.on_freeze_ended(now)
+        self.pacer.on_freeze_ended(now_ms)
--- a/cedarthread/recovery/component.py
+++ b/cedarthread/recovery/component.py
@@ -58,9 +58,9 @@
     unix_ms: float
     read_at_ms: float
 
-    def at(self, now: float) -> float:
+    def at(self, now_ms: float) -> float:
         """The Unix time at a time on the steady clock."""
-        return self.unix_ms + now - self.read_at_ms
+        return self.unix_ms + now_ms - self.read_at_ms
 
 
 class RecoveryComponent:
@@ -68,18 +68,21 @@
 
     message_types: frozenset[int] = frozenset({MessageType.RECOVERY})
 
-    def __init__(self, settings: RouterSettings, seed: int, now: float = 0.0) -> None:
+    def __init__(self, settings: RouterSettings, seed: int, now_ms: float = 0.0) -> None:
         self.settings = settings
         self.can_query_peers = _can_query_peers(settings)
-        self.restarted_at_ms = now  # started, or went on after a pause
+        self.restarted_at_ms = now_ms  # started, or went on after a pause
         self.warm_state = WarmState(settings.keep_alive_ms)
-        self.query_client = PeerQueryClient(seed, now)
-        self.query_server = PeerQueryServer(now)
-        self.state_machine = RecoveryStateMachine(PhaseTimeouts.from_settings(settings), now)
+        self.query_client = PeerQueryClient(seed, now_ms)
+        self.query_server = PeerQueryServer(now_ms)
+        self.state_machine = RecoveryStateMachine(PhaseTimeouts.from_settings(settings), now_ms)
         self.fleet_view = FleetView(settings.router_count)
         self.worker_reports = WorkerReportView(settings.router_count)
         self.pacer = Pacer(
-            settings.router_index, now, PacingLimits.for_fleet(1, DEFAULT_LOAD_TIME_MS), settings.router_count
+            settings.router_index,
+            now_ms,
+            PacingLimits.for_fleet(1, DEFAULT_LOAD_TIME_MS),
+            settings.router_count,
         )
         self.admission = RecoveryAdmission(self.pacer)
         self.warm_fraction = WarmFractionTracker()
@@ -88,9 +91,9 @@
         self.malformed_count = 0
         self.unknown_sender_count = 0
 
-    def on_message(self, now: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
+    def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
         """Take a datagram of the peer query."""
-        self._check_pause(now)
+        self._check_pause(now_ms)
         if not self.can_query_peers or not self._is_peer(sender):
             self.unknown_sender_count += 1
             return []
@@ -100,26 +103,26 @@
             return []
         self.fleet_view.heard_from.add(sender)
         if isinstance(message, codec.Query):
-            template = self._response_template(now)
-            return self.query_server.on_query(now, sender, message, self.warm_state, template)
+            template = self._response_template(now_ms)
+            return self.query_server.on_query(now_ms, sender, message, self.warm_state, template)
         if isinstance(message, codec.Busy):
-            self.query_client.on_busy(now, sender, message)
+            self.query_client.on_busy(now_ms, sender, message)
         else:
-            self._on_response(now, sender, message)
-        return self._query_peers(now)
+            self._on_response(now_ms, sender, message)
+        return self._query_peers(now_ms)
 
     def _is_peer(self, sender: int) -> bool:
         return sender != self.settings.router_index and 0 <= sender < self.settings.router_count
 
-    def _response_template(self, now: float) -> codec.Response:
+    def _response_template(self, now_ms: float) -> codec.Response:
         """What each part of a response says of this router itself."""
         own_rates = self.pacer.baseline.own_per_second
         return codec.Response(
             nonce=0,
             part=0,
             part_count=1,
-            warm_fraction=self.warm_fraction.baseline(now) if self.is_in_service() else None,
-            uptime_ms=now - self.restarted_at_ms,
+            warm_fraction=self.warm_fraction.baseline(now_ms) if self.is_in_service() else None,
+            uptime_ms=now_ms - self.restarted_at_ms,
             baseline_rates=(
                 (own_rates[PacedAction.LOAD], own_rates[PacedAction.CONNECT])
                 if len(own_rates) == len(PacedAction)
@@ -127,9 +130,9 @@
             ),
         )
 
-    def _on_response(self, now: float, sender: int, response: codec.Response) -> None:
-        has_older_peers = self.fleet_view.has_older_peers(now, self.restarted_at_ms)
-        self.query_client.on_response(now, sender, response, self.warm_state, has_older_peers)
+    def _on_response(self, now_ms: float, sender: int, response: codec.Response) -> None:
+        has_older_peers = self.fleet_view.has_older_peers(now_ms, self.restarted_at_ms)
+        self.query_client.on_response(now_ms, sender, response, self.warm_state, has_older_peers)
         self.pacer.record_result(PacedAction.PEER_QUERY, True)
         peer_baseline = self.query_client.median_baseline()
         if peer_baseline is not None and not self.pacer.baseline.own_per_second:
@@ -139,85 +142,85 @@
                 PacedAction.CONNECT: connections,
             }
 
-    def on_tick(self, now: float) -> Sequence[OutboundMessage]:
+    def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
         """Some times a second: advance the phases and the ramps, send queries."""
-        self._check_pause(now)
+        self._check_pause(now_ms)
         messages: list[OutboundMessage] = []
         if self.has_unreported_pause:
             self.has_unreported_pause = False
             messages.append(LogMessage(PAUSE_LOG_LINE))
-        self.pacer.on_tick(now)
-        self.pacer.is_mass_restart = self.is_mass_restart(now)
-        self.warm_state.drop_expired(now)
+        self.pacer.on_tick(now_ms)
+        self.pacer.is_mass_restart = self.is_mass_restart(now_ms)
+        self.warm_state.drop_expired(now_ms)
         if self.is_in_service():
-            self.pacer.update_baseline(now)
-            self.warm_fraction.remember_baseline(now)
-        messages += self._query_peers(now)
-        while self.state_machine.advance(now, self._evidence(now)):
+            self.pacer.update_baseline(now_ms)
+            self.warm_fraction.remember_baseline(now_ms)
+        messages += self._query_peers(now_ms)
+        while self.state_machine.advance(now_ms, self._evidence(now_ms)):
             if self.is_in_service():
-                self.pacer.enter_service(now)
-            messages.append(LogMessage(phase_log_line(self, now)))
-        self.admission.on_tick(now, self.is_in_service())
+                self.pacer.enter_service(now_ms)
+            messages.append(LogMessage(phase_log_line(self, now_ms)))
+        self.admission.on_tick(now_ms, self.is_in_service())
         return messages
 
-    def on_notification(self, now: float, fact: Notification) -> Sequence[OutboundMessage]:
+    def on_notification(self, now_ms: float, fact: Notification) -> Sequence[OutboundMessage]:
         """Follow what the recovery depends on: peers, endpoints, ended attempts, the wall clock, settings."""
-        self._check_pause(now)
+        self._check_pause(now_ms)
         match fact:
             case AttemptCompleted():
-                self._on_attempt_completed(now, fact)
+                self._on_attempt_completed(now_ms, fact)
             case EndpointUpdate():
-                self.warm_state.on_endpoint_update(now, fact)
+                self.warm_state.on_endpoint_update(now_ms, fact)
                 self.pacer.worker_count = max(1, len(self.warm_state.workers))
                 self.pacer.limits = PacingLimits.for_fleet(self.pacer.worker_count, DEFAULT_LOAD_TIME_MS)
             case PeersChanged():
-                self.fleet_view.on_peers_changed(now, fact)
+                self.fleet_view.on_peers_changed(now_ms, fact)
                 self.pacer.router_count = 1 + len(fact.alive_peers)
             case WallClockRead():
-                self.wall_clock = WallClock(fact.unix_ms, now)
+                self.wall_clock = WallClock(fact.unix_ms, now_ms)
             case SettingsChanged():
                 self._on_settings_changed(fact.settings)
         return []
 
-    def status(self, now: float) -> Mapping[str, str]:
+    def status(self, now_ms: float) -> Mapping[str, str]:
         """The figures for operators."""
-        return recovery_status(self, now)
+        return recovery_status(self, now_ms)
 
     def is_in_service(self) -> bool:
         """Whether the recovery is over."""
         return self.state_machine.phase is RecoveryPhase.IN_SERVICE
 
-    def is_mass_restart(self, now: float) -> bool:
+    def is_mass_restart(self, now_ms: float) -> bool:
         """Whether most routers restart at once, or may do so where that cannot be told."""
         if self.can_query_peers and self.fleet_view.latest_peers is not None:
-            return self.fleet_view.is_mass_restart(now, self.state_machine.timeouts.total_ms())
+            return self.fleet_view.is_mass_restart(now_ms, self.state_machine.timeouts.total_ms())
         return self.worker_reports.is_mass_restart_possible()
 
-    def warm_instances(self, now: float, function_id: int) -> dict[int, InstanceLoad]:
+    def warm_instances(self, now_ms: float, function_id: int) -> dict[int, InstanceLoad]:
         """The workers where a function was warm lately, in the form of ``LoadGossip.instances``."""
-        self._check_pause(now)
-        return self.warm_state.warm_instances(now, function_id)
+        self._check_pause(now_ms)
+        return self.warm_state.warm_instances(now_ms, function_id)
 
-    def try_acquire_load(self, now: float, function_id: int) -> bool:
+    def try_acquire_load(self, now_ms: float, function_id: int) -> bool:
         """Whether this router may begin one more load now; a yes takes its tokens."""
-        self._check_pause(now)
+        self._check_pause(now_ms)
         hold_ms = LOAD_HOLD_FRACTION * self.state_machine.timeouts.peer_query_ms
         awaits_peers = (
             self.can_query_peers
             and self.state_machine.phase in (RecoveryPhase.STARTING, RecoveryPhase.PEER_QUERY)
-            and now - self.state_machine.entered_at_ms < hold_ms
+            and now_ms - self.state_machine.entered_at_ms < hold_ms
         )
-        return self.admission.try_acquire_load(now, function_id, awaits_peers)
+        return self.admission.try_acquire_load(now_ms, function_id, awaits_peers)
 
-    def try_acquire_connection(self, now: float, worker_id: int) -> bool:
+    def try_acquire_connection(self, now_ms: float, worker_id: int) -> bool:
         """Whether one more connection to this worker may be begun now; a yes takes its token."""
-        self._check_pause(now)
-        return self.admission.try_acquire_connection(now, worker_id)
+        self._check_pause(now_ms)
+        return self.admission.try_acquire_connection(now_ms, worker_id)
 
-    def retry_after_fractions(self, now: float) -> tuple[float, float]:
+    def retry_after_fractions(self, now_ms: float) -> tuple[float, float]:
         """The parts of the longest Retry-After between which a rejected client is put off."""
         least, most = RETRY_AFTER_FRACTIONS
-        if not self.is_in_service() and self.is_mass_restart(now):
+        if not self.is_in_service() and self.is_mass_restart(now_ms):
             most = MASS_RESTART_RETRY_AFTER_FRACTION
         return (least, most)
 
@@ -225,16 +228,16 @@
         """A worker's load report: calls that it held, and how many of them were this router's."""
         self.worker_reports.on_load_report(reported_calls, own_calls)
 
-    def snapshot(self, now: float) -> bytes | None:
+    def snapshot(self, now_ms: float) -> bytes | None:
         """The warm-state snapshot for the store, with ages as of now; None without a wall clock."""
         if self.wall_clock is None:
             return None
-        observations = self.warm_state.digest(now, limit=snapshot.MAX_STORED_OBSERVATIONS)
-        own_rates = self.pacer.update_baseline(now)
-        unix_ms = self.wall_clock.at(now)
+        observations = self.warm_state.digest(now_ms, limit=snapshot.MAX_STORED_OBSERVATIONS)
+        own_rates = self.pacer.update_baseline(now_ms)
+        unix_ms = self.wall_clock.at(now_ms)
         return snapshot.encode(unix_ms, self.baseline_warm_fraction(), own_rates, observations)
 
-    def restore(self, now: float, raw: bytes, clock_error_ms: float = MAX_CLOCK_ERROR_MS) -> int:
+    def restore(self, now_ms: float, raw: bytes, clock_error_ms: float = MAX_CLOCK_ERROR_MS) -> int:
         """Take the snapshot of the previous incarnation; how many of its observations are news.
 
         Observations that cannot be dated are left out. ``clock_error_ms``: the wall clocks of the two
@@ -249,35 +252,35 @@
             self.warm_fraction.remembered_baseline = stored.baseline_warm_fraction
         if self.wall_clock is None:
             return 0
-        unix_ms = self.wall_clock.at(now)
-        return snapshot.restore_observations(stored, self.warm_state, now, unix_ms, clock_error_ms)
+        unix_ms = self.wall_clock.at(now_ms)
+        return snapshot.restore_observations(stored, self.warm_state, now_ms, unix_ms, clock_error_ms)
 
     def baseline_warm_fraction(self) -> float | None:
         """The usual fraction of warm calls: by peers in service, else as it was before the restart."""
         reported = self.query_client.median_warm_fraction()
         return self.warm_fraction.remembered_baseline if reported is None else reported
 
-    def _check_pause(self, now: float) -> None:
+    def _check_pause(self, now_ms: float) -> None:
         """First with each event: after a pause, recover anew; what comes first may be from before it."""
-        if not self.state_machine.detect_pause(now):
+        if not self.state_machine.detect_pause(now_ms):
             return
         self.has_unreported_pause = True
-        self.restarted_at_ms = now
-        self.warm_state.suspended_until_ms = now + SUSPENSION_AFTER_PAUSE_MS
-        self.query_client.restart(now)
-        self.admission.restart(now)
+        self.restarted_at_ms = now_ms
+        self.warm_state.suspended_until_ms = now_ms + SUSPENSION_AFTER_PAUSE_MS
+        self.query_client.restart(now_ms)
+        self.admission.restart(now_ms)
         self.warm_fraction.restart()
 
-    def _query_peers(self, now: float) -> list[SendToPeer]:
+    def _query_peers(self, now_ms: float) -> list[SendToPeer]:
         if not self.can_query_peers or self.state_machine.phase is not RecoveryPhase.PEER_QUERY:
             return []
-        peer_uptimes_ms = self.fleet_view.peer_uptimes_ms(now)
+        peer_uptimes_ms = self.fleet_view.peer_uptimes_ms(now_ms)
         return self.query_client.on_tick(
-            now, peer_uptimes_ms, lambda: self.pacer.try_acquire(now, PacedAction.PEER_QUERY)
+            now_ms, peer_uptimes_ms, lambda: self.pacer.try_acquire(now_ms, PacedAction.PEER_QUERY)
         )
 
-    def _on_attempt_completed(self, now: float, attempt: AttemptCompleted) -> None:
-        if now < self.warm_state.suspended_until_ms:
+    def _on_attempt_completed(self, now_ms: float, attempt: AttemptCompleted) -> None:
+        if now_ms < self.warm_state.suspended_until_ms:
             return  # the answer may have waited in a buffer for as long as the pause was
         succeeded = attempt.outcome is Outcome.OK
         is_cold_start = attempt.outcome is Outcome.NOT_LOADED or (
@@ -285,25 +288,25 @@
         )
         if succeeded or is_cold_start:
             self.warm_state.record_local(
-                now, attempt.worker_id, attempt.function_id, succeeded, attempt.work_ms
+                now_ms, attempt.worker_id, attempt.function_id, succeeded, attempt.work_ms
             )
-        self.admission.settle_load(now, attempt.function_id, attempt.was_warm is True, succeeded)
+        self.admission.settle_load(now_ms, attempt.function_id, attempt.was_warm is True, succeeded)
         self.pacer.record_call(attempt.worker_id)
         if attempt.was_warm is False and self.is_in_service():
-            self.pacer.record_unpaced(now, PacedAction.LOAD)
+            self.pacer.record_unpaced(now_ms, PacedAction.LOAD)
         if attempt.was_warm is not None:
-            self.warm_fraction.record(now, attempt.was_warm)
+            self.warm_fraction.record(now_ms, attempt.was_warm)
 
-    def _evidence(self, now: float) -> RecoveryEvidence:
+    def _evidence(self, now_ms: float) -> RecoveryEvidence:
         return RecoveryEvidence(
             has_endpoint_list=bool(self.warm_state.workers),
             can_query_peers=self.can_query_peers,
             has_majority=self.fleet_view.has_majority(),
             is_peer_query_complete=self.query_client.is_complete(),
-            recent_calls=self.warm_fraction.recent_calls(now),
-            warm_fraction=self.warm_fraction.recent(now),
+            recent_calls=self.warm_fraction.recent_calls(now_ms),
+            warm_fraction=self.warm_fraction.recent(now_ms),
             baseline_warm_fraction=self.baseline_warm_fraction(),
-            has_deferred_loads=self.admission.deferrals.has_long_deferral(now),
+            has_deferred_loads=self.admission.deferrals.has_long_deferral(now_ms),
         )
 
     def _on_settings_changed(self, settings: RouterSettings) -> None:
--- a/cedarthread/recovery/connection_turns.py
+++ b/cedarthread/recovery/connection_turns.py
@@ -29,10 +29,10 @@
 class ConnectionTurns:
     """The turns of one router at each worker."""
 
-    def __init__(self, phase_offset: float, now: float) -> None:
+    def __init__(self, phase_offset: float, now_ms: float) -> None:
         """``phase_offset``: this router's place among all, from 0 to 1."""
         self._phase_offset = phase_offset
-        self._started_at_ms = now
+        self._started_at_ms = now_ms
         self._last_connection_ms: dict[int, float] = {}
         self._calls_by_worker: dict[int, int] = {}
         self._total_calls = 0
@@ -42,28 +42,28 @@
         self._calls_by_worker[worker_id] = self._calls_by_worker.get(worker_id, 0) + 1
         self._total_calls += 1
 
-    def record_connection(self, now: float, worker_id: int) -> None:
+    def record_connection(self, now_ms: float, worker_id: int) -> None:
         """A connection to a worker is begun."""
-        self._last_connection_ms[worker_id] = now
+        self._last_connection_ms[worker_id] = now_ms
 
     def has_connected(self, worker_id: int) -> bool:
         """Whether a connection to a worker was begun in this recovery."""
         return worker_id in self._last_connection_ms
 
-    def is_due(self, now: float, worker_id: int, demand: FleetDemand) -> bool:
+    def is_due(self, now_ms: float, worker_id: int, demand: FleetDemand) -> bool:
         """Whether it is this router's turn to connect to a worker."""
         if self.has_connected(worker_id):
             waits_since_ms, turn_fraction = self._last_connection_ms[worker_id], 1.0
         else:
             waits_since_ms = self._started_at_ms
             turn_fraction = (self._phase_offset + worker_id * GOLDEN_RATIO_CONJUGATE) % 1.0
-        spread_windows = self._spread_windows(now, worker_id, demand)
-        return not now - waits_since_ms < turn_fraction * spread_windows * WINDOW_MS
+        spread_windows = self._spread_windows(now_ms, worker_id, demand)
+        return not now_ms - waits_since_ms < turn_fraction * spread_windows * WINDOW_MS
 
-    def _spread_windows(self, now: float, worker_id: int, demand: FleetDemand) -> float:
+    def _spread_windows(self, now_ms: float, worker_id: int, demand: FleetDemand) -> float:
         """Windows over which the fleet's connections to a worker are to be spread."""
         limit = demand.connections_per_window
-        windows_passed = max(1.0, (now - self._started_at_ms) / WINDOW_MS)
+        windows_passed = max(1.0, (now_ms - self._started_at_ms) / WINDOW_MS)
         worker_share = (self._calls_by_worker.get(worker_id, 0) + 1.0) / (
             self._total_calls + demand.worker_count
         )
--- a/cedarthread/recovery/fleet_view.py
+++ b/cedarthread/recovery/fleet_view.py
@@ -29,26 +29,26 @@
     heard_from: set[int] = field(default_factory=set)
     """Peers whose datagrams came in this incarnation of the process."""
 
-    def on_peers_changed(self, now: float, peers: PeersChanged) -> None:
+    def on_peers_changed(self, now_ms: float, peers: PeersChanged) -> None:
         """Take the membership's present view."""
         self.latest_peers = peers
-        self.latest_peers_at_ms = now
+        self.latest_peers_at_ms = now_ms
         self.router_count = peers.router_count
 
-    def peer_uptimes_ms(self, now: float) -> dict[int, float]:
+    def peer_uptimes_ms(self, now_ms: float) -> dict[int, float]:
         """The peers that are alive, with the time in their present incarnation; 0 where it is not known."""
         if self.latest_peers is None:
             return {}
-        elapsed_ms = now - self.latest_peers_at_ms
+        elapsed_ms = now_ms - self.latest_peers_at_ms
         alive_for_ms = self.latest_peers.alive_for_ms
         return {
             peer: alive_for_ms.get(peer, -elapsed_ms) + elapsed_ms for peer in self.latest_peers.alive_peers
         }
 
-    def has_older_peers(self, now: float, restarted_at_ms: float) -> bool:
+    def has_older_peers(self, now_ms: float, restarted_at_ms: float) -> bool:
         """Whether a peer was alive before this router restarted."""
-        min_uptime_ms = now - restarted_at_ms + OLDER_PEER_MARGIN_MS
-        return any(uptime_ms > min_uptime_ms for uptime_ms in self.peer_uptimes_ms(now).values())
+        min_uptime_ms = now_ms - restarted_at_ms + OLDER_PEER_MARGIN_MS
+        return any(uptime_ms > min_uptime_ms for uptime_ms in self.peer_uptimes_ms(now_ms).values())
 
     def has_majority(self) -> bool:
         """Whether more than half of the configured routers, this one included, are known to be alive."""
@@ -59,7 +59,7 @@
             alive = known & set(self.latest_peers.alive_peers)
         return 2 * (1 + len(alive)) > self.router_count
 
-    def is_mass_restart(self, now: float, max_uptime_ms: float) -> bool:
+    def is_mass_restart(self, now_ms: float, max_uptime_ms: float) -> bool:
         """Whether most peers are gone, or have been alive for less than ``max_uptime_ms``."""
         if self.latest_peers is None or self.router_count < MIN_FLEET_ROUTERS:
             return False
@@ -68,7 +68,7 @@
         alive_for_ms = self.latest_peers.alive_for_ms
         restarted_count = sum(
             peer in alive_for_ms and uptime_ms < max_uptime_ms
-            for peer, uptime_ms in self.peer_uptimes_ms(now).items()
+            for peer, uptime_ms in self.peer_uptimes_ms(now_ms).items()
         )
         return restarted_count + gone_count >= MASS_RESTART_FRACTION * peer_count
 
--- a/cedarthread/recovery/load_probability.py
+++ b/cedarthread/recovery/load_probability.py
@@ -21,11 +21,11 @@
         self._warm_starts = DecayingCounter(TIME_CONSTANT_MS)
         self._cold_starts = DecayingCounter(TIME_CONSTANT_MS)
 
-    def record(self, now: float, was_warm: bool) -> None:
+    def record(self, now_ms: float, was_warm: bool) -> None:
         """Such a call ended."""
-        (self._warm_starts if was_warm else self._cold_starts).add(now, 1.0)
+        (self._warm_starts if was_warm else self._cold_starts).add(now_ms, 1.0)
 
-    def read(self, now: float) -> float:
+    def read(self, now_ms: float) -> float:
         """The probability for the next such call."""
-        warm_starts, cold_starts = self._warm_starts.read(now), self._cold_starts.read(now)
+        warm_starts, cold_starts = self._warm_starts.read(now_ms), self._cold_starts.read(now_ms)
         return max(MIN_PROBABILITY, (cold_starts + PRIOR_LOADS) / (warm_starts + cold_starts + PRIOR_LOADS))
