--- a/cedarthread/recovery/peer_query.py
+++ b/cedarthread/recovery/peer_query.py
@@ -59,9 +59,9 @@
 class PeerQueryServer:
     """The side that is asked: a bounded number of datagrams a second, however many peers ask."""
 
-    def __init__(self, now: float) -> None:
-        self.response_tokens = TokenBucket(RESPONSES_PER_SECOND, RESPONSE_BURST, RESPONSE_BURST, now)
-        self.busy_tokens = TokenBucket(BUSY_REPLIES_PER_SECOND, BUSY_REPLY_BURST, BUSY_REPLY_BURST, now)
+    def __init__(self, now_ms: float) -> None:
+        self.response_tokens = TokenBucket(RESPONSES_PER_SECOND, RESPONSE_BURST, RESPONSE_BURST, now_ms)
+        self.busy_tokens = TokenBucket(BUSY_REPLIES_PER_SECOND, BUSY_REPLY_BURST, BUSY_REPLY_BURST, now_ms)
         self.recent_recipients: deque[int] = deque(maxlen=RECENT_RECIPIENTS)
         self.answered = 0
         self.deferred = 0
@@ -70,15 +70,15 @@
         """Time over which the peers that were put off are spread."""
 
     def on_query(
-        self, now: float, sender: int, query: codec.Query, warm_state: WarmState, template: codec.Response
+        self, now_ms: float, sender: int, query: codec.Query, warm_state: WarmState, template: codec.Response
     ) -> list[SendToPeer]:
         """Answer a query: with observations, with a busy reply, or, past the limit of those, not at all.
 
         ``template``: a response with what it says of this router itself."""
-        digest = warm_state.digest(now, query.segment, query.segment_count, MAX_RESPONSE_OBSERVATIONS)
+        digest = warm_state.digest(now_ms, query.segment, query.segment_count, MAX_RESPONSE_OBSERVATIONS)
         parts = codec.split_into_datagrams(digest)
-        if not self.response_tokens.take(now, len(parts)):
-            return self._reply_busy(now, sender, query)
+        if not self.response_tokens.take(now_ms, len(parts)):
+            return self._reply_busy(now_ms, sender, query)
         self.backlog_ms = max(0.0, self.backlog_ms - RESPONSE_TIMEOUT_MS / 2)
         self.answered += 1
         if sender not in self.recent_recipients:
@@ -95,8 +95,8 @@
         )
         return [SendToPeer(codec.encode(response), sender) for response in responses]
 
-    def _reply_busy(self, now: float, sender: int, query: codec.Query) -> list[SendToPeer]:
-        if not self.busy_tokens.take(now):
+    def _reply_busy(self, now_ms: float, sender: int, query: codec.Query) -> list[SendToPeer]:
+        if not self.busy_tokens.take(now_ms):
             self.dropped += 1
             return []
         self.deferred += 1
@@ -141,11 +141,11 @@
 class PeerQueryClient:
     """The side that recovers."""
 
-    def __init__(self, seed: int, now: float) -> None:
+    def __init__(self, seed: int, now_ms: float) -> None:
         self.rng = random.Random(seed ^ RNG_SALT)
-        self.restart(now)
+        self.restart(now_ms)
 
-    def restart(self, now: float) -> None:
+    def restart(self, now_ms: float) -> None:
         """Begin the query anew: after a start, or after a pause of the process."""
         self.segments = [_SegmentProgress() for _ in range(SEGMENT_COUNT)]
         self.pending: dict[int, _PendingQuery] = {}
@@ -155,7 +155,7 @@
         self.reported_warm_fractions: list[float] = []
         self.reported_baselines: list[tuple[float, float]] = []
         """Loads and connections per second that are usual at one router, each as one peer has it."""
-        self.first_query_at_ms = now + self.rng.uniform(0.0, INITIAL_SPREAD_MS)
+        self.first_query_at_ms = now_ms + self.rng.uniform(0.0, INITIAL_SPREAD_MS)
         self.sent_count = 0
         self.unexpected_count = 0
 
@@ -176,41 +176,41 @@
         return sorted(self.reported_baselines)[len(self.reported_baselines) // 2]
 
     def on_tick(
-        self, now: float, peer_uptimes_ms: Mapping[int, float], try_acquire: Callable[[], bool]
+        self, now_ms: float, peer_uptimes_ms: Mapping[int, float], try_acquire: Callable[[], bool]
     ) -> list[SendToPeer]:
         """The queries to send now.
 
         ``peer_uptimes_ms``: the peers that are alive; ``try_acquire``: takes the token of one query."""
-        self._expire_queries(now, peer_uptimes_ms)
+        self._expire_queries(now_ms, peer_uptimes_ms)
         queries: list[SendToPeer] = []
-        if now < self.first_query_at_ms:
+        if now_ms < self.first_query_at_ms:
             return queries
         while len(self.pending) < min(MAX_PENDING_QUERIES, len(peer_uptimes_ms)):
-            query = self._next_query(now, peer_uptimes_ms, try_acquire)
+            query = self._next_query(now_ms, peer_uptimes_ms, try_acquire)
             if query is None:
                 break
             queries.append(query)
         return queries
 
-    def _expire_queries(self, now: float, peer_uptimes_ms: Mapping[int, float]) -> None:
+    def _expire_queries(self, now_ms: float, peer_uptimes_ms: Mapping[int, float]) -> None:
         for nonce, query in list(self.pending.items()):
-            if now - query.sent_at_ms >= RESPONSE_TIMEOUT_MS or query.peer not in peer_uptimes_ms:
+            if now_ms - query.sent_at_ms >= RESPONSE_TIMEOUT_MS or query.peer not in peer_uptimes_ms:
                 del self.pending[nonce]
-                self._back_off(now, query.peer)
+                self._back_off(now_ms, query.peer)
 
     def _next_query(
-        self, now: float, peer_uptimes_ms: Mapping[int, float], try_acquire: Callable[[], bool]
+        self, now_ms: float, peer_uptimes_ms: Mapping[int, float], try_acquire: Callable[[], bool]
     ) -> SendToPeer | None:
         """The next query: for the segment with the fewest pending queries and responses, of a free peer."""
         for number in self._incomplete_segments():
             segment = self.segments[number]
-            free_peers = self._free_peers(now, segment, peer_uptimes_ms)
+            free_peers = self._free_peers(now_ms, segment, peer_uptimes_ms)
             if free_peers:
                 if not try_acquire():
                     return None
                 weights = [self._weight(peer, peer_uptimes_ms[peer]) for peer in free_peers]
                 peer = self.rng.choices(free_peers, weights)[0]
-                return self._start_query(now, peer, number)
+                return self._start_query(now_ms, peer, number)
             if all(peer in segment.responders for peer in peer_uptimes_ms):
                 segment.is_complete = True  # all peers that are alive have answered
         return None
@@ -224,7 +224,7 @@
         return sorted(incomplete, key=pending_and_responses)
 
     def _free_peers(
-        self, now: float, segment: _SegmentProgress, peer_uptimes_ms: Mapping[int, float]
+        self, now_ms: float, segment: _SegmentProgress, peer_uptimes_ms: Mapping[int, float]
     ) -> list[int]:
         """The peers that may be asked for a segment now: one pending query a peer, and none twice."""
         busy_peers = {query.peer for query in self.pending.values()}
@@ -233,7 +233,7 @@
             for peer in peer_uptimes_ms
             if peer not in busy_peers
             and peer not in segment.responders
-            and now >= self.backoffs.setdefault(peer, _PeerBackoff()).not_before_ms
+            and now_ms >= self.backoffs.setdefault(peer, _PeerBackoff()).not_before_ms
         ]
 
     def _weight(self, peer: int, uptime_ms: float) -> float:
@@ -243,33 +243,38 @@
             + (SUGGESTED_PEER_WEIGHT if peer in self.suggested_peers else 0.0)
         )
 
-    def _start_query(self, now: float, peer: int, segment: int) -> SendToPeer:
+    def _start_query(self, now_ms: float, peer: int, segment: int) -> SendToPeer:
         nonce = self.rng.getrandbits(32)
-        self.pending[nonce] = _PendingQuery(peer, segment, now)
+        self.pending[nonce] = _PendingQuery(peer, segment, now_ms)
         self.suggested_peers.discard(peer)
         self.sent_count += 1
         return SendToPeer(codec.encode(codec.Query(nonce, segment, SEGMENT_COUNT)), peer)
 
-    def _back_off(self, now: float, peer: int, retry_after_ms: float | None = None) -> None:
+    def _back_off(self, now_ms: float, peer: int, retry_after_ms: float | None = None) -> None:
         """Leave a peer alone: for the time that it asked for, else for its backoff, which doubles."""
         backoff = self.backoffs.setdefault(peer, _PeerBackoff())
         wait_ms = backoff.next_backoff_ms if retry_after_ms is None else retry_after_ms
-        backoff.not_before_ms = now + wait_ms * self.rng.uniform(*BACKOFF_JITTER)
+        backoff.not_before_ms = now_ms + wait_ms * self.rng.uniform(*BACKOFF_JITTER)
         backoff.next_backoff_ms = min(2 * backoff.next_backoff_ms, MAX_BACKOFF_MS)
 
-    def on_busy(self, now: float, sender: int, busy: codec.Busy) -> None:
+    def on_busy(self, now_ms: float, sender: int, busy: codec.Busy) -> None:
         """A peer has no response now."""
         query = self.pending.get(busy.nonce)
         if query is None or query.peer != sender:
             self.unexpected_count += 1
             return
         del self.pending[busy.nonce]
-        self._back_off(now, sender, min(busy.retry_after_ms, MAX_RETRY_AFTER_MS))
+        self._back_off(now_ms, sender, min(busy.retry_after_ms, MAX_RETRY_AFTER_MS))
         if busy.suggested_peer is not None:
             self.suggested_peers.add(busy.suggested_peer)
 
     def on_response(
-        self, now: float, sender: int, response: codec.Response, warm_state: WarmState, has_older_peers: bool
+        self,
+        now_ms: float,
+        sender: int,
+        response: codec.Response,
+        warm_state: WarmState,
+        has_older_peers: bool,
     ) -> None:
         """Take one part of a response at once, with ages counted from when the query was sent.
 
@@ -283,7 +288,7 @@
         query.received_count += len(response.observations)
         for aged in response.observations:
             if aged.function_hash % SEGMENT_COUNT == query.segment and aged.hops < MAX_HOPS:
-                query.new_count += warm_state.merge_remote(now, query.sent_at_ms, aged, Source.PEER)
+                query.new_count += warm_state.merge_remote(now_ms, query.sent_at_ms, aged, Source.PEER)
         if len(query.received_fragments) < response.part_count:
             return
         del self.pending[response.nonce]
--- a/cedarthread/recovery/snapshot.py
+++ b/cedarthread/recovery/snapshot.py
@@ -74,7 +74,7 @@
 
 
 def restore_observations(
-    stored: StoredWarmState, warm_state: WarmState, now: float, unix_ms: float, clock_error_ms: float
+    stored: StoredWarmState, warm_state: WarmState, now_ms: float, unix_ms: float, clock_error_ms: float
 ) -> int:
     """Take the stored observations, older by the downtime; how many are news.
 
@@ -85,15 +85,17 @@
         return 0
     age_growth_ms = max(0.0, downtime_ms) + clock_error_ms
     return sum(
-        restore_observation(warm_state, now, age_growth_ms, row)
+        restore_observation(warm_state, now_ms, age_growth_ms, row)
         for row in stored.observations[:MAX_STORED_OBSERVATIONS]
     )
 
 
-def restore_observation(warm_state: WarmState, now: float, age_growth_ms: float, row: ObservationRow) -> bool:
+def restore_observation(
+    warm_state: WarmState, now_ms: float, age_growth_ms: float, row: ObservationRow
+) -> bool:
     """Take one stored observation, older by ``age_growth_ms``; whether it was news."""
     worker_id, start_tag, function_hash, age_ms, is_warm, hops = row
     if not (min(age_ms, hops) >= 0):  # refuses NaN too
         return False
     aged = AgedObservation(worker_id, start_tag, function_hash, age_ms + age_growth_ms, is_warm, hops)
-    return warm_state.merge_remote(now, now, aged, Source.STORE)
+    return warm_state.merge_remote(now_ms, now_ms, aged, Source.STORE)
--- a/cedarthread/recovery/state_machine.py
+++ b/cedarthread/recovery/state_machine.py
@@ -104,35 +104,37 @@
 class RecoveryStateMachine:
     """Holds the present phase, since when, and why; decides when to go on."""
 
-    def __init__(self, timeouts: PhaseTimeouts, now: float) -> None:
+    def __init__(self, timeouts: PhaseTimeouts, now_ms: float) -> None:
         self.timeouts = timeouts
         self.phase = RecoveryPhase.STARTING
         self.cause = TransitionCause.START
-        self.entered_at_ms = now
-        self.last_event_ms = now
+        self.entered_at_ms = now_ms
+        self.last_event_ms = now_ms
 
-    def detect_pause(self, now: float) -> bool:
+    def detect_pause(self, now_ms: float) -> bool:
         """Whether the process stood still since the last event; if so, the recovery begins again.
 
         To be called first with each event."""
-        was_paused = now - self.last_event_ms > PAUSE_THRESHOLD_MS
-        self.last_event_ms = now
+        was_paused = now_ms - self.last_event_ms > PAUSE_THRESHOLD_MS
+        self.last_event_ms = now_ms
         if was_paused and self.phase is not RecoveryPhase.STARTING:
-            self._enter(now, RecoveryPhase.PEER_QUERY, TransitionCause.PAUSE)
+            self._enter(now_ms, RecoveryPhase.PEER_QUERY, TransitionCause.PAUSE)
         return was_paused
 
-    def advance(self, now: float, evidence: RecoveryEvidence) -> bool:
+    def advance(self, now_ms: float, evidence: RecoveryEvidence) -> bool:
         """Enter the next phase if the evidence or the timeout of this one says so; whether it did."""
         if self.phase is RecoveryPhase.IN_SERVICE:
             return False
-        is_timed_out = now - self.entered_at_ms >= self.timeouts.for_phase(self.phase)
+        is_timed_out = now_ms - self.entered_at_ms >= self.timeouts.for_phase(self.phase)
         is_goal_reached = self._is_goal_reached(evidence)
         if not is_timed_out and not is_goal_reached:
             return False
         next_phase = RecoveryPhase(self.phase + 1)
         if next_phase is RecoveryPhase.PEER_QUERY and not evidence.can_query_peers:
             next_phase = RecoveryPhase.WARMING
-        self._enter(now, next_phase, TransitionCause.EVIDENCE if is_goal_reached else TransitionCause.TIMEOUT)
+        self._enter(
+            now_ms, next_phase, TransitionCause.EVIDENCE if is_goal_reached else TransitionCause.TIMEOUT
+        )
         return True
 
     def _is_goal_reached(self, evidence: RecoveryEvidence) -> bool:
@@ -150,5 +152,5 @@
             and not evidence.has_deferred_loads
         )
 
-    def _enter(self, now: float, phase: RecoveryPhase, cause: TransitionCause) -> None:
-        self.phase, self.cause, self.entered_at_ms = phase, cause, now
+    def _enter(self, now_ms: float, phase: RecoveryPhase, cause: TransitionCause) -> None:
+        self.phase, self.cause, self.entered_at_ms = phase, cause, now_ms
--- a/cedarthread/recovery/status.py
+++ b/cedarthread/recovery/status.py
@@ -28,20 +28,20 @@
 PAUSE_LOG_LINE = format_event("process_pause_detected")
 
 
-def phase_log_line(recovery: RecoveryComponent, now: float) -> str:
+def phase_log_line(recovery: RecoveryComponent, now_ms: float) -> str:
     """What the log says when the recovery enters a phase."""
     machine = recovery.state_machine
     return format_event(
         "recovery_phase_changed",
         phase=machine.phase.name.lower(),
         cause=machine.cause.name.lower(),
-        after_ms=f"{now - recovery.restarted_at_ms:.0f}",
+        after_ms=f"{now_ms - recovery.restarted_at_ms:.0f}",
         known_instances=recovery.warm_state.observation_count,
-        warm_fraction=f"{recovery.warm_fraction.recent(now):.2f}",
+        warm_fraction=f"{recovery.warm_fraction.recent(now_ms):.2f}",
     )
 
 
-def recovery_status(recovery: RecoveryComponent, now: float) -> Mapping[str, str]:
+def recovery_status(recovery: RecoveryComponent, now_ms: float) -> Mapping[str, str]:
     """The figures of one router's recovery."""
     machine, server, deferred = recovery.state_machine, recovery.query_server, recovery.pacer.deferred_counts
     baseline = recovery.baseline_warm_fraction()
@@ -51,11 +51,11 @@
     return {
         "return_phase": _PHASE_FIGURES[machine.phase],
         "return_phase_by": _CAUSE_FIGURES[machine.cause],
-        "return_phase_ms": f"{now - machine.entered_at_ms:.0f}",
+        "return_phase_ms": f"{now_ms - machine.entered_at_ms:.0f}",
         "return_bounded": str(int(recovery.admission.is_paced)),
-        "return_mass": str(int(recovery.is_mass_restart(now))),
+        "return_mass": str(int(recovery.is_mass_restart(now_ms))),
         "return_places": str(recovery.warm_state.observation_count),
-        "return_warm": f"{recovery.warm_fraction.recent(now):.2f}",
+        "return_warm": f"{recovery.warm_fraction.recent(now_ms):.2f}",
         "return_warm_usual": "unknown" if baseline is None else f"{baseline:.2f}",
         "return_asked": str(recovery.query_client.sent_count),
         "return_answered": str(server.answered),
--- a/cedarthread/recovery/warm_fraction.py
+++ b/cedarthread/recovery/warm_fraction.py
@@ -20,12 +20,12 @@
         self.warm_calls = DecayingCounter(time_constant_ms)
         self.calls = DecayingCounter(time_constant_ms)
 
-    def add(self, now: float, was_warm: bool) -> None:
-        self.warm_calls.add(now, float(was_warm))
-        self.calls.add(now, 1.0)
+    def add(self, now_ms: float, was_warm: bool) -> None:
+        self.warm_calls.add(now_ms, float(was_warm))
+        self.calls.add(now_ms, 1.0)
 
-    def read(self, now: float) -> float:
-        return self.warm_calls.read(now) / max(self.calls.read(now), MIN_CALLS)
+    def read(self, now_ms: float) -> float:
+        return self.warm_calls.read(now_ms) / max(self.calls.read(now_ms), MIN_CALLS)
 
 
 class WarmFractionTracker:
@@ -40,24 +40,24 @@
         """Forget the recent calls; the baseline stays."""
         self._recent = _DecayingFraction(RECENT_TIME_CONSTANT_MS)
 
-    def record(self, now: float, was_warm: bool) -> None:
+    def record(self, now_ms: float, was_warm: bool) -> None:
         """A call has ended whose answer said whether it found a warm instance."""
-        self._recent.add(now, was_warm)
-        self._baseline.add(now, was_warm)
+        self._recent.add(now_ms, was_warm)
+        self._baseline.add(now_ms, was_warm)
 
-    def recent(self, now: float) -> float:
+    def recent(self, now_ms: float) -> float:
         """The fraction of the last seconds."""
-        return self._recent.read(now)
+        return self._recent.read(now_ms)
 
-    def recent_calls(self, now: float) -> float:
+    def recent_calls(self, now_ms: float) -> float:
         """The decayed number of calls that ``recent`` is measured from."""
-        return self._recent.calls.read(now)
+        return self._recent.calls.read(now_ms)
 
-    def baseline(self, now: float) -> float:
+    def baseline(self, now_ms: float) -> float:
         """The fraction of a longer time; the usual one, if the router was in service all the while."""
-        return self._baseline.read(now)
+        return self._baseline.read(now_ms)
 
-    def remember_baseline(self, now: float) -> None:
+    def remember_baseline(self, now_ms: float) -> None:
         """In service: take the measured baseline for the usual one, once it is from enough calls."""
-        if self._baseline.calls.read(now) >= MIN_RECENT_CALLS:
-            self.remembered_baseline = self.baseline(now)
+        if self._baseline.calls.read(now_ms) >= MIN_RECENT_CALLS:
+            self.remembered_baseline = self.baseline(now_ms)
--- a/cedarthread/recovery/warm_state.py
+++ b/cedarthread/recovery/warm_state.py
@@ -91,7 +91,7 @@
         """By function hash, then by worker and start tag."""
         self.observation_count = 0
 
-    def on_endpoint_update(self, now: float, update: EndpointUpdate) -> None:
+    def on_endpoint_update(self, now_ms: float, update: EndpointUpdate) -> None:
         """Follow the endpoint list; observations of what it no longer names are not usable from now on."""
         if update.kind is EndpointUpdateKind.FAILED:
             return
@@ -101,7 +101,7 @@
                 worker_id: listed for worker_id, listed in self.workers.items() if worker_id in listed_ids
             }
         # What the first list names may have started at any time; what joins it later, no sooner than now.
-        listed_since_ms = now if self.workers else -math.inf
+        listed_since_ms = now_ms if self.workers else -math.inf
         for endpoint in update.endpoints:
             if endpoint.state is EndpointState.REMOVED:
                 self.workers.pop(endpoint.worker_id, None)
@@ -114,37 +114,39 @@
             is_ready = endpoint.state is EndpointState.READY
             self.workers[endpoint.worker_id] = _ListedWorker(tag, is_ready, first_listed_at_ms)
 
-    def is_usable(self, now: float, worker_id: int, start: int, observation: Observation) -> bool:
+    def is_usable(self, now_ms: float, worker_id: int, start: int, observation: Observation) -> bool:
         """Whether it may decide: of the present start of a ready worker, warm, and within the keep-alive.
 
         ``start`` is a start tag."""
         listed = self.workers.get(worker_id)
         if listed is None or not listed.is_ready or listed.start_tag != start:
             return False
-        if now < self.suspended_until_ms:
+        if now_ms < self.suspended_until_ms:
             return False
-        return observation.is_warm and now - observation.observed_at_ms <= self.keep_alive_ms
+        return observation.is_warm and now_ms - observation.observed_at_ms <= self.keep_alive_ms
 
     def record_local(
-        self, now: float, worker_id: int, function_id: int, is_warm: bool, latency_ms: float = 0.0
+        self, now_ms: float, worker_id: int, function_id: int, is_warm: bool, latency_ms: float = 0.0
     ) -> None:
         """Take an observation of this router's own.
 
         An attempt that was sent before the worker's present start was listed says nothing of any start."""
         listed = self.workers.get(worker_id)
-        if listed is not None and now - latency_ms >= listed.first_listed_at_ms:
-            observation = Observation(now, is_warm, Source.LOCAL, 0)
+        if listed is not None and now_ms - latency_ms >= listed.first_listed_at_ms:
+            observation = Observation(now_ms, is_warm, Source.LOCAL, 0)
             self._merge(worker_id, listed.start_tag, fold_function_id(function_id), observation)
 
-    def merge_remote(self, now: float, requested_at_ms: float, aged: AgedObservation, source: Source) -> bool:
+    def merge_remote(
+        self, now_ms: float, requested_at_ms: float, aged: AgedObservation, source: Source
+    ) -> bool:
         """Take an observation that came with an age; whether it was news.
 
         ``requested_at_ms``: a time on this clock no later than the age was read, as of the query.
         The age is counted from there, so delays on the way make an observation older, never younger."""
         if not (math.isfinite(aged.age_ms) and aged.age_ms >= 0 and aged.hops < MAX_HOPS):
             return False
-        observed_at_ms = min(requested_at_ms, now) - aged.age_ms
-        if now - observed_at_ms > self.keep_alive_ms:
+        observed_at_ms = min(requested_at_ms, now_ms) - aged.age_ms
+        if now_ms - observed_at_ms > self.keep_alive_ms:
             return False
         observation = Observation(observed_at_ms, aged.is_warm, source, aged.hops + 1)
         return self._merge(aged.worker_id, aged.start_tag, aged.function_hash, observation)
@@ -176,13 +178,13 @@
                 del self.observations[function_hash]
         self.observation_count = sum(len(by_start) for by_start in self.observations.values())
 
-    def drop_expired(self, now: float) -> None:
+    def drop_expired(self, now_ms: float) -> None:
         """Drop observations that are older than the keep-alive; none of them is ever usable again."""
         for function_hash, by_start in list(self.observations.items()):
             expired = [
                 key
                 for key, observation in by_start.items()
-                if now - observation.observed_at_ms > self.keep_alive_ms
+                if now_ms - observation.observed_at_ms > self.keep_alive_ms
             ]
             for key in expired:
                 del by_start[key]
@@ -190,32 +192,32 @@
             if not by_start:
                 del self.observations[function_hash]
 
-    def warm_instances(self, now: float, function_id: int) -> dict[int, InstanceLoad]:
+    def warm_instances(self, now_ms: float, function_id: int) -> dict[int, InstanceLoad]:
         """The workers that have a warm instance of a function by a usable observation, with its age.
 
         In the form of ``LoadGossip.instances``; no load is known."""
         by_start = self.observations.get(fold_function_id(function_id), {})
         return {
-            worker_id: InstanceLoad(0, max(0.0, now - observation.observed_at_ms))
+            worker_id: InstanceLoad(0, max(0.0, now_ms - observation.observed_at_ms))
             for (worker_id, start), observation in by_start.items()
-            if self.is_usable(now, worker_id, start, observation)
+            if self.is_usable(now_ms, worker_id, start, observation)
         }
 
     def digest(
-        self, now: float, segment: int = 0, segment_count: int = 1, limit: int = MAX_OBSERVATIONS
+        self, now_ms: float, segment: int = 0, segment_count: int = 1, limit: int = MAX_OBSERVATIONS
     ) -> list[AgedObservation]:
         """What peers or the store are to be sent, the freshest first, cold observations included.
 
         ``segment``: only functions whose hash modulo ``segment_count`` is this."""
-        unexpired = self._unexpired(now, segment, segment_count)
+        unexpired = self._unexpired(now_ms, segment, segment_count)
         return heapq.nsmallest(limit, unexpired, key=lambda aged: aged.age_ms)
 
-    def _unexpired(self, now: float, segment: int, segment_count: int) -> Iterator[AgedObservation]:
+    def _unexpired(self, now_ms: float, segment: int, segment_count: int) -> Iterator[AgedObservation]:
         for function_hash, by_start in self.observations.items():
             if function_hash % segment_count != segment:
                 continue
             for (worker_id, start), observation in by_start.items():
-                age_ms = max(0.0, now - observation.observed_at_ms)
+                age_ms = max(0.0, now_ms - observation.observed_at_ms)
                 listed = self.workers.get(worker_id)
                 is_past_start = listed is not None and listed.start_tag != start
                 if age_ms <= self.keep_alive_ms and not is_past_start:
--- a/cedarthread/replication/freshness.py
+++ b/cedarthread/replication/freshness.py
@@ -38,22 +38,22 @@
         *,
         window_ms: float,
         clock_rate: float,
-        now: float,
+        now_ms: float,
         root_digest: int = 0,
     ) -> None:
         self.router_index, self.router_count, self.window_ms = router_index, router_count, window_ms
         self.quorum = router_count // 2 + 1
         self.clock_drift_factor = (1.0 + clock_rate) / (1.0 - clock_rate)
         self.age_step_ms = max(1, math.ceil(window_ms / AGE_STEPS_PER_WINDOW))
-        self.started_at_ms = now
+        self.started_at_ms = now_ms
         # Until then peers may still count what this router held in an earlier incarnation.
-        self.earlier_incarnation_expires_at_ms = now + window_ms * self.clock_drift_factor
+        self.earlier_incarnation_expires_at_ms = now_ms + window_ms * self.clock_drift_factor
         self.is_voter = router_count == 1
         self.read_at_ms = [NEVER_MS] * router_count  # by router: last time, as a voter or not
         self.read_as_voter_at_ms = [NEVER_MS] * router_count  # by router: last time that it was a voter
         self.majority = MajorityTracker(router_count, window_ms, root_digest)
         self.fresh_until_ms = math.inf if router_count == 1 else NEVER_MS  # if nothing more is read
-        self.fresh_since_ms: float | None = now if router_count == 1 else None
+        self.fresh_since_ms: float | None = now_ms if router_count == 1 else None
 
     # Recording.
 
@@ -61,7 +61,7 @@
         """An entry of this router's state has changed."""
         self.majority.on_state_changed(root_digest, key, digest)
 
-    def record_response(self, now: float, peer: int, sent_at_ms: float, response: SyncResponse) -> None:
+    def record_response(self, now_ms: float, peer: int, sent_at_ms: float, response: SyncResponse) -> None:
         """A response whose state is within this router's own. ``sent_at_ms``: when it was asked for."""
         held_by_peer = self.majority.holder_times(response.root_digest)
         self._record_read(peer, sent_at_ms, response.is_voter, held_by_peer)
@@ -87,19 +87,19 @@
 
     # Conclusions.
 
-    def update(self, now: float, is_persisted: bool) -> bool:
+    def update(self, now_ms: float, is_persisted: bool) -> bool:
         """Recompute freshness and what is replicated to a majority; true if this router has just become a
         voter.
 
         ``is_persisted``: what this router holds would survive its restart, or its vote would not."""
-        has_become_voter = not self.is_voter and self.can_become_voter(now)
+        has_become_voter = not self.is_voter and self.can_become_voter(now_ms)
         self.is_voter = self.is_voter or has_become_voter
         if self.router_count > 1:
-            was_fresh = self.is_fresh(now)
+            was_fresh = self.is_fresh(now_ms)
             self.fresh_until_ms = self._compute_fresh_until()
             if not was_fresh:
-                self.fresh_since_ms = now
-        self.majority.update(now, is_persisted)
+                self.fresh_since_ms = now_ms
+        self.majority.update(now_ms, is_persisted)
         return has_become_voter
 
     def _compute_fresh_until(self) -> float:
@@ -107,21 +107,21 @@
         needed_peers = self.quorum - self.is_voter
         return sorted(self.read_as_voter_at_ms)[-needed_peers] + self.window_ms
 
-    def is_fresh(self, now: float) -> bool:
+    def is_fresh(self, now_ms: float) -> bool:
         """Whether a majority of voters has been read within the window."""
-        return now <= self.fresh_until_ms
+        return now_ms <= self.fresh_until_ms
 
-    def fresh_since(self, now: float) -> float | None:
+    def fresh_since(self, now_ms: float) -> float | None:
         """Since when the state has been fresh without a break; None: it is not."""
-        return self.fresh_since_ms if self.is_fresh(now) else None
+        return self.fresh_since_ms if self.is_fresh(now_ms) else None
 
-    def can_become_voter(self, now: float) -> bool:
+    def can_become_voter(self, now_ms: float) -> bool:
         """Whether a router that started without memory has read enough to vote.
 
         Only what it read after its earlier incarnation expired counts. Either it has read so many voters that
         they meet every majority, or a majority has no vote either, so that no vote can contradict its own."""
         expired_at_ms = self.earlier_incarnation_expires_at_ms
-        oldest_ms = max(expired_at_ms, now - self.window_ms)
+        oldest_ms = max(expired_at_ms, now_ms - self.window_ms)
         voters = sum(read_at_ms >= expired_at_ms for read_at_ms in self.read_as_voter_at_ms)
         non_voters = 1 + sum(
             read_at_ms >= oldest_ms and self.read_as_voter_at_ms[router] < expired_at_ms
@@ -130,18 +130,18 @@
         meets_every_majority = voters > self.router_count - self.quorum
         return meets_every_majority or non_voters >= self.quorum
 
-    def count_recently_read(self, now: float) -> int:
+    def count_recently_read(self, now_ms: float) -> int:
         """Routers read within the window, this one included."""
-        return 1 + sum(read_at_ms >= now - self.window_ms for read_at_ms in self.read_at_ms)
+        return 1 + sum(read_at_ms >= now_ms - self.window_ms for read_at_ms in self.read_at_ms)
 
     # Reporting to peers.
 
-    def encode_ages(self, now: float, first_router: int) -> bytes:
+    def encode_ages(self, now_ms: float, first_router: int) -> bytes:
         """A byte for each router from ``first_router`` on: how long ago it was read, and flags."""
         held_at_ms, encoded = self.majority.latest_holder_times(), bytearray()
         steps_per_ms = self.clock_drift_factor / self.age_step_ms
-        window_start_ms = now - self.window_ms
-        oldest_ms = now - (AGE_UNKNOWN - 1) / steps_per_ms
+        window_start_ms = now_ms - self.window_ms
+        oldest_ms = now_ms - (AGE_UNKNOWN - 1) / steps_per_ms
         for router in range(first_router, min(first_router + AGES_PER_RESPONSE, self.router_count)):
             read_at_ms, flags = self.read_as_voter_at_ms[router], VOTER_FLAG
             if read_at_ms < oldest_ms:
@@ -150,7 +150,7 @@
                 read_at_ms, flags = min(read_at_ms, held_at_ms[router]), flags | HOLDS_ROOT_FLAG
             is_known = read_at_ms >= oldest_ms
             encoded.append(
-                self._age_in_steps(now - read_at_ms, steps_per_ms) | flags if is_known else AGE_UNKNOWN
+                self._age_in_steps(now_ms - read_at_ms, steps_per_ms) | flags if is_known else AGE_UNKNOWN
             )
         return bytes(encoded)
 
--- a/cedarthread/replication/local_replica.py
+++ b/cedarthread/replication/local_replica.py
@@ -62,9 +62,9 @@
             return RejectedEntry(f"{kind} {name!r}: version", "the counter has come to its end")
         return EncodedEntry.of(Entry(kind, name, version, body, old.digest if old else 0))
 
-    def merge(self, now: float, encoded: EncodedEntry) -> None:
+    def merge(self, now_ms: float, encoded: EncodedEntry) -> None:
         """Join an entry into the state."""
-        result = self.state.merge(now, encoded)
+        result = self.state.merge(now_ms, encoded)
         if not result.is_changed:
             return
         self.revision += 1
@@ -91,20 +91,20 @@
         """Whether all that is held would survive a restart, as far as this router has promised it."""
         return not self.is_durable or self.persisted_revision >= self.revision
 
-    def mark_persisted(self, now: float, revision: int) -> None:
+    def mark_persisted(self, now_ms: float, revision: int) -> None:
         """The state of this revision is on the disk."""
         self.persisted_revision = max(self.persisted_revision, revision)
-        self.update_freshness(now)
+        self.update_freshness(now_ms)
 
-    def update_freshness(self, now: float) -> None:
+    def update_freshness(self, now_ms: float) -> None:
         """Draw conclusions from what was read, merged or persisted since the last call."""
-        if self.freshness.update(now, self.is_persisted()):
+        if self.freshness.update(now_ms, self.is_persisted()):
             self._log(format_event("replica_became_voter"))
         newly_replicated = self.freshness.majority.newly_replicated
         for key, digest in newly_replicated.items():
             record = self.state.records[key]
             if record.digest == digest:
-                record.replicated_at_ms = now
+                record.replicated_at_ms = now_ms
                 self.state.invalidate_kind(record.entry.kind)
                 self._changed_keys[key] = None
         newly_replicated.clear()
--- a/cedarthread/replication/majority.py
+++ b/cedarthread/replication/majority.py
@@ -56,13 +56,13 @@
         """By router: when it was last known to hold this router's present root."""
         return self.cohorts[-1].held_at_ms
 
-    def update(self, now: float, is_persisted: bool) -> None:
+    def update(self, now_ms: float, is_persisted: bool) -> None:
         """Add what is replicated by now to ``newly_replicated``. ``is_persisted``: this router counts as a
         holder."""
         for cohort in self.cohorts:
-            if cohort.pending_digests and self._count_holders(now, cohort) + is_persisted >= self.quorum:
+            if cohort.pending_digests and self._count_holders(now_ms, cohort) + is_persisted >= self.quorum:
                 self.newly_replicated |= cohort.pending_digests
                 cohort.pending_digests = {}
 
-    def _count_holders(self, now: float, cohort: ChangeCohort) -> int:
-        return sum(held_at_ms >= now - self.window_ms for held_at_ms in cohort.held_at_ms)
+    def _count_holders(self, now_ms: float, cohort: ChangeCohort) -> int:
+        return sum(held_at_ms >= now_ms - self.window_ms for held_at_ms in cohort.held_at_ms)
--- a/cedarthread/replication/state.py
+++ b/cedarthread/replication/state.py
@@ -60,7 +60,7 @@
         self.highest_counter = 0  # of all versions seen
         self._entries_by_kind: dict[EntryKind, tuple[ReplicatedEntry, ...]] = {}  # cache
 
-    def merge(self, now: float, encoded: EncodedEntry) -> MergeResult:
+    def merge(self, now_ms: float, encoded: EncodedEntry) -> MergeResult:
         """Join one entry into the state. The caller enforces the bound on their number (``is_full``)."""
         entry, digest, key = encoded.entry, encoded.digest, encoded.key
         ref = entry_ref(entry, digest)
@@ -78,7 +78,7 @@
             self._remember_superseded(old_ref, old.digest)
             self._add_to_sums(old_ref.bucket, -old.digest)
         self.records.pop(key, None)  # so that the newest record is the last
-        self.records[key] = EntryRecord(entry, digest, encoded.data, now)
+        self.records[key] = EntryRecord(entry, digest, encoded.data, now_ms)
         self.keys_by_ref[ref] = key
         self.superseded_digests.pop(ref, None)
         self._add_to_sums(ref.bucket, digest)
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -88,7 +88,7 @@
         period_ms: float = 400.0,
         window_ms: float = 0.0,
         clock_rate: float = 0.001,
-        now: float = 0.0,
+        now_ms: float = 0.0,
         is_durable: bool = False,
     ) -> None:
         self.router_index, self.router_count = router_index, router_count
@@ -96,16 +96,16 @@
         self.window_ms = window_ms or default_window_ms(period_ms, router_count)
         rng = random.Random(seed ^ incarnation << 64 ^ _RNG_SALT)
         freshness = FreshnessTracker(
-            router_index, router_count, window_ms=self.window_ms, clock_rate=clock_rate, now=now
+            router_index, router_count, window_ms=self.window_ms, clock_rate=clock_rate, now_ms=now_ms
         )
         self.staleness_bound_ms = self.window_ms * freshness.clock_drift_factor + MAX_TICK_INTERVAL_MS
         self.replica = LocalReplica(router_index, self.incarnation, freshness, is_durable)
         self.requests = self.requests_type(
-            router_index, router_count, self.incarnation, period_ms=period_ms, rng=rng, now=now
+            router_index, router_count, self.incarnation, period_ms=period_ms, rng=rng, now_ms=now_ms
         )
         self.sessions = SyncSessions(self.replica, rng)
-        self.server = self.server_type(self.replica, router_count, rng, now)
-        self.last_active_at_ms = now
+        self.server = self.server_type(self.replica, router_count, rng, now_ms)
+        self.last_active_at_ms = now_ms
         self.undecodable_count = 0
         self.peer_incarnations: dict[int, int] = {}
         self.peer_restart_count = 0
@@ -119,7 +119,7 @@
 
     def propose(
         self,
-        now: float,
+        now_ms: float,
         kind: EntryKind,
         name: str,
         body: bytes,
@@ -132,17 +132,17 @@
         prepared = self.replica.prepare(kind, name, body, canonical_body)
         if not isinstance(prepared, EncodedEntry):
             return prepared
-        self._merge(now, prepared)
-        self.replica.update_freshness(now)
+        self._merge(now_ms, prepared)
+        self.replica.update_freshness(now_ms)
         return prepared.entry
 
-    def restore(self, entries: Iterable[Entry], is_voter: bool, now: float = 0.0) -> None:
+    def restore(self, entries: Iterable[Entry], is_voter: bool, now_ms: float = 0.0) -> None:
         """Take what the disk had at the start. ``is_voter``: the disk is known to be complete and no older
         than what this router told peers, so nothing is forgotten."""
         for entry in entries:
-            self._merge(now, EncodedEntry.of(entry))
+            self._merge(now_ms, EncodedEntry.of(entry))
         self.replica.freshness.is_voter = self.replica.freshness.is_voter or is_voter
-        self.replica.mark_persisted(now, self.replica.revision)
+        self.replica.mark_persisted(now_ms, self.replica.revision)
 
     @property
     def revision(self) -> int:
@@ -167,9 +167,9 @@
         """All entries, for the disk; ``revision`` says which state of them it is."""
         return tuple(record.entry for record in self.replica.state.records.values())
 
-    def mark_persisted(self, now: float, revision: int) -> None:
+    def mark_persisted(self, now_ms: float, revision: int) -> None:
         """The state of that ``revision`` is on the disk."""
-        self.replica.mark_persisted(now, revision)
+        self.replica.mark_persisted(now_ms, revision)
 
     def take_changes(self) -> tuple[ReplicatedEntry, ...]:
         """Entries that came, changed or became replicated to a majority since the last call."""
@@ -188,26 +188,26 @@
         """All entries of a kind, sorted by name."""
         return self.replica.state.entries(kind)
 
-    def is_fresh(self, now: float) -> bool:
+    def is_fresh(self, now_ms: float) -> bool:
         """Whether a majority of the configured routers has confirmed lately that this one lacks nothing of
         theirs."""
-        return self.replica.freshness.is_fresh(now)
+        return self.replica.freshness.is_fresh(now_ms)
 
-    def fresh_since(self, now: float) -> float | None:
+    def fresh_since(self, now_ms: float) -> float | None:
         """Since when the state has been fresh without a break; None: it is not."""
-        return self.replica.freshness.fresh_since(now)
+        return self.replica.freshness.fresh_since(now_ms)
 
-    def status(self, now: float) -> Mapping[str, str]:
+    def status(self, now_ms: float) -> Mapping[str, str]:
         """Figures for ``INFO``."""
         freshness, records = self.replica.freshness, self.replica.state.records.values()
-        since = freshness.fresh_since(now)
+        since = freshness.fresh_since(now_ms)
         return {
             "register_entries": str(len(records)),
             "register_root": f"{self.replica.state.root_digest:016x}",
             "register_unsettled": str(sum(record.replicated_at_ms is None for record in records)),
-            "register_fresh": "no" if since is None else f"for {max(0.0, now - since) / 1000:.1f} s",
+            "register_fresh": "no" if since is None else f"for {max(0.0, now_ms - since) / 1000:.1f} s",
             "register_seated": "yes" if freshness.is_voter else "no",
-            "register_read": f"{freshness.count_recently_read(now)} of {self.router_count}",
+            "register_read": f"{freshness.count_recently_read(now_ms)} of {self.router_count}",
             "register_bound": f"{self.staleness_bound_ms:.0f} ms",
             "register_restarts": str(self.peer_restart_count),
             "register_unreadable": str(self.undecodable_count + self.sessions.fragments.invalid_count),
@@ -216,25 +216,25 @@
 
     # The component interface.
 
-    def on_notification(self, now: float, notification: Notification) -> Sequence[OutboundMessage]:
+    def on_notification(self, now_ms: float, notification: Notification) -> Sequence[OutboundMessage]:
         """Requests go to the peers that are alive."""
         if isinstance(notification, PeersChanged):
             self.requests.set_alive(notification.alive_peers)
         return []
 
-    def on_tick(self, now: float) -> Sequence[OutboundMessage]:
+    def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
         """Send sync requests that are due and retry sessions; called several times a second."""
-        self._note_activity(now)
+        self._note_activity(now_ms)
         messages = self.replica.take_logs()
-        if (peer := self.requests.allow_request(now)) is not None:
-            messages.append(self._request_sync(now, peer))
+        if (peer := self.requests.allow_request(now_ms)) is not None:
+            messages.append(self._request_sync(now_ms, peer))
         if not self.replica.freshness.is_voter and not self.has_read_enough_peers():
             peers = self.requests.bootstrap_peers(self.sessions.fully_read_peers)
-            messages += [self._request_sync(now, peer) for peer in peers]
-        messages += self.sessions.on_tick(now)
+            messages += [self._request_sync(now_ms, peer) for peer in peers]
+        messages += self.sessions.on_tick(now_ms)
         return messages
 
-    def on_message(self, now: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
+    def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
         """Take a peer's datagram. Never raises, whatever the bytes are."""
         message = decode(data)
         if (
@@ -244,66 +244,66 @@
         ):
             self.undecodable_count += 1
             return []
-        self._note_activity(now)
-        answers = self._handle(now, sender, message)
+        self._note_activity(now_ms)
+        answers = self._handle(now_ms, sender, message)
         return [*self.replica.take_logs(), *answers]
 
-    def _handle(self, now: float, sender: int, message: Message) -> Sequence[SendToPeer]:
+    def _handle(self, now_ms: float, sender: int, message: Message) -> Sequence[SendToPeer]:
         if isinstance(message, SyncRequest):
-            return self._on_sync_request(now, sender, message)
+            return self._on_sync_request(now_ms, sender, message)
         if isinstance(message, SyncResponse):
-            return self._on_sync_response(now, sender, message)
+            return self._on_sync_response(now_ms, sender, message)
         if isinstance(message, SummaryRequest):
-            return self.server.summaries(now, sender, message)
+            return self.server.summaries(now_ms, sender, message)
         if isinstance(message, Summary):
-            return self.sessions.on_summary(now, sender, message)
+            return self.sessions.on_summary(now_ms, sender, message)
         if isinstance(message, FetchRequest):
-            return self.server.fetched_fragments(now, sender, message)
-        self._on_fragment(now, message)
+            return self.server.fetched_fragments(now_ms, sender, message)
+        self._on_fragment(now_ms, message)
         return []
 
-    def _note_activity(self, now: float) -> None:
+    def _note_activity(self, now_ms: float) -> None:
         """After a pause of this router, what it asked before would count as more recent than it is."""
-        if now - self.last_active_at_ms > MAX_TICK_GAP_MS:
+        if now_ms - self.last_active_at_ms > MAX_TICK_GAP_MS:
             self.requests.clear()
             self.sessions.clear_sessions()
-        self.last_active_at_ms = max(self.last_active_at_ms, now)
+        self.last_active_at_ms = max(self.last_active_at_ms, now_ms)
 
-    def _request_sync(self, now: float, peer: int) -> SendToPeer:
+    def _request_sync(self, now_ms: float, peer: int) -> SendToPeer:
         root_digest = self.replica.state.root_digest
-        return encode_to(self.requests.open(now, peer, root_digest, self.store_generation), peer)
+        return encode_to(self.requests.open(now_ms, peer, root_digest, self.store_generation), peer)
 
-    def _on_sync_request(self, now: float, sender: int, request: SyncRequest) -> list[SendToPeer]:
+    def _on_sync_request(self, now_ms: float, sender: int, request: SyncRequest) -> list[SendToPeer]:
         """Respond; and if the peer's state is not known to be within this one, ask it in return, once a
         period."""
         self._record_incarnation(sender, request.incarnation)
-        if not self.server.admits(now, request):
+        if not self.server.admits(now_ms, request):
             return []
         remembered = self.peer_generations.get(sender, 0)
         self.peer_generations[sender] = max(request.store_generation, remembered)
-        messages = self.server.respond(now, sender, request, remembered, self.unix_ms)
+        messages = self.server.respond(now_ms, sender, request, remembered, self.unix_ms)
         is_covered = request.root_digest in self.replica.state.covered_roots
-        if not is_covered and self.requests.allow_reverse_request(now):
-            messages.append(self._request_sync(now, sender))
+        if not is_covered and self.requests.allow_reverse_request(now_ms):
+            messages.append(self._request_sync(now_ms, sender))
         return messages
 
-    def _on_sync_response(self, now: float, sender: int, response: SyncResponse) -> list[SendToPeer]:
+    def _on_sync_response(self, now_ms: float, sender: int, response: SyncResponse) -> list[SendToPeer]:
         request = self.requests.close(response.nonce, sender)
         if request is None:
             return []
         self._record_incarnation(sender, response.incarnation)
         self.generation_known_to_peer[sender] = response.remembered_generation
-        self.peer_clock_samples[sender] = PeerClockSample(response.unix_ms, request.sent_at_ms, now)
-        return self.sessions.start(now, sender, request.sent_at_ms, response)
+        self.peer_clock_samples[sender] = PeerClockSample(response.unix_ms, request.sent_at_ms, now_ms)
+        return self.sessions.start(now_ms, sender, request.sent_at_ms, response)
 
-    def _on_fragment(self, now: float, fragment: EntryFragment) -> None:
+    def _on_fragment(self, now_ms: float, fragment: EntryFragment) -> None:
         encoded = self.sessions.on_fragment(fragment)
         if encoded is not None:
-            self._merge(now, encoded)
-            self.sessions.advance_all(now)
+            self._merge(now_ms, encoded)
+            self.sessions.advance_all(now_ms)
 
-    def _merge(self, now: float, encoded: EncodedEntry) -> None:
-        self.replica.merge(now, encoded)
+    def _merge(self, now_ms: float, encoded: EncodedEntry) -> None:
+        self.replica.merge(now_ms, encoded)
         self.sessions.drop_fetch(entry_ref(encoded.entry, encoded.digest))
 
     def _record_incarnation(self, sender: int, incarnation: int) -> None:
--- a/cedarthread/replication/sync_requests.py
+++ b/cedarthread/replication/sync_requests.py
@@ -37,15 +37,15 @@
         *,
         period_ms: float,
         rng: random.Random,
-        now: float,
+        now_ms: float,
     ) -> None:
         self.router_index, self.router_count, self.incarnation = router_index, router_count, incarnation
         self.period_ms, self.rng = period_ms, rng
         self.all_peers = [router for router in range(router_count) if router != router_index]
         self.alive_peers = list(self.all_peers)
         self.open_requests: dict[int, OpenRequest] = {}  # by nonce
-        self.next_request_at_ms = now + rng.uniform(0.0, period_ms)
-        self.next_reverse_request_at_ms = now
+        self.next_request_at_ms = now_ms + rng.uniform(0.0, period_ms)
+        self.next_reverse_request_at_ms = now_ms
         self.request_count = 0
         self.next_age_segment = 0  # of AGES_PER_RESPONSE routers each
 
@@ -55,21 +55,21 @@
             peer for peer in peers if 0 <= peer < self.router_count and peer != self.router_index
         ]
 
-    def allow_request(self, now: float) -> int | None:
+    def allow_request(self, now_ms: float) -> int | None:
         """The peer to ask if the periodic request is due, else None; the next one is then scheduled."""
-        if not self.all_peers or now < self.next_request_at_ms:
+        if not self.all_peers or now_ms < self.next_request_at_ms:
             return None
-        earliest_ms = max(self.next_request_at_ms, now - self.period_ms)
+        earliest_ms = max(self.next_request_at_ms, now_ms - self.period_ms)
         self.next_request_at_ms = earliest_ms + self.period_ms * self.rng.uniform(*PERIOD_JITTER)
         self.request_count += 1
         is_any_peer = not self.alive_peers or self.request_count % REQUESTS_PER_RANDOM_PEER == 0
         return self.rng.choice(self.all_peers if is_any_peer else self.alive_peers)
 
-    def allow_reverse_request(self, now: float) -> bool:
+    def allow_reverse_request(self, now_ms: float) -> bool:
         """Whether a peer that asked may be asked in return, which happens once a period."""
-        if now < self.next_reverse_request_at_ms:
+        if now_ms < self.next_reverse_request_at_ms:
             return False
-        self.next_reverse_request_at_ms = now + self.period_ms
+        self.next_reverse_request_at_ms = now_ms + self.period_ms
         return True
 
     def bootstrap_peers(self, fully_read_peers: Collection[int]) -> list[int]:
@@ -77,10 +77,10 @@
         unread = [peer for peer in self.alive_peers if peer not in fully_read_peers]
         return self.rng.sample(unread, min(BOOTSTRAP_REQUESTS_PER_TICK, len(unread)))
 
-    def open(self, now: float, peer: int, root_digest: int, store_generation: int) -> SyncRequest:
+    def open(self, now_ms: float, peer: int, root_digest: int, store_generation: int) -> SyncRequest:
         """A request to a peer, which is open from now on."""
         nonce = self._new_nonce()
-        self.open_requests[nonce] = OpenRequest(peer, now)
+        self.open_requests[nonce] = OpenRequest(peer, now_ms)
         if len(self.open_requests) > MAX_OPEN_REQUESTS:
             del self.open_requests[next(iter(self.open_requests))]
         first_router = self.next_age_segment * AGES_PER_RESPONSE
--- a/cedarthread/replication/sync_server.py
+++ b/cedarthread/replication/sync_server.py
@@ -47,31 +47,31 @@
 class SyncServer:
     """Answers peers out of this router's replica."""
 
-    def __init__(self, replica: LocalReplica, router_count: int, rng: random.Random, now: float) -> None:
+    def __init__(self, replica: LocalReplica, router_count: int, rng: random.Random, now_ms: float) -> None:
         self.replica, self.router_count, self.rng = replica, router_count, rng
-        self.response_budget = TokenBucket(RESPONSES_PER_SECOND, RESPONSE_BURST, RESPONSE_BURST, now)
-        self.byte_budget = TokenBucket(BYTES_PER_SECOND, BYTE_BURST, BYTE_BURST, now)
+        self.response_budget = TokenBucket(RESPONSES_PER_SECOND, RESPONSE_BURST, RESPONSE_BURST, now_ms)
+        self.byte_budget = TokenBucket(BYTES_PER_SECOND, BYTE_BURST, BYTE_BURST, now_ms)
         self.unanswered_count = 0
 
-    def admits(self, now: float, request: SyncRequest) -> bool:
+    def admits(self, now_ms: float, request: SyncRequest) -> bool:
         """Whether a sync request is answered; one that is not looks like a lost datagram to the peer."""
         is_admitted = (
             self.replica.is_persisted()
             and request.first_router < self.router_count
-            and self.response_budget.take(now, 1.0)
+            and self.response_budget.take(now_ms, 1.0)
         )
         self.unanswered_count += not is_admitted
         return is_admitted
 
     def respond(
-        self, now: float, sender: int, request: SyncRequest, remembered_generation: int, unix_ms: float
+        self, now_ms: float, sender: int, request: SyncRequest, remembered_generation: int, unix_ms: float
     ) -> list[SendToPeer]:
         """The sync response, after the newest entry if the peer's state differs: most often it lacks just
         that."""
         messages: list[SendToPeer] = []
         replica = self.replica
         if request.root_digest != replica.state.root_digest:
-            messages += self.newest_entry(now, sender)
+            messages += self.newest_entry(now_ms, sender)
         response = SyncResponse(
             nonce=request.nonce,
             root_digest=replica.state.root_digest,
@@ -79,23 +79,23 @@
             is_voter=replica.freshness.is_voter,
             age_step_ms=replica.freshness.age_step_ms,
             first_router=request.first_router,
-            ages=replica.freshness.encode_ages(now, request.first_router),
+            ages=replica.freshness.encode_ages(now_ms, request.first_router),
             remembered_generation=remembered_generation,
             unix_ms=unix_ms,
         )
         messages.append(encode_to(response, sender))
         return messages
 
-    def newest_entry(self, now: float, sender: int) -> list[SendToPeer]:
+    def newest_entry(self, now_ms: float, sender: int) -> list[SendToPeer]:
         """The most recently received entry in fragments, if it is recent and small."""
         record = next(reversed(self.replica.state.records.values()), None)
-        if record is None or now - record.received_at_ms > self.replica.freshness.window_ms:
+        if record is None or now_ms - record.received_at_ms > self.replica.freshness.window_ms:
             return []
         if len(record.data) > MAX_UNSOLICITED_FRAGMENTS * FRAGMENT_BYTES:
             return []
-        return self._send_within_budget(now, sender, split_into_fragments(record.data, record.digest))
+        return self._send_within_budget(now_ms, sender, split_into_fragments(record.data, record.digest))
 
-    def summaries(self, now: float, sender: int, request: SummaryRequest) -> list[SendToPeer]:
+    def summaries(self, now_ms: float, sender: int, request: SummaryRequest) -> list[SendToPeer]:
         """Refs of all entries in the buckets that differ, as many as the budget allows, from a random bucket
         on."""
         state = self.replica.state
@@ -122,9 +122,9 @@
             )
             for part in parts
         ]
-        return self._send_within_budget(now, sender, messages)
+        return self._send_within_budget(now_ms, sender, messages)
 
-    def fetched_fragments(self, now: float, sender: int, request: FetchRequest) -> list[SendToPeer]:
+    def fetched_fragments(self, now_ms: float, sender: int, request: FetchRequest) -> list[SendToPeer]:
         """The fragments asked for, of those entries that are held."""
         state = self.replica.state
         fragments: list[EntryFragment] = []
@@ -133,13 +133,13 @@
             if key is not None:
                 record = state.records[key]
                 fragments += split_into_fragments(record.data, record.digest, item.fragment_bits)
-        return self._send_within_budget(now, sender, fragments)
+        return self._send_within_budget(now_ms, sender, fragments)
 
-    def _send_within_budget(self, now: float, peer: int, messages: Sequence[Message]) -> list[SendToPeer]:
+    def _send_within_budget(self, now_ms: float, peer: int, messages: Sequence[Message]) -> list[SendToPeer]:
         sent: list[SendToPeer] = []
         for message in messages:
             data = encode(message)
-            if not self.byte_budget.take(now, len(data)):
+            if not self.byte_budget.take(now_ms, len(data)):
                 self.unanswered_count += 1
                 break
             sent.append(SendToPeer(data, peer))
--- a/cedarthread/replication/sync_session.py
+++ b/cedarthread/replication/sync_session.py
@@ -40,7 +40,7 @@
     """What is known of one peer's state since its sync response."""
 
     def __init__(
-        self, now: float, peer: int, sent_at_ms: float, response: SyncResponse, bucket_sums: list[int]
+        self, now_ms: float, peer: int, sent_at_ms: float, response: SyncResponse, bucket_sums: list[int]
     ) -> None:
         self.peer, self.sent_at_ms, self.response = peer, sent_at_ms, response
         self.root_digest = response.root_digest  # of the state that the summaries describe
@@ -50,7 +50,7 @@
             int, dict[int, tuple[EntryRef, ...]]
         ] = {}  # bucket, part: the peer's entries
         self.part_counts: dict[int, int] = {}  # by bucket
-        self.progress_at_ms, self.retries = now, 0
+        self.progress_at_ms, self.retries = now_ms, 0
 
     def add_summary(self, summary: Summary) -> None:
         """Take what the peer lists."""
@@ -101,20 +101,20 @@
         """Give up all sessions."""
         self.sessions.clear()
 
-    def start(self, now: float, peer: int, sent_at_ms: float, response: SyncResponse) -> list[SendToPeer]:
+    def start(self, now_ms: float, peer: int, sent_at_ms: float, response: SyncResponse) -> list[SendToPeer]:
         """Begin a session after a peer's response to the request of ``sent_at_ms``, if there is anything to
         fetch."""
-        session = SyncSession(now, peer, sent_at_ms, response, self.replica.state.bucket_sums)
-        if self._confirm_if_covered(now, session):
+        session = SyncSession(now_ms, peer, sent_at_ms, response, self.replica.state.bucket_sums)
+        if self._confirm_if_covered(now_ms, session):
             return []
-        if self.sessions and len(self._expected_refs(now)) > MAX_PENDING_FETCHES:
+        if self.sessions and len(self._expected_refs(now_ms)) > MAX_PENDING_FETCHES:
             return []  # more summaries would only take bandwidth from the entries under way
         while len(self.sessions) >= MAX_SESSIONS:
             del self.sessions[next(iter(self.sessions))]
         self.sessions[response.nonce] = session
         return [session.summary_request()]
 
-    def on_summary(self, now: float, sender: int, summary: Summary) -> list[SendToPeer]:
+    def on_summary(self, now_ms: float, sender: int, summary: Summary) -> list[SendToPeer]:
         """Take a summary of an open session and fetch what is missing.
 
         A summary of another incarnation than the response's does not count: a later one may hold less."""
@@ -122,10 +122,10 @@
         if session is None or session.peer != sender or not self._is_same_incarnation(session, summary):
             return []
         session.add_summary(summary)
-        if self._advance(now, summary.nonce):
+        if self._advance(now_ms, summary.nonce):
             return []
-        session.progress_at_ms = now
-        return self._fetch_missing(now, session)
+        session.progress_at_ms = now_ms
+        return self._fetch_missing(now_ms, session)
 
     def _is_same_incarnation(self, session: SyncSession, summary: Summary) -> bool:
         return session.response.incarnation == summary.incarnation
@@ -138,35 +138,35 @@
         """An entry has arrived and is not awaited any more."""
         self.pending_fetches.pop(ref, None)
 
-    def advance_all(self, now: float) -> None:
+    def advance_all(self, now_ms: float) -> None:
         """Sessions that a newly merged entry has completed end; the others may retry anew."""
         for nonce in list(self.sessions):
             self.sessions[nonce].retries = 0
-            self._advance(now, nonce)
+            self._advance(now_ms, nonce)
 
-    def on_tick(self, now: float) -> list[SendToPeer]:
+    def on_tick(self, now_ms: float) -> list[SendToPeer]:
         """Ask again for what did not arrive."""
         messages: list[SendToPeer] = []
         for nonce in list(self.sessions):
-            messages += self._retry(now, nonce)
+            messages += self._retry(now_ms, nonce)
         if self.pending_fetches and not self.sessions:
             self.pending_fetches.clear()
         return messages
 
-    def _retry(self, now: float, nonce: int) -> list[SendToPeer]:
+    def _retry(self, now_ms: float, nonce: int) -> list[SendToPeer]:
         session = self.sessions[nonce]
-        if self._advance(now, nonce) or now - session.progress_at_ms < RETRY_INTERVAL_MS:
+        if self._advance(now_ms, nonce) or now_ms - session.progress_at_ms < RETRY_INTERVAL_MS:
             return []
-        session.progress_at_ms, session.retries = now, session.retries + 1
+        session.progress_at_ms, session.retries = now_ms, session.retries + 1
         if session.retries > MAX_RETRIES:
             del self.sessions[nonce]
             return []
-        messages = self._fetch_missing(now, session)
+        messages = self._fetch_missing(now_ms, session)
         if not messages or session.retries % RETRIES_PER_SUMMARY_REQUEST == 0:
             messages.append(session.summary_request())
         return messages
 
-    def _advance(self, now: float, nonce: int) -> bool:
+    def _advance(self, now_ms: float, nonce: int) -> bool:
         """Sum up which of the peer's entries are recognised here; true if they are all of them and the
         session ends."""
         session = self.sessions[nonce]
@@ -174,12 +174,12 @@
             digests = [self.replica.state.known_digest(ref) for ref in refs]
             if None not in digests:
                 session.bucket_sums[bucket] = sum(digest for digest in digests if digest) % DIGEST_MODULUS
-        if not self._confirm_if_covered(now, session):
+        if not self._confirm_if_covered(now_ms, session):
             return False
         del self.sessions[nonce]
         return True
 
-    def _confirm_if_covered(self, now: float, session: SyncSession) -> bool:
+    def _confirm_if_covered(self, now_ms: float, session: SyncSession) -> bool:
         """Count the peer's response if the sums prove that the peer's state is within this router's."""
         state = self.replica.state
         if session.root_digest not in state.covered_roots:
@@ -187,30 +187,30 @@
                 return False
             state.mark_covered(session.root_digest)
         state.mark_covered(session.response.root_digest)
-        self.replica.freshness.record_response(now, session.peer, session.sent_at_ms, session.response)
+        self.replica.freshness.record_response(now_ms, session.peer, session.sent_at_ms, session.response)
         self.fully_read_peers.add(session.peer)
-        self.replica.update_freshness(now)
+        self.replica.update_freshness(now_ms)
         return True
 
-    def _fetch_missing(self, now: float, session: SyncSession) -> list[SendToPeer]:
+    def _fetch_missing(self, now_ms: float, session: SyncSession) -> list[SendToPeer]:
         """Ask the peer for entries that are unknown here and not awaited, those in part first.
 
         No more at a time than the peers' budgets carry: partial entries must not push each other out."""
         missing = [ref for ref in session.all_refs() if self.replica.state.known_digest(ref) is None]
-        awaited = self._expected_refs(now)
+        awaited = self._expected_refs(now_ms)
         missing_bits = self.fragments.missing_bits_by_digest_low()
         refs = [ref for ref in missing if ref not in awaited]
         refs = self.rng.sample(refs, len(refs))
         refs.sort(key=lambda ref: ref.digest_low not in missing_bits)
         refs = refs[: max(0, MAX_ITEMS_PER_FETCH - len(awaited))]
-        self.pending_fetches.update((ref, now) for ref in refs)
+        self.pending_fetches.update((ref, now_ms) for ref in refs)
         items = tuple(FetchItem(*ref, missing_bits.get(ref.digest_low, ALL_FRAGMENTS)) for ref in refs)
         return [encode_to(FetchRequest(items), session.peer)] if items else []
 
-    def _expected_refs(self, now: float) -> set[EntryRef]:
+    def _expected_refs(self, now_ms: float) -> set[EntryRef]:
         """What was asked for within the retry interval and has not arrived."""
         return {
             ref
             for ref, requested_at_ms in self.pending_fetches.items()
-            if now - requested_at_ms < RETRY_INTERVAL_MS
+            if now_ms - requested_at_ms < RETRY_INTERVAL_MS
         }
--- a/cedarthread/routing/attempt_tracker.py
+++ b/cedarthread/routing/attempt_tracker.py
@@ -23,15 +23,15 @@
     def __init__(self, state: RouterState, feedback: OutcomeFeedback) -> None:
         self.state, self.feedback = state, feedback
 
-    def on_started(self, now: float, pending: PendingRequest, worker: WorkerRecord) -> Attempt:
+    def on_started(self, now_ms: float, pending: PendingRequest, worker: WorkerRecord) -> Attempt:
         """The request goes to the worker now."""
         state, function, request = self.state, pending.function, pending.request
         worker_id, service_times = worker.endpoint.worker_id, state.service_times
-        is_cold = not function.has_seen_instance(now, worker_id, state.settings.keep_alive_ms)
+        is_cold = not function.has_seen_instance(now_ms, worker_id, state.settings.keep_alive_ms)
         warm_ms = service_times.expected_ms(pending)
         attempt = Attempt(
             endpoint=worker.endpoint,
-            started_at_ms=now,
+            started_at_ms=now_ms,
             expected_ms=warm_ms + (service_times.expected_cold_start_ms(pending) if is_cold else 0.0),
             class_and_tenant=pending.class_and_tenant,
             is_cold=is_cold,
@@ -44,40 +44,42 @@
         pending.next_attempt_cost = 0.0
         worker.in_flight += 1
         worker.has_trial_in_flight = worker.has_trial_in_flight or worker.is_ejected
-        if worker.available_capacity(now, state.settings.rules) < 1.0:
-            worker.slow_start_sends.append((now, service_times.class_ms(request.class_index)))
+        if worker.available_capacity(now_ms, state.settings.rules) < 1.0:
+            worker.slow_start_sends.append((now_ms, service_times.class_ms(request.class_index)))
         if not is_cold:
             state.overload.on_attempt_started(worker_id)
-        function.on_sent(now, worker_id, AFFINITY_GAIN)
+        function.on_sent(now_ms, worker_id, AFFINITY_GAIN)
         function.instance_queue.remove(request.request_id)
-        state.zones.on_attempt_started(now, attempt_id, worker_id, worker.endpoint.zone, warm_ms)
+        state.zones.on_attempt_started(now_ms, attempt_id, worker_id, worker.endpoint.zone, warm_ms)
         return attempt
 
-    def on_ended(self, now: float, event: AttemptEnded) -> PendingRequest | None:
+    def on_ended(self, now_ms: float, event: AttemptEnded) -> PendingRequest | None:
         """Take in an outcome; returns its request, where that has no final answer yet."""
         state, outcome = self.state, event.outcome
         pending, attempt = state.requests.end_attempt(event)
         if attempt is None:
             return None
         if not attempt.is_cold:
-            state.overload.on_attempt_ended(now, event.worker_id, outcome is Outcome.OK)
+            state.overload.on_attempt_ended(now_ms, event.worker_id, outcome is Outcome.OK)
         attempt.may_have_executed = outcome not in NOT_EXECUTED
         if event.is_local:  # nobody has had it
             state.retry_budget.earn(attempt.retry_cost)
         attempt_id = (event.request_id, event.attempt_index)
         is_response = outcome in RESPONSES
         has_connect_failed = outcome is Outcome.CONNECT_FAILED and event.is_unreachable
-        if state.zones.on_attempt_ended(now, attempt_id, is_response, event.latency_ms, has_connect_failed):
-            state.workers.count_ready(now)
-        self.feedback.learn_worker(now, event, attempt)
+        if state.zones.on_attempt_ended(
+            now_ms, attempt_id, is_response, event.latency_ms, has_connect_failed
+        ):
+            state.workers.count_ready(now_ms)
+        self.feedback.learn_worker(now_ms, event, attempt)
         if pending is not None:
-            self.feedback.learn_function(now, event, attempt, pending)
+            self.feedback.learn_function(now_ms, event, attempt, pending)
         return pending
 
-    def on_stream_started(self, now: float, event: StreamStarted) -> None:
+    def on_stream_started(self, now_ms: float, event: StreamStarted) -> None:
         """The worker has begun to answer."""
         state = self.state
         if (worker := state.workers.by_id.get(event.worker_id)) is not None:
-            worker.last_response_at_ms = now
-            if state.zones.on_response(now, worker.endpoint.zone):
-                state.workers.count_ready(now)
+            worker.last_response_at_ms = now_ms
+            if state.zones.on_response(now_ms, worker.endpoint.zone):
+                state.workers.count_ready(now_ms)
--- a/cedarthread/routing/discovery_polling.py
+++ b/cedarthread/routing/discovery_polling.py
@@ -19,27 +19,27 @@
         self.backoff_ms = 0.0
         self.poll_at_ms = math.inf
 
-    def on_failure(self, now: float, max_poll_delay_ms: float, rng: random.Random) -> float:
+    def on_failure(self, now_ms: float, max_poll_delay_ms: float, rng: random.Random) -> float:
         """A poll failed: when to try again."""
         shortest_ms = max_poll_delay_ms * FIRST_BACKOFF_FRACTION
         self.backoff_ms = min(max(2 * self.backoff_ms, shortest_ms), max_poll_delay_ms)
-        self.poll_at_ms = now + self.backoff_ms * rng.uniform(*BACKOFF_JITTER)
+        self.poll_at_ms = now_ms + self.backoff_ms * rng.uniform(*BACKOFF_JITTER)
         return self.poll_at_ms
 
     def on_update(self) -> None:
         """A list came: the next failure backs off anew."""
         self.backoff_ms = 0.0
 
-    def should_subscribe(self, now: float, mode: DiscoveryMode) -> bool:
+    def should_subscribe(self, now_ms: float, mode: DiscoveryMode) -> bool:
         """Whether to subscribe as soon as possible: once, where the list has to be polled."""
         if mode is not DiscoveryMode.POLL or self.is_subscribed:
             return False
-        self.poll_at_ms = now
+        self.poll_at_ms = now_ms
         return True
 
-    def is_due(self, now: float) -> bool:
+    def is_due(self, now_ms: float) -> bool:
         """Whether the subscription is to be sent now."""
-        if now < self.poll_at_ms:
+        if now_ms < self.poll_at_ms:
             return False
         self.poll_at_ms = math.inf
         self.is_subscribed = True
--- a/cedarthread/routing/estimators.py
+++ b/cedarthread/routing/estimators.py
@@ -103,50 +103,52 @@
         added = range(len(self.admitted_by_class), len(settings.classes))
         self.admitted_by_class += [DecayingCounter(RATE_WINDOW_MS) for _ in added]
 
-    def on_call(self, now: float, function: FunctionRecord, worker_count: int) -> None:
+    def on_call(self, now_ms: float, function: FunctionRecord, worker_count: int) -> None:
         """A call came: own calls a ms, right after the start too, and how rare those to one worker are."""
-        self.popularity.on_call(now, function.recent_calls, self.calls_per_ms)
-        self.recent_calls.add(now, 1.0)
-        self.first_call_at_ms = min(self.first_call_at_ms, now)
-        known_fraction = 1.0 - math.exp(-max(1.0, now - self.first_call_at_ms) / RATE_WINDOW_MS)
-        self.calls_per_ms = self.recent_calls.read(now) / RATE_WINDOW_MS / known_fraction
+        self.popularity.on_call(now_ms, function.recent_calls, self.calls_per_ms)
+        self.recent_calls.add(now_ms, 1.0)
+        self.first_call_at_ms = min(self.first_call_at_ms, now_ms)
+        known_fraction = 1.0 - math.exp(-max(1.0, now_ms - self.first_call_at_ms) / RATE_WINDOW_MS)
+        self.calls_per_ms = self.recent_calls.read(now_ms) / RATE_WINDOW_MS / known_fraction
         wanted_ms = RESPONSES_PER_MEMORY * worker_count / self.calls_per_ms
         self.load_memory_ms = min(max(wanted_ms, MIN_LOAD_MEMORY_MS), MAX_LOAD_MEMORY_MS)
         self.call_rarity = self.load_memory_ms / MIN_LOAD_MEMORY_MS
-        self.usual_reported_in_flight = self.reported_in_flight.read(now, REPORT_PRIOR_COUNT)
+        self.usual_reported_in_flight = self.reported_in_flight.read(now_ms, REPORT_PRIOR_COUNT)
 
-    def on_tenant_call(self, now: float, request: RequestArrived, settings: RouterSettings) -> float:
+    def on_tenant_call(self, now_ms: float, request: RequestArrived, settings: RouterSettings) -> float:
         """The part of all calls that are its tenant's, over the tenant's quota; 1.0 where there is none."""
         tenant_index = request.tenant_index
         if tenant_index is None or tenant_index >= len(self.by_tenant):
             return 1.0
-        self.by_tenant[tenant_index].add(now, 1.0)
-        fraction = self.by_tenant[tenant_index].read(now) / sum(calls.read(now) for calls in self.by_tenant)
+        self.by_tenant[tenant_index].add(now_ms, 1.0)
+        fraction = self.by_tenant[tenant_index].read(now_ms) / sum(
+            calls.read(now_ms) for calls in self.by_tenant
+        )
         return fraction / max(settings.tenants[tenant_index].quota_fraction, MIN_QUOTA_FRACTION)
 
-    def on_load_report(self, now: float, in_flight_of_others: float) -> None:
+    def on_load_report(self, now_ms: float, in_flight_of_others: float) -> None:
         """A worker reported what it has in flight."""
-        self.reported_in_flight.add(now, in_flight_of_others, RATE_WINDOW_MS)
+        self.reported_in_flight.add(now_ms, in_flight_of_others, RATE_WINDOW_MS)
 
-    def on_admitted(self, now: float, class_index: int) -> None:
+    def on_admitted(self, now_ms: float, class_index: int) -> None:
         """A call of the class was not shed, and is no client's retry."""
-        self.admitted_by_class[class_index].add(now, 1.0)
+        self.admitted_by_class[class_index].add(now_ms, 1.0)
 
     def worker_share(
-        self, now: float, capacity: float, service_times: ServiceTimeEstimator, workers: WorkerTable
+        self, now_ms: float, capacity: float, service_times: ServiceTimeEstimator, workers: WorkerTable
     ) -> float:
         """The work, ms for each ms, that this router sends a worker with this part of its capacity."""
         # Counted anew by what calls need now: what the first guess made of them may be several times that.
         demand = sum(
-            admitted.read(now) * service_times.class_ms(class_index)
+            admitted.read(now_ms) * service_times.class_ms(class_index)
             for class_index, admitted in enumerate(self.admitted_by_class)
         )
         # Where others have left, the demand for each that is ready is more than one can carry.
-        ready = max(1.0, workers.ready_count, workers.ready_peak.read(now))
+        ready = max(1.0, workers.ready_count, workers.ready_peak.read(now_ms))
         return capacity * demand / RATE_WINDOW_MS / ready
 
-    def reported_excess(self, now: float, worker: WorkerRecord) -> float:
+    def reported_excess(self, now_ms: float, worker: WorkerRecord) -> float:
         """What requests of others there weigh beyond the usual; 0 where nothing is reported."""
         usual = self.usual_reported_in_flight
-        excess = worker.reported_in_flight.read(now, EXCESS_LOAD_PRIOR_COUNT, usual) - usual
+        excess = worker.reported_in_flight.read(now_ms, EXCESS_LOAD_PRIOR_COUNT, usual) - usual
         return REPORTED_LOAD_WEIGHT * self.call_rarity * excess
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -46,7 +46,7 @@
 
     def observe_health(
         self,
-        now: float,
+        now_ms: float,
         worker: WorkerRecord,
         failure: float,
         max_ejected_fraction: float = MAX_EJECTED_FRACTION,
@@ -55,83 +55,87 @@
         """One observation of a worker, 0 healthy to 1 failed, that may eject it or end its ejection."""
         workers = self.state.workers.by_id.values()
         if outlier_detection.observe(worker, workers, failure, max_ejected_fraction, gain):
-            outlier_detection.eject(worker, now, self.state.traffic.call_rarity, self.state.rng)
-            self.state.log(now, "worker_ejected", worker_id=worker.endpoint.worker_id)
+            outlier_detection.eject(worker, now_ms, self.state.traffic.call_rarity, self.state.rng)
+            self.state.log(now_ms, "worker_ejected", worker_id=worker.endpoint.worker_id)
 
-    def observe_silence(self, now: float, attempt: Attempt) -> bool:
+    def observe_silence(self, now_ms: float, attempt: Attempt) -> bool:
         """Whether nothing came from the worker since the attempt began; overdue, that is a symptom."""
         worker = self.state.workers.by_id.get(attempt.endpoint.worker_id)
         if worker is None:
             return True
         is_silent = worker.last_response_at_ms < attempt.started_at_ms
-        is_overdue = now - attempt.started_at_ms >= OVERDUE_MULTIPLE * attempt.expected_ms
+        is_overdue = now_ms - attempt.started_at_ms >= OVERDUE_MULTIPLE * attempt.expected_ms
         if is_silent and is_overdue and not attempt.is_overdue:
             attempt.is_overdue = True
-            self.observe_health(now, worker, 1.0, MAX_SILENT_EJECTED_FRACTION)
+            self.observe_health(now_ms, worker, 1.0, MAX_SILENT_EJECTED_FRACTION)
         return is_silent
 
-    def learn_worker(self, now: float, event: AttemptEnded, attempt: Attempt) -> None:
+    def learn_worker(self, now_ms: float, event: AttemptEnded, attempt: Attempt) -> None:
         """What one outcome tells of its worker."""
         worker = self.state.workers.by_id.get(event.worker_id)
         if worker is None:
             return
-        self._learn_load_report(now, worker, event.load_report)
+        self._learn_load_report(now_ms, worker, event.load_report)
         worker.in_flight -= 1
         slow_start.on_attempt_ended(
             worker.slow_start_sends, attempt.started_at_ms, was_sent=not event.is_local
         )
         worker.has_trial_in_flight = worker.has_trial_in_flight and not attempt.is_trial
         if event.outcome in (Outcome.OK, Outcome.OVERLOADED):
-            worker.last_response_at_ms = now
-        if now == self.state.stalled_at_ms:
+            worker.last_response_at_ms = now_ms
+        if now_ms == self.state.stalled_at_ms:
             return
         if event.outcome is Outcome.OK:
-            self._learn_success(now, worker, event, attempt)
+            self._learn_success(now_ms, worker, event, attempt)
         elif event.outcome is Outcome.OVERLOADED:
-            self._learn_overloaded(now, worker, attempt)
+            self._learn_overloaded(now_ms, worker, attempt)
         else:
-            self._learn_failure(now, worker, event, attempt)
+            self._learn_failure(now_ms, worker, event, attempt)
 
-    def _learn_success(self, now: float, worker: WorkerRecord, event: AttemptEnded, attempt: Attempt) -> None:
+    def _learn_success(
+        self, now_ms: float, worker: WorkerRecord, event: AttemptEnded, attempt: Attempt
+    ) -> None:
         if (rejections := worker.rejections.get(attempt.class_and_tenant)) is not None:
-            rejections.move_towards(now, REJECTION_GAIN, 0.0)
+            rejections.move_towards(now_ms, REJECTION_GAIN, 0.0)
         if not attempt.is_cold:
             others = CONCURRENCY_WEIGHT * max(0, (event.reported_concurrency or 0) - 1)
             excess = max(event.latency_ms / max(attempt.expected_ms, 1.0) - 1.0, others)
-            worker.excess_load.add(now, excess, self.state.traffic.load_memory_ms)
+            worker.excess_load.add(now_ms, excess, self.state.traffic.load_memory_ms)
         if attempt.is_trial:
             worker.outlier_score = min(worker.outlier_score, RECOVERY_THRESHOLD)
-        self.observe_health(now, worker, 0.0)
+        self.observe_health(now_ms, worker, 0.0)
 
-    def _learn_overloaded(self, now: float, worker: WorkerRecord, attempt: Attempt) -> None:
+    def _learn_overloaded(self, now_ms: float, worker: WorkerRecord, attempt: Attempt) -> None:
         rejections = worker.rejections.setdefault(
             attempt.class_and_tenant, DecayingCounter(REJECTION_MEMORY_MS)
         )
-        rejections.move_towards(now, REJECTION_GAIN, REJECTION_PENALTY)
+        rejections.move_towards(now_ms, REJECTION_GAIN, REJECTION_PENALTY)
         request_class = self.state.settings.classes[attempt.class_and_tenant[0]]
         objective = max(request_class.latency_objective_ms, 1.0) / max(attempt.expected_ms, 1.0)
-        excess = max(worker.read_excess_load(now), objective)
-        worker.excess_load.add(now, excess, self.state.traffic.load_memory_ms)
+        excess = max(worker.read_excess_load(now_ms), objective)
+        worker.excess_load.add(now_ms, excess, self.state.traffic.load_memory_ms)
 
-    def _learn_failure(self, now: float, worker: WorkerRecord, event: AttemptEnded, attempt: Attempt) -> None:
+    def _learn_failure(
+        self, now_ms: float, worker: WorkerRecord, event: AttemptEnded, attempt: Attempt
+    ) -> None:
         call_rarity = self.state.traffic.call_rarity
-        weight = outlier_detection.failure_weight(worker, now, event, attempt, call_rarity)
+        weight = outlier_detection.failure_weight(worker, now_ms, event, attempt, call_rarity)
         if weight is None:
             return
-        self.observe_health(now, worker, 1.0, *weight)
+        self.observe_health(now_ms, worker, 1.0, *weight)
         if attempt.is_trial and worker.is_ejected:
-            outlier_detection.eject(worker, now, call_rarity, self.state.rng)
+            outlier_detection.eject(worker, now_ms, call_rarity, self.state.rng)
 
     def _learn_load_report(
-        self, now: float, worker: WorkerRecord, load_report: tuple[float | None, ...]
+        self, now_ms: float, worker: WorkerRecord, load_report: tuple[float | None, ...]
     ) -> None:
         """Requests of others there: most of its load where routers are many and each sends it little."""
         reported = self._reported_in_flight(load_report)
         if reported is not None:
             others = max(0.0, reported - worker.in_flight)
             traffic = self.state.traffic
-            worker.reported_in_flight.add(now, others, REPORT_MEMORY_FRACTION * traffic.load_memory_ms)
-            traffic.on_load_report(now, others)
+            worker.reported_in_flight.add(now_ms, others, REPORT_MEMORY_FRACTION * traffic.load_memory_ms)
+            traffic.on_load_report(now_ms, others)
 
     def _reported_in_flight(self, load_report: tuple[float | None, ...]) -> float | None:
         if 0 <= self.in_flight_column < len(load_report):
@@ -145,7 +149,7 @@
         return None if worker is None or reported is None else (reported, float(worker.in_flight))
 
     def learn_function(
-        self, now: float, event: AttemptEnded, attempt: Attempt, pending: PendingRequest
+        self, now_ms: float, event: AttemptEnded, attempt: Attempt, pending: PendingRequest
     ) -> None:
         """What one outcome tells of the function: where its instances run, and how long it takes."""
         function, worker_id = pending.function, event.worker_id
@@ -153,9 +157,9 @@
             if event.outcome is Outcome.NOT_LOADED or event.start_kind is StartKind.LOAD_FAILED:
                 function.forget_instance(worker_id)
             return
-        function.instance_seen_at_ms[worker_id] = now
+        function.instance_seen_at_ms[worker_id] = now_ms
         function.instance_queue.on_response(worker_id, event.start_kind is StartKind.COLD)
-        self._confirm_suspect_errors(now, pending)
+        self._confirm_suspect_errors(now_ms, pending)
         if event.start_kind in (StartKind.COLD, StartKind.PENDING):
             self.state.service_times.on_cold_response(pending, event.latency_ms)
             return
@@ -163,14 +167,14 @@
         function.affinity[worker_id] = 1.0
         function.last_sent_at_ms.setdefault(worker_id, attempt.started_at_ms)
 
-    def _confirm_suspect_errors(self, now: float, pending: PendingRequest) -> None:
+    def _confirm_suspect_errors(self, now_ms: float, pending: PendingRequest) -> None:
         """Another worker has served the request: the errors before were their workers', not the client's."""
         for attempt in pending.attempts:
             worker = self.state.workers.by_id.get(attempt.endpoint.worker_id)
             if attempt.has_suspect_error and worker is not None:
-                self.observe_health(now, worker, 1.0, gain=MAX_FAILURE_GAIN)
+                self.observe_health(now_ms, worker, 1.0, gain=MAX_FAILURE_GAIN)
 
-    def learn_preload(self, now: float, event: PreloadEnded) -> bool:
+    def learn_preload(self, now_ms: float, event: PreloadEnded) -> bool:
         """How a preload ended; false for one that nothing is known of."""
         state, worker_id = self.state, event.worker_id
         function = state.functions.by_id.get(event.function_id)
@@ -180,7 +184,7 @@
         cold_start_ms = state.service_times.cold_start_ms
         if event.outcome is Outcome.OK and event.instances > 0:
             function.affinity[worker_id] = 1.0
-            function.last_sent_at_ms[worker_id] = now
+            function.last_sent_at_ms[worker_id] = now_ms
             function.preload_backoff_ms = 0.0
             cold_start_ms.add(event.latency_ms)
         else:
@@ -188,5 +192,5 @@
             backoff_ms = max(2 * function.preload_backoff_ms, shortest_ms)
             function.preload_backoff_ms = min(backoff_ms, state.settings.keep_alive_ms)
             jitter = state.rng.uniform(*PRELOAD_BACKOFF_JITTER)
-            function.preload_not_before_ms = now + function.preload_backoff_ms * jitter
+            function.preload_not_before_ms = now_ms + function.preload_backoff_ms * jitter
         return True
--- a/cedarthread/routing/function_table.py
+++ b/cedarthread/routing/function_table.py
@@ -13,21 +13,23 @@
         self.by_id: dict[int, FunctionRecord] = {}
         self.preloads_in_flight = 0
 
-    def on_call(self, now: float, function_id: int, concurrency: float, expiry_ms: float) -> FunctionRecord:
+    def on_call(
+        self, now_ms: float, function_id: int, concurrency: float, expiry_ms: float
+    ) -> FunctionRecord:
         """The record of a function that is called; a new one replaces those not called for ``expiry_ms``."""
         function = self.by_id.pop(function_id, None)
         if function is None:
             function = FunctionRecord(hash64(function_id))
-            self._drop_expired(now, expiry_ms)
+            self._drop_expired(now_ms, expiry_ms)
         self.by_id[function_id] = function
-        function.last_used_at_ms = now
+        function.last_used_at_ms = now_ms
         function.concurrency = concurrency
         return function
 
-    def _drop_expired(self, now: float, expiry_ms: float) -> None:
+    def _drop_expired(self, now_ms: float, expiry_ms: float) -> None:
         while self.by_id:
             oldest_id = next(iter(self.by_id))
-            if now - self.by_id[oldest_id].last_used_at_ms < expiry_ms:
+            if now_ms - self.by_id[oldest_id].last_used_at_ms < expiry_ms:
                 break
             self.preloads_in_flight -= len(self.by_id.pop(oldest_id).preloading_workers)
 
--- a/cedarthread/routing/log_throttle.py
+++ b/cedarthread/routing/log_throttle.py
@@ -16,9 +16,9 @@
     def __init__(self) -> None:
         self.logged_at_ms: dict[str, float] = {}
 
-    def line(self, now: float, event: str, **fields: object) -> LogMessage | None:
+    def line(self, now_ms: float, event: str, **fields: object) -> LogMessage | None:
         """The line to log, or nothing where the event was logged a short time ago."""
-        if now - self.logged_at_ms.get(event, -math.inf) < LOG_INTERVAL_MS:
+        if now_ms - self.logged_at_ms.get(event, -math.inf) < LOG_INTERVAL_MS:
             return None
-        self.logged_at_ms[event] = now
+        self.logged_at_ms[event] = now_ms
         return LogMessage(format_event(event, **fields))
--- a/cedarthread/routing/outlier_detection.py
+++ b/cedarthread/routing/outlier_detection.py
@@ -34,10 +34,10 @@
     gain: float  # part of the way that it moves the score towards 1
 
 
-def is_available(worker: WorkerRecord, now: float, is_idempotent: bool) -> bool:
+def is_available(worker: WorkerRecord, now_ms: float, is_idempotent: bool) -> bool:
     """Not ejected, or half-open with no trial in flight and an idempotent request."""
     return not worker.is_ejected or (
-        now >= worker.ejected_until_ms and not worker.has_trial_in_flight and is_idempotent
+        now_ms >= worker.ejected_until_ms and not worker.has_trial_in_flight and is_idempotent
     )
 
 
@@ -69,17 +69,17 @@
     return False
 
 
-def eject(worker: WorkerRecord, now: float, call_rarity: float, rng: random.Random) -> None:
+def eject(worker: WorkerRecord, now_ms: float, call_rarity: float, rng: random.Random) -> None:
     """Set until when the worker is left alone. ``call_rarity``: how rare own calls to one worker are, 1 up.
 
     The fleet's trials of one failed worker would grow with its routers: each tries as it would call."""
     ejection_ms = min(worker.ejection_ms * call_rarity, MAX_EJECTION_MS)
-    worker.ejected_until_ms = now + ejection_ms * rng.uniform(*EJECTION_JITTER)
+    worker.ejected_until_ms = now_ms + ejection_ms * rng.uniform(*EJECTION_JITTER)
     worker.ejection_ms = min(2 * worker.ejection_ms, MAX_EJECTION_MS)
 
 
 def failure_weight(
-    worker: WorkerRecord, now: float, event: AttemptEnded, attempt: Attempt, call_rarity: float
+    worker: WorkerRecord, now_ms: float, event: AttemptEnded, attempt: Attempt, call_rarity: float
 ) -> FailureWeight | None:
     """How much an attempt that ended in a failure speaks against its worker; None: not at all.
 
@@ -91,11 +91,13 @@
         attempt.has_suspect_error = True
         return None  # that may be the client's doing, unless another worker serves it
     if outcome is Outcome.CONNECT_FAILED and event.is_unreachable:
-        worker.unreachable_at_ms = now  # a broken connection shows no more than itself: some break on any day
+        worker.unreachable_at_ms = (
+            now_ms  # a broken connection shows no more than itself: some break on any day
+        )
     elif outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
-        if worker.connection_broken_at_ms == now:
+        if worker.connection_broken_at_ms == now_ms:
             return None  # all that was in flight on one connection ends at once
-        worker.connection_broken_at_ms = now
+        worker.connection_broken_at_ms = now_ms
     gain = FAILURE_GAIN  # time-outs and resets have other causes too
     if outcome is Outcome.ERROR or event.is_unreachable:
         gain = min(gain * call_rarity, MAX_FAILURE_GAIN)
--- a/cedarthread/routing/overload.py
+++ b/cedarthread/routing/overload.py
@@ -30,47 +30,49 @@
         self.in_flight: dict[int, int] = {}  # by worker id
         self.total_in_flight = 0
 
-    def on_call(self, now: float) -> None:
+    def on_call(self, now_ms: float) -> None:
         """A call came."""
-        self.first_call_at_ms = min(self.first_call_at_ms, now)
-        self.arrivals.add(now, 1.0)
+        self.first_call_at_ms = min(self.first_call_at_ms, now_ms)
+        self.arrivals.add(now_ms, 1.0)
 
     def on_attempt_started(self, worker_id: int) -> None:
         """An attempt was sent that waits for no cold start."""
         self.in_flight[worker_id] = self.in_flight.get(worker_id, 0) + 1
         self.total_in_flight += 1
 
-    def on_attempt_ended(self, now: float, worker_id: int, is_success: bool) -> None:
+    def on_attempt_ended(self, now_ms: float, worker_id: int, is_success: bool) -> None:
         """Such an attempt has ended."""
         self.total_in_flight -= 1
         self.in_flight[worker_id] -= 1
         if not self.in_flight[worker_id]:
             del self.in_flight[worker_id]
         if is_success:
-            self.completions.add(now, 1.0)
+            self.completions.add(now_ms, 1.0)
 
-    def queueing_ms(self, now: float, in_flight: float) -> float:
+    def queueing_ms(self, now_ms: float, in_flight: float) -> float:
         """The ms that so many calls in flight would take, less what chance may add to their number."""
         # Before the start, all that came counts as answered.
-        unseen_fraction = math.exp(min(0.0, self.first_call_at_ms - now) / RATE_WINDOW_MS)
+        unseen_fraction = math.exp(min(0.0, self.first_call_at_ms - now_ms) / RATE_WINDOW_MS)
         seen_fraction = max(1.0 - unseen_fraction, 1.0 / RATE_WINDOW_MS)
-        arrivals_per_ms = self.arrivals.read(now) / RATE_WINDOW_MS / seen_fraction
-        completions_per_ms = self.completions.read(now) / RATE_WINDOW_MS + unseen_fraction * arrivals_per_ms
+        arrivals_per_ms = self.arrivals.read(now_ms) / RATE_WINDOW_MS / seen_fraction
+        completions_per_ms = (
+            self.completions.read(now_ms) / RATE_WINDOW_MS + unseen_fraction * arrivals_per_ms
+        )
         beyond_chance = max(0.0, in_flight - CHANCE_DEVIATIONS * math.sqrt(in_flight))
         return beyond_chance / max(completions_per_ms, MIN_RATE_PER_MS)
 
-    def utilization(self, now: float, objective_ms: float) -> float:
+    def utilization(self, now_ms: float, objective_ms: float) -> float:
         """What calls must wait over what begins an overload of calls with this latency objective."""
-        return self.queueing_ms(now, self.total_in_flight) / (OVERLOAD_START * objective_ms)
+        return self.queueing_ms(now_ms, self.total_in_flight) / (OVERLOAD_START * objective_ms)
 
-    def shed_probability(self, now: float, objective_ms: float, worker_ids: Iterable[int]) -> float:
+    def shed_probability(self, now_ms: float, objective_ms: float, worker_ids: Iterable[int]) -> float:
         """0 where calls with this latency objective meet no overload, 1 and up where all had better be shed.
 
         ``worker_ids``: workers that are not ejected; read only where there may be an overload."""
-        if self.queueing_ms(now, self.total_in_flight) <= OVERLOAD_START * objective_ms:
+        if self.queueing_ms(now_ms, self.total_in_flight) <= OVERLOAD_START * objective_ms:
             return 0.0
         in_flight = sorted(self.in_flight.get(worker_id, 0) for worker_id in worker_ids)
         typical = in_flight[: math.ceil(TYPICAL_WORKER_FRACTION * len(in_flight))]
         typical_total = sum(typical) * len(in_flight) / max(1, len(typical))
-        queueing_ms = self.queueing_ms(now, typical_total)
+        queueing_ms = self.queueing_ms(now_ms, typical_total)
         return max(0.0, (queueing_ms / objective_ms - OVERLOAD_START) / OVERLOAD_SPAN)
--- a/cedarthread/routing/popularity.py
+++ b/cedarthread/routing/popularity.py
@@ -22,16 +22,16 @@
         self.window_ms = MIN_WINDOW_MS
         self.all_calls = DecayingCounter(MIN_WINDOW_MS)
 
-    def on_call(self, now: float, calls: DecayingCounter, calls_per_ms: float) -> None:
+    def on_call(self, now_ms: float, calls: DecayingCounter, calls_per_ms: float) -> None:
         """A call came of the function with these calls; ``calls_per_ms``: own rate as known before it."""
         self.window_ms = MIN_WINDOW_MS
         if calls_per_ms > 0.0:
             self.window_ms = min(max(CALLS_IN_WINDOW / calls_per_ms, MIN_WINDOW_MS), MAX_WINDOW_MS)
         self.all_calls.time_constant_ms = calls.time_constant_ms = self.window_ms
-        self.all_calls.add(now, 1.0)
-        calls.add(now, 1.0)
+        self.all_calls.add(now_ms, 1.0)
+        calls.add(now_ms, 1.0)
 
-    def call_fraction(self, now: float, calls: DecayingCounter) -> float:
+    def call_fraction(self, now_ms: float, calls: DecayingCounter) -> float:
         """The function's part of all calls, 0 to 1, less one standard deviation of what was counted."""
-        count = calls.read(now)
-        return max(0.0, count - math.sqrt(count)) / max(self.all_calls.read(now), MIN_CALL_COUNT)
+        count = calls.read(now_ms)
+        return max(0.0, count - math.sqrt(count)) / max(self.all_calls.read(now_ms), MIN_CALL_COUNT)
--- a/cedarthread/routing/preload_budget.py
+++ b/cedarthread/routing/preload_budget.py
@@ -19,17 +19,17 @@
         self.request_times = deque[float]()
         self.preload_times = deque[float]()
 
-    def on_request(self, now: float, rules: RuleParameters) -> None:
+    def on_request(self, now_ms: float, rules: RuleParameters) -> None:
         """A request came: it earns preloads while the window lasts."""
-        self.request_times.append(now)
-        _drop_expired(now, rules, self.request_times)
+        self.request_times.append(now_ms)
+        _drop_expired(now_ms, rules, self.request_times)
 
-    def on_preload(self, now: float) -> None:
+    def on_preload(self, now_ms: float) -> None:
         """A preload is requested."""
-        self.preload_times.append(now)
+        self.preload_times.append(now_ms)
 
     def may_preload(
-        self, now: float, rules: RuleParameters, in_flight: int, workers_per_router: float
+        self, now_ms: float, rules: RuleParameters, in_flight: int, workers_per_router: float
     ) -> bool:
         """Whether one more preload may be requested now; ``in_flight``: own ones under way."""
         if in_flight >= max(1.0, PRELOADS_PER_WORKER * workers_per_router):
@@ -37,11 +37,11 @@
         if rules.preload_window_ms <= 0:
             return True
         for times in (self.preload_times, self.request_times):
-            _drop_expired(now, rules, times)
+            _drop_expired(now_ms, rules, times)
         earned = rules.preload_allowance + rules.preload_share * len(self.request_times)
         return len(self.preload_times) + 1 <= earned
 
 
-def _drop_expired(now: float, rules: RuleParameters, times: deque[float]) -> None:
-    while times and times[0] <= now - rules.preload_window_ms:
+def _drop_expired(now_ms: float, rules: RuleParameters, times: deque[float]) -> None:
+    while times and times[0] <= now_ms - rules.preload_window_ms:
         times.popleft()
--- a/cedarthread/routing/records.py
+++ b/cedarthread/routing/records.py
@@ -73,13 +73,13 @@
     )
     rejections: dict[ClassAndTenant, DecayingCounter] = field(default_factory=dict)
 
-    def read_excess_load(self, now: float) -> float:
+    def read_excess_load(self, now_ms: float) -> float:
         """Requests in flight there beyond what its answers should have taken: a mean that fades by time."""
-        return self.excess_load.read(now, EXCESS_LOAD_PRIOR_COUNT)
+        return self.excess_load.read(now_ms, EXCESS_LOAD_PRIOR_COUNT)
 
-    def available_capacity(self, now: float, rules: RuleParameters) -> float:
+    def available_capacity(self, now_ms: float, rules: RuleParameters) -> float:
         """The part of its capacity that it has at least, by its told start or what looked like one."""
-        age_ms = now - max(self.endpoint.started_at_ms or -math.inf, self.unreachable_at_ms)
+        age_ms = now_ms - max(self.endpoint.started_at_ms or -math.inf, self.unreachable_at_ms)
         if age_ms >= rules.slow_start_ms:  # the usual case, asked for each candidate of each call
             return 1.0
         return slow_start.available_capacity(rules, age_ms)
@@ -116,39 +116,39 @@
         self.instance_seen_at_ms.pop(worker_id, None)
         self.instance_queue.instances.pop(worker_id, None)
 
-    def read_affinity(self, now: float, worker_id: int, keep_alive_ms: float) -> float:
+    def read_affinity(self, now_ms: float, worker_id: int, keep_alive_ms: float) -> float:
         """The affinity to a worker; it is dropped once its instance must have been unloaded."""
         affinity = self.affinity.get(worker_id, 0.0)
-        if affinity and (affinity < MIN_AFFINITY or now - self.last_sent_at_ms[worker_id] > keep_alive_ms):
+        if affinity and (affinity < MIN_AFFINITY or now_ms - self.last_sent_at_ms[worker_id] > keep_alive_ms):
             del self.affinity[worker_id], self.last_sent_at_ms[worker_id]
             return 0.0
         return affinity
 
-    def on_sent(self, now: float, worker_id: int, gain: float) -> None:
+    def on_sent(self, now_ms: float, worker_id: int, gain: float) -> None:
         """An attempt goes to the worker: affinity moves there, away from all others."""
         self.affinity = {other: (1.0 - gain) * affinity for other, affinity in self.affinity.items()}
         self.affinity[worker_id] = self.affinity.get(worker_id, 0.0) + gain
-        self.last_sent_at_ms[worker_id] = now
+        self.last_sent_at_ms[worker_id] = now_ms
 
     def on_gossip(
-        self, now: float, instances: dict[int, InstanceLoad], workers: Container[int], affinity: float
+        self, now_ms: float, instances: dict[int, InstanceLoad], workers: Container[int], affinity: float
     ) -> None:
         """Others told of instances: where one ran after the last own attempt, affinity is at least so."""
         self.gossiped_instances = instances
         for worker_id, instance in instances.items():
-            warm_at_ms = -math.inf if instance.warm_age_ms is None else now - instance.warm_age_ms
+            warm_at_ms = -math.inf if instance.warm_age_ms is None else now_ms - instance.warm_age_ms
             if worker_id in workers and warm_at_ms > self.last_sent_at_ms.get(worker_id, -math.inf):
                 self.affinity[worker_id] = max(self.affinity.get(worker_id, 0.0), affinity)
                 self.last_sent_at_ms[worker_id] = warm_at_ms
 
-    def has_seen_instance(self, now: float, worker_id: int, keep_alive_ms: float) -> bool:
+    def has_seen_instance(self, now_ms: float, worker_id: int, keep_alive_ms: float) -> bool:
         """Is an instance known to run there by own calls?"""
-        return now - self.instance_seen_at_ms.get(worker_id, -math.inf) <= keep_alive_ms
+        return now_ms - self.instance_seen_at_ms.get(worker_id, -math.inf) <= keep_alive_ms
 
-    def has_instance(self, now: float, worker_id: int, keep_alive_ms: float) -> bool:
+    def has_instance(self, now_ms: float, worker_id: int, keep_alive_ms: float) -> bool:
         """Is an instance known to run there: by own calls, or told by other routers?"""
         gossiped = self.gossiped_instances.get(worker_id)
-        return self.has_seen_instance(now, worker_id, keep_alive_ms) or (
+        return self.has_seen_instance(now_ms, worker_id, keep_alive_ms) or (
             gossiped is not None and gossiped.warm_age_ms is not None
         )
 
--- a/cedarthread/routing/request_table.py
+++ b/cedarthread/routing/request_table.py
@@ -20,16 +20,16 @@
         self.orphaned: dict[tuple[int, int], Attempt] = {}  # in flight, by request id and attempt index
         self.check_queue_at_ms = math.inf
 
-    def enqueue(self, now: float, pending: PendingRequest, timers: TimerSchedule) -> None:
+    def enqueue(self, now_ms: float, pending: PendingRequest, timers: TimerSchedule) -> None:
         """Let a request wait in the router, to be looked at again in a while."""
         if self.check_queue_at_ms == math.inf:
-            self.check_queue_at_ms = now + QUEUE_CHECK_MS
+            self.check_queue_at_ms = now_ms + QUEUE_CHECK_MS
             timers.schedule(self.check_queue_at_ms)
         self.queued[pending.request.request_id] = pending
 
-    def is_queue_check_due(self, now: float) -> bool:
+    def is_queue_check_due(self, now_ms: float) -> bool:
         """Whether the queue is to be looked at now; the next look is scheduled by what waits then."""
-        if now < self.check_queue_at_ms - ROUNDING_MS:
+        if now_ms < self.check_queue_at_ms - ROUNDING_MS:
             return False
         self.check_queue_at_ms = math.inf
         return True
--- a/cedarthread/routing/retries.py
+++ b/cedarthread/routing/retries.py
@@ -29,27 +29,27 @@
         """Whether the deployment's limit permits one more attempt."""
         return len(pending.attempts) < self.state.settings.limits.max_attempts
 
-    def may_attempt(self, now: float, pending: PendingRequest) -> bool:
+    def may_attempt(self, now_ms: float, pending: PendingRequest) -> bool:
         """Rule 2: may the request be sent at all, after what it went through."""
         executed = pending.possibly_executed()
         idempotency = pending.request_class.idempotency
         if not executed or idempotency is Idempotency.IDEMPOTENT:
             return True
         window_end_ms = executed[0].started_at_ms + pending.request_class.deduplication_window_ms
-        return idempotency is Idempotency.WITH_KEY and now < window_end_ms - MIN_REMAINING_MS
+        return idempotency is Idempotency.WITH_KEY and now_ms < window_end_ms - MIN_REMAINING_MS
 
-    def should_retry(self, now: float, pending: PendingRequest, outcome: Outcome) -> bool:
+    def should_retry(self, now_ms: float, pending: PendingRequest, outcome: Outcome) -> bool:
         """An attempt failed and none is in flight: whether to send another, within the retry budget.
 
         Retries after what is proved harmless and cheap are free."""
         cost = 0.0 if outcome in (Outcome.CONNECT_FAILED, Outcome.NOT_LOADED) else 1.0
-        is_too_late = pending.request.deadline_ms - now <= MIN_REMAINING_MS
+        is_too_late = pending.request.deadline_ms - now_ms <= MIN_REMAINING_MS
         if is_too_late or outcome is Outcome.NOT_SENT or not self.state.retry_budget.spend(cost):
             return False
         pending.next_attempt_cost = cost
         return True
 
-    def should_hedge(self, now: float, pending: PendingRequest, attempt_index: int) -> bool:
+    def should_hedge(self, now_ms: float, pending: PendingRequest, attempt_index: int) -> bool:
         """An attempt is in flight for long: whether to send another beside it.
 
         Silence is a symptom of its worker; an idempotent request gets another attempt in time, here or, where
@@ -58,26 +58,26 @@
         if not attempt.is_in_flight or pending.is_streaming:
             return False
         request_id = pending.request.request_id
-        if now == state.stalled_at_ms:  # what came meanwhile is read first
-            state.timers.schedule(now + STALL_THRESHOLD_MS, request_id, attempt_index)
+        if now_ms == state.stalled_at_ms:  # what came meanwhile is read first
+            state.timers.schedule(now_ms + STALL_THRESHOLD_MS, request_id, attempt_index)
             return False
-        is_silent = self.feedback.observe_silence(now, attempt)
+        is_silent = self.feedback.observe_silence(now_ms, attempt)
         expected_ms = state.service_times.expected_ms(pending)
         if (
-            pending.request.deadline_ms - now <= expected_ms
+            pending.request.deadline_ms - now_ms <= expected_ms
             or pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
         ):
             return False
         if self._can_follow(pending, attempt_index):
-            if self._is_hedge_due(now, attempt, is_silent):
+            if self._is_hedge_due(now_ms, attempt, is_silent):
                 pending.last_cancelled_attempt = attempt_index
-                return self.may_attempt(now, pending) and state.retry_budget.spend(1.0)
+                return self.may_attempt(now_ms, pending) and state.retry_budget.spend(1.0)
             worker = state.workers.by_id.get(attempt.endpoint.worker_id)
             if state.settings.limits.can_cancel and (worker is None or worker.is_ejected):
                 pending.last_cancelled_attempt = attempt_index
                 state.actions.append(CancelAttempt(request_id, attempt_index))
                 return False
-        state.timers.schedule(now + max(expected_ms, MIN_REMAINING_MS), request_id, attempt_index)
+        state.timers.schedule(now_ms + max(expected_ms, MIN_REMAINING_MS), request_id, attempt_index)
         return False
 
     def _can_follow(self, pending: PendingRequest, attempt_index: int) -> bool:
@@ -88,8 +88,8 @@
             and pending.last_cancelled_attempt < attempt_index
         )
 
-    def _is_hedge_due(self, now: float, attempt: Attempt, is_silent: bool) -> bool:
-        age_ms = now - attempt.started_at_ms
+    def _is_hedge_due(self, now_ms: float, attempt: Attempt, is_silent: bool) -> bool:
+        age_ms = now_ms - attempt.started_at_ms
         return self.state.settings.limits.allows_hedging and (
             is_silent or age_ms >= HEDGE_AFTER_MULTIPLE * attempt.expected_ms
         )
@@ -99,13 +99,13 @@
         hedges = self.state.settings.limits.allows_hedging
         return (HEDGE_AFTER_MULTIPLE if hedges else OVERDUE_MULTIPLE) * expected_ms
 
-    def recall_from_unreachable_zones(self, now: float) -> None:
+    def recall_from_unreachable_zones(self, now_ms: float) -> None:
         """Zones that have fallen silent: what may be repeated elsewhere is cancelled there."""
         state = self.state
-        if now == state.stalled_at_ms or not (zones := state.zones.find_unreachable(now)):
+        if now_ms == state.stalled_at_ms or not (zones := state.zones.find_unreachable(now_ms)):
             return
-        state.workers.count_ready(now)
-        state.log(now, "zones_unreachable", zones=",".join(map(str, zones)))
+        state.workers.count_ready(now_ms)
+        state.log(now_ms, "zones_unreachable", zones=",".join(map(str, zones)))
         for pending in state.requests.pending.values():
             last = pending.attempts[-1] if pending.attempts else None
             if (
@@ -113,17 +113,17 @@
                 and last.is_in_flight
                 and last.endpoint.zone in zones
                 and not pending.is_streaming
-                and self._can_repeat_anywhere(now, pending)
+                and self._can_repeat_anywhere(now_ms, pending)
             ):
                 self._recall(pending, len(pending.attempts) - 1)
 
-    def _can_repeat_anywhere(self, now: float, pending: PendingRequest) -> bool:
+    def _can_repeat_anywhere(self, now_ms: float, pending: PendingRequest) -> bool:
         request_class = pending.request_class
         is_free = (
             request_class.idempotency is Idempotency.IDEMPOTENT
             or request_class.deduplication_scope is DeduplicationScope.ALL
         )
-        return is_free and self.may_attempt(now, pending)
+        return is_free and self.may_attempt(now_ms, pending)
 
     def _recall(self, pending: PendingRequest, attempt_index: int) -> None:
         if self.state.settings.limits.can_cancel and pending.last_cancelled_attempt < attempt_index:
--- a/cedarthread/routing/router_state.py
+++ b/cedarthread/routing/router_state.py
@@ -80,23 +80,23 @@
         self.service_times.update_settings(settings)
         self.traffic.update_settings(settings)
 
-    def record_request(self, now: float, request: RequestArrived) -> PendingRequest:
+    def record_request(self, now_ms: float, request: RequestArrived) -> PendingRequest:
         """A request came: it is pending, its function known, and the rates count it."""
         settings = self.settings
         expiry_ms = 2 * max(settings.keep_alive_ms, self.traffic.popularity.window_ms)
         concurrency = max(request.concurrency or 1.0, 1.0)
-        function = self.functions.on_call(now, request.function_id, concurrency, expiry_ms)
-        self.traffic.on_call(now, function, len(self.workers.by_id))
-        self.overload.on_call(now)
+        function = self.functions.on_call(now_ms, request.function_id, concurrency, expiry_ms)
+        self.traffic.on_call(now_ms, function, len(self.workers.by_id))
+        self.overload.on_call(now_ms)
         class_and_tenant = (request.class_index, request.tenant_index)
         request_class = settings.classes[request.class_index]
-        pending = PendingRequest(request, request_class, function, class_and_tenant, now)
+        pending = PendingRequest(request, request_class, function, class_and_tenant, now_ms)
         self.requests.pending[request.request_id] = pending
         return pending
 
-    def log(self, now: float, event: str, **fields: object) -> None:
+    def log(self, now_ms: float, event: str, **fields: object) -> None:
         """A log line, unless one of the event came a short time ago."""
-        if (line := self.logs.line(now, event, **fields)) is not None:
+        if (line := self.logs.line(now_ms, event, **fields)) is not None:
             self.actions.append(line)
 
     def forget_instances(self, worker_id: int) -> None:
--- a/cedarthread/routing/slow_start.py
+++ b/cedarthread/routing/slow_start.py
@@ -22,7 +22,7 @@
 
 def fits_budget(
     rules: RuleParameters,
-    now: float,
+    now_ms: float,
     sends: deque[tuple[float, float]],
     *,
     jitter: float,
@@ -35,7 +35,7 @@
     work a ms that this router would send it, times the part of its capacity that it has. It follows own
     demand, so that all routers' parts sum to the fleet's. Where the budget is less than one request, that
     part of the routers, by ``jitter`` (0 to 1), may send one: more of them as the worker warms up."""
-    while sends and sends[0][0] <= now - rules.collapse_window_ms:
+    while sends and sends[0][0] <= now_ms - rules.collapse_window_ms:
         sends.popleft()
     budget_ms = BUDGET_FRACTION * rules.collapse_multiple * work_per_ms * rules.collapse_window_ms
     if not sends and budget_ms < work_ms:
--- a/cedarthread/routing/timers.py
+++ b/cedarthread/routing/timers.py
@@ -42,9 +42,9 @@
         self.serial += 1
         heapq.heappush(self.entries, DueTime(at_ms, self.serial, request_id, attempt_index))
 
-    def pop_due(self, now: float) -> Iterator[DueTime]:
+    def pop_due(self, now_ms: float) -> Iterator[DueTime]:
         """Entries that are due, first due first; one that is scheduled meanwhile counts too."""
-        while self.entries and self.entries[0].at_ms <= now + ROUNDING_MS:
+        while self.entries and self.entries[0].at_ms <= now_ms + ROUNDING_MS:
             yield heapq.heappop(self.entries)
 
     def on_fired(self, token: int) -> bool:
@@ -54,11 +54,11 @@
         self.armed_at_ms = math.inf
         return True
 
-    def rearm(self, now: float) -> SetTimer | None:
+    def rearm(self, now_ms: float) -> SetTimer | None:
         """The action that arms the timer, where something is due before the time it is armed for."""
         if not self.entries:
             return None
-        due_ms = max(self.entries[0].at_ms, now + MIN_DELAY_MS)
+        due_ms = max(self.entries[0].at_ms, now_ms + MIN_DELAY_MS)
         if due_ms >= self.armed_at_ms:
             return None
         self.token, self.armed_at_ms = (self.token + 1) % TOKENS, due_ms
--- a/cedarthread/routing/worker_table.py
+++ b/cedarthread/routing/worker_table.py
@@ -35,7 +35,7 @@
         """Workers that left are remembered for as long as those that take their place start slowly."""
         self.ready_peak.time_constant_ms = max(1.0, settings.rules.slow_start_ms)
 
-    def apply(self, now: float, update: EndpointUpdate) -> list[int]:
+    def apply(self, now_ms: float, update: EndpointUpdate) -> list[int]:
         """Apply an update; returns ids of workers that lost their instances, by a restart or for good."""
         if update.kind is not EndpointUpdateKind.DELTA:
             self._mark_unlisted_removed(update)
@@ -60,7 +60,7 @@
                 without_instances.append(worker_id)
                 del self.by_id[worker_id]
                 self.placement_epoch += 1
-        self.count_ready(now)
+        self.count_ready(now_ms)
         return without_instances
 
     def _mark_unlisted_removed(self, update: EndpointUpdate) -> None:
@@ -73,13 +73,13 @@
         self.by_id[endpoint.worker_id] = WorkerRecord(endpoint, hash64(endpoint.worker_id), self.rng.random())
         self.placement_epoch += 1
 
-    def count_ready(self, now: float) -> None:
+    def count_ready(self, now_ms: float) -> None:
         """Count the workers that can be sent to: those of a zone out of reach take no calls."""
         ready = [w for w in self.by_id.values() if w.endpoint.state is EndpointState.READY]
         reachable = sum(worker.endpoint.zone not in self.zones.unreachable for worker in ready)
         before, self.ready_count = self.ready_count, reachable or len(ready)
         self.is_every_zone_unreachable = not reachable
-        self.ready_peak.on_change(now, before, self.ready_count)
+        self.ready_peak.on_change(now_ms, before, self.ready_count)
 
     def not_ejected_ids(self) -> Iterator[int]:
         """Ids of the workers that outlier detection has not set aside."""
--- a/cedarthread/routing/zone_reachability.py
+++ b/cedarthread/routing/zone_reachability.py
@@ -60,22 +60,27 @@
         self.ratio_deviation = Ewma()  # ...and how far they are off it
 
     def on_attempt_started(
-        self, now: float, attempt: AttemptId, worker_id: int, zone: int, expected_ms: float
+        self, now_ms: float, attempt: AttemptId, worker_id: int, zone: int, expected_ms: float
     ) -> None:
         """An attempt was sent; ``expected_ms``: what such a call takes."""
-        self.in_flight[attempt] = _TrackedAttempt(worker_id, zone, now, max(expected_ms, MIN_EXPECTED_MS))
-        self.last_response_at_ms.setdefault(zone, now)
+        self.in_flight[attempt] = _TrackedAttempt(worker_id, zone, now_ms, max(expected_ms, MIN_EXPECTED_MS))
+        self.last_response_at_ms.setdefault(zone, now_ms)
         outage = self.unreachable.get(zone)
-        if outage is not None and outage.trial_attempt is None and now >= outage.trial_at_ms:
+        if outage is not None and outage.trial_attempt is None and now_ms >= outage.trial_at_ms:
             outage.trial_attempt = attempt
 
-    def on_response(self, now: float, zone: int) -> bool:
+    def on_response(self, now_ms: float, zone: int) -> bool:
         """Something came from there; true where the zone was unreachable."""
-        self.last_response_at_ms[zone] = now
+        self.last_response_at_ms[zone] = now_ms
         return self.unreachable.pop(zone, None) is not None
 
     def on_attempt_ended(
-        self, now: float, attempt: AttemptId, is_response: bool, latency_ms: float, has_connect_failed: bool
+        self,
+        now_ms: float,
+        attempt: AttemptId,
+        is_response: bool,
+        latency_ms: float,
+        has_connect_failed: bool,
     ) -> bool:
         """An attempt has ended; true where its zone was unreachable and has answered."""
         ended = self.in_flight.pop(attempt, None)
@@ -85,12 +90,12 @@
             ratio = latency_ms / ended.expected_ms
             self.mean_ratio.add(ratio)
             self.ratio_deviation.add(abs(ratio - self.mean_ratio.mean))
-            return self.on_response(now, ended.zone)
-        ended.ended_at_ms, ended.has_connect_failed = now, has_connect_failed
+            return self.on_response(now_ms, ended.zone)
+        ended.ended_at_ms, ended.has_connect_failed = now_ms, has_connect_failed
         self.lost_attempts.append(ended)
         outage = self.unreachable.get(ended.zone)
         if outage is not None and outage.trial_attempt == attempt:
-            self._back_off(outage, now)
+            self._back_off(outage, now_ms)
         return False
 
     def on_worker_restarted(self, zone: int) -> None:
@@ -99,15 +104,15 @@
         others = (lost for lost in self.lost_attempts if lost.zone != zone)
         self.lost_attempts = deque(others, MAX_LOST_ATTEMPTS)
 
-    def may_send(self, now: float, zone: int, is_idempotent: bool) -> bool:
+    def may_send(self, now_ms: float, zone: int, is_idempotent: bool) -> bool:
         """May a call go there: the zone answers, or this one may try, an idempotent one first."""
         outage = self.unreachable.get(zone)
         if outage is None:
             return True
         trial_at_ms = outage.trial_at_ms + (0.0 if is_idempotent else MAX_TRIAL_DELAY_MS)
-        return outage.trial_attempt is None and now >= trial_at_ms
+        return outage.trial_attempt is None and now_ms >= trial_at_ms
 
-    def find_unreachable(self, now: float) -> list[int]:
+    def find_unreachable(self, now_ms: float) -> list[int]:
         """Zones that are newly unreachable, one by itself, or several but the own one together; and those
         where the call that was to try it has been silent too."""
         if self.mean_ratio.count < MIN_RESPONSES:
@@ -116,11 +121,13 @@
         tolerance = max(1.0, self.mean_ratio.mean + DEVIATIONS * self.ratio_deviation.mean)
         found: list[int] = []
         for zone, outage in self.unreachable.items():
-            if outage.trial_attempt is not None and self._is_trial_lost(now, outage.trial_attempt, tolerance):
-                self._back_off(outage, now)
+            if outage.trial_attempt is not None and self._is_trial_lost(
+                now_ms, outage.trial_attempt, tolerance
+            ):
+                self._back_off(outage, now_ms)
                 found.append(zone)
         surprises = {
-            zone: self._zone_surprise(now, zone, tolerance)
+            zone: self._zone_surprise(now_ms, zone, tolerance)
             for zone in self.last_response_at_ms
             if zone not in self.unreachable
         }
@@ -133,31 +140,31 @@
         for zone, surprise in surprises.items():
             if surprise >= UNREACHABLE_SURPRISE or (are_together_silent and zone in other_zones):
                 found.append(zone)
-                self.unreachable[zone] = _UnreachableZone(now + BASE_TRIAL_DELAY_MS)
+                self.unreachable[zone] = _UnreachableZone(now_ms + BASE_TRIAL_DELAY_MS)
         return found
 
-    def _is_trial_lost(self, now: float, attempt: AttemptId, tolerance: float) -> bool:
-        return self._surprise(now, [self.in_flight[attempt]], tolerance) >= MAX_WORKER_SURPRISE
+    def _is_trial_lost(self, now_ms: float, attempt: AttemptId, tolerance: float) -> bool:
+        return self._surprise(now_ms, [self.in_flight[attempt]], tolerance) >= MAX_WORKER_SURPRISE
 
-    def _zone_surprise(self, now: float, zone: int, tolerance: float) -> float:
+    def _zone_surprise(self, now_ms: float, zone: int, tolerance: float) -> float:
         """How surprising it is that nothing came from a zone; 0 until that has lasted."""
         responded_at_ms = self.last_response_at_ms[zone]
-        if now - responded_at_ms < MIN_EXPECTED_MS * tolerance:
+        if now_ms - responded_at_ms < MIN_EXPECTED_MS * tolerance:
             return 0.0
         attempts = [
             one
             for one in (*self.in_flight.values(), *self.lost_attempts)
             if one.zone == zone and one.ended_at_ms > responded_at_ms
         ]
-        silent_since_ms = min((max(one.started_at_ms, responded_at_ms) for one in attempts), default=now)
+        silent_since_ms = min((max(one.started_at_ms, responded_at_ms) for one in attempts), default=now_ms)
         expected_ms = sum(one.expected_ms for one in attempts) / max(1, len(attempts))
-        if now - silent_since_ms < expected_ms * tolerance:
+        if now_ms - silent_since_ms < expected_ms * tolerance:
             return 0.0
-        return self._surprise(now, attempts, tolerance, responded_at_ms)
+        return self._surprise(now_ms, attempts, tolerance, responded_at_ms)
 
     def _surprise(
         self,
-        now: float,
+        now_ms: float,
         attempts: Iterable[_TrackedAttempt],
         tolerance: float,
         responded_at_ms: float = -math.inf,
@@ -168,13 +175,13 @@
             if attempt.has_connect_failed:
                 surprise = CONNECT_FAILURE_SURPRISE
             else:
-                age_ms = min(now, attempt.ended_at_ms) - max(attempt.started_at_ms, responded_at_ms)
+                age_ms = min(now_ms, attempt.ended_at_ms) - max(attempt.started_at_ms, responded_at_ms)
                 surprise = age_ms / (attempt.expected_ms * tolerance)
             by_worker[attempt.worker_id] = by_worker.get(attempt.worker_id, 0.0) + surprise
         return sum(min(surprise, MAX_WORKER_SURPRISE) for surprise in by_worker.values())
 
     @staticmethod
-    def _back_off(outage: _UnreachableZone, now: float) -> None:
+    def _back_off(outage: _UnreachableZone, now_ms: float) -> None:
         """The trial was lost: the next one comes later."""
         outage.trial_delay_ms = min(2 * outage.trial_delay_ms, MAX_TRIAL_DELAY_MS)
-        outage.trial_at_ms, outage.trial_attempt = now + outage.trial_delay_ms, None
+        outage.trial_at_ms, outage.trial_attempt = now_ms + outage.trial_delay_ms, None
--- a/cedarthread/statistics.py
+++ b/cedarthread/statistics.py
@@ -33,20 +33,20 @@
     value: float = 0.0
     updated_at_ms: float = 0.0
 
-    def read(self, now: float) -> float:
+    def read(self, now_ms: float) -> float:
         """The value now."""
         if not self.value:
             return 0.0
-        return self.value * math.exp((self.updated_at_ms - now) / self.time_constant_ms)
+        return self.value * math.exp((self.updated_at_ms - now_ms) / self.time_constant_ms)
 
-    def add(self, now: float, amount: float) -> None:
+    def add(self, now_ms: float, amount: float) -> None:
         """An event of so much."""
-        self.value, self.updated_at_ms = self.read(now) + amount, now
+        self.value, self.updated_at_ms = self.read(now_ms) + amount, now_ms
 
-    def move_towards(self, now: float, gain: float, target: float) -> None:
+    def move_towards(self, now_ms: float, gain: float, target: float) -> None:
         """Move the value by this part (0 to 1) of the way to another."""
-        before = self.read(now)
-        self.value, self.updated_at_ms = before + gain * (target - before), now
+        before = self.read(now_ms)
+        self.value, self.updated_at_ms = before + gain * (target - before), now_ms
 
 
 @dataclass(slots=True)
@@ -57,16 +57,16 @@
     value: float = 0.0
     updated_at_ms: float = 0.0
 
-    def read(self, now: float) -> float:
+    def read(self, now_ms: float) -> float:
         """The highest, faded since the quantity fell from it."""
         if not self.value:
             return 0.0
-        return self.value * math.exp((self.updated_at_ms - now) / self.time_constant_ms)
+        return self.value * math.exp((self.updated_at_ms - now_ms) / self.time_constant_ms)
 
-    def on_change(self, now: float, value: float, new_value: float) -> None:
+    def on_change(self, now_ms: float, value: float, new_value: float) -> None:
         """The quantity was at ``value`` until now, and is at another: only a fall is remembered."""
-        if new_value < value and value > self.read(now):
-            self.value, self.updated_at_ms = value, now
+        if new_value < value and value > self.read(now_ms):
+            self.value, self.updated_at_ms = value, now_ms
 
 
 @dataclass(slots=True)
@@ -78,19 +78,19 @@
     count: float = 0.0
     updated_at_ms: float = 0.0
 
-    def read(self, now: float, prior_count: float, prior: float = 0.0) -> float:
+    def read(self, now_ms: float, prior_count: float, prior: float = 0.0) -> float:
         """The mean now; with few values, near the prior, which weighs as much as ``prior_count`` values."""
         if not self.count:
             return prior_count * prior / prior_count
-        remaining = math.exp((self.updated_at_ms - now) / self.time_constant_ms)
+        remaining = math.exp((self.updated_at_ms - now_ms) / self.time_constant_ms)
         return (self.total * remaining + prior_count * prior) / (self.count * remaining + prior_count)
 
-    def add(self, now: float, value: float, time_constant_ms: float) -> None:
+    def add(self, now_ms: float, value: float, time_constant_ms: float) -> None:
         """One value; from now on all of them fade with this time constant."""
-        remaining = math.exp((self.updated_at_ms - now) / self.time_constant_ms) if self.count else 0.0
+        remaining = math.exp((self.updated_at_ms - now_ms) / self.time_constant_ms) if self.count else 0.0
         self.total = self.total * remaining + value
         self.count = self.count * remaining + 1.0
-        self.updated_at_ms, self.time_constant_ms = now, time_constant_ms
+        self.updated_at_ms, self.time_constant_ms = now_ms, time_constant_ms
 
 
 @dataclass(slots=True)
@@ -102,16 +102,16 @@
     tokens: float
     updated_at_ms: float
 
-    def refill(self, now: float) -> float:
+    def refill(self, now_ms: float) -> float:
         """The tokens there are now."""
-        earned = self.rate_per_second * max(0.0, now - self.updated_at_ms) / 1000.0
+        earned = self.rate_per_second * max(0.0, now_ms - self.updated_at_ms) / 1000.0
         self.tokens = min(self.capacity, self.tokens + earned)
-        self.updated_at_ms = max(self.updated_at_ms, now)
+        self.updated_at_ms = max(self.updated_at_ms, now_ms)
         return self.tokens
 
-    def take(self, now: float, amount: float = 1.0) -> bool:
+    def take(self, now_ms: float, amount: float = 1.0) -> bool:
         """Take so many, or none where there are less."""
-        if self.refill(now) < amount:
+        if self.refill(now_ms) < amount:
             return False
         self.tokens -= amount
         return True
--- a/cedarthread/testing/cluster/fake_clients.py
+++ b/cedarthread/testing/cluster/fake_clients.py
@@ -107,20 +107,20 @@
         self, router: int, make_reply: Callable[[], bytes], send_reply: Callable[[bytes], None]
     ) -> None:
         """Reply now, late, in part or not at all."""
-        now = self.now_ms()
+        now_ms = self.now_ms()
         if not self.is_recording_closed:
-            self.recording.discovery_queries.append(DiscoveryQuery(now, router))
+            self.recording.discovery_queries.append(DiscoveryQuery(now_ms, router))
         faults = [
             fault
             for fault in self.discovery_faults
-            if fault.is_active(now / 1000.0) and fault.subjects.includes(SubjectKind.DISCOVERY, router)
+            if fault.is_active(now_ms / 1000.0) and fault.subjects.includes(SubjectKind.DISCOVERY, router)
         ]
         if any(fault.kind is FaultKind.SILENCE_DISCOVERY for fault in faults):
             return
-        self.record(ListSent(now, router))
+        self.record(ListSent(now_ms, router))
         router_subject = Subject(SubjectKind.ROUTER, router)
         discovery_subject = Subject(SubjectKind.DISCOVERY, router)
-        for delay_ms in self.network.datagram_delays_ms(now, router_subject, discovery_subject):
+        for delay_ms in self.network.datagram_delays_ms(now_ms, router_subject, discovery_subject):
             reply = make_reply()
             spoilt = [fault for fault in faults if fault.kind is FaultKind.CORRUPT_DISCOVERY]
             if any(self.rng.random() < fault.amount for fault in spoilt):
@@ -224,14 +224,14 @@
         if arrival.tenant:
             fields["tenant"] = arrival.tenant
         data = pack_call(number, request_class, f"{arrival.service_ms:.3f}".encode(), fields)
-        now = self.now_ms()
+        now_ms = self.now_ms()
         self.record(
-            CallSubmitted(self.now_ms(), call_id, request_class, now + CALL_DEADLINE_MS, arrival.tenant)
+            CallSubmitted(self.now_ms(), call_id, request_class, now_ms + CALL_DEADLINE_MS, arrival.tenant)
         )
         self.pending_calls[router][number] = call_id
-        self.submitted_at_ms[call_id] = now
+        self.submitted_at_ms[call_id] = now_ms
         delay_ms = self.network.stream_delay_ms(
-            now, Subject(SubjectKind.CLIENT, router), Subject(SubjectKind.ROUTER, router)
+            now_ms, Subject(SubjectKind.CLIENT, router), Subject(SubjectKind.ROUTER, router)
         )
         self.call_after(delay_ms, lambda: client.send(data))
 
--- a/cedarthread/testing/cluster/injected_defects.py
+++ b/cedarthread/testing/cluster/injected_defects.py
@@ -59,7 +59,7 @@
     from cedarthread.routing import retries
 
     send_guard._refuse_retry = lambda attempt, settings: None
-    retries.RetryPolicy.may_attempt = lambda self, now, pending: True  # type: ignore[method-assign]
+    retries.RetryPolicy.may_attempt = lambda self, now_ms, pending: True  # type: ignore[method-assign]
 
 
 def bypass_admission_gate() -> None:
@@ -75,13 +75,13 @@
     from cedarthread.change_freeze import admission_gate
     from cedarthread.change_freeze.placement_changes import PlacementChange
 
-    def has_own_budget(self: admission_gate.AdmissionGate, now: float, change: PlacementChange) -> bool:
+    def has_own_budget(self: admission_gate.AdmissionGate, now_ms: float, change: PlacementChange) -> bool:
         rules = [rule for rule in self.rules if rule.covers(change)]
         return bool(rules) and all(self.exceptions_used < rule.exception_budget for rule in rules)
 
     admission_gate.AdmissionGate._has_exception = has_own_budget  # type: ignore[method-assign]
     admission_gate.AdmissionGate._use_exception = (  # type: ignore[method-assign]
-        lambda self, now, change, rules: has_own_budget(self, now, change)
+        lambda self, now_ms, change, rules: has_own_budget(self, now_ms, change)
     )
 
 
@@ -89,7 +89,7 @@
     """New settings apply completely in a window, and move home workers."""
     from cedarthread.change_freeze import admission_gate
 
-    admission_gate.AdmissionGate.admitted_settings = lambda self, now, old, new: new  # type: ignore[method-assign]
+    admission_gate.AdmissionGate.admitted_settings = lambda self, now_ms, old, new: new  # type: ignore[method-assign]
 
 
 def revoke_at_once() -> None:
@@ -103,13 +103,13 @@
     """The host's wall clock is trusted, whatever other routers have."""
     from cedarthread.change_freeze import wall_clock
 
-    def follow_host(self: wall_clock.WallClock, now: float, unix_ms: float, has_window: bool) -> None:
-        self.followed_offset_ms = unix_ms - now
+    def follow_host(self: wall_clock.WallClock, now_ms: float, unix_ms: float, has_window: bool) -> None:
+        self.followed_offset_ms = unix_ms - now_ms
 
     wall_clock.WallClock.on_host_reading = follow_host  # type: ignore[method-assign]
 
-    def constant_bounds(self: wall_clock.WallClock, now: float) -> tuple[float, float]:
-        unix_ms = self.unix_ms(now)
+    def constant_bounds(self: wall_clock.WallClock, now_ms: float) -> tuple[float, float]:
+        unix_ms = self.unix_ms(now_ms)
         return unix_ms - self.max_error_ms, unix_ms + self.max_error_ms
 
     wall_clock.WallClock.unix_ms_bounds = constant_bounds  # type: ignore[method-assign]
@@ -123,10 +123,10 @@
 
     on_endpoint_update = router.Router._on_endpoint_update
 
-    def keep_all(self: router.Router, now: float, update: EndpointUpdate) -> None:
+    def keep_all(self: router.Router, now_ms: float, update: EndpointUpdate) -> None:
         listed = {endpoint.worker_id for endpoint in update.endpoints}
         unlisted = [record.endpoint for worker_id, record in self.workers.items() if worker_id not in listed]
-        on_endpoint_update(self, now, replace(update, endpoints=(*update.endpoints, *unlisted)))
+        on_endpoint_update(self, now_ms, replace(update, endpoints=(*update.endpoints, *unlisted)))
 
     router.Router._on_endpoint_update = keep_all  # type: ignore[method-assign]
 
@@ -151,7 +151,7 @@
     """Recovery limits no loads."""
     from cedarthread.recovery.component import RecoveryComponent
 
-    RecoveryComponent.try_acquire_load = lambda self, now, function_id: True  # type: ignore[method-assign]
+    RecoveryComponent.try_acquire_load = lambda self, now_ms, function_id: True  # type: ignore[method-assign]
 
 
 def trust_earlier_incarnations() -> None:
--- a/cedarthread/testing/cluster/peer_relays.py
+++ b/cedarthread/testing/cluster/peer_relays.py
@@ -43,14 +43,14 @@
 
     def on_datagram(self, address: tuple[str, int], receiver: int, data: bytes) -> None:
         """A router sent a datagram to another."""
-        process, now = self.process, self.process.now_ms()
+        process, now_ms = self.process, self.process.now_ms()
         sender = self.router_by_address.get((address[0], address[1]))
         if sender is None or sender == receiver or process.is_recording_closed:
             return
         message_type = data[0] if data else 0
-        process.recording.peer_datagrams.append(PeerDatagram(now, sender, message_type, len(data)))
+        process.recording.peer_datagrams.append(PeerDatagram(now_ms, sender, message_type, len(data)))
         delays_ms = process.network.datagram_delays_ms(
-            now, Subject(SubjectKind.ROUTER, sender), Subject(SubjectKind.ROUTER, receiver)
+            now_ms, Subject(SubjectKind.ROUTER, sender), Subject(SubjectKind.ROUTER, receiver)
         )
         process.recording.datagram_counts["passed" if delays_ms else "dropped"] += max(1, len(delays_ms))
         for delay_ms in delays_ms:
--- a/cedarthread/testing/escrow_simulation.py
+++ b/cedarthread/testing/escrow_simulation.py
@@ -39,7 +39,7 @@
 
     def clock_ms(self) -> float:
         """This router's steady clock."""
-        return self.clock_offset_ms + self.simulation.now * self.clock_speed
+        return self.clock_offset_ms + self.simulation.now_ms * self.clock_speed
 
     def is_active(self) -> bool:
         """Whether the router runs and is not paused."""
@@ -55,7 +55,7 @@
             simulation.rng.getrandbits(64),
             simulation.rng.getrandbits(30),
             clock_rate=simulation.clock_rate_error,
-            now=self.clock_ms(),
+            now_ms=self.clock_ms(),
             has_memory=has_memory,
             is_durable=simulation.is_durable,
         )
@@ -112,7 +112,7 @@
         self.check_interval_ms, self.clock_rate_error = check_interval_ms, clock_rate_error
         self.loss_rate, self.duplication_rate = loss_rate, duplication_rate
         self.tail_latency_factor, self.is_calm = tail_latency_factor, is_calm
-        self.now, self.longest_datagram_bytes, self.sequence = 0.0, 0, itertools.count()
+        self.now_ms, self.longest_datagram_bytes, self.sequence = 0.0, 0, itertools.count()
         self.bytes_sent: Counter[int] = Counter()  # by router
         self.datagrams_sent: Counter[int] = Counter()  # by router
         self.totals, self.limits = dict(totals), dict(totals)
@@ -128,15 +128,15 @@
 
     def schedule(self, delay_ms: float, event: Callable[[], None]) -> None:
         """Call something so many ms from now."""
-        heapq.heappush(self.events, (self.now + delay_ms, next(self.sequence), event))
+        heapq.heappush(self.events, (self.now_ms + delay_ms, next(self.sequence), event))
 
     def run(self, duration_ms: float) -> None:
         """Let so many ms pass."""
-        until_ms = self.now + duration_ms
+        until_ms = self.now_ms + duration_ms
         while self.events[0][0] <= until_ms:
-            self.now, _, event = heapq.heappop(self.events)
+            self.now_ms, _, event = heapq.heappop(self.events)
             event()
-        self.now = until_ms
+        self.now_ms = until_ms
 
     def tick_router(self, router: SimulatedRouter) -> None:
         """A router's tick, and the next one."""
@@ -194,7 +194,7 @@
                 used = sum(uses)
                 self.transfer_checks += max(uses, default=0) > 2 * limit / self.router_count
             if used > limit:
-                self.violations.append(f"{name}: {used} of {limit} at {self.now:.0f} ms")
+                self.violations.append(f"{name}: {used} of {limit} at {self.now_ms:.0f} ms")
 
     def consume(self, router: SimulatedRouter, amount: int) -> bool:
         """A router's user consumes units of the count, if it may."""
--- a/cedarthread/testing/fakes/peer_transport.py
+++ b/cedarthread/testing/fakes/peer_transport.py
@@ -46,7 +46,7 @@
 class MemoryNetwork:
     """Datagrams in flight in memory. ``deliver_all`` delivers them; the clock, in ms, goes on with each."""
 
-    def __init__(self, router_count: int, delays_ms: Delays = lambda now, sender, receiver: [0.0]) -> None:
+    def __init__(self, router_count: int, delays_ms: Delays = lambda now_ms, sender, receiver: [0.0]) -> None:
         self.known_routers = range(router_count)  # any other sender is unknown
         self.delays_ms = delays_ms
         self.now_ms, self._sent_count = 0.0, 0
--- a/cedarthread/testing/fakes/worker_server.py
+++ b/cedarthread/testing/fakes/worker_server.py
@@ -105,12 +105,12 @@
     def _on_call(self, message: dict[str, Any], connection: _Connection) -> None:
         if connection not in self.connections:
             return
-        now, service_ms = self.clock(), float(base64.b64decode(message["body"]))
-        self._answer_all(self.model.advance(now))
+        now_ms, service_ms = self.clock(), float(base64.b64decode(message["body"]))
+        self._answer_all(self.model.advance(now_ms))
         function = int(message["fields"]["thing"], 16)
-        call = WorkerCall(message["id"], self.model.number, function, now, service_ms)
+        call = WorkerCall(message["id"], self.model.number, function, now_ms, service_ms)
         self.observer.on_call_arrived(call)
-        if not self.model.on_call(now, call):
+        if not self.model.on_call(now_ms, call):
             self._answer_all([call])
         self._set_timer()
 
--- a/cedarthread/testing/fuzzing/simulator_target.py
+++ b/cedarthread/testing/fuzzing/simulator_target.py
@@ -72,9 +72,9 @@
             )
         )
 
-    def frame(self, now: float, count: int, body: bytes) -> bytes:
+    def frame(self, now_ms: float, count: int, body: bytes) -> bytes:
         """A frame with its header."""
-        return struct.pack("<IdI", HEADER_BYTES + len(body), now, count) + body
+        return struct.pack("<IdI", HEADER_BYTES + len(body), now_ms, count) + body
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
         """Bytes; mostly the frame's own length stays right."""
