--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
 from dataclasses import replace
+from typing import TYPE_CHECKING
 
 from cedarthread.change_freeze.call_routing import PlacementCandidate, RoutingVerdict, route_call
 from cedarthread.change_freeze.deferred_changes import DeferredChange, DeferredChanges
@@ -20,8 +20,12 @@
     PlacementChange,
 )
 from cedarthread.change_freeze.placement_table import PlacementTable
-from cedarthread.components.interface import QuotaEscrow
-from cedarthread.model.settings import RouterSettings
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+
+    from cedarthread.components.quota_escrow import QuotaEscrow
+    from cedarthread.model.settings import RouterSettings
 
 MAX_RETAINED_HOMES = 4096  # functions whose home workers are kept as they were before a window
 LOADING_KINDS = ("first-copy", "order")  # the changes that bring an instance to a worker
@@ -72,7 +76,8 @@
         """Whether a call may be sent to a worker; no budget is used up.
 
         ``is_placed``: the router knows an instance there, and does not merely hope for one;
-        ``has_alternatives``: another worker where the function is placed has capacity."""
+        ``has_alternatives``: another worker where the function is placed has capacity.
+        """
         if not self.is_active:
             return True
         if is_placed:
@@ -118,7 +123,8 @@
         """``call_routing.route_call`` under what is in force.
 
         A candidate also counts as open where nothing is frozen, or where the function is known to be placed.
-        The first one that is not open is deferred."""
+        The first one that is not open is deferred.
+        """
 
         def first_copy(candidate: PlacementCandidate, is_emergency: bool) -> PlacementChange:
             worker_id, zone_index = candidate.worker_id, candidate.zone_index
@@ -153,7 +159,8 @@
     ) -> tuple[Sequence[int], int]:
         """The ready workers in the order of preference for the function, and how many of them are its homes.
 
-        While that is frozen: the homes from before, as long as they are ready; lost ones are not replaced."""
+        While that is frozen: the homes from before, as long as they are ready; lost ones are not replaced.
+        """
         if not self.is_active:
             return ready_workers, home_count
         homes = tuple(ready_workers[:home_count])
@@ -217,7 +224,7 @@
         if change.kind not in LOADING_KINDS or not self._has_exception(now_ms, change):
             return False
         # A list, not a generator: one is used of each, also where an earlier one failed.
-        return all([self.escrow.consume(now_ms, exception_pool_name(rule.window_id)) for rule in rules])
+        return all(self.escrow.consume(now_ms, exception_pool_name(rule.window_id)) for rule in rules)
 
     def _deny(self, change: PlacementChange, cause: str) -> AdmissionDecision:
         self.denied_count += 1
--- a/cedarthread/change_freeze/call_routing.py
+++ b/cedarthread/change_freeze/call_routing.py
@@ -2,9 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import dataclass
 from enum import Enum
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
 
 
 class RoutingVerdict(Enum):
@@ -35,7 +38,8 @@
 
     First an open worker with capacity; without one a new placement, where an exception permits it; then
     waiting. Only a call that finds no open worker at all is rejected. A worker that is not ready gets
-    nothing."""
+    nothing.
+    """
     ready = sorted(
         (candidate for candidate in candidates if candidate.is_ready),
         key=lambda candidate: candidate.distance,
--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -6,8 +6,8 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable, Iterable, Mapping, Sequence
 from datetime import UTC, datetime
+from typing import TYPE_CHECKING
 
 from cedarthread.change_freeze.admission_gate import AdmissionGate, exception_pool_name
 from cedarthread.change_freeze.deferred_changes import DeferredChange, ReleaseRateLimiter
@@ -15,25 +15,28 @@
 from cedarthread.change_freeze.stale_hold import StaleHold
 from cedarthread.change_freeze.wall_clock import WallClock
 from cedarthread.change_freeze.window import ClockReading, FreezeWindow, WindowState
-from cedarthread.change_freeze.window_entries import WindowTerms
 from cedarthread.change_freeze.window_registry import WINDOW_ENTRY_KINDS, UnreadableEntry, WindowRegistry
-from cedarthread.components.interface import (
+from cedarthread.components.notifications import (
     AttemptCompleted,
     EntriesChanged,
     Notification,
-    OutboundMessage,
-    QuotaEscrow,
-    ReplicatedEntry,
-    ReplicatedState,
     SettingsChanged,
     WallClockRead,
 )
-from cedarthread.fleet_config import SharingConfig
 from cedarthread.logs import format_event
 from cedarthread.model.actions import LogMessage
 from cedarthread.model.endpoints import EndpointUpdate
 from cedarthread.model.outcomes import Outcome
-from cedarthread.model.settings import RouterSettings
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Mapping, Sequence
+
+    from cedarthread.change_freeze.window_entries import WindowTerms
+    from cedarthread.components.messages import OutboundMessage
+    from cedarthread.components.quota_escrow import QuotaEscrow
+    from cedarthread.components.replicated_state import ReplicatedEntry, ReplicatedState
+    from cedarthread.fleet_config import SharingConfig
+    from cedarthread.model.settings import RouterSettings
 
 WINDOW_LEAD_MS = 500.0  # by which windows begin early: twice the longest time between ticks
 PLACEMENT_EXPIRY_INTERVAL_MS = 5000.0  # between looks for placements that expired
@@ -58,7 +61,8 @@
     ) -> None:
         """``has_read_enough_peers``: several other routers were read completely in this incarnation.
 
-        What a start then knows counts, though no majority confirmed it: docs/design/freeze.md, step 21."""
+        What a start then knows counts, though no majority confirmed it: docs/design/freeze.md, step 21.
+        """
         self.replicated_state, self.escrow, self.settings = replicated_state, escrow, settings
         self.wall_clock = WallClock(max(1, settings.router_count), sharing.clock_error, sharing.clock_rate)
         self.gate = AdmissionGate(escrow)
--- a/cedarthread/change_freeze/deferred_changes.py
+++ b/cedarthread/change_freeze/deferred_changes.py
@@ -2,11 +2,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from cedarthread.change_freeze.placement_changes import PlacementChange
-from cedarthread.fleet_config import FrozenAction
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.fleet_config import FrozenAction
 
 MAX_DEFERRED_CHANGES = 512  # past which all changes count as deferred until the last is released
 RELEASES_PER_MS = 0.004  # 4 per second: the default where the host gives no rate of its own
@@ -96,7 +100,8 @@
     ) -> list[DeferredChange]:
         """Take out what is not frozen now, as much as the rate permits.
 
-        Emergencies first, then what was requested most often."""
+        Emergencies first, then what was requested most often.
+        """
         due = [deferred for deferred in self.changes.values() if not is_frozen(deferred.as_change())]
         due.sort(key=lambda deferred: (not deferred.is_emergency, -deferred.request_count))
         released: list[DeferredChange] = []
--- a/cedarthread/change_freeze/placement_changes.py
+++ b/cedarthread/change_freeze/placement_changes.py
@@ -7,9 +7,10 @@
 
 from dataclasses import dataclass
 from enum import Enum
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
-from cedarthread.fleet_config import FrozenAction
+if TYPE_CHECKING:
+    from cedarthread.fleet_config import FrozenAction
 
 
 class PlacementChange(NamedTuple):
--- a/cedarthread/change_freeze/placement_table.py
+++ b/cedarthread/change_freeze/placement_table.py
@@ -26,7 +26,8 @@
     """The functions that are placed on each worker: a part of the truth, never more.
 
     In a window no placement expires: an instance that became idle may be loaded again where it was. Times:
-    ms on the steady clock."""
+    ms on the steady clock.
+    """
 
     last_seen_by_function: dict[int, dict[int, float]] = field(default_factory=dict)  # function, worker
     endpoints: dict[int, Endpoint] = field(default_factory=dict)
--- a/cedarthread/change_freeze/stale_hold.py
+++ b/cedarthread/change_freeze/stale_hold.py
@@ -5,8 +5,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
 STALE_HOLD_MS = (
     60_000.0  # from when it was last fresh in this incarnation: windows end though no peer is heard
--- a/cedarthread/change_freeze/wall_clock.py
+++ b/cedarthread/change_freeze/wall_clock.py
@@ -44,7 +44,8 @@
     """Wall time (Unix ms) on the steady clock (ms). Raises nothing.
 
     ``max_error_ms``: by which wall clocks may differ. ``max_drift_rate``: part by which a clock may run
-    fast or slow."""
+    fast or slow.
+    """
 
     def __init__(self, router_count: int, max_error_ms: float, max_drift_rate: float) -> None:
         self.router_count, self.max_error_ms, self.max_drift_rate = router_count, max_error_ms, max_drift_rate
@@ -58,7 +59,8 @@
     def on_host_reading(self, now_ms: float, unix_ms: float, has_window: bool) -> str | None:
         """Take a reading of the host's wall clock; a line to log where it stepped or went back.
 
-        ``has_window``: a window is known, so a step is followed only if other routers confirm it."""
+        ``has_window``: a window is known, so a step is followed only if other routers confirm it.
+        """
         if not math.isfinite(unix_ms):
             return None
         offset_ms = unix_ms - now_ms
@@ -94,7 +96,8 @@
     def add_sample(self, now_ms: float, sender: int, unix_ms: float, sent_at_ms: float) -> None:
         """Take another router's response: the wall time that it follows, as requested at ``sent_at_ms``.
 
-        The response was made between the request and now, so the offset may be wrong by half of that time."""
+        The response was made between the request and now, so the offset may be wrong by half of that time.
+        """
         round_trip_ms = now_ms - sent_at_ms
         is_known_router = 0 <= sender < self.router_count
         if not (is_known_router and math.isfinite(unix_ms) and 0.0 <= round_trip_ms <= MAX_ROUND_TRIP_MS):
@@ -106,7 +109,8 @@
     def peer_offset_bounds_ms(self, now_ms: float) -> OffsetBounds:
         """How far the median of all clocks is ahead of this one; no offset where there are too few samples.
 
-        With one other router nobody can tell whose clock deviates: both may."""
+        With one other router nobody can tell whose clock deviates: both may.
+        """
         if self.followed_offset_ms is None:
             return NO_OFFSET
         return self._median_offset_bounds_ms(now_ms, self.followed_offset_ms)
@@ -143,7 +147,8 @@
     def _is_step_confirmed(self, now_ms: float, offset_ms: float) -> bool:
         """Whether most other routers follow the time that this clock stepped to.
 
-        They tell what they follow, so a step that one bad source gives to all at once is not confirmed."""
+        They tell what they follow, so a step that one bad source gives to all at once is not confirmed.
+        """
         agreeing = sum(
             abs(sample.offset_ms - offset_ms) <= self.max_error_ms + self._uncertainty_ms(now_ms, sample)
             for sample in self.samples.values()
@@ -166,7 +171,8 @@
         The stated error widens the range both ways. A clock that deviates by more widens it by its
         deviation; past the longest window it is no evidence, and the others' alone count. A step that is
         not followed may make a window begin earlier, never end later: what is in force ends at its end by
-        the steady clock."""
+        the steady clock.
+        """
         if self.followed_offset_ms is None:
             return -math.inf, math.inf
         unix_ms, error_ms = self.unix_ms(now_ms), self.max_error_ms
--- a/cedarthread/change_freeze/window.py
+++ b/cedarthread/change_freeze/window.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import Generic, TypeVar
+from typing import TYPE_CHECKING, Generic, TypeVar
 
 from cedarthread.change_freeze.window_entries import (
     ALL_CHANGE_KINDS,
@@ -20,7 +20,9 @@
     WindowTerms,
     strictest_union,
 )
-from cedarthread.components.interface import ReplicatedEntry
+
+if TYPE_CHECKING:
+    from cedarthread.components.replicated_state import ReplicatedEntry
 
 MAX_VERSIONS = 8  # of one window that are in effect together; more are merged into one that covers them
 
--- a/cedarthread/change_freeze/window_entries.py
+++ b/cedarthread/change_freeze/window_entries.py
@@ -6,17 +6,20 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-from datetime import datetime
-from typing import get_args
+from typing import TYPE_CHECKING, get_args
 
 import msgspec
 
-from cedarthread import fleet_config
 from cedarthread.components.datagram_fields import MalformedDatagram
-from cedarthread.components.interface import EntryKind
+from cedarthread.components.replicated_state import EntryKind
 from cedarthread.fleet_config import MAX_WINDOW_SECONDS, FleetConfigError, FrozenAction
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from datetime import datetime
+
+    from cedarthread import fleet_config
+
 MAX_WINDOW_MS = MAX_WINDOW_SECONDS * 1000.0
 MAX_NAMES = 256  # of a kind (zones, functions, tenants) in one body
 MAX_TEXT_BYTES = 512  # of a reason or an author
--- a/cedarthread/change_freeze/window_registry.py
+++ b/cedarthread/change_freeze/window_registry.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.change_freeze.window import FINAL_STATES, FreezeWindow, WindowState
 from cedarthread.change_freeze.window_entries import WindowTerms, decode
 from cedarthread.components.datagram_fields import MalformedDatagram
-from cedarthread.components.interface import Entry, EntryKind, ReplicatedEntry, ReplicatedState
+from cedarthread.components.replicated_state import Entry, EntryKind, ReplicatedEntry, ReplicatedState
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
 
 MAX_UNREADABLE_ENTRIES = 256  # that are remembered, so that each is logged once
 WINDOW_ENTRY_KINDS = (EntryKind.FREEZE, EntryKind.REVOKE, EntryKind.BREAK_GLASS)
@@ -86,7 +88,8 @@
     ) -> bool:
         """Whether a step of the wall clock to this time could open, skip or bring back a window.
 
-        Not a window that begins later by both times: a clock that is set right before it is followed."""
+        Not a window that begins later by both times: a clock that is set right before it is followed.
+        """
         for window in self.windows.values():
             if window.state is WindowState.ENDED and window.latest_end_unix_ms() <= unix_ms - max_error_ms:
                 continue
--- a/cedarthread/cli.py
+++ b/cedarthread/cli.py
@@ -37,7 +37,7 @@
 from cedarthread import config
 
 if TYPE_CHECKING:
-    from cedarthread.protocols.invoke_config import InvokeConfig
+    from cedarthread.protocols.invoke.config import InvokeConfig
 
 
 EXIT_OK = 0
@@ -98,7 +98,7 @@
     """The configuration of the invoke API; None where no file is named."""
     if path is None:
         return None
-    from cedarthread.protocols import invoke_config
+    from cedarthread.protocols.invoke import config as invoke_config
 
     return invoke_config.read(Path(path))
 
--- a/cedarthread/components/__init__.py
+++ b/cedarthread/components/__init__.py
@@ -1,1 +1,1 @@
-"""The components beside the router: their interface, the node that hosts them, routing constraints."""
+"""The interface between components: messages, notifications, replicated state, quota escrow."""
--- a/cedarthread/components/datagram_fields.py
+++ b/cedarthread/components/datagram_fields.py
@@ -8,10 +8,12 @@
 
 from __future__ import annotations
 
-import struct
-from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+if TYPE_CHECKING:
+    import struct
+    from collections.abc import Iterable, Sequence
 
 MAX_DATAGRAM_BYTES = 256  # limit of the platform's protocol: one longer datagram voids a whole run
 
--- a/cedarthread/config.py
+++ b/cedarthread/config.py
@@ -4,18 +4,21 @@
 
 import json
 import os
-from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from cedarthread.errors import CedarthreadError
-from cedarthread.model.settings import RouterSettings
 from cedarthread.number_checks import bounded_number
-from cedarthread.protocols.endpoint_list import EndpointRecord, endpoint_from_json, parse_address
+from cedarthread.protocols.discovery.endpoint_list import EndpointRecord, endpoint_from_json, parse_address
 from cedarthread.protocols.peers import PeerAddresses
 from cedarthread.settings_parser import SettingsError, settings_from_object
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from cedarthread.model.settings import RouterSettings
+
 # Environment variables: the path of the file, and values that take the place of the file's.
 CONFIG_PATH_VARIABLE = "BALANCER_CONFIG"
 LISTEN_VARIABLE = "BALANCER_LISTEN"
--- a/cedarthread/dispatch/actions.py
+++ b/cedarthread/dispatch/actions.py
@@ -3,14 +3,9 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Iterable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from cedarthread.dispatch.call_table import CallTable
 from cedarthread.dispatch.calls import Attempt, AttemptResult, Call, CallFailed, CallRejected
-from cedarthread.dispatch.completion import CallCompletion
-from cedarthread.dispatch.context import DispatchContext
-from cedarthread.dispatch.node_timers import NodeTimers
 from cedarthread.logs import format_event
 from cedarthread.model.actions import (
     Action,
@@ -28,6 +23,14 @@
 from cedarthread.model.outcomes import Outcome
 from cedarthread.model.settings import Idempotency
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
+    from cedarthread.dispatch.call_table import CallTable
+    from cedarthread.dispatch.completion import CallCompletion
+    from cedarthread.dispatch.context import DispatchContext
+    from cedarthread.dispatch.node_timers import NodeTimers
+
 log = logging.getLogger(__name__)
 
 
@@ -88,7 +91,8 @@
 
     def _set_write_deadline(self, call: Call, attempt: Attempt) -> None:
         """A retry under an idempotency key must leave inside the deduplication window of the first attempt
-        that may have been executed."""
+        that may have been executed.
+        """
         request_class = self._context.settings.classes[call.class_index]
         executed_at_ms = [earlier.started_at_ms for earlier in call.attempts if earlier.may_have_executed()]
         if request_class.idempotency is Idempotency.WITH_KEY and executed_at_ms:
--- a/cedarthread/dispatch/call_table.py
+++ b/cedarthread/dispatch/call_table.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
-from cedarthread.dispatch.calls import Call
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from cedarthread.dispatch.calls import Call
 
 # Bodies of pending calls, where the service does not say otherwise: a quarter of the 192 MB of memory that
 # the platform gives a router by default.
--- a/cedarthread/dispatch/calls.py
+++ b/cedarthread/dispatch/calls.py
@@ -1,17 +1,20 @@
 """Calls, attempts and their results, and the interface of the worker transport.
 
-Times are Unix ms of the dispatcher's clock unless a name says otherwise."""
+Times are Unix ms of the dispatcher's clock unless a name says otherwise.
+"""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import IntEnum
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from cedarthread.model.outcomes import Outcome, StartKind
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 # Part of a client's time limit that is kept back, since the result must reach the client inside the limit:
 # transmission both ways, and event loop iterations that come late while the CPU is short. Measured under CPU
 # shortage: a margin of 30 ms missed the limit of 285 out of 121,000 calls, a fraction of 0.06 that of 1 out
@@ -134,7 +137,8 @@
 
 def not_sent_result() -> AttemptResult:
     """The result of an attempt that was withdrawn before any of it was sent, or for which this process had no
-    file descriptor or port. It says nothing of the worker."""
+    file descriptor or port. It says nothing of the worker.
+    """
     return AttemptResult(Outcome.CONNECT_FAILED, is_local=True)
 
 
--- a/cedarthread/dispatch/clock.py
+++ b/cedarthread/dispatch/clock.py
@@ -3,14 +3,18 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
 
 def steady_unix_clock_ms() -> Callable[[], float]:
     """A clock of Unix time in ms as it was at the start, carried on by the monotonic clock.
 
     Steps of the wall clock do not move it: after a step back by an hour, calls would otherwise wait an hour
-    past their deadlines."""
+    past their deadlines.
+    """
     offset_s = time.time() - time.monotonic()
     return lambda: (offset_s + time.monotonic()) * 1000.0
 
--- a/cedarthread/dispatch/completion.py
+++ b/cedarthread/dispatch/completion.py
@@ -1,14 +1,14 @@
 """The ends of attempts and calls.
 
 Each call gets exactly one result: ``CallCompletion._deliver`` is the one place where a result is handed to
-the client's side, and ``CallDeadlines`` sees to it that no call stays without."""
+the client's side, and ``CallDeadlines`` sees to it that no call stays without.
+"""
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.call_table import CallTable
 from cedarthread.dispatch.calls import (
     Attempt,
     AttemptResult,
@@ -18,14 +18,19 @@
     CallResult,
     CallSucceeded,
 )
-from cedarthread.dispatch.context import DispatchContext
-from cedarthread.dispatch.deadlines import CallDeadlines
-from cedarthread.dispatch.figures import CallFigures
 from cedarthread.logs import format_event
 from cedarthread.model.events import AttemptEnded, ClientDisconnected, Event
 from cedarthread.model.outcomes import NOT_EXECUTED, Outcome
 from cedarthread.model.settings import Idempotency
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.dispatch.call_table import CallTable
+    from cedarthread.dispatch.context import DispatchContext
+    from cedarthread.dispatch.deadlines import CallDeadlines
+    from cedarthread.dispatch.figures import CallFigures
+
 log = logging.getLogger(__name__)
 
 OVERDUE_GRACE_MS = 5.0  # time that the router has to answer a call whose attempts have just timed out
@@ -137,7 +142,8 @@
 
     def _cancel_abandoned_attempts(self, call: Call) -> None:
         """End at the deadline what nobody waits for, where the settings forbid to cancel it before: a silent
-        worker would otherwise keep a connection and its share of the figures for good."""
+        worker would otherwise keep a connection and its share of the figures for good.
+        """
         for attempt in call.attempts:
             if not attempt.is_ended:
                 self._context.workers().cancel(attempt)
--- a/cedarthread/dispatch/context.py
+++ b/cedarthread/dispatch/context.py
@@ -3,18 +3,21 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from cedarthread.dispatch.calls import WorkerTransport
-from cedarthread.model.settings import RouterSettings
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.dispatch.calls import WorkerTransport
+    from cedarthread.model.settings import RouterSettings
 
 
 class DispatchContext:
     """Settings, clock, event loop and the connections to workers and peers of one dispatcher.
 
     The parts read these attributes at each use, since settings are replaced at a reload, and the transports
-    are connected only after the dispatcher exists."""
+    are connected only after the dispatcher exists.
+    """
 
     def __init__(self, settings: RouterSettings, clock: Callable[[], float]) -> None:
         self.settings = settings
--- a/cedarthread/dispatch/deadlines.py
+++ b/cedarthread/dispatch/deadlines.py
@@ -2,20 +2,24 @@
 
 from __future__ import annotations
 
-import asyncio
 import heapq
 import math
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.call_table import CallTable
-from cedarthread.dispatch.calls import Call
-from cedarthread.dispatch.context import DispatchContext
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from cedarthread.dispatch.call_table import CallTable
+    from cedarthread.dispatch.calls import Call
+    from cedarthread.dispatch.context import DispatchContext
 
 
 class CallDeadlines:
     """A timer queue: it calls ``on_due`` for each call that is still pending at its time.
 
-    One timer of the loop serves all calls; one timer for each call cost a twentieth of the CPU."""
+    One timer of the loop serves all calls; one timer for each call cost a twentieth of the CPU.
+    """
 
     def __init__(self, context: DispatchContext, calls: CallTable, on_due: Callable[[Call], None]) -> None:
         self._context = context
@@ -37,7 +41,8 @@
         """Handle what is due before the loop's own timer does.
 
         When the CPU is short the loop reads many sockets before it runs its timers, and results would miss
-        their deadlines behind that."""
+        their deadlines behind that.
+        """
         if now_ms >= self._wakeup_at_ms:
             self.on_timer()
 
--- a/cedarthread/dispatch/deferred.py
+++ b/cedarthread/dispatch/deferred.py
@@ -3,11 +3,14 @@
 from __future__ import annotations
 
 import secrets
-from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from cedarthread.dispatch.calls import Call, CallResult, CallSucceeded
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 # What a client asked for: class, function and digest of the body. A retry under the same idempotency key must
 # ask for the same.
 RequestFingerprint = tuple[str, str, bytes]
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -7,11 +7,9 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Mapping
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from cedarthread.components.node import RoutingNode
 from cedarthread.dispatch.actions import ActionExecutor
 from cedarthread.dispatch.call_table import DEFAULT_MAX_BODY_BYTES, CallTable
 from cedarthread.dispatch.calls import (
@@ -31,7 +29,6 @@
 from cedarthread.dispatch.send_audit import SendAudit
 from cedarthread.dispatch.send_guard import SendGuard
 from cedarthread.logs import format_event
-from cedarthread.model.actions import Action
 from cedarthread.model.endpoints import EndpointState, EndpointUpdate
 from cedarthread.model.events import (
     ClientDisconnected,
@@ -40,10 +37,14 @@
     PreloadEnded,
     RequestArrived,
 )
-from cedarthread.model.settings import RouterSettings
+from cedarthread.node.routing_node import RoutingNode
 
 if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+
     from cedarthread.fleet_config import FleetConfig
+    from cedarthread.model.actions import Action
+    from cedarthread.model.settings import RouterSettings
 
 log = logging.getLogger(__name__)
 
@@ -51,7 +52,8 @@
 class Dispatcher:
     """Owns calls and attempts: each call that is submitted gets exactly one result, unless it is abandoned.
 
-    Times are Unix ms of ``clock``. Not thread-safe: all methods run on the event loop it was made on."""
+    Times are Unix ms of ``clock``. Not thread-safe: all methods run on the event loop it was made on.
+    """
 
     def __init__(
         self,
@@ -171,7 +173,8 @@
         """The client has closed its writing half, and may or may not read on.
 
         An attempt in flight may yet bring the result, and no further one begins; a call without one in flight
-        is completed now."""
+        is completed now.
+        """
         if call.is_complete or call.is_client_closing:
             return
         call.is_client_closing = True
@@ -186,7 +189,8 @@
         """May the attempt be sent? Asked at the last moment before its bytes leave; see ``SendGuard``.
 
         The client's close or CANCEL may stand unread while this process is late, or while it reads nothing
-        from a client that reads slowly; without this check the attempt would begin after its client left."""
+        from a client that reads slowly; without this check the attempt would begin after its client left.
+        """
         attempt.call.refresh_client_state()
         refusal = self.send_guard.refuse_attempt(self.context.clock(), attempt, self.context.settings)
         if refusal is not None and log.isEnabledFor(logging.DEBUG):
@@ -239,7 +243,8 @@
         """Take new settings; returns them as they are in force.
 
         Classes are only added: a pending call keeps its class by index. A class that is new or changed takes
-        a new index; one that is no longer named gets no new calls."""
+        a new index; one that is no longer named gets no new calls.
+        """
         classes, current_class_index = list(self.settings.classes), {}
         for request_class in new_settings.classes:
             class_index = self.current_class_index.get(request_class.name)
--- a/cedarthread/dispatch/figures.py
+++ b/cedarthread/dispatch/figures.py
@@ -3,9 +3,12 @@
 from __future__ import annotations
 
 from collections import defaultdict
+from typing import TYPE_CHECKING
 
 from cedarthread.dispatch.calls import Call, CallFailed, CallRejected, CallResult, CallSucceeded
-from cedarthread.model.settings import RouterSettings
+
+if TYPE_CHECKING:
+    from cedarthread.model.settings import RouterSettings
 
 # The operators' names of the figures of each request class.
 CLASS_FIGURES = ("passed", "dropped", "bad_gateway", "upstream_tries")
--- a/cedarthread/dispatch/node_timers.py
+++ b/cedarthread/dispatch/node_timers.py
@@ -2,14 +2,18 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Callable
 from enum import Enum
+from typing import TYPE_CHECKING
 
-from cedarthread.components.node import COMPONENT_TIMER_TOKEN
-from cedarthread.dispatch.context import DispatchContext
-from cedarthread.model.actions import SetTimer
 from cedarthread.model.events import Event, TimerFired
+from cedarthread.node.routing_node import COMPONENT_TIMER_TOKEN
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from cedarthread.dispatch.context import DispatchContext
+    from cedarthread.model.actions import SetTimer
 
 
 class TimerOwner(Enum):
@@ -33,7 +37,8 @@
 
     def set(self, action: SetTimer) -> None:
         """Set a timer in place of its owner's last one, whose token is past: it would wake the process for
-        nothing."""
+        nothing.
+        """
         owner = _owner(action.token)
         if (old := self._timers.get(owner)) is not None:
             old.cancel()
--- a/cedarthread/dispatch/send_audit.py
+++ b/cedarthread/dispatch/send_audit.py
@@ -1,20 +1,25 @@
 """A run-time check of the rules on sending: it counts violations by what was written and what was known.
 
 It stands beside the guard and shares nothing with it, so that a fault there shows here. Times are ms of the
-dispatcher's clock. It does no I/O but a log line for each violation."""
+dispatcher's clock. It does no I/O but a log line for each violation.
+"""
 
 from __future__ import annotations
 
 import logging
 from collections import Counter
-from collections.abc import Mapping
 from enum import StrEnum
+from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.calls import Attempt
 from cedarthread.logs import format_event
 from cedarthread.model.endpoints import EndpointState
 from cedarthread.model.settings import Idempotency, RouterSettings
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from cedarthread.dispatch.calls import Attempt
+
 log = logging.getLogger(__name__)
 
 CLIENT_GONE_SLACK_MS = 100.0  # after its client closed or cancelled, an attempt may still begin (STANDING)
--- a/cedarthread/dispatch/send_guard.py
+++ b/cedarthread/dispatch/send_guard.py
@@ -1,16 +1,21 @@
 """The guard of all sending: asked of each attempt and preload just before its first byte leaves.
 
 Whoever chose the worker did so earlier, perhaps by an older list, for a client that was still there. Here the
-rules are looked at once more, all of them in one place. The module does no I/O."""
+rules are looked at once more, all of them in one place. The module does no I/O.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from enum import StrEnum
+from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.calls import Attempt
 from cedarthread.model.settings import Idempotency, RouterSettings
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from cedarthread.dispatch.calls import Attempt
+
 
 class SendRefusal(StrEnum):
     """Why an attempt or a preload may not be sent."""
--- a/cedarthread/dispatch/stall_hold.py
+++ b/cedarthread/dispatch/stall_hold.py
@@ -2,7 +2,8 @@
 
 A process that was stopped, or had no CPU, finds calls and responses in its sockets, and an endpoint list of
 before the stall. What it sent now could go to workers that were drained long ago. So it asks discovery first,
-and waits for the reply, but not for long: discovery may be down. Times are loop seconds."""
+and waits for the reply, but not for long: discovery may be down. Times are loop seconds.
+"""
 
 from __future__ import annotations
 
--- a/cedarthread/escrow/allotment.py
+++ b/cedarthread/escrow/allotment.py
@@ -19,5 +19,6 @@
     """What falls to the router at a place of the order.
 
     The allotments add up to the total, and none is smaller for a greater total: routers that know different
-    totals do not exceed the greatest of them together."""
+    totals do not exceed the greatest of them together.
+    """
     return (total + router_count - 1 - place) // router_count
--- a/cedarthread/escrow/codec.py
+++ b/cedarthread/escrow/codec.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from cedarthread.components.datagram_fields import MalformedDatagram
-from cedarthread.components.interface import MessageType
+from cedarthread.components.messages import MessageType
 
 NO_HINT = 0xFFFF  # in place of a peer's number
 MAX_AMOUNT = 2**32 - 1  # of any number of units on the wire
@@ -27,7 +27,8 @@
 @dataclass(frozen=True, slots=True)
 class EscrowRequest:
     """Asks a peer for units: of a rate for all that the sender would have of it, of a count for so many
-    more."""
+    more.
+    """
 
     pool_key: int
     incarnation: int
--- a/cedarthread/escrow/count_pool.py
+++ b/cedarthread/escrow/count_pool.py
@@ -26,7 +26,8 @@
     """A pool of units that are used up.
 
     ``free`` units of the balance are already written off on the disk, so that a later incarnation will not
-    use them again. Without a disk (``is_durable`` false) the whole balance is free."""
+    use them again. Without a disk (``is_durable`` false) the whole balance is free.
+    """
 
     is_consumable = True
 
@@ -60,7 +61,8 @@
 
         Above the highest so far, this router's allotment of the increase comes in. Below the present one,
         this router gives up the *whole* difference as far as its balance goes: a single router with that much
-        makes up for all, and where none had that much, none has anything left (design page)."""
+        makes up for all, and where none had that much, none has anything left (design page).
+        """
         if total > self.highest_total:
             before = allotment(self.highest_total, self.router_count, self.place)
             self.balance += 0 if self.is_lost else allotment(total, self.router_count, self.place) - before
@@ -97,7 +99,8 @@
 
     def give(self, now_ms: float, taker: int, requested: int) -> int:
         """Lower the balance by what this router does not want itself, up to ``requested``; the amount
-        given."""
+        given.
+        """
         amount = min(requested, max(0, self.available(now_ms) - self.demand))
         if amount < requested:
             self.wanted_free = max(self.wanted_free, self.demand + requested)
--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -8,19 +8,24 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Mapping, Sequence
+from typing import TYPE_CHECKING
 
 from cedarthread.components.datagram_fields import MalformedDatagram
-from cedarthread.components.interface import MessageType, Notification, OutboundMessage, PeersChanged
+from cedarthread.components.messages import MessageType, OutboundMessage
+from cedarthread.components.notifications import Notification, PeersChanged
 from cedarthread.escrow.codec import MAX_AMOUNT, EscrowResponse, decode, pool_key
 from cedarthread.escrow.count_pool import CountPool
 from cedarthread.escrow.grantor import EscrowGrantor
 from cedarthread.escrow.image import EscrowImage
-from cedarthread.escrow.quota_pool import QuotaPool
 from cedarthread.escrow.rate_pool import LEASE_TERM_MS, RatePool
 from cedarthread.escrow.request_rounds import set_demand
 from cedarthread.escrow.requester import EscrowRequester
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence
+
+    from cedarthread.escrow.quota_pool import QuotaPool
+
 COUNTERS = "granted", "taken", "refused", "unreadable", "strangers", "unknown", "late", "drowned", "lies"
 _RNG_SALT = 0x4752_414E  # so that components with the same seed draw differently
 
@@ -33,7 +38,8 @@
     incarnation of this router used or gave of a count is forgotten, because there was none or ``restore``
     brings it; without it this router's allotment of a count is lost. Its own rates are 0 for a term after any
     start. ``is_durable``: units of a count may be used or given only once the disk has them as gone
-    (``image_to_write``, ``mark_written``)."""
+    (``image_to_write``, ``mark_written``).
+    """
 
     message_types = frozenset((int(MessageType.ESCROW),))
     grantor_type: type[EscrowGrantor] = EscrowGrantor
@@ -73,7 +79,8 @@
         """Open a pool, or change its total or end.
 
         ``is_new``: the caller knows that no earlier incarnation of this router can have used it, so that the
-        allotment of a count stands although nothing is remembered (design page, 9)."""
+        allotment of a count stands although nothing is remembered (design page, 9).
+        """
         key, total = pool_key(name), max(0, min(total, MAX_AMOUNT))
         pool = self.pools.get(key)
         if pool is None:
@@ -123,7 +130,8 @@
     def request(self, now_ms: float, name: str, amount: int) -> None:
         """Set what this router could use in all, until the next call; 0 ends it.
 
-        Of a rate its present demand; of a count what it would have ready, which each use lowers."""
+        Of a rate its present demand; of a count what it would have ready, which each use lowers.
+        """
         if (pool := self.pool_named(name)) is not None:
             set_demand(now_ms, pool, amount)
 
@@ -136,7 +144,8 @@
     def restore(self, data: bytes) -> bool:
         """Take the last image of an earlier incarnation, before any pool is opened.
 
-        False, and nothing taken, if it cannot be read: then there is no memory."""
+        False, and nothing taken, if it cannot be read: then there is no memory.
+        """
         return self.image.restore(data)
 
     def image_to_write(self, now_ms: float) -> bytes | None:
--- a/cedarthread/escrow/grantor.py
+++ b/cedarthread/escrow/grantor.py
@@ -2,18 +2,21 @@
 
 from __future__ import annotations
 
-import random
 from collections import OrderedDict
-from collections.abc import Sequence
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.escrow.codec import NO_HINT, EscrowRequest, EscrowResponse, encode
 from cedarthread.escrow.count_pool import CountPool
-from cedarthread.escrow.quota_pool import QuotaPool
 from cedarthread.escrow.rate_pool import LEASE_TERM_MS, Borrower, RatePool
 from cedarthread.model.actions import SendToPeer
 from cedarthread.statistics import TokenBucket
 
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Sequence
+
+    from cedarthread.escrow.quota_pool import QuotaPool
+
 RESPONSES_PER_SECOND = 100.0  # so that the routers that are left after a failure are not flooded
 RESPONSE_BURST = 50.0
 MAX_REMEMBERED_GRANTS = 1024  # of counts, to be repeated if a response was lost; the oldest are dropped first
--- a/cedarthread/escrow/image.py
+++ b/cedarthread/escrow/image.py
@@ -6,12 +6,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from typing import TYPE_CHECKING
 
 import msgspec
 
 from cedarthread.escrow.count_pool import CountBalance, CountPool
-from cedarthread.escrow.quota_pool import QuotaPool
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from cedarthread.escrow.quota_pool import QuotaPool
 
 MAX_RESTORED_COUNTS = 1024  # balances of the disk that are kept although no pool was opened for them
 
@@ -20,7 +24,8 @@
     """Restored balances and the write that is under way.
 
     ``has_memory``: nothing that an earlier incarnation used or gave of a count is forgotten, because there
-    was none or because ``restore`` brings it."""
+    was none or because ``restore`` brings it.
+    """
 
     def __init__(self, *, has_memory: bool, is_durable: bool) -> None:
         self.has_memory, self.is_durable = has_memory, is_durable
@@ -39,7 +44,8 @@
     def restore(self, data: bytes) -> bool:
         """Take the last image of an earlier incarnation, before any pool is opened.
 
-        False if it cannot be read or contradicts itself: then nothing is taken and there is no memory."""
+        False if it cannot be read or contradicts itself: then nothing is taken and there is no memory.
+        """
         try:
             balances = msgspec.msgpack.decode(data, type=list[CountBalance])
         except msgspec.MsgspecError:
@@ -59,7 +65,8 @@
         """The image that the disk must have before more units are used or given.
 
         None: no more are wanted, or a write is under way. The host reports its end by ``mark_written`` or
-        ``mark_write_failed``."""
+        ``mark_write_failed``.
+        """
         if not self.is_durable or self.pending_write_offs is not None:
             return None
         write_offs = {
--- a/cedarthread/escrow/rate_pool.py
+++ b/cedarthread/escrow/rate_pool.py
@@ -45,7 +45,8 @@
     """What one incarnation of a router may use of another's rate, as either of the two counts it.
 
     The greatest grant that has not ended counts, so it does not matter which of them arrived or in which
-    order."""
+    order.
+    """
 
     nonce: int = 0  # at the giver: of the latest request; an older one is a late or duplicated datagram
     requested_at_ms: float = -math.inf  # at the taker: when the last answered request was sent
@@ -65,7 +66,8 @@
     """A pool of units in use at the same time.
 
     ``clock_drift_factor``: how much longer the giver waits than the taker may use. Before ``ready_at_ms``
-    loans of an earlier incarnation may be out, and this router's own rate is 0."""
+    loans of an earlier incarnation may be out, and this router's own rate is 0.
+    """
 
     def __init__(
         self,
@@ -108,7 +110,8 @@
     def available(self, now_ms: float) -> int:
         """Own units that are not lent, and units borrowed.
 
-        Computed at this moment, so that a router that was paused uses nothing that ended meanwhile."""
+        Computed at this moment, so that a router that was paused uses nothing that ended meanwhile.
+        """
         if self.has_ended(now_ms):
             return 0
         return min(
@@ -124,7 +127,8 @@
         """Lower this router's own rate by what a borrower gets, which may use it for the term from its
         request on.
 
-        None: the request is no newer than one already answered."""
+        None: the request is no newer than one already answered.
+        """
         lease = self.leases_given.get(borrower)
         if lease is not None and not 0 < (nonce - lease.nonce) % NONCE_MODULUS < NONCE_MODULUS // 2:
             return None
@@ -142,7 +146,8 @@
         """All that a borrower requests if that leaves enough for the others that requested lately, else an
         even share.
 
-        So a newcomer is not shut out by those who borrowed first."""
+        So a newcomer is not shut out by those who borrowed first.
+        """
         lendable, loaned_to_others = self.lendable(now_ms), self.amount_loaned(now_ms, borrower)
         for peer, unmet in list(self.unmet_requests.items()):
             if now_ms - unmet.requested_at_ms >= UNMET_REQUEST_MEMORY_MS or peer == borrower.peer:
--- a/cedarthread/escrow/request_rounds.py
+++ b/cedarthread/escrow/request_rounds.py
@@ -7,12 +7,15 @@
 from __future__ import annotations
 
 import math
-import random
-from collections.abc import Collection, Sequence
+from typing import TYPE_CHECKING
 
 from cedarthread.escrow.quota_pool import NEVER_SEEN, QuotaPool
 from cedarthread.escrow.rate_pool import LEASE_TERM_MS
 
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Collection, Sequence
+
 RESPONSE_TIMEOUT_MS = 500.0
 RETRY_JITTER = 0.5, 1.0  # factors on waits
 MAX_PARALLEL_REQUESTS = 8  # peers that are asked at once for one rate
@@ -47,7 +50,8 @@
     ) -> list[int] | None:
         """The peers to ask for a pool's shortfall; None: no round may start now.
 
-        ``awaited``: peers that were asked and still have time to respond."""
+        ``awaited``: peers that were asked and still have time to respond.
+        """
         rounds = pool.rounds
         is_waiting = bool(awaited) and not rounds.has_gained and rounds.is_open
         if now_ms < rounds.next_at_ms or is_waiting:
@@ -78,7 +82,8 @@
     ) -> list[int]:
         """Peers to ask, best first: last known to have units; had units at the start; not known to have none.
 
-        Only where there is no such peer, those that are known to have none."""
+        Only where there is no such peer, those that are known to have none.
+        """
         with_units: list[int] = []
         with_allotment: list[int] = []
         unknown: list[int] = []
--- a/cedarthread/escrow/requester.py
+++ b/cedarthread/escrow/requester.py
@@ -8,9 +8,8 @@
 from __future__ import annotations
 
 import math
-import random
-from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from cedarthread.escrow.codec import MAX_AMOUNT, EscrowRequest, EscrowResponse, encode
 from cedarthread.escrow.count_pool import CountPool
@@ -20,6 +19,10 @@
 from cedarthread.model.actions import SendToPeer
 from cedarthread.statistics import TokenBucket
 
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Sequence
+
 REQUESTS_PER_SECOND = 40.0
 REQUEST_BURST = 20.0
 MAX_ATTEMPTS = 4  # of a request for a count, whose response may carry units that would be lost for good
@@ -125,7 +128,8 @@
         """Ask the same peers again for what may have been granted and lost.
 
         A count under the same nonce, so that it is granted once; a rate once, under a new nonce, because a
-        new lease replaces the old."""
+        new lease replaces the old.
+        """
         messages: list[SendToPeer] = []
         for nonce, request in list(self.outstanding.items()):
             pool = request.pool
--- a/cedarthread/fleet_config.py
+++ b/cedarthread/fleet_config.py
@@ -6,15 +6,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
 from datetime import datetime
-from pathlib import Path
-from typing import Literal
+from typing import TYPE_CHECKING, Literal
 
 import msgspec
 
 from cedarthread.errors import CedarthreadError
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from pathlib import Path
+
 FrozenAction = Literal["first-copy", "order", "unload", "homes", "retune"]
 MAX_WINDOW_SECONDS = 12 * 3600.0  # of a freeze window; also how far a deviating wall clock may widen one
 MAX_NAME_BYTES = 64  # what a replicated entry's name may have
@@ -63,7 +65,8 @@
 
 class ContractConfig(_StrictSection, frozen=True):
     """One tenant's contract: ``rate`` calls a second, ``floor`` the fraction of them that is never
-    preempted."""
+    preempted.
+    """
 
     tenant: str
     tier: str
@@ -118,7 +121,8 @@
 
 def load_fleet_config(path: Path, store: str | None = None) -> FleetConfig:
     """Read and check the file; raises FleetConfigError with its path. ``store`` replaces the folder of
-    [disk]."""
+    [disk].
+    """
     try:
         fleet = parse_fleet_config(path.read_bytes())
         if store is None:
--- a/cedarthread/gossip/codec.py
+++ b/cedarthread/gossip/codec.py
@@ -21,7 +21,7 @@
     join_datagram,
     read_record_groups,
 )
-from cedarthread.components.interface import MessageType
+from cedarthread.components.messages import MessageType
 
 MESSAGE_TYPE = MessageType.GOSSIP
 FLAG_REQUEST_FULL_STATE = 1  # the sender has just started and knows nothing of the others
--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -8,23 +8,22 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Iterator
-from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from cedarthread.components.datagram_fields import MAX_DATAGRAM_BYTES, MalformedDatagram
-from cedarthread.components.interface import (
-    MessageType,
-    Notification,
-    OutboundMessage,
-    PeersChanged,
-    SettingsChanged,
-)
+from cedarthread.components.messages import MessageType, OutboundMessage
+from cedarthread.components.notifications import Notification, PeersChanged, SettingsChanged
 from cedarthread.gossip import codec
 from cedarthread.gossip.local_load import LocalLoadTable
 from cedarthread.gossip.peer_views import IN_FLIGHT_EXPIRY_MS, REFRESH_INTERVAL_MS, PeerViews
 from cedarthread.gossip.send_budget import SendBudget
 from cedarthread.model.actions import SendToPeer
-from cedarthread.model.settings import RouterSettings
+from cedarthread.model.instance_load import InstanceLoad
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from cedarthread.model.settings import RouterSettings
 
 MIN_SEND_INTERVAL_MS = 25.0  # between two batches of datagrams, so that several changes share one
 MAX_FANOUT = 4  # peers that one update reaches at most; with more peers, one at random gets each datagram
@@ -32,14 +31,6 @@
 _RNG_SALT = 0x7461_6C6B  # keeps this component's random draws apart from others of the same seed
 
 
-@dataclass(frozen=True, slots=True)
-class InstanceLoad:
-    """One function at one worker, as all routers together see it."""
-
-    in_flight: int  # calls of it, own ones included
-    warm_age_ms: float | None  # since another router found a warm instance there; None: not lately
-
-
 _NO_LOAD = InstanceLoad(0, None)
 
 
--- a/cedarthread/gossip/peer_views.py
+++ b/cedarthread/gossip/peer_views.py
@@ -10,9 +10,10 @@
 import math
 from collections import deque
 from dataclasses import dataclass, field
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
-from cedarthread.gossip import codec
+if TYPE_CHECKING:
+    from cedarthread.gossip import codec
 
 REFRESH_INTERVAL_MS = 1000.0  # after which a router sends an unchanged entry with calls in flight again
 IN_FLIGHT_EXPIRY_MS = 2.5 * REFRESH_INTERVAL_MS  # so that one lost refresh does not expire an entry
--- a/cedarthread/lifecycle/freshness_gate.py
+++ b/cedarthread/lifecycle/freshness_gate.py
@@ -5,12 +5,15 @@
 import asyncio
 import logging
 import math
+from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.dispatcher import Dispatcher
 from cedarthread.dispatch.stall_hold import StallHold
 from cedarthread.logs import format_event
-from cedarthread.protocols.discovery import DiscoveryClient
-from cedarthread.protocols.workers import WorkerConnections
+
+if TYPE_CHECKING:
+    from cedarthread.dispatch.dispatcher import Dispatcher
+    from cedarthread.protocols.discovery.client import DiscoveryClient
+    from cedarthread.protocols.worker.connections import WorkerConnections
 
 log = logging.getLogger(__name__)
 
--- a/cedarthread/lifecycle/listeners.py
+++ b/cedarthread/lifecycle/listeners.py
@@ -1,20 +1,24 @@
 """The listeners that the service can do without: for operators, and for other routers.
 
 Where one of their addresses can't be listened on, calls are served meanwhile and the attempt is repeated: at
-an upgrade the old process still holds the addresses for a while."""
+an upgrade the old process still holds the addresses for a while.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 import socket
+from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.dispatcher import Dispatcher
 from cedarthread.lifecycle.state import LISTEN_RETRY_S, ServiceState
 from cedarthread.logs import format_event
-from cedarthread.protocols.control import ControlServer
 from cedarthread.protocols.peers import PeerTransport
 
+if TYPE_CHECKING:
+    from cedarthread.dispatch.dispatcher import Dispatcher
+    from cedarthread.protocols.control import ControlServer
+
 log = logging.getLogger(__name__)
 
 
@@ -29,7 +33,8 @@
 
     def listen(self) -> None:
         """Listen on the configured address, now or later. ``socket.gaierror`` where its host name is unknown:
-        a repeated lookup would block the event loop each time."""
+        a repeated lookup would block the event loop each time.
+        """
         address = self._state.config.control_address
         if address is None or self._state.shutdown_requested.is_set():
             return
--- a/cedarthread/lifecycle/maintenance.py
+++ b/cedarthread/lifecycle/maintenance.py
@@ -4,17 +4,18 @@
 
 import asyncio
 import logging
-from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.dispatcher import Dispatcher
-from cedarthread.lifecycle.state import ServiceState
 from cedarthread.logs import format_event
-from cedarthread.protocols.platform_server import PlatformServer
-from cedarthread.protocols.workers import WorkerConnections
 
 if TYPE_CHECKING:
-    from cedarthread.protocols.invoke_server import InvokeServer
+    from collections.abc import Callable
+
+    from cedarthread.dispatch.dispatcher import Dispatcher
+    from cedarthread.lifecycle.state import ServiceState
+    from cedarthread.protocols.invoke.server import InvokeServer
+    from cedarthread.protocols.platform.server import PlatformServer
+    from cedarthread.protocols.worker.connections import WorkerConnections
 
 log = logging.getLogger(__name__)
 
--- a/cedarthread/lifecycle/reload.py
+++ b/cedarthread/lifecycle/reload.py
@@ -3,18 +3,19 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
 from dataclasses import dataclass, replace
-from pathlib import Path
 from typing import TYPE_CHECKING
 
 from cedarthread.config import Config, ConfigError
-from cedarthread.lifecycle.listeners import PeerListener
-from cedarthread.lifecycle.state import ServiceParts, ServiceState
 from cedarthread.logs import format_event
 
 if TYPE_CHECKING:
+    from collections.abc import Callable
+    from pathlib import Path
+
     from cedarthread.fleet_config import FleetConfig
+    from cedarthread.lifecycle.listeners import PeerListener
+    from cedarthread.lifecycle.state import ServiceParts, ServiceState
 
 log = logging.getLogger(__name__)
 
--- a/cedarthread/lifecycle/shutdown.py
+++ b/cedarthread/lifecycle/shutdown.py
@@ -1,17 +1,22 @@
 """Graceful shutdown: every call that was accepted gets its result before the process ends.
 
 The platform sends SIGKILL some time after SIGTERM. The bounds below keep the end of the process before it, as
-measured from SIGTERM by the longest deadline of the request classes."""
+measured from SIGTERM by the longest deadline of the request classes.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from cedarthread.lifecycle.state import ServiceParts, ServiceState
 from cedarthread.logs import format_event
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.lifecycle.state import ServiceParts, ServiceState
+
 log = logging.getLogger(__name__)
 
 SHUTDOWN_GRACE_S = 0.75  # after SIGTERM, during which new calls are still accepted
--- a/cedarthread/lifecycle/state.py
+++ b/cedarthread/lifecycle/state.py
@@ -3,21 +3,21 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Coroutine
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from cedarthread.config import Config
-from cedarthread.dispatch.dispatcher import Dispatcher
-from cedarthread.protocols.control import ControlServer
-from cedarthread.protocols.discovery import DiscoveryClient
-from cedarthread.protocols.peers import PeerTransport
-from cedarthread.protocols.platform_server import PlatformServer
-from cedarthread.protocols.workers import WorkerConnections
-
 if TYPE_CHECKING:
+    from collections.abc import Coroutine
+
+    from cedarthread.config import Config
+    from cedarthread.dispatch.dispatcher import Dispatcher
     from cedarthread.persistence.event_loop_store import EventLoopStore
-    from cedarthread.protocols.invoke_server import InvokeServer
+    from cedarthread.protocols.control import ControlServer
+    from cedarthread.protocols.discovery.client import DiscoveryClient
+    from cedarthread.protocols.invoke.server import InvokeServer
+    from cedarthread.protocols.peers import PeerTransport
+    from cedarthread.protocols.platform.server import PlatformServer
+    from cedarthread.protocols.worker.connections import WorkerConnections
 
 LISTEN_RETRY_S = 0.5  # between attempts to listen on an address that another process still holds
 
--- a/cedarthread/lifecycle/status.py
+++ b/cedarthread/lifecycle/status.py
@@ -2,10 +2,14 @@
 
 from __future__ import annotations
 
-from cedarthread.dispatch.dispatcher import Dispatcher
+from typing import TYPE_CHECKING
+
 from cedarthread.dispatch.figures import CLASS_FIGURES
-from cedarthread.lifecycle.state import ServiceState
-from cedarthread.protocols.endpoint_list import EndpointList
+
+if TYPE_CHECKING:
+    from cedarthread.dispatch.dispatcher import Dispatcher
+    from cedarthread.lifecycle.state import ServiceState
+    from cedarthread.protocols.discovery.endpoint_list import EndpointList
 
 
 class StatusReport:
--- a/cedarthread/membership/codec.py
+++ b/cedarthread/membership/codec.py
@@ -21,7 +21,7 @@
     max_records,
     read_records,
 )
-from cedarthread.components.interface import MessageType
+from cedarthread.components.messages import MessageType
 
 MESSAGE_TYPE = MessageType.MEMBERSHIP
 _HEADER = struct.Struct("<BBIHH")
--- a/cedarthread/membership/failure_detector.py
+++ b/cedarthread/membership/failure_detector.py
@@ -9,12 +9,15 @@
 from __future__ import annotations
 
 import math
-import random
 from dataclasses import dataclass
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.membership.codec import MemberStatus, MessageKind
-from cedarthread.membership.member_table import MemberTable
+
+if TYPE_CHECKING:
+    import random
+
+    from cedarthread.membership.member_table import MemberTable
 
 PROBE_INTERVAL_MS = 500.0  # between probes, by SWIM's protocol period
 PROBE_JITTER = (0.8, 1.2)  # of the interval, so that no two routers stay in step
--- a/cedarthread/membership/member_table.py
+++ b/cedarthread/membership/member_table.py
@@ -9,9 +9,12 @@
 
 import math
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from cedarthread.membership.codec import MemberStatus, MemberUpdate
-from cedarthread.membership.dissemination import DisseminationBuffer
+
+if TYPE_CHECKING:
+    from cedarthread.membership.dissemination import DisseminationBuffer
 
 MAX_INCARNATION_STEP = 2**16  # by which an incarnation may rise between two updates: more is taken for a lie
 
--- a/cedarthread/membership/swim.py
+++ b/cedarthread/membership/swim.py
@@ -15,7 +15,8 @@
 import random
 
 from cedarthread.components.datagram_fields import MalformedDatagram
-from cedarthread.components.interface import MessageType, Notification, OutboundMessage, PeersChanged
+from cedarthread.components.messages import MessageType, OutboundMessage
+from cedarthread.components.notifications import Notification, PeersChanged
 from cedarthread.membership import codec
 from cedarthread.membership.codec import MemberStatus, MemberUpdate, MessageKind, SwimMessage
 from cedarthread.membership.dissemination import DisseminationBuffer
--- /dev/null
+++ b/cedarthread/node/__init__.py
@@ -0,0 +1,1 @@
+"""The routing node: hosts the router and the components, and passes events and notifications between them."""
--- a/cedarthread/components/attempt_observer.py
+++ b/cedarthread/node/attempt_observer.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
-from cedarthread.components.component_set import ComponentSet
 from cedarthread.model.actions import Action, StartAttempt
-from cedarthread.model.events import AttemptEnded
 from cedarthread.model.outcomes import Outcome, StartKind
-from cedarthread.routing.router import Router
+
+if TYPE_CHECKING:
+    from cedarthread.model.events import AttemptEnded
+    from cedarthread.node.component_set import ComponentSet
+    from cedarthread.routing.router import Router
 
 # What a start kind says of the worker after the attempt: is an instance of the function loaded there?
 _IS_LOADED_AFTER = {
--- a/cedarthread/components/component_set.py
+++ b/cedarthread/node/component_set.py
@@ -4,15 +4,16 @@
 
 from typing import TYPE_CHECKING
 
-from cedarthread.components.interface import Component, Notification
 from cedarthread.gossip.load_gossip import LoadGossip
 from cedarthread.membership.swim import SwimMembership
-from cedarthread.model.actions import Action
-from cedarthread.model.events import PeerMessageReceived
-from cedarthread.model.settings import RouterSettings
 
 if TYPE_CHECKING:
-    from cedarthread.components.fleet import FleetComponents
+    from cedarthread.components.component import Component
+    from cedarthread.components.notifications import Notification
+    from cedarthread.model.actions import Action
+    from cedarthread.model.events import PeerMessageReceived
+    from cedarthread.model.settings import RouterSettings
+    from cedarthread.node.fleet_components import FleetComponents
 
 
 class ComponentSet:
--- a/cedarthread/components/constraints.py
+++ b/cedarthread/node/constraints.py
@@ -1,23 +1,28 @@
 """What the fleet components tell the router, in the router's own terms.
 
 Contracts say which call goes first; change freezes and restart recovery say which instances may be started
-now. The components answer questions and never act: the router chooses, retries and rejects. Times in ms."""
+now. The components answer questions and never act: the router chooses, retries and rejects. Times in ms.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
+from typing import TYPE_CHECKING
 
-from cedarthread.change_freeze.admission_gate import AdmissionGate
 from cedarthread.change_freeze.placement_changes import PlacementChange
-from cedarthread.components.preemption_view import preemption_candidates, preemption_claim
-from cedarthread.gossip.load_gossip import InstanceLoad
 from cedarthread.model.endpoints import EndpointState
-from cedarthread.priority.component import PriorityComponent
-from cedarthread.recovery.component import RecoveryComponent
-from cedarthread.routing.records import PendingRequest, WorkerRecord
+from cedarthread.node.preemption_view import preemption_candidates, preemption_claim
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence
 
-class RoutingConstraints:
+    from cedarthread.change_freeze.admission_gate import AdmissionGate
+    from cedarthread.model.instance_load import InstanceLoad
+    from cedarthread.priority.component import PriorityComponent
+    from cedarthread.recovery.component import RecoveryComponent
+    from cedarthread.routing.records import PendingRequest, WorkerRecord
+
+
+class FleetConstraints:
     """Priorities, change freeze and restart recovery, as one router asks them."""
 
     def __init__(self, priority: PriorityComponent, gate: AdmissionGate, recovery: RecoveryComponent) -> None:
@@ -41,7 +46,8 @@
         has_alternative: bool,
     ) -> bool:
         """May the request go to the worker? ``is_loaded``: an instance of its function is known there;
-        ``has_alternative``: one is known at another worker that has capacity left."""
+        ``has_alternative``: one is known at another worker that has capacity left.
+        """
         if is_loaded:
             return True
         if has_alternative and not self.recovery.is_in_service():
@@ -61,7 +67,8 @@
         self, now_ms: float, pending: PendingRequest, worker: WorkerRecord, has_alternative: bool
     ) -> bool:
         """May the request start a first instance at the worker? Asked last, just before: a yes may consume
-        one of the freeze's exceptions and one load of the recovery's pace."""
+        one of the freeze's exceptions and one load of the recovery's pace.
+        """
         request, endpoint = pending.request, worker.endpoint
         if self.gate.is_active:
             change = PlacementChange(
@@ -98,7 +105,8 @@
         self, now_ms: float, pending: PendingRequest, value: float, utilization: float, shed_fraction: float
     ) -> float | None:
         """Give a request that arrived its priority; returns with which probability to shed requests like it
-        where ``shed_fraction`` of all must be shed, None: with ``shed_fraction`` as usual."""
+        where ``shed_fraction`` of all must be shed, None: with ``shed_fraction`` as usual.
+        """
         request = pending.request
         tenant = request.caller if request.tenant_index is None else request.tenant_index
         priority = self.priority.on_arrival(now_ms, tenant, value, utilization, request.is_client_retry)
@@ -125,7 +133,8 @@
     ) -> int | None:
         """The id of the request to preempt for this one, which is given the reason; None: there is none.
 
-        ``worker`` and ``expected_ms``: where this one would go, and its service time there."""
+        ``worker`` and ``expected_ms``: where this one would go, and its service time there.
+        """
         if pending.call_priority is None or pending.attempts or worker is None:
             return None
         request_id = self.priority.choose_victim(
--- a/cedarthread/components/escrow_pools.py
+++ b/cedarthread/node/escrow_pools.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
-from cedarthread.escrow.escrow import Escrow
-from cedarthread.replication.store import ReplicatedStore
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from cedarthread.escrow.escrow import Escrow
+    from cedarthread.replication.store import ReplicatedStore
 
 # How long the disks of other routers may take to open: until then an entry that they persisted may still
 # come.
@@ -14,7 +17,8 @@
     """A ``QuotaEscrow`` that tells the escrow whether a consumable pool is new.
 
     A pool whose declaration was first seen in this incarnation was consumed by no earlier incarnation of this
-    router, so nothing is lost of it where the router has no memory of earlier ones."""
+    router, so nothing is lost of it where the router has no memory of earlier ones.
+    """
 
     def __init__(self, escrow: Escrow, store: ReplicatedStore) -> None:
         self.escrow = escrow  # replaced when persisted state has been recovered
@@ -38,7 +42,8 @@
         """Was a pool that is opened for the first time now declared in this incarnation?
 
         A router that has been fresh for a while had every entry in force before. Shortly after a start of all
-        routers, a slow disk may still bring an older entry."""
+        routers, a slow disk may still bring an older entry.
+        """
         since = self._store.fresh_since(self.now_ms)
         if since is None:
             return False
--- a/cedarthread/components/fleet.py
+++ b/cedarthread/node/fleet_components.py
@@ -1,32 +1,22 @@
 """The components that the operators' fleet file switches on, connected to each other.
 
 This module and what it imports are loaded only where a fleet file is named. Where the settings forbid gossip,
-a router acts on its own file alone: as a fleet of one, whose replicated store is always fresh."""
+a router acts on its own file alone: as a fleet of one, whose replicated store is always fresh.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping, Sequence
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.change_freeze import window_entries
 from cedarthread.change_freeze.component import ChangeFreezeComponent
-from cedarthread.components.constraints import RoutingConstraints
-from cedarthread.components.escrow_pools import EscrowPools
-from cedarthread.components.interface import (
-    AttemptCompleted,
-    Component,
-    EntriesChanged,
-    Notification,
-    OutboundMessage,
-    WallClockRead,
-)
+from cedarthread.components.notifications import AttemptCompleted, EntriesChanged, Notification, WallClockRead
 from cedarthread.escrow.escrow import Escrow
-from cedarthread.fleet_config import FleetConfig
 from cedarthread.logs import format_event
 from cedarthread.model.actions import LogMessage
-from cedarthread.model.events import AttemptEnded
 from cedarthread.model.outcomes import Outcome
-from cedarthread.model.settings import RouterSettings
+from cedarthread.node.constraints import FleetConstraints
+from cedarthread.node.escrow_pools import EscrowPools
 from cedarthread.persistence.state_persister import StatePersister
 from cedarthread.priority import contract_entries
 from cedarthread.priority.component import PriorityComponent
@@ -34,6 +24,15 @@
 from cedarthread.replication.entry import RejectedEntry
 from cedarthread.replication.store import ReplicatedStore
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping, Sequence
+
+    from cedarthread.components.component import Component
+    from cedarthread.components.messages import OutboundMessage
+    from cedarthread.fleet_config import FleetConfig
+    from cedarthread.model.events import AttemptEnded
+    from cedarthread.model.settings import RouterSettings
+
 
 class _Identity(NamedTuple):
     """Who this router is to its peers, and on which clock."""
@@ -92,7 +91,7 @@
             has_read_enough_peers=self.store.has_read_enough_peers,
         )
         self.recovery = RecoveryComponent(settings, seed ^ incarnation, now_ms)
-        self.constraints = RoutingConstraints(self.priority, self.change_freeze.gate, self.recovery)
+        self.constraints = FleetConstraints(self.priority, self.change_freeze.gate, self.recovery)
         self.change_freeze.gate.take_release = lambda at: int(self.recovery.admission.try_acquire_release(at))
         self.persister = self._new_persister(now_ms) if fleet_config.disk else None
         self.rejected_entries = 0  # of the fleet file, by the replicated store
@@ -168,7 +167,8 @@
         """Settings that a change freeze deferred and that may be in force now; None where there are none.
 
         Deferred loads and home workers need no such release: the router's own calls want them again. Here
-        they are only removed from the deferred changes, at the pace of the recovery."""
+        they are only removed from the deferred changes, at the pace of the recovery.
+        """
         deferred = self.change_freeze.gate.deferred_settings
         released = self.change_freeze.release_deferred_changes(now_ms)
         return deferred if any(change.kind == "retune" for change in released) else None
--- a/cedarthread/components/preemption_view.py
+++ b/cedarthread/node/preemption_view.py
@@ -2,10 +2,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Mapping
+from typing import TYPE_CHECKING
 
 from cedarthread.priority.preemption import CallStage, PreemptionCandidate, PreemptionClaim
-from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator, Mapping
+
+    from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
 
 MAX_PREEMPTION_CANDIDATES = 256  # pending requests that are considered: the youngest
 # Until a queued request is considered for a worker again: the time after which it would get its slot.
@@ -54,7 +58,8 @@
 
 def _stage(pending: PendingRequest, is_queued: bool, last_in_flight: Attempt | None) -> CallStage:
     """How far a request is. Whether an attempt's bytes have left is not known to the router: it counts as
-    written."""
+    written.
+    """
     if pending.is_streaming:
         return CallStage.STREAMING
     return CallStage.QUEUED if is_queued and last_in_flight is None else CallStage.WRITTEN
--- a/cedarthread/components/node.py
+++ b/cedarthread/node/routing_node.py
@@ -6,25 +6,26 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from cedarthread.components.attempt_observer import AttemptObserver
-from cedarthread.components.component_set import ComponentSet
-from cedarthread.components.interface import SettingsChanged
-from cedarthread.gossip.load_gossip import LoadGossip
+from cedarthread.components.notifications import SettingsChanged
 from cedarthread.logs import format_event
 from cedarthread.membership.codec import MemberStatus
-from cedarthread.membership.swim import SwimMembership
 from cedarthread.model.actions import Action, LogMessage, SetTimer
 from cedarthread.model.endpoints import EndpointUpdate
 from cedarthread.model.events import AttemptEnded, Event, PeerMessageReceived, RequestArrived, TimerFired
-from cedarthread.model.settings import RouterSettings
+from cedarthread.node.attempt_observer import AttemptObserver
+from cedarthread.node.component_set import ComponentSet
 from cedarthread.routing.router import Router
 
 if TYPE_CHECKING:
-    from cedarthread.components.fleet import FleetComponents
+    from collections.abc import Callable
+
     from cedarthread.fleet_config import FleetConfig
+    from cedarthread.gossip.load_gossip import LoadGossip
+    from cedarthread.membership.swim import SwimMembership
+    from cedarthread.model.settings import RouterSettings
+    from cedarthread.node.fleet_components import FleetComponents
 
 COMPONENT_TIMER_TOKEN = 2**32 - 1  # of the timer for the components; the router's tokens stay below 2^31
 TICK_PERIOD_MS = 250.0  # between ticks of the components
@@ -103,7 +104,7 @@
     def _create_fleet_components(
         self, now_ms: float, fleet_config: FleetConfig, wall_clock_ms: Callable[[], float]
     ) -> None:
-        from cedarthread.components.fleet import FleetComponents  # with its libraries: only where needed
+        from cedarthread.node.fleet_components import FleetComponents  # with its libraries: only where needed
 
         incarnation = self.seed if self.incarnation is None else self.incarnation
         fleet = FleetComponents(
--- a/cedarthread/persistence/checksums.py
+++ b/cedarthread/persistence/checksums.py
@@ -7,9 +7,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Sequence
 from hashlib import blake2b
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Sequence
 
 CHECKSUM_BYTES = 16
 CHECKSUM_MODULUS = 1 << 8 * CHECKSUM_BYTES
--- a/cedarthread/persistence/event_loop_store.py
+++ b/cedarthread/persistence/event_loop_store.py
@@ -4,17 +4,21 @@
 
 import asyncio
 import logging
-from collections.abc import Callable
 from functools import partial
 from pathlib import Path
+from typing import TYPE_CHECKING
 
-from cedarthread.fleet_config import DiskConfig
 from cedarthread.model.actions import LogMessage
 from cedarthread.persistence import recovered_image
 from cedarthread.persistence.state_persister import RESET_WRITE, PendingWrite, StatePersister
-from cedarthread.persistence.store import LoadResult, StoreFault
 from cedarthread.persistence.store_thread import open_store
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.fleet_config import DiskConfig
+    from cedarthread.persistence.store import LoadResult, StoreFault
+
 log = logging.getLogger(__name__)
 
 
--- a/cedarthread/persistence/fault_switch.py
+++ b/cedarthread/persistence/fault_switch.py
@@ -6,8 +6,10 @@
 import struct
 from dataclasses import dataclass
 from enum import IntEnum
-from pathlib import Path
-from typing import NamedTuple, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
+
+if TYPE_CHECKING:
+    from pathlib import Path
 
 CONTROL_FILE_BYTES = 64
 _CONTROL_FORMAT = struct.Struct("<B7xd")
--- a/cedarthread/persistence/faulty_disk.py
+++ b/cedarthread/persistence/faulty_disk.py
@@ -9,16 +9,18 @@
 
 import random
 import time
-from collections.abc import Callable
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any, cast
+from typing import TYPE_CHECKING, Any, cast
 
 import apsw
 
 from cedarthread.persistence.fault_switch import FaultSwitch, FileSwitch, InjectedFault
 from cedarthread.persistence.power_cut import SECTOR_BYTES, DiskOperation, apply_operation
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 VFS_NAME = "lying"
 BASE_VFS = "unix"
 """The layer beneath."""
@@ -211,7 +213,7 @@
 def _io_error(extended_result: int) -> apsw.IOError:
     error: Any = apsw.IOError("input or output failed")
     error.extendedresult = extended_result
-    return cast(apsw.IOError, error)
+    return cast("apsw.IOError", error)
 
 
 def flip_bit(data: bytes, bit: int) -> bytes:
@@ -228,7 +230,8 @@
 def install(control: Path, seed: int = 0) -> str:
     """Put a faulty disk beneath every database of this process; the name of the VFS.
 
-    ``control``: the control file, which is made where there is none; see ``fault_switch.set_fault``."""
+    ``control``: the control file, which is made where there is none; see ``fault_switch.set_fault``.
+    """
     switch = FileSwitch(control)
 
     def wait(ms: float) -> None:
--- a/cedarthread/persistence/memory_store.py
+++ b/cedarthread/persistence/memory_store.py
@@ -2,10 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from typing import TYPE_CHECKING
 
 from cedarthread.persistence.store import KeyValueWrite, LoadResult, StoreFault
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
 
 class MemoryBackend:
     """Keeps its content for as long as the object lives, and has no faults."""
--- a/cedarthread/persistence/power_cut.py
+++ b/cedarthread/persistence/power_cut.py
@@ -2,9 +2,12 @@
 
 from __future__ import annotations
 
-import random
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import random
 
 SECTOR_BYTES = 512
 SECTOR_SURVIVAL = 0.5  # probability that a sector of a torn write is on the disk
--- a/cedarthread/persistence/recovered_image.py
+++ b/cedarthread/persistence/recovered_image.py
@@ -13,15 +13,18 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
 from enum import Enum
-from typing import Annotated, TypeVar
+from typing import TYPE_CHECKING, Annotated, TypeVar
 
 import msgspec
 from msgspec import Meta
 
-from cedarthread.components.interface import Entry, EntryKind, Version
-from cedarthread.persistence.store import LoadResult
+from cedarthread.components.replicated_state import Entry, EntryKind, Version
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Mapping
+
+    from cedarthread.persistence.store import LoadResult
 
 INCARNATION_KEY = "life"
 ENTRY_KEY_PREFIX = "entry"
@@ -42,7 +45,8 @@
 class RouterIncarnation(_Record, frozen=True):
     """The incarnation of the router that wrote the store.
 
-    ``is_voter``: it had all that it had ever confirmed (docs/design/register.md, 6)."""
+    ``is_voter``: it had all that it had ever confirmed (docs/design/register.md, 6).
+    """
 
     router_index: NonNegativeInt63
     process_incarnation: Uint64
@@ -142,7 +146,8 @@
 
     ``peer_generations``: the generations of this router's store that peers remember. They are told a
     generation only after its write was acknowledged, so a lower one on the disk shows that the disk
-    returned stale content. Where no peer remembers any, nothing speaks against the disk."""
+    returned stale content. Where no peer remembers any, nothing speaks against the disk.
+    """
     if loaded.generation < max(peer_generations, default=0):
         return ContentVerdict.REJECTED
     return ContentVerdict.TRUSTED if loaded.fault is None else ContentVerdict.PARTIAL
--- a/cedarthread/persistence/reopen_policy.py
+++ b/cedarthread/persistence/reopen_policy.py
@@ -42,7 +42,8 @@
 class ReopenPolicy:
     """The policy of one store.
 
-    Its event methods return the line to log, or None where nothing changed for whoever reads the log."""
+    Its event methods return the line to log, or None where nothing changed for whoever reads the log.
+    """
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed ^ RNG_SALT)
--- a/cedarthread/persistence/sqlite_database.py
+++ b/cedarthread/persistence/sqlite_database.py
@@ -8,18 +8,21 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Iterator, Mapping, Sequence
 from contextlib import contextmanager
 from dataclasses import dataclass, field
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import apsw
 
 from cedarthread.errors import CedarthreadError
 from cedarthread.logs import format_event
 from cedarthread.persistence import checksums, database_folder
-from cedarthread.persistence.store import KeyValueWrite, SyncMode
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator, Mapping, Sequence
+    from pathlib import Path
+
+    from cedarthread.persistence.store import KeyValueWrite, SyncMode
 
 log = logging.getLogger(__name__)
 
@@ -119,7 +122,8 @@
         """Apply writes to ``contents`` and, in one transaction, to the file.
 
         ``contents``: those of the file, with the generation that is to be written; with ``clear``, the file's
-        rows are all deleted first, and ``contents`` is empty."""
+        rows are all deleted first, and ``contents`` is empty.
+        """
         with self.transaction():
             self.execute(_SCHEMA)
             if clear:
--- a/cedarthread/persistence/sqlite_store.py
+++ b/cedarthread/persistence/sqlite_store.py
@@ -8,8 +8,7 @@
 from __future__ import annotations
 
 import errno
-from collections.abc import Mapping, Sequence
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import apsw
 
@@ -17,6 +16,10 @@
 from cedarthread.persistence.sqlite_database import DatabaseCorruptedError, SqliteDatabase, StoreContents
 from cedarthread.persistence.store import KeyValueWrite, LoadResult, StoreFault, SyncMode
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence
+    from pathlib import Path
+
 
 class SqliteBackend:
     """Keys and values in a database file of a folder, which must exist.
--- a/cedarthread/persistence/state_persister.py
+++ b/cedarthread/persistence/state_persister.py
@@ -7,19 +7,24 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
+from typing import TYPE_CHECKING
 
-from cedarthread.components.interface import Entry, OutboundMessage, ReplicatedEntry
-from cedarthread.escrow.escrow import Escrow
 from cedarthread.logs import format_event
 from cedarthread.model.actions import LogMessage
 from cedarthread.persistence import recovered_image
 from cedarthread.persistence.recovered_image import ContentVerdict, RecoveredImage, RouterIncarnation
-from cedarthread.persistence.store import LoadResult, StoreFault
-from cedarthread.recovery.component import RecoveryComponent
-from cedarthread.replication.store import ReplicatedStore
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.components.messages import OutboundMessage
+    from cedarthread.components.replicated_state import Entry, ReplicatedEntry
+    from cedarthread.escrow.escrow import Escrow
+    from cedarthread.persistence.store import LoadResult, StoreFault
+    from cedarthread.recovery.component import RecoveryComponent
+    from cedarthread.replication.store import ReplicatedStore
 
 MIN_PEER_REPORTS = 3
 """Peers that say what they remember before the store is believed."""
@@ -213,7 +218,8 @@
     def _enter_degraded_mode(self, now_ms: float) -> None:
         """Go on without the disk. The next restart must find its content stale, for it lacks what comes now.
 
-        So peers are told a generation that the disk has not reached."""
+        So peers are told a generation that the disk has not reached.
+        """
         self.is_degraded = True
         self.replicated_store.set_durable(False)
         self.replicated_store.store_generation += 1
--- a/cedarthread/persistence/store.py
+++ b/cedarthread/persistence/store.py
@@ -92,7 +92,8 @@
     ) -> StoreFault | None:
         """Make all writes durable, or say what is wrong.
 
-        With ``above_generation`` all content is dropped first, and the generation goes above it."""
+        With ``above_generation`` all content is dropped first, and the generation goes above it.
+        """
 
     def close(self) -> None:
         """Release the folder."""
--- a/cedarthread/persistence/store_thread.py
+++ b/cedarthread/persistence/store_thread.py
@@ -18,11 +18,10 @@
 import logging
 import threading
 from collections import deque
-from collections.abc import Callable
 from contextlib import suppress
 from dataclasses import dataclass
 from functools import partial
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 from cedarthread.logs import format_event
 from cedarthread.persistence.reopen_policy import ReopenPolicy
@@ -30,6 +29,10 @@
 from cedarthread.persistence.store import LoadResult, StorageBackend, StoreFault, SyncMode, WriteCallback
 from cedarthread.persistence.write_queue import WriteBatch, WriteQueue
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from pathlib import Path
+
 logger = logging.getLogger(__name__)
 
 RESPONSE_TIMEOUT_MS = 2000.0
@@ -133,7 +136,8 @@
         """Write a value, or delete the key with None. A pending write of the key is replaced.
 
         While the disk is UNRESPONSIVE the callback is told so at once, and the write is still pending, so
-        that the newest value is written once the disk answers."""
+        that the newest value is written once the disk answers.
+        """
         fault = self._blocking_fault()
         if fault in (None, StoreFault.UNRESPONSIVE):
             with self._condition:
@@ -310,7 +314,8 @@
 ) -> StoreThread:
     """The SQLite store of a folder, on a thread; returns at once, whatever the disk does.
 
-    ``vfs``: see ``SqliteBackend``; the other arguments: see ``StoreThread``."""
+    ``vfs``: see ``SqliteBackend``; the other arguments: see ``StoreThread``.
+    """
     return StoreThread(
         SqliteBackend(folder, sync_mode, vfs),
         sync_mode=sync_mode,
--- a/cedarthread/persistence/synchronous_store.py
+++ b/cedarthread/persistence/synchronous_store.py
@@ -2,15 +2,18 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-
-from cedarthread.persistence.store import (
-    KeyValueWrite,
-    LoadResult,
-    StorageBackend,
-    StoreFault,
-    WriteCallback,
-)
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from cedarthread.persistence.store import (
+        KeyValueWrite,
+        LoadResult,
+        StorageBackend,
+        StoreFault,
+        WriteCallback,
+    )
 
 
 class SynchronousStore:
--- a/cedarthread/persistence/write_queue.py
+++ b/cedarthread/persistence/write_queue.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from cedarthread.persistence.store import WriteCallback
+if TYPE_CHECKING:
+    from cedarthread.persistence.store import WriteCallback
 
 MAX_PENDING_WRITES = 10_000
 """Keys, and callbacks, that may wait at once."""
--- a/cedarthread/priority/body_history.py
+++ b/cedarthread/priority/body_history.py
@@ -7,14 +7,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Generic
+from typing import TYPE_CHECKING, Generic
 
 from cedarthread.components.datagram_fields import MalformedDatagram
-from cedarthread.components.interface import Entry, EntryKind, ReplicatedEntry, ReplicatedState
 from cedarthread.priority.contract_entries import BodyT
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.components.replicated_state import Entry, EntryKind, ReplicatedEntry, ReplicatedState
+
 MAX_PENDING_BODIES = 8  # versions of one entry that may be in effect at once; with more it counts as unknown
 
 
@@ -63,7 +66,8 @@
         """Whether the certain body is the only one that may be in effect; ask after ``effective_bodies``.
 
         Not while anything is pending: the pending version may have replaced one that other routers act on, of
-        which its author need not have known (docs/design/tiers.md, step 5)."""
+        which its author need not have known (docs/design/tiers.md, step 5).
+        """
         return self.certain_body is not None and not self.pending
 
 
--- a/cedarthread/priority/call_priority.py
+++ b/cedarthread/priority/call_priority.py
@@ -13,39 +13,12 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from cedarthread.priority.contract_entries import MAX_TIERS
-from cedarthread.priority.contracts import EffectiveContract
+from cedarthread.model.call_priority import LOWEST_PRIORITY, OVER_QUOTA_OFFSET, CallPriority
 
-OVER_QUOTA_OFFSET = MAX_TIERS + 1  # added to the tier's index for a call over quota
-LOWEST_PRIORITY = OVER_QUOTA_OFFSET + MAX_TIERS
-
-
-@dataclass(frozen=True, slots=True)
-class CallPriority:
-    """The position of one call in the table, 0 is the highest priority.
-
-    ``worst_position`` counts where it preempts, ``best_position`` where it may be preempted, ``position``
-    where it may be rejected: the worst that the versions known here give."""
-
-    best_position: int
-    worst_position: int
-    position: int = LOWEST_PRIORITY
-    tenant_name: str | None = None
-    is_within_quota: bool = False
-
-    def outranks(self, other: CallPriority) -> bool:
-        """Whether it goes before the other by every version that may be in effect at a router."""
-        return self.worst_position < other.best_position
-
-    def is_highest(self) -> bool:
-        """Whether it is of the first tier and within quota, by all that is known."""
-        return self.position == 0
-
-
-# Of a call while no tiers are in effect: it preempts no call and no call preempts it.
-NO_PRIORITY = CallPriority(0, LOWEST_PRIORITY)
+if TYPE_CHECKING:
+    from cedarthread.priority.contracts import EffectiveContract
 
 
 def assign_priority(
@@ -64,5 +37,6 @@
     """The sort key of the calls that may be preempted; the least goes first.
 
     The lowest priority, then the least weight, then the latest arrival, which has waited and cost least; the
-    request's id makes the order total."""
+    request's id makes the order total.
+    """
     return (-priority.best_position, priority_weight, -arrived_at_ms, request_id)
--- a/cedarthread/priority/codec.py
+++ b/cedarthread/priority/codec.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from cedarthread.components.datagram_fields import MAX_DATAGRAM_BYTES, MalformedDatagram
-from cedarthread.components.interface import MessageType
+from cedarthread.components.messages import MessageType
 
 _ENTRY_FORMAT = struct.Struct("<HBBB")
 ENTRY_BYTES = _ENTRY_FORMAT.size
--- a/cedarthread/priority/component.py
+++ b/cedarthread/priority/component.py
@@ -8,25 +8,22 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Iterable, Mapping, Sequence
 from enum import StrEnum
+from typing import TYPE_CHECKING
 
-from cedarthread.components.interface import (
+from cedarthread.components.messages import MessageType, OutboundMessage
+from cedarthread.components.notifications import (
     AttemptCompleted,
     EntriesChanged,
-    MessageType,
     Notification,
-    OutboundMessage,
     PeersChanged,
-    QuotaEscrow,
-    ReplicatedState,
     SettingsChanged,
 )
 from cedarthread.logs import format_event
 from cedarthread.model.actions import LogMessage, SendToPeer
+from cedarthread.model.call_priority import NO_PRIORITY, CallPriority
 from cedarthread.model.outcomes import Outcome
-from cedarthread.model.settings import RouterSettings
-from cedarthread.priority.call_priority import NO_PRIORITY, CallPriority, assign_priority
+from cedarthread.priority.call_priority import assign_priority
 from cedarthread.priority.contracts import EffectiveContracts
 from cedarthread.priority.load_pressure import LoadPressureEstimator
 from cedarthread.priority.load_shedding import SheddingOrder, SheddingScore, shedding_score
@@ -43,6 +40,13 @@
 from cedarthread.priority.usage import TenantUsage
 from cedarthread.statistics import DecayingCounter
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Mapping, Sequence
+
+    from cedarthread.components.quota_escrow import QuotaEscrow
+    from cedarthread.components.replicated_state import ReplicatedState
+    from cedarthread.model.settings import RouterSettings
+
 SHEDDING_LEVEL = 1  # overload level from which load shedding is weighted by priority
 PREEMPT_QUEUED_LEVEL = 2  # from which queued calls are preempted
 PREEMPT_RUNNING_LEVEL = 3  # from which running calls are preempted too
@@ -151,7 +155,8 @@
         """A call came: its priority.
 
         ``tenant``: its index in the settings or its caller's name; ``value``: of the call for its time;
-        ``utilization``: the wait that calls must expect over the one at which overload begins."""
+        ``utilization``: the wait that calls must expect over the one at which overload begins.
+        """
         if not is_client_retry:  # rejected calls come again: they would make the pressure grow by itself
             self.pressure_estimator.record_arrival(now_ms, utilization)
         if self.contracts.overload_parameters is None:
@@ -181,7 +186,8 @@
 
         None: priorities don't matter now. ``shed_probability`` is the overload estimator's for the
         strictest latency objective, whatever this call's own is, and is also to be told when it is 0. Value
-        and priority are weighed here."""
+        and priority are weighed here.
+        """
         shed_probability = self.shedding_order.smooth(now_ms, shed_probability)
         if self.overload_level(now_ms) < SHEDDING_LEVEL:
             return None
--- a/cedarthread/priority/contract_entries.py
+++ b/cedarthread/priority/contract_entries.py
@@ -7,15 +7,17 @@
 
 from __future__ import annotations
 
-from typing import TypeVar
+from typing import TYPE_CHECKING, TypeVar
 
 import msgspec
 
 from cedarthread.components.datagram_fields import MalformedDatagram
-from cedarthread.components.interface import Entry, EntryKind
-from cedarthread.fleet_config import FleetConfig
+from cedarthread.components.replicated_state import Entry, EntryKind
+from cedarthread.model.call_priority import MAX_TIERS
+
+if TYPE_CHECKING:
+    from cedarthread.fleet_config import FleetConfig
 
-MAX_TIERS = 63  # a tier index and its over-quota offset fit in 7 bits (``call_priority``)
 TIER_ORDER_NAME = "order"  # the name of the one entry of EntryKind.TIERS
 FIXED_POINT_SCALE = 1000  # units to one: 1/1000 call per second, 1/1000 of capacity, ms to a second
 MAX_RATE_MILLI_PER_SECOND = 10**9  # a million calls per second: more than any fleet serves
@@ -52,7 +54,8 @@
 def entries_from_config(fleet: FleetConfig) -> list[tuple[EntryKind, str, bytes]]:
     """Kind, name and body of each entry that a checked file declares.
 
-    A file without tiers declares nothing about them: it does not end anybody's contract."""
+    A file without tiers declares nothing about them: it does not end anybody's contract.
+    """
     if not fleet.tier:
         return []
     overload = fleet.overload
--- a/cedarthread/priority/contracts.py
+++ b/cedarthread/priority/contracts.py
@@ -7,14 +7,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from cedarthread.components.interface import EntryKind, ReplicatedState
+from cedarthread.components.replicated_state import EntryKind, ReplicatedState
+from cedarthread.model.call_priority import MAX_TIERS
 from cedarthread.priority.body_history import HistoriesByName
 from cedarthread.priority.contract_entries import (
     FIXED_POINT_SCALE,
-    MAX_TIERS,
     TIER_ORDER_NAME,
     ContractTerms,
     TierOrder,
@@ -22,6 +22,9 @@
     decode_tier_order,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 
 @dataclass(frozen=True, slots=True)
 class EffectiveContract:
--- a/cedarthread/priority/load_pressure.py
+++ b/cedarthread/priority/load_pressure.py
@@ -20,7 +20,8 @@
 
     The first factor shows how much more is offered than is served, whether a router rejects or lets all
     calls wait; failing workers raise it too. The wait does not show how much, but failing workers do not
-    raise it."""
+    raise it.
+    """
 
     def __init__(self) -> None:
         self.arrivals = DecayingCounter(PRESSURE_TIME_CONSTANT_MS)
--- a/cedarthread/priority/load_shedding.py
+++ b/cedarthread/priority/load_shedding.py
@@ -13,7 +13,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from cedarthread.priority.call_priority import OVER_QUOTA_OFFSET, CallPriority
+from cedarthread.model.call_priority import OVER_QUOTA_OFFSET, CallPriority
 
 SAMPLE_CALLS = 400  # recent calls from which the distribution of scores is known
 RESORT_INTERVAL_CALLS = 40  # after which the sample is sorted anew
--- a/cedarthread/priority/overload_level.py
+++ b/cedarthread/priority/overload_level.py
@@ -12,8 +12,10 @@
 from __future__ import annotations
 
 import math
+from typing import TYPE_CHECKING
 
-from cedarthread.priority.contracts import OverloadParameters
+if TYPE_CHECKING:
+    from cedarthread.priority.contracts import OverloadParameters
 
 LEVEL_MULTIPLES = (1.0, 1.2, 1.4)  # times the onset at which levels 1 to 3 begin
 
@@ -22,7 +24,8 @@
     """Moves one level at a time, after the pressure has asked for it during the whole dwell time.
 
     Up: the pressure is at or over the next level's beginning. Down: it is under this level's beginning times
-    ``release / onset``. Where the pressure is not known, the level is 0 at once."""
+    ``release / onset``. Where the pressure is not known, the level is 0 at once.
+    """
 
     def __init__(self) -> None:
         self.level = 0
--- a/cedarthread/priority/preemption.py
+++ b/cedarthread/priority/preemption.py
@@ -7,12 +7,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import TYPE_CHECKING
 
 from cedarthread.model.settings import DeduplicationScope, Idempotency
-from cedarthread.priority.call_priority import CallPriority, preemption_key
+from cedarthread.priority.call_priority import preemption_key
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Mapping
+
+    from cedarthread.model.call_priority import CallPriority
 
 CANCELLATION_DELAY_MS = 10.0  # for a cancellation to reach a worker and free its concurrency slot
 MAX_COMPLETED_SHARE = (
@@ -74,7 +79,8 @@
     """Whether the call may be rejected with the promise that a retry does no harm.
 
     A written call may have run: it must be idempotent, or have an idempotency key that all workers know until
-    its client has come back. One that must not run twice is never safe once a byte of it has been written."""
+    its client has come back. One that must not run twice is never safe once a byte of it has been written.
+    """
     if candidate.stage is CallStage.STREAMING:
         return False
     if candidate.stage is not CallStage.WRITTEN or candidate.idempotency is Idempotency.IDEMPOTENT:
--- a/cedarthread/priority/preemption_budget.py
+++ b/cedarthread/priority/preemption_budget.py
@@ -3,14 +3,18 @@
 from __future__ import annotations
 
 import math
-import random
+from typing import TYPE_CHECKING
 
-from cedarthread.components.interface import QuotaEscrow
 from cedarthread.priority.contract_entries import FIXED_POINT_SCALE
-from cedarthread.priority.contracts import OverloadParameters
 from cedarthread.priority.usage import QuotaBucket
 from cedarthread.statistics import DecayingCounter
 
+if TYPE_CHECKING:
+    import random
+
+    from cedarthread.components.quota_escrow import QuotaEscrow
+    from cedarthread.priority.contracts import OverloadParameters
+
 PREEMPTION_POOL = "preempts"  # the escrow pool of the preemptions that the fleet may make per second
 MAX_WASTED_SHARE = 0.02  # of the completed work that preemption may throw away
 BUDGET_WINDOW_MS = 10_000.0  # time constant of that share and of the demand for preemptions
--- a/cedarthread/priority/pressure_gossip.py
+++ b/cedarthread/priority/pressure_gossip.py
@@ -6,13 +6,16 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from cedarthread.components.datagram_fields import MalformedDatagram
 from cedarthread.priority import codec
 from cedarthread.priority.codec import RouterPressure
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 MAX_REPORT_AGE_MS = 8000.0  # after which a report counts no more
 MAX_FORWARDED_AGE_MS = MAX_REPORT_AGE_MS / 2  # an older one would expire before it has spread
 GOSSIP_INTERVAL_MS = 500.0
@@ -80,7 +83,8 @@
         """The own report first, then the latest ones, so that each spreads while it counts.
 
         Measured with 200 routers at a loss of 0.2: with others at random instead, one router had 72 of them
-        within 6 s, not 106."""
+        within 6 s, not 106.
+        """
         others = (
             (now_ms - report.measured_at_ms, router_index)
             for router_index, report in self.reports.items()
@@ -99,7 +103,8 @@
     def fleet_pressure(self, now_ms: float) -> float | None:
         """The pressure that more than half of the fleet is under, by calls and by number: the lesser of both.
 
-        None: reports of too few routers are here to know it; so a partitioned router sees no overload."""
+        None: reports of too few routers are here to know it; so a partitioned router sees no overload.
+        """
         alive = {self.router_index, *self.alive_peers}
         recent = [
             report
--- a/cedarthread/priority/usage.py
+++ b/cedarthread/priority/usage.py
@@ -8,14 +8,18 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
-from cedarthread.components.interface import QuotaEscrow
 from cedarthread.priority.contract_entries import FIXED_POINT_SCALE
-from cedarthread.priority.contracts import EffectiveContract
 from cedarthread.statistics import DecayingCounter
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from cedarthread.components.quota_escrow import QuotaEscrow
+    from cedarthread.priority.contracts import EffectiveContract
+
 BUCKET_DEPTH_MS = 1000.0  # of its rate that a bucket holds at most
 DEMAND_TIME_CONSTANT_MS = 3000.0
 DEMAND_HEADROOM = 1.25  # times its demand that a router requests: growth must not wait for a grant each time
@@ -41,7 +45,8 @@
     def refill(self, now_ms: float, rate_milli_per_second: int) -> None:
         """Add the tokens since the last refill, by the lower of the rates at both ends.
 
-        An amount may have been given away just after the last refill, or have come just before this one."""
+        An amount may have been given away just after the last refill, or have come just before this one.
+        """
         if self.filled_at_ms is not None and now_ms > self.filled_at_ms:
             rate = min(rate_milli_per_second, self.rate_milli_per_second) / FIXED_POINT_SCALE
             self.tokens += rate * (now_ms - self.filled_at_ms) / MS_PER_SECOND
@@ -85,7 +90,8 @@
         """Count a call of a tenant; whether it is within quota.
 
         A client's retry is no new call for the floor: else each preempted call would make room for
-        another."""
+        another.
+        """
         counters = self.tenants.get(tenant_name)
         if counters is None:
             counters = self.tenants[tenant_name] = _TenantCounters()
@@ -107,7 +113,8 @@
     def can_reject(self, now_ms: float, tenant_name: str | None, floor_permille: int) -> bool:
         """Whether with one call less the tenant is still at its floor, a part of its calls within quota.
 
-        Each router holds the floor of the calls that came to it, so the fleet holds it of all calls."""
+        Each router holds the floor of the calls that came to it, so the fleet holds it of all calls.
+        """
         counters = self.tenants.get(tenant_name) if tenant_name is not None else None
         if counters is None or floor_permille <= 0:
             return True
--- a/cedarthread/protocols/control.py
+++ b/cedarthread/protocols/control.py
@@ -1,17 +1,21 @@
 """The operators' address: one command line a connection, one reply whose first line begins with YES or NO.
 
-It reports only; the service passes in the commands and what answers them."""
+It reports only; the service passes in the commands and what answers them.
+"""
 
 from __future__ import annotations
 
-import asyncio
 from collections.abc import Callable, Mapping
-from typing import TypeAlias
+from typing import TYPE_CHECKING, TypeAlias
 
 from cedarthread.transport.acceptor import Acceptor, create_listener
 from cedarthread.transport.connection import BufferedConnection
 from cedarthread.transport.descriptor_budget import MAX_OPERATOR_CONNECTIONS, SMALL_ACCEPTS_PER_PASS
-from cedarthread.transport.flusher import Flusher
+
+if TYPE_CHECKING:
+    import asyncio
+
+    from cedarthread.transport.flusher import Flusher
 
 MAX_LINE_BYTES = 256  # the end of the line included
 LINE_TIMEOUT_S = 1.0  # that a connection has to send its complete line
@@ -107,7 +111,8 @@
 
     def register(self, connection: ControlConnection) -> bool:
         """Count a connection in, once. At the bound the oldest is closed for it: a flood of idle connections
-        costs only its own."""
+        costs only its own.
+        """
         if connection in self.connections:
             return True
         if len(self.connections) >= self.max_connections:
--- a/cedarthread/protocols/discovery.py
+++ b/cedarthread/protocols/discovery/client.py
@@ -6,17 +6,24 @@
 import logging
 import math
 import random
-from collections.abc import Callable
-from typing import cast
+from typing import TYPE_CHECKING, cast
 
 from cedarthread.logs import format_event
 from cedarthread.protocols import dns
-from cedarthread.protocols.endpoint_list import EndpointRecord
-from cedarthread.protocols.endpoint_records import PartialList, endpoints_from_reply, partial_list
-from cedarthread.protocols.list_acceptance import ListAcceptance, ListVerdict
-from cedarthread.protocols.query_tracker import DEFAULT_DRAIN_GRACE_S, MAX_POLL_INTERVAL_S, QueryTracker
+from cedarthread.protocols.discovery.endpoint_records import PartialList, endpoints_from_reply, partial_list
+from cedarthread.protocols.discovery.list_acceptance import ListAcceptance, ListVerdict
+from cedarthread.protocols.discovery.query_tracker import (
+    DEFAULT_DRAIN_GRACE_S,
+    MAX_POLL_INTERVAL_S,
+    QueryTracker,
+)
 from cedarthread.transport.descriptor_budget import EXHAUSTION_ERRNOS
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
+
 log = logging.getLogger(__name__)
 
 SERVICE_NAME = "_back._tcp.pool.lan"
@@ -34,7 +41,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The socket is open (asyncio)."""
-        self._transport = cast(asyncio.DatagramTransport, transport)
+        self._transport = cast("asyncio.DatagramTransport", transport)
         self._client.connection_made(self._transport)
 
     def datagram_received(self, data: bytes, addr: object) -> None:
@@ -58,7 +65,8 @@
     ``on_update`` gets both; ``on_poll`` is called with each query, when the process is awake anyway;
     ``release_descriptor`` frees a descriptor where none is left, and says whether it has;
     ``on_partial_list`` gets what an unusable reply still tells of drains; ``on_fresh`` is called when a reply
-    shows that the list is up to date."""
+    shows that the list is up to date.
+    """
 
     def __init__(
         self,
@@ -107,7 +115,8 @@
         """Poll at this address as soon as it can be reached, and at the one before until this one replies.
 
         So neither the start of the process nor a reload waits for discovery, or fails by it, and no reply
-        that is under way is lost."""
+        that is under way is lost.
+        """
         self._cancel_connecting()
         self._address = (host, port)
         self._connect_task = self._loop.create_task(self._connect_until_up(host, port))
@@ -137,7 +146,7 @@
             self._previous_transport = self._transport
         else:  # it never replied: the one before it is worth more
             _close(self._transport)
-        self._transport, self._has_transport_replied = cast(asyncio.DatagramTransport, transport), False
+        self._transport, self._has_transport_replied = cast("asyncio.DatagramTransport", transport), False
         self.queries.restart_retries(self._loop.time())
         self._poll()
 
--- a/cedarthread/protocols/endpoint_list.py
+++ b/cedarthread/protocols/discovery/endpoint_list.py
@@ -6,15 +6,18 @@
 import math
 import re
 import zlib
-from collections.abc import Callable
 from dataclasses import dataclass, replace
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from cedarthread.logs import format_event
 from cedarthread.model.endpoints import Endpoint, EndpointState, EndpointUpdate, EndpointUpdateKind
-from cedarthread.model.settings import RouterSettings
 from cedarthread.number_checks import positive_or_none
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.model.settings import RouterSettings
+
 log = logging.getLogger(__name__)
 
 MAX_PORT = 65535
@@ -86,7 +89,8 @@
     ) -> EndpointUpdate | None:
         """Apply a reported list, of all workers or of those that changed.
 
-        Returns the event for the dispatcher, None if the version is not newer."""
+        Returns the event for the dispatcher, None if the version is not newer.
+        """
         if version < self.version or (version == self.version and not self._has_demotions):
             return None  # the reply was overtaken by a later one
         is_first = self.version < 0
@@ -110,7 +114,8 @@
     def replace_all(self, version: int, records: list[EndpointRecord]) -> EndpointUpdate | None:
         """Apply a complete list whatever version this one has: another numbering may be in force.
 
-        Returns the event for the dispatcher, None where there is nothing new in it."""
+        Returns the event for the dispatcher, None where there is nothing new in it.
+        """
         previous = self.version
         if 0 <= version <= previous:
             self.version, self._has_demotions = version, True
@@ -120,7 +125,8 @@
     def demote(self, is_demoted: Callable[[str], bool]) -> EndpointUpdate | None:
         """List the ready workers of these names as draining, until the next complete list.
 
-        Returns the event for the dispatcher, None if there are none."""
+        Returns the event for the dispatcher, None if there are none.
+        """
         demoted = [
             replace(record, state=EndpointState.DRAINING)
             for record in self.records.values()
--- a/cedarthread/protocols/endpoint_records.py
+++ b/cedarthread/protocols/discovery/endpoint_records.py
@@ -4,10 +4,13 @@
 
 import math
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from cedarthread.model.endpoints import EndpointState
-from cedarthread.protocols import dns
-from cedarthread.protocols.endpoint_list import EndpointRecord
+from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
+
+if TYPE_CHECKING:
+    from cedarthread.protocols import dns
 
 SRV_WEIGHT_SCALE = 10  # SRV weights are whole numbers: tenths of an endpoint's weight
 READY_PRIORITY = 0  # of an SRV record; any other one stands for a drain
@@ -36,7 +39,8 @@
 def partial_list(reply: dns.Reply, last_serial: int, *, is_answer_complete: bool) -> PartialList:
     """What the service records of a reply tell, though others are missing or wrong.
 
-    That a worker is not listed counts only where the reply's serial is not below ``last_serial``."""
+    That a worker is not listed counts only where the reply's serial is not below ``last_serial``.
+    """
     draining = [service for service in reply.srv_records if service.priority != READY_PRIORITY]
     listed = frozenset(map(_name_of, reply.srv_records))
     is_old = reply.serial is None or reply.serial < last_serial
--- a/cedarthread/protocols/list_acceptance.py
+++ b/cedarthread/protocols/discovery/list_acceptance.py
@@ -9,8 +9,10 @@
 
 from dataclasses import dataclass
 from enum import Enum, auto
+from typing import TYPE_CHECKING
 
-from cedarthread.protocols.endpoint_list import EndpointRecord
+if TYPE_CHECKING:
+    from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 
 CONFIRMING_QUERIES = 2  # that have to be answered with the same list
 CANDIDATE_LIFETIME_S = 1.0  # in which a list with a higher serial has to be confirmed
@@ -65,7 +67,8 @@
     def _contradict_candidate(self, now_s: float) -> None:
         """The list in use came once more: of others only one with a higher serial may still be newer.
 
-        An empty one is dropped in any case: a corrupted reply must not remove every worker."""
+        An empty one is dropped in any case: a corrupted reply must not remove every worker.
+        """
         candidate = self._candidate
         if candidate is None:
             return
--- a/cedarthread/protocols/query_tracker.py
+++ b/cedarthread/protocols/discovery/query_tracker.py
@@ -2,14 +2,18 @@
 
 Queries and replies are datagrams: some are lost, some replies can't be used. A regular poll alone would need
 as many periods as replies fail, and a drain has to be followed within the drain grace. So a query without a
-usable reply is retried soon, by a timeout that follows the round-trip time (RFC 6298)."""
+usable reply is retried soon, by a timeout that follows the round-trip time (RFC 6298).
+"""
 
 from __future__ import annotations
 
 import math
 from collections import deque
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
 MAX_POLL_INTERVAL_S = 0.2  # between regular polls
 DEFAULT_DRAIN_GRACE_S = 0.5  # where the settings give none
--- a/cedarthread/protocols/start_times.py
+++ b/cedarthread/protocols/discovery/start_times.py
@@ -3,13 +3,16 @@
 Discovery reports when a worker started by the clock of another machine. This router's clock is Unix time at
 the start of its process, carried on by the monotonic clock: it may be off by an hour for the whole life of
 the process. A worker that starts late is listed within some seconds. So what a list first shows of a start
-bounds the start, whatever the clocks say; a start seen so shows by how much the clocks differ, too."""
+bounds the start, whatever the clocks say; a start seen so shows by how much the clocks differ, too.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
 
-from cedarthread.protocols.endpoint_list import EndpointRecord
+if TYPE_CHECKING:
+    from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 
 # From the start of a worker until discovery lists it: some seconds at the operators' sites, with late lists.
 MAX_LISTING_DELAY_MS = 8_000.0
@@ -36,7 +39,8 @@
     ) -> list[EndpointRecord]:
         """The records of a list that comes now, with their starts on this router's clock.
 
-        ``fresh_as_of_ms``: until when the list before it was known to be up to date; None: there is none."""
+        ``fresh_as_of_ms``: until when the list before it was known to be up to date; None: there is none.
+        """
         return [
             replace(
                 record,
@@ -49,7 +53,8 @@
         """The start of one worker; 0, for one that did not start late, stays 0.
 
         In the first list nothing shows when a start was listed: it is taken by the clocks, but for one that
-        would lie ahead, which is a start just now."""
+        would lie ahead, which is a start just now.
+        """
         if reported_ms <= 0.0:
             return reported_ms
         known = self._known.get(name)
--- a/cedarthread/protocols/dns.py
+++ b/cedarthread/protocols/dns.py
@@ -1,6 +1,7 @@
 """DNS messages (RFC 1035, RFC 2782), as far as discovery uses them.
 
-A parse ends in a value, never an exception."""
+A parse ends in a value, never an exception.
+"""
 
 from __future__ import annotations
 
--- a/cedarthread/protocols/invoke_calls.py
+++ b/cedarthread/protocols/invoke/calls.py
@@ -3,21 +3,26 @@
 from __future__ import annotations
 
 import secrets
-from collections.abc import Callable
 from functools import partial
+from typing import TYPE_CHECKING
 
 from cedarthread.dispatch.calls import Call, CallRejected, CallResult, call_deadline_ms
 from cedarthread.dispatch.deferred import DeferredCall, DeferredCalls, DeferredLimits
-from cedarthread.dispatch.dispatcher import Dispatcher
 from cedarthread.model.settings import Idempotency
 from cedarthread.protocols.http import Response, problem_response
-from cedarthread.protocols.invoke_requests import CallRequest, worker_idempotency_key
+from cedarthread.protocols.invoke.requests import CallRequest, worker_idempotency_key
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.dispatch.dispatcher import Dispatcher
 
 
 class InvokeCalls:
     """Turns requests into the dispatcher's calls, and keeps the stored ones.
 
-    Stored are deferred calls, and synchronous ones with an idempotency key, for a repeat under it."""
+    Stored are deferred calls, and synchronous ones with an idempotency key, for a repeat under it.
+    """
 
     def __init__(self, dispatcher: Dispatcher, clock_s: Callable[[], float]) -> None:
         self.dispatcher = dispatcher
@@ -60,7 +65,8 @@
     ) -> DeferredCall | Response:
         """The stored call that a request means: a known one by its key, else a new one.
 
-        A known call that was rejected has not been executed: it is started anew, as the client's retry."""
+        A known call that was rejected has not been executed: it is started anew, as the client's retry.
+        """
         limits = self.deferred_calls.limits
         retention_s = limits.retention_s if is_deferred else limits.retry_retention_s
         key = request.idempotency_key
--- a/cedarthread/protocols/invoke_config.py
+++ b/cedarthread/protocols/invoke/config.py
@@ -2,13 +2,16 @@
 
 from __future__ import annotations
 
-import ssl
 import tomllib
 from dataclasses import dataclass
-from pathlib import Path
+from typing import TYPE_CHECKING
 
-from cedarthread.protocols import spiffe
-from cedarthread.protocols.endpoint_list import parse_address
+from cedarthread.protocols.discovery.endpoint_list import parse_address
+from cedarthread.protocols.invoke import spiffe
+
+if TYPE_CHECKING:
+    import ssl
+    from pathlib import Path
 
 DEFAULT_MAX_CONNECTIONS = 128
 MAX_CONNECTIONS = 65535
--- a/cedarthread/protocols/invoke_connection.py
+++ b/cedarthread/protocols/invoke/connection.py
@@ -2,20 +2,22 @@
 
 from __future__ import annotations
 
-import asyncio
 import logging
 import select
 from typing import TYPE_CHECKING
 
 from cedarthread.logs import format_event
-from cedarthread.protocols import http, spiffe
+from cedarthread.protocols import http
 from cedarthread.protocols.http import Response, problem_response
-from cedarthread.protocols.invoke_handler import InvokeHandler
-from cedarthread.protocols.invoke_requests import MAX_BODY_BYTES
+from cedarthread.protocols.invoke import spiffe
+from cedarthread.protocols.invoke.handler import InvokeHandler
+from cedarthread.protocols.invoke.requests import MAX_BODY_BYTES
 from cedarthread.transport.connection import BufferedConnection
 
 if TYPE_CHECKING:
-    from cedarthread.protocols.invoke_server import InvokeServer
+    import asyncio
+
+    from cedarthread.protocols.invoke.server import InvokeServer
 
 log = logging.getLogger(__name__)
 
@@ -150,7 +152,8 @@
     def sweep(self, now_s: float) -> None:
         """End a request that arrives too slowly, close a connection that has been idle for long.
 
-        ``now_s`` is loop time in seconds."""
+        ``now_s`` is loop time in seconds.
+        """
         if self.is_busy:
             return
         if self.request_started_at is not None and now_s - self.request_started_at > REQUEST_TIMEOUT_S:
--- a/cedarthread/protocols/invoke_handler.py
+++ b/cedarthread/protocols/invoke/handler.py
@@ -4,21 +4,17 @@
 
 import asyncio
 import math
-from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.calls import Call, CallResult
-from cedarthread.dispatch.deferred import DeferredCall
-from cedarthread.protocols import http
 from cedarthread.protocols.http import Response, problem_response
-from cedarthread.protocols.invoke_requests import (
+from cedarthread.protocols.invoke.requests import (
     READY_PATH,
     deferred_call_id,
     is_call_path,
     parse_call_request,
     wait_preference_s,
 )
-from cedarthread.protocols.invoke_responses import (
+from cedarthread.protocols.invoke.responses import (
     DRAINING_DETAIL,
     pending_response,
     ready_response,
@@ -26,7 +22,12 @@
 )
 
 if TYPE_CHECKING:
-    from cedarthread.protocols.invoke_server import InvokeServer
+    from collections.abc import Callable
+
+    from cedarthread.dispatch.calls import Call, CallResult
+    from cedarthread.dispatch.deferred import DeferredCall
+    from cedarthread.protocols import http
+    from cedarthread.protocols.invoke.server import InvokeServer
 
 
 def _ignore_response(_: Response) -> None:
--- a/cedarthread/protocols/invoke_requests.py
+++ b/cedarthread/protocols/invoke/requests.py
@@ -4,14 +4,18 @@
 
 import hashlib
 import re
-from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from cedarthread.model.settings import Idempotency, RouterSettings
 from cedarthread.number_checks import positive_or_none
-from cedarthread.protocols import http
 from cedarthread.protocols.http import Response, problem_response
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from cedarthread.protocols import http
+
 MAX_BODY_BYTES = 16 * 1024
 MAX_WAIT_S = 30.0  # that a request may ask to be held for
 MAX_TIMEOUT_DIGITS = 9  # of Call-Timeout-Ms: 11 days
@@ -55,7 +59,8 @@
 ) -> CallRequest | Response:
     """The call that a POST asks for, or the response that says what is invalid.
 
-    ``class_indexes`` gives the index of each class by its name."""
+    ``class_indexes`` gives the index of each class by its name.
+    """
     match = _CALL_PATH.match(head.target)
     if match is None or match[2] not in class_indexes:
         return problem_response(404, "no such function path or class")
--- a/cedarthread/protocols/invoke_responses.py
+++ b/cedarthread/protocols/invoke/responses.py
@@ -3,11 +3,14 @@
 from __future__ import annotations
 
 import math
+from typing import TYPE_CHECKING
 
 from cedarthread.dispatch.calls import CallRejected, CallResult, CallSucceeded
-from cedarthread.dispatch.deferred import DeferredCall
 from cedarthread.protocols.http import Response, problem_response
 
+if TYPE_CHECKING:
+    from cedarthread.dispatch.deferred import DeferredCall
+
 DRAINING_DETAIL = "this process is about to end"
 
 
--- a/cedarthread/protocols/invoke_server.py
+++ b/cedarthread/protocols/invoke/server.py
@@ -5,23 +5,28 @@
     DELETE /v1/calls/NAME                 cancel a deferred call, or forget its result
     GET    /v1/ready                      200, or 503 once the process is shutting down
 
-All calls go through the dispatcher, as the platform's do: same decisions, same rules."""
+All calls go through the dispatcher, as the platform's do: same decisions, same rules.
+"""
 
 from __future__ import annotations
 
 import logging
 import time
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.dispatcher import Dispatcher
 from cedarthread.logs import format_event
-from cedarthread.protocols import spiffe
-from cedarthread.protocols.invoke_calls import InvokeCalls
-from cedarthread.protocols.invoke_config import InvokeConfig
-from cedarthread.protocols.invoke_connection import InvokeConnection
+from cedarthread.protocols.invoke import spiffe
+from cedarthread.protocols.invoke.calls import InvokeCalls
+from cedarthread.protocols.invoke.connection import InvokeConnection
 from cedarthread.transport.acceptor import Acceptor, create_listener_with_retries
 from cedarthread.transport.descriptor_budget import SMALL_ACCEPTS_PER_PASS
-from cedarthread.transport.flusher import Flusher
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.dispatch.dispatcher import Dispatcher
+    from cedarthread.protocols.invoke.config import InvokeConfig
+    from cedarthread.transport.flusher import Flusher
 
 log = logging.getLogger(__name__)
 
@@ -52,7 +57,8 @@
 
     def register(self, connection: InvokeConnection) -> bool:
         """Count a connection in, once. At the bound the oldest in its handshake is evicted for it, else the
-        least recently used idle one; False if there is none."""
+        least recently used idle one; False if there is none.
+        """
         if connection in self.connections:
             return True
         if len(self.connections) >= self.max_connections and not self._evict_idle():
@@ -108,7 +114,8 @@
 
     async def reload(self) -> bool:
         """Use a renewed certificate, trust bundle or allow-list; False if they cannot be used: the old ones
-        serve on."""
+        serve on.
+        """
         try:
             config = self.config.reread()
             tls_context = config.create_tls_context()
--- a/cedarthread/protocols/spiffe.py
+++ b/cedarthread/protocols/invoke/spiffe.py
@@ -1,17 +1,21 @@
 """SPIFFE identities: ids, who is authorized, and TLS contexts made from an X.509-SVID and a trust bundle.
 
-Sources: the SPIFFE-ID and X.509-SVID standards, https://github.com/spiffe/spiffe/tree/main/standards."""
+Sources: the SPIFFE-ID and X.509-SVID standards, https://github.com/spiffe/spiffe/tree/main/standards.
+"""
 
 from __future__ import annotations
 
 import re
 import ssl
 from dataclasses import dataclass
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 from cryptography import x509
 from cryptography.x509.oid import ExtensionOID
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 MAX_ID_LENGTH = 2048  # SPIFFE-ID, section 2.3
 _DOMAIN = re.compile(r"[a-z0-9._-]{1,255}\Z")
 _SEGMENT = re.compile(r"[A-Za-z0-9._-]+\Z")
--- a/cedarthread/protocols/msgpack.py
+++ b/cedarthread/protocols/msgpack.py
@@ -1,6 +1,7 @@
 """MessagePack, as far as the platform's protocol uses it. A parse ends in a value, never an exception.
 
-Source: the MessagePack specification, https://github.com/msgpack/msgpack/blob/master/spec.md."""
+Source: the MessagePack specification, https://github.com/msgpack/msgpack/blob/master/spec.md.
+"""
 
 from __future__ import annotations
 
--- a/cedarthread/protocols/peers.py
+++ b/cedarthread/protocols/peers.py
@@ -4,13 +4,15 @@
 
 import asyncio
 import logging
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TypeAlias, cast
+from typing import TYPE_CHECKING, TypeAlias, cast
 
 from cedarthread.components.datagram_fields import MAX_DATAGRAM_BYTES
 from cedarthread.logs import format_event
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 log = logging.getLogger(__name__)
 
 Address: TypeAlias = tuple[str, int]
@@ -45,7 +47,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The socket is open (asyncio)."""
-        self._transport = cast(asyncio.DatagramTransport, transport)
+        self._transport = cast("asyncio.DatagramTransport", transport)
 
     def send(self, data: bytes, peer_index: int | None) -> None:
         """Send to one peer, or with None to all. A datagram that cannot be sent is dropped and counted."""
--- /dev/null
+++ b/cedarthread/protocols/platform/__init__.py
@@ -0,0 +1,1 @@
+"""The platform's protocol: clients submit calls over TCP connections."""
--- a/cedarthread/protocols/platform_calls.py
+++ b/cedarthread/protocols/platform/calls.py
@@ -7,15 +7,10 @@
 from typing import TYPE_CHECKING, Any
 
 from cedarthread.dispatch.calls import Call, CallResult
-from cedarthread.protocols.platform_codec import (
-    encode_answer,
-    encode_bad_request,
-    encode_health,
-    parse_call,
-)
+from cedarthread.protocols.platform.codec import encode_answer, encode_bad_request, encode_health, parse_call
 
 if TYPE_CHECKING:
-    from cedarthread.protocols.platform_connection import PlatformConnection
+    from cedarthread.protocols.platform.connection import PlatformConnection
 
 CALL_PARAMETERS = 2  # fields and body
 MAX_OPEN_CALLS = 32  # of one connection; further ones are rejected
--- a/cedarthread/protocols/platform_codec.py
+++ b/cedarthread/protocols/platform/codec.py
@@ -1,7 +1,8 @@
 """The platform's wire: MessagePack-RPC requests to calls, call results to responses.
 
 The words of the wire (``txn``, ``item``, ``unique``, ``limit``, ``second``, ``props``; ``Backoff``, ``Lost``,
-``BadRequest``) are mapped to ours here and nowhere else."""
+``BadRequest``) are mapped to ours here and nowhere else.
+"""
 
 from __future__ import annotations
 
--- a/cedarthread/protocols/platform_connection.py
+++ b/cedarthread/protocols/platform/connection.py
@@ -1,7 +1,8 @@
 """One connection of a platform client: MessagePack-RPC messages in, responses out.
 
 Two bounds keep one client from harming the others: messages are processed a few at a time, and the bytes of
-responses that a slow client leaves here are counted."""
+responses that a slow client leaves here are counted.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +13,11 @@
 
 from cedarthread.logs import format_event
 from cedarthread.protocols import msgpack
-from cedarthread.protocols.platform_calls import PlatformCalls
+from cedarthread.protocols.platform.calls import PlatformCalls
 from cedarthread.transport.connection import BufferedConnection
 
 if TYPE_CHECKING:
-    from cedarthread.protocols.platform_server import PlatformServer
+    from cedarthread.protocols.platform.server import PlatformServer
 
 log = logging.getLogger(__name__)
 
@@ -77,7 +78,8 @@
         """It is idle and closes at once.
 
         One with responses that a slow client has not read would hold its descriptor, uncounted, until they
-        have left."""
+        have left.
+        """
         if not self.is_idle() or self.transport is None:
             return False
         unsent = self.write_queue or self.transport.get_write_buffer_size()
@@ -134,7 +136,8 @@
     def eof_received(self) -> bool:
         """The client has closed, or only its sending side (asyncio).
 
-        Attempts in flight may still be answered; calls without one are rejected at once."""
+        Attempts in flight may still be answered; calls without one are rejected at once.
+        """
         self.is_half_closed = True
         self.calls.on_client_closing()
         return self.discard_budget is None and bool(
--- a/cedarthread/protocols/platform_server.py
+++ b/cedarthread/protocols/platform/server.py
@@ -3,13 +3,16 @@
 from __future__ import annotations
 
 import logging
+from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.dispatcher import Dispatcher
 from cedarthread.logs import format_event
-from cedarthread.protocols.platform_connection import PlatformConnection
+from cedarthread.protocols.platform.connection import PlatformConnection
 from cedarthread.transport.acceptor import Acceptor, create_listener_with_retries
 from cedarthread.transport.descriptor_budget import CLIENT_ACCEPTS_PER_PASS
-from cedarthread.transport.flusher import Flusher
+
+if TYPE_CHECKING:
+    from cedarthread.dispatch.dispatcher import Dispatcher
+    from cedarthread.transport.flusher import Flusher
 
 log = logging.getLogger(__name__)
 
@@ -25,7 +28,8 @@
     """The listening socket and its connections.
 
     ``queued_bytes`` counts the responses that slow clients have not read; above ``max_queued_bytes`` calls
-    are rejected."""
+    are rejected.
+    """
 
     def __init__(
         self,
@@ -62,7 +66,8 @@
     def evict_idle(self) -> bool:
         """Close an idle connection, unproven ones first: its descriptor is free in the next loop pass.
 
-        False if there is none."""
+        False if there is none.
+        """
         for connection in (*self.unproven_connections, *self.connections):
             if connection.can_evict():
                 self.unregister(connection)
@@ -107,7 +112,8 @@
     def drain(self) -> None:
         """Accept no more connections, and close each as soon as it is idle.
 
-        Calls that come to a process about to end have less time than their client would get elsewhere."""
+        Calls that come to a process about to end have less time than their client would get elsewhere.
+        """
         self.stop_listening()
         self.is_draining = True
         for connection in [*self.unproven_connections, *self.connections]:
@@ -117,7 +123,8 @@
     def sweep(self, now_s: float) -> None:
         """Close what has sent no complete message in time, or has been silent for too long.
 
-        ``now_s`` is loop time in seconds."""
+        ``now_s`` is loop time in seconds.
+        """
         for connection in [*self.unproven_connections, *self.connections]:
             started_at = connection.message_started_at
             is_late = started_at is not None and now_s - started_at > MESSAGE_TIMEOUT_S
--- a/cedarthread/protocols/worker_codec.py
+++ b/cedarthread/protocols/worker/codec.py
@@ -1,7 +1,8 @@
 """The workers' wire: one JSON object a line, both ways.
 
 Requests are ``CALL``, ``CANCEL``, ``LOAD`` and ``UNLOAD``; a response bears the id of its request and one of
-``HIT``, ``NONE``, ``SHED``, ``FAULT`` and ``LATE``. This module alone knows these words."""
+``HIT``, ``NONE``, ``SHED``, ``FAULT`` and ``LATE``. This module alone knows these words.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +42,8 @@
     """The line that starts an attempt.
 
     Its shape is fixed, so only strings from outside pass through the JSON encoder; ``class_name_json`` has
-    passed through it already."""
+    passed through it already.
+    """
     key = "" if call.idempotency_key is None else f',"replay":{json.dumps(call.idempotency_key)}'
     limit = max(1, int(timeout_ms))
     fields = f'"profile":{class_name_json},"thing":"{call.function_id:016x}","max":{limit}{key}'
@@ -82,7 +84,8 @@
 def parse_call_response(message: dict[str, Any], report_columns: tuple[str, ...]) -> AttemptResult | None:
     """The result that a response to a call gives; None if it is malformed.
 
-    After a malformed response nothing is known of what ran, nor of what follows on the connection."""
+    After a malformed response nothing is known of what ran, nor of what follows on the connection.
+    """
     outcome, fields = _OUTCOME_BY_OP.get(str(message.get("op"))), message.get("fields") or {}
     if outcome is None or not isinstance(fields, dict):
         return None
--- a/cedarthread/protocols/worker_connection.py
+++ b/cedarthread/protocols/worker/connection.py
@@ -1,28 +1,25 @@
 """One connection to a worker: requests out, responses in, and what becomes of both when it breaks.
 
-A connection carries many attempts at once. How far each has come is kept by its ``LineQueue``."""
+A connection carries many attempts at once. How far each has come is kept by its ``LineQueue``.
+"""
 
 from __future__ import annotations
 
-import asyncio
 import logging
 from typing import TYPE_CHECKING, Any
 
 from cedarthread.dispatch.calls import Attempt, Progress
 from cedarthread.logs import format_event
 from cedarthread.model.outcomes import Outcome
-from cedarthread.protocols.worker_codec import (
-    MAX_LINE_BYTES,
-    encode_cancel,
-    parse_call_response,
-    parse_line,
-)
-from cedarthread.protocols.worker_line_queue import LineQueue
-from cedarthread.protocols.worker_requests import OutboundLine, WorkerRequest, message_id_of
+from cedarthread.protocols.worker.codec import MAX_LINE_BYTES, encode_cancel, parse_call_response, parse_line
+from cedarthread.protocols.worker.line_queue import LineQueue
+from cedarthread.protocols.worker.requests import OutboundLine, WorkerRequest, message_id_of
 from cedarthread.transport.connection import BufferedConnection
 
 if TYPE_CHECKING:
-    from cedarthread.protocols.worker_pool import WorkerConnectionPool
+    import asyncio
+
+    from cedarthread.protocols.worker.pool import WorkerConnectionPool
 
 log = logging.getLogger(__name__)
 
@@ -105,7 +102,8 @@
 
     def send_cancel(self, attempt: Attempt) -> OutboundLine | None:
         """Abandon an attempt and have the worker drop it: the line that says so, None if the connection is
-        closed."""
+        closed.
+        """
         self.abandon(attempt.call.call_id)
         if self.is_closed:
             return None
@@ -146,7 +144,8 @@
         """Write line by line, up to one that the socket does not take whole.
 
         What the transport has been given can't be taken back: a line that stood in its buffer would leave
-        whenever the worker reads on, to a worker that drains by then or for a client that has gone."""
+        whenever the worker reads on, to a worker that drains by then or for a client that has gone.
+        """
         while (line := self.lines.next_line(without_requests=is_holding)) is not None:
             if line.request is not None and not self._may_leave(line.request):
                 self.withdraw_and_end(line.request)
@@ -223,7 +222,8 @@
     def eof_received(self) -> bool:
         """The worker sends no more, so nothing in flight here can be answered (asyncio).
 
-        It is aborted: a close would wait until all is written, and the worker may read no more either."""
+        It is aborted: a close would wait until all is written, and the worker may read no more either.
+        """
         self._log_truncated_response()
         self.abort()
         return False
@@ -259,7 +259,8 @@
     def close_empty(self) -> None:
         """Close a connection without requests in flight.
 
-        One that is still being made, or whose worker reads nothing, is aborted: a close would wait for it."""
+        One that is still being made, or whose worker reads nothing, is aborted: a close would wait for it.
+        """
         self.abort() if self.transport is None or self.is_write_paused else self.close()
 
     def abort(self) -> None:
--- a/cedarthread/protocols/workers.py
+++ b/cedarthread/protocols/worker/connections.py
@@ -1,15 +1,15 @@
 """The dispatcher's transport to the workers: JSON lines over pooled connections.
 
-What becomes of an attempt whose connection breaks follows from its progress: see ``worker_line_queue``."""
+What becomes of an attempt whose connection breaks follows from its progress: see ``worker_line_queue``.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import json
 import logging
-from collections.abc import Callable
 from functools import partial
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from cedarthread.dispatch.calls import (
     Attempt,
@@ -18,18 +18,22 @@
     connection_lost_result,
     not_sent_result,
 )
-from cedarthread.dispatch.dispatcher import Dispatcher
 from cedarthread.logs import format_event
 from cedarthread.model.endpoints import EndpointState
 from cedarthread.model.outcomes import Outcome
-from cedarthread.model.settings import RouterSettings
-from cedarthread.protocols.endpoint_list import EndpointRecord
-from cedarthread.protocols.worker_codec import encode_call, encode_unload, parse_preload_response
-from cedarthread.protocols.worker_connection import WorkerConnection
-from cedarthread.protocols.worker_pool import WorkerConnectionPool
-from cedarthread.protocols.worker_preloads import PreloadRequests
-from cedarthread.protocols.worker_requests import OutboundLine, PendingPreload, WorkerRequest
-from cedarthread.transport.flusher import Flusher
+from cedarthread.protocols.worker.codec import encode_call, encode_unload, parse_preload_response
+from cedarthread.protocols.worker.pool import WorkerConnectionPool
+from cedarthread.protocols.worker.preloads import PreloadRequests
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.dispatch.dispatcher import Dispatcher
+    from cedarthread.model.settings import RouterSettings
+    from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
+    from cedarthread.protocols.worker.connection import WorkerConnection
+    from cedarthread.protocols.worker.requests import OutboundLine, PendingPreload, WorkerRequest
+    from cedarthread.transport.flusher import Flusher
 
 log = logging.getLogger(__name__)
 
@@ -70,7 +74,8 @@
         """Follow the endpoint list, by worker id.
 
         Connections to workers that are removed, have moved or have restarted are closed at once; those to
-        draining workers once they are empty."""
+        draining workers once they are empty.
+        """
         self.dispatcher.worker_states_changed(
             {worker_id: endpoint.state for worker_id, endpoint in endpoints.items()}
         )
@@ -164,7 +169,8 @@
     ) -> None:
         """Report a cancelled attempt.
 
-        A worker that reads nothing has not received the cancel: closing the connection cancels it then."""
+        A worker that reads nothing has not received the cancel: closing the connection cancels it then.
+        """
         if cancel_line is None or not connection.lines.is_written(cancel_line):
             connection.abort()
         self.dispatcher.attempt_ended(attempt, AttemptResult(Outcome.CANCELLED))
@@ -229,7 +235,8 @@
 
     def release_descriptor(self) -> bool:
         """Close an idle connection, a client's or a worker's: its descriptor is free in the next loop pass.
-        False if there is none."""
+        False if there is none.
+        """
         return self.release_client_descriptor() or self._close_longest_idle()
 
     def _close_longest_idle(self) -> bool:
--- a/cedarthread/protocols/worker_line_queue.py
+++ b/cedarthread/protocols/worker/line_queue.py
@@ -2,21 +2,27 @@
 
 A request's fate when its connection breaks follows from its progress: what was not completely written has
 never run, what was may have. So the queue knows of each line whether it is queued here, handed to the
-transport, or taken by the socket. It does no I/O itself."""
+transport, or taken by the socket. It does no I/O itself.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from cedarthread.dispatch.calls import Attempt, Progress
-from cedarthread.protocols.worker_requests import OutboundLine, WorkerRequest
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.protocols.worker.requests import OutboundLine, WorkerRequest
 
 
 class LineQueue:
     """Outbound lines in order: first queued, then in the transport's buffer, then written.
 
     ``on_written`` is called once for each attempt of which the socket has taken the last byte,
-    ``on_first_byte`` for each request that begins to leave."""
+    ``on_first_byte`` for each request that begins to leave.
+    """
 
     def __init__(
         self,
--- a/cedarthread/protocols/worker_pool.py
+++ b/cedarthread/protocols/worker/pool.py
@@ -10,12 +10,12 @@
 from typing import TYPE_CHECKING
 
 from cedarthread.logs import format_event
-from cedarthread.protocols.endpoint_list import EndpointRecord
-from cedarthread.protocols.worker_connection import WorkerConnection
+from cedarthread.protocols.worker.connection import WorkerConnection
 from cedarthread.transport.descriptor_budget import EXHAUSTION_ERRNOS
 
 if TYPE_CHECKING:
-    from cedarthread.protocols.workers import WorkerConnections
+    from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
+    from cedarthread.protocols.worker.connections import WorkerConnections
 
 log = logging.getLogger(__name__)
 
@@ -37,7 +37,8 @@
 
     def acquire(self, message_id: str) -> WorkerConnection | None:
         """A connection that accepts a request of this id, a new one if need be; None if the process may hold
-        no more."""
+        no more.
+        """
         for connection in self.connections:
             if connection.can_accept(message_id):
                 return connection
@@ -80,7 +81,8 @@
     def remove(self, connection: WorkerConnection) -> None:
         """A connection is down, or not wanted any more.
 
-        A connect that nobody waits for is cancelled: it would hold its descriptor uncounted."""
+        A connect that nobody waits for is cancelled: it would hold its descriptor uncounted.
+        """
         if connection in self.connections:
             self.connections.remove(connection)
         task = self.connecting.get(connection)
@@ -96,7 +98,8 @@
         """Send no more on the connections created until then; close them, at once or once they are empty.
 
         Requests that are still queued are withdrawn: a worker that reads slowly would get them long after the
-        news of its drain."""
+        news of its drain.
+        """
         for connection in [one for one in self.connections if one.created_at_ms <= created_until_ms]:
             connection.is_retired = True
             for request in connection.lines.requests():
--- a/cedarthread/protocols/worker_preloads.py
+++ b/cedarthread/protocols/worker/preloads.py
@@ -5,15 +5,15 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.dispatcher import Dispatcher
 from cedarthread.model.events import PreloadEnded
 from cedarthread.model.outcomes import Outcome
-from cedarthread.protocols.worker_codec import PreloadResponse, encode_preload
-from cedarthread.protocols.worker_requests import PendingPreload
+from cedarthread.protocols.worker.codec import PreloadResponse, encode_preload
+from cedarthread.protocols.worker.requests import PendingPreload
 
 if TYPE_CHECKING:
-    from cedarthread.protocols.worker_connection import WorkerConnection
-    from cedarthread.protocols.worker_pool import WorkerConnectionPool
+    from cedarthread.dispatch.dispatcher import Dispatcher
+    from cedarthread.protocols.worker.connection import WorkerConnection
+    from cedarthread.protocols.worker.pool import WorkerConnectionPool
 
 PRELOAD_FLUSH_S = 0.5  # how long a preload request may wait here until its first byte is written
 
@@ -50,7 +50,8 @@
     def _on_unsent(self, preload: PendingPreload, connection: WorkerConnection) -> None:
         """Withdraw a preload that could not be written yet.
 
-        Those that wait for a worker that reads slowly would else reach it all at once, past the budget."""
+        Those that wait for a worker that reads slowly would else reach it all at once, past the budget.
+        """
         if connection.withdraw(preload):
             self.finish(preload, Outcome.CONNECT_FAILED)
 
--- a/cedarthread/protocols/worker_requests.py
+++ b/cedarthread/protocols/worker/requests.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
-import asyncio
 from dataclasses import dataclass, field
-from typing import TypeAlias
+from typing import TYPE_CHECKING, TypeAlias
 
 from cedarthread.dispatch.calls import Attempt
 
+if TYPE_CHECKING:
+    import asyncio
+
 
 @dataclass(eq=False, slots=True)
 class PendingPreload:
--- a/cedarthread/recovery/action_baseline.py
+++ b/cedarthread/recovery/action_baseline.py
@@ -3,11 +3,14 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Mapping
+from typing import TYPE_CHECKING
 
 from cedarthread.recovery.pacing_limits import PacedAction
 from cedarthread.statistics import DecayingCounter
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
 TIME_CONSTANT_MS = 10_000.0
 """Time over which the undisturbed rate is averaged."""
 MIN_TIME_CONSTANTS = 2.0
--- a/cedarthread/recovery/admission.py
+++ b/cedarthread/recovery/admission.py
@@ -2,12 +2,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Hashable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from cedarthread.recovery.pacing import Pacer
 from cedarthread.recovery.pacing_limits import PacedAction
 
+if TYPE_CHECKING:
+    from collections.abc import Hashable
+
+    from cedarthread.recovery.pacing import Pacer
+
 DEFAULT_LOAD_TIME_MS = 1000.0
 """Time that a load is taken to last; nothing reports the real one."""
 PENDING_LOAD_TIMEOUT_MS = 4.0 * DEFAULT_LOAD_TIME_MS
@@ -82,7 +86,8 @@
     def try_acquire_load(self, now_ms: float, function_id: int, awaits_peers: bool) -> bool:
         """Whether a load of a function may be begun now; a yes takes its tokens.
 
-        ``awaits_peers``: peers are about to say where it is warm, which takes less time than a load."""
+        ``awaits_peers``: peers are about to say where it is warm, which takes less time than a load.
+        """
         if not self.is_paced:
             return True
         pending = self.pending_loads.get(function_id)
--- a/cedarthread/recovery/codec.py
+++ b/cedarthread/recovery/codec.py
@@ -16,9 +16,9 @@
 
 import math
 import struct
-from collections.abc import Sequence
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import TYPE_CHECKING
 
 from cedarthread.components.datagram_fields import (
     MAX_DATAGRAM_BYTES,
@@ -26,9 +26,12 @@
     join_datagram,
     read_record_groups,
 )
-from cedarthread.components.interface import MessageType
+from cedarthread.components.messages import MessageType
 from cedarthread.recovery.warm_state import MAX_HOPS, AgedObservation
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
 HEADER_BYTES = 2  # type of message, kind
 AGE_UNIT_MS = 50.0
 """Ages are rounded up to it, which also covers clocks that run at slightly different rates."""
--- a/cedarthread/recovery/component.py
+++ b/cedarthread/recovery/component.py
@@ -6,24 +6,20 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.components.datagram_fields import MalformedDatagram
-from cedarthread.components.interface import (
+from cedarthread.components.messages import MessageType, OutboundMessage
+from cedarthread.components.notifications import (
     AttemptCompleted,
-    MessageType,
     Notification,
-    OutboundMessage,
     PeersChanged,
     SettingsChanged,
     WallClockRead,
 )
-from cedarthread.gossip.load_gossip import InstanceLoad
 from cedarthread.model.actions import LogMessage, SendToPeer
 from cedarthread.model.endpoints import EndpointUpdate
 from cedarthread.model.outcomes import Outcome
-from cedarthread.model.settings import RouterSettings
 from cedarthread.recovery import codec, snapshot
 from cedarthread.recovery.admission import DEFAULT_LOAD_TIME_MS, RecoveryAdmission
 from cedarthread.recovery.fleet_view import FleetView, WorkerReportView
@@ -40,6 +36,12 @@
 from cedarthread.recovery.warm_fraction import WarmFractionTracker
 from cedarthread.recovery.warm_state import WarmState
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence
+
+    from cedarthread.model.instance_load import InstanceLoad
+    from cedarthread.model.settings import RouterSettings
+
 SUSPENSION_AFTER_PAUSE_MS = 500.0
 """Time after a pause in which nothing of the warm state is used: buffered answers may be from before it."""
 LOAD_HOLD_FRACTION = 0.25
@@ -241,7 +243,8 @@
         """Take the snapshot of the previous incarnation; how many of its observations are news.
 
         Observations that cannot be dated are left out. ``clock_error_ms``: the wall clocks of the two
-        incarnations may differ by so much; all ages grow by it."""
+        incarnations may differ by so much; all ages grow by it.
+        """
         stored = snapshot.decode(raw)
         if stored is None:
             self.malformed_count += 1
--- a/cedarthread/recovery/fleet_view.py
+++ b/cedarthread/recovery/fleet_view.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
-from cedarthread.components.interface import PeersChanged
+if TYPE_CHECKING:
+    from cedarthread.components.notifications import PeersChanged
 
 MIN_FLEET_ROUTERS = 2  # a router alone has no fleet that could restart
 MASS_RESTART_FRACTION = 0.5
@@ -79,7 +81,8 @@
 
     Of N alike routers each has about one Nth of the calls in flight. Where the peers are gone, workers
     hold little but this router's calls. Where all routers restarted at the same moment, nothing tells that
-    from any other day: so a mass restart is assumed until enough reports show otherwise."""
+    from any other day: so a mass restart is assumed until enough reports show otherwise.
+    """
 
     router_count: int
     reported_calls: float = 0.0  # decayed sum of what workers reported to hold
--- a/cedarthread/recovery/pacing.py
+++ b/cedarthread/recovery/pacing.py
@@ -14,7 +14,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from typing import TYPE_CHECKING
 
 from cedarthread.recovery.action_baseline import ActionBaseline
 from cedarthread.recovery.connection_turns import GOLDEN_RATIO_CONJUGATE, ConnectionTurns, FleetDemand
@@ -22,6 +22,9 @@
 from cedarthread.recovery.pacing_limits import WINDOW_MS, PacedAction, PacingLimits, max_events_per_window
 from cedarthread.statistics import TokenBucket
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
 WINDOWS_PER_SECOND = 1000.0 / WINDOW_MS
 INITIAL_RAMP_LEVEL = 0.25
 """Part of the limit that a recovery begins with."""
@@ -179,7 +182,8 @@
     def grow_load_rate(self, now_ms: float) -> None:
         """Loads have waited for long: raise their rate, if the limit may be too low.
 
-        It may be where it is a default, and in service also where it is from a baseline."""
+        It may be where it is a default, and in service also where it is from a baseline.
+        """
         may_be_too_low = self.baseline.per_second(PacedAction.LOAD) is None or self.baseline.is_in_service
         if may_be_too_low and now_ms >= self._last_growth_ms + GROWTH_INTERVAL_MS:
             self._refilled_bucket(now_ms, PacedAction.LOAD)  # what came until now came at the old rate
--- a/cedarthread/recovery/pacing_limits.py
+++ b/cedarthread/recovery/pacing_limits.py
@@ -49,5 +49,6 @@
 def max_events_per_window(mean_events: float) -> float:
     """Events in a mean window that a recovery may have, where there were so many undisturbed.
 
-    The r of r + sqrt(r) = 1.5 (m + 3 sqrt(m) + 1), see the head of this module."""
+    The r of r + sqrt(r) = 1.5 (m + 3 sqrt(m) + 1), see the head of this module.
+    """
     return (math.sqrt(0.25 + MAX_PEAK_RATIO * (mean_events + 3.0 * math.sqrt(mean_events) + 1.0)) - 0.5) ** 2
--- a/cedarthread/recovery/peer_query.py
+++ b/cedarthread/recovery/peer_query.py
@@ -10,14 +10,17 @@
 import math
 import random
 from collections import deque
-from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, replace
+from typing import TYPE_CHECKING
 
 from cedarthread.model.actions import SendToPeer
 from cedarthread.recovery import codec
 from cedarthread.recovery.warm_state import MAX_HOPS, Source, WarmState
 from cedarthread.statistics import TokenBucket
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+
 SEGMENT_COUNT = 4
 MAX_PENDING_QUERIES = 3
 RESPONSE_TIMEOUT_MS = 400.0
@@ -74,7 +77,8 @@
     ) -> list[SendToPeer]:
         """Answer a query: with observations, with a busy reply, or, past the limit of those, not at all.
 
-        ``template``: a response with what it says of this router itself."""
+        ``template``: a response with what it says of this router itself.
+        """
         digest = warm_state.digest(now_ms, query.segment, query.segment_count, MAX_RESPONSE_OBSERVATIONS)
         parts = codec.split_into_datagrams(digest)
         if not self.response_tokens.take(now_ms, len(parts)):
@@ -180,7 +184,8 @@
     ) -> list[SendToPeer]:
         """The queries to send now.
 
-        ``peer_uptimes_ms``: the peers that are alive; ``try_acquire``: takes the token of one query."""
+        ``peer_uptimes_ms``: the peers that are alive; ``try_acquire``: takes the token of one query.
+        """
         self._expire_queries(now_ms, peer_uptimes_ms)
         queries: list[SendToPeer] = []
         if now_ms < self.first_query_at_ms:
@@ -279,7 +284,8 @@
         """Take one part of a response at once, with ages counted from when the query was sent.
 
         ``has_older_peers``: whether there are peers that did not restart with this router; then an empty
-        response says little."""
+        response says little.
+        """
         query = self.pending.get(response.nonce)
         if query is None or query.peer != sender or response.part in query.received_fragments:
             self.unexpected_count += 1
--- a/cedarthread/recovery/snapshot.py
+++ b/cedarthread/recovery/snapshot.py
@@ -7,13 +7,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from typing import TYPE_CHECKING
 
 import msgspec
 
 from cedarthread.recovery.pacing_limits import PacedAction
 from cedarthread.recovery.warm_state import AgedObservation, Source, WarmState
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Mapping
+
 MAX_STORED_OBSERVATIONS = 2048
 """Each takes 27 bytes at most (worker and start of 32 bits), so a snapshot stays under 56 kB."""
 MAX_RATE_PER_SECOND = 1e6
@@ -79,7 +82,8 @@
     """Take the stored observations, older by the downtime; how many are news.
 
     ``unix_ms``: the wall clock now. None is taken where that clock went back by more than ``clock_error_ms``,
-    or the downtime is over the keep-alive."""
+    or the downtime is over the keep-alive.
+    """
     downtime_ms = unix_ms - stored.unix_ms
     if not -clock_error_ms <= downtime_ms <= warm_state.keep_alive_ms:  # refuses NaN too
         return 0
--- a/cedarthread/recovery/state_machine.py
+++ b/cedarthread/recovery/state_machine.py
@@ -10,8 +10,10 @@
 import math
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import TYPE_CHECKING
 
-from cedarthread.model.settings import RouterSettings
+if TYPE_CHECKING:
+    from cedarthread.model.settings import RouterSettings
 
 MEMBERSHIP_PERIOD_MS = 500.0
 """Protocol period of the membership (SWIM)."""
@@ -63,7 +65,8 @@
         """Timeouts for these settings.
 
         A peer query pays only while what peers remember is within the keep-alive, and must leave the calls
-        that wait for it half of the shortest deadline."""
+        that wait for it half of the shortest deadline.
+        """
         shortest_deadline_ms = min(
             (request_class.deadline_ms for request_class in settings.classes), default=MAX_PEER_QUERY_MS
         )
@@ -114,7 +117,8 @@
     def detect_pause(self, now_ms: float) -> bool:
         """Whether the process stood still since the last event; if so, the recovery begins again.
 
-        To be called first with each event."""
+        To be called first with each event.
+        """
         was_paused = now_ms - self.last_event_ms > PAUSE_THRESHOLD_MS
         self.last_event_ms = now_ms
         if was_paused and self.phase is not RecoveryPhase.STARTING:
--- a/cedarthread/recovery/status.py
+++ b/cedarthread/recovery/status.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
 from cedarthread.logs import format_event
@@ -10,6 +9,8 @@
 from cedarthread.recovery.state_machine import RecoveryPhase, TransitionCause
 
 if TYPE_CHECKING:
+    from collections.abc import Mapping
+
     from cedarthread.recovery.component import RecoveryComponent
 
 _PHASE_FIGURES = {
--- a/cedarthread/recovery/warm_state.py
+++ b/cedarthread/recovery/warm_state.py
@@ -8,13 +8,16 @@
 
 import heapq
 import math
-from collections.abc import Iterator
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import TYPE_CHECKING
 
 from cedarthread.gossip.codec import fold_function_id
-from cedarthread.gossip.load_gossip import InstanceLoad
 from cedarthread.model.endpoints import EndpointState, EndpointUpdate, EndpointUpdateKind
+from cedarthread.model.instance_load import InstanceLoad
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
 
 MAX_OBSERVATIONS = 4096
 """Observations that are kept; at a tenth more the least recently observed are evicted."""
@@ -117,7 +120,8 @@
     def is_usable(self, now_ms: float, worker_id: int, start: int, observation: Observation) -> bool:
         """Whether it may decide: of the present start of a ready worker, warm, and within the keep-alive.
 
-        ``start`` is a start tag."""
+        ``start`` is a start tag.
+        """
         listed = self.workers.get(worker_id)
         if listed is None or not listed.is_ready or listed.start_tag != start:
             return False
@@ -130,7 +134,8 @@
     ) -> None:
         """Take an observation of this router's own.
 
-        An attempt that was sent before the worker's present start was listed says nothing of any start."""
+        An attempt that was sent before the worker's present start was listed says nothing of any start.
+        """
         listed = self.workers.get(worker_id)
         if listed is not None and now_ms - latency_ms >= listed.first_listed_at_ms:
             observation = Observation(now_ms, is_warm, Source.LOCAL, 0)
@@ -142,7 +147,8 @@
         """Take an observation that came with an age; whether it was news.
 
         ``requested_at_ms``: a time on this clock no later than the age was read, as of the query.
-        The age is counted from there, so delays on the way make an observation older, never younger."""
+        The age is counted from there, so delays on the way make an observation older, never younger.
+        """
         if not (math.isfinite(aged.age_ms) and aged.age_ms >= 0 and aged.hops < MAX_HOPS):
             return False
         observed_at_ms = min(requested_at_ms, now_ms) - aged.age_ms
@@ -195,7 +201,8 @@
     def warm_instances(self, now_ms: float, function_id: int) -> dict[int, InstanceLoad]:
         """The workers that have a warm instance of a function by a usable observation, with its age.
 
-        In the form of ``LoadGossip.instances``; no load is known."""
+        In the form of ``LoadGossip.instances``; no load is known.
+        """
         by_start = self.observations.get(fold_function_id(function_id), {})
         return {
             worker_id: InstanceLoad(0, max(0.0, now_ms - observation.observed_at_ms))
@@ -208,7 +215,8 @@
     ) -> list[AgedObservation]:
         """What peers or the store are to be sent, the freshest first, cold observations included.
 
-        ``segment``: only functions whose hash modulo ``segment_count`` is this."""
+        ``segment``: only functions whose hash modulo ``segment_count`` is this.
+        """
         unexpired = self._unexpired(now_ms, segment, segment_count)
         return heapq.nsmallest(limit, unexpired, key=lambda aged: aged.age_ms)
 
--- a/cedarthread/replication/codec.py
+++ b/cedarthread/replication/codec.py
@@ -19,15 +19,17 @@
 
 import math
 import struct
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.components.datagram_fields import MAX_DATAGRAM_BYTES, MalformedDatagram
-from cedarthread.components.interface import MessageType
+from cedarthread.components.messages import MessageType
 from cedarthread.model.actions import SendToPeer
 from cedarthread.replication.entry import MAX_ENTRY_BYTES
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 HEADER_BYTES = 2  # type of message, kind
 AGES_PER_RESPONSE = 208  # routers that one response gives ages for: what fits one datagram
 BUCKET_COUNT = 32
@@ -74,7 +76,8 @@
 @dataclass(frozen=True, slots=True)
 class SyncRequest:
     """Asks a peer for its root digest and for how recently it has read each router from ``first_router``
-    on."""
+    on.
+    """
 
     nonce: int
     root_digest: int
--- a/cedarthread/replication/conflicts.py
+++ b/cedarthread/replication/conflicts.py
@@ -9,10 +9,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import StrEnum
 from types import MappingProxyType
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
 
 
 class Act(StrEnum):
@@ -31,7 +34,8 @@
 @dataclass(frozen=True, slots=True)
 class ActRule:
     """One act: those it contradicts when another router does them, and what is done instead while not
-    fresh."""
+    fresh.
+    """
 
     contradicts: frozenset[Act]
     fallback: Act
--- a/cedarthread/replication/entry.py
+++ b/cedarthread/replication/entry.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from cedarthread.components.interface import Entry, EntryKind, Version
+from cedarthread.components.replicated_state import Entry, EntryKind, Version
 
 MAX_PROPOSED_ENTRIES = 512  # a router declares no entry beyond this many
 # More are accepted from peers: routers that propose at the same time may pass the first bound together.
--- a/cedarthread/replication/fragments.py
+++ b/cedarthread/replication/fragments.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from cedarthread.replication.codec import DIGEST_LOW_MODULUS, FRAGMENT_BYTES, EntryFragment
 from cedarthread.replication.entry import (
     MAX_ENTRIES,
@@ -10,7 +12,9 @@
     digest_of_bytes,
 )
 from cedarthread.replication.entry import decode as decode_entry
-from cedarthread.replication.state import ReplicaState
+
+if TYPE_CHECKING:
+    from cedarthread.replication.state import ReplicaState
 
 MAX_PARTIAL_ENTRIES = 64  # entries of which fragments may wait for the rest; the oldest are dropped first
 
--- a/cedarthread/replication/freshness.py
+++ b/cedarthread/replication/freshness.py
@@ -11,6 +11,7 @@
 from __future__ import annotations
 
 import math
+from typing import TYPE_CHECKING
 
 from cedarthread.replication.codec import (
     AGE_UNKNOWN,
@@ -19,9 +20,11 @@
     VOTER_FLAG,
     SyncResponse,
 )
-from cedarthread.replication.entry import EntryKey
 from cedarthread.replication.majority import NEVER_MS, MajorityTracker
 
+if TYPE_CHECKING:
+    from cedarthread.replication.entry import EntryKey
+
 AGE_STEPS_PER_WINDOW = 48  # resolution in which responses give ages
 
 
@@ -29,7 +32,8 @@
     """What this router knows of who has read and held what.
 
     ``window_ms``: V of the design page, how long a confirmation counts. ``clock_rate``: the fraction by which
-    a router's clock may run fast or slow."""
+    a router's clock may run fast or slow.
+    """
 
     def __init__(
         self,
@@ -91,7 +95,8 @@
         """Recompute freshness and what is replicated to a majority; true if this router has just become a
         voter.
 
-        ``is_persisted``: what this router holds would survive its restart, or its vote would not."""
+        ``is_persisted``: what this router holds would survive its restart, or its vote would not.
+        """
         has_become_voter = not self.is_voter and self.can_become_voter(now_ms)
         self.is_voter = self.is_voter or has_become_voter
         if self.router_count > 1:
@@ -119,7 +124,8 @@
         """Whether a router that started without memory has read enough to vote.
 
         Only what it read after its earlier incarnation expired counts. Either it has read so many voters that
-        they meet every majority, or a majority has no vote either, so that no vote can contradict its own."""
+        they meet every majority, or a majority has no vote either, so that no vote can contradict its own.
+        """
         expired_at_ms = self.earlier_incarnation_expires_at_ms
         oldest_ms = max(expired_at_ms, now_ms - self.window_ms)
         voters = sum(read_at_ms >= expired_at_ms for read_at_ms in self.read_as_voter_at_ms)
--- a/cedarthread/replication/local_replica.py
+++ b/cedarthread/replication/local_replica.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from cedarthread.components.interface import Entry, EntryKind, OutboundMessage, ReplicatedEntry
+from cedarthread.components.replicated_state import Entry, EntryKind, ReplicatedEntry
 from cedarthread.logs import format_event
 from cedarthread.model.actions import LogMessage
 from cedarthread.replication.entry import (
@@ -19,15 +19,21 @@
     check_bounds,
     is_concurrent,
 )
-from cedarthread.replication.freshness import FreshnessTracker
 from cedarthread.replication.state import EntryRecord, ReplicaState
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from cedarthread.components.messages import OutboundMessage
+    from cedarthread.replication.freshness import FreshnessTracker
+
 
 class LocalReplica:
     """One router's entries and what it may conclude from them.
 
     ``is_durable``: the host persists changes and reports them by ``mark_persisted``; until then this router
-    does not tell peers that it holds them."""
+    does not tell peers that it holds them.
+    """
 
     def __init__(
         self, router_index: int, incarnation: int, freshness: FreshnessTracker, is_durable: bool
--- a/cedarthread/replication/majority.py
+++ b/cedarthread/replication/majority.py
@@ -8,8 +8,10 @@
 from __future__ import annotations
 
 import math
+from typing import TYPE_CHECKING
 
-from cedarthread.replication.entry import EntryKey
+if TYPE_CHECKING:
+    from cedarthread.replication.entry import EntryKey
 
 MAX_COHORTS = 8  # changes that are tracked apart until each is replicated
 NEVER_MS = -math.inf
@@ -27,7 +29,8 @@
 class MajorityTracker:
     """Who holds what this router holds. Times in ms on this router's steady clock.
 
-    ``window_ms``: how long a router counts as holding a root after the time for which that is known."""
+    ``window_ms``: how long a router counts as holding a root after the time for which that is known.
+    """
 
     def __init__(self, router_count: int, window_ms: float, root_digest: int = 0) -> None:
         self.router_count, self.window_ms = router_count, window_ms
@@ -48,7 +51,8 @@
 
     def holder_times(self, root_digest: int) -> list[list[float]]:
         """The ``held_at_ms`` of all cohorts that a router with this root digest holds; none for an unknown
-        root."""
+        root.
+        """
         last = next((n for n, cohort in enumerate(self.cohorts) if cohort.root_digest == root_digest), -1)
         return [cohort.held_at_ms for cohort in self.cohorts[: last + 1]]
 
@@ -58,7 +62,8 @@
 
     def update(self, now_ms: float, is_persisted: bool) -> None:
         """Add what is replicated by now to ``newly_replicated``. ``is_persisted``: this router counts as a
-        holder."""
+        holder.
+        """
         for cohort in self.cohorts:
             if cohort.pending_digests and self._count_holders(now_ms, cohort) + is_persisted >= self.quorum:
                 self.newly_replicated |= cohort.pending_digests
--- a/cedarthread/replication/state.py
+++ b/cedarthread/replication/state.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from cedarthread.components.interface import Entry, EntryKind, ReplicatedEntry, Version
+from cedarthread.components.replicated_state import Entry, EntryKind, ReplicatedEntry, Version
 from cedarthread.replication.codec import BUCKET_COUNT, DIGEST_LOW_MODULUS, EntryRef
 from cedarthread.replication.entry import EncodedEntry, EntryKey, key_hash, order_key
 
@@ -111,7 +111,8 @@
 
     def mark_covered(self, root_digest: int) -> None:
         """Remember that the state with this root digest is within this one; it stays so, for this one only
-        grows."""
+        grows.
+        """
         self.covered_roots.pop(root_digest, None)
         self.covered_roots[root_digest] = None
         if len(self.covered_roots) > MAX_COVERED_ROOTS:
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -10,20 +10,11 @@
 
 import math
 import random
-from collections.abc import Callable, Iterable, Mapping, Sequence
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.components.datagram_fields import MalformedDatagram
-from cedarthread.components.interface import (
-    Entry,
-    EntryKind,
-    MessageType,
-    Notification,
-    OutboundMessage,
-    PeersChanged,
-    ReplicatedEntry,
-)
-from cedarthread.model.actions import SendToPeer
+from cedarthread.components.messages import MessageType, OutboundMessage
+from cedarthread.components.notifications import Notification, PeersChanged
 from cedarthread.replication.codec import (
     EntryFragment,
     FetchRequest,
@@ -43,6 +34,12 @@
 from cedarthread.replication.sync_server import SyncServer
 from cedarthread.replication.sync_session import SyncSessions
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Mapping, Sequence
+
+    from cedarthread.components.replicated_state import Entry, EntryKind, ReplicatedEntry
+    from cedarthread.model.actions import SendToPeer
+
 MAX_TICK_GAP_MS = 2000.0  # after a longer pause of this router its open requests and sessions do not count
 MAX_TICK_INTERVAL_MS = 250.0  # the host calls on_tick at least this often
 ASSUMED_LOSS = 0.2  # of datagrams, that the default window allows for
@@ -52,14 +49,16 @@
 
 def default_window_ms(period_ms: float, router_count: int) -> float:
     """The freshness window V by the formula of the design page, step 10: the rounds that requests need to
-    reach all."""
+    reach all.
+    """
     rounds = math.log2(router_count) + math.log(router_count) + 6.0
     return period_ms * rounds / (1.0 - ASSUMED_LOSS) ** 2
 
 
 class PeerClockSample(NamedTuple):
     """A peer's wall clock in its sync response, and when the response was asked for and received on this
-    clock."""
+    clock.
+    """
 
     unix_ms: float
     sent_at_ms: float
@@ -72,7 +71,8 @@
     Times are in ms on this router's steady clock. ``seed`` must differ from incarnation to incarnation, and
     the object be made after the former incarnation has ended. ``window_ms`` is the freshness window, 0 for
     the default; it must be the same at all routers. ``is_durable``: the host persists changes, reports them
-    by ``mark_persisted``, and may restore this router as a voter."""
+    by ``mark_persisted``, and may restore this router as a voter.
+    """
 
     message_types = frozenset((int(MessageType.REPLICATION),))
     requests_type: type[SyncRequests] = SyncRequests
@@ -128,7 +128,8 @@
         """Declare an entry at this router. If an entry of the same meaning is held, that one is returned
         unchanged.
 
-        ``canonical_body`` gives a body's meaning as bytes, by default the body itself."""
+        ``canonical_body`` gives a body's meaning as bytes, by default the body itself.
+        """
         prepared = self.replica.prepare(kind, name, body, canonical_body)
         if not isinstance(prepared, EncodedEntry):
             return prepared
@@ -138,7 +139,8 @@
 
     def restore(self, entries: Iterable[Entry], is_voter: bool, now_ms: float = 0.0) -> None:
         """Take what the disk had at the start. ``is_voter``: the disk is known to be complete and no older
-        than what this router told peers, so nothing is forgotten."""
+        than what this router told peers, so nothing is forgotten.
+        """
         for entry in entries:
             self._merge(now_ms, EncodedEntry.of(entry))
         self.replica.freshness.is_voter = self.replica.freshness.is_voter or is_voter
@@ -179,7 +181,8 @@
         """Whether this incarnation has read several peers completely.
 
         An entry that one peer in eight holds is then missed once in 256 times, if half of them remember it.
-        Used where a majority are not voters, so that freshness says nothing."""
+        Used where a majority are not voters, so that freshness says nothing.
+        """
         return len(self.sessions.fully_read_peers) >= min(BOOTSTRAP_PEERS, len(self.requests.all_peers))
 
     # For other components.
@@ -190,7 +193,8 @@
 
     def is_fresh(self, now_ms: float) -> bool:
         """Whether a majority of the configured routers has confirmed lately that this one lacks nothing of
-        theirs."""
+        theirs.
+        """
         return self.replica.freshness.is_fresh(now_ms)
 
     def fresh_since(self, now_ms: float) -> float | None:
@@ -275,7 +279,8 @@
 
     def _on_sync_request(self, now_ms: float, sender: int, request: SyncRequest) -> list[SendToPeer]:
         """Respond; and if the peer's state is not known to be within this one, ask it in return, once a
-        period."""
+        period.
+        """
         self._record_incarnation(sender, request.incarnation)
         if not self.server.admits(now_ms, request):
             return []
--- a/cedarthread/replication/sync_requests.py
+++ b/cedarthread/replication/sync_requests.py
@@ -7,12 +7,14 @@
 
 from __future__ import annotations
 
-import random
-from collections.abc import Collection
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.replication.codec import AGES_PER_RESPONSE, SyncRequest
 
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Collection
+
 MAX_OPEN_REQUESTS = 16  # the oldest are dropped first
 REQUESTS_PER_RANDOM_PEER = 8  # one request in so many goes to any peer, alive or not, so that partitions heal
 BOOTSTRAP_REQUESTS_PER_TICK = 4  # extra requests after a start, until enough peers are read
--- a/cedarthread/replication/sync_server.py
+++ b/cedarthread/replication/sync_server.py
@@ -1,11 +1,10 @@
 """Answering peers: sync responses, summaries of buckets that differ, and fragments of entries, within
-budgets."""
+budgets.
+"""
 
 from __future__ import annotations
 
-import random
-from collections.abc import Mapping, Sequence
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.model.actions import SendToPeer
 from cedarthread.replication.codec import (
@@ -25,9 +24,14 @@
     encode_to,
     split_into_fragments,
 )
-from cedarthread.replication.local_replica import LocalReplica
 from cedarthread.statistics import TokenBucket
 
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Mapping, Sequence
+
+    from cedarthread.replication.local_replica import LocalReplica
+
 RESPONSES_PER_SECOND = 20.0  # so that a flood of requests is not answered in full
 RESPONSE_BURST = 20.0
 BYTES_PER_SECOND = 16_000.0  # of summaries and fragments, so that many routers may start together
@@ -67,7 +71,8 @@
         self, now_ms: float, sender: int, request: SyncRequest, remembered_generation: int, unix_ms: float
     ) -> list[SendToPeer]:
         """The sync response, after the newest entry if the peer's state differs: most often it lacks just
-        that."""
+        that.
+        """
         messages: list[SendToPeer] = []
         replica = self.replica
         if request.root_digest != replica.state.root_digest:
@@ -97,7 +102,8 @@
 
     def summaries(self, now_ms: float, sender: int, request: SummaryRequest) -> list[SendToPeer]:
         """Refs of all entries in the buckets that differ, as many as the budget allows, from a random bucket
-        on."""
+        on.
+        """
         state = self.replica.state
         refs_by_bucket: dict[int, list[EntryRef]] = {
             bucket: []
--- a/cedarthread/replication/sync_session.py
+++ b/cedarthread/replication/sync_session.py
@@ -7,9 +7,8 @@
 
 from __future__ import annotations
 
-import random
+from typing import TYPE_CHECKING
 
-from cedarthread.model.actions import SendToPeer
 from cedarthread.replication.codec import (
     ALL_FRAGMENTS,
     BUCKET_COUNT,
@@ -24,11 +23,16 @@
     SyncResponse,
     encode_to,
 )
-from cedarthread.replication.entry import EncodedEntry
 from cedarthread.replication.fragments import FragmentAssembler
-from cedarthread.replication.local_replica import LocalReplica
 from cedarthread.replication.state import DIGEST_MODULUS
 
+if TYPE_CHECKING:
+    import random
+
+    from cedarthread.model.actions import SendToPeer
+    from cedarthread.replication.entry import EncodedEntry
+    from cedarthread.replication.local_replica import LocalReplica
+
 RETRY_INTERVAL_MS = 300.0  # after which what did not arrive is asked for again
 MAX_RETRIES = 8  # without an entry arriving; then the session is given up
 RETRIES_PER_SUMMARY_REQUEST = 4  # one retry in so many asks for the summaries again too
@@ -103,7 +107,8 @@
 
     def start(self, now_ms: float, peer: int, sent_at_ms: float, response: SyncResponse) -> list[SendToPeer]:
         """Begin a session after a peer's response to the request of ``sent_at_ms``, if there is anything to
-        fetch."""
+        fetch.
+        """
         session = SyncSession(now_ms, peer, sent_at_ms, response, self.replica.state.bucket_sums)
         if self._confirm_if_covered(now_ms, session):
             return []
@@ -117,7 +122,8 @@
     def on_summary(self, now_ms: float, sender: int, summary: Summary) -> list[SendToPeer]:
         """Take a summary of an open session and fetch what is missing.
 
-        A summary of another incarnation than the response's does not count: a later one may hold less."""
+        A summary of another incarnation than the response's does not count: a later one may hold less.
+        """
         session = self.sessions.get(summary.nonce)
         if session is None or session.peer != sender or not self._is_same_incarnation(session, summary):
             return []
@@ -168,7 +174,8 @@
 
     def _advance(self, now_ms: float, nonce: int) -> bool:
         """Sum up which of the peer's entries are recognised here; true if they are all of them and the
-        session ends."""
+        session ends.
+        """
         session = self.sessions[nonce]
         for bucket, refs in session.complete_buckets():
             digests = [self.replica.state.known_digest(ref) for ref in refs]
@@ -195,7 +202,8 @@
     def _fetch_missing(self, now_ms: float, session: SyncSession) -> list[SendToPeer]:
         """Ask the peer for entries that are unknown here and not awaited, those in part first.
 
-        No more at a time than the peers' budgets carry: partial entries must not push each other out."""
+        No more at a time than the peers' budgets carry: partial entries must not push each other out.
+        """
         missing = [ref for ref in session.all_refs() if self.replica.state.known_digest(ref) is None]
         awaited = self._expected_refs(now_ms)
         missing_bits = self.fragments.missing_bits_by_digest_low()
--- a/cedarthread/routing/admission.py
+++ b/cedarthread/routing/admission.py
@@ -6,15 +6,18 @@
 from __future__ import annotations
 
 import math
+from typing import TYPE_CHECKING
 
 from cedarthread.model.actions import FailRequest, RejectRequest
 from cedarthread.model.settings import DeduplicationScope, Idempotency, RouterSettings
 from cedarthread.routing.instance_queue import WaitTimes
-from cedarthread.routing.records import PendingRequest, WorkerRecord
 from cedarthread.routing.request_table import QUEUE_CHECK_MS
 from cedarthread.routing.retries import MIN_REMAINING_MS
-from cedarthread.routing.router_state import RouterState
-from cedarthread.routing.selection import WorkerSelector
+
+if TYPE_CHECKING:
+    from cedarthread.routing.records import PendingRequest, WorkerRecord
+    from cedarthread.routing.router_state import RouterState
+    from cedarthread.routing.selection import WorkerSelector
 
 CLIENT_RETRY_SHED_FACTOR = 3.0  # times that a client's retry is shed as often: its first attempt had its turn
 MAX_SHED_PROBABILITY = 0.95  # the rest always passes: it shows when the overload is over
--- a/cedarthread/routing/attempt_tracker.py
+++ b/cedarthread/routing/attempt_tracker.py
@@ -6,11 +6,15 @@
 
 from __future__ import annotations
 
-from cedarthread.model.events import AttemptEnded, StreamStarted
+from typing import TYPE_CHECKING
+
 from cedarthread.model.outcomes import NOT_EXECUTED, Outcome
-from cedarthread.routing.feedback import OutcomeFeedback
 from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
-from cedarthread.routing.router_state import RouterState
+
+if TYPE_CHECKING:
+    from cedarthread.model.events import AttemptEnded, StreamStarted
+    from cedarthread.routing.feedback import OutcomeFeedback
+    from cedarthread.routing.router_state import RouterState
 
 AFFINITY_GAIN = 0.03  # share by which an attempt moves affinity: up on its worker, down on the others
 # The worker has answered, and with it its zone.
--- a/cedarthread/routing/discovery_polling.py
+++ b/cedarthread/routing/discovery_polling.py
@@ -3,10 +3,13 @@
 from __future__ import annotations
 
 import math
-import random
+from typing import TYPE_CHECKING
 
 from cedarthread.model.settings import DiscoveryMode
 
+if TYPE_CHECKING:
+    import random
+
 FIRST_BACKOFF_FRACTION = 1 / 16  # of the longest backoff: the first one
 BACKOFF_JITTER = 0.5, 1.0  # parts of the backoff between which the delay is drawn
 
--- a/cedarthread/routing/estimators.py
+++ b/cedarthread/routing/estimators.py
@@ -7,9 +7,8 @@
 from __future__ import annotations
 
 import math
+from typing import TYPE_CHECKING
 
-from cedarthread.model.events import RequestArrived
-from cedarthread.model.settings import RequestClass, RouterSettings
 from cedarthread.routing.popularity import Popularity
 from cedarthread.routing.records import (
     EXCESS_LOAD_PRIOR_COUNT,
@@ -18,9 +17,13 @@
     PendingRequest,
     WorkerRecord,
 )
-from cedarthread.routing.worker_table import WorkerTable
 from cedarthread.statistics import DecayingCounter, DecayingMean, Ewma
 
+if TYPE_CHECKING:
+    from cedarthread.model.events import RequestArrived
+    from cedarthread.model.settings import RequestClass, RouterSettings
+    from cedarthread.routing.worker_table import WorkerTable
+
 RATE_WINDOW_MS = 5000.0  # ms, time constant of rates: some windows of rule 4, well under a warm-up
 INITIAL_SERVICE_DIVISOR = 4.0  # before any answer, service is taken to need the objective divided by this
 MAX_LOAD_MEMORY_MS = 12000.0  # ms in which what answers show of a worker fades, at most
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-from cedarthread.model.events import AttemptEnded, PreloadEnded
+from typing import TYPE_CHECKING
+
 from cedarthread.model.outcomes import Outcome, StartKind
-from cedarthread.model.settings import RouterSettings
 from cedarthread.routing import outlier_detection, slow_start
 from cedarthread.routing.outlier_detection import (
     FAILURE_GAIN,
@@ -17,10 +17,14 @@
     OVERDUE_MULTIPLE,
     RECOVERY_THRESHOLD,
 )
-from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
-from cedarthread.routing.router_state import RouterState
 from cedarthread.statistics import DecayingCounter
 
+if TYPE_CHECKING:
+    from cedarthread.model.events import AttemptEnded, PreloadEnded
+    from cedarthread.model.settings import RouterSettings
+    from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
+    from cedarthread.routing.router_state import RouterState
+
 REPORT_MEMORY_FRACTION = 0.25  # of the load memory, in which a load report fades: it changes with every call
 CONCURRENCY_WEIGHT = 0.25  # part of a request out that each request of others weighs: a worker has some cores
 REJECTION_MEMORY_MS = 3000.0  # ms in which it fades that a worker rejected a class or tenant
--- a/cedarthread/routing/instance_queue.py
+++ b/cedarthread/routing/instance_queue.py
@@ -8,9 +8,10 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
-from cedarthread.gossip.load_gossip import InstanceLoad
+if TYPE_CHECKING:
+    from cedarthread.model.instance_load import InstanceLoad
 
 MAX_AHEAD_FRACTION = 0.3  # part of a load's time that the calls ahead of one that waits may take
 MAX_BUSY_WAIT_FRACTION = 0.3  # part of a load's time that a call waits at most for a busy instance
@@ -55,7 +56,8 @@
         """Whether a request that would go to a worker waits.
 
         ``is_warm``: an instance is taken to run there. ``instances_by_worker``: what all routers have in
-        flight at workers that are not ejected. ``concurrency``: requests that an instance takes at a time."""
+        flight at workers that are not ejected. ``concurrency``: requests that an instance takes at a time.
+        """
         at_worker = instances_by_worker.get(worker_id)
         instances = self.instances.get(worker_id, 0) if is_warm else 0
         if is_warm and at_worker is not None and at_worker.warm_age_ms is not None:
--- a/cedarthread/routing/outlier_detection.py
+++ b/cedarthread/routing/outlier_detection.py
@@ -6,14 +6,17 @@
 
 from __future__ import annotations
 
-import random
-from collections.abc import Iterable
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
-from cedarthread.model.events import AttemptEnded
 from cedarthread.model.outcomes import Outcome, StartKind
 from cedarthread.routing.records import BASE_EJECTION_MS, Attempt, WorkerRecord
 
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Iterable
+
+    from cedarthread.model.events import AttemptEnded
+
 FAILURE_GAIN = 0.3  # two failures in a row eject, one does not, where a worker gets many own calls;
 MAX_FAILURE_GAIN = 0.6  # where it gets few, one does: the next is seconds away
 EJECTION_THRESHOLD = 0.5  # score that ejects a worker
@@ -55,7 +58,8 @@
 ) -> bool:
     """Take in one observation, 0 healthy to 1 failed; true where it ejects the worker.
 
-    ``workers``: all of them, read only where the worker may be ejected."""
+    ``workers``: all of them, read only where the worker may be ejected.
+    """
     worker.outlier_score += gain * (failure - worker.outlier_score)
     if not worker.is_ejected and worker.outlier_score > EJECTION_THRESHOLD:
         all_workers = list(workers)
@@ -72,7 +76,8 @@
 def eject(worker: WorkerRecord, now_ms: float, call_rarity: float, rng: random.Random) -> None:
     """Set until when the worker is left alone. ``call_rarity``: how rare own calls to one worker are, 1 up.
 
-    The fleet's trials of one failed worker would grow with its routers: each tries as it would call."""
+    The fleet's trials of one failed worker would grow with its routers: each tries as it would call.
+    """
     ejection_ms = min(worker.ejection_ms * call_rarity, MAX_EJECTION_MS)
     worker.ejected_until_ms = now_ms + ejection_ms * rng.uniform(*EJECTION_JITTER)
     worker.ejection_ms = min(2 * worker.ejection_ms, MAX_EJECTION_MS)
@@ -83,7 +88,8 @@
 ) -> FailureWeight | None:
     """How much an attempt that ended in a failure speaks against its worker; None: not at all.
 
-    Marks what else the end shows: a broken connection, a worker that is down, a suspect error."""
+    Marks what else the end shows: a broken connection, a worker that is down, a suspect error.
+    """
     outcome = event.outcome
     if outcome not in _FAILURES or event.is_local or _is_excused(event, attempt):
         return None
--- a/cedarthread/routing/overload.py
+++ b/cedarthread/routing/overload.py
@@ -8,10 +8,13 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Iterable
+from typing import TYPE_CHECKING
 
 from cedarthread.statistics import DecayingCounter
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 OVERLOAD_START = 0.25  # calls' least time over the latency objective where an overload begins...
 OVERLOAD_SPAN = 0.2  # ...and how much more it takes until all calls had better be shed
 CHANCE_DEVIATIONS = 1.0  # standard deviations by which calls in flight may be more than usual by chance
@@ -68,7 +71,8 @@
     def shed_probability(self, now_ms: float, objective_ms: float, worker_ids: Iterable[int]) -> float:
         """0 where calls with this latency objective meet no overload, 1 and up where all had better be shed.
 
-        ``worker_ids``: workers that are not ejected; read only where there may be an overload."""
+        ``worker_ids``: workers that are not ejected; read only where there may be an overload.
+        """
         if self.queueing_ms(now_ms, self.total_in_flight) <= OVERLOAD_START * objective_ms:
             return 0.0
         in_flight = sorted(self.in_flight.get(worker_id, 0) for worker_id in worker_ids)
--- a/cedarthread/routing/preload_budget.py
+++ b/cedarthread/routing/preload_budget.py
@@ -6,8 +6,10 @@
 from __future__ import annotations
 
 from collections import deque
+from typing import TYPE_CHECKING
 
-from cedarthread.model.settings import RuleParameters
+if TYPE_CHECKING:
+    from cedarthread.model.settings import RuleParameters
 
 PRELOADS_PER_WORKER = 0.5  # preloads in flight at most by all routers, for each worker there is
 
--- a/cedarthread/routing/preloading.py
+++ b/cedarthread/routing/preloading.py
@@ -5,12 +5,16 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from cedarthread.model.actions import PreloadFunction
 from cedarthread.model.settings import NotLoadedBehavior
-from cedarthread.routing.admission import AdmissionPolicy
-from cedarthread.routing.records import PendingRequest, WorkerRecord
-from cedarthread.routing.router_state import RouterState
-from cedarthread.routing.selection import WorkerSelector
+
+if TYPE_CHECKING:
+    from cedarthread.routing.admission import AdmissionPolicy
+    from cedarthread.routing.records import PendingRequest, WorkerRecord
+    from cedarthread.routing.router_state import RouterState
+    from cedarthread.routing.selection import WorkerSelector
 
 
 class PreloadPolicy:
