--- /dev/null
+++ b/tests/unit/test_import_layers.py
@@ -0,0 +1,88 @@
+"""Imports point downwards only, also those for annotations.
+
+The layers are those of docs/ARCHITECTURE.md. A file may import from its own layer and from those before it.
+"""
+
+from __future__ import annotations
+
+import ast
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+ROOT = Path(__file__).parents[2]
+PACKAGE = "cedarthread"
+
+# From the lowest layer to the highest; a package or a module of the top folder each.
+LAYERS = (
+    ("errors", "logs", "number_checks", "statistics", "model", "settings_parser", "fleet_config"),
+    ("components",),
+    ("routing",),
+    ("change_freeze", "escrow", "gossip", "membership", "persistence", "priority", "recovery", "replication"),
+    ("node",),
+    ("dispatch", "transport"),
+    ("protocols", "simulator"),
+    ("config",),
+    ("lifecycle",),
+    ("service",),
+    ("cli", "__main__"),
+)
+LAYER_OF = {name: number for number, names in enumerate(LAYERS) for name in names}
+TEST_TOOLS = "testing"
+
+
+def _module_name(path: Path) -> str:
+    parts = path.relative_to(ROOT).with_suffix("").parts
+    return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
+
+
+MODULES = {_module_name(path): path for path in sorted((ROOT / PACKAGE).rglob("*.py"))}
+
+
+def _imported_modules(path: Path) -> Iterator[str]:
+    """Yield every module of the package that a file imports, inside functions and for annotations too."""
+    for node in ast.walk(ast.parse(path.read_text(), str(path))):
+        if isinstance(node, ast.Import):
+            yield from (alias.name for alias in node.names if alias.name in MODULES)
+        elif isinstance(node, ast.ImportFrom) and node.module in MODULES:
+            submodules = [f"{node.module}.{alias.name}" for alias in node.names]
+            yield from (name if name in MODULES else node.module for name in submodules)
+
+
+IMPORTS = {name: sorted(set(_imported_modules(path)) - {name}) for name, path in MODULES.items()}
+
+
+def _first_part(module: str) -> str:
+    return module.split(".")[1] if "." in module else ""
+
+
+def _runtime_modules() -> Iterator[str]:
+    for module in MODULES:
+        if _first_part(module) not in ("", TEST_TOOLS):
+            yield module
+
+
+def test_every_module_belongs_to_a_layer() -> None:
+    assert [module for module in _runtime_modules() if _first_part(module) not in LAYER_OF] == []
+
+
+def test_no_import_points_upwards() -> None:
+    upwards = [
+        f"{module} imports {imported}"
+        for module in _runtime_modules()
+        for imported in IMPORTS[module]
+        if _first_part(imported) in LAYER_OF
+        and LAYER_OF[_first_part(imported)] > LAYER_OF[_first_part(module)]
+    ]
+    assert upwards == []
+
+
+def test_only_the_command_line_imports_test_tools() -> None:
+    users = [
+        module
+        for module in _runtime_modules()
+        if any(_first_part(imported) == TEST_TOOLS for imported in IMPORTS[module])
+    ]
+    assert users == [f"{PACKAGE}.cli"]
