--- a/cedarthread/protocols/worker/codec.py
+++ b/cedarthread/protocols/worker/codec.py
@@ -1,7 +1,7 @@
-"""The workers' wire: one JSON object a line, both ways.
+"""Codec of the workers' protocol: one JSON object per line, in both directions.
 
-Requests are ``CALL``, ``CANCEL``, ``LOAD`` and ``UNLOAD``; a response bears the id of its request and one of
-``HIT``, ``NONE``, ``SHED``, ``FAULT`` and ``LATE``. This module alone knows these words.
+Requests are ``CALL``, ``CANCEL``, ``LOAD`` and ``UNLOAD``. A response has the id of its request and one of
+``HIT``, ``NONE``, ``SHED``, ``FAULT`` and ``LATE``. No other module uses these words of the wire.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from cedarthread.model.outcomes import Outcome, StartKind
 
 MAX_LINE_BYTES = 384 * 1024  # a response: a body of 256 KiB is 349,528 bytes in base64, then its fields
-MAX_REPORTED_CONCURRENCY = 30  # the most calls of one function that a worker reports
+MAX_REPORTED_CONCURRENCY = 30  # calls of one function; larger counts in a response are capped
 _OUTCOME_BY_OP = {
     "HIT": Outcome.OK,
     "NONE": Outcome.NOT_LOADED,
@@ -35,14 +35,19 @@
     """A worker's response to a preload request."""
 
     outcome: Outcome
-    instances: int  # loaded
+    instances: int  # loaded instances of the function
 
 
 def encode_call(call: Call, class_name_json: str, timeout_ms: float) -> bytes:
-    """The line that starts an attempt.
+    """Encode the line that starts an attempt.
 
-    Its shape is fixed, so only strings from outside pass through the JSON encoder; ``class_name_json`` has
-    passed through it already.
+    The shape is fixed, so only strings from outside pass through the JSON encoder, which is on the path of
+    every call.
+
+    Args:
+        call: The call.
+        class_name_json: The name of its class, encoded as JSON in advance.
+        timeout_ms: The time until its deadline.
     """
     key = "" if call.idempotency_key is None else f',"replay":{json.dumps(call.idempotency_key)}'
     limit = max(1, int(timeout_ms))
@@ -52,41 +57,42 @@
 
 
 def encode_message(op: str, message_id: str, fields: dict[str, Any] | None = None) -> bytes:
-    """A line without a body."""
+    """Encode a line without a body."""
     message = {"op": op, "id": message_id} | ({"fields": fields} if fields is not None else {})
     return json.dumps(message, separators=(",", ":")).encode() + b"\n"
 
 
 def encode_cancel(call_id: str) -> bytes:
-    """The line that has the worker drop an attempt. It has no response."""
+    """Encode the line that cancels an attempt. It has no response."""
     return encode_message("CANCEL", call_id)
 
 
 def encode_preload(message_id: str, function_id: int, instances: int) -> bytes:
-    """The line that has the worker load instances of a function."""
+    """Encode the line that requests instances of a function."""
     return encode_message("LOAD", message_id, {"thing": f"{function_id:016x}", "pods": instances})
 
 
 def encode_unload(function_id: int) -> bytes:
-    """The line that has the worker unload idle instances of a function. It has no response."""
+    """Encode the line that unloads idle instances of a function. It has no response."""
     return encode_message("UNLOAD", f"{function_id:016x}")
 
 
 def parse_line(line: memoryview) -> dict[str, Any] | None:
-    """The message of one line, None if the line is no JSON object."""
+    """Parse the message of one line; None if the line is not a JSON object."""
     try:
-        message = json.loads(str(line, "utf-8"))  # json takes no memoryview: the copy cannot be avoided
+        message = json.loads(str(line, "utf-8"))  # json does not accept a memoryview
     except (ValueError, RecursionError):
         return None
     return message if isinstance(message, dict) else None
 
 
 def parse_call_response(message: dict[str, Any], report_columns: tuple[str, ...]) -> AttemptResult | None:
-    """The result that a response to a call gives; None if it is malformed.
+    """Parse the response to a call; None if it is malformed.
 
-    After a malformed response nothing is known of what ran, nor of what follows on the connection.
+    After a malformed response, neither the execution of its call nor the following input can be determined.
     """
-    outcome, fields = _OUTCOME_BY_OP.get(str(message.get("op"))), message.get("fields") or {}
+    outcome = _OUTCOME_BY_OP.get(str(message.get("op")))
+    fields = message.get("fields") or {}
     if outcome is None or not isinstance(fields, dict):
         return None
     body = b""
@@ -102,14 +108,18 @@
 
 
 def parse_preload_response(message: dict[str, Any]) -> PreloadResponse:
-    """The result that a response to a preload request gives; a malformed one counts as an error."""
+    """Parse the response to a preload request; a malformed response counts as an error."""
     fields = message.get("fields")
     instances = _parse_count(fields.get("pods")) if isinstance(fields, dict) else None
     return PreloadResponse(_OUTCOME_BY_OP.get(str(message.get("op")), Outcome.ERROR), instances or 0)
 
 
-def parse_load_report(text: Any, columns: tuple[str, ...]) -> tuple[float | None, ...]:
-    """The values of ``inflight:7;util:0.61`` in the order of the columns; None where one is not reported."""
+def parse_load_report(text: object, columns: tuple[str, ...]) -> tuple[float | None, ...]:
+    """Parse a load report such as ``inflight:7;util:0.61``.
+
+    Returns the values in the order of the columns, None for a column that is not reported; an empty tuple
+    without a report.
+    """
     if not isinstance(text, str) or not text:
         return ()
     values: dict[str, float] = {}
--- a/cedarthread/protocols/worker/connections.py
+++ b/cedarthread/protocols/worker/connections.py
@@ -1,6 +1,6 @@
 """The dispatcher's transport to the workers: JSON lines over pooled connections.
 
-What becomes of an attempt whose connection breaks follows from its progress: see ``worker_line_queue``.
+The progress of an attempt decides its outcome when its connection breaks (``line_queue.py``).
 """
 
 from __future__ import annotations
@@ -33,18 +33,19 @@
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
     from cedarthread.protocols.worker.connection import WorkerConnection
     from cedarthread.protocols.worker.requests import OutboundLine, PendingPreload, WorkerRequest
+    from cedarthread.transport.connection import BufferedConnection
     from cedarthread.transport.flusher import Flusher
 
 log = logging.getLogger(__name__)
 
-# From writing CANCEL until the attempt counts as cancelled: by then the worker must have received it.
+# Time from writing CANCEL until the attempt counts as cancelled; by then the worker has received the line.
 CANCEL_SETTLE_S = 0.010
-SILENCE_S = 1.0  # without input, after which cancelling an attempt retires its connection
-IDLE_CLOSE_FRACTION = 0.8  # of the worker's idle timeout, after which this end closes first
+SILENCE_S = 1.0  # without input; cancelling an attempt then retires its connection
+IDLE_CLOSE_FRACTION = 0.8  # of the worker's idle timeout; the router closes before the worker does
 
 
 class WorkerConnections:
-    """The pools of all workers: implements the dispatcher's ``WorkerTransport``."""
+    """The connection pools of all workers; implements the dispatcher's ``WorkerTransport``."""
 
     def __init__(
         self, settings: RouterSettings, dispatcher: Dispatcher, max_connections: int, flusher: Flusher
@@ -59,22 +60,22 @@
         self.class_names_json: list[str] = []  # by class index
         # Set by the service: False while nothing may be sent, until ``flush_held``.
         self.may_send: Callable[[], bool] = lambda: True
-        self._held: list[WorkerConnection] = []  # connections with output that waits for ``flush_held``
+        self._held: list[BufferedConnection] = []  # their output is suspended until ``flush_held``
         self.preloads = PreloadRequests(dispatcher)
         self.update_settings(settings)
         self._connection_by_attempt: dict[Attempt, WorkerConnection] = {}
         self._loop = asyncio.get_running_loop()
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """Use new settings from now on; class indexes stay as they were."""
+        """Use new settings; class indexes stay the same."""
         self.settings = settings
         self.class_names_json = [json.dumps(request_class.name) for request_class in settings.classes]
 
     def update_endpoints(self, endpoints: dict[int, EndpointRecord]) -> None:
-        """Follow the endpoint list, by worker id.
+        """Apply a new endpoint list, by worker id.
 
-        Connections to workers that are removed, have moved or have restarted are closed at once; those to
-        draining workers once they are empty.
+        Connections to workers that were removed, moved or restarted are closed at once. Connections to
+        draining workers are closed once no request is in flight.
         """
         self.dispatcher.worker_states_changed(
             {worker_id: endpoint.state for worker_id, endpoint in endpoints.items()}
@@ -87,16 +88,16 @@
             elif (endpoint.host, endpoint.port) != (pool.endpoint.host, pool.endpoint.port):
                 pool.retire(close_now=True)
             elif endpoint.started_at_ms != pool.endpoint.started_at_ms:
-                # The news of a restart comes late: connections made since then lead to the new process.
+                # The list shows a restart late: connections created after it lead to the new process.
                 pool.retire(close_now=True, created_until_ms=endpoint.started_at_ms)
             if endpoint is not None and endpoint.state is not EndpointState.READY:
-                pool.retire(close_now=False)  # beside the others: one list may report a restart and a drain
+                pool.retire(close_now=False)  # in addition: one list may show a restart and a drain
         for worker_id, endpoint in endpoints.items():
             pool = self.pools.setdefault(worker_id, WorkerConnectionPool(self, endpoint))
             pool.endpoint = endpoint
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt."""
+        """Start an attempt on a connection to its worker; end it at once if there is no connection."""
         pool = self.pools.get(attempt.worker_id)
         if pool is None:
             self.dispatcher.attempt_ended(attempt, connection_lost_result(attempt))
@@ -111,50 +112,54 @@
         connection.send_attempt(attempt)
 
     def encode_attempt(self, attempt: Attempt) -> bytes:
-        """The line of an attempt that leaves now: it says what time is left now."""
+        """Encode the line of an attempt with the time that is left until its deadline."""
         call = attempt.call
         timeout_ms = call.deadline_ms - self.dispatcher.clock()
         return encode_call(call, self.class_names_json[call.class_index], timeout_ms)
 
     def on_first_byte(self, request: WorkerRequest) -> None:
-        """The first byte of a request has left."""
+        """Report to the dispatcher that a request was passed to the transport."""
         if isinstance(request, Attempt):
             self.dispatcher.on_attempt_sent(request)
         else:
             self.dispatcher.on_preload_sent(request.worker_id, request.message_id)
 
-    def hold(self, connection: WorkerConnection) -> None:
-        """Flush a connection once sending goes on."""
+    def hold(self, connection: BufferedConnection) -> None:
+        """Flush a connection once requests may be sent again."""
         self._held.append(connection)
 
     def flush_held(self) -> None:
-        """Sending goes on: flush what was held back."""
-        held, self._held = self._held, []
-        for connection in held:
+        """Flush the connections with suspended output, because requests may be sent again."""
+        suspended = self._held
+        self._held = []
+        for connection in suspended:
             connection.flush()
 
     def refresh_progress(self, attempt: Attempt) -> None:
-        """Bring the attempt's progress up to date."""
+        """Update the progress of an attempt from the state of its connection."""
         if (connection := self._connection_by_attempt.get(attempt)) is not None:
             connection.refresh_progress()
 
     def withdraw_unsent(self, attempt: Attempt) -> None:
-        """End an attempt of which no byte is written; any other goes on."""
+        """End an attempt that was not passed to the transport; do nothing to any other."""
         if (connection := self._connection_by_attempt.get(attempt)) is not None:
             connection.withdraw_and_end(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt. Its end is reported once it is certain not to run on unseen."""
+        """Cancel an attempt.
+
+        Its end is reported once the worker has received the cancel or the connection has been closed.
+        """
         connection = self._connection_by_attempt.pop(attempt, None)
         if connection is None or attempt.progress is Progress.RESPONSE_STARTED:
             return
         if connection.withdraw(attempt):
             self.dispatcher.attempt_ended(attempt, connection_lost_result(attempt))
             return
-        # Connections to a machine that has vanished stay open and silent: the next attempt makes a new one.
+        # A connection to a host that crashed stays open without input: the next attempt needs a new one.
         is_silent = self._loop.time() - connection.last_read_at > SILENCE_S
         connection.is_retired = connection.is_retired or is_silent
-        if not self.settings.limits.can_cancel:  # the worker goes on with it: the attempt ends here alone
+        if not self.settings.limits.can_cancel:  # the worker continues the attempt, whose response is ignored
             connection.abandon(attempt.call.call_id)
             self.dispatcher.attempt_ended(attempt, AttemptResult(Outcome.TIMEOUT))
             return
@@ -169,19 +174,19 @@
     ) -> None:
         """Report a cancelled attempt.
 
-        A worker that reads nothing has not received the cancel: closing the connection cancels it then.
+        If the cancel line is not written, the connection is aborted, which cancels the attempt at the worker.
         """
         if cancel_line is None or not connection.lines.is_written(cancel_line):
             connection.abort()
         self.dispatcher.attempt_ended(attempt, AttemptResult(Outcome.CANCELLED))
 
     def preload(self, worker_id: int, function_id: int, instances: int) -> None:
-        """Have a worker load instances of a function."""
+        """Request instances of a function from a worker."""
         timeout_ms = self.settings.preload_timeout_ms
         self.preloads.send(self.pools.get(worker_id), worker_id, function_id, instances, timeout_ms)
 
     def unload(self, worker_id: int, function_id: int) -> None:
-        """Have a worker unload idle instances of a function."""
+        """Request that a worker unloads idle instances of a function."""
         pool = self.pools.get(worker_id)
         if pool is not None and (connection := pool.acquire("")) is not None:
             connection.send_line(encode_unload(function_id))
@@ -192,12 +197,15 @@
             pool.sweep(self._loop.time(), -1.0)
 
     def on_connection_broken(self, request: WorkerRequest, *, is_unreachable: bool) -> None:
-        """The connection under a request broke, or never came up."""
+        """End a request after its connection broke or could not be established."""
         end_of_attempt = partial(connection_lost_result, is_unreachable=is_unreachable)
         self._end_request(request, end_of_attempt, Outcome.RESET)
 
     def on_unsent(self, request: WorkerRequest) -> None:
-        """No byte of a request is written: it was withdrawn, or there was no descriptor or port for it."""
+        """End a request of which no byte was written.
+
+        The request was withdrawn, or this host lacks a descriptor or port for its connection.
+        """
         self._end_request(request, lambda _: not_sent_result(), Outcome.CONNECT_FAILED)
 
     def _end_request(
@@ -213,20 +221,20 @@
             self.preloads.finish(request, preload_outcome)
 
     def on_preload_response(self, preload: PendingPreload, message: dict[str, Any]) -> None:
-        """The worker has responded to a preload."""
+        """End a preload by the worker's response."""
         self.preloads.on_response(preload, parse_preload_response(message))
 
     def on_call_response(self, attempt: Attempt, result: AttemptResult) -> None:
-        """The worker has responded to an attempt."""
+        """End an attempt by the worker's response."""
         self._connection_by_attempt.pop(attempt, None)
         self.dispatcher.attempt_ended(attempt, result)
 
     def idle_limit_s(self) -> float:
-        """Seconds without use after which a connection is closed, before the worker does."""
+        """Return the time without use after which a connection is closed, before the worker closes it."""
         return self.settings.limits.idle_timeout_ms / 1000.0 * IDLE_CLOSE_FRACTION
 
     def can_connect(self) -> bool:
-        """May one more connection be made? At the bound an idle one is closed for it."""
+        """Return whether one more connection may be opened; at the limit, close an idle one for it."""
         count = sum(len(pool.connections) for pool in self.pools.values())
         if count < self.max_connections or self._close_longest_idle():
             return True
@@ -234,13 +242,14 @@
         return False
 
     def release_descriptor(self) -> bool:
-        """Close an idle connection, a client's or a worker's: its descriptor is free in the next loop pass.
-        False if there is none.
+        """Close an idle connection of a client or worker; False if there is none.
+
+        The descriptor becomes free in the next iteration of the event loop.
         """
         return self.release_client_descriptor() or self._close_longest_idle()
 
     def _close_longest_idle(self) -> bool:
-        idle = [found for pool in self.pools.values() if (found := pool.longest_idle()) is not None]
+        idle = [connection for pool in self.pools.values() if (connection := pool.longest_idle()) is not None]
         longest_idle = min(idle, key=lambda connection: connection.last_used_at, default=None)
         if longest_idle is not None:
             longest_idle.pool.remove(longest_idle)
@@ -248,7 +257,7 @@
         return longest_idle is not None
 
     def sweep(self, now_s: float) -> None:
-        """Close what has been idle for long; ``now_s`` is loop time in seconds."""
+        """Close connections that were idle for too long; ``now_s`` is the event loop's time."""
         for pool in self.pools.values():
             pool.sweep(now_s, self.idle_limit_s())
 
--- a/cedarthread/protocols/worker/line_queue.py
+++ b/cedarthread/protocols/worker/line_queue.py
@@ -1,8 +1,8 @@
-"""The send queue of one worker connection, and how far the requests on it have come.
+"""The send queue of one worker connection, and the progress of the requests in it.
 
-A request's fate when its connection breaks follows from its progress: what was not completely written has
-never run, what was may have. So the queue knows of each line whether it is queued here, handed to the
-transport, or taken by the socket. It does no I/O itself.
+When a connection breaks, the progress of a request decides its outcome: a request that was not completely
+written was never executed; one that was written may have been. Therefore the queue records for each line
+whether it is queued, in the buffer of the transport, or written to the socket. It does no I/O.
 """
 
 from __future__ import annotations
@@ -18,10 +18,11 @@
 
 
 class LineQueue:
-    """Outbound lines in order: first queued, then in the transport's buffer, then written.
+    """Outbound lines in order of sending: queued, then in the transport's buffer, then written.
 
-    ``on_written`` is called once for each attempt of which the socket has taken the last byte,
-    ``on_first_byte`` for each request that begins to leave.
+    Args:
+        on_written: Called once per attempt, when its last byte has been written to the socket.
+        on_first_byte: Called once per request, when its line is passed to the transport.
     """
 
     def __init__(
@@ -31,22 +32,22 @@
     ) -> None:
         self._on_written = on_written
         self._on_first_byte = on_first_byte
-        self.queued: list[OutboundLine] = []  # not handed to the transport yet
-        self.buffered: list[OutboundLine] = []  # handed to the transport, not completely taken by the socket
+        self.queued: list[OutboundLine] = []  # not passed to the transport yet
+        self.buffered: list[OutboundLine] = []  # in the transport's buffer, at least in part
 
     def __bool__(self) -> bool:
         return bool(self.queued or self.buffered)
 
     def append(self, line: OutboundLine) -> None:
-        """Queue a line."""
+        """Append a line to the queue."""
         self.queued.append(line)
 
     def requests(self) -> list[WorkerRequest]:
-        """The requests that are still queued."""
+        """Return the requests with a queued line."""
         return [line.request for line in self.queued if line.request is not None]
 
     def remove(self, request: WorkerRequest) -> bool:
-        """Take a request back; False if bytes of it have been handed to the transport."""
+        """Remove the line of a request; False if it has been passed to the transport."""
         for line in self.queued:
             if line.request is request:
                 self.queued.remove(line)
@@ -54,26 +55,35 @@
         return False
 
     def is_written(self, line: OutboundLine) -> bool:
-        """Has the socket taken all of this line?"""
+        """Return whether the line has been completely written to the socket."""
         return line not in self.queued and line not in self.buffered
 
     def on_connected(self) -> None:
-        """The connection is up: what is queued is no longer unconnected."""
+        """Record that the queued requests have a connection now."""
         for line in self.queued:
             self._record(line, Progress.UNWRITTEN)
 
     def next_line(self, *, without_requests: bool = False) -> OutboundLine | None:
-        """The first queued line, or the first that carries no request; None if there is none."""
+        """Return the first queued line, or None.
+
+        Args:
+            without_requests: Skip lines that carry a request.
+        """
         if not without_requests:
             return self.queued[0] if self.queued else None
         return next((line for line in self.queued if line.request is None), None)
 
     def take(self, line: OutboundLine) -> None:
-        """Take a line off the queue, to hand it to the transport."""
+        """Remove a line from the queue because it is passed to the transport."""
         self.queued.remove(line)
 
     def on_handed_over(self, line: OutboundLine, written_bytes: int) -> None:
-        """The transport has taken a line, and the socket its first ``written_bytes`` bytes."""
+        """Record that a line was passed to the transport.
+
+        Args:
+            line: The line.
+            written_bytes: The bytes of the line that the transport has already written to the socket.
+        """
         if line.request is not None:
             self._on_first_byte(line.request)
         if written_bytes >= len(line.data):
@@ -83,18 +93,21 @@
             self.buffered.append(line)
 
     def on_drained_to(self, unwritten_bytes: int) -> None:
-        """So many bytes are left in the transport's buffer: lines before them are written."""
+        """Record that all but the last ``unwritten_bytes`` bytes of the buffered lines were written."""
         while self.buffered and sum(len(line.data) for line in self.buffered[1:]) >= unwritten_bytes:
             self._record(self.buffered.pop(0), Progress.WRITTEN)
 
     def on_all_written(self) -> None:
-        """The socket has taken all that was handed over."""
+        """Record that all buffered lines were written."""
         for line in self.buffered:
             self._record(line, Progress.WRITTEN)
         self.buffered.clear()
 
     def on_disconnected(self) -> None:
-        """The connection is down: the last buffered line is not completely written, those before may be."""
+        """Record the end of the connection.
+
+        The last buffered line was not completely written. The lines before it may have been.
+        """
         for line in self.buffered[:-1]:
             self._record(line, Progress.WRITTEN)
         self.buffered.clear()
--- a/cedarthread/protocols/worker/pool.py
+++ b/cedarthread/protocols/worker/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to one worker: which of them takes a request, and when they are made and closed."""
+"""The pool of connections to one worker: selects a connection for a request, opens and closes connections."""
 
 from __future__ import annotations
 
@@ -15,29 +15,30 @@
 
 if TYPE_CHECKING:
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
-    from cedarthread.protocols.worker.connections import WorkerConnections
+    from cedarthread.protocols.worker.owners import PoolOwner
 
 log = logging.getLogger(__name__)
 
-# Part of the drain grace in which a line that was handed to the transport may still leave after the news of a
-# drain. The rest is kept for the age of the news: up to a poll and some retries.
+# Fraction of the drain grace in which a buffered line may still be written after the endpoint list showed a
+# drain. The rest allows for the age of the list: up to one poll and some retries.
 DRAIN_FLUSH_GRACE_FRACTION = 0.4
-# A connect that failed for want of a descriptor or a port here says nothing of the worker.
+# A connect that failed because this host lacks a descriptor or a port is no fault of the worker.
 _LOCAL_ERRNOS = EXHAUSTION_ERRNOS | {errno.EADDRNOTAVAIL}
 
 
 @dataclass(eq=False, slots=True)
 class WorkerConnectionPool:
-    """The connections to one worker."""
+    """The connections to one worker, those that are being established included."""
 
-    worker_connections: WorkerConnections
+    worker_connections: PoolOwner
     endpoint: EndpointRecord
     connections: list[WorkerConnection] = field(default_factory=list)
     connecting: dict[WorkerConnection, asyncio.Task[None]] = field(default_factory=dict)
 
     def acquire(self, message_id: str) -> WorkerConnection | None:
-        """A connection that accepts a request of this id, a new one if need be; None if the process may hold
-        no more.
+        """Return a connection that accepts a request of this id, a new one if necessary.
+
+        Returns None if the limit of worker connections is reached and none of them is idle.
         """
         for connection in self.connections:
             if connection.can_accept(message_id):
@@ -59,15 +60,15 @@
         except (OSError, TimeoutError) as error:
             if not connection.is_closed:
                 if log.isEnabledFor(logging.INFO):
-                    # No local name may hold the error: with its traceback, and that with this frame, it would
-                    # form a cycle that holds the connection until the collector's rare last generation runs.
+                    # Do not bind the error to a local name: error, traceback and this frame would form a
+                    # reference cycle that keeps the connection until a collection of the oldest generation.
                     log.info(format_event("worker_unreachable", worker=self.endpoint.name, error=error))
                 connection.is_local_failure = error.errno in _LOCAL_ERRNOS
                 connection.is_unreachable = not connection.is_local_failure
                 connection.abort()
 
     async def _connect(self, connection: WorkerConnection) -> None:
-        """Connect. Where no descriptor is left, an idle connection is closed first: a call goes before it."""
+        """Connect. Without a free descriptor, first close an idle connection: a call has precedence."""
         loop = asyncio.get_running_loop()
         while True:
             try:
@@ -76,12 +77,12 @@
             except OSError as error:
                 if error.errno not in EXHAUSTION_ERRNOS or not self.worker_connections.release_descriptor():
                     raise
-            await asyncio.sleep(0)  # the descriptor is free in the next loop pass
+            await asyncio.sleep(0)  # the descriptor is free in the next iteration of the event loop
 
     def remove(self, connection: WorkerConnection) -> None:
-        """A connection is down, or not wanted any more.
+        """Remove a closed or unwanted connection.
 
-        A connect that nobody waits for is cancelled: it would hold its descriptor uncounted.
+        A pending connect is cancelled, because its descriptor would be in use without being counted.
         """
         if connection in self.connections:
             self.connections.remove(connection)
@@ -90,17 +91,24 @@
             task.cancel()
 
     def longest_idle(self) -> WorkerConnection | None:
-        """The idle connection that was used least recently."""
+        """Return the idle connection that was used least recently, or None."""
         idle = [connection for connection in self.connections if connection.is_idle()]
         return min(idle, key=lambda connection: connection.last_used_at, default=None)
 
     def retire(self, *, close_now: bool, created_until_ms: float = math.inf) -> None:
-        """Send no more on the connections created until then; close them, at once or once they are empty.
+        """Stop using the connections and close them.
+
+        Queued requests are withdrawn, because a worker that reads slowly would receive them long after the
+        endpoint list showed its drain.
 
-        Requests that are still queued are withdrawn: a worker that reads slowly would get them long after the
-        news of its drain.
+        Args:
+            close_now: Close at once; otherwise once no request is in flight.
+            created_until_ms: Only connections created until then, on the dispatcher's clock.
         """
-        for connection in [one for one in self.connections if one.created_at_ms <= created_until_ms]:
+        retiring = [
+            connection for connection in self.connections if connection.created_at_ms <= created_until_ms
+        ]
+        for connection in retiring:
             connection.is_retired = True
             for request in connection.lines.requests():
                 connection.withdraw_and_end(request)
@@ -115,7 +123,10 @@
                 asyncio.get_running_loop().call_later(flush_s, connection.abort_if_unwritten, buffered)
 
     def sweep(self, now_s: float, idle_limit_s: float) -> None:
-        """Close what has been idle for long, before the worker does and a request crosses its close."""
+        """Close connections that were idle for over ``idle_limit_s``.
+
+        The router closes first, because a request could cross the close of the worker.
+        """
         for connection in list(self.connections):
             is_expired = connection.is_retired or now_s - connection.last_used_at > idle_limit_s
             if is_expired and connection.transport is not None and not connection.in_flight:
--- a/cedarthread/protocols/worker/preloads.py
+++ b/cedarthread/protocols/worker/preloads.py
@@ -1,4 +1,4 @@
-"""Preload requests to workers: each ends exactly once, by a response, a timeout or a failed connection."""
+"""Preload requests to workers. Each ends exactly once: by a response, a timeout or a failed connection."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     from cedarthread.protocols.worker.connection import WorkerConnection
     from cedarthread.protocols.worker.pool import WorkerConnectionPool
 
-PRELOAD_FLUSH_S = 0.5  # how long a preload request may wait here until its first byte is written
+PRELOAD_FLUSH_S = 0.5  # time until its first byte must be written; afterwards the request is withdrawn
 
 
 class PreloadRequests:
-    """Sends preload requests and reports the end of each to the dispatcher."""
+    """Sender of preload requests; reports the end of each to the dispatcher."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self._dispatcher = dispatcher
@@ -34,7 +34,15 @@
         instances: int,
         timeout_ms: float,
     ) -> None:
-        """Ask a worker to load instances of a function; without a connection this fails at once."""
+        """Request instances of a function from a worker.
+
+        Args:
+            pool: The worker's connections; None if the worker is not on the endpoint list.
+            worker_id: The worker.
+            function_id: The function.
+            instances: The number of instances wanted.
+            timeout_ms: The time for the response. Without a connection, the request fails at once.
+        """
         self._count += 1
         preload = PendingPreload(f"load-{self._count}", worker_id, function_id, self._dispatcher.clock())
         connection = pool.acquire(preload.message_id) if pool is not None else None
@@ -48,25 +56,25 @@
         )
 
     def _on_unsent(self, preload: PendingPreload, connection: WorkerConnection) -> None:
-        """Withdraw a preload that could not be written yet.
+        """Withdraw a preload of which no byte has been written.
 
-        Those that wait for a worker that reads slowly would else reach it all at once, past the budget.
+        Preloads queued for a worker that reads slowly would otherwise reach it all at once, over the budget.
         """
         if connection.withdraw(preload):
             self.finish(preload, Outcome.CONNECT_FAILED)
 
     def _on_timeout(self, preload: PendingPreload, connection: WorkerConnection) -> None:
-        """Give up a preload without a response: it would hold its place in the budget for good."""
+        """End a preload without a response, so that its place in the preload budget becomes free."""
         if not connection.withdraw(preload):
             connection.in_flight.pop(preload.message_id, None)
         self.finish(preload, Outcome.TIMEOUT)
 
     def on_response(self, preload: PendingPreload, response: PreloadResponse) -> None:
-        """The worker has responded."""
+        """End a preload by the worker's response."""
         self.finish(preload, response.outcome, response.instances)
 
     def finish(self, preload: PendingPreload, outcome: Outcome, instances: int = 0) -> None:
-        """Report the end of a preload; any later end of it is ignored."""
+        """Report the end of a preload; ignore any later end of the same preload."""
         if not preload.is_finished:
             preload.is_finished = True
             for timer in preload.timers:
--- a/cedarthread/protocols/worker/requests.py
+++ b/cedarthread/protocols/worker/requests.py
@@ -1,4 +1,4 @@
-"""What a connection to a worker carries: attempts and preloads, and the lines that start them."""
+"""Requests on a connection to a worker (attempts and preloads) and the lines that carry them."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(eq=False, slots=True)
 class PendingPreload:
-    """A preload request that waits for its response."""
+    """A preload request without a response yet."""
 
     message_id: str
     worker_id: int
     function_id: int
     sent_at_ms: float
-    is_finished: bool = False
+    is_finished: bool = False  # its end has been reported to the dispatcher
     timers: list[asyncio.TimerHandle] = field(default_factory=list)  # cancelled once it is finished
 
 
@@ -27,13 +27,13 @@
 
 
 def message_id_of(request: WorkerRequest) -> str:
-    """The id under which the worker will respond."""
+    """Return the id that the worker's response will carry."""
     return request.call.call_id if isinstance(request, Attempt) else request.message_id
 
 
 @dataclass(eq=False, slots=True)
 class OutboundLine:
-    """A line to send, and the request it carries, if it carries one."""
+    """A line to send; `request` is None for a line without a response, such as a cancel."""
 
     data: bytes
     request: WorkerRequest | None = None
--- a/cedarthread/testing/fuzzing/injected_defects.py
+++ b/cedarthread/testing/fuzzing/injected_defects.py
@@ -158,7 +158,7 @@
 
 def _write_all_lines(self: WorkerConnection, transport: asyncio.Transport, *, is_holding: bool) -> None:
     while (line := self.lines.next_line()) is not None:
-        if line.request is not None and not self._may_leave(line.request):
+        if line.request is not None and not self._may_write(line.request):
             self.withdraw_and_end(line.request)
             continue
         line.data = line.data or self.workers.encode_attempt(cast("Attempt", line.request))
