--- a/cedarthread/protocols/control.py
+++ b/cedarthread/protocols/control.py
@@ -1,6 +1,6 @@
-"""The operators' address: one command line a connection, one reply whose first line begins with YES or NO.
+"""The control address for operators: one command line per connection, one reply that begins with YES or NO.
 
-It reports only; the service passes in the commands and what answers them.
+Commands only report. The service passes in the commands and their handlers.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
     from cedarthread.transport.flusher import Flusher
 
-MAX_LINE_BYTES = 256  # the end of the line included
-LINE_TIMEOUT_S = 1.0  # that a connection has to send its complete line
-MAX_CONNECTIONS = MAX_OPERATOR_CONNECTIONS  # beyond, the oldest is closed
+MAX_LINE_BYTES = 256  # including the newline
+LINE_TIMEOUT_S = 1.0  # from the connection to its complete line
+MAX_CONNECTIONS = MAX_OPERATOR_CONNECTIONS  # for one more, the oldest is closed
 LISTEN_BACKLOG = 64
-MAX_ECHOED_CHARACTERS = 32  # of an unknown command, in the reply that says so
+MAX_ECHOED_CHARACTERS = 32  # of an unknown command, in the reply
 
-CommandHandler: TypeAlias = Callable[[], tuple[bool, list[str]]]  # YES or NO, and the lines after the first
+CommandHandler: TypeAlias = Callable[[], tuple[bool, list[str]]]  # whether YES, and the further lines
 
 
 class ControlConnection(BufferedConnection):
-    """One operator's command."""
+    """One connection of an operator, with one command."""
 
     def __init__(self, server: ControlServer) -> None:
         super().__init__(MAX_LINE_BYTES, server.flusher)
@@ -36,20 +36,20 @@
         self._line_timer: asyncio.TimerHandle | None = None
 
     def on_connected(self) -> None:
-        """Register, and start the time limit."""
+        """Register with the server and start the timeout of the line."""
         if not self.server.register(self):
             self.abort()
             return
         self._line_timer = self._loop.call_later(LINE_TIMEOUT_S, self.reply_no, "no whole line in time")
 
     def on_disconnected(self) -> None:
-        """Unregister."""
+        """Unregister from the server."""
         self.server.connections.pop(self, None)
         if self._line_timer is not None:
             self._line_timer.cancel()
 
     def on_data(self, data: memoryview) -> int | None:
-        """Handle the first complete line; all else is discarded."""
+        """Handle the first complete line and discard all other input; return the processed bytes."""
         if self.has_replied:
             return len(data)
         end = self.buffer.find(b"\n", 0)
@@ -59,11 +59,11 @@
         return len(data)
 
     def on_buffer_full(self) -> None:
-        """The line is longer than any command."""
+        """Reply NO to a line that is too long."""
         self.reply_no(f"line over {MAX_LINE_BYTES - 1} bytes")
 
     def eof_received(self) -> bool:
-        """The line was cut short (asyncio)."""
+        """Reply NO to a truncated line (called by asyncio)."""
         self.reply_no("line cut short")
         return True
 
@@ -78,7 +78,7 @@
         self.reply(("YES" if is_yes else "NO") + "\n" + "".join(f"{line}\n" for line in lines))
 
     def reply_no(self, reason: str) -> None:
-        """Reply NO, and why."""
+        """Reply NO with a reason."""
         self.reply(f"NO {reason}\n")
 
     def reply(self, text: str) -> None:
@@ -93,7 +93,14 @@
 
 
 class ControlServer:
-    """The listening socket at the operators' address and its few connections."""
+    """The listening socket at the control address and its few connections.
+
+    Args:
+        commands: The handler of each command, by name in upper case.
+        flusher: Writes the output of each iteration.
+        max_connections: The limit of connections.
+        release_descriptor: Closes a connection elsewhere to free a descriptor; False if it cannot.
+    """
 
     def __init__(
         self,
@@ -102,22 +109,26 @@
         max_connections: int = MAX_CONNECTIONS,
         release_descriptor: Callable[[], bool] = lambda: False,
     ) -> None:
-        self.commands = commands  # by name, in upper case
+        self.commands = commands
         self.flusher = flusher
         self.max_connections = max_connections
-        self.release_descriptor = release_descriptor  # frees one where none is left, False if it cannot
-        self.connections: dict[ControlConnection, None] = {}  # the oldest first
+        self.release_descriptor = release_descriptor
+        self.connections: dict[ControlConnection, None] = {}  # oldest first
         self._acceptor: Acceptor[ControlConnection] | None = None
 
     def register(self, connection: ControlConnection) -> bool:
-        """Count a connection in, once. At the bound the oldest is closed for it: a flood of idle connections
-        costs only its own.
+        """Count a connection once.
+
+        At the limit, close the oldest connection for it, so that a flood of idle connections cannot block an
+        operator. Returns False if no connection can be closed.
         """
         if connection in self.connections:
             return True
         if len(self.connections) >= self.max_connections:
-            oldest = next((one for one in self.connections if one.transport is not None), None)
-            if oldest is None:  # none is up yet, so none can be closed
+            oldest = next(
+                (connection for connection in self.connections if connection.transport is not None), None
+            )
+            if oldest is None:  # no connection is established
                 return False
             del self.connections[oldest]
             oldest.abort()
@@ -125,7 +136,11 @@
         return True
 
     def listen(self, host: str, port: int) -> int:
-        """Accept operators; returns the port. OSError if the address cannot be used."""
+        """Accept operators and return the port.
+
+        Raises:
+            OSError: The address cannot be used.
+        """
         self._acceptor = Acceptor(
             "operators",
             create_listener(host, port, LISTEN_BACKLOG),
@@ -144,7 +159,7 @@
         self.connections.pop(connection, None)
 
     def stop_listening(self) -> None:
-        """Accept no more."""
+        """Close the listening socket."""
         if self._acceptor is not None:
             self._acceptor.close()
             self._acceptor = None
--- a/cedarthread/protocols/discovery/client.py
+++ b/cedarthread/protocols/discovery/client.py
@@ -1,4 +1,4 @@
-"""The discovery client: polls the complete endpoint list by DNS over UDP."""
+"""The discovery client: polls the complete endpoint list by DNS over UDP and owns the sockets for it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 SERVICE_NAME = "_back._tcp.pool.lan"
 CONNECT_RETRY_S = MAX_POLL_INTERVAL_S
-QUERY_ID_BYTES = 2  # at the start of a message
+QUERY_ID_BYTES = 2  # the first field of a message
 QUERY_IDS = 1 << 16
 
 
@@ -40,21 +40,21 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open (asyncio)."""
+        """Pass the open socket to the client (called by asyncio)."""
         self._transport = cast("asyncio.DatagramTransport", transport)
         self._client.connection_made(self._transport)
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        """A reply, perhaps late, perhaps a duplicate (asyncio)."""
+        """Pass a reply to the client, possibly late or duplicated (called by asyncio)."""
         if self._client.datagram_received(data, addr):
             self._client.on_usable_socket(self._transport)
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens there (asyncio)."""
+        """Report a closed server port (called by asyncio)."""
         self._client.error_received(exc)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The socket is closed (asyncio); with an error, it was not closed here."""
+        """Report a socket that was closed by an error (called by asyncio)."""
         if exc is not None:
             self._client.on_socket_lost(self._transport, exc)
 
@@ -84,20 +84,23 @@
         # Set by the service: called with the time at which a regular query was due, before it is sent.
         self.on_poll_due: Callable[[float], None] = lambda due_at_s: None
         self.acceptance = ListAcceptance()
-        self.last_usable_reply_at = 0.0  # loop time in seconds
+        self.last_usable_reply_at = 0.0  # loop time in s
         self._random = random.SystemRandom()
-        self.queries = QueryTracker(lambda: self._random.random(), drain_grace_s)
-        self._address: tuple[str, int] | None = None  # the one to poll
+        self.queries = QueryTracker(self._draw, drain_grace_s)
+        self._address: tuple[str, int] | None = None  # of the server to poll
         self._connect_task: asyncio.Task[None] | None = None
-        self._last_payload = b""  # a reply with the list in use, without its query id
-        self._is_settled = False  # no other list was seen since
+        self._last_payload = b""  # the last reply with the list in use, without its query id
+        self._is_settled = False  # no reply with another list has arrived since
         self._transport: asyncio.DatagramTransport | None = None
-        # The one before it, after a move: polled too until the new server replies.
+        # The previous socket after a change of address; polled until the new server replies.
         self._previous_transport: asyncio.DatagramTransport | None = None
         self._has_transport_replied = False
         self._timer: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
 
+    def _draw(self) -> float:
+        return self._random.random()
+
     @property
     def last_serial(self) -> int:
         """The serial of the list in use."""
@@ -108,14 +111,14 @@
         self.acceptance.serial = serial
 
     async def connect(self, host: str, port: int) -> None:
-        """Poll at this address: serials go on, and the last list stays until a newer one comes."""
+        """Open a socket to this address and poll it; the list in use stays until a newer one is confirmed."""
         await self._loop.create_datagram_endpoint(lambda: DiscoverySocket(self), remote_addr=(host, port))
 
     def start_polling(self, host: str, port: int) -> None:
-        """Poll at this address as soon as it can be reached, and at the one before until this one replies.
+        """Poll this address as soon as its socket opens, and the previous address until this one replies.
 
-        So neither the start of the process nor a reload waits for discovery, or fails by it, and no reply
-        that is under way is lost.
+        Neither the start of the process nor a reload waits for discovery or fails because of it, and replies
+        on their way are not lost.
         """
         self._cancel_connecting()
         self._address = (host, port)
@@ -140,18 +143,19 @@
             self._connect_task = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A socket is open: it takes the place of an older one, which is kept until this one has replied."""
+        """Use a new socket; keep the previous one until the new one has received a usable reply."""
         if self._has_transport_replied:
             _close(self._previous_transport)
             self._previous_transport = self._transport
-        else:  # it never replied: the one before it is worth more
+        else:  # the replaced socket never received a reply: keep the one before it
             _close(self._transport)
-        self._transport, self._has_transport_replied = cast("asyncio.DatagramTransport", transport), False
+        self._transport = cast("asyncio.DatagramTransport", transport)
+        self._has_transport_replied = False
         self.queries.restart_retries(self._loop.time())
         self._poll()
 
     def on_usable_socket(self, transport: asyncio.DatagramTransport | None) -> None:
-        """A usable reply came from this socket."""
+        """Close the previous socket after the first usable reply on the new one."""
         if transport is not None and transport is self._transport and not self._has_transport_replied:
             self._has_transport_replied = True
             _close(self._previous_transport)
@@ -159,16 +163,16 @@
 
     @property
     def is_polling(self) -> bool:
-        """Is there a server to ask?"""
+        """Whether a discovery socket is open."""
         return self._transport is not None
 
     @property
     def next_poll_at_s(self) -> float:
-        """When the next query is due, loop time; where that is past, this process is late."""
+        """Loop time in s at which the next query is due; a past time means that this process is late."""
         return self._timer.when() if self._timer is not None else math.inf
 
     def poll_now(self) -> None:
-        """Query at once, as after a stall of this process."""
+        """Send a query at once, for example after a stall of this process."""
         if self._transport is not None:
             self._poll()
 
@@ -178,9 +182,9 @@
 
     def _poll(self) -> None:
         assert self._transport is not None
-        now_s, query_id = self._loop.time(), self._random.randrange(QUERY_IDS)
-        self.queries.on_sent(query_id, now_s)
-        self._schedule_poll()  # first: whatever fails here, it goes on
+        query_id = self._random.randrange(QUERY_IDS)
+        self.queries.on_sent(query_id, self._loop.time())
+        self._schedule_poll()  # first, so that polling continues if the send fails
         query = dns.encode_query(query_id, SERVICE_NAME)
         self._transport.sendto(query)
         if self._previous_transport is not None:
@@ -193,11 +197,14 @@
         self._timer = self._loop.call_at(self.queries.next_query_at_s(), self._poll_on_timer)
 
     def datagram_received(self, data: bytes, addr: object) -> bool:
-        """A reply, perhaps late, perhaps a duplicate; whether it shows that the list is up to date."""
+        """Process a reply, possibly late or duplicated.
+
+        Returns whether the reply shows that the list in use is up to date.
+        """
         query_id = int.from_bytes(data[:QUERY_ID_BYTES], "big")
         if not self.queries.accepts(query_id):
             return False
-        # Most replies repeat the last one: with many workers, parsing each took half of an idle router's CPU.
+        # Most replies repeat the last one. Parsing each took half of an idle router's CPU with many workers.
         is_known = bool(self._last_payload) and data[QUERY_ID_BYTES:] == self._last_payload
         if is_known and self._is_settled:
             self._on_usable_reply(query_id)
@@ -210,14 +217,18 @@
         return is_usable
 
     def _on_usable_reply(self, query_id: int) -> None:
-        self.last_usable_reply_at = now_s = self._loop.time()
+        now_s = self._loop.time()
+        self.last_usable_reply_at = now_s
         self.queries.on_usable_reply(query_id, now_s)
         if self._transport is not None:
             self._schedule_poll()
         self.on_fresh()
 
     def _handle_reply(self, reply: dns.Reply | dns.UnusableReply, query_id: int, payload: bytes) -> bool:
-        """Take a reply to one of the queries; whether it shows that the list is up to date."""
+        """Process the parsed reply to a query.
+
+        Returns whether the reply shows that the list in use is up to date.
+        """
         if isinstance(reply, dns.UnusableReply):
             self._reject(reply)
             return False
@@ -232,13 +243,14 @@
         if verdict is ListVerdict.UNCONFIRMED:
             self._on_unconfirmed(reply, reply.serial)
             return False
-        self._is_settled, self._last_payload = True, payload
+        self._is_settled = True
+        self._last_payload = payload
         if verdict is ListVerdict.NEW:
             self.on_update(reply.serial, records)
         return True
 
     def _on_unconfirmed(self, reply: dns.Reply, serial: int) -> None:
-        """A list that differs from the one in use: whom it drains gets no more calls at once."""
+        """Demote the workers that an unconfirmed list shows as draining, so that they get no more calls."""
         self._is_settled = False
         self.queries.on_unconfirmed_reply(self._loop.time())
         if not reply.srv_records:  # a corrupted reply must not remove every worker
@@ -249,7 +261,8 @@
 
     def _demote(self, partial: PartialList) -> None:
         if self.on_partial_list is not None and self.on_partial_list(partial):
-            self.acceptance.must_confirm_again, self._is_settled = True, False
+            self.acceptance.must_confirm_again = True
+            self._is_settled = False
 
     def _reject(self, reply: dns.UnusableReply) -> None:
         self.queries.on_unusable_reply(self._loop.time())
@@ -261,23 +274,24 @@
             )
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens there: the next query tries again."""
+        """Log a closed server port; the next query is a retry."""
         if log.isEnabledFor(logging.DEBUG):
             log.debug(format_event("discovery_unreachable", error=exc))
 
     def on_socket_lost(self, transport: asyncio.DatagramTransport | None, exc: Exception) -> None:
-        """A socket was closed, not by this client: the one in use is replaced."""
+        """Replace a socket that was closed by an error."""
         log.warning(format_event("discovery_socket_lost", error=exc))
         if transport is self._previous_transport:
             self._previous_transport = None
         elif transport is self._transport and self._address is not None:
-            self._transport, self._previous_transport = self._previous_transport, None
+            self._transport = self._previous_transport
+            self._previous_transport = None
             if self._transport is None and self._timer is not None:
                 self._timer.cancel()
             self.start_polling(*self._address)
 
     def stop(self) -> None:
-        """Poll no more."""
+        """Stop polling and close the sockets."""
         self._cancel_connecting()
         self._address = None
         if self._timer is not None:
--- a/cedarthread/protocols/discovery/endpoint_list.py
+++ b/cedarthread/protocols/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: the workers by name, as discovery or the configuration last reported each."""
+"""The endpoint list: the last report of each worker by discovery or by the configuration."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 MAX_PORT = 65535
 MAX_PORT_DIGITS = 5
-MAX_ECHOED_CHARACTERS = 80  # of an invalid address, in the error that says so
+MAX_ECHOED_CHARACTERS = 80  # of an invalid address, in the error message
 _NUMBERED_NAME = re.compile(r"[a-z]+-([0-9a-f]{8})\Z")
 _STATE_BY_NAME = {state.value: state for state in EndpointState}
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """One worker, as it was reported."""
+    """One worker as reported. `kind` is the worker's type, `cell` its group within the zone."""
 
     name: str
     host: str
@@ -43,13 +43,17 @@
 
 
 def worker_id_from_name(name: str) -> int:
-    """A worker's id: the same at every router, since all place functions by it."""
+    """Return the id of a worker, which is the same at every router because functions are placed by id."""
     match = _NUMBERED_NAME.match(name)
     return int(match[1], 16) if match else zlib.crc32(name.encode())
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of ``10.0.0.4:5050`` or ``[::1]:5050``; ValueError if it is no address."""
+    """Parse ``10.0.0.4:5050`` or ``[::1]:5050`` into host and port.
+
+    Raises:
+        ValueError: The text is not an address.
+    """
     host, _, port = text.rpartition(":")
     if not (port.isascii() and port.isdigit() and len(port) <= MAX_PORT_DIGITS and int(port) <= MAX_PORT):
         raise ValueError(f"{text[:MAX_ECHOED_CHARACTERS]!r} is no host:port")
@@ -57,7 +61,11 @@
 
 
 def endpoint_from_json(entry: dict[str, Any]) -> EndpointRecord:
-    """An entry of the configuration's endpoint list; ValueError, KeyError or TypeError if it is invalid."""
+    """Parse an entry of the configuration's endpoint list.
+
+    Raises:
+        ValueError, KeyError, TypeError: The entry is invalid.
+    """
     host, port = parse_address(str(entry["address"]))
     weight, started_at_ms = float(entry.get("weight", 1)), float(entry.get("since_ms", 0))
     if not (math.isfinite(weight) and math.isfinite(started_at_ms)):
@@ -76,25 +84,32 @@
 
 
 class EndpointList:
-    """What is known of the workers now."""
+    """The endpoint list in use, by worker name, and its version."""
 
     def __init__(self, settings: RouterSettings) -> None:
         self.settings = settings
         self.version = -1
         self.records: dict[str, EndpointRecord] = {}  # by name
-        self._has_demotions = False  # the last version has to be applied again
+        self._has_demotions = False  # the last version must be applied again
 
     def apply_update(
-        self, version: int, records: list[EndpointRecord], is_snapshot: bool
+        self, version: int, records: list[EndpointRecord], *, is_snapshot: bool
     ) -> EndpointUpdate | None:
-        """Apply a reported list, of all workers or of those that changed.
+        """Apply a reported list.
 
-        Returns the event for the dispatcher, None if the version is not newer.
+        Args:
+            version: Of the list.
+            records: The reported workers.
+            is_snapshot: The list has all workers; otherwise the changed ones only.
+
+        Returns:
+            The event for the dispatcher; None if the version is not newer.
         """
         if version < self.version or (version == self.version and not self._has_demotions):
-            return None  # the reply was overtaken by a later one
+            return None  # a later reply was applied before
         is_first = self.version < 0
-        self.version, self._has_demotions = version, False
+        self.version = version
+        self._has_demotions = False
         before = self.by_worker_id()
         if is_snapshot:
             names = {record.name for record in records}
@@ -112,20 +127,25 @@
         return EndpointUpdate(kind, version, tuple(self._to_endpoint(record) for record in changed))
 
     def replace_all(self, version: int, records: list[EndpointRecord]) -> EndpointUpdate | None:
-        """Apply a complete list whatever version this one has: another numbering may be in force.
+        """Apply a complete list even if its version is lower, because versions may be numbered anew.
 
-        Returns the event for the dispatcher, None where there is nothing new in it.
+        Returns the event for the dispatcher; None if the list has no change.
         """
         previous = self.version
         if 0 <= version <= previous:
-            self.version, self._has_demotions = version, True
-        event = self.apply_update(version, records, True)
+            self.version = version
+            self._has_demotions = True
+        event = self.apply_update(version, records, is_snapshot=True)
         return event if event is not None and (event.endpoints or version != previous) else None
 
     def demote(self, is_demoted: Callable[[str], bool]) -> EndpointUpdate | None:
-        """List the ready workers of these names as draining, until the next complete list.
+        """Mark ready workers as draining until the next complete list.
+
+        Args:
+            is_demoted: Whether to demote the worker of a name.
 
-        Returns the event for the dispatcher, None if there are none.
+        Returns:
+            The event for the dispatcher; None if no worker was demoted.
         """
         demoted = [
             replace(record, state=EndpointState.DRAINING)
@@ -140,7 +160,7 @@
         return EndpointUpdate(EndpointUpdateKind.DELTA, self.version, endpoints)
 
     def by_worker_id(self) -> dict[int, EndpointRecord]:
-        """The workers by id. Of two names with one id the first listed counts."""
+        """Return the workers by id; of two names with the same id, the one listed first."""
         records: dict[int, EndpointRecord] = {}
         for record in self.records.values():
             first = records.setdefault(worker_id_from_name(record.name), record)
@@ -161,5 +181,5 @@
 
 
 def _index_of(names: tuple[str, ...], name: str) -> int:
-    """The name's index; an unknown name has the first index after the known ones."""
+    """Return the index of a name; for an unknown name, the first index after the known ones."""
     return names.index(name) if name in names else len(names)
--- a/cedarthread/protocols/discovery/endpoint_records.py
+++ b/cedarthread/protocols/discovery/endpoint_records.py
@@ -1,4 +1,4 @@
-"""The endpoints that a DNS reply of discovery lists."""
+"""Conversion of a DNS reply of discovery to endpoint records."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 if TYPE_CHECKING:
     from cedarthread.protocols import dns
 
-SRV_WEIGHT_SCALE = 10  # SRV weights are whole numbers: tenths of an endpoint's weight
-READY_PRIORITY = 0  # of an SRV record; any other one stands for a drain
+SRV_WEIGHT_SCALE = 10  # an SRV weight is a whole number of tenths of an endpoint's weight
+READY_PRIORITY = 0  # of an SRV record; any other priority means draining
 
 
 @dataclass(frozen=True, slots=True)
 class PartialList:
-    """What a reply that can't be used as a whole still tells: who must get no more calls."""
+    """The usable part of an unusable reply: the workers that must get no more calls."""
 
     draining_names: frozenset[str]
-    listed_names: frozenset[str] | None  # all that it lists; None where some may be cut off
+    listed_names: frozenset[str] | None  # of all workers; None if the list may be truncated
 
 
 def endpoints_from_reply(reply: dns.Reply) -> list[EndpointRecord] | str:
-    """The endpoints that a reply lists, or what is wrong with it."""
+    """Return the endpoints of a reply, or the reason why it is unusable."""
     records: dict[str, EndpointRecord] = {}
     for service in reply.srv_records:
         record = _endpoint_from_records(service, reply)
@@ -37,9 +37,12 @@
 
 
 def partial_list(reply: dns.Reply, last_serial: int, *, is_answer_complete: bool) -> PartialList:
-    """What the service records of a reply tell, though others are missing or wrong.
+    """Extract the draining and the listed workers from the service records of a reply.
 
-    That a worker is not listed counts only where the reply's serial is not below ``last_serial``.
+    Args:
+        reply: The reply; its other records may be missing or wrong.
+        last_serial: The serial of the list in use. The workers missing in an older reply do not count.
+        is_answer_complete: The reply has all service records.
     """
     draining = [service for service in reply.srv_records if service.priority != READY_PRIORITY]
     listed = frozenset(map(_name_of, reply.srv_records))
@@ -54,17 +57,20 @@
 
 def _endpoint_from_records(service: dns.SrvRecord, reply: dns.Reply) -> EndpointRecord | str:
     name, _, rest = service.target.partition(".")
-    address, texts = reply.addresses.get(service.target), reply.texts.get(service.target)
+    address = reply.addresses.get(service.target)
+    texts = reply.texts.get(service.target)
     if address is None or texts is None:
         return f"no address or text for {service.target}"
     try:
-        cell, started_at_ms = int(texts.get("cell", "0")), float(texts.get("started", "0"))
+        cell = int(texts.get("cell", "0"))
+        started_at_ms = float(texts.get("started", "0"))
     except ValueError:
         return f"odd text for {service.target}"
-    if not math.isfinite(started_at_ms):  # NaN differs from itself: each reply would report a restart
+    if not math.isfinite(started_at_ms):  # NaN is unequal to itself, so each reply would report a restart
         return f"odd text for {service.target}"
     state = EndpointState.READY if service.priority == READY_PRIORITY else EndpointState.DRAINING
-    zone, kind = rest.partition(".")[0], texts.get("kind", "")
+    zone = rest.partition(".")[0]
+    kind = texts.get("kind", "")
     weight = service.weight / SRV_WEIGHT_SCALE
     return EndpointRecord(
         name=name,
--- a/cedarthread/protocols/discovery/list_acceptance.py
+++ b/cedarthread/protocols/discovery/list_acceptance.py
@@ -1,8 +1,9 @@
-"""Which of the lists that discovery replies with is the present one. It does no I/O; times are loop seconds.
+"""Acceptance of endpoint lists: decides whether the list of a reply is the present one. No I/O; loop seconds.
 
-A single reply proves little: it may be an old one, and its serial may belong to another numbering, since
-events are numbered anew at each start of a router. One whose serial was ahead was taken once, and a drain
-that later bore the same serial passed for known. So a list is taken once replies to two queries agree on it.
+A single reply is not trusted. It may be old, and its serial may belong to another numbering, because
+discovery numbers events anew at each start of a router. In an incident, an old reply with a higher serial was
+accepted, and a later drain with the same serial was ignored. Therefore a list is accepted once the replies to
+two queries agree.
 """
 
 from __future__ import annotations
@@ -14,18 +15,18 @@
 if TYPE_CHECKING:
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 
-CONFIRMING_QUERIES = 2  # that have to be answered with the same list
-CANDIDATE_LIFETIME_S = 1.0  # in which a list with a higher serial has to be confirmed
-# A serial that is lower than that of the list in use is old news, unless nothing else comes for so long.
+CONFIRMING_QUERIES = 2  # queries with the same list as reply, before it is accepted
+CANDIDATE_LIFETIME_S = 1.0  # time in which a list with a higher serial must be confirmed
+# A list with a lower serial than the list in use is old, unless no other list arrives for this time.
 LOWER_SERIAL_CONFIRMATION_S = 2.0
 
 
 class ListVerdict(Enum):
-    """What a reply's list is."""
+    """The verdict on the list of a reply."""
 
     KNOWN = auto()  # the list in use
-    NEW = auto()  # confirmed: to be used from now on
-    UNCONFIRMED = auto()  # it may be new, or old
+    NEW = auto()  # confirmed, so it replaces the list in use
+    UNCONFIRMED = auto()  # not accepted yet: it may be new or old
 
 
 @dataclass(slots=True)
@@ -34,40 +35,44 @@
     records: frozenset[EndpointRecord]
     first_seen_at_s: float
     query_ids: set[int]
-    is_contradicted: bool = False  # the list in use came meanwhile, as by another server after a move
+    is_contradicted: bool = False  # the list in use arrived since, for example from another server
 
 
 class ListAcceptance:
-    """The list in use, and the one that may take its place."""
+    """The list in use, and the candidate that may replace it."""
 
     def __init__(self) -> None:
         self.serial = -1  # of the list in use
-        self.must_confirm_again = False  # the list in use was changed by an unconfirmed one
-        self._records: frozenset[EndpointRecord] | None = None  # None: no reply has confirmed it yet
+        self.must_confirm_again = False  # an unconfirmed list has demoted workers of the list in use
+        self._records: frozenset[EndpointRecord] | None = None  # None: no list was confirmed yet
         self._candidate: _Candidate | None = None
 
     def consider(
         self, serial: int, records: frozenset[EndpointRecord], query_id: int, now_s: float
     ) -> ListVerdict:
-        """What the list of a reply to this query is."""
+        """Return the verdict on the list in the reply to a query."""
         is_in_use = serial == self.serial and records == self._records
         if is_in_use and not self.must_confirm_again:
             self._contradict_candidate(now_s)
             return ListVerdict.KNOWN
         candidate = self._candidate
         if candidate is None or candidate.serial != serial or candidate.records != records:
-            candidate = self._candidate = _Candidate(serial, records, now_s, set())
+            candidate = _Candidate(serial, records, now_s, set())
+            self._candidate = candidate
         candidate.query_ids.add(query_id)
         if not self._is_confirmed(candidate, now_s):
             return ListVerdict.UNCONFIRMED
-        self.serial, self._records, self._candidate = serial, records, None
+        self.serial = serial
+        self._records = records
+        self._candidate = None
         self.must_confirm_again = False
         return ListVerdict.NEW
 
     def _contradict_candidate(self, now_s: float) -> None:
-        """The list in use came once more: of others only one with a higher serial may still be newer.
+        """Drop the candidate, or require one more confirmation, because the list in use arrived again.
 
-        An empty one is dropped in any case: a corrupted reply must not remove every worker.
+        Only a candidate with a higher serial may still be newer. An empty candidate is always dropped,
+        because a corrupted reply must not remove every worker.
         """
         candidate = self._candidate
         if candidate is None:
--- a/cedarthread/protocols/discovery/query_tracker.py
+++ b/cedarthread/protocols/discovery/query_tracker.py
@@ -1,8 +1,8 @@
-"""When discovery is queried next, and how fresh the endpoint list is. It does no I/O; times are loop seconds.
+"""The schedule of discovery queries and the freshness of the endpoint list. No I/O; times are loop seconds.
 
-Queries and replies are datagrams: some are lost, some replies can't be used. A regular poll alone would need
-as many periods as replies fail, and a drain has to be followed within the drain grace. So a query without a
-usable reply is retried soon, by a timeout that follows the round-trip time (RFC 6298).
+Queries and replies are datagrams: some are lost, and some replies are unusable. A drain must be noticed
+within the drain grace, which regular polls alone would exceed after a few failures. Therefore a query without
+a usable reply is retried after a timeout that follows the round-trip time (RFC 6298).
 """
 
 from __future__ import annotations
@@ -16,18 +16,20 @@
     from collections.abc import Callable
 
 MAX_POLL_INTERVAL_S = 0.2  # between regular polls
-DEFAULT_DRAIN_GRACE_S = 0.5  # where the settings give none
-# Shares of the drain grace: two regular polls and their retries fit into it.
+DEFAULT_DRAIN_GRACE_S = 0.5  # if the settings have none
+# Fractions of the drain grace: two regular polls and their retries fit into it.
 POLL_GRACE_FRACTION = 0.4
-RETRY_GRACE_FRACTION = 0.06  # between retries: a dozen and more fit into the grace
+RETRY_GRACE_FRACTION = 0.06  # between retries, so that over a dozen fit into the grace
 MIN_RETRY_INTERVAL_S = 0.01  # however short the grace is
-RETRY_JITTER = 0.2  # part of a retry interval that is drawn, so that routers do not retry in step
-# Usable replies after a failed query until the pace is the regular one again. One alone may be old news.
+RETRY_JITTER = 0.2  # random fraction of a retry interval, so that routers do not retry in step
+# Usable replies after a failed query until the regular interval applies again. A single one may be old.
 CONFIRMING_REPLIES = 2
 MAX_OUTSTANDING_QUERIES = 64  # the latest queries whose replies are still accepted: 12 s at the regular pace
 
 # RFC 6298, section 2.
-RTT_GAIN, RTT_DEVIATION_GAIN, RTT_DEVIATIONS = 1 / 8, 1 / 4, 4.0
+RTT_GAIN = 1 / 8
+RTT_DEVIATION_GAIN = 1 / 4
+RTT_DEVIATIONS = 4.0
 
 
 @dataclass(slots=True)
@@ -45,26 +47,31 @@
         self._deviation_s = 0.0
 
     def add_sample(self, sample_s: float) -> None:
-        """Take one measured round trip."""
+        """Add one measured round trip."""
         if self._smoothed_s is None:
-            self._smoothed_s, self._deviation_s = sample_s, sample_s / 2
+            self._smoothed_s = sample_s
+            self._deviation_s = sample_s / 2
             return
         error_s = sample_s - self._smoothed_s
         self._deviation_s += RTT_DEVIATION_GAIN * (abs(error_s) - self._deviation_s)
         self._smoothed_s += RTT_GAIN * error_s
 
     def timeout_s(self) -> float:
-        """After which a reply is taken for lost; 0 before the first sample."""
+        """Return the time after which a reply counts as lost; 0 before the first sample."""
         return (self._smoothed_s or 0.0) + RTT_DEVIATIONS * self._deviation_s
 
 
 class QueryTracker:
-    """The queries of one router to discovery."""
+    """The outstanding queries of one router, and the time of the next one.
+
+    Args:
+        draw: Returns a random number from 0 to 1.
+        drain_grace_s: The time in which a drain must be noticed.
+    """
 
     def __init__(self, draw: Callable[[], float], drain_grace_s: float = DEFAULT_DRAIN_GRACE_S) -> None:
-        """``draw`` gives a random number from 0 to 1."""
         self._draw = draw
-        self.fresh_as_of_s = -math.inf  # the list is at least as new as it was then
+        self.fresh_as_of_s = -math.inf  # the list in use was up to date at this time
         self.last_sent_at_s = -math.inf
         self._queries: deque[_Query] = deque(maxlen=MAX_OUTSTANDING_QUERIES)
         self._round_trip_time = RoundTripTime()
@@ -73,24 +80,24 @@
         self.update_drain_grace(drain_grace_s)
 
     def update_drain_grace(self, drain_grace_s: float) -> None:
-        """Follow new settings."""
+        """Use the drain grace of new settings."""
         self.drain_grace_s = drain_grace_s if drain_grace_s > 0.0 else DEFAULT_DRAIN_GRACE_S
         self.poll_interval_s = min(MAX_POLL_INTERVAL_S, POLL_GRACE_FRACTION * self.drain_grace_s)
         self.retry_interval_s = max(MIN_RETRY_INTERVAL_S, RETRY_GRACE_FRACTION * self.drain_grace_s)
 
     def on_sent(self, query_id: int, now_s: float) -> None:
-        """A query is sent. One before it that has no usable reply yet has failed, if it was sent long ago."""
+        """Record a sent query. The previous query has failed if it is overdue without a usable reply."""
         if self._is_latest_overdue(now_s):
             self._on_failed(self._queries[-1].sent_at_s)
         self._queries.append(_Query(query_id, now_s))
         self.last_sent_at_s = now_s
 
     def accepts(self, query_id: int) -> bool:
-        """Is this the id of a query whose reply is still of use?"""
+        """Return whether a reply with this query id is still accepted."""
         return self._find(query_id) is not None
 
     def on_usable_reply(self, query_id: int, now_s: float) -> None:
-        """A query has its reply, perhaps once more."""
+        """Record a usable reply to a query, possibly a duplicate."""
         query = self._find(query_id)
         if query is None:
             return
@@ -105,20 +112,22 @@
             self._retrying_since_s = now_s if self._missing_confirmations else None
 
     def on_unusable_reply(self, now_s: float) -> None:
-        """A reply came that can't be used, or nobody listens there."""
+        """Record an unusable reply."""
         self._on_failed(now_s)
 
     def on_unconfirmed_reply(self, now_s: float) -> None:
-        """A reply came that one more has to confirm."""
+        """Record a reply with a list that another reply must confirm."""
         if not self._missing_confirmations:
-            self._retrying_since_s, self._missing_confirmations = now_s, 1
+            self._retrying_since_s = now_s
+            self._missing_confirmations = 1
 
     def restart_retries(self, now_s: float) -> None:
-        """Query at the pace of retries from now on, as after a move to another server."""
-        self._retrying_since_s, self._missing_confirmations = now_s, CONFIRMING_REPLIES
+        """Query at the retry interval, for example after a change of the server's address."""
+        self._retrying_since_s = now_s
+        self._missing_confirmations = CONFIRMING_REPLIES
 
     def next_query_at_s(self) -> float:
-        """When the next query is due, if nothing comes before."""
+        """Return when the next query is due unless a reply arrives before."""
         regular_s = self.last_sent_at_s + self.poll_interval_s
         if self._is_retrying():
             interval_s = max(self.retry_interval_s, self._reply_timeout_s())
@@ -129,7 +138,7 @@
         return regular_s
 
     def _is_retrying(self) -> bool:
-        """Retries are frequent for the time of the grace; in a longer outage the regular pace goes on."""
+        """Return whether the retry interval applies: only for one drain grace, also in a longer outage."""
         since_s = self._retrying_since_s
         return since_s is not None and self.last_sent_at_s < since_s + self.drain_grace_s
 
--- a/cedarthread/protocols/discovery/start_times.py
+++ b/cedarthread/protocols/discovery/start_times.py
@@ -1,9 +1,9 @@
 """Start times of workers on this router's clock. It does no I/O; times are Unix ms.
 
-Discovery reports when a worker started by the clock of another machine. This router's clock is Unix time at
-the start of its process, carried on by the monotonic clock: it may be off by an hour for the whole life of
-the process. A worker that starts late is listed within some seconds. So what a list first shows of a start
-bounds the start, whatever the clocks say; a start seen so shows by how much the clocks differ, too.
+Discovery reports the start of a worker by the clock of another machine. This router's clock is the Unix time
+at the start of its process, continued by the monotonic clock; it may be off by an hour as long as the process
+runs. Discovery lists a worker within some seconds of its start. Therefore the time of the first list that
+shows a start bounds the start, whatever the clocks say, and also shows the difference between the clocks.
 """
 
 from __future__ import annotations
@@ -14,11 +14,12 @@
 if TYPE_CHECKING:
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 
-# From the start of a worker until discovery lists it: some seconds at the operators' sites, with late lists.
+# From the start of a worker until discovery lists it: some seconds at the operators' sites, late lists
+# included.
 MAX_LISTING_DELAY_MS = 8_000.0
-# By which clocks of machines that are kept in step differ, and a start may seem to lie ahead.
+# Difference between synchronized clocks; a start may appear to be so far in the future.
 MAX_CLOCK_DIFFERENCE_MS = 1_000.0
-USUAL_LISTING_DELAY_MS = 1_500.0  # assumed where a start has to be placed by its listing alone
+USUAL_LISTING_DELAY_MS = 1_500.0  # assumed if only the time of the listing is known
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +29,7 @@
 
 
 class StartTimes:
-    """Corrected start times, by the worker's name."""
+    """Corrected start times by worker name, and the offset of discovery's clock."""
 
     def __init__(self) -> None:
         self._known: dict[str, _KnownStart] = {}
@@ -37,9 +38,12 @@
     def correct_list(
         self, records: list[EndpointRecord], now_ms: float, fresh_as_of_ms: float | None
     ) -> list[EndpointRecord]:
-        """The records of a list that comes now, with their starts on this router's clock.
+        """Return the records of a new list with their starts on this router's clock.
 
-        ``fresh_as_of_ms``: until when the list before it was known to be up to date; None: there is none.
+        Args:
+            records: The records of the list.
+            now_ms: When the list arrived.
+            fresh_as_of_ms: When the previous list was last known to be up to date; None: there is none.
         """
         return [
             replace(
@@ -50,10 +54,10 @@
         ]
 
     def _correct(self, name: str, reported_ms: float, now_ms: float, fresh_as_of_ms: float | None) -> float:
-        """The start of one worker; 0, for one that did not start late, stays 0.
+        """Return the corrected start of one worker; 0 (no recent start) stays 0.
 
-        In the first list nothing shows when a start was listed: it is taken by the clocks, but for one that
-        would lie ahead, which is a start just now.
+        The first list does not show when a start was listed. Its starts are taken by the clocks; a start in
+        the future counts as a start now.
         """
         if reported_ms <= 0.0:
             return reported_ms
@@ -66,7 +70,7 @@
             self._offset_ms = corrected_ms - reported_ms
         elif fresh_as_of_ms is not None and corrected_ms < fresh_as_of_ms - MAX_LISTING_DELAY_MS:
             corrected_ms = max(fresh_as_of_ms - MAX_LISTING_DELAY_MS, now_ms - USUAL_LISTING_DELAY_MS)
-            if known is not None:  # a restart that is listed at last: one never listed may have been cut off
+            if known is not None:  # a restart; a worker that was never listed may have been partitioned
                 self._offset_ms = corrected_ms - reported_ms
         self._known[name] = _KnownStart(reported_ms, corrected_ms)
         return corrected_ms
--- a/cedarthread/protocols/dns.py
+++ b/cedarthread/protocols/dns.py
@@ -1,6 +1,6 @@
-"""DNS messages (RFC 1035, RFC 2782), as far as discovery uses them.
+"""Codec of DNS messages (RFC 1035, RFC 2782), as far as discovery uses them.
 
-A parse ends in a value, never an exception.
+A parse error is a value, never an exception.
 """
 
 from __future__ import annotations
@@ -8,19 +8,25 @@
 import struct
 from dataclasses import dataclass, field
 
-TYPE_A, TYPE_SOA, TYPE_TXT, TYPE_SRV = 1, 6, 16, 33
+TYPE_A = 1
+TYPE_SOA = 6
+TYPE_TXT = 16
+TYPE_SRV = 33
 CLASS_IN = 1
 IPV4_BYTES = 4  # the data of an A record
 MAX_NAME_BYTES = 255  # RFC 1035, section 2.3.4
 MAX_LABEL_BYTES = 63  # RFC 1035, section 2.3.4
-MAX_POINTERS = 16  # in one name: a long chain, followed from each of many records, took seconds
-_POINTER = 0xC0  # the two high bits of a length byte: the name goes on elsewhere in the message
+MAX_POINTERS = 16  # in one name; long chains in many records took seconds to parse
+_POINTER = 0xC0  # the two high bits of a length byte: the name continues at an offset in the message
 _POINTER_HIGH_BITS = 0x3F
 _HEADER = struct.Struct(">6H")
 _RECORD_HEADER = struct.Struct(">HHIH")
 _SRV_DATA = struct.Struct(">3H")
 _QUESTION_TAIL_BYTES = 4  # type and class, after the name
-_FLAG_RECURSION_DESIRED, _FLAG_TRUNCATED, _FLAG_RESPONSE, _RESPONSE_CODE_MASK = 0x0100, 0x0200, 0x8000, 0x000F
+_FLAG_RECURSION_DESIRED = 0x0100
+_FLAG_TRUNCATED = 0x0200
+_FLAG_RESPONSE = 0x8000
+_RESPONSE_CODE_MASK = 0x000F
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,16 +54,16 @@
 
 @dataclass(frozen=True, slots=True)
 class UnusableReply:
-    """A reply that can't be used as a whole, and why."""
+    """An unusable reply and the reason."""
 
     reason: str
-    partial: Reply | None = None  # the records before the fault, where there are any
-    is_answer_complete: bool = False  # these have the whole answer section
+    partial: Reply | None = None  # the records before the fault
+    is_answer_complete: bool = False  # `partial` has the complete answer section
 
 
 @dataclass(slots=True)
 class _Progress:
-    """How far the parsing of a reply has come."""
+    """The progress of parsing a reply."""
 
     is_answer_complete: bool = False
 
@@ -67,14 +73,14 @@
 
 
 def encode_query(query_id: int, name: str) -> bytes:
-    """A query for the SRV records of a name."""
+    """Encode a query for the SRV records of a name."""
     labels = b"".join(bytes((len(label),)) + label.encode() for label in name.split("."))
     header = _HEADER.pack(query_id, _FLAG_RECURSION_DESIRED, 1, 0, 0, 0)
     return header + labels + b"\0" + struct.pack(">2H", TYPE_SRV, CLASS_IN)
 
 
 def parse(data: bytes) -> Reply | UnusableReply:
-    """The reply, if it is complete and not an error."""
+    """Parse a reply; return why it is unusable if it is incomplete or reports an error."""
     try:
         query_id, flags, question_count, *record_counts = _HEADER.unpack_from(data)
     except struct.error as error:
@@ -83,13 +89,14 @@
         return UnusableReply("no response")
     if flags & _RESPONSE_CODE_MASK:
         return UnusableReply(f"code {flags & _RESPONSE_CODE_MASK}")
-    reply, progress = Reply(query_id), _Progress()
+    reply = Reply(query_id)
+    progress = _Progress()
     try:
         _parse_sections(data, question_count, record_counts, reply, progress)
     except (_MalformedError, struct.error, IndexError, UnicodeDecodeError) as error:
         return UnusableReply(f"malformed: {error}", reply, progress.is_answer_complete)
     if flags & _FLAG_TRUNCATED:
-        return UnusableReply("truncated", reply)  # workers that it lacks are not removed
+        return UnusableReply("truncated", reply)  # workers missing in the reply are not removed
     return reply
 
 
@@ -109,9 +116,12 @@
 
 
 def _parse_name(data: bytes, offset: int) -> tuple[str, int]:
-    """A name, and the offset at which it ends. Pointers must lead backwards, so that there can be no loop."""
+    """Parse a name and the offset of its end. Pointers must point backwards, so that they cannot loop."""
     labels: list[str] = []
-    end, lowest, pointer_count, name_bytes = -1, offset, 0, 1
+    end = -1
+    lowest = offset
+    pointer_count = 0
+    name_bytes = 1
     while (size := data[offset]) != 0:
         if size >= _POINTER:
             target = (size & _POINTER_HIGH_BITS) << 8 | data[offset + 1]
@@ -119,7 +129,8 @@
             if target >= lowest or pointer_count > MAX_POINTERS:
                 raise _MalformedError("a pointer that leads forwards, or too many")
             end = offset + 2 if end < 0 else end
-            offset = lowest = target
+            offset = target
+            lowest = target
             continue
         name_bytes += 1 + size
         if size > MAX_LABEL_BYTES or name_bytes > MAX_NAME_BYTES:
@@ -153,7 +164,8 @@
 
 
 def _parse_texts(data: bytes) -> dict[str, str]:
-    pairs, offset = {}, 0
+    pairs = {}
+    offset = 0
     while offset < len(data):
         size = data[offset]
         key, _, value = data[offset + 1 : offset + 1 + size].decode("utf-8").partition("=")
--- a/cedarthread/protocols/http.py
+++ b/cedarthread/protocols/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages (RFC 9110, RFC 9112), the server's side. A parse ends in a value, never an exception."""
+"""Codec of HTTP/1.1 messages (RFC 9110, RFC 9112) for a server. A parse error is a value."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 MAX_HEAD_BYTES = 8 * 1024
 REQUEST_LINE_PARTS = 3  # method, target, version
-MAX_LENGTH_DIGITS = 12  # of Content-Length: a longer number is too large whatever it says
+MAX_LENGTH_DIGITS = 12  # of Content-Length; a number with more digits is over any limit
 _HEAD_END = b"\r\n\r\n"
 _TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
 _TARGET = re.compile(rb"[\x21-\x7e]+\Z")
@@ -44,13 +44,13 @@
 
     method: str
     target: str
-    headers: dict[str, str]  # names in lower case; the values of a repeated one joined by commas
+    headers: dict[str, str]  # names in lower case; repeated values are joined by commas
     content_length: int  # bytes of the body
     head_bytes: int  # of the head itself
     keep_alive: bool
 
     def preferences(self) -> dict[str, str]:
-        """The preferences that ``Prefer`` states (RFC 7240), the first of each name."""
+        """Return the preferences of ``Prefer`` (RFC 7240), the first value of each name."""
         preferences: dict[str, str] = {}
         for preference in self.headers.get("prefer", "").split(","):
             name, _, value = preference.split(";")[0].partition("=")
@@ -60,19 +60,19 @@
 
 @dataclass(frozen=True, slots=True)
 class IncompleteHead:
-    """The head does not end in these bytes."""
+    """A head that does not end in the received bytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidRequest:
-    """No request that can be served; the connection ends with this response."""
+    """An invalid request; the connection is closed after this response."""
 
     status: int
     reason: str
 
 
 def parse_head(data: memoryview, max_body_bytes: int) -> RequestHead | IncompleteHead | InvalidRequest:
-    """The head at the start of the data."""
+    """Parse the head at the start of the data."""
     raw = bytes(data[:MAX_HEAD_BYTES])
     end = raw.find(_HEAD_END)
     if end < 0:
@@ -122,7 +122,8 @@
         raw_value = raw_value.strip(b" \t")
         if not colon or not _TOKEN.match(raw_name) or not _VALUE.match(raw_value):
             return InvalidRequest(400, "a header field is malformed")
-        name, value = raw_name.decode().lower(), raw_value.decode("latin-1")
+        name = raw_name.decode().lower()
+        value = raw_value.decode("latin-1")
         headers[name] = f"{headers[name]}, {value}" if name in headers else value
     return headers
 
@@ -142,14 +143,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A response."""
+    """A response, encoded on demand."""
 
     status: int
     headers: dict[str, str]
     body: bytes = b""
 
     def encode(self, *, keep_alive: bool) -> bytes:
-        """Its bytes."""
+        """Encode the response with its Content-Length and Connection fields."""
         lines = [f"HTTP/1.1 {self.status} {REASON_PHRASES[self.status]}"]
         lines += [f"{name}: {value}" for name, value in self.headers.items()]
         if self.status != HTTPStatus.NO_CONTENT:
@@ -162,7 +163,14 @@
 def problem_response(
     status: int, detail: str, headers: dict[str, str] | None = None, **extensions: object
 ) -> Response:
-    """A problem (RFC 9457) whose type is the status alone; ``extensions`` are further members of it."""
+    """Create a problem response (RFC 9457).
+
+    Args:
+        status: The status, which is also the type of the problem.
+        detail: The explanation for the client.
+        headers: Further header fields.
+        extensions: Further members of the problem.
+    """
     members = {
         "type": "about:blank",
         "title": REASON_PHRASES[status],
--- a/cedarthread/protocols/invoke/calls.py
+++ b/cedarthread/protocols/invoke/calls.py
@@ -1,4 +1,4 @@
-"""The calls behind the invoke API: synchronous ones, and those whose results are stored for their owner."""
+"""The calls of the invoke API: synchronous calls, and calls with stored results."""
 
 from __future__ import annotations
 
@@ -19,9 +19,13 @@
 
 
 class InvokeCalls:
-    """Turns requests into the dispatcher's calls, and keeps the stored ones.
+    """Creates the dispatcher's calls for requests and owns the stored calls.
 
-    Stored are deferred calls, and synchronous ones with an idempotency key, for a repeat under it.
+    Deferred calls are stored, and synchronous calls with an idempotency key, for client retries with the key.
+
+    Args:
+        dispatcher: Receives the calls.
+        clock_s: The clock of the retention times.
     """
 
     def __init__(self, dispatcher: Dispatcher, clock_s: Callable[[], float]) -> None:
@@ -36,7 +40,7 @@
         *,
         is_client_retry: bool = False,
     ) -> Call:
-        """The dispatcher's call for a request of this owner."""
+        """Create the dispatcher's call for a request of this owner."""
         request_class = self.dispatcher.settings.classes[request.class_index]
         key = request.idempotency_key
         needs_worker_key = request_class.idempotency is Idempotency.WITH_KEY
@@ -55,7 +59,7 @@
         )
 
     def has_executed_call(self, owner: str, request: CallRequest) -> bool:
-        """Is there a call under the request's key that may have been executed? A repeat joins it then."""
+        """Return whether a stored call with the request's key may have been executed."""
         key = request.idempotency_key
         known = self.deferred_calls.find_by_key(owner, key) if key is not None else None
         return known is not None and not isinstance(known.result, CallRejected)
@@ -63,9 +67,12 @@
     def find_or_start_stored(
         self, owner: str, request: CallRequest, *, is_deferred: bool
     ) -> DeferredCall | Response:
-        """The stored call that a request means: a known one by its key, else a new one.
+        """Return the stored call with the request's key, or start a new one.
+
+        A stored call that was rejected was not executed, so it is started again, as a client retry.
 
-        A known call that was rejected has not been executed: it is started anew, as the client's retry.
+        Returns:
+            The stored call; a problem response if the key belongs to another call or the store is full.
         """
         limits = self.deferred_calls.limits
         retention_s = limits.retention_s if is_deferred else limits.retry_retention_s
@@ -87,10 +94,11 @@
         return stored
 
     def cancel_stored(self, stored: DeferredCall) -> None:
-        """The owner does not want the call, or its result, any more."""
+        """Cancel a stored call, or delete its result, at the owner's request."""
         if stored.call is not None:
             self.dispatcher.abandon_call(stored.call)
         self.deferred_calls.remove(stored)
-        waiters, stored.waiters = stored.waiters, []
+        waiters = stored.waiters
+        stored.waiters = []
         for wake in waiters:
             wake()
--- a/cedarthread/protocols/invoke/config.py
+++ b/cedarthread/protocols/invoke/config.py
@@ -1,4 +1,4 @@
-"""The configuration file of the invoke API: where it listens, with which identity, and who may call."""
+"""The configuration file of the invoke API: its address, the router's identity, the allowed callers."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 DEFAULT_MAX_CONNECTIONS = 128
 MAX_CONNECTIONS = 65535
-MAX_ECHOED_CHARACTERS = 80  # of an invalid pattern, in the error that says so
+MAX_ECHOED_CHARACTERS = 80  # of an invalid pattern, in the error message
 
 
 @dataclass(frozen=True, slots=True)
 class InvokeConfig:
-    """The file's content, its paths made absolute to its folder."""
+    """The content of the file; its paths are relative to the file's folder."""
 
     path: Path
     host: str
@@ -33,53 +33,85 @@
     max_connections: int
 
     def create_tls_context(self) -> ssl.SSLContext:
-        """A TLS context from the files as they are now."""
+        """Create a TLS context from the present files."""
         return spiffe.create_server_context(self.svid_path, self.key_path, self.bundle_path)
 
     def file_times(self) -> tuple[float, ...]:
-        """When each file was last written, in Unix seconds; 0 for one that does not exist just now."""
+        """Return the modification time of each file in Unix seconds; 0 for a missing file."""
         files = (self.path, self.svid_path, self.key_path, self.bundle_path)
         return tuple(file.stat().st_mtime if file.exists() else 0.0 for file in files)
 
     def reread(self) -> InvokeConfig:
-        """The file as it is now; the address stays."""
+        """Read the file again; the address stays."""
         return read(self.path, self.host, self.port)
 
 
 def read(path: Path, host: str | None = None, port: int | None = None) -> InvokeConfig:
-    """Read the file; host and port, where given, replace its own. ValueError if it is invalid."""
+    """Read the file.
+
+    Args:
+        path: The file.
+        host: Replaces the host of the file.
+        port: Replaces the port of the file.
+
+    Raises:
+        OSError: The file cannot be read.
+        ValueError: The file is invalid.
+    """
     return parse(path.read_bytes(), path, host, port)
 
 
 def parse(raw: bytes, path: Path, host: str | None = None, port: int | None = None) -> InvokeConfig:
-    """Parse the file's bytes; ValueError says what is invalid in them."""
+    """Parse the file's bytes.
+
+    Raises:
+        ValueError: Its text names the key, what was found and what is wanted.
+    """
     try:
-        return _parse(raw, path, host, port)
-    except KeyError as error:
-        raise ValueError(f"{error} is missing") from None
-    except (TypeError, AttributeError, ArithmeticError, RecursionError) as error:
-        raise ValueError(f"{type(error).__name__}: {error}") from None
-
-
-def _parse(raw: bytes, path: Path, host: str | None, port: int | None) -> InvokeConfig:
-    table = tomllib.loads(raw.decode())["invoke"]
-    listen_host, listen_port = parse_address(str(table["listen"]))
-    allowed_patterns = tuple(str(pattern) for pattern in table["allow"])
-    trust_domain = str(table["trust_domain"])
-    for pattern in allowed_patterns:
-        if spiffe.parse_trust_domain(pattern.removesuffix("/*")) != trust_domain:
-            raise ValueError(f"allow: {pattern[:MAX_ECHOED_CHARACTERS]} is no SPIFFE ID of {trust_domain}")
-    max_connections = int(table.get("connections", DEFAULT_MAX_CONNECTIONS))
-    if not 0 < max_connections <= MAX_CONNECTIONS:
-        raise ValueError(f"connections takes 1 to 65535, not {max_connections}")
+        content = tomllib.loads(raw.decode())
+    except RecursionError:
+        raise ValueError("the file is nested too deeply") from None
+    table = _required(content, "invoke")
+    if not isinstance(table, dict):
+        raise ValueError('key "invoke" takes a table')
+    listen_host, listen_port = parse_address(str(_required(table, "listen")))
+    trust_domain = str(_required(table, "trust_domain"))
     return InvokeConfig(
         path=path,
         host=host if host is not None else listen_host,
         port=port if port is not None else listen_port,
         trust_domain=trust_domain,
-        svid_path=path.parent / str(table["svid"]),
-        key_path=path.parent / str(table["key"]),
-        bundle_path=path.parent / str(table["bundle"]),
-        allowed_patterns=allowed_patterns,
-        max_connections=max_connections,
+        svid_path=path.parent / str(_required(table, "svid")),
+        key_path=path.parent / str(_required(table, "key")),
+        bundle_path=path.parent / str(_required(table, "bundle")),
+        allowed_patterns=_parse_allowed_patterns(table, trust_domain),
+        max_connections=_parse_max_connections(table),
     )
+
+
+def _required(table: dict[str, object], key: str) -> object:
+    if key not in table:
+        raise ValueError(f'missing required key "{key}"')
+    return table[key]
+
+
+def _parse_allowed_patterns(table: dict[str, object], trust_domain: str) -> tuple[str, ...]:
+    entries = _required(table, "allow")
+    if not isinstance(entries, (list, dict, str)):
+        raise ValueError('key "allow" takes a list of SPIFFE IDs')
+    patterns = tuple(str(entry) for entry in entries)
+    for pattern in patterns:
+        if spiffe.parse_trust_domain(pattern.removesuffix("/*")) != trust_domain:
+            raise ValueError(f"allow: {pattern[:MAX_ECHOED_CHARACTERS]} is no SPIFFE ID of {trust_domain}")
+    return patterns
+
+
+def _parse_max_connections(table: dict[str, object]) -> int:
+    value = table.get("connections", DEFAULT_MAX_CONNECTIONS)
+    try:
+        max_connections = int(value)  # type: ignore[call-overload]
+    except (TypeError, ValueError, ArithmeticError):
+        raise ValueError('key "connections" takes a whole number') from None
+    if not 0 < max_connections <= MAX_CONNECTIONS:
+        raise ValueError(f"connections takes 1 to {MAX_CONNECTIONS}, not {max_connections}")
+    return int(max_connections)
--- a/cedarthread/protocols/invoke/connection.py
+++ b/cedarthread/protocols/invoke/connection.py
@@ -1,4 +1,4 @@
-"""One caller's HTTP connection to the invoke API: its identity, requests in, responses out."""
+"""One caller's HTTP connection to the invoke API: identifies the caller, reads requests, writes responses."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 if TYPE_CHECKING:
     import asyncio
 
-    from cedarthread.protocols.invoke.server import InvokeServer
+    from cedarthread.protocols.invoke.owners import ConnectionServer
 
 log = logging.getLogger(__name__)
 
-IDLE_TIMEOUT_S = 30.0  # without a request, after which a connection is closed
-REQUEST_TIMEOUT_S = 10.0  # that a request may take to arrive
+IDLE_TIMEOUT_S = 30.0  # without a request; then the connection is closed
+REQUEST_TIMEOUT_S = 10.0  # from the first to the last byte of a request
 
 
 def _is_disconnected(transport: asyncio.Transport) -> bool:
-    """Has the peer ended the connection under the TLS layer, whatever of it has been read?"""
+    """Return whether the peer closed the TCP connection, even if the TLS layer has unread input."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return False
@@ -36,21 +36,21 @@
 
 
 class InvokeConnection(BufferedConnection):
-    """One caller's connection: one request at a time, those behind it wait in the buffer."""
+    """One caller's connection. It serves one request at a time; further ones stay in the read buffer."""
 
-    def __init__(self, server: InvokeServer) -> None:
+    def __init__(self, server: ConnectionServer[InvokeConnection]) -> None:
         super().__init__(http.MAX_HEAD_BYTES + MAX_BODY_BYTES, server.flusher)
         self.server = server
         self.handler = InvokeHandler(server, self.respond, self.refresh_client_state)
         self.peer: spiffe.Identity | spiffe.Rejected = spiffe.Rejected("no certificate")
-        self.is_busy = False  # a request is at work, or nothing more is taken
+        self.is_busy = False  # a request is being served, or no further request is accepted
         self.keep_alive = True
         self.has_sent_continue = False
-        self.has_unparsed_input = False  # more may follow what could not be parsed
-        self.request_started_at: float | None = None  # loop time of an incomplete request's first byte
+        self.has_unparsed_input = False  # input may follow an invalid request
+        self.request_started_at: float | None = None  # loop time in s of an incomplete request's first byte
 
     def on_connected(self) -> None:
-        """The handshake is done: identify the caller."""
+        """Identify the caller after the handshake; abort if the connection limit is reached."""
         assert self.transport is not None
         if not self.server.register(self):
             limit = self.server.max_connections
@@ -63,13 +63,13 @@
             self.peer = spiffe.parse_identity(certificate)
 
     def on_disconnected(self) -> None:
-        """Unregister, and abandon what has nobody to answer to."""
+        """Unregister from the server and abandon the synchronous call."""
         self.server.connections.pop(self, None)
         self.handler.abandon()
         self.handler.detach()
 
     def refresh_client_state(self) -> None:
-        """A caller that has closed its end is gone, however far the TLS layer has read."""
+        """Abandon the call and abort if the caller has closed the connection, whatever input is unread."""
         if self.is_closed or self.transport is None:
             return
         if self.transport.is_closing() or _is_disconnected(self.transport):
@@ -77,27 +77,28 @@
             self.abort()
 
     def is_idle(self) -> bool:
-        """No request, complete or not, and no response that has not left."""
+        """Return whether there is no complete or incomplete request and no unsent response."""
         if self.is_busy or self.request_started_at is not None or self.write_queue:
             return False
         return self.transport is None or not self.transport.get_write_buffer_size()
 
     def on_buffer_full(self) -> None:
-        """Requests behind the one at work fill the buffer: read no more until it is done."""
+        """Stop reading while further requests fill the buffer; close if one request is too long."""
         if self.is_busy and self.transport is not None:
             self.transport.pause_reading()
         elif not self.is_busy:
             self.close()
 
     def on_data(self, data: memoryview) -> int | None:
-        """Process the next request, if none is at work."""
+        """Process the next request unless one is being served; return the processed bytes."""
         offset = 0
         while not self.is_busy and offset < len(data):
             head = http.parse_head(data[offset:], MAX_BODY_BYTES)
             if isinstance(head, http.IncompleteHead):
                 break
             if isinstance(head, http.InvalidRequest):
-                self.keep_alive, self.has_unparsed_input = False, True
+                self.keep_alive = False
+                self.has_unparsed_input = True
                 self.respond(problem_response(head.status, head.reason))
                 return len(data)
             end = offset + head.head_bytes + head.content_length
@@ -117,7 +118,9 @@
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _serve_request(self, head: http.RequestHead, body: bytes) -> None:
-        self.is_busy, self.request_started_at, self.has_sent_continue = True, None, False
+        self.is_busy = True
+        self.request_started_at = None
+        self.has_sent_continue = False
         self.server.mark_used(self)
         self.keep_alive = head.keep_alive and self.server.is_ready
         if isinstance(self.peer, spiffe.Rejected) or not self.server.is_authorized(self.peer):
@@ -133,13 +136,13 @@
             self.abort()
 
     def respond(self, response: Response) -> None:
-        """Write the response to the request at work, and go on with what stands in the buffer."""
+        """Write the response to the request being served, and process the next one in the buffer."""
         self.is_busy = False
         if self.is_closed or self.transport is None:
             return
         self.write(response.encode(keep_alive=self.keep_alive))
         if not self.keep_alive:
-            self.is_busy = True  # nothing more is taken
+            self.is_busy = True  # no further request is accepted
             self.lingering_close() if self.has_unparsed_input else self.close()
             return
         self.transport.resume_reading()
@@ -150,14 +153,16 @@
             self.buffer_updated(0)
 
     def sweep(self, now_s: float) -> None:
-        """End a request that arrives too slowly, close a connection that has been idle for long.
+        """Reject a request that arrives too slowly; close a connection that is idle for too long.
 
-        ``now_s`` is loop time in seconds.
+        Args:
+            now_s: The event loop's time.
         """
         if self.is_busy:
             return
         if self.request_started_at is not None and now_s - self.request_started_at > REQUEST_TIMEOUT_S:
-            self.keep_alive, self.has_unparsed_input = False, True
+            self.keep_alive = False
+            self.has_unparsed_input = True
             self.respond(problem_response(408, "the request took too long to arrive"))
         elif self.request_started_at is None and now_s - self.last_read_at > IDLE_TIMEOUT_S:
             self.close()
--- a/cedarthread/protocols/invoke/handler.py
+++ b/cedarthread/protocols/invoke/handler.py
@@ -1,4 +1,4 @@
-"""Serves the requests of one invoke connection: routes them, starts calls, waits for results."""
+"""Serves the requests of one invoke connection: starts calls, waits for results, responds."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     from cedarthread.dispatch.calls import Call, CallResult
     from cedarthread.dispatch.deferred import DeferredCall
     from cedarthread.protocols import http
-    from cedarthread.protocols.invoke.server import InvokeServer
+    from cedarthread.protocols.invoke.owners import CallServer
 
 
 def _ignore_response(_: Response) -> None:
@@ -39,11 +39,17 @@
 
 
 class InvokeHandler:
-    """The request at work on one connection; ``respond`` gets its one response."""
+    """The request that is being served on one connection.
+
+    Args:
+        server: The server of the connection.
+        respond: Writes the one response of the request.
+        refresh_client_state: Detects a disconnect of the caller.
+    """
 
     def __init__(
         self,
-        server: InvokeServer,
+        server: CallServer,
         respond: Callable[[Response], None],
         refresh_client_state: Callable[[], None],
     ) -> None:
@@ -51,7 +57,7 @@
         self.respond = respond
         self.refresh_client_state = refresh_client_state
         self.call: Call | None = None  # a synchronous call that ends with the connection
-        self.deferred_call: DeferredCall | None = None  # whose result the request waits for
+        self.deferred_call: DeferredCall | None = None  # the request waits for its result
         self._wait_timer: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
 
@@ -71,23 +77,25 @@
             self.respond(problem_response(404, "nothing here"))
 
     def detach(self) -> None:
-        """The connection is closed: refer to it no more, or it would wait for the garbage collector."""
+        """Drop the references to a closed connection, so that it needs no garbage collection."""
         self.respond = _ignore_response
         self.refresh_client_state = _do_nothing
 
     def abandon(self) -> None:
-        """The connection is gone: a synchronous call has nobody to answer to; a stored one goes on."""
+        """Abandon the synchronous call of a closed connection; a stored call continues."""
         self._stop_waiting()
         self.abandon_call()
 
     def abandon_call(self) -> None:
         """Abandon the synchronous call, if there is one."""
-        call, self.call = self.call, None
+        call = self.call
+        self.call = None
         if call is not None:
             self.server.dispatcher.abandon_call(call)
 
     def _start_call(self, owner: str, head: http.RequestHead, body: bytes) -> None:
-        dispatcher, calls = self.server.dispatcher, self.server.calls
+        dispatcher = self.server.dispatcher
+        calls = self.server.calls
         request = parse_call_request(dispatcher.settings, dispatcher.current_class_index, head, body)
         if isinstance(request, Response):
             self.respond(request)
@@ -126,7 +134,7 @@
         self._wait_for_result(deferred_call, wait_preference_s(head.preferences()), is_deferred=True)
 
     def _wait_for_result(self, deferred_call: DeferredCall, wait_s: float, *, is_deferred: bool) -> None:
-        """Respond with the result, or after ``wait_s`` seconds that there is none yet."""
+        """Respond with the result, or after ``wait_s`` seconds that the result is pending."""
         if deferred_call.result is not None:
             self._respond_with_result(deferred_call)
             return
--- a/cedarthread/protocols/invoke/requests.py
+++ b/cedarthread/protocols/invoke/requests.py
@@ -1,4 +1,4 @@
-"""What a request to the invoke API asks for: paths, header fields and preferences, parsed and validated."""
+"""Parsing and validation of requests to the invoke API: paths, header fields and preferences."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     from cedarthread.protocols import http
 
 MAX_BODY_BYTES = 16 * 1024
-MAX_WAIT_S = 30.0  # that a request may ask to be held for
+MAX_WAIT_S = 30.0  # limit of the wait preference
 MAX_TIMEOUT_DIGITS = 9  # of Call-Timeout-Ms: 11 days
-MAX_WAIT_DIGITS = 5  # of the wait preference, in seconds; all above MAX_WAIT_S count as that
+MAX_WAIT_DIGITS = 5  # of the wait preference in s; a longer wait counts as MAX_WAIT_S
 READY_PATH = "/v1/ready"
 _CALL_PATH = re.compile(r"/v1/functions/([0-9a-f]{16})/([^/]+)\Z")
 _DEFERRED_CALL_PATH = re.compile(r"/v1/calls/([A-Za-z0-9_-]+)\Z")
@@ -39,17 +39,17 @@
     memory_mb: float | None
 
     def fingerprint(self) -> tuple[str, str, bytes]:
-        """What a repeat under the same idempotency key must agree in."""
+        """Return the values that a retry with the same idempotency key must repeat."""
         return str(self.class_index), self.function_hex, hashlib.sha256(self.body).digest()
 
 
 def is_call_path(path: str) -> bool:
-    """Is this the path of a function's calls?"""
+    """Return whether this is the path of a function's calls."""
     return _CALL_PATH.match(path) is not None
 
 
 def deferred_call_id(path: str) -> str | None:
-    """The id in the path of a deferred call, None if it is another path."""
+    """Return the id in the path of a deferred call; None for any other path."""
     match = _DEFERRED_CALL_PATH.match(path)
     return match[1] if match is not None else None
 
@@ -57,9 +57,16 @@
 def parse_call_request(
     settings: RouterSettings, class_indexes: Mapping[str, int], head: http.RequestHead, body: bytes
 ) -> CallRequest | Response:
-    """The call that a POST asks for, or the response that says what is invalid.
+    """Parse the call of a POST request.
 
-    ``class_indexes`` gives the index of each class by its name.
+    Args:
+        settings: The settings in force.
+        class_indexes: The index of each class by name.
+        head: The request's head.
+        body: The request's body.
+
+    Returns:
+        The call, or the problem response to an invalid request.
     """
     match = _CALL_PATH.match(head.target)
     if match is None or match[2] not in class_indexes:
@@ -104,12 +111,12 @@
 
 
 def worker_idempotency_key(owner: str, key: str) -> str:
-    """The key that workers see: a digest with its owner, so that no two owners' keys can collide."""
+    """Return the key for workers: a digest of owner and key, so that keys of two owners never collide."""
     return hashlib.sha256(f"{owner}\n{key}".encode()).hexdigest()[:32]
 
 
 def wait_preference_s(preferences: Mapping[str, str]) -> float:
-    """Seconds that a request prefers to be held for (``Prefer: wait``, RFC 7240); 0 where it says none."""
+    """Return the seconds of the wait preference (``Prefer: wait``, RFC 7240); 0 without one."""
     text = preferences.get("wait", "")
     is_valid = text.isascii() and text.isdigit() and len(text) <= MAX_WAIT_DIGITS
     return min(float(text), MAX_WAIT_S) if is_valid else 0.0
--- a/cedarthread/protocols/invoke/responses.py
+++ b/cedarthread/protocols/invoke/responses.py
@@ -15,7 +15,7 @@
 
 
 def render_answer(result: CallResult) -> Response:
-    """A call's result. A problem's ``repeat`` says whether the client may safely send the call again."""
+    """Render a call's result; ``repeat`` of a problem states whether the client may safely retry."""
     if isinstance(result, CallSucceeded):
         return Response(200, {"Content-Type": "application/octet-stream"}, result.body)
     if isinstance(result, CallRejected):
@@ -34,7 +34,7 @@
 
 
 def pending_response(deferred_call: DeferredCall) -> Response:
-    """A deferred call has no result yet: where to collect it."""
+    """Render the response for a deferred call without a result, with the location to collect it."""
     headers = {
         "Location": f"/v1/calls/{deferred_call.call_id}",
         "Preference-Applied": "respond-async",
@@ -46,7 +46,7 @@
 
 
 def ready_response(*, is_ready: bool) -> Response:
-    """Whether this process takes calls."""
+    """Render the readiness of this process."""
     if is_ready:
         return Response(200, {"Content-Type": "text/plain"}, b"ready\n")
     return problem_response(503, DRAINING_DETAIL, {"Retry-After": "1"})
--- a/cedarthread/protocols/invoke/server.py
+++ b/cedarthread/protocols/invoke/server.py
@@ -1,11 +1,11 @@
 """The invoke API: function calls over HTTP/1.1 with mutual TLS, synchronous or deferred.
 
-    POST   /v1/functions/FUNCTION/CLASS   a call; with ``Prefer: respond-async`` 202 and where to collect
+    POST   /v1/functions/FUNCTION/CLASS   a call; with ``Prefer: respond-async`` 202 and a Location
     GET    /v1/calls/NAME                 a deferred call's result; 202 while there is none
-    DELETE /v1/calls/NAME                 cancel a deferred call, or forget its result
+    DELETE /v1/calls/NAME                 cancel a deferred call, or delete its result
     GET    /v1/ready                      200, or 503 once the process is shutting down
 
-All calls go through the dispatcher, as the platform's do: same decisions, same rules.
+All calls go through the dispatcher, under the same decisions and rules as those of the platform.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class InvokeServer:
-    """The listening socket, its connections and its calls."""
+    """The listening socket of the invoke API, its connections and its calls."""
 
     def __init__(
         self,
@@ -51,13 +51,15 @@
         self.max_connections = config.max_connections  # the descriptor budget may allow fewer
         # Set by the service: frees a descriptor where none is left, False if it cannot.
         self.release_descriptor: Callable[[], bool] = lambda: False
-        self.connections: dict[InvokeConnection, None] = {}  # the least recently used first
+        self.connections: dict[InvokeConnection, None] = {}  # in order of use, least recent first
         self._acceptor: Acceptor[InvokeConnection] | None = None
         self._file_times = config.file_times()
 
     def register(self, connection: InvokeConnection) -> bool:
-        """Count a connection in, once. At the bound the oldest in its handshake is evicted for it, else the
-        least recently used idle one; False if there is none.
+        """Count a connection once.
+
+        At the limit, evict for it the oldest connection in its handshake, or else the least recently used
+        idle one; return False if there is neither.
         """
         if connection in self.connections:
             return True
@@ -74,22 +76,25 @@
         del self.connections[oldest]
         if oldest.transport is None and self._acceptor is not None:
             self._acceptor.cancel_setup(oldest)
-        # A close would wait for the caller's, up to a second, and hold the descriptor uncounted.
+        # A close would wait up to a second for the caller, and use the descriptor uncounted.
         oldest.abort()
         return True
 
     def mark_used(self, connection: InvokeConnection) -> None:
-        """It has sent a request: it is now the most recently used."""
+        """Make a connection the most recently used one, because it has sent a request."""
         self.connections[connection] = self.connections.pop(connection, None)
 
     def is_authorized(self, peer: spiffe.Identity) -> bool:
-        """May this peer call, now? A connection may outlive the certificate that opened it."""
+        """Return whether this peer may call now.
+
+        The certificate may expire or be removed from the allow-list while its connection is open.
+        """
         if time.time() >= peer.expires_at_unix:
             return False
         return spiffe.is_allowed(peer, self.config.trust_domain, self.config.allowed_patterns)
 
     async def listen(self) -> int:
-        """Accept callers; returns the port."""
+        """Accept callers and return the port."""
         listening_socket = await create_listener_with_retries(
             self.config.host, self.config.port, LISTEN_BACKLOG, reuse_port=True
         )
@@ -105,7 +110,7 @@
         return self._acceptor.port
 
     def _create_connection(self) -> InvokeConnection | None:
-        """One more caller, counted in before its handshake: one that never ends holds a descriptor too."""
+        """Create a connection, counted before its handshake, which already uses a descriptor."""
         connection = InvokeConnection(self)
         return connection if self.register(connection) else None
 
@@ -113,8 +118,9 @@
         self.connections.pop(connection, None)
 
     async def reload(self) -> bool:
-        """Use a renewed certificate, trust bundle or allow-list; False if they cannot be used: the old ones
-        serve on.
+        """Use a renewed certificate, trust bundle and allow-list.
+
+        Returns False if they are unusable; then the previous ones stay in use.
         """
         try:
             config = self.config.reread()
@@ -122,35 +128,40 @@
         except (OSError, ValueError, KeyError, TypeError) as error:
             log.error(format_event("identities_rejected", error=error))
             return False
-        self.config, self._file_times = config, config.file_times()
+        self.config = config
+        self._file_times = config.file_times()
         if self._acceptor is not None:
-            self._acceptor.tls_context = tls_context  # open connections live on
+            self._acceptor.tls_context = tls_context  # open connections stay open
         log.info(format_event("identities_reloaded"))
         return True
 
     async def reload_if_changed(self) -> None:
-        """Reload when one of the files has been written."""
+        """Reload if one of the files has changed."""
         file_times = self.config.file_times()
         if file_times != self._file_times:
             self._file_times = file_times
             await self.reload()
 
     def stop_listening(self) -> None:
-        """Accept no more."""
+        """Close the listening socket."""
         if self._acceptor is not None:
             self._acceptor.close()
             self._acceptor = None
 
     def sweep(self, now_s: float) -> None:
-        """End what is idle or slow, and drop expired results; ``now_s`` is loop time in seconds."""
+        """Close idle and slow connections and evict expired results; ``now_s`` is the event loop's time."""
         self.calls.deferred_calls.evict_expired()
         for connection in list(self.connections):
             connection.sweep(now_s)
 
     def is_drained(self) -> bool:
-        """All responses have left, and every deferred one has been collected by its owner."""
-        transports = [one.transport for one in self.connections if one.transport is not None]
-        has_open_request = any(one.is_busy and one.keep_alive for one in self.connections)
+        """Return whether all responses are sent and every deferred result has been collected."""
+        transports = [
+            connection.transport for connection in self.connections if connection.transport is not None
+        ]
+        has_open_request = any(
+            connection.is_busy and connection.keep_alive for connection in self.connections
+        )
         return (
             not has_open_request
             and not any(transport.get_write_buffer_size() for transport in transports)
--- a/cedarthread/protocols/invoke/spiffe.py
+++ b/cedarthread/protocols/invoke/spiffe.py
@@ -1,4 +1,4 @@
-"""SPIFFE identities: ids, who is authorized, and TLS contexts made from an X.509-SVID and a trust bundle.
+"""SPIFFE identities: SPIFFE IDs, authorization, and TLS contexts from an X.509-SVID and a trust bundle.
 
 Sources: the SPIFFE-ID and X.509-SVID standards, https://github.com/spiffe/spiffe/tree/main/standards.
 """
@@ -24,22 +24,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """A peer whose certificate has been verified."""
+    """The identity in a verified certificate."""
 
     spiffe_id: str
     trust_domain: str
-    expires_at_unix: float  # Unix seconds at which its certificate expires
+    expires_at_unix: float  # Unix seconds at which the certificate expires
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """A peer without a valid identity, and why."""
+    """The reason why a certificate has no valid identity."""
 
     reason: str
 
 
 def parse_trust_domain(spiffe_id: str) -> str | None:
-    """The trust domain of a workload's SPIFFE ID, None if the id is not valid."""
+    """Return the trust domain of a workload's SPIFFE ID; None if the id is invalid."""
     scheme, _, rest = spiffe_id.partition("://")
     domain, slash, path = rest.partition("/")
     if scheme != "spiffe" or not slash or len(spiffe_id) > MAX_ID_LENGTH or not _DOMAIN.match(domain):
@@ -51,7 +51,7 @@
 
 
 def parse_identity(certificate: bytes) -> Identity | Rejected:
-    """The identity in a verified leaf certificate (DER), by the rules for X.509-SVIDs."""
+    """Parse the identity in a verified leaf certificate (DER), by the rules for X.509-SVIDs."""
     try:
         return _parse_identity(x509.load_der_x509_certificate(certificate))
     except (ValueError, *_UNREADABLE_ERRORS) as error:
@@ -81,7 +81,10 @@
 
 
 def is_allowed(identity: Identity, trust_domain: str, patterns: tuple[str, ...]) -> bool:
-    """Does a pattern allow this peer? A pattern is an id, or ends in ``/*`` for all ids below it."""
+    """Return whether a pattern allows this peer.
+
+    A pattern is a SPIFFE ID, or ends in ``/*`` for all ids below it.
+    """
     if identity.trust_domain != trust_domain:
         return False
     return any(
@@ -93,7 +96,7 @@
 
 
 def create_server_context(svid_path: Path, key_path: Path, bundle_path: Path) -> ssl.SSLContext:
-    """A TLS context that presents our SVID and requires one of each client, signed by the trust bundle."""
+    """Create a TLS context that presents the router's SVID and requires a client SVID of the trust bundle."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     context.verify_mode = ssl.CERT_REQUIRED
--- a/cedarthread/protocols/msgpack.py
+++ b/cedarthread/protocols/msgpack.py
@@ -1,4 +1,4 @@
-"""MessagePack, as far as the platform's protocol uses it. A parse ends in a value, never an exception.
+"""Codec of MessagePack, as far as the platform's protocol uses it. A parse error is a value.
 
 Source: the MessagePack specification, https://github.com/msgpack/msgpack/blob/master/spec.md.
 """
@@ -11,33 +11,33 @@
 
 MAX_DEPTH = 4  # message, parameters, fields, a field
 MAX_ITEMS = 32  # of one array or map
-MAX_CONTENT_BYTES = 64 * 1024  # of one string or binary value: a longer one is refused unread
+MAX_CONTENT_BYTES = 64 * 1024  # of one string or binary value; a longer one is rejected unread
 
 
 @dataclass(frozen=True, slots=True)
 class Incomplete:
-    """The bytes end before the value does: it has at least ``needed_bytes``."""
+    """A value that does not end in the received bytes; it has at least ``needed_bytes``."""
 
     needed_bytes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """The bytes are no value that is used here."""
+    """Bytes that are no value of the protocol."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedValue:
-    """A complete value, and the offset at which it ends. Binary values are slices of the input."""
+    """A complete value and the offset of its end. Binary values are slices of the input."""
 
-    value: Any
+    value: Any  # of any type that MessagePack has
     end: int
 
 
 class _IncompleteError(Exception):
-    """The value needs bytes up to the offset that is its argument."""
+    """Raised with the offset up to which the value needs bytes."""
 
 
 class _MalformedError(Exception):
@@ -45,7 +45,7 @@
 
 
 def parse(data: memoryview, offset: int = 0) -> ParsedValue | Incomplete | Malformed:
-    """The value that begins at the offset."""
+    """Parse the value at an offset."""
     try:
         return ParsedValue(*_parse_value(data, offset, MAX_DEPTH))
     except _IncompleteError as error:
@@ -54,15 +54,22 @@
         return Malformed(str(error))
 
 
-# The first byte of a value says its type; for a small value its low bits hold the number or length too.
-_FIXMAP, _FIXARRAY, _FIXSTR = 0x80, 0x90, 0xA0
+# The first byte of a value is its type; for a small value its low bits are the number or length.
+_FIXMAP = 0x80
+_FIXARRAY = 0x90
+_FIXSTR = 0xA0
 _SMALL_VALUES_END = 0xC0
-MAX_FIXSTR_BYTES = 31  # a longer string has a length byte of its own
+MAX_FIXSTR_BYTES = 31  # a longer string has a separate length byte
 _NEGATIVE_FIXINT = 0xE0
-_BIN8, _BIN16, _BIN32 = 0xC4, 0xC5, 0xC6
-_UINT8, _UINT16, _UINT32, _UINT64 = 0xCC, 0xCD, 0xCE, 0xCF
+_BIN8 = 0xC4
+_BIN16 = 0xC5
+_BIN32 = 0xC6
+_UINT8 = 0xCC
+_UINT16 = 0xCD
+_UINT32 = 0xCE
+_UINT64 = 0xCF
 _STR8 = 0xD9
-# Types whose length follows the first byte: their kind, and the bytes that the length takes.
+# Types with a length after the first byte: their kind, and the number of bytes of the length.
 _LENGTH_PREFIXED = {
     _BIN8: ("bin", 1),
     _BIN16: ("bin", 2),
@@ -87,7 +94,7 @@
 }
 _FLOAT_FORMATS = {0xCA: ">f", 0xCB: ">d"}
 _NUMBER_LAYOUTS = {code: struct.Struct(form) for code, form in (_INTEGER_FORMATS | _FLOAT_FORMATS).items()}
-_CONSTANTS: dict[int, Any] = {0xC0: None, 0xC2: False, 0xC3: True}
+_CONSTANTS: dict[int, bool | None] = {0xC0: None, 0xC2: False, 0xC3: True}
 
 
 def _take_slice(data: memoryview, offset: int, count: int) -> memoryview:
@@ -163,7 +170,7 @@
 
 
 def _parse_short_string(data: memoryview, offset: int) -> tuple[str, int] | None:
-    """A complete string of under 32 bytes, as nearly all are, without the way through ``_parse_value``."""
+    """Parse a complete string of under 32 bytes, the usual case, faster than ``_parse_value``."""
     if offset < len(data) and _FIXSTR <= (code := data[offset]) < _SMALL_VALUES_END:
         end = offset + 1 + (code & 31)
         if end <= len(data):
@@ -172,7 +179,7 @@
 
 
 def pack_uint(number: int) -> bytes:
-    """A number from 0 to 2^64 - 1."""
+    """Encode a number from 0 to 2^64 - 1."""
     if number < _FIXMAP:
         return bytes((number,))
     for code in (_UINT8, _UINT16, _UINT32):
@@ -183,13 +190,13 @@
 
 
 def pack_str(text: str) -> bytes:
-    """A string of at most 255 bytes."""
+    """Encode a string of at most 255 bytes."""
     raw = text.encode()
     return (bytes((_FIXSTR | len(raw),)) if len(raw) <= MAX_FIXSTR_BYTES else bytes((_STR8, len(raw)))) + raw
 
 
 def pack_bin(raw: bytes) -> bytes:
-    """A binary value."""
+    """Encode a binary value."""
     if len(raw) < 1 << 8:
         return bytes((_BIN8, len(raw))) + raw
     if len(raw) < 1 << 16:
@@ -198,6 +205,6 @@
 
 
 def pack_fields(fields: dict[str, str]) -> bytes:
-    """A map of at most 15 strings to strings."""
+    """Encode a map of at most 15 strings to strings."""
     pairs = b"".join(pack_str(key) + pack_str(value) for key, value in fields.items())
     return bytes((_FIXMAP | len(fields),)) + pairs
--- a/cedarthread/protocols/peers.py
+++ b/cedarthread/protocols/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers: from ``peer_listen`` to the addresses in ``peers``, and from these alone."""
+"""Datagrams between routers, from ``peer_listen`` to the addresses in ``peers``; others are dropped."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAddresses:
-    """Where datagrams are received, and where they are sent: by a router's index, or to all of them."""
+    """The address on which datagrams are received, and those of the peers by router index."""
 
     listen_address: Address
     peer_addresses: tuple[Address, ...]
@@ -28,29 +28,33 @@
 
 
 class PeerTransport(asyncio.DatagramProtocol):
-    """Sends datagrams to routers, and passes received ones on with the index of their sender."""
+    """The datagram socket between routers; passes received datagrams on with their sender's index."""
 
     def __init__(self, addresses: PeerAddresses, on_datagram: Callable[[int, bytes], None]) -> None:
         self.addresses = addresses
         self.on_datagram = on_datagram
-        self.unknown_sender_count = 0  # datagrams that came from no peer's address
-        self.unsent_count = 0  # datagrams that were too long, or to a peer that is not configured
+        self.unknown_sender_count = 0  # datagrams from an address of no peer
+        self.unsent_count = 0  # datagrams that are too long or have no configured peer
         self._peer_index_by_address = {
             address: index for index, address in enumerate(addresses.peer_addresses)
         }
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self) -> None:
-        """Listen; OSError if the address cannot be used."""
+        """Open the socket.
+
+        Raises:
+            OSError: The address cannot be used.
+        """
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=self.addresses.listen_address)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open (asyncio)."""
+        """Store the transport of the open socket (called by asyncio)."""
         self._transport = cast("asyncio.DatagramTransport", transport)
 
     def send(self, data: bytes, peer_index: int | None) -> None:
-        """Send to one peer, or with None to all. A datagram that cannot be sent is dropped and counted."""
+        """Send to one peer, or to all peers if ``peer_index`` is None; drop and count what cannot be sent."""
         destinations = self._destinations(peer_index)
         if self._transport is None or self._transport.is_closing():
             return
@@ -68,7 +72,7 @@
         return [peers[peer_index]] if 0 <= peer_index < len(peers) else []
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """A datagram, perhaps late, perhaps a duplicate (asyncio)."""
+        """Pass on a datagram of a peer, possibly late or duplicated (called by asyncio)."""
         sender_index = self._peer_index_by_address.get((addr[0], addr[1]))
         if sender_index is None:
             self.unknown_sender_count += 1
@@ -76,11 +80,11 @@
         self.on_datagram(sender_index, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens there (asyncio): gossip repeats what was lost."""
+        """Log that a peer's port is closed; gossip repeats lost datagrams (called by asyncio)."""
         if log.isEnabledFor(logging.DEBUG):
             log.debug(format_event("peer_unreachable", error=exc))
 
     def stop(self) -> None:
-        """Neither send nor receive any more."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
--- a/cedarthread/protocols/platform/calls.py
+++ b/cedarthread/protocols/platform/calls.py
@@ -1,19 +1,19 @@
-"""The open calls of one platform connection: requests become calls, results become responses."""
+"""The open calls of one platform connection: submits requests as calls, responds with their results."""
 
 from __future__ import annotations
 
 import weakref
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from cedarthread.dispatch.calls import Call, CallResult
 from cedarthread.protocols.platform.codec import encode_answer, encode_bad_request, encode_health, parse_call
 
 if TYPE_CHECKING:
-    from cedarthread.protocols.platform.connection import PlatformConnection
+    from cedarthread.protocols.platform.owners import CallConnection
 
 CALL_PARAMETERS = 2  # fields and body
-MAX_OPEN_CALLS = 32  # of one connection; further ones are rejected
+MAX_OPEN_CALLS = 32  # per connection; further calls are rejected
 
 
 def _is_message_id(value: int) -> bool:
@@ -21,17 +21,17 @@
 
 
 class PlatformCalls:
-    """Acts on the messages of one connection, and writes one response for each request."""
+    """The open calls of one connection, by message id; writes exactly one response per request."""
 
-    def __init__(self, connection: PlatformConnection) -> None:
-        # The connection owns this object. A strong reference back would make each closed connection, with its
-        # buffer, wait for the garbage collector: 26 MB on a long day with little traffic.
-        self.connection: PlatformConnection = weakref.proxy(connection)
+    def __init__(self, connection: CallConnection) -> None:
+        # The connection owns this object. A strong reference back would keep each closed connection and its
+        # buffer until the garbage collector runs: 26 MB were measured on a long day with little traffic.
+        self.connection: CallConnection = weakref.proxy(connection)
         self.server = connection.server
         self.open: dict[int, Call] = {}  # by message id
 
-    def handle_message(self, message: Any) -> bool:
-        """Act on one message; False if it is invalid and names no request that could be answered."""
+    def handle_message(self, message: object) -> bool:
+        """Process one message; False if it is invalid and has no message id for a response."""
         match message:
             case [0, int(message_id), str(method), list(params)] if _is_message_id(message_id):
                 return self._handle_request(message_id, method, params)
@@ -40,15 +40,15 @@
                     self.server.dispatcher.abandon_call(call)
                 return True
             case [2, str(), list()]:
-                return True  # a notification of another kind asks for no response
+                return True  # other notifications have no response
         return False
 
-    def _handle_request(self, message_id: int, method: str, params: list[Any]) -> bool:
+    def _handle_request(self, message_id: int, method: str, params: list[object]) -> bool:
         if message_id in self.open:
-            return False  # an error under this id would pass for the open call's response
-        # A class may bear the name of the health check: a call has a body, a health check has none.
+            return False  # the client would take an error with this id for the response of the open call
+        # A class may have the name of the health check. Only a call has a body.
         if method == "check" and len(params) < CALL_PARAMETERS:
-            self.connection.write(encode_health(message_id, self.server.is_ready))
+            self.connection.write(encode_health(message_id, is_ready=self.server.is_ready))
             return True
         dispatcher = self.server.dispatcher
         class_index = dispatcher.current_class_index.get(method)
@@ -57,7 +57,7 @@
             return True
         call = parse_call(class_index, dispatcher.settings, params[0], params[1], dispatcher.arrival_ms())
         if isinstance(call, Call) and call.call_id in dispatcher.calls.pending_ids:
-            call = "a call of this txn is open"  # a worker could not tell the two apart
+            call = "a call of this txn is open"  # a worker could not distinguish the two calls
         if isinstance(call, str):
             self.connection.write(encode_bad_request(message_id, call))
         else:
@@ -67,7 +67,7 @@
     def _submit(self, message_id: int, call: Call) -> None:
         dispatcher = self.server.dispatcher
         call.on_result = partial(self._send_answer, message_id)
-        # The first bound protects memory from clients that read slowly, the second others from a flood.
+        # The first limit bounds memory when clients read slowly; the second protects clients from a flood.
         if self.server.queued_bytes > self.server.max_queued_bytes or len(self.open) >= MAX_OPEN_CALLS:
             dispatcher.reject_call(call)
             return
@@ -83,17 +83,18 @@
             self.connection.write(encode_answer(message_id, result))
 
     def on_client_closing(self) -> None:
-        """The client sends no more: attempts in flight may be answered, calls without one are rejected."""
+        """Reject calls without an attempt in flight, because the client has closed its sending side."""
         for call in list(self.open.values()):
             self.server.dispatcher.client_closing(call)
 
     def fail_all(self) -> None:
-        """Fail the open calls: each gets its one response now."""
+        """Fail the open calls, so that each gets its response."""
         for call in list(self.open.values()):
             self.server.dispatcher.fail_call(call)
 
     def abandon_all(self) -> None:
-        """Abandon the open calls: nobody is there for their results."""
-        calls, self.open = self.open, {}
-        for call in calls.values():
+        """Abandon the open calls, because the client has disconnected."""
+        abandoned = self.open
+        self.open = {}
+        for call in abandoned.values():
             self.server.dispatcher.abandon_call(call)
--- a/cedarthread/protocols/platform/codec.py
+++ b/cedarthread/protocols/platform/codec.py
@@ -1,7 +1,7 @@
-"""The platform's wire: MessagePack-RPC requests to calls, call results to responses.
+"""Codec of the platform's protocol: MessagePack-RPC requests to calls, call results to responses.
 
-The words of the wire (``txn``, ``item``, ``unique``, ``limit``, ``second``, ``props``; ``Backoff``, ``Lost``,
-``BadRequest``) are mapped to ours here and nowhere else.
+No other module uses the words of the wire (``txn``, ``item``, ``unique``, ``limit``, ``second``, ``props``;
+``Backoff``, ``Lost``, ``BadRequest``).
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import math
 import re
 from functools import lru_cache
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from cedarthread.dispatch.calls import Call, CallRejected, CallResult, CallSucceeded, call_deadline_ms
 from cedarthread.model.settings import Idempotency, RouterSettings
@@ -18,24 +18,29 @@
 MAX_BODY_BYTES = 16 * 1024
 MAX_LIMIT_DIGITS = 9  # of a time limit in ms: 11 days
 _HEX_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
-_RESPONSE_START = b"\x94\x01"  # an array of four items, the first of them 1; then come id, error and result
+_RESPONSE_START = b"\x94\x01"  # an array of four items: 1, id, error, result
 _RESULT_START = b"\xc0\x92"  # no error (nil); the result is an array of two
 _ERROR_START = b"\x92"  # the error is an array of two
 _NO_RESULT = b"\xc0"  # nil
 _EMPTY_MAP = b"\x80"
-_TRUE, _FALSE = b"\xc3", b"\xc2"
+_TRUE = b"\xc3"
+_FALSE = b"\xc2"
 
 
 class FunctionProperties(NamedTuple):
-    """What a request says of its function; None where it says nothing."""
+    """Properties of a function as its request states them; None: not stated."""
 
     concurrency: float | None
     memory_mb: float | None
 
 
-@lru_cache(maxsize=4096)  # a function has the same in each of its calls
+@lru_cache(maxsize=4096)  # all calls of a function have the same text
 def parse_props(text: str) -> FunctionProperties:
-    """The properties in ``memory_mb:512;lanes:2``; ValueError if one is no positive number or comes twice."""
+    """Parse properties such as ``memory_mb:512;lanes:2``.
+
+    Raises:
+        ValueError: A property is not a positive number or is repeated.
+    """
     values: dict[str, float] = {}
     for pair in text.split(";"):
         name, _, digits = pair.partition(":")
@@ -47,15 +52,25 @@
 
 
 def parse_call(
-    class_index: int, settings: RouterSettings, fields: Any, body: Any, arrival_ms: float
+    class_index: int, settings: RouterSettings, fields: object, body: object, arrival_ms: float
 ) -> Call | str:
-    """The call that a request asks for, or the reason why it is invalid, as the client is told it."""
+    """Parse the call of a request; if it is invalid, return the reason for the client.
+
+    Args:
+        class_index: The class that the request names.
+        settings: The settings in force.
+        fields: The first parameter of the request.
+        body: The second parameter.
+        arrival_ms: The time from which the client's time limit counts, on the dispatcher's clock.
+    """
     if not isinstance(fields, dict) or set(map(type, fields.values())) - {str}:
         return "the fields are no map of strings"
     raw_body = body.encode() if isinstance(body, str) else body
     if not isinstance(raw_body, (bytes, memoryview)) or len(raw_body) > MAX_BODY_BYTES:
         return "the body is not bytes of at most 16 KiB"
-    call_id, function_hex, key = fields.get("txn", ""), fields.get("item", ""), fields.get("unique")
+    call_id = fields.get("txn", "")
+    function_hex = fields.get("item", "")
+    key = fields.get("unique")
     if not _HEX_ID.match(call_id) or not _HEX_ID.match(function_hex):
         return "txn and item take 16 hex digits"
     if settings.classes[class_index].idempotency is Idempotency.WITH_KEY and not key:
@@ -75,7 +90,7 @@
         function_id=int(function_hex, 16),
         deadline_ms=call_deadline_ms(arrival_ms, float(limit)),
         body=bytes(raw_body),
-        on_result=lambda result: None,  # set once the call is submitted
+        on_result=lambda result: None,  # replaced when the call is submitted
         idempotency_key=key,
         concurrency=properties.concurrency,
         memory_mb=properties.memory_mb,
@@ -84,7 +99,7 @@
 
 
 def encode_answer(message_id: int, result: CallResult) -> bytes:
-    """The response with a call's result."""
+    """Encode the response with the result of a call."""
     if isinstance(result, CallSucceeded):
         head = _RESPONSE_START + msgpack.pack_uint(message_id) + _RESULT_START
         return head + msgpack.pack_bin(result.body) + _EMPTY_MAP
@@ -99,17 +114,17 @@
 
 
 def encode_error(message_id: int, error_name: str, fields: dict[str, str]) -> bytes:
-    """An error response."""
+    """Encode an error response."""
     head = _RESPONSE_START + msgpack.pack_uint(message_id) + _ERROR_START + msgpack.pack_str(error_name)
     return head + msgpack.pack_fields(fields) + _NO_RESULT
 
 
 def encode_bad_request(message_id: int, reason: str) -> bytes:
-    """The error response to a request that is invalid."""
+    """Encode the error response to an invalid request."""
     return encode_error(message_id, "BadRequest", {"why": reason})
 
 
-def encode_health(message_id: int, is_ready: bool) -> bytes:
-    """The response to a health check."""
+def encode_health(message_id: int, *, is_ready: bool) -> bytes:
+    """Encode the response to a health check."""
     head = _RESPONSE_START + msgpack.pack_uint(message_id) + _RESULT_START
     return head + (_TRUE if is_ready else _FALSE) + _EMPTY_MAP
--- a/cedarthread/protocols/platform/connection.py
+++ b/cedarthread/protocols/platform/connection.py
@@ -1,7 +1,7 @@
-"""One connection of a platform client: MessagePack-RPC messages in, responses out.
+"""One connection of a platform client: receives MessagePack-RPC messages, sends responses.
 
-Two bounds keep one client from harming the others: messages are processed a few at a time, and the bytes of
-responses that a slow client leaves here are counted.
+Two limits protect the other clients: a connection processes a few messages per pass, and the server counts
+the bytes of responses that slow clients have not read.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 from cedarthread.transport.connection import BufferedConnection
 
 if TYPE_CHECKING:
-    from cedarthread.protocols.platform.server import PlatformServer
+    from cedarthread.protocols.platform.owners import ConnectionServer
 
 log = logging.getLogger(__name__)
 
-MAX_MESSAGE_BYTES = 64 * 1024  # a body of 16 KiB and its fields, with room to spare
-MESSAGES_PER_PASS = 32  # of one connection, processed before others have their turn
+MAX_MESSAGE_BYTES = 64 * 1024  # a body of 16 KiB, and ample space for the fields
+MESSAGES_PER_PASS = 32  # of one connection, before other connections are processed
 
 
 class PlatformConnection(BufferedConnection):
-    """One client's connection."""
+    """The connection of one client. It owns the client's open calls."""
 
-    def __init__(self, server: PlatformServer) -> None:
+    def __init__(self, server: ConnectionServer[PlatformConnection]) -> None:
         super().__init__(MAX_MESSAGE_BYTES, server.flusher)
         self.server = server
         self.calls = PlatformCalls(self)
-        self.is_half_closed = False  # the client sends no more
-        self.message_started_at: float | None = None  # loop time at which an incomplete message began to come
-        self.needed_bytes = 0  # without which the next message is not complete
-        self.has_unprocessed_messages = False  # complete messages wait for the next pass
+        self.is_half_closed = False  # the client has closed its sending side
+        self.message_started_at: float | None = None  # loop time in s of an incomplete message's first byte
+        self.needed_bytes = 0  # minimum length of the next message, as far as its parsed part shows
+        self.has_unprocessed_messages = False  # complete messages are left for the next pass
         self.queued_bytes = 0  # of responses that the client has not read
-        self.invalid_reason = ""  # what was wrong with the message that ends the connection
+        self.invalid_reason = ""  # the fault of the message that ends the connection
 
     def on_connected(self) -> None:
-        """Register at the server."""
+        """Register with the server; abort if the connection limit is reached."""
         if not self.server.register(self):
             limit = self.server.max_connections
             log.warning(format_event("connection_limit_reached", listener="clients", rejected=1, limit=limit))
@@ -54,7 +54,7 @@
             log.info(format_event("client_message_truncated", client=client, bytes=truncated_bytes))
 
     def on_disconnected(self) -> None:
-        """Unregister, and abandon the open calls."""
+        """Unregister from the server and abandon the open calls."""
         if self.discard_budget is None and (truncated_bytes := len(self.buffer.peek())):
             self._log_truncated_message(truncated_bytes)
         self.server.unregister(self)
@@ -62,23 +62,22 @@
         self.calls.abandon_all()
 
     def is_idle(self) -> bool:
-        """No call is open, and no input waits here or in the socket."""
+        """Return whether no call is open and no input is unread."""
         if self.calls.open or self.has_unprocessed_messages or self.transport is None:
             return False
         return self.discard_budget is not None or self.transport.is_closing() or not self.has_unread_input()
 
     def has_unread_input(self) -> bool:
-        """Does input wait in the socket?"""
+        """Return whether the socket has unread input."""
         assert self.transport is not None
         unread_bytes = bytearray(4)
         fcntl.ioctl(self.transport.get_extra_info("socket").fileno(), termios.FIONREAD, unread_bytes)
         return any(unread_bytes)
 
     def can_evict(self) -> bool:
-        """It is idle and closes at once.
+        """Return whether the connection is idle and would close at once.
 
-        One with responses that a slow client has not read would hold its descriptor, uncounted, until they
-        have left.
+        A connection with unread responses would use its descriptor, uncounted, until they are sent.
         """
         if not self.is_idle() or self.transport is None:
             return False
@@ -86,8 +85,12 @@
         return self.discard_budget is not None or not unsent
 
     def on_data(self, data: memoryview) -> int | None:
-        """Process complete messages, up to ``MESSAGES_PER_PASS`` of them."""
-        offset = processed = 0
+        """Process up to ``MESSAGES_PER_PASS`` complete messages.
+
+        Returns the bytes of the processed messages; None if a message is invalid.
+        """
+        offset = 0
+        processed = 0
         while (
             offset < len(data) and processed < MESSAGES_PER_PASS and len(data) - offset >= self.needed_bytes
         ):
@@ -101,7 +104,9 @@
             if not self.calls.handle_message(parsed.value):
                 self.invalid_reason = "it makes no sense here"
                 return None
-            offset, processed, self.needed_bytes = parsed.end, processed + 1, 0
+            offset = parsed.end
+            processed += 1
+            self.needed_bytes = 0
         if processed:
             self.message_started_at = None
             self.server.mark_proven(self)
@@ -121,12 +126,12 @@
             self.schedule_flush()
 
     def _process_all_messages(self) -> None:
-        """Process what waits for its pass now: a cancellation may stand behind a flood of requests."""
+        """Process all complete messages, because a cancellation may follow a flood of requests."""
         while self.has_unprocessed_messages and not self.is_closed and self.discard_budget is None:
             self._process_more_messages()
 
     def refresh_client_state(self) -> None:
-        """Process all that the client has sent by now, and whether it has gone, however late it is read."""
+        """Process all input in the buffer and the socket, and abandon the calls of a disconnected client."""
         self._process_all_messages()
         if not self.read_available():
             self.calls.abandon_all()
@@ -134,9 +139,9 @@
         self._process_all_messages()
 
     def eof_received(self) -> bool:
-        """The client has closed, or only its sending side (asyncio).
+        """Reject calls without an attempt after the client closed its sending side (called by asyncio).
 
-        Attempts in flight may still be answered; calls without one are rejected at once.
+        Attempts in flight may still be answered. Returns whether the connection stays open for responses.
         """
         self.is_half_closed = True
         self.calls.on_client_closing()
@@ -145,17 +150,17 @@
         )
 
     def pause_writing(self) -> None:
-        """The client does not read its responses, so it may not ask for more (asyncio)."""
+        """Stop reading, because the client does not read its responses (called by asyncio)."""
         super().pause_writing()
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """The client reads again (asyncio)."""
+        """Resume reading, because the client reads its responses again (called by asyncio)."""
         super().resume_writing()
         self._update_reading()
 
     def _update_reading(self) -> None:
-        """Pause reading while the client reads slowly or messages wait for their pass, else resume it."""
+        """Pause reading while responses or complete messages are queued; otherwise resume it."""
         if self.transport is None or self.transport.is_closing():
             return
         if self.discard_budget is None and (self.is_write_paused or self.has_unprocessed_messages):
@@ -164,19 +169,19 @@
             self.transport.resume_reading()
 
     def on_buffer_full(self) -> None:
-        """A message is longer than one may be, unless complete messages fill the buffer."""
+        """Reject a message over the maximum length, unless complete messages fill the buffer."""
         if not self.has_unprocessed_messages:
             self.on_invalid_input()
 
     def on_invalid_input(self) -> None:
-        """Nothing more can be parsed here: each open call gets its one response, then it closes."""
+        """Close after an invalid message, which fails the open calls."""
         reason = self.invalid_reason or "too long"
         if log.isEnabledFor(logging.INFO):
             log.info(format_event("client_message_invalid", client=self._peer_name(), reason=reason))
         self.fail_calls_and_close()
 
     def fail_calls_and_close(self) -> None:
-        """Fail the open calls, and close once the responses have left."""
+        """Fail the open calls, and close once the responses are sent."""
         self.calls.fail_all()
         self.lingering_close()
 
@@ -185,13 +190,13 @@
         return f"{name[0]}:{name[1]}" if name else "unknown"
 
     def write(self, data: bytes) -> None:
-        """Queue a response."""
+        """Queue a response and count its bytes."""
         self.queued_bytes += len(data)
         self.server.queued_bytes += len(data)
         super().write(data)
 
     def flush(self) -> None:
-        """Flush the responses; after the last one to a client that sends no more, close."""
+        """Flush the responses. Close after the last one if the client or this server sends no more."""
         super().flush()
         if not self.write_queue:
             self._clear_queued_bytes()
--- /dev/null
+++ b/cedarthread/protocols/platform/owners.py
@@ -0,0 +1,54 @@
+"""Protocols between a platform connection, its calls and the server, which keep their imports acyclic."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Protocol, TypeVar
+
+if TYPE_CHECKING:
+    from cedarthread.dispatch.dispatcher import Dispatcher
+    from cedarthread.transport.flusher import Flusher
+
+ConnectionT_contra = TypeVar("ConnectionT_contra", contravariant=True)
+
+
+class CallServer(Protocol):
+    """The server (``PlatformServer``), as the calls of a connection use it."""
+
+    dispatcher: Dispatcher
+    is_ready: bool
+    queued_bytes: int
+    max_queued_bytes: int
+
+
+class ConnectionServer(CallServer, Protocol[ConnectionT_contra]):
+    """The server (``PlatformServer``), as one connection uses it."""
+
+    flusher: Flusher
+    max_connections: int
+    is_draining: bool
+
+    def register(self, connection: ConnectionT_contra) -> bool:
+        """Count a connection; False if the limit is reached and no connection is idle."""
+
+    def unregister(self, connection: ConnectionT_contra) -> None:
+        """Stop counting a connection."""
+
+    def mark_proven(self, connection: ConnectionT_contra) -> None:
+        """Record that a connection has sent a valid message."""
+
+
+class CallConnection(Protocol):
+    """The connection (``PlatformConnection``), as its calls use it."""
+
+    is_closed: bool
+    is_half_closed: bool
+
+    @property
+    def server(self) -> CallServer:
+        """Return the server of the connection."""
+
+    def write(self, data: bytes) -> None:
+        """Queue a response."""
+
+    def refresh_client_state(self) -> None:
+        """Process all input that has arrived, and detect a disconnect."""
--- a/cedarthread/protocols/platform/server.py
+++ b/cedarthread/protocols/platform/server.py
@@ -1,4 +1,4 @@
-"""The platform's server: accepts clients on its address, bounds their number and closes them in time."""
+"""The server for platform clients: accepts connections, limits their number and closes idle ones."""
 
 from __future__ import annotations
 
@@ -17,18 +17,24 @@
 log = logging.getLogger(__name__)
 
 LISTEN_BACKLOG = 512
-# For the first complete message of a connection, and for each message from its first byte to its last.
+# For the first complete message of a connection, and for each message from its first to its last byte.
 MESSAGE_TIMEOUT_S = 2.0
-# Without a byte or an open call, after which a client counts as gone without a trace.
+# Without input and without an open call; then the client counts as disconnected.
 SILENT_CLIENT_TIMEOUT_S = 120.0
-DEFAULT_MAX_QUEUED_BYTES = 32 * 2**20  # the service sets it by the memory limit
+DEFAULT_MAX_QUEUED_BYTES = 32 * 2**20  # the service passes one that follows from the memory limit
 
 
 class PlatformServer:
-    """The listening socket and its connections.
+    """The listening socket for clients and the connections accepted on it.
 
-    ``queued_bytes`` counts the responses that slow clients have not read; above ``max_queued_bytes`` calls
-    are rejected.
+    ``queued_bytes`` counts the bytes of responses that clients have not read.
+
+    Args:
+        dispatcher: Receives the calls.
+        max_connections: The limit of client connections.
+        flusher: Writes the output of each iteration.
+        max_queued_bytes: Above this many queued bytes, calls are rejected.
+        accepts_per_pass: Connections accepted per iteration of the event loop.
     """
 
     def __init__(
@@ -44,17 +50,19 @@
         self.max_queued_bytes = max_queued_bytes
         self.flusher = flusher
         self.max_connections = max_connections
-        self.is_ready = True  # as health checks report it
+        self.is_ready = True  # reported to health checks
         self.is_draining = False  # connections close once they are idle
         self.queued_bytes = 0
-        # The least recently used first: those that have sent a valid message, and those that have not.
+        # Both in order of use, least recent first. A connection is unproven until its first valid message.
         self.connections: dict[PlatformConnection, None] = {}
         self.unproven_connections: dict[PlatformConnection, None] = {}
         self._acceptor: Acceptor[PlatformConnection] | None = None
-        self._draining_acceptor: Acceptor[PlatformConnection] | None = None  # accepts what still waits
+        self._draining_acceptor: Acceptor[PlatformConnection] | None = (
+            None  # accepts the connections in the listen queue
+        )
 
     def register(self, connection: PlatformConnection) -> bool:
-        """Count a connection in, once. At the bound an idle one is evicted for it; False if none is idle."""
+        """Count a connection once. At the limit, evict an idle one for it; False if none is idle."""
         if connection in self.unproven_connections or connection in self.connections:
             return True
         count = len(self.connections) + len(self.unproven_connections)
@@ -64,9 +72,9 @@
         return True
 
     def evict_idle(self) -> bool:
-        """Close an idle connection, unproven ones first: its descriptor is free in the next loop pass.
+        """Close an idle connection, unproven ones first; False if there is none.
 
-        False if there is none.
+        Its descriptor becomes free in the next iteration of the event loop.
         """
         for connection in (*self.unproven_connections, *self.connections):
             if connection.can_evict():
@@ -76,17 +84,20 @@
         return False
 
     def mark_proven(self, connection: PlatformConnection) -> None:
-        """It has sent a valid message: it is now the most recently used, and evicted after unproven ones."""
+        """Make a connection the most recently used one, because it has sent a valid message."""
         self.unregister(connection)
         self.connections[connection] = None
 
     def unregister(self, connection: PlatformConnection) -> None:
-        """Count a connection out."""
+        """Stop counting a connection."""
         self.connections.pop(connection, None)
         self.unproven_connections.pop(connection, None)
 
     async def listen(self, host: str, port: int) -> int:
-        """Accept clients; returns the port. Another process may listen on the same address (SO_REUSEPORT)."""
+        """Accept clients and return the port.
+
+        Another process may listen on the same address (SO_REUSEPORT).
+        """
         listening_socket = await create_listener_with_retries(host, port, LISTEN_BACKLOG, reuse_port=True)
         self._acceptor = Acceptor(
             "clients",
@@ -99,20 +110,21 @@
         return self._acceptor.port
 
     def _create_connection(self) -> PlatformConnection | None:
-        """One more client, counted in before its connection is up: a flood cannot outrun the count."""
+        """Create a connection, counted before it is established so that a flood cannot exceed the limit."""
         connection = PlatformConnection(self)
         return connection if self.register(connection) else None
 
     def stop_listening(self) -> None:
-        """Accept no more, after what already waits to be accepted."""
+        """Accept the connections in the listen queue, then no more."""
         if self._acceptor is not None:
             self._acceptor.drain_and_close()
-            self._draining_acceptor, self._acceptor = self._acceptor, None
+            self._draining_acceptor = self._acceptor
+            self._acceptor = None
 
     def drain(self) -> None:
-        """Accept no more connections, and close each as soon as it is idle.
+        """Accept no more connections, and close each connection as soon as it is idle.
 
-        Calls that come to a process about to end have less time than their client would get elsewhere.
+        A call to a process that is shutting down would have less time than at another process.
         """
         self.stop_listening()
         self.is_draining = True
@@ -121,24 +133,33 @@
                 connection.lingering_close()
 
     def sweep(self, now_s: float) -> None:
-        """Close what has sent no complete message in time, or has been silent for too long.
+        """Close connections with a late message, and silent ones without open calls.
 
-        ``now_s`` is loop time in seconds.
+        Args:
+            now_s: The event loop's time.
         """
         for connection in [*self.unproven_connections, *self.connections]:
             started_at = connection.message_started_at
             is_late = started_at is not None and now_s - started_at > MESSAGE_TIMEOUT_S
-            is_gone = not connection.calls.open and now_s - connection.last_read_at > SILENT_CLIENT_TIMEOUT_S
-            is_up = connection.transport is not None and connection.discard_budget is None
-            if is_up and not connection.has_unprocessed_messages and (is_late or is_gone):
+            is_silent = now_s - connection.last_read_at > SILENT_CLIENT_TIMEOUT_S
+            is_established = connection.transport is not None and connection.discard_budget is None
+            if (
+                is_established
+                and not connection.has_unprocessed_messages
+                and (is_late or (is_silent and not connection.calls.open))
+            ):
                 log.info(format_event("client_timed_out"))
                 connection.fail_calls_and_close()
 
     def is_drained(self) -> bool:
-        """All that waited to be accepted has been, and all responses have left this process."""
+        """Return whether all queued connections were accepted and all responses are sent."""
         if self._draining_acceptor is not None and not self._draining_acceptor.is_finished():
             return False
         connections = (*self.unproven_connections, *self.connections)
-        transports = [one.transport for one in connections if not one.is_closed and one.transport is not None]
-        has_queued = any(one.write_queue for one in connections)
+        transports = [
+            connection.transport
+            for connection in connections
+            if not connection.is_closed and connection.transport is not None
+        ]
+        has_queued = any(connection.write_queue for connection in connections)
         return not has_queued and not any(transport.get_write_buffer_size() for transport in transports)
--- a/cedarthread/protocols/worker/codec.py
+++ b/cedarthread/protocols/worker/codec.py
@@ -9,7 +9,7 @@
 import binascii
 import json
 import math
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, cast
 
 from cedarthread.dispatch.calls import AttemptResult, Call
 from cedarthread.model.outcomes import Outcome, StartKind
@@ -134,8 +134,8 @@
     return tuple(values.get(column) for column in columns)
 
 
-def _parse_count(value: Any) -> int | None:
+def _parse_count(value: object) -> int | None:
     try:
-        return min(max(0, int(value)), MAX_REPORTED_CONCURRENCY)
+        return min(max(0, int(cast("int", value))), MAX_REPORTED_CONCURRENCY)
     except (TypeError, ValueError, OverflowError):
         return None
--- a/cedarthread/service.py
+++ b/cedarthread/service.py
@@ -183,7 +183,9 @@
 
     def update_endpoints(self, serial: int, records: list[EndpointRecord], *, is_complete: bool) -> None:
         """Take a newer list of workers, or changes to the list where ``is_complete`` is false."""
-        event = self.endpoint_list.apply_update(serial, self._with_corrected_starts(records), is_complete)
+        event = self.endpoint_list.apply_update(
+            serial, self._with_corrected_starts(records), is_snapshot=is_complete
+        )
         self._on_list_changed(serial, event)
 
     def replace_endpoints(self, serial: int, records: list[EndpointRecord]) -> None:
--- a/cedarthread/testing/fuzzing/endpoint_list_target.py
+++ b/cedarthread/testing/fuzzing/endpoint_list_target.py
@@ -66,7 +66,7 @@
         while choices.has_more():
             number, is_complete = choices.consume_byte() % 20, bool(choices.consume_byte() & 3)
             records = [self._record(choices) for _ in range(choices.consume_byte() % 5)]
-            event = endpoint_list.apply_update(number, records, is_complete)
+            event = endpoint_list.apply_update(number, records, is_snapshot=is_complete)
             require((event is None) == (number <= version), f"news {number} after {version}")
             if event is None:
                 continue
--- a/cedarthread/testing/fuzzing/endpoint_publisher.py
+++ b/cedarthread/testing/fuzzing/endpoint_publisher.py
@@ -59,7 +59,7 @@
         router = self.router
         if version > router.endpoint_list.version:
             self._notify_checker(records)
-        event = router.endpoint_list.apply_update(version, records, True)
+        event = router.endpoint_list.apply_update(version, records, is_snapshot=True)
         if event is not None:
             router.worker_connections.update_endpoints(router.endpoint_list.by_worker_id())
             router.dispatcher.endpoints_changed(event)
--- a/cedarthread/testing/fuzzing/injected_defects.py
+++ b/cedarthread/testing/fuzzing/injected_defects.py
@@ -197,10 +197,11 @@
     self: endpoint_list.EndpointList,
     version: int,
     records: list[endpoint_list.EndpointRecord],
-    is_complete: bool,
+    *,
+    is_snapshot: bool,
 ) -> Any:
     self.version = min(self.version, version - 1)
-    return _apply_update(self, version, records, is_complete)
+    return _apply_update(self, version, records, is_snapshot=is_snapshot)
 
 
 _apply_update = endpoint_list.EndpointList.apply_update
--- a/cedarthread/transport/acceptor.py
+++ b/cedarthread/transport/acceptor.py
@@ -1,7 +1,7 @@
-"""Accepts connections from a listening socket: a few in each loop pass, each counted before it is set up.
+"""Accepts connections from a listening socket: a few per iteration of the event loop, each counted first.
 
-asyncio's own server accepts up to its whole backlog in one pass, without asking whether there is room, and
-stops accepting for a whole second once no descriptor is left.
+asyncio's own server accepts up to its complete backlog in one iteration without a connection limit, and
+pauses for a second when no descriptor is free.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 
 log = logging.getLogger(__name__)
 
-ACCEPT_PAUSE_S = 0.05  # without accepting, once no descriptor is left
-LISTEN_RETRY_S = 0.05  # between attempts to listen, while this machine is short of descriptors
-LISTEN_RETRY_LIMIT_S = 5.0  # after which listening fails: well within the 30 s in which it has to be ready
-MAX_DRAIN_PASSES = 256  # loop passes at the end in which connections that still wait are accepted
+ACCEPT_PAUSE_S = 0.05  # pause in accepting when no descriptor is free
+LISTEN_RETRY_S = 0.05  # between attempts to listen while the host is short of descriptors
+LISTEN_RETRY_LIMIT_S = 5.0  # then listening fails; a router must be ready within 30 s
+MAX_DRAIN_PASSES = 256  # iterations in which the backlog is accepted before the socket is closed
 TLS_HANDSHAKE_TIMEOUT_S = 5.0
 TLS_SHUTDOWN_TIMEOUT_S = 1.0
 _TLS_TIMEOUTS = {
     "ssl_handshake_timeout": TLS_HANDSHAKE_TIMEOUT_S,
     "ssl_shutdown_timeout": TLS_SHUTDOWN_TIMEOUT_S,
 }
-_NO_TIMEOUTS: dict[str, float] = {}  # asyncio refuses TLS timeouts without TLS
+_NO_TIMEOUTS: dict[str, float] = {}  # asyncio rejects TLS timeouts without TLS
 
 ProtocolT = TypeVar("ProtocolT", bound=asyncio.BaseProtocol)
 
 
 class BacklogState(Enum):
-    """What a pass of accepting left in the socket's backlog."""
+    """The state of the socket's backlog after accepting a batch."""
 
     EMPTY = "empty"
     MAY_HAVE_MORE = "more"
@@ -46,28 +46,38 @@
 
 
 def create_listener(host: str, port: int, backlog: int, *, reuse_port: bool = False) -> socket.socket:
-    """A non-blocking listening socket; OSError if there can be none.
+    """Create a non-blocking listening socket.
 
-    With ``reuse_port`` another process may listen on the same address, as a successor does.
+    Args:
+        host: The address.
+        port: The port; 0 for any free one.
+        backlog: The length of the listen queue.
+        reuse_port: Allow other processes to listen on the same address, for example at an upgrade.
+
+    Raises:
+        OSError: The address cannot be used.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listening_socket = socket.create_server(
         (host, port), family=family, backlog=backlog, reuse_port=reuse_port
     )
-    listening_socket.setblocking(False)
+    listening_socket.settimeout(0.0)  # non-blocking
     return listening_socket
 
 
 async def create_listener_with_retries(
     host: str, port: int, backlog: int, *, reuse_port: bool = False
 ) -> socket.socket:
-    """Likewise, but where this machine is short of descriptors or memory for a moment, it is tried again.
+    """Create a listening socket; retry while the host is short of descriptors or memory.
+
+    Otherwise a short shortage would end the start of the process.
 
-    A start that failed by this would be a crash; OSError once the shortage has lasted for
-    ``LISTEN_RETRY_LIMIT_S``.
+    Raises:
+        OSError: The address cannot be used, or the shortage lasts over ``LISTEN_RETRY_LIMIT_S``.
     """
     loop = asyncio.get_running_loop()
-    give_up_at_s, is_logged = loop.time() + LISTEN_RETRY_LIMIT_S, False
+    give_up_at_s = loop.time() + LISTEN_RETRY_LIMIT_S
+    is_logged = False
     while True:
         try:
             return create_listener(host, port, backlog, reuse_port=reuse_port)
@@ -81,11 +91,17 @@
 
 
 class Acceptor(Generic[ProtocolT]):
-    """Accepts the connections of one listening socket.
-
-    ``create_protocol`` counts one more connection in and returns its protocol, or None where there is no
-    room: that connection is closed at once. ``on_setup_failed`` is called with one that never came up.
-    ``release_descriptor`` is called when no descriptor is left, and says whether it has freed one.
+    """Accepts the connections of one listening socket, which it owns.
+
+    Args:
+        name: Of the peers, for the log.
+        listening_socket: The socket.
+        max_accepts_per_pass: Connections accepted per iteration of the event loop.
+        create_protocol: Counts a connection and returns its protocol; None at the connection limit, and then
+            the connection is closed.
+        on_setup_failed: Called with the protocol of a connection that was not established.
+        release_descriptor: Called when no descriptor is free; returns whether one was freed.
+        tls_context: For TLS.
     """
 
     def __init__(
@@ -99,7 +115,7 @@
         release_descriptor: Callable[[], bool] = lambda: False,
         tls_context: ssl.SSLContext | None = None,
     ) -> None:
-        self.name = name  # of the peers, for the log
+        self.name = name
         self.listening_socket = listening_socket
         self.max_accepts_per_pass = max_accepts_per_pass
         self.tls_context = tls_context
@@ -113,7 +129,7 @@
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
+        """The port of the listening socket."""
         return int(self.listening_socket.getsockname()[1])
 
     def _on_readable(self) -> None:
@@ -125,16 +141,17 @@
             )
 
     def _accept_batch(self) -> BacklogState:
-        """Accept what one pass allows."""
-        # Only connections that are up can be evicted, so those accepted before must be up first. That takes
-        # two passes; a TLS handshake may take seconds, and is not waited for.
+        """Accept up to ``max_accepts_per_pass`` connections."""
+        # Only established connections can be evicted, so earlier ones must be established first, which takes
+        # two iterations. With TLS this is skipped, because a handshake may take seconds.
         if self._setup_tasks and self.tls_context is None:
             return BacklogState.MAY_HAVE_MORE
-        rejected_count, backlog = 0, BacklogState.MAY_HAVE_MORE
+        rejected_count = 0
+        backlog = BacklogState.MAY_HAVE_MORE
         for _ in range(self.max_accepts_per_pass):
             try:
                 connection, _ = self.listening_socket.accept()
-            except (ConnectionAbortedError, InterruptedError):  # one that waited has gone
+            except (ConnectionAbortedError, InterruptedError):  # the peer closed a queued connection
                 continue
             except OSError as error:
                 is_exhausted = error.errno in EXHAUSTION_ERRNOS
@@ -154,7 +171,7 @@
         return backlog
 
     def _start_setup(self, connection: socket.socket, protocol: ProtocolT) -> None:
-        connection.setblocking(False)
+        connection.settimeout(0.0)  # non-blocking
         task = self._loop.create_task(self._set_up(connection, protocol))
         self._setup_tasks[protocol] = task
         if self.tls_context is not None:
@@ -163,7 +180,7 @@
     def _on_setup_done(
         self, protocol: ProtocolT, connection: socket.socket, task: asyncio.Task[None]
     ) -> None:
-        if task.cancelled():  # perhaps before its first step: nobody else closes the socket then
+        if task.cancelled():  # possibly before its first step, so the socket must be closed here
             self._setup_tasks.pop(protocol, None)
             connection.close()
 
@@ -173,7 +190,7 @@
             await self._loop.connect_accepted_socket(
                 lambda: protocol, connection, ssl=self.tls_context, **timeouts
             )
-        except Exception as error:  # whatever a peer does in the handshake ends its connection alone
+        except Exception as error:  # a fault in the handshake ends only this connection
             if log.isEnabledFor(logging.DEBUG):
                 log.debug(format_event("connection_setup_failed", listener=self.name, error=error))
             self.on_setup_failed(protocol)
@@ -181,12 +198,12 @@
             self._setup_tasks.pop(protocol, None)
 
     def cancel_setup(self, protocol: ProtocolT) -> None:
-        """Close a connection that is in its handshake, and has been counted out."""
+        """Close a connection in its handshake that is no longer counted."""
         if (task := self._setup_tasks.get(protocol)) is not None:
             task.cancel()
 
     def drain_and_close(self) -> None:
-        """Stop listening once the backlog is empty: closing at once would reset the connections in it."""
+        """Stop listening once the backlog is empty, because a close would reset the connections in it."""
         self._stop_accepting()
         self._accept_remaining(MAX_DRAIN_PASSES)
 
@@ -197,7 +214,7 @@
             self.listening_socket.close()
 
     def is_finished(self) -> bool:
-        """It has stopped listening, and all that it accepted is up or closed."""
+        """Return whether the socket is closed and all accepted connections are established or closed."""
         return self.listening_socket.fileno() < 0 and not self._setup_tasks
 
     def close(self) -> None:
--- a/cedarthread/transport/connection.py
+++ b/cedarthread/transport/connection.py
@@ -15,16 +15,20 @@
 
 log = logging.getLogger(__name__)
 
-LINGER_S = 1.0  # how long input is still read and discarded after the last response
-LINGER_MAX_BYTES = 4 * 2**20  # how much input is so discarded at most
-_DISCARD_BUFFER = bytearray(64 * 1024)  # where discarded input is read to, shared by all connections
+LINGER_S = 1.0  # time in which input is discarded after the last response
+LINGER_MAX_BYTES = 4 * 2**20  # limit of the discarded input
+_DISCARD_BUFFER = bytearray(64 * 1024)  # receives discarded input of all connections
 
 
 class BufferedConnection(asyncio.BufferedProtocol):
-    """One connection of any protocol. Whatever fails on it ends this connection alone.
+    """One connection of any protocol. An exception in its handlers closes only this connection.
 
-    A subclass implements ``on_data`` and, as it needs, ``on_connected``, ``on_disconnected``,
+    A subclass implements ``on_data`` and, if necessary, ``on_connected``, ``on_disconnected``,
     ``on_invalid_input`` and ``on_buffer_full``.
+
+    Args:
+        max_buffer_bytes: The size limit of the read buffer.
+        flusher: Writes the output of each iteration.
     """
 
     high_water = 64 * 1024  # bytes in the transport's write buffer above which writing pauses
@@ -36,36 +40,36 @@
         self.write_queue: list[bytes] = []
         self.is_write_paused = False
         self.is_closed = False
-        self.last_read_at = 0.0  # loop time in seconds
-        self.discard_budget: int | None = None  # bytes still discarded, once no more input is taken
+        self.last_read_at = 0.0  # loop time in s
+        self.discard_budget: int | None = None  # bytes that may still be discarded; None: input is processed
         self._is_flush_scheduled = False
         self._linger_timer: asyncio.TimerHandle | None = None
-        self._socket_reader: SocketReader | None = None  # made on first use
+        self._socket_reader: SocketReader | None = None  # created on first use
         self._loop = asyncio.get_running_loop()
 
     def on_connected(self) -> None:
-        """The connection is up."""
+        """Handle the established connection."""
 
     def on_data(self, data: memoryview) -> int | None:
         """Process the complete messages at the start of the data.
 
-        Returns how many bytes they had, or None if the input is invalid.
+        Returns the bytes of these messages; None if the input is invalid.
         """
         raise NotImplementedError
 
     def on_invalid_input(self) -> None:
-        """The input cannot be parsed, and so nothing that follows it can."""
+        """Close after invalid input, because the following input cannot be parsed."""
         self.close()
 
     def on_buffer_full(self) -> None:
-        """The buffer is full and holds no complete message."""
+        """Handle a full buffer without a complete message."""
         self.on_invalid_input()
 
     def on_disconnected(self) -> None:
-        """The connection is down."""
+        """Handle the end of the connection."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection came up (asyncio)."""
+        """Store the transport and call ``on_connected`` (called by asyncio)."""
         self.transport = cast("asyncio.Transport", transport)
         self.transport.set_write_buffer_limits(high=self.high_water)
         disable_nagle(self.transport)
@@ -73,7 +77,7 @@
         self.on_connected()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is down (asyncio)."""
+        """Call ``on_disconnected`` (called by asyncio)."""
         self.is_closed = True
         if self._linger_timer is not None:
             self._linger_timer.cancel()
@@ -83,11 +87,11 @@
             log.exception(format_event("connection_cleanup_failed"))
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Where to read to (asyncio)."""
+        """Return the buffer for input (called by asyncio)."""
         return self.buffer.writable_space() if self.discard_budget is None else memoryview(_DISCARD_BUFFER)
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Bytes were read (asyncio)."""
+        """Process input that was read into the buffer (called by asyncio)."""
         self.last_read_at = self._loop.time()
         if self.discard_budget is not None:
             self._discard(nbytes)
@@ -96,14 +100,14 @@
         self._process_buffer()
 
     def eof_received(self) -> bool:
-        """The peer has closed its sending side (asyncio). True keeps this side open."""
+        """Handle the end of input; True keeps this side open (called by asyncio)."""
         return False
 
     def read_available(self) -> bool:
-        """Read and process what is in the socket now, also while reading is paused.
+        """Read and process the input in the socket, also while reading is paused.
 
-        Returns False if the connection is broken, which asyncio may not have reported yet. An end of input
-        is reported by ``eof_received``, and once more when asyncio sees it.
+        Returns False if the connection is broken, which asyncio may not have reported yet. ``eof_received``
+        is called at the end of input, and again when asyncio detects it.
         """
         if self.discard_budget is not None or self.transport is None:
             return True
@@ -139,27 +143,27 @@
             self.on_buffer_full()
 
     def pause_writing(self) -> None:
-        """The peer reads slowly (asyncio)."""
+        """Record that the peer reads slowly (called by asyncio)."""
         self.is_write_paused = True
 
     def resume_writing(self) -> None:
-        """The peer has caught up (asyncio)."""
+        """Flush the queue, because the peer reads again (called by asyncio)."""
         self.is_write_paused = False
         self.flush()
 
     def write(self, data: bytes) -> None:
-        """Queue bytes; they are flushed by the end of this loop pass."""
+        """Queue bytes, which are flushed by the end of this iteration of the event loop."""
         self.write_queue.append(data)
         self.schedule_flush()
 
     def schedule_flush(self) -> None:
-        """Have the queue flushed together with those of other connections."""
+        """Schedule a flush together with other connections."""
         if not self._is_flush_scheduled and not self.is_closed:
             self._is_flush_scheduled = True
             self.flusher.schedule(self)
 
     def flush(self) -> None:
-        """Hand the queue to the transport, unless the peer reads slowly."""
+        """Pass the queue to the transport unless the peer reads slowly."""
         self._is_flush_scheduled = False
         if (
             self.write_queue
@@ -167,25 +171,26 @@
             and self.transport is not None
             and not self.is_closed
         ):
-            queued, self.write_queue = self.write_queue, []
+            queued = self.write_queue
+            self.write_queue = []
             self.transport.write(b"".join(queued))
 
     def close(self) -> None:
-        """Close gracefully: what is queued is sent first."""
+        """Close after sending the queued bytes."""
         if self.transport is not None and not self.transport.is_closing():
             self.flush()
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close at once and drop the queued bytes."""
         if self.transport is not None:
             self.transport.abort()
 
     def lingering_close(self) -> None:
-        """Flush, close the sending side, discard what the peer still sends, then close.
+        """Flush, close the sending side, discard further input for some time, then close.
 
-        Closing while input stands unread would reset the connection, and a reset takes away the response that
-        the peer has not read yet (RFC 9112, section 9.6).
+        A close with unread input would reset the connection, and a reset would discard the response before
+        the peer has read it (RFC 9112, section 9.6).
         """
         if self.transport is None or self.is_closed or self.discard_budget is not None:
             return
--- a/cedarthread/transport/descriptor_budget.py
+++ b/cedarthread/transport/descriptor_budget.py
@@ -1,7 +1,7 @@
-"""The budget of file descriptors: how many there are, what is reserved, and who may hold the rest.
+"""The budget of file descriptors: the limit, the reserved ones, and the fractions of the others.
 
-Clients may use theirs to the last one: log, event loop, discovery, the operators' address and the worker
-connections live on what is kept from them here.
+Clients may use all of theirs, because log, event loop, discovery, control address and worker connections have
+descriptors of their own.
 """
 
 from __future__ import annotations
@@ -12,50 +12,50 @@
 from dataclasses import dataclass
 
 CLIENT_FRACTION = 0.5  # of all descriptors: client connections
-INVOKE_FRACTION = 0.5  # of the rest: callers of the invoke API at most, before workers
+INVOKE_FRACTION = 0.5  # limit for callers of the invoke API, of the rest for callers and workers
 MAX_OPERATOR_CONNECTIONS = 16
-CLIENT_ACCEPTS_PER_PASS = 16  # client connections accepted in one loop pass at most
-SMALL_ACCEPTS_PER_PASS = 4  # the same of operators, and of invoke callers
-# Under a small limit there is one operator connection, and one accept a pass, for so many descriptors.
+CLIENT_ACCEPTS_PER_PASS = 16  # client connections accepted per iteration of the event loop
+SMALL_ACCEPTS_PER_PASS = 4  # connections of operators, and of invoke callers, per iteration
+# Under a small limit: descriptors per operator connection, and per accepted connection of an iteration.
 DESCRIPTORS_PER_RESERVATION = 32
 MIN_RESERVATIONS = 2
 LISTENING_SOCKETS = 3  # clients', operators', invoke callers'
-DISCOVERY_SOCKETS = 2  # the one in use, and the next one while the address changes
+DISCOVERY_SOCKETS = 2  # the socket in use, and a second one while the address changes
 PEER_SOCKETS = 1
-OPEN_FILES = 4  # configuration, certificates or store, while they are read anew
+OPEN_FILES = 4  # configuration, certificates or store, during a reload
 UNKNOWN_OPEN_DESCRIPTORS = 6  # standard input, output and error, the loop's poll and its pair of sockets
 UNLIMITED = 2**31
-# A call fails with one of these where no descriptor, or no memory for one, is to be had now.
+# Errors of a system call when no descriptor, or no memory for one, is available.
 EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """Descriptors by who may hold them.
+    """Numbers of descriptors by purpose.
 
     ``limit`` is the sum of ``reserved``, ``client_connections``, ``invoke_connections`` and
     ``worker_connections``.
     """
 
     limit: int
-    reserved: int  # open at the start, or kept for what must always be available
+    reserved: int  # open at the start, or for purposes that must always be available
     client_connections: int
     invoke_connections: int
     worker_connections: int
     operator_connections: int  # part of ``reserved``
-    accepts_per_pass: int  # of client connections; what they evict is closed one pass later
+    accepts_per_pass: int  # of client connections; evicted connections close one iteration later
 
 
 def soft_limit() -> int:
-    """The soft RLIMIT_NOFILE of this process. It is read, never changed."""
+    """Return the soft RLIMIT_NOFILE of this process, which is never changed."""
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return UNLIMITED if limit == resource.RLIM_INFINITY else limit
 
 
 def count_open_descriptors() -> int:
-    """Descriptors that this process holds, those it was started with included."""
+    """Return the number of open descriptors of this process."""
     try:
-        return len(os.listdir("/proc/self/fd")) - 1  # one belongs to the listing itself
+        return len(os.listdir("/proc/self/fd")) - 1  # without the descriptor of the listing
     except OSError:
         return UNKNOWN_OPEN_DESCRIPTORS
 
@@ -63,17 +63,23 @@
 def compute_budget(
     configured_limit: int, invoke_connections: int, process_limit: int, already_open: int
 ) -> DescriptorBudget:
-    """The budget under the smaller limit; ValueError if it leaves none for workers.
+    """Compute the budget under the smaller of two limits.
 
-    ``invoke_connections``: how many the invoke API is configured to hold, 0 where it is off;
-    ``already_open``: descriptors open at the start.
+    Args:
+        configured_limit: The limit of the configuration.
+        invoke_connections: The configured connections of the invoke API; 0 if it is off.
+        process_limit: The limit of the process.
+        already_open: Descriptors open at the start.
+
+    Raises:
+        ValueError: No descriptor is left for workers.
     """
     limit = min(configured_limit, process_limit)
-    small_share = max(MIN_RESERVATIONS, limit // DESCRIPTORS_PER_RESERVATION)
-    operator_connections = min(MAX_OPERATOR_CONNECTIONS, small_share)
-    accepts_per_pass = min(CLIENT_ACCEPTS_PER_PASS, small_share)
-    small_accepts_per_pass = min(SMALL_ACCEPTS_PER_PASS, small_share)
-    # A connection that is evicted for another is closed one loop pass later: both count until then.
+    small_limit = max(MIN_RESERVATIONS, limit // DESCRIPTORS_PER_RESERVATION)
+    operator_connections = min(MAX_OPERATOR_CONNECTIONS, small_limit)
+    accepts_per_pass = min(CLIENT_ACCEPTS_PER_PASS, small_limit)
+    small_accepts_per_pass = min(SMALL_ACCEPTS_PER_PASS, small_limit)
+    # An evicted connection is closed one iteration after the new one is accepted; both count until then.
     evicted = accepts_per_pass + small_accepts_per_pass
     if invoke_connections:
         evicted += small_accepts_per_pass
--- a/cedarthread/transport/flusher.py
+++ b/cedarthread/transport/flusher.py
@@ -1,4 +1,4 @@
-"""Coalesces the writes of all connections into one flush for each pass of the event loop."""
+"""Coalesces the writes of all connections into one flush per iteration of the event loop."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
     """A connection with queued output."""
 
     def flush(self) -> None:
-        """Hand the queued output to the transport."""
+        """Pass the queued output to the transport."""
 
 
 class Flusher:
-    """Flushes the connections that have queued output: once a loop pass, or earlier on request.
+    """The connections with queued output; flushes them once per iteration, or earlier on request.
 
-    The dispatcher flushes as soon as it has processed its events. If the writes were left to a later pass of
-    the loop, responses would wait behind all the reading of that pass whenever the CPU is short.
+    The dispatcher flushes as soon as it has processed its events. In a later iteration, responses would be
+    delayed by all the reading of that iteration whenever the CPU is short.
     """
 
     def __init__(self) -> None:
@@ -25,13 +25,14 @@
         self._loop = asyncio.get_running_loop()
 
     def schedule(self, connection: Flushable) -> None:
-        """Flush this connection in the next loop pass at the latest."""
+        """Flush this connection in the next iteration at the latest."""
         if not self._scheduled:
             self._loop.call_soon(self.flush_all)
         self._scheduled.append(connection)
 
     def flush_all(self) -> None:
         """Flush every scheduled connection now."""
-        scheduled, self._scheduled = self._scheduled, []
+        scheduled = self._scheduled
+        self._scheduled = []
         for connection in scheduled:
             connection.flush()
--- a/cedarthread/transport/read_buffer.py
+++ b/cedarthread/transport/read_buffer.py
@@ -2,25 +2,29 @@
 
 from __future__ import annotations
 
-INITIAL_BUFFER_BYTES = 8 * 1024  # most messages fit; thousands of idle connections hold one each
+INITIAL_BUFFER_BYTES = 8 * 1024  # enough for most messages; thousands of idle connections have one each
 
 
 class ReadBuffer:
-    """Received bytes that are not consumed yet, in one block that doubles up to ``max_bytes``."""
+    """Received bytes that are not consumed, in one block that doubles up to ``max_bytes``."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
         self._data = bytearray(INITIAL_BUFFER_BYTES)
-        self._start = self._end = 0  # the unconsumed bytes are ``_data[_start:_end]``
+        # The unconsumed bytes are ``_data[_start:_end]``.
+        self._start = 0
+        self._end = 0
 
     def writable_space(self) -> memoryview:
-        """Where to read to; empty once ``max_bytes`` are unconsumed."""
+        """Return the space for further input; empty if ``max_bytes`` are unconsumed."""
         if self._start == self._end:
-            self._start = self._end = 0
+            self._start = 0
+            self._end = 0
         if self._end == len(self._data) and self._start:
             unconsumed = self._end - self._start
             self._data[:unconsumed] = self._data[self._start : self._end]
-            self._start, self._end = 0, unconsumed
+            self._start = 0
+            self._end = unconsumed
         if self._end == len(self._data) < self.max_bytes:
             grown = bytearray(min(2 * len(self._data), self.max_bytes))
             grown[: self._end] = self._data
@@ -28,25 +32,26 @@
         return memoryview(self._data)[self._end :]
 
     def advance(self, count: int) -> None:
-        """``count`` bytes were read into ``writable_space``."""
+        """Record that ``count`` bytes were read into ``writable_space``."""
         self._end += count
 
     def peek(self) -> memoryview:
-        """The unconsumed bytes; a slice of it is valid until the next read."""
+        """Return the unconsumed bytes, valid until the next read."""
         return memoryview(self._data)[self._start : self._end]
 
     def find(self, delimiter: bytes, start: int) -> int:
-        """Index of the next delimiter from ``start`` on, both counted as in ``peek``; -1 if there is none."""
+        """Return the index of the next delimiter at or after ``start``, as in ``peek``; -1 without one."""
         found = self._data.find(delimiter, self._start + start, self._end)
         return found - self._start if found >= 0 else -1
 
     def consume(self, count: int) -> None:
-        """Drop ``count`` bytes from the front. Once empty, a buffer that has grown shrinks back."""
+        """Drop ``count`` bytes from the front; shrink a grown buffer once it is empty."""
         self._start += count
         if self._start == self._end and len(self._data) > INITIAL_BUFFER_BYTES:
             self._data = bytearray(INITIAL_BUFFER_BYTES)
-            self._start = self._end = 0
+            self._start = 0
+            self._end = 0
 
     def is_full(self) -> bool:
-        """``max_bytes`` are unconsumed: no valid message is longer."""
+        """Return whether ``max_bytes`` are unconsumed, which is more than any valid message has."""
         return self._end - self._start >= self.max_bytes
--- a/cedarthread/transport/socket_reader.py
+++ b/cedarthread/transport/socket_reader.py
@@ -1,4 +1,4 @@
-"""Direct access to the socket under an asyncio transport."""
+"""Direct access to the socket of an asyncio transport."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class ReadStop(Enum):
-    """Why a direct read ended."""
+    """The reason why a direct read ended."""
 
-    NO_MORE_INPUT = auto()  # nothing is left to read now, or the caller wants no more
+    NO_MORE_INPUT = auto()  # the socket has no more input, or the caller has no more space
     END_OF_INPUT = auto()  # the peer has closed its sending side
     BROKEN = auto()  # the connection failed
 
@@ -25,8 +25,8 @@
 def disable_nagle(transport: asyncio.BaseTransport) -> None:
     """Send small segments at once (TCP_NODELAY).
 
-    Nagle's algorithm would hold responses back until a delayed ACK, up to 40 ms. asyncio sets the option only
-    on sockets that were made with an explicit protocol number, which accepted ones are not.
+    Nagle's algorithm would delay responses until a delayed ACK, up to 40 ms. asyncio sets the option only on
+    sockets that were created with an explicit protocol number, unlike accepted ones.
     """
     sock = transport.get_extra_info("socket")
     if sock is not None and sock.family in (socket.AF_INET, socket.AF_INET6):
@@ -35,7 +35,7 @@
 
 
 class SocketReader:
-    """Non-blocking reads from the socket of one connection, also while asyncio has its reading paused."""
+    """Non-blocking reads from the socket of one connection, also while asyncio does not read it."""
 
     def __init__(self, transport_socket: TransportSocket) -> None:
         self._transport_socket = transport_socket
@@ -43,15 +43,21 @@
         self._poller.register(transport_socket.fileno(), select.POLLIN | select.POLLRDHUP)
 
     def has_input(self) -> bool:
-        """Is there data, an end of input or an error to read? One system call, a tenth of a read's cost."""
+        """Return whether data, the end of input or an error can be read.
+
+        This is one system call with a tenth of the cost of a read.
+        """
         return bool(self._poller.poll(0))
 
     def read(self, space: Callable[[], memoryview | None], on_bytes: Callable[[int], None]) -> ReadStop:
-        """Read into ``space()`` and report each count to ``on_bytes`` until nothing is left to read, or
-        ``space`` gives no room or None.
+        """Read until the socket has no more input, or ``space`` returns None or no space.
+
+        Args:
+            space: Returns the buffer for the next read.
+            on_bytes: Called with the number of bytes of each read.
         """
-        # asyncio's TransportSocket cannot read: a second socket object on the same descriptor can, and
-        # detaches from it afterwards.
+        # asyncio's TransportSocket cannot read. A second socket object on the same descriptor can, and is
+        # detached afterwards.
         original = self._transport_socket
         sock = socket.socket(original.family, original.type, fileno=original.fileno())
         try:
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -680,8 +680,8 @@
         Sample("request health", client_side.pack_health_check(), message),
         *(Sample(f"response {name}", encode_answer(70_000, one), message) for name, one in answers.items()),
         Sample("response no", encode_error(3, "BadRequest", {"reason": "x" * 40}), message),
-        Sample("response ready", encode_health(3, True), message),
-        Sample("response not ready", encode_health(2**32, False), message),
+        Sample("response ready", encode_health(3, is_ready=True), message),
+        Sample("response not ready", encode_health(2**32, is_ready=False), message),
         *(Sample(f"number {number}", msgpack.pack_uint(number), message) for number in numbers),
         Sample("text", msgpack.pack_str("\u00e9" * 30), message),
         Sample("bytes", msgpack.pack_bin(bytes(300)), message),
@@ -1286,7 +1286,7 @@
     news: list[Json] = []
     roster = EndpointList(found.settings)
     for number, told in found.initial_endpoints:
-        news.append(plain(roster.apply_update(number, list(told), True)))
+        news.append(plain(roster.apply_update(number, list(told), is_snapshot=True)))
     return [plain(found), news]
 
 
--- a/tests/integration/test_worker_connections.py
+++ b/tests/integration/test_worker_connections.py
@@ -244,13 +244,13 @@
         entry = EndpointRecord(
             "s-00000001", "127.0.0.1", 1, "room-a", "std", 0, EndpointState.READY, 1.0, 0.0
         )
-        first = roster.apply_update(1, [entry], True)
+        first = roster.apply_update(1, [entry], is_snapshot=True)
         assert first is not None
         assert first.kind is EndpointUpdateKind.CACHED
-        gone = roster.apply_update(2, [], True)
+        gone = roster.apply_update(2, [], is_snapshot=True)
         assert gone is not None
         assert [w.state for w in gone.endpoints] == [EndpointState.REMOVED]
-        assert roster.apply_update(2, [entry], True) is None
+        assert roster.apply_update(2, [entry], is_snapshot=True) is None
 
     asyncio.run(test())
 
