--- a/cedarthread/dispatch/__init__.py
+++ b/cedarthread/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Calls, attempts and their answers: the dispatcher hosts the routing decisions and knows no protocol."""
+"""Calls, attempts and their results: the dispatcher hosts the routing node and depends on no protocol."""
--- a/cedarthread/dispatch/actions.py
+++ b/cedarthread/dispatch/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the actions that the routing node decides on."""
+"""The executor of the actions that the routing node returns. The executor has no state of its own."""
 
 from __future__ import annotations
 
@@ -35,7 +35,16 @@
 
 
 class ActionExecutor:
-    """Executes actions in order. One for a call that is no longer known does nothing."""
+    """Executor of actions, with one handler for each type of action.
+
+    An action for a call that has been forgotten does nothing.
+
+    Args:
+        context: Settings, clock and transports of the dispatcher.
+        calls: The calls of the process.
+        completion: Ends attempts and completes calls.
+        node_timers: The timers of the routing node.
+    """
 
     def __init__(
         self,
@@ -81,17 +90,19 @@
         call.attempts.append(attempt)
         has_other_in_flight = any(not earlier.is_ended for earlier in call.attempts[:-1])
         max_attempts = self._context.settings.limits.max_attempts
-        # Over: the client left, or time ran out, earlier in this batch of events. The router counts the
-        # attempt all the same.
-        is_over = call.is_complete or call.is_client_closing or now_ms >= call.deadline_ms
-        if is_over or has_other_in_flight or len(call.attempts) > max_attempts:
+        # The client may have disconnected, or the deadline may have passed, earlier in this batch of events.
+        # The attempt is recorded and ended as NOT_SENT, because the router has already counted the attempt.
+        is_too_late = call.is_complete or call.is_client_closing or now_ms >= call.deadline_ms
+        if is_too_late or has_other_in_flight or len(call.attempts) > max_attempts:
             self._completion.end_attempt(attempt, AttemptResult(Outcome.NOT_SENT, is_local=True))
         else:
             self._context.workers().send(attempt)
 
     def _set_write_deadline(self, call: Call, attempt: Attempt) -> None:
-        """A retry under an idempotency key must leave inside the deduplication window of the first attempt
-        that may have been executed.
+        """Limit a retry under an idempotency key to the deduplication window.
+
+        The window starts with the first attempt that may have been executed. Workers may execute a retry that
+        arrives after the window a second time.
         """
         request_class = self._context.settings.classes[call.class_index]
         executed_at_ms = [earlier.started_at_ms for earlier in call.attempts if earlier.may_have_executed()]
--- a/cedarthread/dispatch/call_table.py
+++ b/cedarthread/dispatch/call_table.py
@@ -1,4 +1,7 @@
-"""The calls of the process, from acceptance until their last attempt has ended."""
+"""The calls of the process, from acceptance until their last attempt has ended.
+
+``Dispatcher``, ``CallCompletion`` and ``ActionExecutor`` write this state.
+"""
 
 from __future__ import annotations
 
@@ -7,23 +10,29 @@
 if TYPE_CHECKING:
     from cedarthread.dispatch.calls import Call
 
-# Bodies of pending calls, where the service does not say otherwise: a quarter of the 192 MB of memory that
-# the platform gives a router by default.
+# The default bound on the total size of the bodies of pending calls: a quarter of the 192 MB of memory that
+# the platform assigns to a router by default.
 DEFAULT_MAX_BODY_BYTES = 48 * 2**20
 
 
 class CallTable:
-    """Pending calls, and completed ones of which an attempt is in flight or an event not handled yet."""
+    """Table of the pending calls and of the completed calls that still have an attempt in flight.
+
+    A completed call also stays in the table until the current batch of events has been processed.
+
+    Args:
+        max_body_bytes: Size of the bodies of all pending calls from which on the table is full.
+    """
 
     def __init__(self, max_body_bytes: int = DEFAULT_MAX_BODY_BYTES) -> None:
         self.pending: dict[int, Call] = {}  # by request id
-        self.pending_ids: set[str] = set()  # the clients' ids of the pending calls
+        self.pending_ids: set[str] = set()  # of the pending calls; assigned by the clients
         self.pending_body_bytes = 0
         self.max_body_bytes = max_body_bytes
         self.completing: dict[int, Call] = {}  # by request id
 
     def is_full(self, max_pending_calls: int) -> bool:
-        """Is there no room for a further call?"""
+        """Return whether a further call must be rejected."""
         return len(self.pending) >= max_pending_calls or self.pending_body_bytes >= self.max_body_bytes
 
     def add(self, call: Call) -> None:
@@ -33,11 +42,11 @@
         self.pending_body_bytes += len(call.body)
 
     def find(self, request_id: int) -> Call | None:
-        """The call of that id, pending or completing."""
+        """Return the pending or completing call with this id; None: the call is unknown."""
         return self.pending.get(request_id) or self.completing.get(request_id)
 
     def release(self, call: Call) -> None:
-        """Mark a pending call as complete; it stays known until ``forget_completed`` finds no attempt."""
+        """Mark a pending call as complete; the call stays in the table until ``forget_completed``."""
         call.is_complete = True
         self.pending_body_bytes -= len(call.body)
         self.pending_ids.discard(call.call_id)
@@ -45,10 +54,10 @@
         self.completing[call.request_id] = call
 
     def forget_completed(self) -> None:
-        """Forget completed calls whose attempts have all ended."""
+        """Forget completed calls without an attempt in flight."""
         for call in list(self.completing.values()):
             if all(attempt.is_ended for attempt in call.attempts):
                 del self.completing[call.request_id]
-                # Call and attempts refer to each other: without this, each call with its body would wait
-                # for the garbage collector, which comes once in thousands of calls.
+                # A call and its attempts form a reference cycle. Break the cycle, because otherwise the call
+                # and its body stay in memory until the garbage collector runs, once in thousands of calls.
                 call.attempts.clear()
--- a/cedarthread/dispatch/calls.py
+++ b/cedarthread/dispatch/calls.py
@@ -15,26 +15,26 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Part of a client's time limit that is kept back, since the result must reach the client inside the limit:
-# transmission both ways, and event loop iterations that come late while the CPU is short. Measured under CPU
-# shortage: a margin of 30 ms missed the limit of 285 out of 121,000 calls, a fraction of 0.06 that of 1 out
-# of 90,000.
+# Part of a client's time limit that is reserved so that the result reaches the client within the limit. The
+# margin covers the transmission both ways, and event loop iterations that run late while CPU time is scarce.
+# Measured with scarce CPU time: with a margin of 30 ms, 285 of 121,000 calls exceeded their limit; with a
+# margin of 0.06 of the limit, 1 of 90,000 calls did.
 DEADLINE_MARGIN_FRACTION = 0.1
-MIN_DEADLINE_MARGIN_MS = 40.0  # at least that much, but at most half of the limit
+MIN_DEADLINE_MARGIN_MS = 40.0  # the least margin, unless half of the time limit is shorter
 
 
 def call_deadline_ms(now_ms: float, limit_ms: float) -> float:
-    """The deadline of a call that came now and whose client waits ``limit_ms``."""
+    """Return the deadline of a call that arrived at ``now_ms`` and has a time limit of ``limit_ms``."""
     margin_ms = max(DEADLINE_MARGIN_FRACTION * limit_ms, min(MIN_DEADLINE_MARGIN_MS, limit_ms / 2))
     return now_ms + limit_ms - margin_ms
 
 
 def _nothing_to_refresh() -> None:
-    """For a server that always knows the state of its clients."""
+    """Do nothing, for a server that always knows the state of its clients."""
 
 
 class Progress(IntEnum):
-    """How far an attempt has come at its worker."""
+    """Progress of the exchange between an attempt and its worker, in the order of the stages."""
 
     UNCONNECTED = 0
     UNWRITTEN = 1
@@ -45,23 +45,23 @@
 
 @dataclass(frozen=True, slots=True)
 class CallSucceeded:
-    """A worker executed the call; its response body."""
+    """Result of a call that a worker executed: the body of the response."""
 
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CallRejected:
-    """The call was not executed, or is idempotent: a retry is harmless."""
+    """Result of a call that was not executed, or that is idempotent, so that a retry is harmless."""
 
-    retry_after_ms: float | None  # how long the client should wait before a retry; None: no advice
+    retry_after_ms: float | None  # delay before the client may retry; None: not specified
     timed_out: bool = False
-    reason: str = ""  # in words, where it is not lack of capacity
+    reason: str = ""  # a sentence for the client; empty: lack of capacity
 
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """The call failed, and may or may not have been executed."""
+    """Result of a call that failed and that a worker may have executed."""
 
     timed_out: bool = False
 
@@ -71,54 +71,56 @@
 
 @dataclass(eq=False, slots=True)
 class Call:
-    """One request of a client, as a protocol server submits it."""
+    """Request of a client: the parameters from the protocol server, and the state in the dispatcher."""
 
-    call_id: str  # the client's id of the call, also sent to the worker
+    call_id: str  # assigned by the client, and sent to the worker too
     class_index: int  # index into the classes of the settings in force
     function_id: int
-    deadline_ms: float  # when the client must have its result
+    deadline_ms: float  # when the result must be sent to the client at the latest
     body: bytes
     on_result: Callable[[CallResult], None]  # called exactly once, unless the call is abandoned
     idempotency_key: str | None = None
-    concurrency: float | None = None  # calls that one instance of the function executes at once
-    memory_mb: float | None = None  # of one instance
+    concurrency: float | None = None  # calls that one instance of the function executes concurrently
+    memory_mb: float | None = None  # of one instance of the function
     is_client_retry: bool = False
-    caller_identity: str | None = None  # for example a SPIFFE ID, where the server knows it
-    # Processes what the client has sent or closed, so that ``is_client_closing`` and ``is_complete`` are
-    # up to date.
+    caller_identity: str | None = None  # for example a SPIFFE ID; None: unknown
+    # Processes pending input of the client, so that ``is_client_closing`` and ``is_complete`` are up to date.
     refresh_client_state: Callable[[], None] = _nothing_to_refresh
-    # What follows is set by the dispatcher.
+    # The dispatcher sets the following fields.
     request_id: int = 0
-    class_name: str = ""  # at the time it was accepted; its figures are counted under this name
+    class_name: str = ""  # at the time of acceptance; the figures of the call are counted under this name
     accepted_at_ms: float = 0.0
     attempts: list[Attempt] = field(default_factory=list)
     is_complete: bool = False
-    is_client_closing: bool = False  # the client has closed its writing half: no attempt starts any more
-    is_expired: bool = False  # its deadline has passed, and the router knows
-    client_gone_at_ms: float = math.inf  # when it was found that the client had closed or cancelled
+    is_client_closing: bool = False  # the client has closed its writing half, so no further attempt starts
+    is_expired: bool = False  # its deadline has passed and its attempts were ended as timed out
+    client_disconnected_at_ms: float = math.inf  # when the close or CANCEL of the client was detected
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One attempt of a call at one worker."""
+    """Attempt to execute a call at one worker."""
 
     call: Call
-    index: int  # of the call's attempts, from 0
+    index: int  # among the attempts of the call, from 0
     worker_id: int
     started_at_ms: float
     progress: Progress = Progress.UNCONNECTED
-    write_deadline_ms: float = math.inf  # its first byte must leave before, else it must not be sent at all
+    write_deadline_ms: float = math.inf  # the first byte must not be written later
     is_ended: bool = False
-    is_not_executed: bool = False  # the outcome proves it: the worker said so, or nothing was sent
+    is_not_executed: bool = False  # the outcome proves that the worker did not execute the call
 
     def may_have_executed(self) -> bool:
-        """False if it was not written completely, or the worker rejected it: then it cannot have run."""
+        """Return whether the worker may have executed the call.
+
+        An attempt that was not written completely, or that the worker rejected, cannot have been executed.
+        """
         return self.progress >= Progress.WRITTEN and not self.is_not_executed
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, as the worker transport saw it."""
+    """The end of an attempt, as reported by the worker transport."""
 
     outcome: Outcome
     body: bytes = b""
@@ -126,42 +128,44 @@
     reported_concurrency: int | None = None
     load_report: tuple[float | None, ...] = ()
     is_unreachable: bool = False  # no connection to the worker could be established
-    is_local: bool = False  # nothing was sent, for a cause in this process that says nothing of the worker
+    is_local: bool = False  # not sent because of this process; no evidence about the worker
 
 
 def connection_lost_result(attempt: Attempt, *, is_unreachable: bool = False) -> AttemptResult:
-    """The result of an attempt whose connection failed: RESET if it may have been executed."""
+    """Return the result of an attempt that lost its connection: RESET if the call may have been executed."""
     outcome = Outcome.RESET if attempt.may_have_executed() else Outcome.CONNECT_FAILED
     return AttemptResult(outcome, is_unreachable=is_unreachable)
 
 
 def not_sent_result() -> AttemptResult:
-    """The result of an attempt that was withdrawn before any of it was sent, or for which this process had no
-    file descriptor or port. It says nothing of the worker.
+    """Return the result of an attempt of which no byte was sent for a cause in this process.
+
+    The attempt was withdrawn, or this process had no free file descriptor or port. The result is no evidence
+    about the worker.
     """
     return AttemptResult(Outcome.CONNECT_FAILED, is_local=True)
 
 
 class WorkerTransport(Protocol):
-    """The connections to the workers, as the dispatcher uses them."""
+    """The interface of the connections to the workers, as the dispatcher uses them."""
 
     def send(self, attempt: Attempt) -> None:
-        """Send an attempt; it ends by ``Dispatcher.attempt_ended``."""
+        """Send an attempt, and report its end by ``Dispatcher.attempt_ended``."""
 
     def refresh_progress(self, attempt: Attempt) -> None:
-        """Bring ``attempt.progress`` up to date."""
+        """Update ``attempt.progress`` from the bytes that have been written."""
 
     def withdraw_unsent(self, attempt: Attempt) -> None:
-        """End an attempt if nothing of it has been sent; otherwise do nothing."""
+        """End an attempt of which no byte has been sent; otherwise do nothing."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt; it still ends by ``Dispatcher.attempt_ended``."""
+        """Cancel an attempt; its end is still reported by ``Dispatcher.attempt_ended``."""
 
     def preload(self, worker_id: int, function_id: int, instances: int) -> None:
-        """Ask a worker to load instances; the request ends by ``Dispatcher.preload_ended``."""
+        """Request a worker to load instances, and report the end by ``Dispatcher.preload_ended``."""
 
     def unload(self, worker_id: int, function_id: int) -> None:
-        """Ask a worker to unload idle instances of a function."""
+        """Request a worker to unload idle instances of a function."""
 
     def close_idle_connections(self, worker_id: int) -> None:
         """Close the connections to a worker that carry no attempt."""
--- a/cedarthread/dispatch/completion.py
+++ b/cedarthread/dispatch/completion.py
@@ -1,7 +1,7 @@
 """The ends of attempts and calls.
 
-Each call gets exactly one result: ``CallCompletion._deliver`` is the one place where a result is handed to
-the client's side, and ``CallDeadlines`` sees to it that no call stays without.
+Each call gets exactly one result. Only ``CallCompletion._deliver`` passes results to the protocol server, and
+``CallDeadlines`` triggers a result for each call that is still pending at its deadline.
 """
 
 from __future__ import annotations
@@ -33,11 +33,19 @@
 
 log = logging.getLogger(__name__)
 
-OVERDUE_GRACE_MS = 5.0  # time that the router has to answer a call whose attempts have just timed out
+OVERDUE_GRACE_MS = 5.0  # time for the router to complete a call after its attempts were ended as timed out
 
 
 class CallCompletion:
-    """Ends attempts, completes calls and reports both to the node by ``enqueue_event``."""
+    """Completer of attempts and calls, which reports both to the routing node as events.
+
+    Args:
+        context: Settings, clock and worker transport of the dispatcher.
+        calls: The calls of the process.
+        figures: Counts each result.
+        deadlines: Schedules the second deadline of an expired call.
+        enqueue_event: Queues an event for the routing node.
+    """
 
     def __init__(
         self,
@@ -54,7 +62,7 @@
         self._enqueue_event = enqueue_event
 
     def end_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
-        """End an attempt, once; a response of the worker goes to the client at once."""
+        """End an attempt unless it has ended, and complete its call if the worker succeeded."""
         if attempt.is_ended:
             return
         attempt.is_ended = True
@@ -79,24 +87,24 @@
         )
 
     def complete(self, call: Call, result: CallResult) -> None:
-        """Complete a call with a result, unless it is complete already."""
+        """Complete a call with a result, unless the call is already complete."""
         if not call.is_complete:
             self._release(call)
             self._deliver(call, result)
 
     def reject_at_once(self, call: Call) -> None:
-        """Reject a call that was counted but never became pending."""
+        """Reject a call that was counted as accepted but not added to the pending calls."""
         self._deliver(call, CallRejected(self._context.settings.limits.max_retry_after_ms))
 
     def abandon(self, call: Call) -> None:
-        """The client has disconnected: no result is owed any more."""
+        """End a pending call without a result, because its client has disconnected."""
         if not call.is_complete:
             self._figures.count_client_disconnected()
             self._release(call)
             self._enqueue_event(ClientDisconnected(call.request_id))
 
     def complete_locally(self, call: Call, *, timed_out: bool) -> None:
-        """Complete a call without the router: rejected where a retry is harmless, else failed."""
+        """Complete a call without the router: as rejected if a retry is harmless, else as failed."""
         may_have_executed = any(attempt.may_have_executed() for attempt in call.attempts)
         request_class = self._context.settings.classes[call.class_index]
         if may_have_executed and request_class.idempotency is not Idempotency.IDEMPOTENT:
@@ -107,23 +115,23 @@
         self._enqueue_event(ClientDisconnected(call.request_id))
 
     def expire(self, call: Call) -> None:
-        """The deadline of a call has come: its attempts time out; the router has a moment for a result."""
+        """End the attempts of a call at its deadline, and allow the router a short grace for the result."""
         for attempt in call.attempts:
             if not attempt.is_ended:
                 workers = self._context.workers()
                 workers.refresh_progress(attempt)
                 outcome = Outcome.TIMEOUT if attempt.may_have_executed() else Outcome.CONNECT_FAILED
                 self.end_attempt(attempt, AttemptResult(outcome))
-                workers.cancel(attempt)  # which tells the worker where the settings allow that
+                workers.cancel(attempt)  # the transport sends CANCEL if the settings allow it
         call.is_expired = True
         self._deadlines.schedule(self._context.clock() + OVERDUE_GRACE_MS, call)
 
     def complete_overdue(self, call: Call) -> None:
-        """Complete a call that the router kept past its deadline, or lost by an exception of its own."""
+        """Complete a call that is still pending after the grace, perhaps because the router raised."""
         self.complete_locally(call, timed_out=True)
 
     def _deliver(self, call: Call, result: CallResult) -> None:
-        """Count a result and hand it to the client's side."""
+        """Count a result and pass it to the protocol server."""
         call.is_complete = True
         self._figures.count_result(call, result)
         try:
@@ -133,7 +141,7 @@
 
     def _release(self, call: Call) -> None:
         self._calls.release(call)
-        for attempt in call.attempts:  # nobody waits for it: what has not left need not run
+        for attempt in call.attempts:  # the result is no longer needed, so unsent attempts need not run
             if not attempt.is_ended:
                 self._context.workers().withdraw_unsent(attempt)
         can_cancel = self._context.settings.limits.can_cancel
@@ -141,8 +149,10 @@
             self._context.call_at(call.deadline_ms, self._cancel_abandoned_attempts, call)
 
     def _cancel_abandoned_attempts(self, call: Call) -> None:
-        """End at the deadline what nobody waits for, where the settings forbid to cancel it before: a silent
-        worker would otherwise keep a connection and its share of the figures for good.
+        """Cancel the attempts of a completed call at its deadline, if the settings forbid an earlier cancel.
+
+        Otherwise the attempt at a worker that never responds would occupy its connection, and count as in
+        flight, for the lifetime of the process.
         """
         for attempt in call.attempts:
             if not attempt.is_ended:
--- a/cedarthread/dispatch/context.py
+++ b/cedarthread/dispatch/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the dispatcher share: settings, clock, event loop and the ways out."""
+"""The context that the parts of a dispatcher share. ``Dispatcher`` writes its state."""
 
 from __future__ import annotations
 
@@ -13,29 +13,33 @@
 
 
 class DispatchContext:
-    """Settings, clock, event loop and the connections to workers and peers of one dispatcher.
+    """Settings, clock, event loop and the transports to workers and peers of one dispatcher.
 
-    The parts read these attributes at each use, since settings are replaced at a reload, and the transports
-    are connected only after the dispatcher exists.
+    The parts read these attributes at each use, because a reload replaces the settings, and the transports
+    are connected after the construction of the dispatcher.
+
+    Args:
+        settings: The settings in force.
+        clock: Returns Unix time in ms and never steps back.
     """
 
     def __init__(self, settings: RouterSettings, clock: Callable[[], float]) -> None:
         self.settings = settings
-        self.clock = clock  # Unix time in ms
+        self.clock = clock
         self.loop = asyncio.get_running_loop()
         self.worker_transport: WorkerTransport | None = None
         self.send_to_peer: Callable[[bytes, int | None], None] = _discard_peer_message
 
     def workers(self) -> WorkerTransport:
-        """The worker transport, which must be connected by now."""
+        """Return the worker transport, which must be connected."""
         assert self.worker_transport is not None
         return self.worker_transport
 
     def call_at(self, at_ms: float, callback: Callable[..., None], *args: Any) -> asyncio.TimerHandle:
-        """Call back at that time of ``clock``, or at once where it is past."""
+        """Schedule a callback for a time of ``clock``; for a past time, in the next loop iteration."""
         delay_s = max(0.0, at_ms - self.clock()) / 1000.0
         return self.loop.call_later(delay_s, callback, *args)
 
 
 def _discard_peer_message(data: bytes, peer_index: int | None) -> None:
-    """For a dispatcher without a peer transport."""
+    """Discard a message, for a dispatcher without a peer transport."""
--- a/cedarthread/dispatch/deadlines.py
+++ b/cedarthread/dispatch/deadlines.py
@@ -1,4 +1,7 @@
-"""The deadlines of all pending calls, on one timer of the event loop."""
+"""The deadlines of all pending calls, on one timer of the event loop.
+
+Only ``CallDeadlines`` writes the queue and the timer.
+"""
 
 from __future__ import annotations
 
@@ -16,40 +19,47 @@
 
 
 class CallDeadlines:
-    """A timer queue: it calls ``on_due`` for each call that is still pending at its time.
+    """Timer queue that calls ``on_due`` for each call that is still pending at its scheduled time.
+
+    One timer of the loop serves all calls, because one timer for each call cost a twentieth of the CPU time.
 
-    One timer of the loop serves all calls; one timer for each call cost a twentieth of the CPU.
+    Args:
+        context: Clock and event loop of the dispatcher.
+        calls: The calls of the process; only pending ones become due.
+        on_due: Handles a call at or after its scheduled time.
     """
 
     def __init__(self, context: DispatchContext, calls: CallTable, on_due: Callable[[Call], None]) -> None:
         self._context = context
         self._calls = calls
         self._on_due = on_due
-        self._timer_queue: list[
-            tuple[float, int]
-        ] = []  # heap of times in ms and request ids, also of past calls
+        # A heap of times in ms and request ids. Entries of completed calls remain until their time.
+        self._timer_queue: list[tuple[float, int]] = []
         self._wakeup_at_ms = math.inf
         self._wakeup_timer: asyncio.TimerHandle | None = None
 
     def schedule(self, at_ms: float, call: Call) -> None:
-        """Have ``on_due`` called for a call at that time; it may be scheduled more than once."""
+        """Schedule ``on_due`` for a call at a time of the clock; a call may be scheduled several times."""
         heapq.heappush(self._timer_queue, (at_ms, call.request_id))
         if at_ms < self._wakeup_at_ms:
             self._set_wakeup(at_ms)
 
     def run_if_due(self, now_ms: float) -> None:
-        """Handle what is due before the loop's own timer does.
+        """Handle the due calls now if the timer should have fired by ``now_ms``.
 
-        When the CPU is short the loop reads many sockets before it runs its timers, and results would miss
-        their deadlines behind that.
+        While CPU time is scarce, the loop reads many sockets before it runs its timers, so that results would
+        miss their deadlines.
         """
         if now_ms >= self._wakeup_at_ms:
             self.on_timer()
 
     def on_timer(self) -> None:
-        """Handle each call that is due, and wait for the next one."""
-        self._wakeup_at_ms, self._wakeup_timer, now_ms = math.inf, None, self._context.clock()
-        timer_queue, pending = self._timer_queue, self._calls.pending
+        """Handle each due call, and set the timer for the next one."""
+        self._wakeup_at_ms = math.inf
+        self._wakeup_timer = None
+        now_ms = self._context.clock()
+        timer_queue = self._timer_queue
+        pending = self._calls.pending
         while timer_queue and (timer_queue[0][0] <= now_ms or timer_queue[0][1] not in pending):
             call = pending.get(heapq.heappop(timer_queue)[1])
             if call is not None:
@@ -58,7 +68,7 @@
             self._set_wakeup(timer_queue[0][0])
 
     def _set_wakeup(self, at_ms: float) -> None:
-        # The old timer must not fire any more: each one left would set a further one, and they multiply.
+        # Cancel the previous timer, because each timer that fires sets another, so that they would multiply.
         if self._wakeup_timer is not None:
             self._wakeup_timer.cancel()
         self._wakeup_at_ms = at_ms
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -1,7 +1,8 @@
-"""The dispatcher: it owns all calls of the process and hosts the routing node that decides on them.
+"""The dispatcher, which owns all calls of the process and hosts the routing node that decides on them.
 
-The protocol servers and the worker transport report what happened. Once in an iteration of the event loop the
-dispatcher hands all of it to the node as events and carries out the actions that come back. It knows no wire.
+The protocol servers and the worker transport report to the dispatcher. Once in an iteration of the event
+loop, the dispatcher passes the queued events to the routing node and executes the actions that the node
+returns. The dispatcher depends on no protocol.
 """
 
 from __future__ import annotations
@@ -50,9 +51,17 @@
 
 
 class Dispatcher:
-    """Owns calls and attempts: each call that is submitted gets exactly one result, unless it is abandoned.
+    """Owner of the calls and attempts of the process.
 
-    Times are Unix ms of ``clock``. Not thread-safe: all methods run on the event loop it was made on.
+    Each submitted call gets exactly one result, unless the call is abandoned. Times are Unix ms of ``clock``.
+    The class is not thread-safe: all methods must run on the event loop that runs during the construction.
+
+    Args:
+        settings: The settings in force.
+        seed: Seed of the random decisions of the routing node.
+        clock: Returns Unix time in ms; None: a clock that is immune to steps of the wall clock.
+        max_pending_body_bytes: Size of the bodies of all pending calls from which on calls are rejected.
+        incarnation: A random number of this start of the process; None: derived from the seed.
     """
 
     def __init__(
@@ -66,8 +75,8 @@
         self.context = DispatchContext(settings, clock or steady_unix_clock_ms())
         self.node = RoutingNode(settings, seed, incarnation)
         self.router = self.node.router
-        self.flush_output: Callable[[], None] = lambda: None  # writes what one batch of events brought
-        self.shutdown_deadline_ms: float | None = None  # when all must be complete, once shutdown has begun
+        self.flush_output: Callable[[], None] = lambda: None  # writes the output of a batch of events
+        self.shutdown_deadline_ms: float | None = None  # for all calls; None: no shutdown has started
         self.current_class_index = {
             request_class.name: index for index, request_class in enumerate(settings.classes)
         }
@@ -81,47 +90,51 @@
         self._executor = ActionExecutor(self.context, self.calls, self.completion, self.node_timers)
         self.send_guard = SendGuard()
         self.send_audit = SendAudit()
-        self.may_proceed: Callable[[], bool] = lambda: True  # False: events wait until ``resume``
-        self.input_delay_ms: Callable[[], float] = lambda: 0.0  # for how long input may have waited unread
+        self.may_proceed: Callable[[], bool] = lambda: True  # False: events stay queued until ``resume``
+        self.input_delay_ms: Callable[[], float] = lambda: 0.0  # how long input may have been unread
         self._event_queue: list[Event] = []
-        self._has_endpoint_update = False  # one is among the queued events
+        self._has_endpoint_update = False  # whether the queue contains an ``EndpointUpdate``
         self._last_request_id = 0
 
     @property
     def settings(self) -> RouterSettings:
-        """The settings in force."""
+        """Return the settings in force."""
         return self.context.settings
 
     @property
     def clock(self) -> Callable[[], float]:
-        """The clock, Unix ms."""
+        """Return the clock, which returns Unix time in ms."""
         return self.context.clock
 
     @property
     def pending_calls(self) -> dict[int, Call]:
-        """The calls without a result yet, by request id."""
+        """Return the calls without a result by request id."""
         return self.calls.pending
 
     @property
     def result_counts(self) -> dict[str, int]:
-        """Calls by their result, as the log counts them."""
+        """Return the counts of calls by result for the log."""
         return self.figures.by_result
 
     @property
     def class_figures(self) -> dict[str, dict[str, int]]:
-        """The operators' figures by the name of the request class."""
+        """Return the figures of the INFO report by the name of the request class."""
         return self.figures.by_class
 
     def connect_workers(self, transport: WorkerTransport) -> None:
-        """Send attempts by this transport."""
+        """Connect the transport that sends attempts to workers."""
         self.context.worker_transport = transport
 
     def connect_peers(self, send_to_peer: Callable[[bytes, int | None], None]) -> None:
-        """Send messages to other routers by this function: data, and the peer's index or None for all."""
+        """Connect the transport to the other routers.
+
+        Args:
+            send_to_peer: Sends data to the router with an index; None: to all other routers.
+        """
         self.context.send_to_peer = send_to_peer
 
     def submit(self, call: Call) -> None:
-        """Accept a call, or reject it at once where the bounds on pending calls are reached."""
+        """Accept a call, or reject the call at once if a bound on pending calls is reached."""
         if self.calls.is_full(self.context.settings.limits.max_pending_requests):
             self.reject_call(call)
             return
@@ -144,108 +157,117 @@
         )
 
     def arrival_ms(self) -> float:
-        """Since when input that is read now may have been here: its sender's time limit runs from then on."""
+        """Return the earliest time at which input that is read now may have arrived.
+
+        The time limit of the sender runs from this time.
+        """
         return self.context.clock() - self.input_delay_ms()
 
     def reject_call(self, call: Call) -> None:
-        """Reject a call at once, before anything is done for it, since a bound is reached."""
+        """Reject a call at once without adding the call to the pending calls."""
         self._count_accepted(call)
         self.completion.reject_at_once(call)
 
     def _count_accepted(self, call: Call) -> None:
         self._last_request_id += 1
-        call.request_id, call.accepted_at_ms = self._last_request_id, self.context.clock()
+        call.request_id = self._last_request_id
+        call.accepted_at_ms = self.context.clock()
         call.class_name = self.context.settings.classes[call.class_index].name
         self.figures.count_accepted()
 
     def fail_call(self, call: Call) -> None:
-        """Fail a call whose client can still be written to, but not read from any more."""
+        """Fail a call of a client that can be written to but no longer read from."""
         if not call.is_complete:
             self.completion.complete(call, CallFailed())
             self._enqueue_event(ClientDisconnected(call.request_id))
 
     def abandon_call(self, call: Call) -> None:
-        """The client has disconnected: no result is owed any more."""
-        call.client_gone_at_ms = min(call.client_gone_at_ms, self.context.clock())
+        """End a call without a result, because its client has disconnected."""
+        call.client_disconnected_at_ms = min(call.client_disconnected_at_ms, self.context.clock())
         self.completion.abandon(call)
 
     def client_closing(self, call: Call) -> None:
-        """The client has closed its writing half, and may or may not read on.
+        """Record that the client has closed its writing half; the client may still read the result.
 
-        An attempt in flight may yet bring the result, and no further one begins; a call without one in flight
-        is completed now.
+        An attempt in flight may still provide the result, but no further attempt starts. A call without a
+        partly written attempt in flight is completed now.
         """
         if call.is_complete or call.is_client_closing:
             return
         call.is_client_closing = True
-        call.client_gone_at_ms = self.context.clock()
+        call.client_disconnected_at_ms = self.context.clock()
         for attempt in call.attempts:
             self.context.workers().refresh_progress(attempt)
-        has_left = (not a.is_ended and a.progress >= Progress.PARTLY_WRITTEN for a in call.attempts)
-        if not any(has_left):
+        is_in_flight = (
+            not attempt.is_ended and attempt.progress >= Progress.PARTLY_WRITTEN for attempt in call.attempts
+        )
+        if not any(is_in_flight):
             self.completion.complete_locally(call, timed_out=False)
 
     def may_start_attempt(self, attempt: Attempt) -> bool:
-        """May the attempt be sent? Asked at the last moment before its bytes leave; see ``SendGuard``.
+        """Return whether an attempt may be sent, checked immediately before its first byte is written.
 
-        The client's close or CANCEL may stand unread while this process is late, or while it reads nothing
-        from a client that reads slowly; without this check the attempt would begin after its client left.
+        The close or CANCEL of the client may be unread, because this process is late or has paused reading
+        from a client that reads slowly. Without this check the attempt would start after its client
+        disconnected. The rules are in ``SendGuard``.
         """
         attempt.call.refresh_client_state()
         refusal = self.send_guard.refuse_attempt(self.context.clock(), attempt, self.context.settings)
         if refusal is not None and log.isEnabledFor(logging.DEBUG):
-            request, worker_id = attempt.call.call_id, attempt.worker_id
+            request = attempt.call.call_id
+            worker_id = attempt.worker_id
             log.debug(format_event("send_refused", request=request, worker_id=worker_id, reason=refusal))
         return refusal is None
 
     def may_preload(self, worker_id: int) -> bool:
-        """May a preload request be sent to this worker? Asked at the last moment, likewise."""
+        """Return whether a preload may be sent to a worker, checked immediately before it is written."""
         return self.send_guard.refuse_worker(worker_id) is None
 
     def on_attempt_sent(self, attempt: Attempt) -> None:
-        """The first byte of an attempt has left."""
+        """Audit an attempt of which the first byte has been written."""
         self.send_audit.on_attempt_sent(self.context.clock(), attempt, self.context.settings)
 
     def on_preload_sent(self, worker_id: int, message_id: str) -> None:
-        """The first byte of a preload request has left."""
+        """Audit a preload request of which the first byte has been written."""
         grace_ms = self.context.settings.rules.drain_grace_ms
         self.send_audit.on_preload_sent(self.context.clock(), worker_id, message_id, grace_ms)
 
     def worker_states_changed(self, states: Mapping[int, EndpointState]) -> None:
-        """The endpoint list is now this one, by worker id: it holds for all that is sent from now on."""
+        """Apply the states of all listed workers by id to everything that is sent from now on."""
         self.send_guard.update_ready_workers(
             worker_id for worker_id, state in states.items() if state is EndpointState.READY
         )
         self.send_audit.on_endpoints(self.context.clock(), states)
 
     def count_attempt_written(self, attempt: Attempt) -> None:
-        """An attempt has been written whole to its worker."""
+        """Count an attempt that was completely written to its worker."""
         self.figures.count_attempt_written(attempt.call)
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
-        """An attempt has ended; only its first end counts."""
+        """End an attempt; further ends of the same attempt have no effect."""
         self.completion.end_attempt(attempt, result)
 
     def preload_ended(self, event: PreloadEnded) -> None:
-        """A preload request to a worker has ended."""
+        """Queue the end of a preload request for the routing node."""
         self._enqueue_event(event)
 
     def peer_message_received(self, sender: int, data: bytes) -> None:
-        """A datagram of another router has come."""
+        """Queue a datagram of another router for the routing node."""
         self._enqueue_event(PeerMessageReceived(sender, data))
 
     def endpoints_changed(self, event: EndpointUpdate) -> None:
-        """The endpoint list of the workers has changed."""
+        """Queue an update of the endpoint list for the routing node."""
         self._has_endpoint_update = True
         self._enqueue_event(event)
 
     def update_settings(self, new_settings: RouterSettings) -> RouterSettings:
-        """Take new settings; returns them as they are in force.
+        """Apply new settings, and return the settings in force.
 
-        Classes are only added: a pending call keeps its class by index. A class that is new or changed takes
-        a new index; one that is no longer named gets no new calls.
+        Classes are only added, because pending calls refer to their classes by index. A new or changed class
+        gets a new index. A class that the new settings lack gets no new calls.
         """
-        classes, current_class_index = list(self.settings.classes), {}
+        classes = list(self.settings.classes)
+        current_class_index = {}
         for request_class in new_settings.classes:
             class_index = self.current_class_index.get(request_class.name)
             if class_index is None or classes[class_index] != request_class:
@@ -259,13 +281,13 @@
         return self.settings
 
     def apply_fleet_config(self, fleet_config: FleetConfig) -> None:
-        """Take what the operators' fleet file declares."""
+        """Apply the declarations of the operators' fleet file."""
         actions = self.node.apply_fleet_config(self.clock(), fleet_config, wall_clock_ms)
         self._executor.execute(actions)
         self.flush_output()
 
     def complete_all_by(self, at_ms: float) -> None:
-        """Complete every call by then, also those that are submitted from now on."""
+        """Complete every call by a time, including the calls that are submitted from now on."""
         self.shutdown_deadline_ms = at_ms
         for call in list(self.calls.pending.values()):
             if call.deadline_ms > at_ms:
@@ -273,7 +295,10 @@
                 self.deadlines.schedule(at_ms, call)
 
     def tick_early(self, within_ms: float) -> None:
-        """Run the components' tick now if it is due within that time, as the process is awake anyway."""
+        """Run the tick of the components now if the tick is due within ``within_ms``.
+
+        The process is awake at this time, so this saves a wakeup.
+        """
         self.node_timers.fire_component_timer_within(within_ms)
 
     def _on_deadline(self, call: Call) -> None:
@@ -288,7 +313,7 @@
         self._event_queue.append(event)
 
     def resume(self) -> None:
-        """Process the events that had to wait."""
+        """Process the events that stayed queued while ``may_proceed`` returned False."""
         if self._event_queue:
             self.context.loop.call_soon(self._process_events)
 
@@ -298,9 +323,10 @@
         if not self._event_queue or not self.may_proceed():
             self.flush_output()
             return
-        events, self._event_queue = self._event_queue, []
+        events = self._event_queue
+        self._event_queue = []
         if self._has_endpoint_update:
-            # It comes first: a worker that it drains is not chosen for a call that came before it.
+            # Process updates first, so that a call that arrived earlier is not sent to a drained worker.
             events.sort(key=lambda event: not isinstance(event, EndpointUpdate))
             self._has_endpoint_update = False
         actions: list[Action] = []
--- a/cedarthread/dispatch/node_timers.py
+++ b/cedarthread/dispatch/node_timers.py
@@ -1,4 +1,4 @@
-"""The timers that the routing node sets for its router and for its components."""
+"""The event loop's timers for the router and for the components of the routing node."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class TimerOwner(Enum):
-    """Who in the node set a timer."""
+    """The part of the routing node that set a timer."""
 
     ROUTER = 0
     COMPONENTS = 1
@@ -28,7 +28,12 @@
 
 
 class NodeTimers:
-    """At most one timer for each owner; when it fires, the event goes to the node."""
+    """At most one timer for each part of the node, which queues ``TimerFired`` when it fires.
+
+    Args:
+        context: Clock and event loop of the dispatcher.
+        enqueue_event: Queues an event for the routing node.
+    """
 
     def __init__(self, context: DispatchContext, enqueue_event: Callable[[Event], None]) -> None:
         self._context = context
@@ -36,16 +41,18 @@
         self._timers: dict[TimerOwner, asyncio.TimerHandle] = {}
 
     def set(self, action: SetTimer) -> None:
-        """Set a timer in place of its owner's last one, whose token is past: it would wake the process for
-        nothing.
+        """Set the timer of an owner.
+
+        The previous timer of the owner is cancelled. Its token is out of date, so that its event would have
+        no effect.
         """
         owner = _owner(action.token)
-        if (old := self._timers.get(owner)) is not None:
-            old.cancel()
+        if (previous := self._timers.get(owner)) is not None:
+            previous.cancel()
         self._timers[owner] = self._context.call_at(action.at_ms, self._on_timer, TimerFired(action.token))
 
     def fire_component_timer_within(self, within_ms: float) -> None:
-        """Fire the components' timer now if it is due within that time."""
+        """Fire the timer of the components now if that timer is due within ``within_ms``."""
         timer = self._timers.get(TimerOwner.COMPONENTS)
         if timer is not None and timer.when() <= self._context.loop.time() + within_ms / 1000.0:
             timer.cancel()
--- a/cedarthread/dispatch/send_audit.py
+++ b/cedarthread/dispatch/send_audit.py
@@ -1,7 +1,8 @@
-"""A run-time check of the rules on sending: it counts violations by what was written and what was known.
+"""A run-time check of the rules on sending, which counts violations after bytes have been written.
 
-It stands beside the guard and shares nothing with it, so that a fault there shows here. Times are ms of the
-dispatcher's clock. It does no I/O but a log line for each violation.
+The audit is independent of ``SendGuard`` and shares no state with the guard, so that the audit detects faults
+of the guard. Times are ms of the dispatcher's clock. The only I/O is a log line for each violation. Only
+``SendAudit`` writes its state.
 """
 
 from __future__ import annotations
@@ -22,57 +23,60 @@
 
 log = logging.getLogger(__name__)
 
-CLIENT_GONE_SLACK_MS = 100.0  # after its client closed or cancelled, an attempt may still begin (STANDING)
-REMEMBERED_MS = 60_000.0  # for how long a worker that is not listed any more is remembered
-SOCKET_SLACK_MS = 50.0  # every time limit is longer by this on sockets (PROTOCOL)
+# An attempt may still start within this time after its client disconnected or cancelled (STANDING).
+CLIENT_DISCONNECTED_SLACK_MS = 100.0
+REMOVED_WORKER_RETENTION_MS = 60_000.0  # how long the audit remembers a worker that left the endpoint list
+SOCKET_SLACK_MS = 50.0  # tolerance on every time limit that is measured at sockets (PROTOCOL)
 
 
 class SendRule(StrEnum):
-    """A rule on sending; the values stand in log lines."""
+    """A rule on sending; the values are logged."""
 
     DRAIN = "drain"
-    CLIENT_GONE = "client_gone"
+    CLIENT_DISCONNECTED = "client_gone"
     AFTER_ANSWER = "after_answer"
     TWO_ATTEMPTS = "two_attempts"
     UNSAFE_REPEAT = "unsafe_repeat"
 
 
 class SendAudit:
-    """Violations by rule, since the start of the process."""
+    """Counts of the violations by rule since the start of the process."""
 
     def __init__(self) -> None:
         self.violations: Counter[SendRule] = Counter()
-        self._told_at_ms: dict[int, float] = {}  # by worker: since when it is known not to be ready
+        self._not_ready_since_ms: dict[
+            int, float
+        ] = {}  # by worker id: first list without the worker as ready
         self._ready_workers: set[int] = set()
 
     def on_endpoints(self, now_ms: float, states: Mapping[int, EndpointState]) -> None:
-        """The endpoint list is now this one, by worker id."""
+        """Record the new endpoint list, as the state of each worker by id."""
         ready = {worker_id for worker_id, state in states.items() if state is EndpointState.READY}
         for worker_id in (self._ready_workers | states.keys()) - ready:
-            self._told_at_ms.setdefault(worker_id, now_ms)
+            self._not_ready_since_ms.setdefault(worker_id, now_ms)
         for worker_id in ready:
-            self._told_at_ms.pop(worker_id, None)
-        # A worker that is gone is remembered as long as a connection to it could still be written to.
-        horizon_ms = now_ms - REMEMBERED_MS
-        self._told_at_ms = {
-            worker_id: told_at_ms
-            for worker_id, told_at_ms in self._told_at_ms.items()
-            if worker_id in states or told_at_ms > horizon_ms
+            self._not_ready_since_ms.pop(worker_id, None)
+        # A removed worker is remembered as long as a connection to that worker could still be written to.
+        horizon_ms = now_ms - REMOVED_WORKER_RETENTION_MS
+        self._not_ready_since_ms = {
+            worker_id: since_ms
+            for worker_id, since_ms in self._not_ready_since_ms.items()
+            if worker_id in states or since_ms > horizon_ms
         }
         self._ready_workers = ready
 
     def on_preload_sent(self, now_ms: float, worker_id: int, message_id: str, grace_ms: float) -> None:
-        """The first byte of a preload request has left."""
+        """Check a preload request of which the first byte has been written."""
         self._check_drain(now_ms, worker_id, message_id, grace_ms)
 
     def on_attempt_sent(self, now_ms: float, attempt: Attempt, settings: RouterSettings) -> None:
-        """The first byte of an attempt has left."""
+        """Check an attempt of which the first byte has been written."""
         call = attempt.call
         self._check_drain(now_ms, attempt.worker_id, call.call_id, settings.rules.drain_grace_ms)
         if call.is_complete:
             self._report(SendRule.AFTER_ANSWER, attempt, 0.0)
-        if (late_ms := now_ms - call.client_gone_at_ms) > CLIENT_GONE_SLACK_MS:
-            self._report(SendRule.CLIENT_GONE, attempt, late_ms)
+        if (late_ms := now_ms - call.client_disconnected_at_ms) > CLIENT_DISCONNECTED_SLACK_MS:
+            self._report(SendRule.CLIENT_DISCONNECTED, attempt, late_ms)
         if not attempt.index:
             return
         earlier = [other for other in call.attempts if other is not attempt]
@@ -83,9 +87,9 @@
             self._report(SendRule.UNSAFE_REPEAT, attempt, 0.0)
 
     def _check_drain(self, now_ms: float, worker_id: int, request: str, grace_ms: float) -> None:
-        told_at_ms = self._told_at_ms.get(worker_id)
-        if told_at_ms is not None and now_ms > told_at_ms + grace_ms + SOCKET_SLACK_MS:
-            self._log(SendRule.DRAIN, request, worker_id, now_ms - told_at_ms)
+        since_ms = self._not_ready_since_ms.get(worker_id)
+        if since_ms is not None and now_ms > since_ms + grace_ms + SOCKET_SLACK_MS:
+            self._log(SendRule.DRAIN, request, worker_id, now_ms - since_ms)
 
     def _report(self, rule: SendRule, attempt: Attempt, late_ms: float) -> None:
         self._log(rule, attempt.call.call_id, attempt.worker_id, late_ms)
--- a/cedarthread/dispatch/send_guard.py
+++ b/cedarthread/dispatch/send_guard.py
@@ -1,7 +1,8 @@
-"""The guard of all sending: asked of each attempt and preload just before its first byte leaves.
+"""The guard that permits or refuses each attempt and preload immediately before its first byte is written.
 
-Whoever chose the worker did so earlier, perhaps by an older list, for a client that was still there. Here the
-rules are looked at once more, all of them in one place. The module does no I/O.
+The router selected the worker earlier. Since then the endpoint list may have changed, or the client may have
+disconnected, so the guard checks all rules again. The module does no I/O. Only ``SendGuard`` writes its
+state.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 
 
 class SendRefusal(StrEnum):
-    """Why an attempt or a preload may not be sent."""
+    """The reason for which an attempt or a preload may not be sent; the values are logged."""
 
     ATTEMPT_ENDED = "attempt_ended"
     CALL_COMPLETE = "call_complete"
-    CLIENT_GONE = "client_gone"
+    CLIENT_DISCONNECTED = "client_gone"
     DEADLINE_PASSED = "deadline_passed"
     WORKER_NOT_READY = "worker_not_ready"
     RETRY_WINDOW_PASSED = "retry_window_passed"
@@ -32,30 +33,33 @@
 
 
 class SendGuard:
-    """Knows the workers that may be sent to, and refuses whatever a rule forbids now."""
+    """Guard that owns the set of ready workers and refuses each send that a rule forbids."""
 
     def __init__(self) -> None:
-        self._ready_workers: frozenset[int] | None = None  # None: no list has come yet
+        self._ready_workers: frozenset[int] | None = None  # None: no endpoint list has arrived yet
 
     def update_ready_workers(self, worker_ids: Iterable[int]) -> None:
-        """These workers are listed as ready; all others get nothing more."""
+        """Replace the set of ready workers; sends to all other workers are refused from now on."""
         self._ready_workers = frozenset(worker_ids)
 
     def refuse_worker(self, worker_id: int) -> SendRefusal | None:
-        """Why nothing new may be sent to a worker; None where it may."""
+        """Return the reason for which nothing may be sent to a worker; None: sending is permitted."""
         if self._ready_workers is not None and worker_id not in self._ready_workers:
             return SendRefusal.WORKER_NOT_READY
         return None
 
     def refuse_attempt(self, now_ms: float, attempt: Attempt, settings: RouterSettings) -> SendRefusal | None:
-        """Why an attempt may not be sent; None where it may. The client's state has been refreshed."""
+        """Return the reason for which an attempt may not be sent; None: sending is permitted.
+
+        The caller must have called ``Call.refresh_client_state``.
+        """
         call = attempt.call
         if attempt.is_ended:
             return SendRefusal.ATTEMPT_ENDED
         if call.is_complete:
             return SendRefusal.CALL_COMPLETE
         if call.is_client_closing:
-            return SendRefusal.CLIENT_GONE
+            return SendRefusal.CLIENT_DISCONNECTED
         if now_ms >= call.deadline_ms:
             return SendRefusal.DEADLINE_PASSED
         if now_ms > attempt.write_deadline_ms:
@@ -68,7 +72,7 @@
 
 
 def _refuse_retry(attempt: Attempt, settings: RouterSettings) -> SendRefusal | None:
-    """Why a further attempt of a call may not be sent; None where it may."""
+    """Return the reason for which a retry may not be sent; None: sending is permitted."""
     call = attempt.call
     if attempt.index >= settings.limits.max_attempts:
         return SendRefusal.TOO_MANY_ATTEMPTS
--- a/tests/unit/dispatch/test_send_guard.py
+++ b/tests/unit/dispatch/test_send_guard.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cedarthread.dispatch.calls import Attempt, Call, Progress
-from cedarthread.dispatch.send_audit import CLIENT_GONE_SLACK_MS, SOCKET_SLACK_MS, SendAudit, SendRule
+from cedarthread.dispatch.send_audit import CLIENT_DISCONNECTED_SLACK_MS, SOCKET_SLACK_MS, SendAudit, SendRule
 from cedarthread.dispatch.send_guard import SendGuard, SendRefusal
 from cedarthread.dispatch.stall_hold import StallHold
 from cedarthread.model.endpoints import EndpointState
@@ -44,7 +44,7 @@
 BROKEN: list[tuple[SendRefusal, int, int, Callable[[list[Attempt]], None]]] = [
     (SendRefusal.ATTEMPT_ENDED, 1, 0, lambda a: setattr(a[-1], "is_ended", True)),
     (SendRefusal.CALL_COMPLETE, 1, 0, lambda a: setattr(a[-1].call, "is_complete", True)),
-    (SendRefusal.CLIENT_GONE, 1, 0, lambda a: setattr(a[-1].call, "is_client_closing", True)),
+    (SendRefusal.CLIENT_DISCONNECTED, 1, 0, lambda a: setattr(a[-1].call, "is_client_closing", True)),
     (SendRefusal.DEADLINE_PASSED, 1, 0, lambda a: setattr(a[-1].call, "deadline_ms", NOW_MS)),
     (SendRefusal.RETRY_WINDOW_PASSED, 2, 0, lambda a: setattr(a[-1], "write_deadline_ms", NOW_MS - 1.0)),
     (SendRefusal.WORKER_NOT_READY, 1, 0, lambda a: setattr(a[-1], "worker_id", WORKER + 1)),
@@ -100,10 +100,10 @@
 def test_the_check_counts_what_the_guard_should_have_refused() -> None:
     audit = SendAudit()
     (gone,) = attempts_of_one_call()
-    gone.call.client_gone_at_ms = NOW_MS
-    audit.on_attempt_sent(NOW_MS + CLIENT_GONE_SLACK_MS, gone, SETTINGS)
+    gone.call.client_disconnected_at_ms = NOW_MS
+    audit.on_attempt_sent(NOW_MS + CLIENT_DISCONNECTED_SLACK_MS, gone, SETTINGS)
     assert not audit.violations
-    audit.on_attempt_sent(NOW_MS + CLIENT_GONE_SLACK_MS + 1.0, gone, SETTINGS)
+    audit.on_attempt_sent(NOW_MS + CLIENT_DISCONNECTED_SLACK_MS + 1.0, gone, SETTINGS)
     (late,) = attempts_of_one_call()
     late.call.is_complete = True
     audit.on_attempt_sent(NOW_MS, late, SETTINGS)
@@ -113,7 +113,7 @@
     end_first(doubled)
     audit.on_attempt_sent(NOW_MS, doubled[-1], SETTINGS)
     assert audit.violations == {
-        SendRule.CLIENT_GONE: 1,
+        SendRule.CLIENT_DISCONNECTED: 1,
         SendRule.AFTER_ANSWER: 1,
         SendRule.UNSAFE_REPEAT: 1,
         SendRule.TWO_ATTEMPTS: 1,
