--- a/cedarthread/components/component.py
+++ b/cedarthread/components/component.py
@@ -1,8 +1,8 @@
 """The interface of a component that runs beside the router.
 
-``RoutingNode`` (``node/routing_node.py``) hosts the components and passes each its own datagrams, ticks and
-notifications. Components depend on each other only through the protocols of this package. They do no I/O.
-Times are ms of a steady clock that is passed in; the wall clock arrives as a notification.
+``RoutingNode`` (``node/routing_node.py``) hosts the components and passes datagrams, ticks and notifications
+to them. Components depend on each other only through the protocols of this package. They do no I/O. Times are
+ms of a steady clock that is passed in. The wall clock is passed in as a notification.
 """
 
 from __future__ import annotations
@@ -17,20 +17,23 @@
 
 
 class Component(Protocol):
-    """A component beside the router: without I/O, on the clock and the seed that are passed in."""
+    """A component that runs beside the router, with the clock and the seed that are passed in."""
 
     @property
     def message_types(self) -> frozenset[int]:
-        """The types (first bytes) of the datagrams that this component handles."""
+        """Return the types (first bytes) of the datagrams that this component handles."""
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
-        """Handle a datagram of one of its types; malformed ones are counted, never raised on."""
+        """Handle a datagram of one of ``message_types``, and return the messages to send or log.
+
+        Malformed datagrams are counted. The method never raises because of the content of a datagram.
+        """
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
-        """Called several times a second: returns what is to be sent now."""
+        """Handle a tick, several times a second, and return the messages to send or log now."""
 
     def on_notification(self, now_ms: float, notification: Notification) -> Sequence[OutboundMessage]:
-        """Handle a change that components share."""
+        """Handle a notification, and return the messages to send or log."""
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """The component's figures for operators (``INFO``): text by name."""
+        """Return the figures of the component for operators (``INFO``) as text by name."""
--- a/cedarthread/components/datagram_fields.py
+++ b/cedarthread/components/datagram_fields.py
@@ -1,9 +1,9 @@
 """Framing that the codecs of datagrams between routers share: size limit, repeated records, malformed input.
 
-A datagram is a fixed header followed by nothing, by records of one size up to its end, or by groups, each a
-group header whose last field counts the records that follow it. Readers never raise on bytes from the
-network; they return a `MalformedDatagram` that says what is wrong. Writers raise `ValueError`, because a
-datagram that is too long is a mistake of this program.
+A datagram is a fixed header, optionally followed by records of one size or by groups up to the end of the
+datagram. A group is a group header and records; the last field of the group header is the number of records.
+Readers never raise because of bytes from the network, but return a `MalformedDatagram` with the reason.
+Writers raise `ValueError`, because a datagram that is too long is a fault of this program.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
     import struct
     from collections.abc import Iterable, Sequence
 
-MAX_DATAGRAM_BYTES = 256  # limit of the platform's protocol: one longer datagram voids a whole run
+MAX_DATAGRAM_BYTES = 256  # limit of the platform's protocol; a longer datagram voids a whole run
 
 RecordFields = tuple[Any, ...]  # as `struct` unpacks one record
 
@@ -35,7 +35,11 @@
 
 
 def join_datagram(fields: Iterable[bytes]) -> bytes:
-    """Concatenate packed fields; `ValueError` if the datagram would be longer than may be sent."""
+    """Concatenate packed fields.
+
+    Raises:
+        ValueError: The datagram would exceed `MAX_DATAGRAM_BYTES`.
+    """
     data = b"".join(fields)
     if len(data) > MAX_DATAGRAM_BYTES:
         raise ValueError(f"a datagram of {len(data)} bytes may not be sent")
@@ -43,20 +47,24 @@
 
 
 def check_record_count(records: Sequence[object], limit: int) -> None:
-    """`ValueError` if there are more records than fit into one datagram."""
+    """Check that the records fit into one datagram.
+
+    Raises:
+        ValueError: There are more than `limit` records.
+    """
     if len(records) > limit:
         raise ValueError(f"{len(records)} entries, {limit} at most")
 
 
 def max_records(offset: int, record: struct.Struct) -> int:
-    """The number of records that fit behind a header of `offset` bytes."""
+    """Return the number of records that fit behind a header of `offset` bytes."""
     return (MAX_DATAGRAM_BYTES - offset) // record.size
 
 
 def read_records(
     data: bytes, offset: int, record: struct.Struct
 ) -> tuple[RecordFields, ...] | MalformedDatagram:
-    """Read records of one size from `offset` to the end; malformed if too short, too long or cut off."""
+    """Read records of one size from `offset` to the end; malformed if too short, too long or truncated."""
     if not offset <= len(data) <= MAX_DATAGRAM_BYTES or (len(data) - offset) % record.size:
         return MalformedDatagram(f"{len(data)} bytes")
     return tuple(record.iter_unpack(data[offset:]))
@@ -65,7 +73,7 @@
 def read_record_groups(
     data: bytes, offset: int, header: struct.Struct, record: struct.Struct
 ) -> list[RecordGroup] | MalformedDatagram:
-    """Read groups from `offset` to the end; malformed if a group header or its records are cut off."""
+    """Read groups from `offset` to the end; malformed if a group header or its records are truncated."""
     groups: list[RecordGroup] = []
     while offset < len(data):
         if offset + header.size > len(data):
--- a/cedarthread/components/messages.py
+++ b/cedarthread/components/messages.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers: their types, and what a component asks its host to send or log."""
+"""The types of datagrams between routers, and the messages that a component passes to its host."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     MEMBERSHIP = 0xC2
     REPLICATION = 0xC3
     ESCROW = 0xC4
-    RECOVERY = 0xC5  # warm instances, queried by routers that restarted
-    LOAD_PRESSURE = 0xC6  # how overloaded a router is, and what tenants have used
+    RECOVERY = 0xC5  # queries for warm instances by restarted routers, and the responses
+    LOAD_PRESSURE = 0xC6  # the overload of a router, and the use by tenants
 
 
 OutboundMessage = SendToPeer | LogMessage
--- a/cedarthread/components/notifications.py
+++ b/cedarthread/components/notifications.py
@@ -17,7 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersChanged:
-    """Which other routers are alive, of how many, and for how long in their current incarnation."""
+    """The set of live routers has changed.
+
+    Args:
+        alive_peers: Indexes of the other routers that are alive.
+        router_count: Number of routers in the settings, including this one.
+        alive_for_ms: How long each live router has been alive in its current incarnation.
+    """
 
     alive_peers: tuple[int, ...]
     router_count: int
@@ -33,28 +39,28 @@
 
 @dataclass(frozen=True, slots=True)
 class WallClockRead:
-    """The wall clock was read: Unix time in ms."""
+    """The wall clock was read."""
 
-    unix_ms: float
+    unix_ms: float  # Unix time
 
 
 @dataclass(frozen=True, slots=True)
 class EntriesChanged:
-    """Entries were received here, or became known to be replicated to a majority."""
+    """Entries were received by this router, or became known to be replicated to a majority."""
 
     entries: tuple[ReplicatedEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptCompleted:
-    """An attempt ended. ``was_warm``: whether an instance was loaded at the worker; None: not reported."""
+    """An attempt ended."""
 
     worker_id: int
     function_id: int
-    tenant_index: int | None
-    work_ms: float
+    tenant_index: int | None  # None: of no tenant
+    work_ms: float  # from the start to the end of the attempt
     outcome: Outcome
-    was_warm: bool | None
+    was_warm: bool | None  # whether an instance was loaded before the attempt; None: not reported
 
 
 Notification = (
--- a/cedarthread/components/quota_escrow.py
+++ b/cedarthread/components/quota_escrow.py
@@ -1,4 +1,4 @@
-"""The quota escrow as components use it: reserved amounts of fleet-wide totals."""
+"""The interface of the quota escrow, which reserves amounts of fleet-wide totals."""
 
 from __future__ import annotations
 
@@ -6,25 +6,30 @@
 
 
 class QuotaEscrow(Protocol):
-    """What components ask of the quota escrow (``escrow/escrow.py``): reserved amounts of fleet-wide totals.
+    """The interface of the quota escrow for components, implemented by ``escrow/escrow.py``.
 
-    Amounts are whole numbers of a unit that the pool's user chooses. The sum of what all routers may use
-    never exceeds the total of a pool, whatever is lost, duplicated, delayed, partitioned or restarted (proof
-    in docs/design/grants.md).
+    Each router reserves amounts of the fleet-wide total of a pool. Amounts are integers in a unit that the
+    user of the pool defines. The sum of the amounts that all routers may use never exceeds the total of the
+    pool, even if datagrams are lost, duplicated or delayed, the network is partitioned or routers restart
+    (proof in docs/design/grants.md).
     """
 
     def open_pool(self, name: str, total: int, *, is_consumable: bool, ends_at_ms: float | None) -> None:
         """Open or change a pool.
 
-        ``is_consumable``: what is used is gone (a count); otherwise the amount is a rate, which is returned.
-        ``ends_at_ms``: when the pool ends, on the steady clock; None: never.
+        Args:
+            name: The name of the pool, the same at all routers.
+            total: The fleet-wide total.
+            is_consumable: Used amounts are consumed (a count). Otherwise the amounts are rates, which routers
+                return.
+            ends_at_ms: The end of the pool on the steady clock; None: the pool does not end.
         """
 
     def available(self, now_ms: float, name: str) -> int:
-        """How much of a pool this router may use now; 0 for one that is unknown or has ended."""
+        """Return the amount that this router may use now; 0 also for an unknown or ended pool."""
 
     def consume(self, now_ms: float, name: str, amount: int = 1) -> bool:
-        """Use an amount of a consumable pool; False, and nothing used, if this router may not."""
+        """Consume an amount of a consumable pool; return False, and consume nothing, if less is available."""
 
     def request(self, now_ms: float, name: str, amount: int) -> None:
-        """This router could use this amount in all; what it lacks is requested from its peers."""
+        """Set the total amount that this router could use; the missing part is requested from its peers."""
--- a/cedarthread/components/replicated_state.py
+++ b/cedarthread/components/replicated_state.py
@@ -1,4 +1,4 @@
-"""The replicated state as components read it: versioned entries that every router stores."""
+"""The interface of the replicated state: versioned entries that every router stores."""
 
 from __future__ import annotations
 
@@ -9,67 +9,61 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Version:
-    """The version of an entry; the greater one wins.
+    """Version of an entry. The greater of two versions replaces the other."""
 
-    ``counter`` is a Lamport clock, ``incarnation`` that of the author's process.
-    """
-
-    counter: int
-    author: int
-    incarnation: int
+    counter: int  # a Lamport clock
+    author: int  # index of the router that wrote the version
+    incarnation: int  # of the author's process
 
 
 class EntryKind(StrEnum):
-    """What an entry declares. The values are stored and sent: they stay."""
+    """The kind of declaration in an entry. The values are stored and sent, so they must not change."""
 
     TIERS = "tiers"  # the order of priority tiers, and the overload thresholds
     CONTRACT = "contract"  # the tier, rate and floor of one tenant
     FREEZE = "freeze"  # one change freeze window
-    REVOKE = "revoke"  # ends a window early: it relaxes the restriction
-    BREAK_GLASS = "break"  # break-glass exception in a window: it relaxes the restriction
+    REVOKE = "revoke"  # ends a window early, which relaxes the restriction
+    BREAK_GLASS = "break"  # break-glass exception in a window, which relaxes the restriction
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One entry of the replicated store.
-
-    ``replaces_digest``: digest of the entry that its author saw it replace; 0 for none.
-    """
+    """An entry of the replicated store."""
 
     kind: EntryKind
     name: str
     version: Version
     body: bytes
-    replaces_digest: int = 0
+    replaces_digest: int = 0  # of the entry that the author replaced; 0: none
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicatedEntry:
-    """An entry as stored at one router; times on that router's steady clock."""
+    """An entry as stored at one router. Times are on the steady clock of that router."""
 
     entry: Entry
     received_at_ms: float  # when this router first received it
-    replicated_at_ms: float | None  # when a majority was first known to have it; None: not yet
+    replicated_at_ms: float | None  # when this router first knew that a majority stores it; None: not yet
 
 
 class ReplicatedState(Protocol):
-    """What components read of the replicated store (``replication/store.py``).
+    """The interface of the replicated store for components, implemented by ``replication/store.py``.
 
     Guarantee (proof in docs/design/register.md): an entry known at time t to be on a majority is known to
-    every fresh router from t + ``staleness_bound_ms`` on. Hence a restriction takes effect when it is
-    received, a relaxation from ``replicated_at_ms`` + ``staleness_bound_ms`` on, and a router that is not
-    fresh acts under the strictest combination (greatest lower bound) of what may be in force.
+    every fresh router from t + ``staleness_bound_ms`` on. Therefore a restriction is in force from its
+    reception on, and a relaxation from ``replicated_at_ms`` + ``staleness_bound_ms`` on. A router that is not
+    fresh applies the strictest combination (greatest lower bound) of all entries that may be in force.
     """
 
     @property
     def staleness_bound_ms(self) -> float:
-        """The staleness bound in ms (``B`` in docs/design/register.md)."""
+        """Return the staleness bound in ms (``B`` in docs/design/register.md)."""
 
     def entries(self, kind: EntryKind) -> tuple[ReplicatedEntry, ...]:
-        """All entries of a kind, in the order of their names."""
+        """Return all entries of a kind in the order of their names."""
 
     def is_fresh(self, now_ms: float) -> bool:
-        """Whether a majority of routers confirmed lately that this one lacks none of their entries."""
+        """Return whether a majority of routers recently confirmed that this router has all their entries."""
 
     def fresh_since(self, now_ms: float) -> float | None:
-        """Since when it has been fresh without interruption; None: it is not fresh."""
+        """Return the time since which this router has been continuously fresh; None: it is not fresh."""
--- a/cedarthread/node/__init__.py
+++ b/cedarthread/node/__init__.py
@@ -1,1 +1,1 @@
-"""The routing node: hosts the router and the components, and passes events and notifications between them."""
+"""The routing node, which hosts one router and its components and passes events between them."""
--- a/cedarthread/node/attempt_observer.py
+++ b/cedarthread/node/attempt_observer.py
@@ -1,4 +1,7 @@
-"""Tells the components of attempts as the router starts them and as they end."""
+"""The observer that notifies the components of the starts and ends of attempts.
+
+Only ``AttemptObserver`` writes its state.
+"""
 
 from __future__ import annotations
 
@@ -12,24 +15,31 @@
     from cedarthread.node.component_set import ComponentSet
     from cedarthread.routing.router import Router
 
-# What a start kind says of the worker after the attempt: is an instance of the function loaded there?
+# Whether an instance of the function is loaded at the worker after an attempt, by the start kind.
 _IS_LOADED_AFTER = {
     StartKind.WARM: True,
     StartKind.COLD: True,
     StartKind.PENDING: True,
     StartKind.LOAD_FAILED: False,
 }
-# What it says of the worker before the attempt: was an instance loaded there?
+# Whether an instance of the function was loaded at the worker before the attempt, by the start kind.
 _WAS_WARM = {StartKind.WARM: True, StartKind.COLD: False, StartKind.PENDING: False}
 
 
 class _InFlightAttempt(NamedTuple):
+    """Function and tenant of an attempt in flight."""
+
     function_id: int
     tenant_index: int | None
 
 
 class AttemptObserver:
-    """Remembers function and tenant of each attempt in flight, which its end does not name."""
+    """Function and tenant of each attempt in flight, which ``AttemptEnded`` does not contain.
+
+    Args:
+        router: Its pending requests supply function and tenant when an attempt starts.
+        components: The components to notify.
+    """
 
     def __init__(self, router: Router, components: ComponentSet) -> None:
         self._router = router
@@ -51,7 +61,7 @@
                 self._components.load_gossip.on_attempt_sent(action.worker_id, request.function_id)
 
     def record_ended(self, now_ms: float, event: AttemptEnded) -> None:
-        """Record the end of an attempt; one that was not recorded as started is ignored."""
+        """Record the end of an attempt, and ignore an attempt that was not recorded as started."""
         attempt = self._in_flight.pop((event.request_id, event.worker_id), None)
         if attempt is None:
             return
@@ -70,7 +80,7 @@
 
 
 def _is_loaded_after(event: AttemptEnded) -> bool | None:
-    """Is an instance of the function loaded at the worker now? None: unknown."""
+    """Return whether an instance of the function is loaded at the worker after the attempt; None: unknown."""
     if event.outcome is Outcome.OK:
         return True
     if event.outcome is Outcome.NOT_LOADED:
--- a/cedarthread/node/component_set.py
+++ b/cedarthread/node/component_set.py
@@ -1,4 +1,7 @@
-"""The components of one router: which there are, and how messages and notifications reach them."""
+"""The components of one router, and the dispatch of datagrams, ticks and notifications to them.
+
+``RoutingNode`` sets ``fleet`` and calls ``update``; only ``ComponentSet`` writes the rest.
+"""
 
 from __future__ import annotations
 
@@ -17,25 +20,36 @@
 
 
 class ComponentSet:
-    """The components, in the order of their ticks. One that the settings forbid does not exist."""
+    """The components of one router, in the order of their ticks.
+
+    A component that the settings forbid does not exist.
+
+    Args:
+        seed: Seed of the random decisions of membership and gossip.
+        incarnation: A random number of this start of the process; None: derived from the seed.
+    """
 
     def __init__(self, seed: int, incarnation: int | None) -> None:
         self.load_gossip: LoadGossip | None = None
         self.membership: SwimMembership | None = None
-        self.fleet: FleetComponents | None = None  # None where no fleet file is named
+        self.fleet: FleetComponents | None = None  # None: no fleet file is configured
         self.active: list[Component] = []
         self.by_message_type: dict[int, Component] = {}
         self._seed = seed
         self._incarnation = incarnation
 
     def update(self, settings: RouterSettings) -> None:
-        """Make the components that the settings allow, and keep those that exist already."""
+        """Create the components that the settings allow, and drop those that the settings forbid.
+
+        Existing components remain. Membership is replaced if the number of routers has changed.
+        """
         if settings.limits.allows_gossip and settings.router_count > 1:
             if self.membership is None or self.membership.router_count != settings.router_count:
                 self.membership = SwimMembership(settings.router_index, settings.router_count, self._seed)
             self.load_gossip = self.load_gossip or LoadGossip(settings, self._seed, self._incarnation)
         else:
-            self.load_gossip = self.membership = None
+            self.load_gossip = None
+            self.membership = None
         fleet_components = self.fleet.components if self.fleet is not None else ()
         candidates: tuple[Component | None, ...] = (self.load_gossip, self.membership, *fleet_components)
         self.active = [component for component in candidates if component is not None]
@@ -44,17 +58,17 @@
         }
 
     def on_tick(self, now_ms: float) -> list[Action]:
-        """Tick each component."""
+        """Tick each component, and return the resulting actions."""
         return [action for component in self.active for action in component.on_tick(now_ms)]
 
     def notify(self, now_ms: float, notification: Notification) -> list[Action]:
-        """Pass a notification to each component."""
+        """Pass a notification to each component, and return the resulting actions."""
         return [
             action for component in self.active for action in component.on_notification(now_ms, notification)
         ]
 
     def on_peer_message(self, now_ms: float, event: PeerMessageReceived) -> list[Action]:
-        """Pass a datagram to the component of its type; gossip counts those of no known type."""
+        """Pass a datagram to the component of its type; gossip counts unknown types as malformed."""
         if self.membership is not None:
             self.membership.record_activity(now_ms, event.sender_index)
         message_type = event.data[0] if event.data else 0
@@ -66,7 +80,7 @@
         )
 
     def status(self, now_ms: float) -> dict[str, str]:
-        """The figures of all components, by name."""
+        """Return the figures of all components by name."""
         figures = dict(self.fleet.status()) if self.fleet is not None else {}
         for component in self.active:
             figures.update(component.status(now_ms))
--- a/cedarthread/node/constraints.py
+++ b/cedarthread/node/constraints.py
@@ -1,7 +1,8 @@
-"""What the fleet components tell the router, in the router's own terms.
+"""The constraints of the fleet components on routing, in the terms of the router.
 
-Contracts say which call goes first; change freezes and restart recovery say which instances may be started
-now. The components answer questions and never act: the router chooses, retries and rejects. Times in ms.
+Contracts determine the priority of requests. Change freezes and restart recovery determine which instances
+may be started now. The components only answer queries: the router selects workers, retries and rejects. Times
+are ms of the router's steady clock.
 """
 
 from __future__ import annotations
@@ -23,18 +24,26 @@
 
 
 class FleetConstraints:
-    """Priorities, change freeze and restart recovery, as one router asks them."""
+    """Priorities, change freeze and restart recovery of one router, as ``routing.RoutingConstraints``.
+
+    Args:
+        priority: Assigns priorities to requests and selects requests to preempt.
+        gate: Permits or denies placement changes during a change freeze.
+        recovery: Limits the rate of loads after a restart of this router.
+    """
 
     def __init__(self, priority: PriorityComponent, gate: AdmissionGate, recovery: RecoveryComponent) -> None:
-        self.priority, self.gate, self.recovery = priority, gate, recovery
-        self.limits_loading = False  # a freeze or the recovery limits which instances may be started now
+        self.priority = priority
+        self.gate = gate
+        self.recovery = recovery
+        self.limits_loading = False  # whether a change freeze or the recovery limits new instances
 
     def refresh(self, now_ms: float) -> None:
-        """Bring ``limits_loading`` up to date: at each tick, and when entries have changed."""
+        """Update ``limits_loading``, at each tick and after each change of entries."""
         self.limits_loading = self.gate.is_active or not self.recovery.is_in_service()
 
     def expected_instances(self, now_ms: float, function_id: int) -> dict[int, InstanceLoad]:
-        """Instances by worker id as persisted state and peers know them, while this router recovers."""
+        """Return instances by worker id from persisted state and peers; empty unless this router recovers."""
         return {} if self.recovery.is_in_service() else self.recovery.warm_instances(now_ms, function_id)
 
     def may_route(
@@ -45,14 +54,21 @@
         is_loaded: bool,
         has_alternative: bool,
     ) -> bool:
-        """May the request go to the worker? ``is_loaded``: an instance of its function is known there;
-        ``has_alternative``: one is known at another worker that has capacity left.
+        """Return whether the request may be sent to the worker.
+
+        Args:
+            now_ms: The steady clock.
+            pending: The request.
+            worker: The candidate.
+            is_loaded: An instance of the function is known at the worker.
+            has_alternative: An instance is known at another worker that has capacity left.
         """
         if is_loaded:
             return True
         if has_alternative and not self.recovery.is_in_service():
             return False
-        request, endpoint = pending.request, worker.endpoint
+        request = pending.request
+        endpoint = worker.endpoint
         return self.gate.can_send(
             now_ms,
             function_id=request.function_id,
@@ -66,10 +82,13 @@
     def may_load(
         self, now_ms: float, pending: PendingRequest, worker: WorkerRecord, has_alternative: bool
     ) -> bool:
-        """May the request start a first instance at the worker? Asked last, just before: a yes may consume
-        one of the freeze's exceptions and one load of the recovery's pace.
+        """Return whether the request may start a first instance at the worker.
+
+        The router calls this after all other checks, because True may consume one exception of the change
+        freeze and one load of the recovery's pacing.
         """
-        request, endpoint = pending.request, worker.endpoint
+        request = pending.request
+        endpoint = worker.endpoint
         if self.gate.is_active:
             change = PlacementChange(
                 "first-copy",
@@ -86,7 +105,10 @@
     def home_workers(
         self, now_ms: float, function_id: int, workers: Sequence[WorkerRecord], home_count: int
     ) -> tuple[Sequence[WorkerRecord], int]:
-        """The function's workers in placement order, and how many are its homes, as a freeze has it."""
+        """Return the workers in placement order and the number of homes, adjusted for a change freeze.
+
+        During a change freeze the result contains the ready workers only.
+        """
         if not self.gate.is_active:
             return workers, home_count
         ready = {
@@ -98,14 +120,15 @@
         return [ready[worker_id] for worker_id in worker_ids], home_count
 
     def retry_after_range(self, now_ms: float) -> tuple[float, float]:
-        """Between which fractions of the longest Retry-After that of a rejected request is drawn."""
+        """Return the fractions of the longest Retry-After between which that of a rejection is drawn."""
         return self.recovery.retry_after_fractions(now_ms)
 
     def shed_probability(
         self, now_ms: float, pending: PendingRequest, value: float, utilization: float, shed_fraction: float
     ) -> float | None:
-        """Give a request that arrived its priority; returns with which probability to shed requests like it
-        where ``shed_fraction`` of all must be shed, None: with ``shed_fraction`` as usual.
+        """Assign the request its priority and return the probability of shedding such requests.
+
+        None: shed with ``shed_fraction``, the fraction of all requests that must be shed.
         """
         request = pending.request
         tenant = request.caller if request.tenant_index is None else request.tenant_index
@@ -114,12 +137,12 @@
         return self.priority.shed_probability(now_ms, priority, shed_fraction, value)
 
     def on_rejected(self, now_ms: float, pending: PendingRequest) -> None:
-        """A request was rejected: it counts for the floor of its tenant."""
+        """Count a rejected request towards the floor of its tenant."""
         if pending.call_priority is not None:
             self.priority.record_rejected(now_ms, pending.call_priority, pending.request.is_client_retry)
 
     def overload_level(self, now_ms: float) -> int:
-        """How overloaded the fleet is; 0: it is not, or that is not known."""
+        """Return how overloaded the fleet is; 0: not overloaded, or not known."""
         return self.priority.overload_level(now_ms)
 
     def preemption_victim(
@@ -131,9 +154,15 @@
         pending_requests: Mapping[int, PendingRequest],
         queue: Mapping[int, PendingRequest],
     ) -> int | None:
-        """The id of the request to preempt for this one, which is given the reason; None: there is none.
-
-        ``worker`` and ``expected_ms``: where this one would go, and its service time there.
+        """Return the id of the request to preempt for this one, and set its reason; None: there is none.
+
+        Args:
+            now_ms: The steady clock.
+            pending: The request that needs capacity.
+            worker: The worker that would receive the request.
+            expected_ms: The expected service time of the request at the worker.
+            pending_requests: All pending requests by id.
+            queue: The queued ones by id.
         """
         if pending.call_priority is None or pending.attempts or worker is None:
             return None
--- a/cedarthread/node/escrow_pools.py
+++ b/cedarthread/node/escrow_pools.py
@@ -1,4 +1,4 @@
-"""The escrow as the components use it: opens each pool with what this router knows of its past."""
+"""The quota escrow for components, which opens each pool with the knowledge whether the pool is new."""
 
 from __future__ import annotations
 
@@ -8,26 +8,31 @@
     from cedarthread.escrow.escrow import Escrow
     from cedarthread.replication.store import ReplicatedStore
 
-# How long the disks of other routers may take to open: until then an entry that they persisted may still
-# come.
+# The time that the disks of other routers may need to open. Until then a persisted entry may still arrive
+# from another router.
 DISK_OPEN_GRACE_MS = 2500.0
 
 
 class EscrowPools:
-    """A ``QuotaEscrow`` that tells the escrow whether a consumable pool is new.
+    """A ``QuotaEscrow`` that determines for the escrow whether a consumable pool is new.
 
-    A pool whose declaration was first seen in this incarnation was consumed by no earlier incarnation of this
-    router, so nothing is lost of it where the router has no memory of earlier ones.
+    A pool is new if its declaration was first received in the present incarnation of this router. No earlier
+    incarnation can have consumed from a new pool. Therefore this router may use its part of a new pool even
+    if the state of earlier incarnations is lost.
+
+    Args:
+        escrow: The escrow of this router.
+        store: The replicated store; its freshness proves that a pool is new.
     """
 
     def __init__(self, escrow: Escrow, store: ReplicatedStore) -> None:
-        self.escrow = escrow  # replaced when persisted state has been recovered
-        self.now_ms = 0.0  # of the notification that is being handled
+        self.escrow = escrow  # ``FleetComponents`` replaces it after recovery of persisted state
+        self.now_ms = 0.0  # of the present notification; ``FleetComponents`` sets it
         self._store = store
-        self._is_new_pool: dict[str, bool] = {}  # consumable pools: declared in this incarnation?
+        self._is_new_pool: dict[str, bool] = {}  # by name, consumable pools only
 
     def open_pool(self, name: str, total: int, *, is_consumable: bool, ends_at_ms: float | None) -> None:
-        """Open or change a pool; see ``QuotaEscrow``."""
+        """Open or change a pool, as ``QuotaEscrow.open_pool`` describes."""
         if is_consumable and name not in self._is_new_pool:
             self._is_new_pool[name] = self._is_declared_in_this_incarnation()
         self.escrow.open_pool(
@@ -39,10 +44,10 @@
         )
 
     def _is_declared_in_this_incarnation(self) -> bool:
-        """Was a pool that is opened for the first time now declared in this incarnation?
+        """Return whether a pool that is opened now for the first time was declared in this incarnation.
 
-        A router that has been fresh for a while had every entry in force before. Shortly after a start of all
-        routers, a slow disk may still bring an older entry.
+        A router that has been fresh for the staleness bound has received every earlier entry. The grace is
+        added because shortly after a start of all routers, an older entry may still arrive from a slow disk.
         """
         since = self._store.fresh_since(self.now_ms)
         if since is None:
@@ -50,13 +55,13 @@
         return self.now_ms - since >= self._store.staleness_bound_ms + DISK_OPEN_GRACE_MS
 
     def available(self, now_ms: float, name: str) -> int:
-        """How much of a pool this router may use now."""
+        """Return the amount of a pool that this router may use now."""
         return self.escrow.available(now_ms, name)
 
     def consume(self, now_ms: float, name: str, amount: int = 1) -> bool:
-        """Use up an amount of a consumable pool; False where not so much is available."""
+        """Consume an amount of a consumable pool; return False if less is available."""
         return self.escrow.consume(now_ms, name, amount)
 
     def request(self, now_ms: float, name: str, amount: int) -> None:
-        """Tell how much of a pool this router could use in all."""
+        """Set the total amount of a pool that this router could use."""
         self.escrow.request(now_ms, name, amount)
--- a/cedarthread/node/fleet_components.py
+++ b/cedarthread/node/fleet_components.py
@@ -1,7 +1,8 @@
-"""The components that the operators' fleet file switches on, connected to each other.
+"""The components that exist if a fleet file is configured, connected to each other.
 
-This module and what it imports are loaded only where a fleet file is named. Where the settings forbid gossip,
-a router acts on its own file alone: as a fleet of one, whose replicated store is always fresh.
+This module and its imports are loaded only if a fleet file is configured. If the settings forbid gossip, the
+router acts on its own fleet file alone, as a fleet of one router. The replicated store of such a fleet is
+always fresh.
 """
 
 from __future__ import annotations
@@ -35,17 +36,26 @@
 
 
 class _Identity(NamedTuple):
-    """Who this router is to its peers, and on which clock."""
+    """The identity of this router among its peers, and the accuracy of its clock."""
 
     router_index: int
     router_count: int
     incarnation: int
     seed: int
-    clock_rate: float  # fraction by which a steady clock may run fast or slow
+    clock_rate: float  # maximum rate error of a steady clock, as a fraction
 
 
 class FleetComponents:
-    """Replicated store, escrow, priorities, change freeze and restart recovery of one router."""
+    """Replicated store, escrow, priorities, change freeze and restart recovery of one router.
+
+    Args:
+        fleet_config: The fleet file.
+        settings: The settings in force.
+        seed: Seed of the random decisions of the components.
+        incarnation: A random number of this start of the process.
+        now_ms: The steady clock.
+        wall_clock_ms: Reads the wall clock, Unix time in ms.
+    """
 
     def __init__(
         self,
@@ -57,7 +67,6 @@
         now_ms: float,
         wall_clock_ms: Callable[[], float],
     ) -> None:
-        """``wall_clock_ms``: reads the wall clock, Unix ms."""
         sharing = fleet_config.sharing
         has_peers = settings.limits.allows_gossip and settings.router_count > 1
         self.router_count = settings.router_count if has_peers else 1
@@ -94,7 +103,7 @@
         self.constraints = FleetConstraints(self.priority, self.change_freeze.gate, self.recovery)
         self.change_freeze.gate.take_release = lambda at: int(self.recovery.admission.try_acquire_release(at))
         self.persister = self._new_persister(now_ms) if fleet_config.disk else None
-        self.rejected_entries = 0  # of the fleet file, by the replicated store
+        self.rejected_entries = 0  # entries of the fleet file that the replicated store rejected
 
     def _new_escrow(self, now_ms: float, *, has_memory: bool, is_durable: bool) -> Escrow:
         identity = self._identity
@@ -113,7 +122,7 @@
         return StatePersister(self.store, self.recovery, self._on_state_recovered, now_ms)
 
     def _on_state_recovered(self, now_ms: float, escrow_image: bytes | None) -> None:
-        """Begin the escrow anew with its persisted image; None where none could be recovered."""
+        """Replace the escrow by one with the persisted image; None: no image could be recovered."""
         persister = self.persister
         is_durable = persister is not None and not persister.is_degraded
         has_memory = escrow_image is not None or self.router_count == 1
@@ -126,11 +135,11 @@
 
     @property
     def components(self) -> tuple[Component, ...]:
-        """The components, in the order of their ticks."""
+        """Return the components in the order of their ticks."""
         return (self.store, self.escrow, self.priority, self.change_freeze, self.recovery)
 
     def apply_fleet_config(self, now_ms: float, fleet_config: FleetConfig) -> list[OutboundMessage]:
-        """Propose the file's entries to the replicated store; those that it holds already change nothing."""
+        """Propose the entries of the file to the replicated store; entries already stored change nothing."""
         messages: list[OutboundMessage] = []
         for kind, name, body in (
             *contract_entries.entries_from_config(fleet_config),
@@ -145,7 +154,7 @@
         return messages + list(self.on_entries_changed(now_ms))
 
     def on_entries_changed(self, now_ms: float) -> Sequence[OutboundMessage]:
-        """Pass entries that came or changed to the components, and refresh the routing constraints."""
+        """Notify the components of new and changed entries, and refresh the routing constraints."""
         entries = self.store.take_changes()
         if entries and self.persister is not None:
             self.persister.on_entries_changed(entries)
@@ -154,8 +163,9 @@
         return messages
 
     def before_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
-        """Before a tick: read the wall clock, and take the samples of the peers' clocks."""
-        clock, samples = self.change_freeze.wall_clock, self.store.peer_clock_samples
+        """Update the Unix time before a tick, from the wall clock and from samples of the peers' clocks."""
+        clock = self.change_freeze.wall_clock
+        samples = self.store.peer_clock_samples
         for sender, (unix_ms, sent_at_ms, received_at_ms) in samples.items():
             clock.add_sample(received_at_ms, sender, unix_ms, sent_at_ms)
         samples.clear()
@@ -164,17 +174,17 @@
         return messages
 
     def released_settings(self, now_ms: float) -> RouterSettings | None:
-        """Settings that a change freeze deferred and that may be in force now; None where there are none.
+        """Return settings that a change freeze deferred and that may now apply; None: there are none.
 
-        Deferred loads and home workers need no such release: the router's own calls want them again. Here
-        they are only removed from the deferred changes, at the pace of the recovery.
+        Deferred loads and changes of home workers need no action here, because later requests cause the same
+        changes again. This method only removes them from the deferred changes, at the pace of the recovery.
         """
         deferred = self.change_freeze.gate.deferred_settings
         released = self.change_freeze.release_deferred_changes(now_ms)
         return deferred if any(change.kind == "retune" for change in released) else None
 
     def notify(self, now_ms: float, notification: Notification) -> list[OutboundMessage]:
-        """Pass a notification to these components."""
+        """Pass a notification to the fleet components, and return the resulting messages."""
         self.escrow_pools.now_ms = now_ms
         return [
             message
@@ -190,7 +200,15 @@
         tenant_index: int | None,
         was_warm: bool | None,
     ) -> None:
-        """An attempt has ended. ``was_warm``: an instance was loaded before it; None: unknown."""
+        """Notify the fleet components of the end of an attempt.
+
+        Args:
+            now_ms: The steady clock.
+            event: The end of the attempt.
+            function_id: The function of the request.
+            tenant_index: The tenant of the request; None: of no tenant.
+            was_warm: Whether an instance was loaded at the worker before the attempt; None: unknown.
+        """
         if event.outcome is Outcome.CONNECT_FAILED and event.is_unreachable:
             self.change_freeze.on_worker_down(now_ms, event.worker_id)
         completed = AttemptCompleted(
@@ -199,5 +217,5 @@
         self.notify(now_ms, completed)
 
     def status(self) -> Mapping[str, str]:
-        """The figures that belong to no single component."""
+        """Return the figures that belong to no single component."""
         return {"declared_unusable": str(self.rejected_entries), "routers": str(self.router_count)}
--- a/cedarthread/node/preemption_view.py
+++ b/cedarthread/node/preemption_view.py
@@ -1,4 +1,7 @@
-"""The router's records as the choice of a preemption victim needs them. Pure; times in ms."""
+"""Conversion of the router's records to the input of the selection of a request to preempt.
+
+The functions are pure. Times are ms of the router's steady clock.
+"""
 
 from __future__ import annotations
 
@@ -11,25 +14,25 @@
 
     from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
 
-MAX_PREEMPTION_CANDIDATES = 256  # pending requests that are considered: the youngest
-# Until a queued request is considered for a worker again: the time after which it would get its slot.
+MAX_PREEMPTION_CANDIDATES = 256  # only the youngest pending requests are considered
+# Assumed time until a queued request is considered for a worker again and gets a slot.
 QUEUED_EXPECTED_MS = 50.0
 
 
 def preemption_claim(
     now_ms: float, pending: PendingRequest, worker: WorkerRecord, expected_ms: float
 ) -> PreemptionClaim:
-    """The claim of a request that would go to ``worker`` and be served there in ``expected_ms``."""
+    """Return the claim of a request that ``worker`` would serve in ``expected_ms``."""
     assert pending.call_priority is not None
     wait_ms = expected_ms * worker.read_excess_load(now_ms)
     objective_ms = pending.arrived_at_ms + pending.request_class.latency_objective_ms
-    left_ms = min(pending.request.deadline_ms, objective_ms) - now_ms
+    remaining_ms = min(pending.request.deadline_ms, objective_ms) - now_ms
     in_flight = worker.in_flight + worker.peers_in_flight
     wait_with_one_less_ms = wait_ms * (1.0 - 1.0 / max(1.0, in_flight))
     return PreemptionClaim(
         pending.call_priority,
         expected_ms,
-        left_ms,
+        remaining_ms,
         wait_ms,
         {worker.endpoint.worker_id: wait_with_one_less_ms},
     )
@@ -41,7 +44,7 @@
     queue: Mapping[int, PendingRequest],
     worker: WorkerRecord,
 ) -> Iterator[PreemptionCandidate]:
-    """The requests whose preemption might free a slot of ``worker``: queued ones, and those it works on."""
+    """Yield the requests that could free a slot of ``worker``: queued ones, and those in flight at it."""
     for request_id in list(pending_requests)[-MAX_PREEMPTION_CANDIDATES:]:
         pending = pending_requests[request_id]
         is_queued = request_id in queue
@@ -57,8 +60,9 @@
 
 
 def _stage(pending: PendingRequest, is_queued: bool, last_in_flight: Attempt | None) -> CallStage:
-    """How far a request is. Whether an attempt's bytes have left is not known to the router: it counts as
-    written.
+    """Return the stage of a request.
+
+    An attempt in flight counts as written, because the router does not know how much has been written.
     """
     if pending.is_streaming:
         return CallStage.STREAMING
@@ -78,7 +82,7 @@
         first_at_ms = possibly_executed[0].started_at_ms
         deduplication_remaining_ms = first_at_ms + request_class.deduplication_window_ms - now_ms
     expected_ms = last.expected_ms if last is not None else QUEUED_EXPECTED_MS
-    spent_ms = now_ms - last.started_at_ms if last is not None else 0.0
+    elapsed_ms = now_ms - last.started_at_ms if last is not None else 0.0
     return PreemptionCandidate(
         request_id=request_id,
         retry_identity=request_id,
@@ -89,9 +93,9 @@
         priority_weight=request_class.priority_weight,
         arrived_at_ms=pending.arrived_at_ms,
         worker_id=worker.endpoint.worker_id,
-        time_to_free_ms=max(0.0, expected_ms - spent_ms),
+        time_to_free_ms=max(0.0, expected_ms - elapsed_ms),
         deduplication_remaining_ms=deduplication_remaining_ms,
-        consumed_work_ms=spent_ms,
+        consumed_work_ms=elapsed_ms,
         is_client_retry=pending.request.is_client_retry,
         attempts_in_flight=max(1, len(in_flight)),
     )
--- a/cedarthread/node/routing_node.py
+++ b/cedarthread/node/routing_node.py
@@ -1,7 +1,8 @@
-"""The routing node: one router and its components.
+"""The routing node, which consists of one router and its components.
 
-The simulator's adapter and the dispatcher host it alike. It is pure: it takes events with their time, and
-returns the actions to execute, in order. Times are ms of the host's clock, which only moves forward.
+The simulator's adapter and the dispatcher both host a ``RoutingNode``. The node does no I/O: its host passes
+in events and times, and executes the returned actions in order. Times are ms of the host's clock, which never
+steps back. Only ``RoutingNode`` writes its state.
 """
 
 from __future__ import annotations
@@ -27,47 +28,55 @@
     from cedarthread.model.settings import RouterSettings
     from cedarthread.node.fleet_components import FleetComponents
 
-COMPONENT_TIMER_TOKEN = 2**32 - 1  # of the timer for the components; the router's tokens stay below 2^31
+COMPONENT_TIMER_TOKEN = 2**32 - 1  # of the components' timer; the router's tokens are below 2^31
 TICK_PERIOD_MS = 250.0  # between ticks of the components
-TICK_STALLED_MS = 500.0  # without a tick, after which one comes before any other event
-MAX_LOGGED_MEMBERS = 8  # that one log line names
+TICK_STALLED_MS = 500.0  # time since the last tick from which on the next event is preceded by a tick
+MAX_LOGGED_MEMBERS = 8  # in one log line
 
 
 class RoutingNode:
-    """One router and its components, as one consumer of events and producer of actions."""
+    """A router and its components, as one consumer of events and producer of actions.
+
+    Args:
+        settings: The settings in force.
+        seed: Seed of the random decisions of the router and the components.
+        incarnation: A random number of this start of the process; None: derived from the seed.
+    """
 
     def __init__(self, settings: RouterSettings, seed: int, incarnation: int | None = None) -> None:
-        """``incarnation``: a number that is drawn anew at each start; None: derived from the seed."""
-        self.seed, self.incarnation, self.settings = seed, incarnation, settings
+        self.seed = seed
+        self.incarnation = incarnation
+        self.settings = settings
         self.router = Router(settings, seed)
         self.components = ComponentSet(seed, incarnation)
         self._attempts = AttemptObserver(self.router, self.components)
-        self._is_timer_set, self._last_tick_at_ms = False, 0.0
+        self._is_timer_set = False
+        self._last_tick_at_ms = 0.0
         self.update_settings(settings)
 
     @property
     def load_gossip(self) -> LoadGossip | None:
-        """The gossip of load between routers; None where the settings forbid it."""
+        """Return the gossip of load between routers; None: the settings forbid gossip."""
         return self.components.load_gossip
 
     @property
     def membership(self) -> SwimMembership | None:
-        """The membership of the fleet; None where the settings forbid it."""
+        """Return the membership of the fleet; None: the settings forbid gossip."""
         return self.components.membership
 
     @property
     def fleet_components(self) -> FleetComponents | None:
-        """What acts on the fleet file; None where none is named."""
+        """Return the components that the fleet file configures; None: no fleet file is configured."""
         return self.components.fleet
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event; returns the actions to execute, in order."""
+        """Handle an event, and return the actions to execute in order."""
         components = self.components
         if not components.active:
             return self.router.handle(now_ms, event)
         actions: list[Action] = []
         if components.fleet is not None and now_ms - self._last_tick_at_ms > TICK_STALLED_MS:
-            actions += self._on_tick(now_ms)  # what began or ended during the stall counts before this event
+            actions += self._on_tick(now_ms)  # windows may have started or ended during the stall
             actions += components.fleet.on_entries_changed(now_ms)
         if type(event) is PeerMessageReceived:
             actions += components.on_peer_message(now_ms, event)
@@ -87,13 +96,19 @@
         return actions
 
     def status(self, now_ms: float) -> dict[str, str]:
-        """The components' figures for operators, by name."""
+        """Return the figures of the components for operators by name."""
         return self.components.status(now_ms)
 
     def apply_fleet_config(
         self, now_ms: float, fleet_config: FleetConfig, wall_clock_ms: Callable[[], float]
     ) -> list[Action]:
-        """Take the operators' fleet file. ``wall_clock_ms``: reads the wall clock, Unix ms."""
+        """Apply the operators' fleet file, and return the actions to execute in order.
+
+        Args:
+            now_ms: The host's clock.
+            fleet_config: The fleet file.
+            wall_clock_ms: Reads the wall clock, Unix time in ms.
+        """
         if self.components.fleet is None:
             self._create_fleet_components(now_ms, fleet_config, wall_clock_ms)
         assert self.components.fleet is not None
@@ -104,7 +119,8 @@
     def _create_fleet_components(
         self, now_ms: float, fleet_config: FleetConfig, wall_clock_ms: Callable[[], float]
     ) -> None:
-        from cedarthread.node.fleet_components import FleetComponents  # with its libraries: only where needed
+        # Imported here, because the libraries of the fleet components are loaded only if needed.
+        from cedarthread.node.fleet_components import FleetComponents
 
         incarnation = self.seed if self.incarnation is None else self.incarnation
         fleet = FleetComponents(
@@ -118,8 +134,11 @@
         self._on_tick(now_ms)
 
     def update_settings(self, settings: RouterSettings, now_ms: float = 0.0) -> None:
-        """Take new settings, whose classes extend the old ones. What they forbid now ends."""
-        if self.components.fleet is not None:  # a change freeze may defer what would move instances
+        """Apply new settings, which must contain all classes of the previous settings at the same indexes.
+
+        Components that the new settings forbid are dropped.
+        """
+        if self.components.fleet is not None:  # a change freeze may defer changes that move instances
             gate = self.components.fleet.change_freeze.gate
             settings = gate.admitted_settings(now_ms, self.settings, settings)
         self.settings = settings
@@ -134,7 +153,7 @@
         self._notify_peers_changed(now_ms)
 
     def _set_timer(self, now_ms: float, actions: list[Action]) -> None:
-        """Have the components ticked again, unless that is arranged already."""
+        """Add an action that sets the timer for the next tick, unless that timer is set."""
         if not self._is_timer_set:
             self._is_timer_set = True
             actions.append(SetTimer(now_ms + TICK_PERIOD_MS, COMPONENT_TIMER_TOKEN))
@@ -148,11 +167,13 @@
                 self.update_settings(settings, now_ms)
             self.components.update(self.settings)
         actions += self.components.on_tick(now_ms)
-        self._is_timer_set, self._last_tick_at_ms = False, now_ms
+        self._is_timer_set = False
+        self._last_tick_at_ms = now_ms
         return actions
 
     def _on_router_event(self, now_ms: float, event: Event) -> list[Action]:
-        load_gossip, fleet = self.components.load_gossip, self.components.fleet
+        load_gossip = self.components.load_gossip
+        fleet = self.components.fleet
         if type(event) is AttemptEnded:
             self._attempts.record_ended(now_ms, event)
         elif type(event) is EndpointUpdate and fleet is not None:
@@ -164,7 +185,7 @@
         return actions
 
     def _notify_peers_changed(self, now_ms: float) -> list[Action]:
-        """Tell router and components which peers are alive: quotas and gossip targets depend on them."""
+        """Notify router and components of the live peers, on which quotas and gossip targets depend."""
         membership = self.components.membership
         if membership is None:
             return []
@@ -172,7 +193,7 @@
         return self.components.notify(now_ms, membership.peers_changed(now_ms))
 
     def _on_membership_changes(self, now_ms: float, membership: SwimMembership) -> list[Action]:
-        """Pass on that peers have joined or failed, and log it; a mere suspicion is not logged."""
+        """Notify router and components of membership changes, and log them except for suspicions."""
         changes = [
             f"{change.member_index}:{change.status.name.lower()}"
             for change in membership.status_changes
@@ -191,14 +212,14 @@
         return [*actions, LogMessage(line)]
 
     def _apply_peer_load(self, in_flight_by_worker: dict[int, float]) -> None:
-        """Take what gossip says of other routers' attempts in flight at workers, and clear it."""
+        """Copy the gossiped counts of attempts in flight to the worker records, and clear the counts."""
         for worker_id, in_flight in in_flight_by_worker.items():
             if (worker := self.router.workers.get(worker_id)) is not None:
                 worker.peers_in_flight = in_flight
         in_flight_by_worker.clear()
 
     def _forget_peer_load(self) -> None:
-        """Forget what gossip had said."""
+        """Reset the load and the instances that gossip reported."""
         for worker in self.router.workers.values():
             worker.peers_in_flight = 0.0
         for function in self.router.functions.values():
