--- a/cedarthread/dispatch/actions.py
+++ b/cedarthread/dispatch/actions.py
@@ -56,6 +56,7 @@
         self._context = context
         self._calls = calls
         self._completion = completion
+        # The parameter of each handler has the type of the key, which annotations of a dict cannot express.
         self._handlers: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._start_attempt,
             CancelAttempt: self._cancel_attempt,
--- a/cedarthread/dispatch/completion.py
+++ b/cedarthread/dispatch/completion.py
@@ -17,6 +17,7 @@
     CallRejected,
     CallResult,
     CallSucceeded,
+    Progress,
 )
 from cedarthread.logs import format_event
 from cedarthread.model.events import AttemptEnded, ClientDisconnected, Event
@@ -98,11 +99,36 @@
 
     def abandon(self, call: Call) -> None:
         """End a pending call without a result, because its client has disconnected."""
+        call.client_disconnected_at_ms = min(call.client_disconnected_at_ms, self._context.clock())
         if not call.is_complete:
             self._figures.count_client_disconnected()
             self._release(call)
             self._enqueue_event(ClientDisconnected(call.request_id))
 
+    def fail(self, call: Call) -> None:
+        """Fail a pending call of a client that can be written to but no longer read from."""
+        if not call.is_complete:
+            self.complete(call, CallFailed())
+            self._enqueue_event(ClientDisconnected(call.request_id))
+
+    def on_client_closing(self, call: Call) -> None:
+        """Record that the client has closed its writing half; the client may still read the result.
+
+        An attempt in flight may still provide the result, but no further attempt starts. A call without a
+        partly written attempt in flight is completed now.
+        """
+        if call.is_complete or call.is_client_closing:
+            return
+        call.is_client_closing = True
+        call.client_disconnected_at_ms = self._context.clock()
+        for attempt in call.attempts:
+            self._context.workers().refresh_progress(attempt)
+        is_in_flight = (
+            not attempt.is_ended and attempt.progress >= Progress.PARTLY_WRITTEN for attempt in call.attempts
+        )
+        if not any(is_in_flight):
+            self.complete_locally(call, timed_out=False)
+
     def complete_locally(self, call: Call, *, timed_out: bool) -> None:
         """Complete a call without the router: as rejected if a retry is harmless, else as failed."""
         may_have_executed = any(attempt.may_have_executed() for attempt in call.attempts)
--- a/cedarthread/dispatch/context.py
+++ b/cedarthread/dispatch/context.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, TypeVarTuple
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -11,6 +11,8 @@
     from cedarthread.dispatch.calls import WorkerTransport
     from cedarthread.model.settings import RouterSettings
 
+Arguments = TypeVarTuple("Arguments")  # of a callback
+
 
 class DispatchContext:
     """Settings, clock, event loop and the transports to workers and peers of one dispatcher.
@@ -35,7 +37,9 @@
         assert self.worker_transport is not None
         return self.worker_transport
 
-    def call_at(self, at_ms: float, callback: Callable[..., None], *args: Any) -> asyncio.TimerHandle:
+    def call_at(
+        self, at_ms: float, callback: Callable[[*Arguments], None], *args: *Arguments
+    ) -> asyncio.TimerHandle:
         """Schedule a callback for a time of ``clock``; for a past time, in the next loop iteration."""
         delay_s = max(0.0, at_ms - self.clock()) / 1000.0
         return self.loop.call_later(delay_s, callback, *args)
--- a/cedarthread/dispatch/deadlines.py
+++ b/cedarthread/dispatch/deadlines.py
@@ -44,6 +44,13 @@
         if at_ms < self._wakeup_at_ms:
             self._set_wakeup(at_ms)
 
+    def bring_forward(self, at_ms: float) -> None:
+        """Set the deadline of each pending call with a later deadline to a time of the clock."""
+        for call in list(self._calls.pending.values()):
+            if call.deadline_ms > at_ms:
+                call.deadline_ms = at_ms
+                self.schedule(at_ms, call)
+
     def run_if_due(self, now_ms: float) -> None:
         """Handle the due calls now if the timer should have fired by ``now_ms``.
 
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -13,36 +13,24 @@
 
 from cedarthread.dispatch.actions import ActionExecutor
 from cedarthread.dispatch.call_table import DEFAULT_MAX_BODY_BYTES, CallTable
-from cedarthread.dispatch.calls import (
-    Attempt,
-    AttemptResult,
-    Call,
-    CallFailed,
-    Progress,
-    WorkerTransport,
-)
 from cedarthread.dispatch.clock import steady_unix_clock_ms, wall_clock_ms
 from cedarthread.dispatch.completion import CallCompletion
 from cedarthread.dispatch.context import DispatchContext
 from cedarthread.dispatch.deadlines import CallDeadlines
 from cedarthread.dispatch.figures import CallFigures
 from cedarthread.dispatch.node_timers import NodeTimers
+from cedarthread.dispatch.request_classes import merge_request_classes
 from cedarthread.dispatch.send_audit import SendAudit
 from cedarthread.dispatch.send_guard import SendGuard
 from cedarthread.logs import format_event
 from cedarthread.model.endpoints import EndpointState, EndpointUpdate
-from cedarthread.model.events import (
-    ClientDisconnected,
-    Event,
-    PeerMessageReceived,
-    PreloadEnded,
-    RequestArrived,
-)
+from cedarthread.model.events import Event, PeerMessageReceived, PreloadEnded, RequestArrived
 from cedarthread.node.routing_node import RoutingNode
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
+    from cedarthread.dispatch.calls import Attempt, AttemptResult, Call, WorkerTransport
     from cedarthread.fleet_config import FleetConfig
     from cedarthread.model.actions import Action
     from cedarthread.model.settings import RouterSettings
@@ -157,10 +145,7 @@
         )
 
     def arrival_ms(self) -> float:
-        """Return the earliest time at which input that is read now may have arrived.
-
-        The time limit of the sender runs from this time.
-        """
+        """Return the earliest arrival time of input that is read now; time limits start at this time."""
         return self.context.clock() - self.input_delay_ms()
 
     def reject_call(self, call: Call) -> None:
@@ -177,32 +162,15 @@
 
     def fail_call(self, call: Call) -> None:
         """Fail a call of a client that can be written to but no longer read from."""
-        if not call.is_complete:
-            self.completion.complete(call, CallFailed())
-            self._enqueue_event(ClientDisconnected(call.request_id))
+        self.completion.fail(call)
 
     def abandon_call(self, call: Call) -> None:
         """End a call without a result, because its client has disconnected."""
-        call.client_disconnected_at_ms = min(call.client_disconnected_at_ms, self.context.clock())
         self.completion.abandon(call)
 
     def client_closing(self, call: Call) -> None:
-        """Record that the client has closed its writing half; the client may still read the result.
-
-        An attempt in flight may still provide the result, but no further attempt starts. A call without a
-        partly written attempt in flight is completed now.
-        """
-        if call.is_complete or call.is_client_closing:
-            return
-        call.is_client_closing = True
-        call.client_disconnected_at_ms = self.context.clock()
-        for attempt in call.attempts:
-            self.context.workers().refresh_progress(attempt)
-        is_in_flight = (
-            not attempt.is_ended and attempt.progress >= Progress.PARTLY_WRITTEN for attempt in call.attempts
-        )
-        if not any(is_in_flight):
-            self.completion.complete_locally(call, timed_out=False)
+        """Record that the client has closed its writing half; the client may still read the result."""
+        self.completion.on_client_closing(call)
 
     def may_start_attempt(self, attempt: Attempt) -> bool:
         """Return whether an attempt may be sent, checked immediately before its first byte is written.
@@ -261,21 +229,10 @@
         self._enqueue_event(event)
 
     def update_settings(self, new_settings: RouterSettings) -> RouterSettings:
-        """Apply new settings, and return the settings in force.
-
-        Classes are only added, because pending calls refer to their classes by index. A new or changed class
-        gets a new index. A class that the new settings lack gets no new calls.
-        """
-        classes = list(self.settings.classes)
-        current_class_index = {}
-        for request_class in new_settings.classes:
-            class_index = self.current_class_index.get(request_class.name)
-            if class_index is None or classes[class_index] != request_class:
-                classes.append(request_class)
-                class_index = len(classes) - 1
-            current_class_index[request_class.name] = class_index
-        self.context.settings = replace(new_settings, classes=tuple(classes))
-        self.current_class_index = current_class_index
+        """Apply new settings, and return the settings in force, which also contain all previous classes."""
+        merged = merge_request_classes(self.settings.classes, self.current_class_index, new_settings.classes)
+        self.context.settings = replace(new_settings, classes=merged.classes)
+        self.current_class_index = merged.current_class_index
         self.node.update_settings(self.settings, self.clock())
         self.figures.add_classes(new_settings)
         return self.settings
@@ -289,10 +246,7 @@
     def complete_all_by(self, at_ms: float) -> None:
         """Complete every call by a time, including the calls that are submitted from now on."""
         self.shutdown_deadline_ms = at_ms
-        for call in list(self.calls.pending.values()):
-            if call.deadline_ms > at_ms:
-                call.deadline_ms = at_ms
-                self.deadlines.schedule(at_ms, call)
+        self.deadlines.bring_forward(at_ms)
 
     def tick_early(self, within_ms: float) -> None:
         """Run the tick of the components now if the tick is due within ``within_ms``.
--- a/cedarthread/node/attempt_observer.py
+++ b/cedarthread/node/attempt_observer.py
@@ -72,7 +72,7 @@
         if components.fleet is not None:
             was_warm = _WAS_WARM.get(event.start_kind)
             components.fleet.on_attempt_ended(
-                now_ms, event, attempt.function_id, attempt.tenant_index, was_warm
+                now_ms, event, attempt.function_id, attempt.tenant_index, was_warm=was_warm
             )
             reported_load = self._router.feedback.reported_load(event)
             if reported_load is not None:
--- a/cedarthread/node/fleet_components.py
+++ b/cedarthread/node/fleet_components.py
@@ -30,7 +30,7 @@
 
     from cedarthread.components.component import Component
     from cedarthread.components.messages import OutboundMessage
-    from cedarthread.fleet_config import FleetConfig
+    from cedarthread.fleet_config import FleetConfig, SharingConfig
     from cedarthread.model.events import AttemptEnded
     from cedarthread.model.settings import RouterSettings
 
@@ -45,6 +45,18 @@
     clock_rate: float  # maximum rate error of a steady clock, as a fraction
 
 
+def _identity(settings: RouterSettings, seed: int, incarnation: int, clock_rate: float) -> _Identity:
+    """Return the identity of this router: without peers, the only router of a fleet of one."""
+    has_peers = settings.limits.allows_gossip and settings.router_count > 1
+    return _Identity(
+        settings.router_index if has_peers else 0,
+        settings.router_count if has_peers else 1,
+        incarnation,
+        seed,
+        clock_rate,
+    )
+
+
 class FleetComponents:
     """Replicated store, escrow, priorities, change freeze and restart recovery of one router.
 
@@ -68,26 +80,10 @@
         wall_clock_ms: Callable[[], float],
     ) -> None:
         sharing = fleet_config.sharing
-        has_peers = settings.limits.allows_gossip and settings.router_count > 1
-        self.router_count = settings.router_count if has_peers else 1
+        self._identity = _identity(settings, seed, incarnation, sharing.clock_rate)
+        self.router_count = self._identity.router_count
         self.wall_clock_ms = wall_clock_ms
-        self._identity = _Identity(
-            settings.router_index if has_peers else 0,
-            self.router_count,
-            incarnation,
-            seed,
-            sharing.clock_rate,
-        )
-        self.store = ReplicatedStore(
-            self._identity.router_index,
-            self._identity.router_count,
-            incarnation,
-            seed,
-            period_ms=sharing.period,
-            window_ms=sharing.fresh,
-            clock_rate=sharing.clock_rate,
-            now_ms=now_ms,
-        )
+        self.store = self._new_store(now_ms, sharing)
         self.escrow = self._new_escrow(now_ms, has_memory=self.router_count == 1, is_durable=False)
         self.escrow_pools = EscrowPools(self.escrow, self.store)
         self.priority = PriorityComponent(self.store, self.escrow_pools, settings, seed)
@@ -101,10 +97,25 @@
         )
         self.recovery = RecoveryComponent(settings, seed ^ incarnation, now_ms)
         self.constraints = FleetConstraints(self.priority, self.change_freeze.gate, self.recovery)
-        self.change_freeze.gate.take_release = lambda at: int(self.recovery.admission.try_acquire_release(at))
+        self.change_freeze.gate.take_release = lambda at_ms: int(
+            self.recovery.admission.try_acquire_release(at_ms)
+        )
         self.persister = self._new_persister(now_ms) if fleet_config.disk else None
         self.rejected_entries = 0  # entries of the fleet file that the replicated store rejected
 
+    def _new_store(self, now_ms: float, sharing: SharingConfig) -> ReplicatedStore:
+        identity = self._identity
+        return ReplicatedStore(
+            identity.router_index,
+            identity.router_count,
+            identity.incarnation,
+            identity.seed,
+            period_ms=sharing.period,
+            window_ms=sharing.fresh,
+            clock_rate=identity.clock_rate,
+            now_ms=now_ms,
+        )
+
     def _new_escrow(self, now_ms: float, *, has_memory: bool, is_durable: bool) -> Escrow:
         identity = self._identity
         return Escrow(
@@ -166,8 +177,8 @@
         """Update the Unix time before a tick, from the wall clock and from samples of the peers' clocks."""
         clock = self.change_freeze.wall_clock
         samples = self.store.peer_clock_samples
-        for sender, (unix_ms, sent_at_ms, received_at_ms) in samples.items():
-            clock.add_sample(received_at_ms, sender, unix_ms, sent_at_ms)
+        for sender, sample in samples.items():
+            clock.add_sample(sample.received_at_ms, sender, sample.unix_ms, sample.sent_at_ms)
         samples.clear()
         messages = self.notify(now_ms, WallClockRead(self.wall_clock_ms()))
         self.store.unix_ms = clock.unix_ms(now_ms)
@@ -198,6 +209,7 @@
         event: AttemptEnded,
         function_id: int,
         tenant_index: int | None,
+        *,
         was_warm: bool | None,
     ) -> None:
         """Notify the fleet components of the end of an attempt.
--- a/cedarthread/node/preemption_view.py
+++ b/cedarthread/node/preemption_view.py
@@ -49,7 +49,7 @@
         pending = pending_requests[request_id]
         is_queued = request_id in queue
         if pending.call_priority is not None and (is_queued or _is_in_flight_at(pending, worker)):
-            yield _candidate(now_ms, request_id, pending, worker, is_queued)
+            yield _candidate(now_ms, request_id, pending, worker, is_queued=is_queued)
 
 
 def _is_in_flight_at(pending: PendingRequest, worker: WorkerRecord) -> bool:
@@ -59,7 +59,7 @@
     )
 
 
-def _stage(pending: PendingRequest, is_queued: bool, last_in_flight: Attempt | None) -> CallStage:
+def _stage(pending: PendingRequest, last_in_flight: Attempt | None, *, is_queued: bool) -> CallStage:
     """Return the stage of a request.
 
     An attempt in flight counts as written, because the router does not know how much has been written.
@@ -70,7 +70,7 @@
 
 
 def _candidate(
-    now_ms: float, request_id: int, pending: PendingRequest, worker: WorkerRecord, is_queued: bool
+    now_ms: float, request_id: int, pending: PendingRequest, worker: WorkerRecord, *, is_queued: bool
 ) -> PreemptionCandidate:
     assert pending.call_priority is not None
     request_class = pending.request_class
@@ -87,7 +87,7 @@
         request_id=request_id,
         retry_identity=request_id,
         priority=pending.call_priority,
-        stage=_stage(pending, is_queued, last),
+        stage=_stage(pending, last, is_queued=is_queued),
         idempotency=request_class.idempotency,
         deduplication_scope=request_class.deduplication_scope,
         priority_weight=request_class.priority_weight,
--- a/tests/unit/dispatch/test_dispatcher.py
+++ b/tests/unit/dispatch/test_dispatcher.py
@@ -206,7 +206,7 @@
             handles.append(call_at(at_ms, callback, *args))
             return handles[-1]
 
-        dispatcher.context.call_at = recorded  # type: ignore[method-assign]
+        dispatcher.context.call_at = recorded  # type: ignore[method-assign, assignment]
         results: list[CallResult] = []
         for number in range(50):
             submit_call(dispatcher, results, limit_ms=5000.0 - number)
