--- a/tests/unit/node/test_component_set.py
+++ b/tests/unit/node/test_component_set.py
@@ -1,8 +1,9 @@
-"""The components of a routing node: which there are, and how datagrams and notifications reach them."""
+"""The components of a routing node, and the dispatch of datagrams, ticks and notifications to them."""
 
 from __future__ import annotations
 
 import dataclasses
+from typing import NamedTuple
 
 import pytest
 
@@ -17,7 +18,7 @@
 
 
 class RecordingComponent:
-    """Records what reaches it."""
+    """A component that records its datagrams, ticks and notifications."""
 
     message_types = frozenset({MessageType.LOAD_PRESSURE})
 
@@ -40,20 +41,28 @@
         return {"component": str(len(self.received))}
 
 
-def node_with_component() -> tuple[RoutingNode, RecordingComponent]:
-    node, component = RoutingNode(SETTINGS, 1), RecordingComponent()
+class NodeWithComponent(NamedTuple):
+    """A routing node and a component that was added to its own."""
+
+    node: RoutingNode
+    component: RecordingComponent
+
+
+def node_with_component() -> NodeWithComponent:
+    node = RoutingNode(SETTINGS, 1)
+    component = RecordingComponent()
     node.components.active.append(component)
     node.components.by_message_type[MessageType.LOAD_PRESSURE] = component
-    return node, component
+    return NodeWithComponent(node, component)
 
 
-def test_each_datagram_goes_to_the_component_of_its_type() -> None:
+def test_each_datagram_reaches_the_component_of_its_type() -> None:
     node, component = node_with_component()
     assert LogMessage("received") in node.handle(1.0, PeerMessageReceived(2, b"\xc6word"))
-    for data in (b"", b"\x00", b"\xc1", b"\xc2" + bytes(300)):  # of no known type, or of others
+    for data in (b"", b"\x00", b"\xc1", b"\xc2" + bytes(300)):  # of unknown types, or of other components
         node.handle(2.0, PeerMessageReceived(2, data))
     assert component.received == ["message 2 word"]
-    # Gossip counts its own, and those of no known type.
+    # Gossip counts its own malformed datagrams and those of unknown types.
     assert node.load_gossip is not None
     assert node.load_gossip.malformed_datagrams == 3
     assert node.membership is not None
