--- a/cedarthread/components/datagram_fields.py
+++ b/cedarthread/components/datagram_fields.py
@@ -2,8 +2,8 @@
 
 A datagram is a fixed header, optionally followed by records of one size or by groups up to the end of the
 datagram. A group is a group header and records; the last field of the group header is the number of records.
-Readers never raise because of bytes from the network, but return a `MalformedDatagram` with the reason.
-Writers raise `ValueError`, because a datagram that is too long is a fault of this program.
+Readers never raise because of bytes from the network, but return a ``MalformedDatagram`` with the reason.
+Writers raise ``ValueError``, because a datagram that is too long is a fault of this program.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 MAX_DATAGRAM_BYTES = 256  # limit of the platform's protocol; a longer datagram voids a whole run
 
-RecordFields = tuple[Any, ...]  # as `struct` unpacks one record
+RecordFields = tuple[Any, ...]  # as ``struct`` unpacks one record
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
     """Concatenate packed fields.
 
     Raises:
-        ValueError: The datagram would exceed `MAX_DATAGRAM_BYTES`.
+        ValueError: The datagram would exceed ``MAX_DATAGRAM_BYTES``.
     """
     data = b"".join(fields)
     if len(data) > MAX_DATAGRAM_BYTES:
@@ -50,21 +50,21 @@
     """Check that the records fit into one datagram.
 
     Raises:
-        ValueError: There are more than `limit` records.
+        ValueError: There are more than ``limit`` records.
     """
     if len(records) > limit:
         raise ValueError(f"{len(records)} entries, {limit} at most")
 
 
 def max_records(offset: int, record: struct.Struct) -> int:
-    """Return the number of records that fit behind a header of `offset` bytes."""
+    """Return the number of records that fit behind a header of ``offset`` bytes."""
     return (MAX_DATAGRAM_BYTES - offset) // record.size
 
 
 def read_records(
     data: bytes, offset: int, record: struct.Struct
 ) -> tuple[RecordFields, ...] | MalformedDatagram:
-    """Read records of one size from `offset` to the end; malformed if too short, too long or truncated."""
+    """Read records of one size from ``offset`` to the end; malformed if too short, too long or truncated."""
     if not offset <= len(data) <= MAX_DATAGRAM_BYTES or (len(data) - offset) % record.size:
         return MalformedDatagram(f"{len(data)} bytes")
     return tuple(record.iter_unpack(data[offset:]))
@@ -73,7 +73,7 @@
 def read_record_groups(
     data: bytes, offset: int, header: struct.Struct, record: struct.Struct
 ) -> list[RecordGroup] | MalformedDatagram:
-    """Read groups from `offset` to the end; malformed if a group header or its records are truncated."""
+    """Read groups from ``offset`` to the end; malformed if a group header or its records are truncated."""
     groups: list[RecordGroup] = []
     while offset < len(data):
         if offset + header.size > len(data):
--- a/cedarthread/components/messages.py
+++ b/cedarthread/components/messages.py
@@ -15,7 +15,7 @@
     REPLICATION = 0xC3
     ESCROW = 0xC4
     RECOVERY = 0xC5  # queries for warm instances by restarted routers, and the responses
-    LOAD_PRESSURE = 0xC6  # the overload of a router, and the use by tenants
+    LOAD_PRESSURE = 0xC6  # how overloaded a router is, and the usage of tenants
 
 
 OutboundMessage = SendToPeer | LogMessage
--- a/cedarthread/dispatch/actions.py
+++ b/cedarthread/dispatch/actions.py
@@ -71,7 +71,7 @@
         }
 
     def execute(self, actions: Iterable[Action]) -> None:
-        """Execute actions in order."""
+        """Execute actions in order, and ignore types without a handler."""
         for action in actions:
             handler = self._handlers.get(type(action))
             if handler is None:
--- a/cedarthread/dispatch/call_table.py
+++ b/cedarthread/dispatch/call_table.py
@@ -26,7 +26,7 @@
 
     def __init__(self, max_body_bytes: int = DEFAULT_MAX_BODY_BYTES) -> None:
         self.pending: dict[int, Call] = {}  # by request id
-        self.pending_ids: set[str] = set()  # of the pending calls; assigned by the clients
+        self.pending_ids: set[str] = set()  # ``Call.call_id`` of each pending call
         self.pending_body_bytes = 0
         self.max_body_bytes = max_body_bytes
         self.completing: dict[int, Call] = {}  # by request id
--- a/cedarthread/dispatch/calls.py
+++ b/cedarthread/dispatch/calls.py
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """Result of a call that failed and that a worker may have executed."""
+    """Result of a call that failed and may have been executed."""
 
     timed_out: bool = False
 
--- a/cedarthread/dispatch/completion.py
+++ b/cedarthread/dispatch/completion.py
@@ -106,7 +106,10 @@
             self._enqueue_event(ClientDisconnected(call.request_id))
 
     def fail(self, call: Call) -> None:
-        """Fail a pending call of a client that can be written to but no longer read from."""
+        """Fail a pending call of a client that can be written to but no longer read from.
+
+        The router drops the request, as if the client had disconnected.
+        """
         if not call.is_complete:
             self.complete(call, CallFailed())
             self._enqueue_event(ClientDisconnected(call.request_id))
@@ -114,8 +117,8 @@
     def on_client_closing(self, call: Call) -> None:
         """Record that the client has closed its writing half; the client may still read the result.
 
-        An attempt in flight may still provide the result, but no further attempt starts. A call without a
-        partly written attempt in flight is completed now.
+        An attempt of which at least one byte has been written may still provide the result, but no further
+        attempt starts. A call without such an attempt is completed now.
         """
         if call.is_complete or call.is_client_closing:
             return
@@ -130,7 +133,10 @@
             self.complete_locally(call, timed_out=False)
 
     def complete_locally(self, call: Call, *, timed_out: bool) -> None:
-        """Complete a call without the router: as rejected if a retry is harmless, else as failed."""
+        """Complete a call without the router: as rejected if a retry is harmless, else as failed.
+
+        The router drops the request, as if the client had disconnected.
+        """
         may_have_executed = any(attempt.may_have_executed() for attempt in call.attempts)
         request_class = self._context.settings.classes[call.class_index]
         if may_have_executed and request_class.idempotency is not Idempotency.IDEMPOTENT:
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -272,6 +272,7 @@
             self.context.loop.call_soon(self._process_events)
 
     def _process_events(self) -> None:
+        """Handle due deadlines, pass the queued events to the node, and execute the resulting actions."""
         now_ms = self.context.clock()
         self.deadlines.run_if_due(now_ms)
         if not self._event_queue or not self.may_proceed():
@@ -287,7 +288,7 @@
         for event in events:
             try:
                 actions.extend(self.node.handle(now_ms, event))
-            except Exception:
+            except Exception:  # the calls of the event are completed at their deadlines
                 log.exception(format_event("event_handler_failed", event_type=type(event).__name__))
         self._executor.execute(actions)
         self.calls.forget_completed()
--- a/cedarthread/dispatch/send_audit.py
+++ b/cedarthread/dispatch/send_audit.py
@@ -32,11 +32,11 @@
 class SendRule(StrEnum):
     """A rule on sending; the values are logged."""
 
-    DRAIN = "drain"
-    CLIENT_DISCONNECTED = "client_gone"
-    AFTER_ANSWER = "after_answer"
-    TWO_ATTEMPTS = "two_attempts"
-    UNSAFE_REPEAT = "unsafe_repeat"
+    DRAIN = "drain"  # nothing is sent to a worker that has not been ready for longer than the drain grace
+    CLIENT_DISCONNECTED = "client_gone"  # no attempt starts after the client disconnected or cancelled
+    AFTER_ANSWER = "after_answer"  # no attempt starts after the completion of its call
+    TWO_ATTEMPTS = "two_attempts"  # at most one attempt of a call is in flight
+    UNSAFE_REPEAT = "unsafe_repeat"  # no retry of a call that is not idempotent and may have been executed
 
 
 class SendAudit:
@@ -44,9 +44,8 @@
 
     def __init__(self) -> None:
         self.violations: Counter[SendRule] = Counter()
-        self._not_ready_since_ms: dict[
-            int, float
-        ] = {}  # by worker id: first list without the worker as ready
+        # By worker id: when the worker was first known to be draining or removed.
+        self._not_ready_since_ms: dict[int, float] = {}
         self._ready_workers: set[int] = set()
 
     def on_endpoints(self, now_ms: float, states: Mapping[int, EndpointState]) -> None:
--- a/cedarthread/dispatch/send_guard.py
+++ b/cedarthread/dispatch/send_guard.py
@@ -23,13 +23,13 @@
 
     ATTEMPT_ENDED = "attempt_ended"
     CALL_COMPLETE = "call_complete"
-    CLIENT_DISCONNECTED = "client_gone"
-    DEADLINE_PASSED = "deadline_passed"
-    WORKER_NOT_READY = "worker_not_ready"
-    RETRY_WINDOW_PASSED = "retry_window_passed"
+    CLIENT_DISCONNECTED = "client_gone"  # the client has closed its writing half
+    DEADLINE_PASSED = "deadline_passed"  # of the call
+    WORKER_NOT_READY = "worker_not_ready"  # draining, removed or never listed
+    RETRY_WINDOW_PASSED = "retry_window_passed"  # the deduplication window of an idempotency key
     TOO_MANY_ATTEMPTS = "too_many_attempts"
-    ATTEMPT_IN_FLIGHT = "attempt_in_flight"
-    MAY_HAVE_EXECUTED = "may_have_executed"
+    ATTEMPT_IN_FLIGHT = "attempt_in_flight"  # another attempt of the call
+    MAY_HAVE_EXECUTED = "may_have_executed"  # an earlier attempt of a call that is not idempotent
 
 
 class SendGuard:
--- a/cedarthread/dispatch/stall_hold.py
+++ b/cedarthread/dispatch/stall_hold.py
@@ -25,6 +25,11 @@
     def begin_if_stalled(self, now_s: float, query_due_at_s: float, drain_grace_s: float) -> float | None:
         """Start a suspension if a discovery poll is late enough to prove a stall.
 
+        Args:
+            now_s: The clock of the event loop.
+            query_due_at_s: When the discovery poll was due.
+            drain_grace_s: How long a draining worker may still be sent to.
+
         Returns:
             The maximum duration of the new suspension in seconds; None: no suspension started.
         """
--- a/cedarthread/node/attempt_observer.py
+++ b/cedarthread/node/attempt_observer.py
@@ -34,7 +34,7 @@
 
 
 class AttemptObserver:
-    """Function and tenant of each attempt in flight, which ``AttemptEnded`` does not contain.
+    """Observer that stores function and tenant of each attempt in flight, which ``AttemptEnded`` lacks.
 
     Args:
         router: Its pending requests supply function and tenant when an attempt starts.
--- a/cedarthread/node/escrow_pools.py
+++ b/cedarthread/node/escrow_pools.py
@@ -1,4 +1,4 @@
-"""The quota escrow for components, which opens each pool with the knowledge whether the pool is new."""
+"""The adapter between components and the escrow, which determines whether a pool is new."""
 
 from __future__ import annotations
 
@@ -49,17 +49,17 @@
         A router that has been fresh for the staleness bound has received every earlier entry. The grace is
         added because shortly after a start of all routers, an older entry may still arrive from a slow disk.
         """
-        since = self._store.fresh_since(self.now_ms)
-        if since is None:
+        since_ms = self._store.fresh_since(self.now_ms)
+        if since_ms is None:
             return False
-        return self.now_ms - since >= self._store.staleness_bound_ms + DISK_OPEN_GRACE_MS
+        return self.now_ms - since_ms >= self._store.staleness_bound_ms + DISK_OPEN_GRACE_MS
 
     def available(self, now_ms: float, name: str) -> int:
         """Return the amount of a pool that this router may use now."""
         return self.escrow.available(now_ms, name)
 
     def consume(self, now_ms: float, name: str, amount: int = 1) -> bool:
-        """Consume an amount of a consumable pool; return False if less is available."""
+        """Consume an amount of a consumable pool; return False, and consume nothing, if less is available."""
         return self.escrow.consume(now_ms, name, amount)
 
     def request(self, now_ms: float, name: str, amount: int) -> None:
--- a/cedarthread/node/fleet_components.py
+++ b/cedarthread/node/fleet_components.py
@@ -45,7 +45,7 @@
     clock_rate: float  # maximum rate error of a steady clock, as a fraction
 
 
-def _identity(settings: RouterSettings, seed: int, incarnation: int, clock_rate: float) -> _Identity:
+def _identity_of(settings: RouterSettings, seed: int, incarnation: int, clock_rate: float) -> _Identity:
     """Return the identity of this router: without peers, the only router of a fleet of one."""
     has_peers = settings.limits.allows_gossip and settings.router_count > 1
     return _Identity(
@@ -80,7 +80,7 @@
         wall_clock_ms: Callable[[], float],
     ) -> None:
         sharing = fleet_config.sharing
-        self._identity = _identity(settings, seed, incarnation, sharing.clock_rate)
+        self._identity = _identity_of(settings, seed, incarnation, sharing.clock_rate)
         self.router_count = self._identity.router_count
         self.wall_clock_ms = wall_clock_ms
         self.store = self._new_store(now_ms, sharing)
--- a/cedarthread/node/routing_node.py
+++ b/cedarthread/node/routing_node.py
@@ -72,7 +72,7 @@
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Handle an event, and return the actions to execute in order."""
         components = self.components
-        if not components.active:
+        if not components.active:  # the settings forbid gossip, and no fleet file is configured
             return self.router.handle(now_ms, event)
         actions: list[Action] = []
         if components.fleet is not None and now_ms - self._last_tick_at_ms > TICK_STALLED_MS:
