--- a/cedarthread/dispatch/completion.py
+++ b/cedarthread/dispatch/completion.py
@@ -126,10 +126,10 @@
         call.client_disconnected_at_ms = self._context.clock()
         for attempt in call.attempts:
             self._context.workers().refresh_progress(attempt)
-        is_in_flight = (
+        has_written_attempt = any(
             not attempt.is_ended and attempt.progress >= Progress.PARTLY_WRITTEN for attempt in call.attempts
         )
-        if not any(is_in_flight):
+        if not has_written_attempt:
             self.complete_locally(call, timed_out=False)
 
     def complete_locally(self, call: Call, *, timed_out: bool) -> None:
