--- a/cedarthread/dispatch/context.py
+++ b/cedarthread/dispatch/context.py
@@ -1,9 +1,9 @@
-"""What the parts of the dispatcher share: settings, clock, event loop and the ways out."""
+"""The context that the parts of a dispatcher share. ``Dispatcher`` writes its state."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, TypeVarTuple
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -11,31 +11,39 @@
     from cedarthread.dispatch.calls import WorkerTransport
     from cedarthread.model.settings import RouterSettings
 
+Arguments = TypeVarTuple("Arguments")  # of a callback
+
 
 class DispatchContext:
-    """Settings, clock, event loop and the connections to workers and peers of one dispatcher.
+    """Settings, clock, event loop and the transports to workers and peers of one dispatcher.
+
+    The parts read these attributes at each use, because a reload replaces the settings, and the transports
+    are connected after the construction of the dispatcher.
 
-    The parts read these attributes at each use, since settings are replaced at a reload, and the transports
-    are connected only after the dispatcher exists.
+    Args:
+        settings: The settings in force.
+        clock: Returns Unix time in ms and never steps back.
     """
 
     def __init__(self, settings: RouterSettings, clock: Callable[[], float]) -> None:
         self.settings = settings
-        self.clock = clock  # Unix time in ms
+        self.clock = clock
         self.loop = asyncio.get_running_loop()
         self.worker_transport: WorkerTransport | None = None
         self.send_to_peer: Callable[[bytes, int | None], None] = _discard_peer_message
 
     def workers(self) -> WorkerTransport:
-        """The worker transport, which must be connected by now."""
+        """Return the worker transport, which must be connected."""
         assert self.worker_transport is not None
         return self.worker_transport
 
-    def call_at(self, at_ms: float, callback: Callable[..., None], *args: Any) -> asyncio.TimerHandle:
-        """Call back at that time of ``clock``, or at once where it is past."""
+    def call_at(
+        self, at_ms: float, callback: Callable[[*Arguments], None], *args: *Arguments
+    ) -> asyncio.TimerHandle:
+        """Schedule a callback for a time of ``clock``; for a past time, in the next loop iteration."""
         delay_s = max(0.0, at_ms - self.clock()) / 1000.0
         return self.loop.call_later(delay_s, callback, *args)
 
 
 def _discard_peer_message(data: bytes, peer_index: int | None) -> None:
-    """For a dispatcher without a peer transport."""
+    """Discard a message, for a dispatcher without a peer transport."""
