--- a/cedarthread/persistence/__init__.py
+++ b/cedarthread/persistence/__init__.py
@@ -1,4 +1,4 @@
-"""Persistence: what a router keeps on disk for its next incarnation, and what of it a restart may believe.
+"""Persistence of a router's state across restarts, on a disk that may fail, hang or return wrong data.
 
-Nothing here lets the event loop wait for a disk, and nothing trusts one: see docs/design/store.md.
+The event loop never waits for the disk, and all content is verified when read: see docs/design/store.md.
 """
--- a/cedarthread/persistence/checksums.py
+++ b/cedarthread/persistence/checksums.py
@@ -1,8 +1,8 @@
-"""Checksums over the rows and the head of a store file, for what SQLite itself does not check.
+"""Checksums of the rows and the head of a database file, because SQLite does not detect flipped bits.
 
-A row's checksum is over its key, generation and value, so that no value passes under another key. The
-head's is over the sum of all rows' checksums, so that no row can be missing, or be of an earlier commit,
-unnoticed.
+A row's checksum covers its key, generation and value, so that a value under a wrong key is detected. The
+head's checksum covers the sum of all rows' checksums, so that a missing row, or a row of an earlier commit,
+is detected.
 """
 
 from __future__ import annotations
@@ -15,28 +15,33 @@
 
 CHECKSUM_BYTES = 16
 CHECKSUM_MODULUS = 1 << 8 * CHECKSUM_BYTES
-"""Rows' checksums are added modulo this: a sum does not depend on the order of the rows."""
+"""Modulus of the sum of all rows' checksums. A sum does not depend on the order of the rows."""
 
 
 def row_checksum(key: str, generation: int, value: bytes) -> bytes:
-    """The checksum of one row."""
+    """Return the checksum of one row."""
     name = key.encode()
     return blake2b(b"%d %d " % (generation, len(name)) + name + value, digest_size=CHECKSUM_BYTES).digest()
 
 
 def head_checksum(generation: int, total: bytes) -> bytes:
-    """The checksum of the head; ``total``: that of all rows."""
+    """Return the checksum of the head.
+
+    Args:
+        generation: the generation of the last commit.
+        total: the ``total_checksum`` of all rows.
+    """
     return blake2b(b"head %d " % generation + total, digest_size=CHECKSUM_BYTES).digest()
 
 
 def total_checksum(row_checksums: Iterable[bytes]) -> bytes:
-    """The checksum of all rows."""
+    """Return the sum of all rows' checksums, modulo ``CHECKSUM_MODULUS``."""
     total = sum(int.from_bytes(checksum) for checksum in row_checksums)
     return (total % CHECKSUM_MODULUS).to_bytes(CHECKSUM_BYTES)
 
 
 class VerifiedRows(NamedTuple):
-    """Those of some rows whose checksums are right."""
+    """The rows with valid checksums, and the number of rows that were rejected."""
 
     values: dict[str, bytes]
     row_checksums: dict[str, bytes]
@@ -45,7 +50,11 @@
 
 
 def verify_rows(rows: Sequence[tuple[Any, ...]]) -> VerifiedRows:
-    """Check rows as they were read: key, generation, value and checksum, each of any type."""
+    """Separate the rows with valid checksums from the others.
+
+    Args:
+        rows: key, generation, value and checksum of each row. A corrupted file may return any type for each.
+    """
     values: dict[str, bytes] = {}
     row_checksums: dict[str, bytes] = {}
     max_generation = rejected_count = 0
@@ -67,7 +76,7 @@
 
 
 def is_valid_head(generation: Any, total: Any, checksum: Any) -> bool:
-    """Whether a head as it was read has the right types and checksum."""
+    """Return whether a head that was read from a file has the right types and a valid checksum."""
     return (
         isinstance(generation, int)
         and isinstance(total, bytes)
--- a/cedarthread/persistence/database_folder.py
+++ b/cedarthread/persistence/database_folder.py
@@ -1,7 +1,8 @@
 """The folder of a store: its lock, and the numbered database files in it.
 
-The files are ``state-N.db`` with their journals. The one of the highest N that was ever complete counts. A
-folder that is missing is not made, so that a mount that comes late is not filled in beneath.
+The files are named ``state-N.db``, each with its journal. The complete file with the highest N is the current
+one. A missing folder is not created, because its volume may be mounted later and would hide files written
+beneath the mount point.
 """
 
 from __future__ import annotations
@@ -21,18 +22,27 @@
 log = logging.getLogger(__name__)
 
 QUARANTINE_FILE = "damaged.db"
-"""The last corrupted file, kept for whoever looks into it."""
+"""Name of the last corrupted file, which stays in the folder so that operators can examine it."""
 _DATABASE_FILE_PATTERN = re.compile(r"state-(\d{1,9})\.db(-journal)?")
 
 
 def device_and_inode(file: Path | int) -> tuple[int, int]:
-    """What tells a file or folder from another of the same name."""
+    """Return the identity of a file or folder, which differs from that of another one at the same path.
+
+    Args:
+        file: a path, or an open file descriptor.
+    """
     stat = os.stat(file)
     return stat.st_dev, stat.st_ino
 
 
 def fault_from_error(error: BaseException, folder: Path) -> StoreFault:
-    """The fault that an error of SQLite or of the operating system means."""
+    """Return the fault that an error of SQLite or of the operating system indicates.
+
+    Args:
+        error: the error that a call raised.
+        folder: the folder of the store.
+    """
     match error:
         case apsw.FullError():
             return StoreFault.DISK_FULL
@@ -51,20 +61,26 @@
             return StoreFault.DISK_FULL
         case OSError() | apsw.IOError():
             return StoreFault.IO_ERROR
-    return (
-        StoreFault.CORRUPTED
-    )  # the statements are always the same: if one is not understood, it is the file
+    # The SQL statements never vary, so that any other error of SQLite is caused by the file's content.
+    return StoreFault.CORRUPTED
 
 
 class DatabaseFolder:
-    """One folder, locked against a second writer; the lock is held through faults."""
+    """A store's folder, and the lock on it that excludes other processes.
+
+    The lock persists through faults, until ``release_lock``.
+    """
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._handle: int | None = None  # the folder itself, open and locked
+        self._handle: int | None = None  # descriptor of the folder, open and locked
 
     def acquire_lock(self) -> None:
-        """Lock the folder; anew, if it is another one than before. OSError: another process has locked it."""
+        """Lock the folder. If another folder has replaced the locked one at the same path, lock that one.
+
+        Raises:
+            OSError: another process has locked the folder, or the folder cannot be opened.
+        """
         if self._handle is not None:
             if device_and_inode(self.path) == device_and_inode(self._handle):
                 return
@@ -79,34 +95,34 @@
         self._handle = handle
 
     def release_lock(self) -> None:
-        """Let another process write here."""
+        """Release the lock, so that another process can open the store."""
         if self._handle is not None:
             os.close(self._handle)
             self._handle = None
 
     def sync(self) -> None:
-        """Make the names of new files durable."""
+        """Sync the folder, so that the names of new files are durable."""
         if self._handle is not None:
             os.fsync(self._handle)
 
     def database_file(self, number: int) -> Path:
-        """The path of a database file."""
+        """Return the path of the database file with this number."""
         return self.path / f"state-{number}.db"
 
     def database_numbers(self) -> list[int]:
-        """The numbers of the files that are there, or of whose journals are, the highest first."""
+        """Return the numbers of which a database file or a journal exists, in descending order."""
         matches = (_DATABASE_FILE_PATTERN.fullmatch(name) for name in os.listdir(self.path))
         return sorted({int(match[1]) for match in matches if match}, reverse=True)
 
     def delete_databases_except(self, number: int) -> None:
-        """Delete the files that this one has replaced."""
+        """Delete all database files and journals except those with this number."""
         for other in self.database_numbers():
             if other != number:
                 self.database_file(other).unlink(missing_ok=True)
                 Path(f"{self.database_file(other)}-journal").unlink(missing_ok=True)
 
     def quarantine(self, database: Path) -> None:
-        """Keep a corrupted file under another name, if the folder allows it."""
+        """Link a corrupted file to ``QUARANTINE_FILE``; log an error of the file system at debug level."""
         try:
             (self.path / QUARANTINE_FILE).unlink(missing_ok=True)
             os.link(database, self.path / QUARANTINE_FILE)
--- a/cedarthread/persistence/event_loop_store.py
+++ b/cedarthread/persistence/event_loop_store.py
@@ -1,4 +1,7 @@
-"""Hosts a router's store on the event loop, which never waits for it: writes go out, callbacks come in."""
+"""The store of a router on its event loop, which never waits for the disk.
+
+State is changed on the event loop only. The store's thread schedules callbacks there.
+"""
 
 from __future__ import annotations
 
@@ -23,13 +26,22 @@
 
 
 class EventLoopStore:
-    """Connects a ``StatePersister`` with a ``StoreThread``. To be made while the event loop runs."""
+    """Connection between a ``StatePersister`` and the ``StoreThread`` that it owns.
+
+    An instance must be created while the event loop runs.
+
+    Args:
+        config: the folder and the sync mode of the store.
+        persister: decides which writes to make.
+        clock: returns steady milliseconds.
+        seed: seed of the jitter between reopening attempts.
+    """
 
     def __init__(
         self, config: DiskConfig, persister: StatePersister, clock: Callable[[], float], seed: int
     ) -> None:
-        """``clock``: steady milliseconds; ``seed``: of the jitter between reopenings."""
-        self.persister, self.clock = persister, clock
+        self.persister = persister
+        self.clock = clock
         loop = asyncio.get_running_loop()
         self.store = open_store(
             Path(config.folder),
@@ -46,7 +58,7 @@
         self.store.run_callbacks()
 
     def on_tick(self) -> None:
-        """Some times a second: run what is due, and write what the persister wants written."""
+        """Run due callbacks and start the persister's writes; called several times a second."""
         self._run_callbacks()
         writes = self.persister.on_tick(self.clock())
         if (above_generation := self.persister.reset_above_generation) is not None:
@@ -65,8 +77,9 @@
         self.persister.on_write_completed(self.clock(), write, fault, self.store.generation)
 
     def figures(self) -> dict[str, str]:
-        """The figures for operators, under the names that they read."""
-        statistics, fault = self.store.statistics, self.store.fault
+        """Return the figures for operators, by the names under which they are published."""
+        statistics = self.store.statistics
+        fault = self.store.fault
         return {
             "store_trouble": "none" if fault is None else fault.value,
             "store_generation": str(self.store.generation),
@@ -76,5 +89,5 @@
         }
 
     def close(self) -> None:
-        """Write what is pending, within a bounded time, and end."""
+        """Write the pending values, within a bounded time, and close the store."""
         self.store.close()
--- a/cedarthread/persistence/fault_switch.py
+++ b/cedarthread/persistence/fault_switch.py
@@ -1,4 +1,7 @@
-"""The faults that a faulty disk injects, and the switches that put them in force while it runs."""
+"""The faults that a faulty disk injects, and the switches that activate them while the disk is in use.
+
+Tests and drills write the active fault; the faulty disk only reads it.
+"""
 
 from __future__ import annotations
 
@@ -13,53 +16,57 @@
 
 CONTROL_FILE_BYTES = 64
 _CONTROL_FORMAT = struct.Struct("<B7xd")
-"""At the head of a control file: the fault, padding, its parameter."""
+"""Start of a control file: the fault (1 byte), 7 bytes of padding, the fault's parameter (double)."""
 
 
 class InjectedFault(IntEnum):
-    """What the disk does wrong; the numbers are those in control files."""
+    """A fault of the disk; its number is the one in control files."""
 
     NONE = 0
-    UNSYNCED = 1  # reports a sync that it did not do
-    TORN_WRITE = 2  # reports a sync, and the last write lacks its second half
-    BIT_FLIP = 3  # one bit of a write flips on its way to the disk; parameter: probability, for each write
-    STALE_CONTENT = 4  # at the next opening, returns the content of an earlier one
+    UNSYNCED = 1  # syncs report success and write nothing
+    TORN_WRITE = 2  # syncs report success, but lose the second half of the last write
+    BIT_FLIP = 3  # one bit of a write is flipped; parameter: probability for each write
+    STALE_CONTENT = 4  # the next opening returns the content of an earlier opening
     DISK_FULL = 5
     EIO_WRITE = 6  # writes fail
-    EIO_SYNC = 7  # syncs fail, and what they were to write is never retried; parameter: that succeed first
-    SLOW_SYNC = 8  # parameter: ms that each sync takes
+    EIO_SYNC = 7  # syncs fail, and lose their writes for good; parameter: number of syncs that succeed first
+    SLOW_SYNC = 8  # parameter: duration of each sync in ms
     READ_ONLY = 9
     FOLDER_MISSING = 10
 
 
 class FaultSetting(NamedTuple):
-    """The fault in force: a number of ``InjectedFault``, and its parameter."""
+    """The active fault, as a number of ``InjectedFault``, and its parameter."""
 
     fault: int
     parameter: float
 
 
 class FaultSwitch(Protocol):
-    """Where a faulty disk reads which fault is in force."""
+    """The source from which a faulty disk reads the active fault."""
 
     def read(self) -> FaultSetting:
-        """The fault in force."""
+        """Return the active fault."""
 
 
 @dataclass(slots=True)
 class ManualSwitch:
-    """Set in this process."""
+    """A switch that the same process sets, by its attributes."""
 
     fault: int = InjectedFault.NONE
     parameter: float = 0.0
 
     def read(self) -> FaultSetting:
-        """The fault in force."""
+        """Return the active fault."""
         return FaultSetting(self.fault, self.parameter)
 
 
 class FileSwitch:
-    """Set by other processes, in a control file that is mapped into memory."""
+    """A switch that other processes set, in a control file that is mapped into memory.
+
+    Args:
+        path: the control file, which is created if missing.
+    """
 
     def __init__(self, path: Path) -> None:
         with path.open("a+b") as file:
@@ -67,12 +74,20 @@
             self._map = mmap.mmap(file.fileno(), CONTROL_FILE_BYTES, access=mmap.ACCESS_READ)
 
     def read(self) -> FaultSetting:
-        """The fault in force."""
+        """Return the active fault."""
         return FaultSetting(*_CONTROL_FORMAT.unpack_from(self._map))
 
 
 def set_fault(path: Path, fault: InjectedFault, parameter: float = 0.0) -> None:
-    """Put a fault in force where a control file is mapped; its parameter is written first."""
+    """Activate a fault in all processes that map a control file.
+
+    The parameter is written before the fault, so that no reader combines a new fault with an old parameter.
+
+    Args:
+        path: the control file, which must exist.
+        fault: the fault to activate.
+        parameter: the meaning depends on the fault: see ``InjectedFault``.
+    """
     with path.open("r+b") as file:
         setting = _CONTROL_FORMAT.pack(fault, parameter)
         file.seek(1)
--- a/cedarthread/persistence/faulty_disk.py
+++ b/cedarthread/persistence/faulty_disk.py
@@ -1,8 +1,8 @@
-"""A faulty disk beneath SQLite, as a VFS of apsw: for tests and drills only, never loaded when serving.
+"""A faulty disk beneath SQLite, as a VFS of apsw. Only tests and drills load this module.
 
-The real files are what is *on the disk*. What was written and not synced is in memory, where reads find it as
-they would in a page cache; so killing the process is a power cut, which loses what was not synced. Faults are
-switched while it runs (``fault_switch.py``).
+The real files represent the disk. Unsynced writes are in memory, in a simulated page cache, which reads use.
+Killing the process therefore acts as a power cut: unsynced writes are lost. The active fault is read from a
+switch (``fault_switch.py``).
 """
 
 from __future__ import annotations
@@ -22,17 +22,18 @@
     from collections.abc import Callable
 
 VFS_NAME = "lying"
+"""Name under which ``install`` registers the VFS with SQLite."""
 BASE_VFS = "unix"
-"""The layer beneath."""
+"""Name of SQLite's own VFS, to which the faulty one writes."""
 EARLIER_CONTENT_SUFFIX = ".then"
-"""Added to a file's name: its content at an earlier opening."""
+"""Suffix of the copy that has a file's content at an earlier opening."""
 WAIT_POLL_S = 0.25
-"""Time after which a slow sync looks whether the fault is still in force."""
+"""Interval in seconds at which a slow sync checks whether the fault is still active."""
 
 
 @dataclass(slots=True)
 class _CachedFile:
-    """One file as its writers see it, and the operations that are not on the disk yet."""
+    """The page cache of one file: its content as readers see it, and the operations not yet synced."""
 
     inode: int
     content: bytearray
@@ -41,7 +42,16 @@
 
 
 class FaultyDisk(apsw.VFS):
-    """The VFS. Its method names are SQLite's."""
+    """A VFS that injects faults, and owns the page caches of its open files. SQLite defines its method names.
+
+    Args:
+        name: name under which SQLite registers the VFS and databases select it.
+        switch: source of the active fault.
+        seed: seed of the random choice of flipped bits.
+        wait: waits for the given number of ms in a slow sync.
+        record: whether to record all operations in ``operations``.
+        default: whether databases that select no VFS use this one.
+    """
 
     def __init__(
         self,
@@ -53,16 +63,6 @@
         record: bool = False,
         default: bool = False,
     ) -> None:
-        """Register the VFS with SQLite.
-
-        Args:
-            name: under which databases ask for it.
-            switch: says which fault is in force.
-            seed: of the bits that flip.
-            wait: how a slow sync waits for so many ms.
-            record: whether to keep all operations in ``operations``.
-            default: whether databases that name no VFS get it.
-        """
         super().__init__(name, BASE_VFS, makedefault=default)
         self.switch = switch
         self.rng = random.Random(seed)
@@ -70,23 +70,23 @@
         self.record = record
         self.cached_files: dict[str, _CachedFile] = {}
         self.operations: list[DiskOperation] = []
-        self.failing_sync_count = 0  # syncs since EIO_SYNC came into force
+        self.failing_sync_count = 0  # syncs since EIO_SYNC became active
 
     def is_fault_active(self, *faults: InjectedFault) -> bool:
-        """Whether one of these is in force."""
+        """Return whether one of these faults is active."""
         return self.switch.read().fault in faults
 
     def add_operation(self, operation: DiskOperation) -> None:
-        """Record an operation, if operations are recorded."""
+        """Append an operation to ``operations`` if recording is enabled."""
         if self.record:
             self.operations.append(operation)
 
     def add_mark(self, mark: object) -> None:
-        """Record a test's note between the operations."""
+        """Append a test's mark to ``operations``."""
         self.operations.append(DiskOperation("", mark=mark))
 
     def xOpen(self, name: str | apsw.URIFilename | None, flags: list[int]) -> apsw.VFSFile:
-        """Open a file; its content is in memory from now on."""
+        """Open a file and read its content into the page cache."""
         if self.is_fault_active(InjectedFault.FOLDER_MISSING):
             raise apsw.CantOpenError("the folder can't be reached")
         path = str(name.filename() if isinstance(name, apsw.URIFilename) else name)
@@ -95,7 +95,7 @@
         return _FaultyFile(self, name, path, flags)
 
     def _swap_earlier_content(self, path: Path) -> None:
-        """Keep a file's present content for later, or return to what was kept."""
+        """Copy a file for later openings, or restore its earlier copy if STALE_CONTENT is active."""
         earlier = path.with_name(path.name + EARLIER_CONTENT_SUFFIX)
         if not self.is_fault_active(InjectedFault.STALE_CONTENT):
             if path.exists():
@@ -105,17 +105,25 @@
             path.with_name(path.name + "-journal").unlink(missing_ok=True)
 
     def xDelete(self, name: str, sync: bool) -> None:
-        """Delete a file at once, durably: the store deletes none that matters."""
+        """Delete a file at once and durably, because the store only deletes files that it no longer needs."""
         self.cached_files.pop(name, None)
         super().xDelete(name, sync)
 
 
 class _FaultyFile(apsw.VFSFile):
-    """One open file."""
+    """One open file, which reads and writes the page cache of its path.
+
+    Args:
+        disk: the VFS that opened the file.
+        name: the file's name as SQLite passed it.
+        path: the file's path.
+        flags: SQLite's flags, which opening changes in place.
+    """
 
     def __init__(self, disk: FaultyDisk, name: Any, path: str, flags: list[int]) -> None:
         super().__init__(BASE_VFS, name, flags)
-        self.disk, self.path = disk, path
+        self.disk = disk
+        self.path = path
         inode = Path(path).stat().st_ino
         if path not in disk.cached_files or disk.cached_files[path].inode != inode:
             disk.cached_files[path] = _CachedFile(inode, bytearray(Path(path).read_bytes()))
@@ -123,7 +131,7 @@
         self.cached.open_count += 1
 
     def xClose(self) -> None:
-        """Close; what was not synced stays in the page cache for as long as the process lives."""
+        """Close the file; unsynced writes stay in the page cache until the process ends."""
         self.cached.open_count -= 1
         if not self.cached.open_count and not self.cached.unsynced and self._is_synced():
             self.disk.cached_files.pop(self.path, None)
@@ -133,14 +141,14 @@
         try:
             return bytes(self.cached.content) == Path(self.path).read_bytes()
         except OSError:
-            return True  # its folder is gone, and its pages with it
+            return True  # the folder was deleted, so that no content is left to compare
 
     def xRead(self, amount: int, offset: int) -> bytes:
         """Read from the page cache."""
         return bytes(self.cached.content[offset : offset + amount])
 
     def xFileSize(self) -> int:
-        """The size in the page cache."""
+        """Return the file's size in the page cache."""
         return len(self.cached.content)
 
     def xWrite(self, data: bytes, offset: int) -> None:
@@ -169,7 +177,7 @@
         self.disk.add_operation(operation)
 
     def xSync(self, flags: int) -> None:
-        """Write the page cache to the disk, as far as the fault in force lets it."""
+        """Write the unsynced operations to the disk, altered or rejected according to the active fault."""
         fault, parameter = self.disk.switch.read()
         if fault == InjectedFault.SLOW_SYNC:
             self.disk.wait(parameter)
@@ -180,9 +188,8 @@
             self.disk.failing_sync_count = 0
         if fault == InjectedFault.FOLDER_MISSING or self.disk.failing_sync_count > parameter:
             self.disk.add_operation(DiskOperation(self.path, sync=True, failed=True))
-            raise _io_error(
-                apsw.SQLITE_IOERR_FSYNC
-            )  # the pages count as clean now: no later sync writes them
+            # As on Linux, a failed sync marks the pages as clean, so that no later sync writes them.
+            raise _io_error(apsw.SQLITE_IOERR_FSYNC)
         if fault == InjectedFault.UNSYNCED:
             return
         self._write_to_disk(unsynced, fault, parameter)
@@ -202,11 +209,11 @@
                 super().xWrite(data, operation.offset)
 
     def xSectorSize(self) -> int:
-        """The disk's sector size."""
+        """Return the disk's sector size in bytes."""
         return SECTOR_BYTES
 
     def xDeviceCharacteristics(self) -> int:
-        """The disk promises nothing."""
+        """Return no flags, so that SQLite assumes no atomic or ordered writes."""
         return 0
 
 
@@ -217,30 +224,32 @@
 
 
 def flip_bit(data: bytes, bit: int) -> bytes:
-    """The data with one bit changed."""
+    """Return the data with one bit changed; bit 0 is the lowest bit of the first byte."""
     changed = bytearray(data)
     changed[bit // 8] ^= 1 << bit % 8
     return bytes(changed)
 
 
 _installed: list[FaultyDisk] = []
-"""Keeps each VFS for as long as its process lives, as SQLite wants it."""
+"""References to the installed VFSs, because SQLite requires them until the process ends."""
 
 
 def install(control: Path, seed: int = 0) -> str:
-    """Put a faulty disk beneath every database of this process; the name of the VFS.
+    """Put a faulty disk beneath each database of this process and return the name of the VFS.
 
-    ``control``: the control file, which is made where there is none; see ``fault_switch.set_fault``.
+    Args:
+        control: the control file of ``fault_switch.set_fault``, which is created if missing.
+        seed: seed of the random choice of flipped bits.
     """
     switch = FileSwitch(control)
 
     def wait(ms: float) -> None:
-        until_s = time.monotonic() + ms / 1000.0
+        ends_at_s = time.monotonic() + ms / 1000.0
         while switch.read().fault == InjectedFault.SLOW_SYNC:
-            left_s = until_s - time.monotonic()
-            if left_s <= 0:
+            remaining_s = ends_at_s - time.monotonic()
+            if remaining_s <= 0:
                 return
-            time.sleep(min(left_s, WAIT_POLL_S))
+            time.sleep(min(remaining_s, WAIT_POLL_S))
 
     _installed.append(FaultyDisk(VFS_NAME, switch, seed, wait, default=True))
     return VFS_NAME
--- a/cedarthread/persistence/memory_store.py
+++ b/cedarthread/persistence/memory_store.py
@@ -1,4 +1,4 @@
-"""A storage backend in memory: for tests, and as what others are compared with."""
+"""A storage backend in memory, for tests and as the reference for other backends."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class MemoryBackend:
-    """Keeps its content for as long as the object lives, and has no faults."""
+    """A storage backend that owns its content in memory, is lost with the object, and never has a fault."""
 
     def __init__(self) -> None:
         self.generation = 0
         self._values: dict[str, bytes] = {}
 
     def open(self) -> LoadResult:
-        """The present content."""
+        """Return the current content."""
         return LoadResult(dict(self._values), self.generation)
 
     def commit(
         self, writes: Sequence[KeyValueWrite], above_generation: int | None = None
     ) -> StoreFault | None:
-        """Take the writes; with ``above_generation`` all content is dropped first."""
+        """Apply the writes; with ``above_generation``, delete all content first."""
         if above_generation is not None:
             self._values.clear()
             self.generation = max(self.generation, above_generation)
@@ -37,4 +37,4 @@
         return None
 
     def close(self) -> None:
-        """There is nothing to release."""
+        """Do nothing, because no resource is in use."""
--- a/cedarthread/persistence/power_cut.py
+++ b/cedarthread/persistence/power_cut.py
@@ -1,4 +1,4 @@
-"""What a power cut leaves on a disk, after each single operation of a recorded run."""
+"""A model of the files that a power cut leaves on a disk, after each operation of a recorded run."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
     import random
 
 SECTOR_BYTES = 512
-SECTOR_SURVIVAL = 0.5  # probability that a sector of a torn write is on the disk
-"""Bytes that a disk writes as a whole."""
+"""Number of bytes that a disk writes completely or not at all."""
+SECTOR_SURVIVAL = 0.5
+"""Probability that a sector of a torn write is on the disk."""
 
 
 @dataclass(frozen=True, slots=True)
 class DiskOperation:
-    """One operation on one file: a write of ``data`` at ``offset``, a truncation to it, or a sync."""
+    """One operation on one file: a write of ``data`` at ``offset``, a truncation to ``offset``, or a sync."""
 
     path: str
     offset: int = 0
     data: bytes | None = None
     sync: bool = False
-    failed: bool = False  # the sync: what it was to write may be on the disk or not, and is never retried
-    mark: object = None  # a test's note between operations: what had been acknowledged by then
+    failed: bool = False  # a failed sync: its writes may be on the disk or not, and are never retried
+    mark: object = None  # if set, no operation but a test's record of its progress at this point
 
 
 def apply_operation(content: bytearray, operation: DiskOperation) -> None:
@@ -37,21 +38,21 @@
 
 
 PowerCutModel = Callable[[DiskOperation], Iterator[DiskOperation]]
-"""Which part of an operation that was not synced is on the disk after a power cut."""
+"""Yields the parts of an unsynced operation that are on the disk after a power cut."""
 
 
 def lose_unsynced(_: DiskOperation) -> Iterator[DiskOperation]:
-    """All that was not synced is lost."""
+    """Return no part: all unsynced operations are lost."""
     return iter(())
 
 
 def keep_unsynced(operation: DiskOperation) -> Iterator[DiskOperation]:
-    """All that was not synced is written all the same."""
+    """Return the operation: all unsynced operations are on the disk."""
     return iter((operation,))
 
 
 def tear_unsynced(rng: random.Random) -> PowerCutModel:
-    """Some operations are written, some are lost, and of some each sector may be either."""
+    """Return a model in which each operation is complete, lost, or torn at random sectors."""
 
     def tear(operation: DiskOperation) -> Iterator[DiskOperation]:
         choice = rng.randrange(4)
@@ -69,7 +70,15 @@
 def power_cut_images(
     operations: Sequence[DiskOperation], model: PowerCutModel
 ) -> Iterator[tuple[list[object], dict[str, bytes]]]:
-    """For a power cut after each operation: the marks until then, and the content of each file."""
+    """Simulate a power cut after each operation.
+
+    Args:
+        operations: all recorded operations and marks, in order.
+        model: the parts of an unsynced operation that are on the disk.
+
+    Yields:
+        The marks until the power cut, and the content of each file after it, by path.
+    """
     synced: dict[str, bytearray] = {}
     unsynced: dict[str, list[DiskOperation]] = {}
     marks: list[object] = []
--- a/cedarthread/persistence/recovered_image.py
+++ b/cedarthread/persistence/recovered_image.py
@@ -1,14 +1,14 @@
-"""What a router keeps in its store: keys and values, how they are encoded, and what a restart may believe.
+"""The keys and values in a router's store, their encoding, and their assessment after a restart.
 
-A key for each thing that changes by itself, so that a change is one small write:
+Each record that changes independently has its own key, so that a change is one small write:
 
-    life                of the router itself (``RouterIncarnation``)
+    life                the router's incarnation (``RouterIncarnation``)
     entry/<kind>/<name> one replicated entry
-    warm                the warm-state snapshot, encoded by the recovery
-    grants              the escrow, encoded by itself
+    warm                the warm-state snapshot, encoded by ``cedarthread.recovery``
+    grants              the escrow, encoded by ``cedarthread.escrow``
 
-Values are MessagePack arrays in one canonical encoding. What does not decode, is out of bounds or is encoded
-otherwise is left out and counted. Nothing here reads a clock or a disk.
+Values are MessagePack arrays in one canonical encoding. A value that does not decode, is out of bounds or has
+another encoding is rejected and counted. No function here reads a clock or a disk.
 """
 
 from __future__ import annotations
@@ -31,6 +31,7 @@
 WARM_STATE_KEY = "warm"
 ESCROW_KEY = "grants"
 MAX_VALUE_BYTES = 65_536
+"""Maximum size of an encoded incarnation or entry."""
 
 NonNegativeInt63 = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 Uint64 = Annotated[int, Meta(ge=0)]  # MessagePack has no integers of more than 64 bits
@@ -39,23 +40,20 @@
 
 
 class _Record(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """Encoded as an array, in the order of its fields."""
+    """A record that is encoded as an array, in the order of its fields."""
 
 
 class RouterIncarnation(_Record, frozen=True):
-    """The incarnation of the router that wrote the store.
-
-    ``is_voter``: it had all that it had ever confirmed (docs/design/register.md, 6).
-    """
+    """The incarnation of the router that wrote the store."""
 
     router_index: NonNegativeInt63
     process_incarnation: Uint64
     membership_incarnation: NonNegativeInt63
-    is_voter: bool
+    is_voter: bool  # it had every entry that it ever confirmed (docs/design/register.md, 6)
 
 
 class _EntryRecord(_Record, frozen=True):
-    """A replicated entry."""
+    """The stored form of a replicated entry."""
 
     kind: EntryKind
     name: EntryName
@@ -67,22 +65,22 @@
 
 
 class RecoveredImage(msgspec.Struct, frozen=True):
-    """All that was read from a store."""
+    """The decoded content of a store."""
 
     incarnation: RouterIncarnation | None = None
     entries: tuple[Entry, ...] = ()
-    warm_state: bytes | None = None  # verified by the recovery
-    escrow: bytes | None = None  # verified by the escrow
-    rejected_count: int = 0  # values that were left out
+    warm_state: bytes | None = None  # encoded; RecoveryComponent verifies it
+    escrow: bytes | None = None  # encoded; Escrow verifies it
+    rejected_count: int = 0  # values that did not decode
 
 
 def encode_incarnation(incarnation: RouterIncarnation) -> tuple[str, bytes]:
-    """Key and value of the router's incarnation."""
+    """Return the key and the value of the router's incarnation."""
     return INCARNATION_KEY, _encode(incarnation)
 
 
 def encode_entry(entry: Entry) -> tuple[str, bytes]:
-    """Key and value of an entry; a newer version replaces the older one."""
+    """Return the key and the value of an entry; all versions of an entry have the same key."""
     digest = entry.replaces_digest
     version = entry.version
     record = _EntryRecord(
@@ -98,7 +96,7 @@
 
 
 def decode_image(values: Mapping[str, bytes]) -> RecoveredImage:
-    """What a store's content says."""
+    """Decode the content of a store, without the values that do not decode."""
     incarnation: RouterIncarnation | None = None
     entries: list[Entry] = []
     rejected_count = 0
@@ -121,7 +119,7 @@
 
 
 def _decode_entry(key: str, raw: bytes) -> Entry | None:
-    """None for what is no entry, or is not under its own key."""
+    """Return the entry, or None if the value is not an entry or its key belongs to another entry."""
     if key.partition("/")[0] != ENTRY_KEY_PREFIX:
         return None
     record = _decode(raw, _EntryRecord)
@@ -134,19 +132,23 @@
 
 
 class ContentVerdict(Enum):
-    """How much of a store's content is believed."""
+    """The part of a store's content that the router uses after a restart."""
 
-    TRUSTED = "trusted"  # all, and the router is a voter as before
-    PARTIAL = "partial"  # what is there; what is missing is unknown, so no vote and nothing of the escrow
-    REJECTED = "rejected"  # nothing: the store is to be reset above what peers remember
+    TRUSTED = "trusted"  # all; the router is a voter again if it was one
+    PARTIAL = "partial"  # values may be missing, so the router uses the others without a vote or the escrow
+    REJECTED = "rejected"  # nothing; the store must be reset above the generation that peers remember
 
 
 def assess_content(loaded: LoadResult, peer_generations: Iterable[int]) -> ContentVerdict:
-    """Whether the content is what this router wrote last.
+    """Return whether the content is the one that this router wrote last.
+
+    Peers are notified of a generation only after its write was acknowledged. A lower generation on the disk
+    therefore proves that the disk returned stale content. Without a peer that remembers a generation, the
+    disk's content is not contradicted.
 
-    ``peer_generations``: the generations of this router's store that peers remember. They are told a
-    generation only after its write was acknowledged, so a lower one on the disk shows that the disk
-    returned stale content. Where no peer remembers any, nothing speaks against the disk.
+    Args:
+        loaded: the content as read from the disk.
+        peer_generations: the generations of this router's store that peers remember.
     """
     if loaded.generation < max(peer_generations, default=0):
         return ContentVerdict.REJECTED
@@ -161,7 +163,7 @@
 
 
 def _decode(raw: bytes, record_type: type[_RecordType]) -> _RecordType | None:
-    """None for what is not this type's canonical encoding."""
+    """Return the record, or None if the bytes are not this type's canonical encoding."""
     if len(raw) > MAX_VALUE_BYTES:
         return None
     try:
--- a/cedarthread/persistence/reopen_policy.py
+++ b/cedarthread/persistence/reopen_policy.py
@@ -1,12 +1,13 @@
-"""When a store with a fault is opened again, and what the log says of it: one line a change.
+"""The policy that decides when a faulted store is reopened, and which changes of its state are logged.
 
-A state machine without I/O; times are milliseconds on a steady clock.
+A state machine without I/O. Times are milliseconds on a steady clock.
 
     HEALTHY --failure--> FAULTED --due--> REOPENING --failure--> FAULTED ... --the MAX_ATTEMPTS-th--> GIVEN_UP
     REOPENING --opened--> HEALTHY;  GIVEN_UP --due, after its pause--> REOPENING
     HEALTHY <--timeout / write succeeded--> SLOW
 
-The backoff doubles, and each wait is drawn from its upper half: routers on one disk do not come back at once.
+The backoff doubles with each failed attempt. Each wait is drawn from the upper half of the backoff, so that
+routers on one disk do not reopen their stores at the same time.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 INITIAL_BACKOFF_MS = 500.0
 MAX_BACKOFF_MS = 30_000.0
 BACKOFF_JITTER = 0.5, 1.0
-"""Range of the factor by which each backoff is varied."""
+"""Range of the random factor by which each backoff is multiplied."""
 MAX_ATTEMPTS = 8
-"""Reopenings that fail in a row before the store is given up for a while."""
+"""Number of consecutive failed reopenings after which attempts pause for ``GIVEN_UP_PAUSE_MS``."""
 GIVEN_UP_PAUSE_MS = 600_000.0
-"""Time that a store is left alone after that."""
+"""Pause in ms after ``MAX_ATTEMPTS`` failed reopenings."""
 RNG_SALT = 0x5354_4F52
-"""Keeps these draws apart from others of the same seed."""
+"""Salt of the seed, so that these random numbers differ from those of other users of the seed."""
 
 
 class StoreState(Enum):
@@ -40,9 +41,12 @@
 
 
 class ReopenPolicy:
-    """The policy of one store.
+    """The state of one store, its fault, and the time of the next reopening attempt.
 
-    Its event methods return the line to log, or None where nothing changed for whoever reads the log.
+    The event methods return the line to log, or None if no line is due.
+
+    Args:
+        seed: seed of the jitter between reopening attempts.
     """
 
     def __init__(self, seed: int) -> None:
@@ -54,14 +58,14 @@
         self.failed_attempts = 0  # in a row
 
     def take_due_attempt(self, now_ms: float) -> bool:
-        """Whether the store is to be opened again now; says so once for each attempt."""
+        """Return whether a reopening attempt is due now, and if so enter REOPENING."""
         if self.state not in (StoreState.FAULTED, StoreState.GIVEN_UP) or now_ms < self.next_attempt_at_ms:
             return False
         self.state = StoreState.REOPENING
         return True
 
     def on_failure(self, now_ms: float, fault: StoreFault) -> str | None:
-        """A write or an opening ended with a fault."""
+        """Handle the failure of a write or an opening: schedule the next attempt."""
         if self.fault is None:
             self.faulted_since_ms = now_ms
         if self.state is StoreState.REOPENING:
@@ -84,7 +88,10 @@
         return format_event("store_fault", fault=fault.value) if is_another_fault else None
 
     def on_timeout(self, now_ms: float) -> str | None:
-        """The disk has not answered in time; it is asked nothing else until it does."""
+        """Handle a response timeout: enter SLOW, unless a fault is known already.
+
+        In SLOW no reopening is due until the disk has responded to the present request.
+        """
         is_first_opening = self.state is StoreState.REOPENING and self.fault is None
         if self.state is not StoreState.HEALTHY and not is_first_opening:
             return None
@@ -94,16 +101,23 @@
         return format_event("store_fault", fault=self.fault.value)
 
     def on_opened(self, now_ms: float, fault: StoreFault | None = None) -> str | None:
-        """An opening succeeded; CORRUPTED where some content was left out."""
+        """Handle a successful opening.
+
+        Args:
+            now_ms: the current time.
+            fault: CORRUPTED if some content was rejected, otherwise None.
+        """
         line = format_event("store_content_lost", fault=fault.value) if fault else None
         return self._enter_healthy(now_ms, line)
 
     def on_write_succeeded(self, now_ms: float) -> str | None:
-        """A write was acknowledged."""
+        """Handle an acknowledged write."""
         return self._enter_healthy(now_ms, None)
 
     def _enter_healthy(self, now_ms: float, line: str | None) -> str | None:
         if line is None and self.fault is not None:
             line = format_event("store_recovered", after_s=f"{(now_ms - self.faulted_since_ms) / 1000:.1f}")
-        self.state, self.fault, self.failed_attempts = StoreState.HEALTHY, None, 0
+        self.state = StoreState.HEALTHY
+        self.fault = None
+        self.failed_attempts = 0
         return line
--- a/cedarthread/persistence/sqlite_database.py
+++ b/cedarthread/persistence/sqlite_database.py
@@ -1,8 +1,8 @@
 """One open database file of a store: its pragmas, its tables, and how they are read, verified and written.
 
-The journal is a rollback journal rather than a write-ahead log: a flipped bit in a log cuts off all later
-commits unnoticed, whereas here content stays in its place, and each damage shows (docs/design/store.md).
-There is one table of rows and one head.
+The file has one table of rows and one head. SQLite uses a rollback journal, because a flipped bit in a
+write-ahead log silently discards all later commits. With a rollback journal, content stays in its place in
+the file, so that checksums detect each corruption (docs/design/store.md).
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
 
 
 class DatabaseCorruptedError(CedarthreadError):
-    """What was read from a database file cannot be what was written there."""
+    """The content of a database file differs from what was written to it."""
 
 
 @dataclass(slots=True)
 class StoreContents:
-    """The rows of a store with their checksums. Generation 0: nothing complete was ever written."""
+    """The rows of a store with their checksums. Generation 0 means that no commit was ever completed."""
 
     values: dict[str, bytes] = field(default_factory=dict)
     row_checksums: dict[str, bytes] = field(default_factory=dict)
@@ -48,31 +48,37 @@
 
 
 class SqliteDatabase:
-    """A connection to one database file. Its methods raise errors of apsw and of the operating system."""
+    """A connection to one database file, which is created if missing.
+
+    All methods but ``close`` raise ``apsw.Error`` or ``OSError`` when the disk or the file has a fault.
+
+    Args:
+        path: the database file.
+        vfs: name of the SQLite VFS to use; None selects the default VFS.
+    """
 
     def __init__(self, path: Path, vfs: str | None) -> None:
-        """Open the file, or make it. ``vfs``: name of the SQLite layer beneath, None: the default one."""
         self.path = path
         self._connection = apsw.Connection(str(path), vfs=vfs)
         self._device_and_inode = (0, 0)
 
     def configure(self, sync_mode: SyncMode) -> None:
-        """Set the pragmas; first thing after opening."""
+        """Set the pragmas; the caller must do this before any other call."""
         self.execute("PRAGMA locking_mode=EXCLUSIVE; PRAGMA journal_mode=PERSIST; PRAGMA trusted_schema=OFF")
         self.execute("PRAGMA temp_store=MEMORY")
         self.execute(f"PRAGMA synchronous={'OFF' if sync_mode == 'none' else 'EXTRA'}")
         self._device_and_inode = database_folder.device_and_inode(self.path)
 
     def execute(self, statement: str, bindings: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
-        """Run statements; all rows that they give."""
+        """Run SQL statements and return all their result rows."""
         return list(self._connection.execute(statement, bindings))
 
     def is_in_place(self) -> bool:
-        """Whether the open file still is the one in its folder. If not, what is written to it is lost."""
+        """Return whether the open file is still the one in its folder; otherwise, writes to it are lost."""
         return database_folder.device_and_inode(self.path) == self._device_and_inode
 
     def roll_back_unfinished(self) -> bool:
-        """Play back what a power cut left half done; False where the file is read-only."""
+        """Roll back a transaction that a power cut interrupted; return False if the file is read-only."""
         try:
             self.execute("BEGIN IMMEDIATE; COMMIT")
         except apsw.ReadOnlyError:
@@ -80,7 +86,11 @@
         return True
 
     def read_verified(self) -> StoreContents:
-        """All content. DatabaseCorruptedError: not exactly what the last commit wrote."""
+        """Read all content and verify it against its checksums.
+
+        Raises:
+            DatabaseCorruptedError: the content is not exactly the one that the last commit wrote.
+        """
         if not self.execute("SELECT name FROM sqlite_schema"):
             return StoreContents()
         heads = self.execute(_SELECT_HEAD)
@@ -99,12 +109,12 @@
         return StoreContents(rows.values, rows.row_checksums, generation)
 
     def salvage(self) -> tuple[Mapping[str, bytes], int]:
-        """The rows that can be read and verified, and the highest generation of them or the head."""
+        """Return the rows that can be read and verified, and the highest generation of rows and head."""
         rows: list[tuple[Any, ...]] = []
         generation = 0
         try:
             for row in self._connection.execute(_SELECT_ROWS):
-                rows.append(row)  # one by one: those before an error count
+                rows.append(row)  # one by one, so that the rows before an error are salvaged
         except (apsw.Error, OSError) as error:
             if log.isEnabledFor(logging.DEBUG):
                 log.debug(format_event("store_salvage_incomplete", table="rows", read=len(rows), error=error))
@@ -121,8 +131,10 @@
     def write(self, contents: StoreContents, writes: Sequence[KeyValueWrite], *, clear: bool) -> None:
         """Apply writes to ``contents`` and, in one transaction, to the file.
 
-        ``contents``: those of the file, with the generation that is to be written; with ``clear``, the file's
-        rows are all deleted first, and ``contents`` is empty.
+        Args:
+            contents: the rows of the file, with the generation to write; without rows if ``clear`` is set.
+            writes: the writes to apply, in order.
+            clear: whether to delete all rows of the file first.
         """
         with self.transaction():
             self.execute(_SCHEMA)
@@ -149,7 +161,7 @@
 
     @contextmanager
     def transaction(self) -> Iterator[None]:
-        """Commit what is written within, or nothing of it."""
+        """Run the body in a transaction, which is rolled back if the body or the commit raises."""
         self.execute("BEGIN IMMEDIATE")
         try:
             yield
@@ -163,7 +175,7 @@
             raise
 
     def close(self) -> None:
-        """Close the file, whatever state it is in."""
+        """Close the file; log errors at debug level only, because a faulted file may fail to close."""
         try:
             self._connection.close(True)
         except (apsw.Error, OSError) as error:
--- a/cedarthread/persistence/sqlite_store.py
+++ b/cedarthread/persistence/sqlite_store.py
@@ -1,8 +1,8 @@
-"""The storage backend on SQLite, by way of apsw: opening, recovery after faults, commits.
+"""The storage backend on SQLite, through apsw: opening, recovery after faults, commits.
 
-After a fault the present file is written no more, and not read either: a failed sync leaves file and
-journal in a state that SQLite's own recovery can make worse (docs/design/store.md). What was acknowledged
-goes from memory into a new file ``state-N.db`` of a higher N.
+After a fault, the current file is neither written nor read again, because a failed sync leaves file and
+journal in a state that SQLite's own recovery can make worse (docs/design/store.md). Instead, the acknowledged
+content is written from memory to a new file ``state-N.db`` with a higher N.
 """
 
 from __future__ import annotations
@@ -22,27 +22,34 @@
 
 
 class SqliteBackend:
-    """Keys and values in a database file of a folder, which must exist.
+    """A storage backend that owns the database files in one folder, and a copy of the acknowledged content.
 
-    Its methods wait for the disk, and raise nothing. ``vfs``: name of the SQLite layer beneath; tests and
-    drills inject faults there (``faulty_disk.py``).
+    The methods wait for the disk, and return faults instead of raising errors.
+
+    Args:
+        folder: the folder, which must exist.
+        sync_mode: with "none", no write is synced to the disk.
+        vfs: name of the SQLite VFS to use; None selects the default VFS. Tests and drills inject faults
+            through a VFS of their own (``faulty_disk.py``).
     """
 
     def __init__(self, folder: Path, sync_mode: SyncMode = "group", vfs: str | None = None) -> None:
-        self.folder, self.sync_mode, self.vfs = folder, sync_mode, vfs
+        self.folder = folder
+        self.sync_mode = sync_mode
+        self.vfs = vfs
         self.generation = 0
         self._folder = DatabaseFolder(folder)
         self._database: SqliteDatabase | None = None
         self._database_path = folder
-        self._acknowledged: dict[str, bytes] | None = None  # None: nothing has been read yet
+        self._acknowledged: dict[str, bytes] | None = None  # None until a file has been read or created
         self._row_checksums: dict[str, bytes] = {}
 
     def open(self) -> LoadResult:
-        """Read the content; after a fault, write what was acknowledged anew.
+        """Read the content; after a fault, write the acknowledged content from memory to a new file.
 
-        After a failed sync the system may serve from its cache what never reached the disk, so then nothing
-        that it says of this file is taken for evidence (Rebello and others, Can applications recover from
-        fsync failures?, 2020).
+        After a failed sync, the operating system may serve pages from its cache that never reached the disk.
+        The file is therefore not read again (Rebello and others, Can applications recover from fsync
+        failures?, 2020).
         """
         self._disconnect()
         try:
@@ -56,7 +63,7 @@
             return LoadResult({}, 0, fault_from_error(error, self.folder))
 
     def _recover(self) -> LoadResult:
-        """Read the newest file that is complete; without any, make a first one."""
+        """Read the newest complete file; create the first file if there is none."""
         for number in self._folder.database_numbers():
             if not self._folder.database_file(number).exists():
                 continue
@@ -68,12 +75,12 @@
                 return self._quarantine_and_rewrite()
             if load_result.generation:
                 return load_result
-            self._disconnect()  # it never was complete: a power cut came while it was made
+            self._disconnect()  # the file is not complete, because a power cut interrupted its creation
         self._rewrite({}, 0)
         return LoadResult({}, self.generation)
 
     def _open_database(self, number: int) -> LoadResult:
-        """Read one file, and keep it open where it may be written to."""
+        """Read one file, and leave it open if it is writable."""
         database = self._connect(number)
         is_writable = database.roll_back_unfinished()
         contents = database.read_verified()
@@ -92,37 +99,40 @@
         return self._database
 
     def _adopt(self, contents: StoreContents) -> None:
-        """These contents are acknowledged."""
+        """Replace the copy of the acknowledged content."""
         self._acknowledged = contents.values
         self._row_checksums = contents.row_checksums
         self.generation = contents.generation
 
     def _quarantine_and_rewrite(self) -> LoadResult:
-        """Keep the rows that are right in a new file, and the corrupted file under another name."""
+        """Write the rows with valid checksums to a new file, and quarantine the corrupted file."""
         values, generation = ({}, 0) if self._database is None else self._database.salvage()
         self._folder.quarantine(self._database_path)
         self._rewrite(values, generation)
         return LoadResult(dict(values), self.generation, StoreFault.CORRUPTED)
 
     def _rewrite(self, values: Mapping[str, bytes], generation: int) -> None:
-        """Write a new file with this content; the others stay until it is complete."""
+        """Write a new file with this content, then delete the other files."""
         self._disconnect()
         number = max(self._folder.database_numbers(), default=0) + 1
         acknowledged = self._acknowledged
-        self._acknowledged, self._row_checksums, self.generation = {}, {}, generation
+        self._acknowledged = {}
+        self._row_checksums = {}
+        self.generation = generation
         try:
             self._write(self._connect(number), list(values.items()), None)
             if self.sync_mode != "none":
                 self._folder.sync()
             self._folder.delete_databases_except(number)
         except (apsw.Error, OSError):
-            self._acknowledged, self.generation = acknowledged, generation  # for the next attempt
+            self._acknowledged = acknowledged  # for the next attempt
+            self.generation = generation
             raise
 
     def commit(
         self, writes: Sequence[KeyValueWrite], above_generation: int | None = None
     ) -> StoreFault | None:
-        """Make all writes durable, or say what is wrong; after that, only ``open`` helps."""
+        """Make all writes durable, or return the fault; after a fault, only ``open`` enables writes again."""
         if self._database is None:
             return StoreFault.IO_ERROR
         try:
@@ -150,6 +160,6 @@
             database.close()
 
     def close(self) -> None:
-        """Release the folder."""
+        """Close the database file and release the folder's lock."""
         self._disconnect()
         self._folder.release_lock()
--- a/cedarthread/persistence/state_persister.py
+++ b/cedarthread/persistence/state_persister.py
@@ -1,8 +1,11 @@
-"""What a router writes to its store and when, and what it believes of it after a restart. Pure: no disk here.
+"""Decides when a router writes its state, and how much of the stored state it uses after a restart.
 
-After a restart nothing is believed before some peers have said which generation of this router's store they
-remember: a lower one on the disk is stale, and the content is dropped. Until then, and without a disk, the
-router is one that has forgotten everything: no voter of the replicated store, and without escrow.
+No function here accesses a disk: the host makes the writes that ``StatePersister`` returns.
+
+After a restart the content is not used until some peers have reported which generation of this router's store
+they remember. If they remember a higher generation than the disk has, the content is stale and is dropped.
+Until then, and without a working disk, the router acts as one without any stored state: it is not a voter of
+the replicated store, and it has no escrow.
 """
 
 from __future__ import annotations
@@ -27,15 +30,15 @@
     from cedarthread.replication.store import ReplicatedStore
 
 MIN_PEER_REPORTS = 3
-"""Peers that say what they remember before the store is believed."""
+"""Number of peers that must report a generation before the store's content is assessed."""
 SNAPSHOT_INTERVAL_MS = 2000.0
-"""Time between two warm-state snapshots."""
+"""Minimum time between two warm-state snapshots."""
 OPEN_TIMEOUT_MS = 2500.0
-"""Time that the store may take to open; then the router goes on without it."""
+"""Time after which the router starts without the store if the store is not open yet."""
 
 
 class WriteKind(Enum):
-    """What a write holds, and so whom its end concerns."""
+    """The kind of a write, which decides which component is notified of its completion."""
 
     ENTRY = "entry"
     ESCROW = "escrow"
@@ -46,20 +49,28 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingWrite:
-    """One write that the host is to make; handed back when it has ended."""
+    """One write that the host makes, and passes to ``on_write_completed`` afterwards."""
 
     key: str
     value: bytes
     kind: WriteKind
-    revision: int = 0  # of the replicated store, for entries
+    revision: int = 0  # of the replicated store; for entries only
 
 
 RESET_WRITE = PendingWrite("", b"", WriteKind.RESET)
-"""Stands for a reset of the store."""
+"""The write that the host passes to ``on_write_completed`` after a reset of the store."""
 
 
 class StatePersister:
-    """Decides what one router writes to its store, and takes over what it reads there."""
+    """The state of one router's persistence: queued writes, and the use of the recovered content.
+
+    Args:
+        replicated_store: the store of replicated entries, which is notified of durable entries.
+        recovery: restores warm state, and provides snapshots of it.
+        start_escrow: called once at the start with the time and the escrow's stored state, or None if
+            there is none or it must not be used.
+        now_ms: the time of the router's start.
+    """
 
     def __init__(
         self,
@@ -68,34 +79,34 @@
         start_escrow: Callable[[float, bytes | None], None],
         now_ms: float,
     ) -> None:
-        """``start_escrow``: called once, with what the store remembers of the escrow, if that is believed."""
         self.replicated_store = replicated_store
         self.recovery = recovery
         self.start_escrow = start_escrow
         self.escrow: Escrow | None = None
         self.started_at_ms = now_ms
-        self.has_started = False  # what is believed of the store is decided
-        self.is_degraded = False  # the disk has a fault: what is confirmed from now on may be forgotten
+        self.has_started = False  # whether the use of the stored content has been decided
+        self.is_degraded = False  # the disk has a fault, so that changes are not persisted
         self.load_result: LoadResult | None = None
         self.image = RecoveredImage()
         self.queued_writes: list[PendingWrite] = []
         self.last_snapshot_at_ms = now_ms
-        self.was_voter = False  # as last written
-        self.reset_above_generation: int | None = None  # the host is to reset the store above this generation
+        self.was_voter = False  # whether the router was a voter in the last incarnation record written
+        self.reset_above_generation: int | None = None  # set to request a reset; the host clears it
         self.log_messages: list[OutboundMessage] = []
         replicated_store.set_durable(True)
 
     def on_store_opened(self, now_ms: float, load_result: LoadResult, image: RecoveredImage) -> None:
-        """The store has been opened, after a restart or a fault."""
+        """Handle the opening of the store after a restart or a fault."""
         if self.has_started:
             self._on_store_reopened(load_result)
             return
-        self.load_result, self.image = load_result, image
+        self.load_result = load_result
+        self.image = image
         self.replicated_store.store_generation = load_result.generation
         self._start_when_assessable(now_ms)
 
     def _start_when_assessable(self, now_ms: float) -> None:
-        """Start once enough peers have said what they remember, or it is too late for them to."""
+        """Start if enough peers have reported their generation, or if the time to wait for them is over."""
         if self.load_result is None:
             if now_ms - self.started_at_ms >= OPEN_TIMEOUT_MS:
                 self._log(format_event("store_open_timeout", timeout_ms=f"{OPEN_TIMEOUT_MS:.0f}"))
@@ -124,7 +135,7 @@
         self.start_escrow(now_ms, None)
 
     def _start_from_image(self, now_ms: float, image: RecoveredImage, *, is_trusted: bool) -> None:
-        """Take over what the store remembers; a vote and the escrow only if nothing can be missing."""
+        """Restore the stored state; restore the vote and the escrow only if no value can be missing."""
         is_complete = (
             is_trusted
             and image.incarnation is not None
@@ -142,7 +153,7 @@
         self.start_escrow(now_ms, escrow)
 
     def on_entries_changed(self, changes: tuple[ReplicatedEntry, ...]) -> None:
-        """Entries of the replicated store were added or replaced."""
+        """Queue writes of entries that were added to the replicated store or replaced there."""
         for changed in changes:
             self._queue_entry(changed.entry)
 
@@ -152,7 +163,7 @@
         self.queued_writes.append(PendingWrite(key, value, WriteKind.ENTRY, revision))
 
     def on_tick(self, now_ms: float) -> list[PendingWrite]:
-        """Some times a second: what is to be written now."""
+        """Return the writes that are due; called several times a second."""
         if not self.has_started:
             self._start_when_assessable(now_ms)
         is_writing = self.has_started and not self.is_degraded
@@ -191,14 +202,21 @@
             self.queued_writes.append(write)
 
     def take_log_messages(self) -> list[OutboundMessage]:
-        """The lines for the log since the last call."""
+        """Return the lines to log since the last call."""
         log_messages, self.log_messages = self.log_messages, []
         return log_messages
 
     def on_write_completed(
         self, now_ms: float, write: PendingWrite, fault: StoreFault | None, generation: int
     ) -> None:
-        """A write has ended; ``generation``: that of the store by then."""
+        """Handle the completion of a write.
+
+        Args:
+            now_ms: the current time.
+            write: the completed write.
+            fault: the fault of the write, or None if the write is durable.
+            generation: the present generation of the store.
+        """
         if fault is None:
             self._on_write_succeeded(now_ms, write, generation)
             return
@@ -216,9 +234,10 @@
             self.escrow.mark_written(now_ms)
 
     def _enter_degraded_mode(self, now_ms: float) -> None:
-        """Go on without the disk. The next restart must find its content stale, for it lacks what comes now.
+        """Continue without the disk.
 
-        So peers are told a generation that the disk has not reached.
+        Later changes are not on the disk, so that a restart must find the disk's content stale. Peers are
+        therefore notified of a generation that the disk has not reached.
         """
         self.is_degraded = True
         self.replicated_store.set_durable(False)
@@ -226,7 +245,10 @@
         self.replicated_store.mark_persisted(now_ms, self.replicated_store.revision)
 
     def _on_store_reopened(self, load_result: LoadResult) -> None:
-        """The fault is over: write everything anew, above the generation that peers were told."""
+        """Leave degraded mode: write all entries again, above the generation that peers were notified of.
+
+        Do nothing if the store is not writable, or if the router was not in degraded mode.
+        """
         if not (self.is_degraded and load_result.is_writable):
             return
         self.is_degraded = False
--- a/cedarthread/persistence/store.py
+++ b/cedarthread/persistence/store.py
@@ -1,4 +1,4 @@
-"""The contract of a store: what every implementation guarantees, whatever disk lies beneath it."""
+"""The contract that each implementation of a store guarantees, on any disk."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class StoreFault(Enum):
-    """What is wrong with a store's disk or content. The values are what operators read."""
+    """A fault of a store's disk or content. The values appear in log lines and figures for operators."""
 
     DISK_FULL = "no space left"
-    IO_ERROR = "input or output failed"  # after a failed sync only what was acknowledged before is believed
+    IO_ERROR = "input or output failed"  # a read, write or sync failed
     READ_ONLY = "read-only"
     FOLDER_MISSING = "the folder is gone"
     CORRUPTED = "damaged content was left out"
@@ -23,76 +23,89 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """The content of a store when it was opened. At generation 0 and 1 nothing was ever put there."""
+    """The content of a store when it was opened. At generations 0 and 1 no value was ever written."""
 
     values: Mapping[str, bytes]
-    generation: int  # grows with each acknowledged write, across all incarnations
+    generation: int  # increases with each acknowledged write, across all incarnations of the router
     fault: StoreFault | None = None
 
     @property
     def is_writable(self) -> bool:
-        """Whether it may be written to: corrupted content has been left out, all other faults persist."""
+        """Return whether the store accepts writes.
+
+        After CORRUPTED it does, because the corrupted content was rejected. All other faults persist.
+        """
         return self.fault in (None, StoreFault.CORRUPTED)
 
 
 SyncMode = Literal["each", "group", "none"]
-"""When a write is acknowledged: synced by itself, synced with others, or (may be lost) as soon as written."""
+"""When a write is acknowledged: after its own sync, after a sync shared with others, or without any sync."""
 KeyValueWrite = tuple[str, bytes | None]
 """A key with its new value; None deletes the key."""
 WriteCallback = Callable[[StoreFault | None], None]
-"""Called when a write has ended: with None it is durable."""
+"""Receives the fault of a completed write, or None if the write is durable."""
 
 
 class Store(Protocol):
-    """Keys and values. No method waits for a disk; callbacks come on the caller's thread.
-
-    1. What ``put`` acknowledged is there, complete, after a crash and a power cut; else ``load`` says that
-       the content is corrupted or stale. A value that was not put under its key is never returned, nor a
-       part of one.
-    2. A write that was not acknowledged is there complete or not at all. Writes of one key keep their order.
-    3. After a fault the store reports it and acknowledges nothing until it has been opened again; writes then
-       end at once with that fault. The caller serves on. ``UNRESPONSIVE`` alone passes by itself, when the
-       disk answers; writes that ended with it may have become durable all the same.
+    """A durable map of keys to values. No method waits for a disk; callbacks run on the caller's thread.
+
+    1. Each write that ``put`` acknowledged survives a crash or a power cut completely; otherwise ``load``
+       reports that the content is corrupted or stale. A value is never returned in part, or under a key for
+       which it was not written.
+    2. A write that was not acknowledged is applied completely or not at all. Writes of one key are applied in
+       the order in which they were made.
+    3. After a fault the store reports the fault and acknowledges no write until the store has been reopened.
+       Until then writes fail at once with that fault, and the caller continues without the store. Only
+       ``UNRESPONSIVE`` ends without a reopening, when the disk responds; writes that failed with
+       ``UNRESPONSIVE`` may nevertheless have become durable.
     """
 
     @property
     def fault(self) -> StoreFault | None:
-        """The present fault."""
+        """Return the present fault, or None."""
 
     @property
     def generation(self) -> int:
-        """The generation of the last acknowledged write."""
+        """Return the generation of the last acknowledged write."""
 
     def load(self) -> LoadResult:
-        """The content when the store was opened."""
+        """Return the content that the store had when it was opened."""
 
     def put(self, key: str, value: bytes | None, callback: WriteCallback | None = None) -> None:
-        """Write a value, or delete the key with None."""
+        """Write a value; None deletes the key."""
 
     def reset(self, above_generation: int, callback: WriteCallback | None = None) -> None:
-        """Drop all content, which peers have shown to be stale; the generation goes above theirs."""
+        """Delete all content, and continue with a generation above ``above_generation``.
+
+        The caller resets a store when peers remember a higher generation, which proves the content stale.
+        """
 
     def run_callbacks(self) -> None:
-        """Run the callbacks of writes that have ended; the host calls it after ``wake``."""
+        """Run the callbacks of completed writes; the host calls this method after ``wake``."""
 
     def close(self) -> None:
-        """Write what is pending, within a bounded time, then release the folder."""
+        """Write the pending values, within a bounded time, then release the folder."""
 
 
 class StorageBackend(Protocol):
-    """What a store writes to. It may wait for a disk for any time, and raises nothing."""
+    """The storage of a store. Its methods may block on the disk for any time, and raise no errors."""
 
     generation: int
 
     def open(self) -> LoadResult:
-        """At first: read the content. After a fault: write what was acknowledged anew, and nothing else."""
+        """Read the content on the first call.
+
+        After a fault, write the acknowledged content again, and no other content.
+        """
 
     def commit(
         self, writes: Sequence[KeyValueWrite], above_generation: int | None = None
     ) -> StoreFault | None:
-        """Make all writes durable, or say what is wrong.
+        """Make all writes durable, or return the fault.
 
-        With ``above_generation`` all content is dropped first, and the generation goes above it.
+        Args:
+            writes: the writes, in order.
+            above_generation: if given, delete all content first, and continue with a higher generation.
         """
 
     def close(self) -> None:
--- a/cedarthread/persistence/synchronous_store.py
+++ b/cedarthread/persistence/synchronous_store.py
@@ -1,4 +1,4 @@
-"""A store on the caller's own thread, for tools and tests, which may wait for a disk."""
+"""A store on the caller's thread, for tools and tests, which may wait for a disk."""
 
 from __future__ import annotations
 
@@ -17,7 +17,11 @@
 
 
 class SynchronousStore:
-    """A :class:`~cedarthread.persistence.store.Store` whose callbacks come before its methods return."""
+    """A :class:`~cedarthread.persistence.store.Store` that runs callbacks before its methods return.
+
+    Args:
+        backend: the storage, which the constructor opens.
+    """
 
     def __init__(self, backend: StorageBackend) -> None:
         self.backend = backend
@@ -31,23 +35,23 @@
 
     @property
     def generation(self) -> int:
-        """The generation of the last acknowledged write."""
+        """Return the generation of the last acknowledged write."""
         return self.backend.generation
 
     def load(self) -> LoadResult:
-        """The content when the store was first opened."""
+        """Return the content that the store had when it was first opened."""
         return self._load_result
 
     def reopen(self) -> None:
-        """Try again after a fault."""
+        """Open the backend again after a fault."""
         self._open()
 
     def put(self, key: str, value: bytes | None, callback: WriteCallback | None = None) -> None:
-        """Write a value now, or delete the key with None."""
+        """Write a value; None deletes the key."""
         self._commit([(key, value)], None, callback)
 
     def reset(self, above_generation: int, callback: WriteCallback | None = None) -> None:
-        """Drop all content now."""
+        """Delete all content, and continue with a generation above ``above_generation``."""
         self._commit([], above_generation, callback)
 
     def _commit(
@@ -59,8 +63,8 @@
             callback(self.fault)
 
     def run_callbacks(self) -> None:
-        """Nothing is ever pending here."""
+        """Do nothing, because no write is ever pending."""
 
     def close(self) -> None:
-        """Release the folder."""
+        """Close the backend."""
         self.backend.close()
--- a/cedarthread/persistence/write_queue.py
+++ b/cedarthread/persistence/write_queue.py
@@ -1,4 +1,7 @@
-"""Writes that wait for the disk, bounded in number and size. Not thread-safe: its owner holds a lock."""
+"""The queue of writes that wait for the disk, bounded in number and size.
+
+Not thread-safe: the owner of a queue must lock it.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +12,14 @@
     from cedarthread.persistence.store import WriteCallback
 
 MAX_PENDING_WRITES = 10_000
-"""Keys, and callbacks, that may wait at once."""
+"""Maximum number of pending keys, and of pending callbacks."""
 MAX_PENDING_BYTES = 8 * 2**20
-"""Keys and values that may wait at once."""
+"""Maximum total size of pending keys and values."""
 
 
 @dataclass(slots=True)
 class WriteBatch:
-    """The writes of one transaction: one value a key, and the callbacks of all writes of these keys."""
+    """The writes of one transaction: one value for each key, and the callbacks of all its writes."""
 
     values: dict[str, bytes | None]
     callbacks: list[WriteCallback]
@@ -24,23 +27,23 @@
 
 
 class WriteQueue:
-    """The newest value of each key that waits, and the callbacks of all its writes."""
+    """The newest pending value of each key, and the callbacks of all pending writes."""
 
     def __init__(self) -> None:
         self.pending_bytes = 0
         self._values: dict[str, bytes | None] = {}
-        self._callbacks: list[tuple[str | None, WriteCallback]] = []  # by key; None: of a reset
+        self._callbacks: list[tuple[str | None, WriteCallback]] = []  # each with its key; None for a reset
         self._reset_above: int | None = None
 
     def __len__(self) -> int:
         return len(self._values)
 
     def has_work(self) -> bool:
-        """Whether a transaction is due."""
+        """Return whether a write or a reset is pending."""
         return bool(self._values) or self._reset_above is not None
 
     def put(self, key: str, value: bytes | None, callback: WriteCallback | None) -> bool:
-        """Add a write, or replace the one of its key that waits; False where there is no room."""
+        """Add a write, or replace the pending write of its key; return False if the queue is full."""
         added_bytes = _payload_bytes(key, value)
         if key in self._values:
             added_bytes -= _payload_bytes(key, self._values[key])
@@ -54,7 +57,7 @@
         return True
 
     def reset(self, above_generation: int, callback: WriteCallback | None) -> None:
-        """Drop all writes that wait, and have the next transaction drop all content first."""
+        """Drop all pending writes, and let the next transaction delete all content first."""
         self._values.clear()
         self.pending_bytes = 0
         self._reset_above = max(above_generation, self._reset_above or 0)
@@ -62,7 +65,7 @@
             self._callbacks.append((None, callback))
 
     def take_batch(self, max_keys: int | None) -> WriteBatch:
-        """What goes into the next transaction: the oldest ``max_keys`` keys, None: all."""
+        """Remove and return the next transaction's writes: the oldest ``max_keys`` keys, or all if None."""
         keys = list(self._values)[:max_keys]
         values = {key: self._values.pop(key) for key in keys}
         self.pending_bytes -= sum(_payload_bytes(key, value) for key, value in values.items())
@@ -72,13 +75,13 @@
         return WriteBatch(values, callbacks, above_generation)
 
     def take_callbacks(self) -> list[WriteCallback]:
-        """The callbacks of all that waits; the writes themselves still wait."""
+        """Remove and return all callbacks; the writes themselves stay pending."""
         callbacks = [callback for _, callback in self._callbacks]
         self._callbacks.clear()
         return callbacks
 
     def clear(self) -> None:
-        """Drop the writes and the reset that wait."""
+        """Drop the pending writes and the pending reset."""
         self._values.clear()
         self._reset_above = None
         self.pending_bytes = 0
