--- a/cedarthread/persistence/event_loop_store.py
+++ b/cedarthread/persistence/event_loop_store.py
@@ -14,7 +14,7 @@
 from cedarthread.model.actions import LogMessage
 from cedarthread.persistence import recovered_image
 from cedarthread.persistence.state_persister import RESET_WRITE, PendingWrite, StatePersister
-from cedarthread.persistence.store_thread import open_store
+from cedarthread.persistence.store_thread import StoreHost, open_store
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -47,10 +47,12 @@
             Path(config.folder),
             config.sync,
             config.group,
-            clock=clock,
-            wake=lambda: loop.call_soon_threadsafe(self._run_callbacks),
-            on_opened=self._on_opened,
-            log=log.warning,
+            host=StoreHost(
+                clock=clock,
+                wake=lambda: loop.call_soon_threadsafe(self._run_callbacks),
+                on_opened=self._on_opened,
+                log=log.warning,
+            ),
             seed=seed,
         )
 
--- a/cedarthread/persistence/store.py
+++ b/cedarthread/persistence/store.py
@@ -90,7 +90,9 @@
 class StorageBackend(Protocol):
     """The storage of a store. Its methods may block on the disk for any time, and raise no errors."""
 
-    generation: int
+    @property
+    def generation(self) -> int:
+        """Return the generation of the last commit."""
 
     def open(self) -> LoadResult:
         """Read the content on the first call.
--- a/cedarthread/persistence/store_thread.py
+++ b/cedarthread/persistence/store_thread.py
@@ -1,51 +1,70 @@
-"""A store whose disk is waited for by a thread of its own, so that the event loop never is.
+"""A store that uses its disk on a separate thread, so that the event loop never waits for the disk.
 
-The thread opens, commits and closes, and decides nothing: it takes the next job, does it, leaves a
-completion and calls ``wake``. All else happens in ``run_callbacks``, on the host's thread. To host it with
-asyncio::
+``disk_worker.py`` has the thread. All code here but ``_GuardedBackend`` runs on the host's thread. A host
+with an event loop opens a store by::
 
-    store = open_store(
-        folder, "group", wake=lambda: loop.call_soon_threadsafe(lambda: store.run_callbacks()), ...
-    )
+    host = StoreHost(wake=lambda: loop.call_soon_threadsafe(lambda: store.run_callbacks()), ...)
+    store = open_store(folder, "group", host=host)
 
-and ``store.run_callbacks()`` some times a second besides, for what is due by the clock: a disk that does
-not answer, a retry. ``on_opened`` is called after each opening: the first time with the content, after a
-fault with what had been acknowledged; the host then puts again what it holds beyond that.
+The host also calls ``store.run_callbacks()`` several times a second, because response timeouts and reopening
+attempts become due by the clock.
 """
 
 from __future__ import annotations
 
 import logging
-import threading
-from collections import deque
-from contextlib import suppress
 from dataclasses import dataclass
-from functools import partial
 from typing import TYPE_CHECKING
 
 from cedarthread.logs import format_event
+from cedarthread.persistence.disk_worker import CommitCompletion, Completion, DiskWorker, OpenCompletion
 from cedarthread.persistence.reopen_policy import ReopenPolicy
 from cedarthread.persistence.sqlite_store import SqliteBackend
-from cedarthread.persistence.store import LoadResult, StorageBackend, StoreFault, SyncMode, WriteCallback
-from cedarthread.persistence.write_queue import WriteBatch, WriteQueue
+from cedarthread.persistence.store import (
+    KeyValueWrite,
+    LoadResult,
+    StorageBackend,
+    StoreFault,
+    SyncMode,
+    WriteCallback,
+)
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
+    from collections.abc import Callable, Sequence
     from pathlib import Path
 
 logger = logging.getLogger(__name__)
 
 RESPONSE_TIMEOUT_MS = 2000.0
-"""Time within which the disk must answer; then the router goes on without it."""
+"""Time within which the disk must respond; after that, the router continues without the disk."""
 CLOSE_TIMEOUT_MS = 1000.0
-"""Time that closing waits at most."""
+"""Maximum time for which ``close`` waits."""
 GROUP_COMMIT_MS = 5.0
 """Time for which writes are gathered into one transaction."""
 
 
+@dataclass(frozen=True, slots=True)
+class StoreHost:
+    """The functions of its host that a ``StoreThread`` calls."""
+
+    clock: Callable[[], float]
+    """Returns steady milliseconds; called on both threads."""
+    wake: Callable[[], object]
+    """Called on the store's thread when ``run_callbacks`` has work to do."""
+    on_opened: Callable[[LoadResult], object]
+    """Receives the result of an opening, on the host's thread.
+
+    Called after the first opening in any case, and when the first opening exceeds the response timeout.
+    Called after a later opening only if the store is writable; the host then puts the values that the result
+    lacks.
+    """
+    log: Callable[[str], object]
+    """Logs a line; called on the host's thread."""
+
+
 @dataclass(frozen=True, slots=True)
 class StoreStatistics:
-    """Writes since the start, and what is pending now."""
+    """Numbers of writes since the start, and the writes that are pending now."""
 
     acknowledged: int
     rejected: int
@@ -53,177 +72,166 @@
     pending_bytes: int
 
 
+class _GuardedBackend:
+    """A storage backend that logs the exceptions of another one and returns IO_ERROR in their place.
+
+    Without it, a defect of the other backend would end the store's thread.
+    """
+
+    def __init__(self, backend: StorageBackend) -> None:
+        self._backend = backend
+
+    @property
+    def generation(self) -> int:
+        return self._backend.generation
+
+    def open(self) -> LoadResult:
+        try:
+            return self._backend.open()
+        except Exception:
+            logger.exception(format_event("store_backend_defect", call="open"))
+            return LoadResult({}, 0, StoreFault.IO_ERROR)
+
+    def commit(
+        self, writes: Sequence[KeyValueWrite], above_generation: int | None = None
+    ) -> StoreFault | None:
+        try:
+            return self._backend.commit(writes, above_generation)
+        except Exception:
+            logger.exception(format_event("store_backend_defect", call="commit"))
+            return StoreFault.IO_ERROR
+
+    def close(self) -> None:
+        self._backend.close()
+
+
 class StoreThread:
-    """A :class:`~cedarthread.persistence.store.Store` on a thread of its own.
+    """A :class:`~cedarthread.persistence.store.Store` that owns a ``DiskWorker`` and a ``ReopenPolicy``.
 
     All methods are for the host's thread; only ``close`` waits, within a bound.
 
     Args:
-        backend: what it writes to.
-        sync_mode: with "each" every key has a transaction, otherwise all that wait share one.
-        group_commit_ms: time for which writes are gathered into a transaction.
-        clock: steady milliseconds.
-        wake: called on the store's thread when ``run_callbacks`` has something to do.
-        on_opened: called on the host's thread after each opening.
-        log: takes a line.
-        seed: of the jitter between reopenings.
-        response_timeout_ms: time within which the disk must answer.
-        close_timeout_ms: time that ``close`` waits at most.
+        backend: the storage, which only the worker's thread uses.
+        host: the functions of the host.
+        sync_mode: with "each", each key has its own transaction; otherwise pending writes share transactions.
+        group_commit_ms: time for which writes are gathered into one transaction.
+        seed: seed of the jitter between reopening attempts.
+        response_timeout_ms: time within which the disk must respond.
+        close_timeout_ms: maximum time for which ``close`` waits.
     """
 
     def __init__(
         self,
         backend: StorageBackend,
+        host: StoreHost,
         *,
         sync_mode: SyncMode = "group",
         group_commit_ms: float = GROUP_COMMIT_MS,
-        clock: Callable[[], float],
-        wake: Callable[[], object],
-        on_opened: Callable[[LoadResult], object],
-        log: Callable[[str], object],
         seed: int = 0,
         response_timeout_ms: float = RESPONSE_TIMEOUT_MS,
         close_timeout_ms: float = CLOSE_TIMEOUT_MS,
     ) -> None:
         self.policy = ReopenPolicy(seed)
         self.generation = 0
-        self._backend = backend
-        self._commits_each_write = sync_mode == "each"
-        self._group_commit_s = group_commit_ms / 1000.0
-        self._clock, self._wake, self._on_opened, self._log = clock, wake, on_opened, log
+        self._host = host
         self._response_timeout_ms = response_timeout_ms
         self._close_timeout_s = close_timeout_ms / 1000.0
         self._load_result: LoadResult | None = None
         self._acknowledged = 0
         self._rejected = 0
-        self._completions: deque[Callable[[], None]] = deque()  # left by the thread, run by run_callbacks
-        # Shared with the thread, under the condition's lock:
-        self._condition = threading.Condition()
-        self._queue = WriteQueue()
-        self._running_batch: WriteBatch | None = None
-        self._busy_since_ms: float | None = clock()  # when the present job began; None: the disk is idle
-        self._is_open_requested = True
-        self._is_writable = False
-        self._is_closing = False
+        self._worker = DiskWorker(
+            _GuardedBackend(backend),
+            sync_mode=sync_mode,
+            group_commit_ms=group_commit_ms,
+            clock=host.clock,
+            wake=host.wake,
+        )
         if sync_mode == "none":
-            log(format_event("store_sync_disabled", warning="acknowledged writes MAY BE LOST at a power cut"))
-        self._thread = threading.Thread(target=self._run, name="store", daemon=True)  # it may hang for good
-        self._thread.start()
-
-    # Called on the host's thread.
+            host.log(
+                format_event("store_sync_disabled", warning="acknowledged writes MAY BE LOST at a power cut")
+            )
+        self._worker.start()
 
     @property
     def fault(self) -> StoreFault | None:
-        """The present fault."""
+        """Return the present fault, or None."""
         return self.policy.fault
 
     @property
     def statistics(self) -> StoreStatistics:
-        """What was done, and what is pending."""
-        with self._condition:
-            return StoreStatistics(
-                acknowledged=self._acknowledged,
-                rejected=self._rejected,
-                pending=len(self._queue),
-                pending_bytes=self._queue.pending_bytes,
-            )
+        """Return the numbers of completed and pending writes."""
+        pending = self._worker.pending_writes()
+        return StoreStatistics(
+            acknowledged=self._acknowledged,
+            rejected=self._rejected,
+            pending=pending.key_count,
+            pending_bytes=pending.size_bytes,
+        )
 
     def load(self) -> LoadResult:
-        """The result of the last opening; empty and UNRESPONSIVE until one has ended."""
+        """Return the result of the last opening; empty and UNRESPONSIVE until the first opening has ended."""
         return self._load_result or LoadResult({}, 0, StoreFault.UNRESPONSIVE)
 
     def put(self, key: str, value: bytes | None, callback: WriteCallback | None = None) -> None:
         """Write a value, or delete the key with None. A pending write of the key is replaced.
 
-        While the disk is UNRESPONSIVE the callback is told so at once, and the write is still pending, so
-        that the newest value is written once the disk answers.
+        While the disk is UNRESPONSIVE the callback receives that fault at once, but the write stays pending,
+        so that the newest value is written once the disk responds.
         """
         fault = self._blocking_fault()
         if fault in (None, StoreFault.UNRESPONSIVE):
-            with self._condition:
-                if self._queue.put(key, value, callback if fault is None else None):
-                    self._condition.notify_all()
-                else:
-                    fault = StoreFault.UNRESPONSIVE
+            is_queued = self._worker.put(key, value, callback if fault is None else None)
+            if not is_queued:
+                fault = StoreFault.UNRESPONSIVE
         if fault is not None:
             _call_back([] if callback is None else [callback], fault)
             self._rejected += 1
 
     def reset(self, above_generation: int, callback: WriteCallback | None = None) -> None:
-        """Drop all content and what is pending; the generation goes above ``above_generation``."""
+        """Delete all content and pending writes; continue above the generation ``above_generation``."""
         fault = self._blocking_fault()
         if fault in (None, StoreFault.UNRESPONSIVE):
-            with self._condition:
-                self._queue.reset(above_generation, callback if fault is None else None)
-                self._condition.notify_all()
+            self._worker.reset(above_generation, callback if fault is None else None)
         if fault is not None and callback is not None:
             callback(fault)
 
     def _blocking_fault(self) -> StoreFault | None:
-        """Why a write cannot be acknowledged."""
-        if self._is_closing:
+        """Return the fault because of which no write can be acknowledged now, or None."""
+        if self._worker.is_closing:
             return self.fault or StoreFault.UNRESPONSIVE
         return self.fault
 
     def run_callbacks(self) -> None:
-        """Run the callbacks of what has ended, and do what is due by the clock."""
-        while self._completions:
-            self._completions.popleft()()
-        now_ms, busy_since_ms = self._clock(), self._busy_since_ms
+        """Handle all completions, then a due response timeout, then a due reopening attempt."""
+        while (completion := self._worker.next_completion()) is not None:
+            self._on_completion(completion)
+        now_ms = self._host.clock()
+        busy_since_ms = self._worker.busy_since_ms
         if busy_since_ms is not None and now_ms - busy_since_ms >= self._response_timeout_ms:
             self._on_response_timeout(now_ms)
-        if not self._is_closing and self.policy.take_due_attempt(now_ms):
-            with self._condition:
-                self._is_open_requested = True
-                self._condition.notify_all()
+        if not self._worker.is_closing and self.policy.take_due_attempt(now_ms):
+            self._worker.request_open()
 
     def close(self) -> None:
-        """Write what is pending; what is not written in time ends UNRESPONSIVE, and is left to the disk."""
-        with self._condition:
-            self._is_closing = True
-            self._condition.notify_all()
-        self._thread.join(self._close_timeout_s)
+        """Write the pending values and end the thread, within ``close_timeout_ms``.
+
+        The callbacks of writes that are incomplete by then receive a fault, although a blocked disk may still
+        complete the running write.
+        """
+        self._worker.close(self._close_timeout_s)
         self.run_callbacks()
         self._fail_pending(self.fault or StoreFault.UNRESPONSIVE)
 
-    def _on_response_timeout(self, now_ms: float) -> None:
-        self._log_line(self.policy.on_timeout(now_ms))
-        if self._load_result is None:
-            self._load_result = LoadResult({}, 0, StoreFault.UNRESPONSIVE)
-            self._on_opened(self._load_result)
-        self._end_callbacks(self.fault or StoreFault.UNRESPONSIVE)
-
-    def _fail_pending(self, fault: StoreFault) -> None:
-        """End all writes with a fault, and drop those that are pending."""
-        with self._condition:
-            callbacks = self._take_callbacks()
-            self._queue.clear()
-        self._reject(callbacks, fault)
-
-    def _end_callbacks(self, fault: StoreFault) -> None:
-        """End all writes with a fault, as far as their callers know; their values stay pending."""
-        with self._condition:
-            callbacks = self._take_callbacks()
-        self._reject(callbacks, fault)
-
-    def _take_callbacks(self) -> list[WriteCallback]:
-        """The callbacks of the running batch and of what is pending. The lock is held."""
-        callbacks = self._queue.take_callbacks()
-        if self._running_batch is not None:
-            callbacks = self._running_batch.callbacks + callbacks
-            self._running_batch.callbacks = []
-        return callbacks
-
-    def _reject(self, callbacks: list[WriteCallback], fault: StoreFault) -> None:
-        self._rejected += len(callbacks)
-        _call_back(callbacks, fault)
-
-    def _log_line(self, line: str | None) -> None:
-        if line is not None:
-            self._log(line)
+    def _on_completion(self, completion: Completion) -> None:
+        match completion:
+            case OpenCompletion():
+                self._after_open(completion.load_result)
+            case CommitCompletion():
+                self._after_commit(completion)
 
     def _after_open(self, load_result: LoadResult) -> None:
-        is_first, now_ms = self._load_result is None, self._clock()
+        is_first = self._load_result is None
+        now_ms = self._host.clock()
         self._load_result = load_result
         if load_result.is_writable:
             self.generation = load_result.generation
@@ -233,66 +241,40 @@
             self._log_line(self.policy.on_failure(now_ms, fault))
             self._fail_pending(fault)
         if is_first or load_result.is_writable:
-            self._on_opened(load_result)
+            self._host.on_opened(load_result)
 
-    def _after_commit(self, batch: WriteBatch, fault: StoreFault | None, generation: int) -> None:
+    def _after_commit(self, completion: CommitCompletion) -> None:
+        batch = completion.batch
+        fault = completion.fault
         if fault is None:
-            self.generation = generation
+            self.generation = completion.generation
             self._acknowledged += len(batch.values)
-            self._log_line(self.policy.on_write_succeeded(self._clock()))
+            self._log_line(self.policy.on_write_succeeded(self._host.clock()))
             _call_back(batch.callbacks, None)
         else:
-            self._log_line(self.policy.on_failure(self._clock(), fault))
+            self._log_line(self.policy.on_failure(self._host.clock(), fault))
             _call_back(batch.callbacks, fault)
             self._fail_pending(fault)
 
-    # Called on the store's thread.
+    def _on_response_timeout(self, now_ms: float) -> None:
+        """Notify the callers of all running and pending writes, which stay pending."""
+        self._log_line(self.policy.on_timeout(now_ms))
+        if self._load_result is None:
+            self._load_result = LoadResult({}, 0, StoreFault.UNRESPONSIVE)
+            self._host.on_opened(self._load_result)
+        self._reject(self._worker.take_callbacks(), self.fault or StoreFault.UNRESPONSIVE)
 
-    def _run(self) -> None:
-        while (job := self._next_job()) is not None:
-            completion = job()
-            with self._condition:
-                self._busy_since_ms = self._running_batch = None
-                self._completions.append(completion)
-            with suppress(RuntimeError):  # the host's loop may have been closed meanwhile
-                self._wake()
-        self._backend.close()
+    def _fail_pending(self, fault: StoreFault) -> None:
+        """Drop all pending writes, and notify the callers of these and of the running ones."""
+        self._reject(self._worker.drop_pending(), fault)
 
-    def _next_job(self) -> Callable[[], Callable[[], None]] | None:
-        """Wait for the next job, which returns its completion; None: the thread is to end."""
-        with self._condition:
-            while True:
-                if self._is_open_requested:
-                    self._is_open_requested = False
-                    self._busy_since_ms = self._clock()
-                    return self._open_backend
-                if self._is_writable and self._queue.has_work():
-                    if not self._commits_each_write:
-                        self._condition.wait_for(lambda: self._is_closing, self._group_commit_s)
-                    self._running_batch = self._queue.take_batch(1 if self._commits_each_write else None)
-                    self._busy_since_ms = self._clock()
-                    return partial(self._commit_batch, self._running_batch)
-                if self._is_closing:
-                    return None
-                self._condition.wait()
-
-    def _open_backend(self) -> Callable[[], None]:
-        try:
-            load_result = self._backend.open()
-        except Exception:  # a defect of the backend must not end the thread unseen
-            logger.exception(format_event("store_backend_defect", call="open"))
-            load_result = LoadResult({}, 0, StoreFault.IO_ERROR)
-        self._is_writable = load_result.is_writable
-        return partial(self._after_open, load_result)
+    def _reject(self, callbacks: list[WriteCallback], fault: StoreFault) -> None:
+        self._rejected += len(callbacks)
+        _call_back(callbacks, fault)
 
-    def _commit_batch(self, batch: WriteBatch) -> Callable[[], None]:
-        try:
-            fault = self._backend.commit(list(batch.values.items()), batch.above_generation)
-        except Exception:  # as above
-            logger.exception(format_event("store_backend_defect", call="commit"))
-            fault = StoreFault.IO_ERROR
-        self._is_writable = fault is None
-        return partial(self._after_commit, batch, fault, self._backend.generation)
+    def _log_line(self, line: str | None) -> None:
+        if line is not None:
+            self._host.log(line)
 
 
 def _call_back(callbacks: list[WriteCallback], fault: StoreFault | None) -> None:
@@ -305,24 +287,13 @@
     sync_mode: SyncMode = "group",
     group_commit_ms: float = GROUP_COMMIT_MS,
     *,
-    clock: Callable[[], float],
-    wake: Callable[[], object],
-    on_opened: Callable[[LoadResult], object],
-    log: Callable[[str], object],
+    host: StoreHost,
     seed: int = 0,
     vfs: str | None = None,
 ) -> StoreThread:
-    """The SQLite store of a folder, on a thread; returns at once, whatever the disk does.
+    """Return a store on the SQLite database of a folder, without waiting for the disk.
 
-    ``vfs``: see ``SqliteBackend``; the other arguments: see ``StoreThread``.
+    ``SqliteBackend`` describes ``folder`` and ``vfs``, ``StoreThread`` the other arguments.
     """
-    return StoreThread(
-        SqliteBackend(folder, sync_mode, vfs),
-        sync_mode=sync_mode,
-        group_commit_ms=group_commit_ms,
-        clock=clock,
-        wake=wake,
-        on_opened=on_opened,
-        log=log,
-        seed=seed,
-    )
+    backend = SqliteBackend(folder, sync_mode, vfs)
+    return StoreThread(backend, host, sync_mode=sync_mode, group_commit_ms=group_commit_ms, seed=seed)
--- a/tests/contracts/test_golden.py
+++ b/tests/contracts/test_golden.py
@@ -19,7 +19,7 @@
 from cedarthread.persistence import recovered_image
 from cedarthread.persistence.sqlite_store import SqliteBackend
 from cedarthread.persistence.store import LoadResult, StoreFault
-from cedarthread.persistence.store_thread import StoreThread, open_store
+from cedarthread.persistence.store_thread import StoreHost, StoreThread, open_store
 from cedarthread.replication import entry as entries
 from tests import golden_samples as golden
 from tests.helpers import settings, worker
@@ -157,10 +157,12 @@
     store: StoreThread = open_store(
         unpacked(mode, tmp_path),
         golden.MODES[mode].sync,
-        clock=lambda: 0.0,
-        wake=woken.set,
-        on_opened=found.append,
-        log=lambda line: None,
+        host=StoreHost(
+            clock=lambda: 0.0,
+            wake=woken.set,
+            on_opened=found.append,
+            log=lambda line: None,
+        ),
     )
     assert woken.wait(LONG)
     store.run_callbacks()
--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -23,6 +23,7 @@
 import pytest
 
 from cedarthread.persistence import checksums, database_folder, faulty_disk, power_cut, recovered_image
+from cedarthread.persistence.disk_worker import CommitCompletion, DiskWorker
 from cedarthread.persistence.fault_switch import InjectedFault, ManualSwitch
 from cedarthread.persistence.faulty_disk import FaultyDisk
 from cedarthread.persistence.memory_store import MemoryBackend
@@ -31,8 +32,9 @@
 from cedarthread.persistence.sqlite_database import SqliteDatabase
 from cedarthread.persistence.sqlite_store import SqliteBackend
 from cedarthread.persistence.store import KeyValueWrite, LoadResult, StorageBackend, Store, StoreFault
-from cedarthread.persistence.store_thread import RESPONSE_TIMEOUT_MS, StoreThread, _call_back
+from cedarthread.persistence.store_thread import RESPONSE_TIMEOUT_MS, StoreHost, StoreThread
 from cedarthread.persistence.synchronous_store import SynchronousStore
+from cedarthread.persistence.write_queue import WriteBatch
 
 DATABASE_NAME = "state-1.db"  # of a store that never had a fault
 TEST_TIMEOUT_S = 30.0  # after which a test that waits for a thread has failed
@@ -59,20 +61,16 @@
     return _hosts[id(store)]
 
 
-def start_thread(
-    backend: StorageBackend, thread_type: type[StoreThread] = StoreThread, **arguments: Any
-) -> StoreThread:
+def start_thread(backend: StorageBackend, **arguments: Any) -> StoreThread:
     """A store thread that is hosted by a test."""
     host = FakeHost()
-    store = thread_type(
-        backend,
-        group_commit_ms=0.0,
+    store_host = StoreHost(
         clock=lambda: host.now_ms,
         wake=lambda: host.wakes.put(None),
         on_opened=host.openings.append,
         log=host.lines.append,
-        **arguments,
     )
+    store = StoreThread(backend, store_host, group_commit_ms=0.0, **arguments)
     _hosts[id(store)] = host
     return store
 
@@ -419,13 +417,11 @@
     assert recovered_image.assess_content(load_result, [remembered]) is ContentVerdict.TRUSTED
 
 
-def rule_a_hanging_disk_holds_nobody_up(
-    test: StoreUnderTest, thread_type: type[StoreThread] = StoreThread
-) -> None:
+def rule_a_hanging_disk_holds_nobody_up(test: StoreUnderTest) -> None:
     """A sync that never ends: nothing is acknowledged, the host is told in time, and can close."""
     test.store.close()
     backend = SqliteBackend(test.folder, vfs=test.vfs)
-    store = test.store = wait_opened(start_thread(backend, thread_type, close_timeout_ms=20.0))
+    store = test.store = wait_opened(start_thread(backend, close_timeout_ms=20.0))
     host = host_of(store)
     test.switch.fault = InjectedFault.SLOW_SYNC
     test.begin_write("key 1", b"hangs")
@@ -438,11 +434,11 @@
     assert store.fault is StoreFault.UNRESPONSIVE
     assert test.write("key 2", b"waits for the disk") is StoreFault.UNRESPONSIVE
     store.close()
-    assert store._thread.is_alive(), "closing did not wait for the disk"
+    assert store._worker.thread.is_alive(), "closing did not wait for the disk"
     assert sum("no answer" in line for line in host.lines) == 1
     test.sync_may_end.set()
-    store._thread.join(TEST_TIMEOUT_S)
-    assert not store._thread.is_alive()
+    store._worker.thread.join(TEST_TIMEOUT_S)
+    assert not store._worker.thread.is_alive()
 
 
 Rule = Callable[[StoreUnderTest], None]
@@ -521,7 +517,7 @@
 
 
 INIT, REWRITE, COMMIT = SqliteBackend.__init__, SqliteBackend._rewrite, SqliteBackend.commit
-EXECUTE, COMMIT_BATCH = SqliteDatabase.execute, StoreThread._commit_batch
+EXECUTE, COMMIT_BATCH = SqliteDatabase.execute, DiskWorker._commit_batch
 WITHOUT_CHECKSUMS = (
     Patch(checksums, "row_checksum", lambda *_: bytes(16)),
     Patch(checksums, "head_checksum", lambda *_: bytes(16)),
@@ -550,9 +546,10 @@
     return Patch(SqliteDatabase, "execute", execute)
 
 
-def call_back_before_commit(self: StoreThread, batch: Any) -> Any:
+def call_back_before_commit(self: DiskWorker, batch: Any) -> Any:
     callbacks, batch.callbacks = batch.callbacks, []
-    self._completions.append(partial(_call_back, callbacks, None))
+    early = WriteBatch({}, callbacks)
+    self._completions.append(CommitCompletion(early, None, self._backend.generation))
     return COMMIT_BATCH(self, batch)
 
 
@@ -598,7 +595,7 @@
     ),
     "runs the callbacks of a batch before its commit": (
         rule_a_hanging_disk_holds_nobody_up,
-        (Patch(StoreThread, "_commit_batch", call_back_before_commit),),
+        (Patch(DiskWorker, "_commit_batch", call_back_before_commit),),
     ),
 }
 
