--- a/cedarthread/persistence/checksums.py
+++ b/cedarthread/persistence/checksums.py
@@ -8,11 +8,13 @@
 from __future__ import annotations
 
 from hashlib import blake2b
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
+    from apsw import SQLiteValue
+
 CHECKSUM_BYTES = 16
 CHECKSUM_MODULUS = 1 << 8 * CHECKSUM_BYTES
 """Modulus of the sum of all rows' checksums. A sum does not depend on the order of the rows."""
@@ -40,6 +42,22 @@
     return (total % CHECKSUM_MODULUS).to_bytes(CHECKSUM_BYTES)
 
 
+class VerifiedRow(NamedTuple):
+    """A row with a valid checksum."""
+
+    key: str
+    generation: int
+    value: bytes
+    checksum: bytes
+
+
+class VerifiedHead(NamedTuple):
+    """A head with a valid checksum."""
+
+    generation: int
+    total: bytes
+
+
 class VerifiedRows(NamedTuple):
     """The rows with valid checksums, and the number of rows that were rejected."""
 
@@ -49,7 +67,7 @@
     rejected_count: int
 
 
-def verify_rows(rows: Sequence[tuple[Any, ...]]) -> VerifiedRows:
+def verify_rows(rows: Sequence[Sequence[SQLiteValue]]) -> VerifiedRows:
     """Separate the rows with valid checksums from the others.
 
     Args:
@@ -57,34 +75,43 @@
     """
     values: dict[str, bytes] = {}
     row_checksums: dict[str, bytes] = {}
-    max_generation = rejected_count = 0
-    for raw_key, generation, value, checksum in rows:
-        key = _decode_key(raw_key)
-        is_typed = isinstance(generation, int) and isinstance(value, bytes)
-        if (
-            key is not None
-            and is_typed
-            and checksum == row_checksum(key, generation, value)
-            and key not in values
-        ):
-            values[key] = value
-            row_checksums[key] = checksum
-            max_generation = max(max_generation, generation)
-        else:
+    max_generation = 0
+    rejected_count = 0
+    for raw_row in rows:
+        row = _verify_row(raw_row)
+        if row is None or row.key in values:
             rejected_count += 1
+            continue
+        values[row.key] = row.value
+        row_checksums[row.key] = row.checksum
+        max_generation = max(max_generation, row.generation)
     return VerifiedRows(values, row_checksums, max_generation, rejected_count)
 
 
-def is_valid_head(generation: Any, total: Any, checksum: Any) -> bool:
-    """Return whether a head that was read from a file has the right types and a valid checksum."""
-    return (
-        isinstance(generation, int)
-        and isinstance(total, bytes)
-        and bool(checksum == head_checksum(generation, total))
-    )
+def verify_head(raw_head: Sequence[SQLiteValue]) -> VerifiedHead | None:
+    """Return the head, or None if a value has a wrong type or the checksum is invalid.
+
+    Args:
+        raw_head: generation, total and checksum. A corrupted file may return any type for each.
+    """
+    generation, total, checksum = raw_head
+    if not isinstance(generation, int) or not isinstance(total, bytes):
+        return None
+    return VerifiedHead(generation, total) if checksum == head_checksum(generation, total) else None
+
+
+def _verify_row(raw_row: Sequence[SQLiteValue]) -> VerifiedRow | None:
+    raw_key, generation, value, checksum = raw_row
+    key = _decode_key(raw_key)
+    if key is None or not isinstance(generation, int) or not isinstance(value, bytes):
+        return None
+    expected_checksum = row_checksum(key, generation, value)
+    if checksum != expected_checksum:
+        return None
+    return VerifiedRow(key, generation, value, expected_checksum)
 
 
-def _decode_key(raw_key: Any) -> str | None:
+def _decode_key(raw_key: SQLiteValue) -> str | None:
     try:
         return raw_key.decode() if isinstance(raw_key, bytes) else None
     except UnicodeDecodeError:
--- a/cedarthread/persistence/database_folder.py
+++ b/cedarthread/persistence/database_folder.py
@@ -13,6 +13,7 @@
 import os
 import re
 from pathlib import Path
+from typing import NamedTuple
 
 import apsw
 
@@ -26,14 +27,21 @@
 _DATABASE_FILE_PATTERN = re.compile(r"state-(\d{1,9})\.db(-journal)?")
 
 
-def device_and_inode(file: Path | int) -> tuple[int, int]:
+class FileIdentity(NamedTuple):
+    """The numbers that identify a file or folder on this machine."""
+
+    device: int
+    inode: int
+
+
+def device_and_inode(file: Path | int) -> FileIdentity:
     """Return the identity of a file or folder, which differs from that of another one at the same path.
 
     Args:
         file: a path, or an open file descriptor.
     """
     stat = os.stat(file)
-    return stat.st_dev, stat.st_ino
+    return FileIdentity(stat.st_dev, stat.st_ino)
 
 
 def fault_from_error(error: BaseException, folder: Path) -> StoreFault:
--- a/cedarthread/persistence/faulty_disk.py
+++ b/cedarthread/persistence/faulty_disk.py
@@ -111,7 +111,7 @@
 
 
 class _FaultyFile(apsw.VFSFile):
-    """One open file, which reads and writes the page cache of its path.
+    """An open file, which reads and writes the page cache of its path.
 
     Args:
         disk: the VFS that opened the file.
@@ -120,7 +120,9 @@
         flags: SQLite's flags, which opening changes in place.
     """
 
-    def __init__(self, disk: FaultyDisk, name: Any, path: str, flags: list[int]) -> None:
+    def __init__(
+        self, disk: FaultyDisk, name: str | apsw.URIFilename | None, path: str, flags: list[int]
+    ) -> None:
         super().__init__(BASE_VFS, name, flags)
         self.disk = disk
         self.path = path
@@ -181,7 +183,8 @@
         fault, parameter = self.disk.switch.read()
         if fault == InjectedFault.SLOW_SYNC:
             self.disk.wait(parameter)
-        unsynced, self.cached.unsynced = self.cached.unsynced, []
+        unsynced = self.cached.unsynced
+        self.cached.unsynced = []
         if fault == InjectedFault.EIO_SYNC:
             self.disk.failing_sync_count += 1
         else:
--- a/cedarthread/persistence/power_cut.py
+++ b/cedarthread/persistence/power_cut.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
     import random
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskOperation:
-    """One operation on one file: a write of ``data`` at ``offset``, a truncation to ``offset``, or a sync."""
+    """An operation on one file: a write of ``data`` at ``offset``, a truncation to ``offset``, or a sync."""
 
     path: str
     offset: int = 0
@@ -37,6 +37,13 @@
     content[operation.offset : operation.offset + len(operation.data)] = operation.data
 
 
+class PowerCutImage(NamedTuple):
+    """The marks until a power cut, and the content of each file after it, by path."""
+
+    marks: list[object]
+    contents: dict[str, bytes]
+
+
 PowerCutModel = Callable[[DiskOperation], Iterator[DiskOperation]]
 """Yields the parts of an unsynced operation that are on the disk after a power cut."""
 
@@ -67,9 +74,7 @@
     return tear
 
 
-def power_cut_images(
-    operations: Sequence[DiskOperation], model: PowerCutModel
-) -> Iterator[tuple[list[object], dict[str, bytes]]]:
+def power_cut_images(operations: Sequence[DiskOperation], model: PowerCutModel) -> Iterator[PowerCutImage]:
     """Simulate a power cut after each operation.
 
     Args:
@@ -77,7 +82,7 @@
         model: the parts of an unsynced operation that are on the disk.
 
     Yields:
-        The marks until the power cut, and the content of each file after it, by path.
+        The image of each power cut, in the order of the operations.
     """
     synced: dict[str, bytearray] = {}
     unsynced: dict[str, list[DiskOperation]] = {}
@@ -92,7 +97,7 @@
                     apply_operation(synced.setdefault(operation.path, bytearray()), part)
         else:
             unsynced.setdefault(operation.path, []).append(operation)
-        yield list(marks), _content_after_cut(synced, unsynced, model)
+        yield PowerCutImage(list(marks), _content_after_cut(synced, unsynced, model))
 
 
 def _content_after_cut(
--- a/cedarthread/persistence/recovered_image.py
+++ b/cedarthread/persistence/recovered_image.py
@@ -14,7 +14,7 @@
 from __future__ import annotations
 
 from enum import Enum
-from typing import TYPE_CHECKING, Annotated, TypeVar
+from typing import TYPE_CHECKING, Annotated, NamedTuple, TypeVar
 
 import msgspec
 from msgspec import Meta
@@ -74,12 +74,19 @@
     rejected_count: int = 0  # values that did not decode
 
 
-def encode_incarnation(incarnation: RouterIncarnation) -> tuple[str, bytes]:
+class StoredRecord(NamedTuple):
+    """An encoded record, and the key under which it is stored."""
+
+    key: str
+    value: bytes
+
+
+def encode_incarnation(incarnation: RouterIncarnation) -> StoredRecord:
     """Return the key and the value of the router's incarnation."""
-    return INCARNATION_KEY, _encode(incarnation)
+    return StoredRecord(INCARNATION_KEY, _encode(incarnation))
 
 
-def encode_entry(entry: Entry) -> tuple[str, bytes]:
+def encode_entry(entry: Entry) -> StoredRecord:
     """Return the key and the value of an entry; all versions of an entry have the same key."""
     digest = entry.replaces_digest
     version = entry.version
@@ -92,7 +99,7 @@
         replaces_digest=digest.to_bytes((digest.bit_length() + 7) // 8),
         body=entry.body,
     )
-    return f"{ENTRY_KEY_PREFIX}/{entry.kind}/{entry.name}", _encode(record)
+    return StoredRecord(f"{ENTRY_KEY_PREFIX}/{entry.kind}/{entry.name}", _encode(record))
 
 
 def decode_image(values: Mapping[str, bytes]) -> RecoveredImage:
--- a/cedarthread/persistence/sqlite_database.py
+++ b/cedarthread/persistence/sqlite_database.py
@@ -1,4 +1,4 @@
-"""One open database file of a store: its pragmas, its tables, and how they are read, verified and written.
+"""An open database file of a store: its pragmas, its tables, and how they are read, verified and written.
 
 The file has one table of rows and one head. SQLite uses a rollback journal, because a flipped bit in a
 write-ahead log silently discards all later commits. With a rollback journal, content stays in its place in
@@ -10,7 +10,7 @@
 import logging
 from contextlib import contextmanager
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, NamedTuple
 
 import apsw
 
@@ -22,6 +22,8 @@
     from collections.abc import Iterator, Mapping, Sequence
     from pathlib import Path
 
+    from apsw import SQLiteValue
+
     from cedarthread.persistence.store import KeyValueWrite, SyncMode
 
 log = logging.getLogger(__name__)
@@ -47,6 +49,13 @@
     generation: int = 0
 
 
+class SalvagedRows(NamedTuple):
+    """The values that could be read from a corrupted file, and the highest generation that was found."""
+
+    values: Mapping[str, bytes]
+    generation: int
+
+
 class SqliteDatabase:
     """A connection to one database file, which is created if missing.
 
@@ -60,7 +69,7 @@
     def __init__(self, path: Path, vfs: str | None) -> None:
         self.path = path
         self._connection = apsw.Connection(str(path), vfs=vfs)
-        self._device_and_inode = (0, 0)
+        self._device_and_inode = database_folder.FileIdentity(0, 0)
 
     def configure(self, sync_mode: SyncMode) -> None:
         """Set the pragmas; the caller must do this before any other call."""
@@ -69,7 +78,7 @@
         self.execute(f"PRAGMA synchronous={'OFF' if sync_mode == 'none' else 'EXTRA'}")
         self._device_and_inode = database_folder.device_and_inode(self.path)
 
-    def execute(self, statement: str, bindings: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
+    def execute(self, statement: str, bindings: Sequence[SQLiteValue] = ()) -> list[tuple[SQLiteValue, ...]]:
         """Run SQL statements and return all their result rows."""
         return list(self._connection.execute(statement, bindings))
 
@@ -99,34 +108,36 @@
             raise DatabaseCorruptedError(f"{self.path}: {rows.rejected_count} rows have wrong checksums")
         if len(heads) != 1:
             raise DatabaseCorruptedError(f"{self.path}: {len(heads)} heads")
-        generation, total, checksum = heads[0]
-        if not checksums.is_valid_head(generation, total, checksum):
+        head = checksums.verify_head(heads[0])
+        if head is None:
             raise DatabaseCorruptedError(f"{self.path}: the head has a wrong checksum")
-        if total != checksums.total_checksum(rows.row_checksums.values()):
+        if head.total != checksums.total_checksum(rows.row_checksums.values()):
             raise DatabaseCorruptedError(f"{self.path}: rows are missing or of an earlier commit")
-        if generation < rows.max_generation:
+        if head.generation < rows.max_generation:
             raise DatabaseCorruptedError(f"{self.path}: a row is newer than the head")
-        return StoreContents(rows.values, rows.row_checksums, generation)
+        return StoreContents(rows.values, rows.row_checksums, head.generation)
 
-    def salvage(self) -> tuple[Mapping[str, bytes], int]:
+    def salvage(self) -> SalvagedRows:
         """Return the rows that can be read and verified, and the highest generation of rows and head."""
-        rows: list[tuple[Any, ...]] = []
+        rows: list[tuple[SQLiteValue, ...]] = []
         generation = 0
         try:
-            for row in self._connection.execute(_SELECT_ROWS):
-                rows.append(row)  # one by one, so that the rows before an error are salvaged
+            cursor = self._connection.execute(_SELECT_ROWS)
+            while (row := cursor.fetchone()) is not None:  # one by one, to salvage the rows before an error
+                rows.append(row)
         except (apsw.Error, OSError) as error:
             if log.isEnabledFor(logging.DEBUG):
                 log.debug(format_event("store_salvage_incomplete", table="rows", read=len(rows), error=error))
         try:
-            for head in self.execute(_SELECT_HEAD):
-                if checksums.is_valid_head(*head):
-                    generation = max(generation, head[0])
+            for raw_head in self.execute(_SELECT_HEAD):
+                head = checksums.verify_head(raw_head)
+                if head is not None:
+                    generation = max(generation, head.generation)
         except (apsw.Error, OSError) as error:
             if log.isEnabledFor(logging.DEBUG):
                 log.debug(format_event("store_salvage_incomplete", table="head", error=error))
         verified = checksums.verify_rows(rows)
-        return verified.values, max(generation, verified.max_generation)
+        return SalvagedRows(verified.values, max(generation, verified.max_generation))
 
     def write(self, contents: StoreContents, writes: Sequence[KeyValueWrite], *, clear: bool) -> None:
         """Apply writes to ``contents`` and, in one transaction, to the file.
@@ -177,7 +188,7 @@
     def close(self) -> None:
         """Close the file; log errors at debug level only, because a faulted file may fail to close."""
         try:
-            self._connection.close(True)
+            self._connection.close(force=True)
         except (apsw.Error, OSError) as error:
             if log.isEnabledFor(logging.DEBUG):
                 log.debug(format_event("store_close_failed", file=self.path.name, error=error))
--- a/cedarthread/persistence/sqlite_store.py
+++ b/cedarthread/persistence/sqlite_store.py
@@ -13,7 +13,12 @@
 import apsw
 
 from cedarthread.persistence.database_folder import DatabaseFolder, fault_from_error
-from cedarthread.persistence.sqlite_database import DatabaseCorruptedError, SqliteDatabase, StoreContents
+from cedarthread.persistence.sqlite_database import (
+    DatabaseCorruptedError,
+    SalvagedRows,
+    SqliteDatabase,
+    StoreContents,
+)
 from cedarthread.persistence.store import KeyValueWrite, LoadResult, StoreFault, SyncMode
 
 if TYPE_CHECKING:
@@ -106,10 +111,10 @@
 
     def _quarantine_and_rewrite(self) -> LoadResult:
         """Write the rows with valid checksums to a new file, and quarantine the corrupted file."""
-        values, generation = ({}, 0) if self._database is None else self._database.salvage()
+        salvaged = SalvagedRows({}, 0) if self._database is None else self._database.salvage()
         self._folder.quarantine(self._database_path)
-        self._rewrite(values, generation)
-        return LoadResult(dict(values), self.generation, StoreFault.CORRUPTED)
+        self._rewrite(salvaged.values, salvaged.generation)
+        return LoadResult(dict(salvaged.values), self.generation, StoreFault.CORRUPTED)
 
     def _rewrite(self, values: Mapping[str, bytes], generation: int) -> None:
         """Write a new file with this content, then delete the other files."""
@@ -155,7 +160,8 @@
         self._adopt(contents)
 
     def _disconnect(self) -> None:
-        database, self._database = self._database, None
+        database = self._database
+        self._database = None
         if database is not None:
             database.close()
 
--- a/cedarthread/persistence/state_persister.py
+++ b/cedarthread/persistence/state_persister.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingWrite:
-    """One write that the host makes, and passes to ``on_write_completed`` afterwards."""
+    """A write that the host makes, and passes to ``on_write_completed`` afterwards."""
 
     key: str
     value: bytes
@@ -171,7 +171,8 @@
             self._queue_incarnation()
             self._queue_escrow(now_ms)
             self._queue_warm_state(now_ms)
-        writes, self.queued_writes = self.queued_writes, []
+        writes = self.queued_writes
+        self.queued_writes = []
         return writes if is_writing else []
 
     def _queue_incarnation(self) -> None:
@@ -203,7 +204,8 @@
 
     def take_log_messages(self) -> list[OutboundMessage]:
         """Return the lines to log since the last call."""
-        log_messages, self.log_messages = self.log_messages, []
+        log_messages = self.log_messages
+        self.log_messages = []
         return log_messages
 
     def on_write_completed(
--- a/cedarthread/persistence/write_queue.py
+++ b/cedarthread/persistence/write_queue.py
@@ -71,7 +71,8 @@
         self.pending_bytes -= sum(_payload_bytes(key, value) for key, value in values.items())
         callbacks = [callback for key, callback in self._callbacks if key not in self._values]
         self._callbacks = [(key, callback) for key, callback in self._callbacks if key in self._values]
-        above_generation, self._reset_above = self._reset_above, None
+        above_generation = self._reset_above
+        self._reset_above = None
         return WriteBatch(values, callbacks, above_generation)
 
     def take_callbacks(self) -> list[WriteCallback]:
