--- a/cedarthread/persistence/state_persister.py
+++ b/cedarthread/persistence/state_persister.py
@@ -24,10 +24,12 @@
 
     from cedarthread.components.messages import OutboundMessage
     from cedarthread.components.replicated_state import Entry, ReplicatedEntry
-    from cedarthread.escrow.escrow import Escrow
+    from cedarthread.persistence.persisted_components import (
+        PersistedEntries,
+        PersistedEscrow,
+        PersistedWarmState,
+    )
     from cedarthread.persistence.store import LoadResult, StoreFault
-    from cedarthread.recovery.component import RecoveryComponent
-    from cedarthread.replication.store import ReplicatedStore
 
 MIN_PEER_REPORTS = 3
 """Number of peers that must report a generation before the store's content is assessed."""
@@ -74,15 +76,15 @@
 
     def __init__(
         self,
-        replicated_store: ReplicatedStore,
-        recovery: RecoveryComponent,
+        replicated_store: PersistedEntries,
+        recovery: PersistedWarmState,
         start_escrow: Callable[[float, bytes | None], None],
         now_ms: float,
     ) -> None:
         self.replicated_store = replicated_store
         self.recovery = recovery
         self.start_escrow = start_escrow
-        self.escrow: Escrow | None = None
+        self.escrow: PersistedEscrow | None = None  # set by start_escrow
         self.started_at_ms = now_ms
         self.has_started = False  # whether the use of the stored content has been decided
         self.is_degraded = False  # the disk has a fault, so that changes are not persisted
@@ -93,7 +95,7 @@
         self.was_voter = False  # whether the router was a voter in the last incarnation record written
         self.reset_above_generation: int | None = None  # set to request a reset; the host clears it
         self.log_messages: list[OutboundMessage] = []
-        replicated_store.set_durable(True)
+        replicated_store.set_durable(is_durable=True)
 
     def on_store_opened(self, now_ms: float, load_result: LoadResult, image: RecoveredImage) -> None:
         """Handle the opening of the store after a restart or a fault."""
@@ -119,7 +121,8 @@
             return
         verdict = recovered_image.assess_content(self.load_result, peer_generations.values())
         if verdict is ContentVerdict.REJECTED:
-            self._start(now_ms, None)
+            self.has_started = True
+            self.start_escrow(now_ms, None)
             newest = max(peer_generations.values())
             generation = self.load_result.generation
             self._log(format_event("store_content_dropped", generation=generation, remembered=newest))
@@ -130,6 +133,7 @@
             self._log(format_event("store_values_rejected", count=self.image.rejected_count))
 
     def _start_without_store(self, now_ms: float) -> None:
+        """Start in degraded mode, because the store is not open in time."""
         self.has_started = True
         self._enter_degraded_mode(now_ms)
         self.start_escrow(now_ms, None)
@@ -143,15 +147,11 @@
             and not image.rejected_count
         )
         self.has_started = True
-        self.replicated_store.restore(image.entries, is_complete, now_ms)
+        self.replicated_store.restore(image.entries, is_voter=is_complete, now_ms=now_ms)
         if image.warm_state is not None:
             self.recovery.restore(now_ms, image.warm_state)
         self.start_escrow(now_ms, image.escrow if is_complete else None)
 
-    def _start(self, now_ms: float, escrow: bytes | None) -> None:
-        self.has_started = True
-        self.start_escrow(now_ms, escrow)
-
     def on_entries_changed(self, changes: tuple[ReplicatedEntry, ...]) -> None:
         """Queue writes of entries that were added to the replicated store or replaced there."""
         for changed in changes:
@@ -242,7 +242,7 @@
         therefore notified of a generation that the disk has not reached.
         """
         self.is_degraded = True
-        self.replicated_store.set_durable(False)
+        self.replicated_store.set_durable(is_durable=False)
         self.replicated_store.store_generation += 1
         self.replicated_store.mark_persisted(now_ms, self.replicated_store.revision)
 
