--- a/cedarthread/persistence/persisted_components.py
+++ b/cedarthread/persistence/persisted_components.py
@@ -26,7 +26,7 @@
 
     @property
     def window_ms(self) -> float:
-        """Return the freshness window: the time that the exchange between peers needs to reach all routers."""
+        """Return the freshness window: the time in which an exchange between peers reaches all routers."""
 
     @property
     def router_index(self) -> int:
