--- a/cedarthread/persistence/disk_worker.py
+++ b/cedarthread/persistence/disk_worker.py
@@ -2,7 +2,7 @@
 
 The thread opens, commits and closes, and makes no decisions: it runs the next job, stores the job's
 completion, and calls ``wake``. The host's thread queues the jobs and handles the completions
-(``store_thread.py``). State that both threads use is written under the lock of one condition.
+(``store_thread.py``). One condition's lock protects the state that both threads write.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
         self._clock = clock
         self._wake = wake
         self._is_writable = False  # used by the thread only
-        self._completions: deque[Completion] = deque()
+        self._completions: deque[Completion] = deque()  # filled by the thread, emptied by the host's thread
         # Written under the condition's lock:
         self._condition = threading.Condition()
         self._queue = WriteQueue()
--- a/cedarthread/persistence/event_loop_store.py
+++ b/cedarthread/persistence/event_loop_store.py
@@ -26,7 +26,7 @@
 
 
 class EventLoopStore:
-    """Connection between a ``StatePersister`` and the ``StoreThread`` that it owns.
+    """The owner of a router's ``StoreThread``, which makes the writes of a ``StatePersister`` there.
 
     An instance must be created while the event loop runs.
 
--- a/cedarthread/persistence/memory_store.py
+++ b/cedarthread/persistence/memory_store.py
@@ -11,7 +11,7 @@
 
 
 class MemoryBackend:
-    """A storage backend that owns its content in memory, is lost with the object, and never has a fault."""
+    """A storage backend that owns its content in memory and never has a fault."""
 
     def __init__(self) -> None:
         self.generation = 0
--- a/cedarthread/persistence/power_cut.py
+++ b/cedarthread/persistence/power_cut.py
@@ -38,7 +38,7 @@
 
 
 class PowerCutImage(NamedTuple):
-    """The marks until a power cut, and the content of each file after it, by path."""
+    """The marks until a power cut, and the content of each file after the cut, by path."""
 
     marks: list[object]
     contents: dict[str, bytes]
@@ -54,7 +54,7 @@
 
 
 def keep_unsynced(operation: DiskOperation) -> Iterator[DiskOperation]:
-    """Return the operation: all unsynced operations are on the disk."""
+    """Return the whole operation: all unsynced operations are on the disk."""
     return iter((operation,))
 
 
--- a/cedarthread/persistence/recovered_image.py
+++ b/cedarthread/persistence/recovered_image.py
@@ -110,8 +110,8 @@
     for key, raw in sorted(values.items()):
         if key in (WARM_STATE_KEY, ESCROW_KEY):
             continue
-        if key == INCARNATION_KEY and (found := _decode(raw, RouterIncarnation)) is not None:
-            incarnation = found
+        if key == INCARNATION_KEY and (decoded := _decode(raw, RouterIncarnation)) is not None:
+            incarnation = decoded
         elif (entry := _decode_entry(key, raw)) is not None:
             entries.append(entry)
         else:
@@ -147,7 +147,7 @@
 
 
 def assess_content(loaded: LoadResult, peer_generations: Iterable[int]) -> ContentVerdict:
-    """Return whether the content is the one that this router wrote last.
+    """Return how much of the content the router may use.
 
     Peers are notified of a generation only after its write was acknowledged. A lower generation on the disk
     therefore proves that the disk returned stale content. Without a peer that remembers a generation, the
