--- a/tests/contracts/conftest.py
+++ b/tests/contracts/conftest.py
@@ -1,4 +1,4 @@
-"""Lets failed assertions of the helpers show the values that were compared, as those of tests do."""
+"""Registration of the helpers with pytest, so that their failed assertions show the compared values."""
 
 from __future__ import annotations
 
--- a/tests/contracts/store_fixtures.py
+++ b/tests/contracts/store_fixtures.py
@@ -89,13 +89,13 @@
 
 
 class Mark(NamedTuple):
-    """A record among the disk's operations: the write of this number was begun, or acknowledged."""
+    """A record among the disk's operations: the start or the acknowledgement of the write of this number."""
 
     event: str
     number: int
 
 
-BEGUN = "begun"
+STARTED = "started"
 ACKNOWLEDGED = "acknowledged"
 
 
@@ -120,7 +120,7 @@
         self.make_backend = BACKENDS[backend]
         self.make_store = HOSTS[host]
         self.memory_backend = MemoryBackend()
-        self.writes: list[KeyValueWrite] = []  # all that were begun, in order
+        self.writes: list[KeyValueWrite] = []  # all that were started, in order
         self.results: dict[int, StoreFault | None] = {}  # of completed writes, by the number of the write
         self._recovered: dict[tuple[tuple[str, bytes], ...], LoadResult] = {}
         self.store = self.open()
@@ -138,11 +138,11 @@
         self.store.close()
         return self.open().load()
 
-    def begin_write(self, key: str, value: bytes | None) -> int:
+    def start_write(self, key: str, value: bytes | None) -> int:
         """Start a write and return its number."""
         number = len(self.writes)
         self.writes.append((key, value))
-        self.disk.add_mark(Mark(BEGUN, number))
+        self.disk.add_mark(Mark(STARTED, number))
 
         def on_completed(fault: StoreFault | None) -> None:
             assert number not in self.results, "a callback runs once"
@@ -155,7 +155,7 @@
 
     def write(self, key: str, value: bytes | None) -> StoreFault | None:
         """Make a write and wait for its result."""
-        number = self.begin_write(key, value)
+        number = self.start_write(key, value)
         wait_until(self.store, lambda: number in self.results)
         return self.results[number]
 
--- a/tests/contracts/store_rules.py
+++ b/tests/contracts/store_rules.py
@@ -100,7 +100,7 @@
 
 def rule_writes_of_one_key_are_applied_in_order(test: StoreUnderTest) -> None:
     for number in range(30):
-        test.begin_write(f"key {number % 3}", b"%d" % number)
+        test.start_write(f"key {number % 3}", b"%d" % number)
     wait_until(test.store, lambda: len(test.results) == 30)
     assert set(test.results.values()) == {None}
     assert test.restart().values == {"key 0": b"27", "key 1": b"28", "key 2": b"29"}
@@ -245,7 +245,7 @@
 
 
 def rule_stale_content_is_dropped(test: StoreUnderTest, injected: InjectedFault) -> None:
-    """The generation that peers remember proves the content stale; a reset raises the generation above it."""
+    """Check that the peers' generation proves stale content, and that a reset sets a higher generation."""
     run_workload(test, 4)
     test.restart()
     if injected is InjectedFault.UNSYNCED:
@@ -270,13 +270,13 @@
 
 
 def rule_an_unresponsive_disk_does_not_block_the_host(test: StoreUnderTest) -> None:
-    """During an endless sync no write is acknowledged, and the host is notified in time and can close."""
+    """Check that during an endless sync no write is acknowledged, and the host is notified and can close."""
     test.store.close()
     store = opened_thread(SqliteBackend(test.folder, vfs=test.vfs), close_timeout_ms=20.0)
     test.store = store
     host = store.fake_host
     test.switch.fault = InjectedFault.SLOW_SYNC
-    test.begin_write("key 1", b"in the endless sync")
+    test.start_write("key 1", b"in the endless sync")
     assert test.has_sync_started.wait(TEST_TIMEOUT_S)
     store.run_callbacks()
     assert not test.results, "no callback runs before the commit"
