--- a/cedarthread/escrow/__init__.py
+++ b/cedarthread/escrow/__init__.py
@@ -1,5 +1,5 @@
-"""Quota escrow: each router holds a part of every fleet-wide total and moves it by requests and grants.
+"""Quota escrow: each router owns a part of every fleet-wide total, and peers request and grant units of it.
 
-No sockets and no clock of its own: times come in as arguments, datagrams go out as return values. Design and
-proof: docs/design/grants.md and steps 14 to 17 of docs/design/register.md.
+The package opens no socket and reads no clock: callers pass times as arguments and send the returned
+datagrams. Design and proof: docs/design/grants.md, and steps 14 to 17 of docs/design/register.md.
 """
--- a/cedarthread/escrow/allotment.py
+++ b/cedarthread/escrow/allotment.py
@@ -1,4 +1,4 @@
-"""How a pool's total is divided among the routers before anything moves."""
+"""The initial division of a pool's total among the routers, before any units are transferred."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def allotment_order(pool_key: int, router_count: int) -> tuple[int, ...]:
-    """All routers in the order in which a pool's units fall to them; the same at every router."""
+    """Return all router indexes in the order of allotment, which is the same at every router."""
     return tuple(
         sorted(
             range(router_count),
@@ -16,9 +16,9 @@
 
 
 def allotment(total: int, router_count: int, place: int) -> int:
-    """What falls to the router at a place of the order.
+    """Return the units allotted to the router at index ``place`` of ``allotment_order``.
 
-    The allotments add up to the total, and none is smaller for a greater total: routers that know different
-    totals do not exceed the greatest of them together.
+    The allotments of all places add up to the total, and no allotment shrinks when the total grows. Routers
+    that know different totals therefore never exceed the greatest of these totals together.
     """
     return (total + router_count - 1 - place) // router_count
--- a/cedarthread/escrow/codec.py
+++ b/cedarthread/escrow/codec.py
@@ -1,9 +1,9 @@
-"""Wire format of escrow datagrams: of fixed size, far below 256 bytes, all numbers little-endian.
+"""Wire format of escrow datagrams: requests of 26 bytes and responses of 52 bytes, all numbers little-endian.
 
     request   type u8, kind u8, pool key u64, incarnation u64, nonce u32, requested u32
     response  type u8, kind u8, pool key u64, incarnation u64, serial u32, requester's incarnation u64,
-              nonce u32, amount u32, term u32 ms, total u32 as the giver knows it, units available there u32,
-              hinted peer u16
+              nonce u32, amount u32, term u32 ms, total u32 as the responder knows it, units available
+              at the responder u32, hinted peer u16
 
 A pool's key is a hash of its name. A response of amount 0 is a denial.
 """
@@ -17,17 +17,20 @@
 from cedarthread.components.datagram_fields import MalformedDatagram
 from cedarthread.components.messages import MessageType
 
-NO_HINT = 0xFFFF  # in place of a peer's number
-MAX_AMOUNT = 2**32 - 1  # of any number of units on the wire
-_REQUEST_KIND, _RESPONSE_KIND = 1, 2
+NO_HINT = 0xFFFF  # the hinted peer of a response that names no peer
+MAX_AMOUNT = 2**32 - 1  # the greatest number of units that the wire format can carry
+_REQUEST_KIND = 1
+_RESPONSE_KIND = 2
 _REQUEST = struct.Struct("<BBQQII")
 _RESPONSE = struct.Struct("<BBQQIQIIIIIH")
 
 
 @dataclass(frozen=True, slots=True)
 class EscrowRequest:
-    """Asks a peer for units: of a rate for all that the sender would have of it, of a count for so many
-    more.
+    """A request to one peer for units.
+
+    For a rate pool, ``requested`` is all that the sender would borrow from this peer, including units
+    that the sender has already borrowed. For a count pool, ``requested`` is the number of additional units.
     """
 
     pool_key: int
@@ -38,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EscrowResponse:
-    """A grant or a denial. A grant is identified by its sender, ``incarnation`` and ``serial``."""
+    """A grant or a denial. Sender, ``incarnation`` and ``serial`` identify a grant."""
 
     pool_key: int
     incarnation: int
@@ -46,19 +49,19 @@
     requester_incarnation: int
     nonce: int  # of the request
     amount: int
-    term_ms: int  # from when the request was sent; 0: for good
+    term_ms: int  # counted from when the request was sent; 0: the units are transferred for good
     total: int
     available: int
     hinted_peer: int = NO_HINT
 
 
 def pool_key(name: str) -> int:
-    """The 64-bit key of a pool's name."""
+    """Return the 64-bit key of a pool's name."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "little")
 
 
 def encode(message: EscrowRequest | EscrowResponse) -> bytes:
-    """The bytes of a datagram."""
+    """Encode a message as a datagram; amounts above ``MAX_AMOUNT`` are clamped."""
     if isinstance(message, EscrowRequest):
         return _REQUEST.pack(
             MessageType.ESCROW,
@@ -85,7 +88,7 @@
 
 
 def decode(data: bytes) -> EscrowRequest | EscrowResponse | MalformedDatagram:
-    """The message in a datagram. Never raises, whatever the bytes are."""
+    """Decode a datagram. Invalid bytes return a ``MalformedDatagram``; no input raises."""
     if data[:1] != bytes((MessageType.ESCROW,)):
         return MalformedDatagram("not of this form")
     if len(data) == _REQUEST.size and data[1] == _REQUEST_KIND:
--- a/cedarthread/escrow/count_pool.py
+++ b/cedarthread/escrow/count_pool.py
@@ -1,4 +1,7 @@
-"""Count pools: units that are used up, handed over between routers for good."""
+"""Count pools: consumable units, which routers transfer to each other for good.
+
+``CountPool`` is one router's account. ``CountBalance`` is the record of that account in the persisted image.
+"""
 
 from __future__ import annotations
 
@@ -8,12 +11,12 @@
 from cedarthread.escrow.allotment import allotment
 from cedarthread.escrow.quota_pool import QuotaPool
 
-RETENTION_MS = 24 * 3_600_000.0  # how long a count is remembered after its end
-WRITE_OFF_DIVISOR = 16  # one in so many units of its own count is written off at a time, ahead of use
+RETENTION_MS = 24 * 3_600_000.0  # how long an ended count pool stays in the pool table
+WRITE_OFF_DIVISOR = 16  # units are written off ahead of use in chunks of 1/16 of this router's allotment
 
 
 class CountBalance(NamedTuple):
-    """What the disk has of one count, in the order of its MessagePack array."""
+    """The persisted account of one count pool; the field order is that of its MessagePack array."""
 
     key: int
     balance: int
@@ -23,10 +26,10 @@
 
 
 class CountPool(QuotaPool):
-    """A pool of units that are used up.
+    """The account that one router has of a pool of consumable units.
 
-    ``free`` units of the balance are already written off on the disk, so that a later incarnation will not
-    use them again. Without a disk (``is_durable`` false) the whole balance is free.
+    ``free`` units of ``balance`` are already written off on the disk, so that a later incarnation cannot
+    use them again. Without a disk (``is_durable`` is False), the whole balance is free.
     """
 
     is_consumable = True
@@ -34,34 +37,48 @@
     def __init__(self, name: str, key: int, router_index: int, router_count: int, is_durable: bool) -> None:
         super().__init__(name, key, router_index, router_count)
         self.is_durable = is_durable
-        self.balance = self.free = self.used = self.highest_total = 0
-        self.is_lost = False  # an earlier incarnation may have used or given this router's allotment
-        self.wanted_free = 0  # units that were asked for and not free yet
+        self.balance = 0
+        self.free = 0
+        self.used = 0
+        self.highest_total = 0
+        self.is_lost = False  # an earlier incarnation may have used or granted this router's allotment
+        self.wanted_free = 0  # units that were wanted by a user or peer but not free
         self.last_taker: int | None = None
 
     def initialize(self, total: int, *, is_lost: bool, persisted: CountBalance | None) -> None:
-        """First opening in this incarnation. ``persisted``: what the disk has of the pool."""
+        """Set up the account when this incarnation first opens the pool.
+
+        Args:
+            total: The pool's total.
+            is_lost: Whether this router's allotment is unusable because an earlier incarnation may have
+                used it; ignored if ``persisted`` is given.
+            persisted: The pool's record in the restored image; None: the image has no record of the pool.
+        """
         if persisted is None:
             self.is_lost = is_lost
-            self.total = self.highest_total = total
+            self.total = total
+            self.highest_total = total
             self.balance = 0 if is_lost else self.own_allotment()
         else:
-            self.balance, self.is_lost = persisted.balance, persisted.is_lost
-            self.total, self.highest_total = persisted.total, persisted.highest_total
+            self.balance = persisted.balance
+            self.is_lost = persisted.is_lost
+            self.total = persisted.total
+            self.highest_total = persisted.highest_total
             self.change_total(total)
         self._update_free()
 
     def balance_to_persist(self, write_off: int) -> CountBalance:
-        """What the disk is to have once ``write_off`` more units are written off."""
+        """Return the record to persist in order to write off ``write_off`` more units."""
         remaining = self.balance - self.free - write_off
         return CountBalance(self.key, remaining, self.total, self.highest_total, self.is_lost)
 
     def change_total(self, total: int) -> None:
-        """Take a new total.
+        """Change the total and adjust the balance.
 
-        Above the highest so far, this router's allotment of the increase comes in. Below the present one,
-        this router gives up the *whole* difference as far as its balance goes: a single router with that much
-        makes up for all, and where none had that much, none has anything left (design page).
+        If the new total exceeds the highest total so far, the balance grows by this router's allotment of
+        the increase. If the new total is below the current one, this router deducts the *whole* difference,
+        as far as its balance covers it. If any router's balance covers the difference, that router alone
+        makes up for the reduction; otherwise all balances are zero afterwards (docs/design/grants.md, 13).
         """
         if total > self.highest_total:
             before = allotment(self.highest_total, self.router_count, self.place)
@@ -76,19 +93,26 @@
         self.free = min(self.free, self.balance) if self.is_durable else self.balance
 
     def shortfall(self, now_ms: float) -> int:
-        """What only others could give; units that wait for the disk do not count."""
+        """Return the demand in excess of the balance.
+
+        Units that are not written off yet are part of the balance, so peers are not requested to replace
+        them.
+        """
         return max(0, self.demand - self.balance)
 
     def available(self, now_ms: float) -> int:
-        """Units that are free to be used."""
+        """Return the units that are free to be used; 0 after the pool's end."""
         return 0 if self.has_ended(now_ms) else self.free
 
     def can_be_removed(self, now_ms: float) -> bool:
-        """Not soon after its end: if the end were postponed, the allotment would come in a second time."""
+        """Return whether the pool ended at least ``RETENTION_MS`` ago.
+
+        An ended pool is retained because a postponed end would otherwise add the allotment a second time.
+        """
         return self.ends_at_ms is not None and now_ms >= self.ends_at_ms + RETENTION_MS
 
     def consume(self, now_ms: float, amount: int) -> bool:
-        """Use up units if they are free."""
+        """Consume ``amount`` units and return True; return False and consume none if fewer are free."""
         if amount > self.available(now_ms):
             self.wanted_free = max(self.wanted_free, amount)
             return False
@@ -98,8 +122,9 @@
         return True
 
     def give(self, now_ms: float, taker: int, requested: int) -> int:
-        """Lower the balance by what this router does not want itself, up to ``requested``; the amount
-        given.
+        """Deduct up to ``requested`` units for a peer and return the number of units deducted.
+
+        Units that cover this router's own demand are not granted.
         """
         amount = min(requested, max(0, self.available(now_ms) - self.demand))
         if amount < requested:
@@ -110,7 +135,7 @@
         return amount
 
     def is_waiting_for_disk(self) -> bool:
-        """Whether units could be given that only are not written off yet."""
+        """Return whether units beyond the demand exist but are not written off yet."""
         return self.balance - self.demand > 0 and self.free < self.balance
 
     def _deduct(self, amount: int) -> None:
@@ -118,17 +143,17 @@
         self.free -= amount
 
     def receive(self, amount: int) -> None:
-        """Add what another router gave; the caller sees to it that each grant is added once."""
+        """Add units that a peer granted; the caller ensures that each grant is added once."""
         self.balance += amount
         self._update_free()
 
     def amount_to_write_off(self) -> int:
-        """Units to write off next, in whole chunks."""
+        """Return the units to write off next, so that the wanted units, rounded up to chunks, are free."""
         wanted = max(self.demand, self.wanted_free)
         chunk = max(1, self.own_allotment() // WRITE_OFF_DIVISOR)
         return max(0, min(self.balance, math.ceil(wanted / chunk) * chunk) - self.free)
 
     def mark_written_off(self, amount: int) -> None:
-        """The disk has so many more units as gone: they are free."""
+        """Mark ``amount`` more units as free, because the disk has recorded them as written off."""
         self.free = min(self.balance, self.free + amount)
         self.wanted_free = 0
--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -1,8 +1,8 @@
-"""The escrow component: quota pools that routers share by moving units between them.
+"""The escrow component, which owns one router's accounts of all quota pools.
 
-``grantor.py`` answers peers' requests, ``requester.py`` sends this router's own, ``image.py`` keeps what must
-survive a restart, and the pools keep the accounts. Steps 14 to 17 of docs/design/register.md, and
-docs/design/grants.md.
+``grantor.py`` responds to peers' requests, ``requester.py`` sends this router's own requests, ``image.py``
+encodes the state that must survive a restart, and the pools are the accounts. Design:
+docs/design/grants.md, and steps 14 to 17 of docs/design/register.md.
 """
 
 from __future__ import annotations
@@ -27,18 +27,27 @@
     from cedarthread.escrow.quota_pool import QuotaPool
 
 COUNTERS = "granted", "taken", "refused", "unreadable", "strangers", "unknown", "late", "drowned", "lies"
-_RNG_SALT = 0x4752_414E  # so that components with the same seed draw differently
+_RNG_SALT = 0x4752_414E  # makes this component's random sequence differ from others with the same seed
 
 
 class Escrow:
-    """One router's units of all pools: a ``Component``, and the ``QuotaEscrow`` that other components use.
-
-    Times are in ms on this router's steady clock; ``clock_rate`` is the fraction by which it may run fast or
-    slow. ``incarnation``: a random number drawn at each start. ``has_memory``: nothing that an earlier
-    incarnation of this router used or gave of a count is forgotten, because there was none or ``restore``
-    brings it; without it this router's allotment of a count is lost. Its own rates are 0 for a term after any
-    start. ``is_durable``: units of a count may be used or given only once the disk has them as gone
-    (``image_to_write``, ``mark_written``).
+    """The accounts that one router has of all pools: a ``Component``, and the ``QuotaEscrow`` that other components use.
+
+    Times are ms on this router's steady clock. For one lease term after each start, this router's own units
+    of all rate pools are 0, because leases granted by an earlier incarnation may still be in use.
+
+    Args:
+        router_index: This router.
+        router_count: The configured routers.
+        incarnation: A random number that the caller draws at each start of the router.
+        seed: The seed of all random decisions.
+        clock_rate: The fraction by which a router's steady clock may run fast or slow.
+        now_ms: The steady clock.
+        has_memory: Whether this router knows all units that its earlier incarnations used or granted of
+            counts, because there was no earlier incarnation or because ``restore`` supplies their image. If
+            False, this router's allotment of each count is lost.
+        is_durable: Whether units of a count may be used or granted only after the disk records them as
+            written off (``image_to_write``, ``mark_written``).
     """
 
     message_types = frozenset((int(MessageType.ESCROW),))
@@ -57,7 +66,8 @@
         has_memory: bool = False,
         is_durable: bool = False,
     ) -> None:
-        self.router_index, self.router_count = router_index, router_count
+        self.router_index = router_index
+        self.router_count = router_count
         self.incarnation = incarnation % 2**64
         self.rng = random.Random(seed ^ _RNG_SALT ^ router_index << 32)
         self.clock_drift_factor = (1.0 + clock_rate) / (1.0 - clock_rate)
@@ -76,18 +86,24 @@
     def open_pool(
         self, name: str, total: int, *, is_consumable: bool, ends_at_ms: float | None, is_new: bool = False
     ) -> None:
-        """Open a pool, or change its total or end.
-
-        ``is_new``: the caller knows that no earlier incarnation of this router can have used it, so that the
-        allotment of a count stands although nothing is remembered (design page, 9).
+        """Open a pool, or change the total or the end of an open pool.
+
+        Args:
+            name: The pool's name, the same at all routers.
+            total: The fleet-wide total.
+            is_consumable: Whether the pool is a count; otherwise the pool is a rate.
+            ends_at_ms: When the pool ends; None: never.
+            is_new: Whether no earlier incarnation of this router can have used the pool. Then this router's
+                allotment of a count is usable even without memory (docs/design/grants.md, 12).
         """
-        key, total = pool_key(name), max(0, min(total, MAX_AMOUNT))
+        key = pool_key(name)
+        total = max(0, min(total, MAX_AMOUNT))
         pool = self.pools.get(key)
         if pool is None:
             self.pools[key] = self._create_pool(name, key, total, is_consumable, is_new)
             self.keys_by_name[name] = key
         elif pool.name != name or pool.is_consumable is not is_consumable:
-            self.counters["lies"] += 1  # another name with the same hash, or another kind
+            self.counters["lies"] += 1  # another pool's name has the same hash, or the kind differs
             return
         elif isinstance(pool, CountPool):
             pool.change_total(total)
@@ -113,24 +129,26 @@
         return rate
 
     def pool_named(self, name: str) -> QuotaPool | None:
-        """The pool of this name, if it is open."""
+        """Return the open pool of this name, if any."""
         key = self.keys_by_name.get(name)
         return None if key is None else self.pools.get(key)
 
     def available(self, now_ms: float, name: str) -> int:
-        """Units that this router may use now; 0 for a pool that is not open or has ended."""
+        """Return the units that this router may use now; 0 for a pool that is not open or has ended."""
         pool = self.pool_named(name)
         return 0 if pool is None else pool.available(now_ms)
 
     def consume(self, now_ms: float, name: str, amount: int = 1) -> bool:
-        """Use up units of a count; false, and nothing used, where this router may not."""
+        """Consume units of a count and return True; return False and consume none if too few are free."""
         pool = self.pool_named(name)
         return isinstance(pool, CountPool) and amount > 0 and pool.consume(now_ms, amount)
 
     def request(self, now_ms: float, name: str, amount: int) -> None:
-        """Set what this router could use in all, until the next call; 0 ends it.
+        """Set this router's demand for a pool, until the next call of this method.
 
-        Of a rate its present demand; of a count what it would have ready, which each use lowers.
+        For a rate, ``amount`` is the number of units that this router could use now. For a count,
+        ``amount`` is the number of units to have available for consumption, and each consumption reduces
+        the demand.
         """
         if (pool := self.pool_named(name)) is not None:
             set_demand(now_ms, pool, amount)
@@ -138,32 +156,35 @@
     # The disk.
 
     def snapshot(self) -> bytes:
-        """The image with all free units written off."""
+        """Return the image in which all free units are written off."""
         return self.image.encode(self.pools, {})
 
     def restore(self, data: bytes) -> bool:
-        """Take the last image of an earlier incarnation, before any pool is opened.
+        """Load the last image of an earlier incarnation; must be called before any pool is opened.
 
-        False, and nothing taken, if it cannot be read: then there is no memory.
+        Return False if the image is invalid. Then no balance is restored, and the router has no memory.
         """
         return self.image.restore(data)
 
     def image_to_write(self, now_ms: float) -> bytes | None:
-        """The image that the host is to persist, if any; its end is reported by the two methods below."""
+        """Return the image that the host must persist next, or None.
+
+        The host reports the end of the write by ``mark_written`` or ``mark_write_failed``.
+        """
         return self.image.next_write(now_ms, self.pools)
 
     def mark_written(self, now_ms: float) -> None:
-        """The image last given is on the disk."""
+        """Free the units that the last returned image writes off, because the image is on the disk."""
         self.image.mark_written(self.pools)
 
     def mark_write_failed(self) -> None:
-        """The image last given may not be on the disk."""
+        """End the write of the last returned image without freeing units."""
         self.image.mark_write_failed()
 
     # The component interface.
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
-        """Take a peer's request or response. Never raises, whatever the bytes are."""
+        """Handle a peer's request or response. Invalid bytes are counted; no input raises."""
         message = decode(data)
         if isinstance(message, MalformedDatagram):
             self.counters["unreadable"] += 1
@@ -180,12 +201,12 @@
         return ()
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
-        """Request what is lacking; called several times a second."""
+        """Return requests for units that this router lacks; the host calls this several times a second."""
         self.requester.expire(now_ms)
         self._remove_ended_pools(now_ms)
         messages = self.requester.retry(now_ms)
         keys = [key for key, pool in self.pools.items() if pool.demand and not pool.has_ended(now_ms)]
-        self.rng.shuffle(keys)  # so that no pool takes the whole request budget
+        self.rng.shuffle(keys)  # a fixed order would let the first pools use up the request budget
         for key in keys:
             messages += self.requester.request_units(now_ms, self.pools[key])
         return messages
@@ -198,13 +219,13 @@
                 del self.pools[key], self.keys_by_name[pool.name]
 
     def on_notification(self, now_ms: float, notification: Notification) -> Sequence[OutboundMessage]:
-        """Requests go to peers that are alive."""
+        """Restrict requests to the peers that are alive when the set of alive peers changes."""
         if isinstance(notification, PeersChanged):
             self.requester.set_alive(notification.alive_peers)
         return ()
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """Figures for ``INFO``."""
+        """Return the figures for ``INFO``."""
         rates = [pool for pool in self.pools.values() if isinstance(pool, RatePool)]
         figures = {
             "pools": len(self.pools),
--- a/cedarthread/escrow/grantor.py
+++ b/cedarthread/escrow/grantor.py
@@ -1,4 +1,4 @@
-"""The granting side: answers peers' requests out of this router's units."""
+"""The granting side of escrow: responds to peers' requests with units of this router's own account."""
 
 from __future__ import annotations
 
@@ -17,14 +17,16 @@
 
     from cedarthread.escrow.quota_pool import QuotaPool
 
-RESPONSES_PER_SECOND = 100.0  # so that the routers that are left after a failure are not flooded
+RESPONSES_PER_SECOND = 100.0  # limits the load on the remaining routers after others have failed
 RESPONSE_BURST = 50.0
-MAX_REMEMBERED_GRANTS = 1024  # of counts, to be repeated if a response was lost; the oldest are dropped first
+MAX_REMEMBERED_GRANTS = (
+    1024  # grants of counts that can be repeated after a lost response; oldest dropped first
+)
 SERIAL_MODULUS = 2**32
 
 
 class RequestId(NamedTuple):
-    """Identifies a request for a count and its retries."""
+    """The identity that a request for a count shares with its retries."""
 
     sender: int
     incarnation: int
@@ -32,18 +34,27 @@
 
 
 class Grant(NamedTuple):
-    """What a request gets: units, what is left to give, and the term (0: for good)."""
+    """The terms of a response."""
 
-    amount: int
-    available: int
-    term_ms: int
+    amount: int  # units granted
+    available: int  # units that this router could still grant
+    term_ms: int  # 0: the units are transferred for good
 
 
 class EscrowGrantor:
-    """Answers requests. ``counters`` are shared with the escrow, for ``INFO``."""
+    """The responder of one router, with the grants that it may have to repeat.
+
+    Args:
+        incarnation: The random number of this start of the router.
+        rng: The source of the choice among hints.
+        counters: The figures for ``INFO``, which ``Escrow`` owns and shares with this object.
+        now_ms: The steady clock.
+    """
 
     def __init__(self, incarnation: int, rng: random.Random, counters: dict[str, int], now_ms: float) -> None:
-        self.incarnation, self.rng, self.counters = incarnation, rng, counters
+        self.incarnation = incarnation
+        self.rng = rng
+        self.counters = counters
         self.last_serial = 0
         self.sent_grants: OrderedDict[RequestId, bytes] = OrderedDict()
         self.response_budget = TokenBucket(RESPONSES_PER_SECOND, RESPONSE_BURST, RESPONSE_BURST, now_ms)
@@ -51,7 +62,11 @@
     def on_request(
         self, now_ms: float, sender: int, pool: QuotaPool, request: EscrowRequest
     ) -> Sequence[SendToPeer]:
-        """Lower this router's own units, and only then say so. The caller checks the response budget."""
+        """Deduct the granted units from the pool, then return the response.
+
+        A repeated request for a count receives the earlier response again. The caller checks
+        ``response_budget``.
+        """
         request_id = RequestId(sender, request.incarnation, request.nonce)
         if (sent_before := self.sent_grants.get(request_id)) is not None and pool.is_consumable:
             return (SendToPeer(sent_before, sender),)
@@ -78,11 +93,11 @@
         return (SendToPeer(data, sender),)
 
     def _grant(self, now_ms: float, sender: int, pool: QuotaPool, request: EscrowRequest) -> Grant | None:
-        """What the request gets; None: it is not answered."""
+        """Deduct the units for a request from the pool; return None if the request gets no response."""
         if isinstance(pool, CountPool):
             amount = pool.give(now_ms, sender, request.requested)
             if not amount and pool.is_waiting_for_disk():
-                return None  # the peer retries, and by then the units are written off
+                return None  # the units will be written off by the time the peer retries
             return Grant(amount, max(0, pool.available(now_ms) - pool.demand), 0)
         assert isinstance(pool, RatePool)
         lent = pool.lend(now_ms, Borrower(sender, request.incarnation), request.nonce, request.requested)
@@ -97,7 +112,11 @@
             self.sent_grants.popitem(last=False)
 
     def _choose_hint(self, now_ms: float, sender: int, pool: QuotaPool) -> int:
-        """A peer that may have units of which this router has none."""
+        """Return a peer that may have units, or ``NO_HINT``.
+
+        For a count, this is the peer that received units most recently; otherwise a random peer that recently
+        reported available units.
+        """
         if isinstance(pool, CountPool) and pool.last_taker is not None:
             return NO_HINT if pool.last_taker == sender else pool.last_taker
         candidates = [
--- a/cedarthread/escrow/image.py
+++ b/cedarthread/escrow/image.py
@@ -1,7 +1,8 @@
-"""The persisted image of the counts: what a later incarnation may still use.
+"""The persisted image of the count pools, which limits the units that a later incarnation may use.
 
-Units may be used or given only once the disk has them as gone. So the image runs ahead of use: it is written
-with units written off, and those are free when the write has succeeded.
+Units may be used or granted only after the disk records them as written off. The image is therefore written
+ahead of use: it already excludes the units to write off, and these units become free when the write
+succeeds.
 """
 
 from __future__ import annotations
@@ -17,23 +18,26 @@
 
     from cedarthread.escrow.quota_pool import QuotaPool
 
-MAX_RESTORED_COUNTS = 1024  # balances of the disk that are kept although no pool was opened for them
+MAX_RESTORED_COUNTS = 1024  # restored balances without an open pool that a new image still includes
 
 
 class EscrowImage:
-    """Restored balances and the write that is under way.
+    """The restored balances of an earlier incarnation, and the image write in progress.
 
-    ``has_memory``: nothing that an earlier incarnation used or gave of a count is forgotten, because there
-    was none or because ``restore`` brings it.
+    Args:
+        has_memory: Whether this router knows all units that its earlier incarnations used or granted of
+            counts, because there was no earlier incarnation or because ``restore`` supplies their image.
+        is_durable: Whether units must be written off on the disk before use.
     """
 
     def __init__(self, *, has_memory: bool, is_durable: bool) -> None:
-        self.has_memory, self.is_durable = has_memory, is_durable
+        self.has_memory = has_memory
+        self.is_durable = is_durable
         self.restored_balances: dict[int, CountBalance] = {}  # by pool key
-        self.pending_write_offs: dict[int, int] | None = None  # by pool key; None: no write is under way
+        self.pending_write_offs: dict[int, int] | None = None  # by pool key; None: no write is in progress
 
     def encode(self, pools: Mapping[int, QuotaPool], write_offs: Mapping[int, int]) -> bytes:
-        """The image of these pools once so many more units are written off."""
+        """Return the image of the pools with the units of ``write_offs`` (by pool key) written off."""
         balances = [
             pool.balance_to_persist(write_offs.get(key, 0))
             for key, pool in pools.items()
@@ -42,9 +46,10 @@
         return msgspec.msgpack.encode(balances + list(self.restored_balances.values())[-MAX_RESTORED_COUNTS:])
 
     def restore(self, data: bytes) -> bool:
-        """Take the last image of an earlier incarnation, before any pool is opened.
+        """Load the last image of an earlier incarnation; must be called before any pool is opened.
 
-        False if it cannot be read or contradicts itself: then nothing is taken and there is no memory.
+        Return False if the image cannot be decoded or contradicts itself. Then no balance is restored and
+        ``has_memory`` becomes False.
         """
         try:
             balances = msgspec.msgpack.decode(data, type=list[CountBalance])
@@ -58,14 +63,14 @@
         return True
 
     def take_restored(self, key: int) -> CountBalance | None:
-        """The restored balance of a pool that is being opened."""
+        """Remove and return the restored balance of a pool that is being opened; None if there is none."""
         return self.restored_balances.pop(key, None)
 
     def next_write(self, now_ms: float, pools: Mapping[int, QuotaPool]) -> bytes | None:
-        """The image that the disk must have before more units are used or given.
+        """Start a write: return the image that the disk must record before more units become free.
 
-        None: no more are wanted, or a write is under way. The host reports its end by ``mark_written`` or
-        ``mark_write_failed``.
+        Return None if no units are to be written off or a write is already in progress. The host reports
+        the end of the write by ``mark_written`` or ``mark_write_failed``.
         """
         if not self.is_durable or self.pending_write_offs is not None:
             return None
@@ -80,14 +85,14 @@
         return self.encode(pools, self.pending_write_offs)
 
     def mark_written(self, pools: Mapping[int, QuotaPool]) -> None:
-        """The image is on the disk: what it has as gone is free."""
+        """Mark the pending units as free, because the image is on the disk."""
         for key, amount in (self.pending_write_offs or {}).items():
             if isinstance(pool := pools.get(key), CountPool):
                 pool.mark_written_off(amount)
         self.pending_write_offs = None
 
     def mark_write_failed(self) -> None:
-        """The image may not be on the disk: nothing is free by it."""
+        """End the write without freeing units, because the image may not be on the disk."""
         self.pending_write_offs = None
 
 
--- a/cedarthread/escrow/quota_pool.py
+++ b/cedarthread/escrow/quota_pool.py
@@ -1,9 +1,11 @@
-"""What rate pools and count pools have in common.
+"""The state that rate pools and count pools have in common.
 
-Escrow (O'Neil: "The Escrow Transactional Method", 1986) and bounded counters (Balegas and others: "Extending
-eventually consistent cloud databases for enforcing numeric invariants", 2015): a total is divided into
-allotments, and a router moves units by lowering its own before it says so. Whole units; times in ms on this
-router's steady clock.
+Sources: escrow (O'Neil: "The Escrow Transactional Method", 1986) and bounded counters (Balegas and others:
+"Extending eventually consistent cloud databases for enforcing numeric invariants", 2015). A total is
+divided into allotments. A router that transfers units first deducts them from its own account and then
+sends the grant. Units are whole numbers; times are ms on this router's steady clock.
+
+``Escrow`` creates the pools; ``EscrowGrantor``, ``EscrowRequester`` and ``EscrowImage`` change them.
 """
 
 from __future__ import annotations
@@ -16,7 +18,7 @@
 
 
 class PeerAvailability(NamedTuple):
-    """Units that a peer was last known to have to give, and when that was known."""
+    """The units that a peer was last known to be able to grant, and when this router learnt that."""
 
     units: int
     seen_at_ms: float
@@ -27,48 +29,53 @@
 
 @dataclass(slots=True)
 class RequestRounds:
-    """How a router's rounds of requests for one pool have gone, which decides when the next one starts."""
+    """The outcome of recent request rounds for one pool, which determines when the next round starts."""
 
-    is_open: bool = False  # requests are out whose outcome decides whether to back off
-    has_gained: bool = False  # a response of this round brought units
-    failed: int = 0  # rounds in a row that brought nothing
-    hints_followed: int = 0  # in a row
-    next_at_ms: float = -math.inf
+    is_open: bool = False  # requests were sent, and their outcome determines whether to back off
+    has_gained: bool = False  # a response in this round added units
+    failed: int = 0  # consecutive rounds that added no units
+    hints_followed: int = 0  # consecutive rounds that started at once because of a hint
+    next_at_ms: float = -math.inf  # the next round starts no earlier
     woken_at_ms: float = -math.inf  # when growing demand last cut a backoff short
 
 
 class QuotaPool:
-    """One pool at one router. ``ends_at_ms``: the pool has ended from then on; None: it does not end."""
+    """The account that one router has of one pool; the base of ``RatePool`` and ``CountPool``.
+
+    ``ends_at_ms`` is when the pool ends; None: the pool never ends.
+    """
 
     is_consumable = False
 
     def __init__(self, name: str, key: int, router_index: int, router_count: int) -> None:
-        self.name, self.key, self.router_count = name, key, router_count
+        self.name = name
+        self.key = key
+        self.router_count = router_count
         order = allotment_order(key, router_count)
         self.place_by_router = {router: place for place, router in enumerate(order)}
         self.place = self.place_by_router[router_index]
         self.total = 0
         self.ends_at_ms: float | None = None
-        self.demand = 0
+        self.demand = 0  # units that this router's users want in all
         self.rounds = RequestRounds()
-        self.peer_available: dict[int, PeerAvailability] = {}
+        self.peer_available: dict[int, PeerAvailability] = {}  # by router index
 
     def own_allotment(self) -> int:
-        """This router's allotment of the total."""
+        """Return this router's allotment of the total."""
         return allotment(self.total, self.router_count, self.place)
 
     def has_ended(self, now_ms: float) -> bool:
-        """Whether the pool has ended."""
+        """Return whether the pool has ended."""
         return self.ends_at_ms is not None and now_ms >= self.ends_at_ms
 
     def available(self, now_ms: float) -> int:
-        """What this router may use now."""
+        """Return the units that this router may use now."""
         raise NotImplementedError
 
     def can_be_removed(self, now_ms: float) -> bool:
-        """Whether nothing depends on the pool any more."""
+        """Return whether the pool has ended and its account is no longer needed."""
         raise NotImplementedError
 
     def shortfall(self, now_ms: float) -> int:
-        """What this router would need from others."""
+        """Return the units of the demand that must be requested from peers."""
         return max(0, self.demand - self.available(now_ms))
--- a/cedarthread/escrow/rate_pool.py
+++ b/cedarthread/escrow/rate_pool.py
@@ -1,8 +1,8 @@
-"""Rate pools: units that may be in use at the same time, lent between routers for a term.
+"""Rate pools: limits on the units in use at one time, which routers lease to each other for a fixed term.
 
-A loan is a lease (Gray and Cheriton: "Leases", 1989). The taker counts its end from when it sent the request,
-the giver from when it granted, and longer by the clocks' drift: they never use the same unit at the same
-time.
+Source: Gray and Cheriton: "Leases", 1989. The borrower counts the term from when it sent the request. The
+lender counts from when it granted the lease, and extends the term by the possible clock drift. So the
+borrower has always stopped using a unit before the lender uses that unit again.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 
 from cedarthread.escrow.quota_pool import QuotaPool
 
-LEASE_TERM_MS = 4000.0  # a rate is lent for this long; also the longest term that any grant may have
-UNMET_REQUEST_MEMORY_MS = 1000.0  # how long a giver considers what a peer requested and did not get
-RESERVE_DIVISOR = 16  # a router keeps one in so many units of its own rate for its next calls
+LEASE_TERM_MS = 4000.0  # term of each lease; a response with a longer term is rejected
+UNMET_REQUEST_MEMORY_MS = 1000.0  # how long a lender reserves a fair share for a peer that requested in vain
+RESERVE_DIVISOR = 16  # a router lends no more than 15/16 of its allotment, to serve its own next calls
 NONCE_MODULUS = 2**32
 
 
 class Borrower(NamedTuple):
-    """One incarnation of a peer."""
+    """An incarnation of a peer that borrows units."""
 
     peer: int
     incarnation: int
 
 
 class LeaseGrant(NamedTuple):
-    """Units lent until a time."""
+    """An amount of units and when its lease ends."""
 
     amount: int
     ends_at_ms: float
 
 
 class UnmetRequest(NamedTuple):
-    """Units that a peer requested and did not get, and when."""
+    """The units that a peer requested but was not granted, and when the peer requested them."""
 
     units: int
     requested_at_ms: float
@@ -42,31 +42,37 @@
 
 @dataclass(slots=True)
 class Lease:
-    """What one incarnation of a router may use of another's rate, as either of the two counts it.
+    """The lease between a lender and one incarnation of a borrower; each side has its own copy.
 
-    The greatest grant that has not ended counts, so it does not matter which of them arrived or in which
-    order.
+    The leased amount is that of the greatest grant that has not ended. The result is therefore independent
+    of the order in which grants arrive, and a lost grant only leaves the borrower with less.
     """
 
-    nonce: int = 0  # at the giver: of the latest request; an older one is a late or duplicated datagram
-    requested_at_ms: float = -math.inf  # at the taker: when the last answered request was sent
+    nonce: int = 0  # lender's copy: nonce of the latest request; an older one is late or duplicated
+    requested_at_ms: float = -math.inf  # borrower's copy: when the latest answered request was sent
     grants: list[LeaseGrant] = field(default_factory=list)
 
     def amount_at(self, now_ms: float) -> int:
-        """Units lent now."""
+        """Return the units leased now."""
         return max((amount for amount, ends_at_ms in self.grants if ends_at_ms > now_ms), default=0)
 
     def drop_expired(self, now_ms: float) -> bool:
-        """Forget grants that have ended; whether any is left."""
+        """Remove grants that have ended; return whether any grant remains."""
         self.grants = [grant for grant in self.grants if grant.ends_at_ms > now_ms]
         return bool(self.grants)
 
 
 class RatePool(QuotaPool):
-    """A pool of units in use at the same time.
-
-    ``clock_drift_factor``: how much longer the giver waits than the taker may use. Before ``ready_at_ms``
-    loans of an earlier incarnation may be out, and this router's own rate is 0.
+    """The account that one router has of a pool that limits the units in use at one time.
+
+    Args:
+        name: The pool's name.
+        key: The hash of the name.
+        router_index: This router.
+        router_count: The configured routers.
+        clock_drift_factor: The lender's term divided by the borrower's term.
+        ready_at_ms: Until this time, leases granted by an earlier incarnation of this router may still be
+            in use, so this router's own rate is 0.
     """
 
     def __init__(
@@ -87,11 +93,11 @@
         self.unmet_requests: dict[int, UnmetRequest] = {}  # by peer
 
     def own_rate(self, now_ms: float) -> int:
-        """This router's own units, lent or not."""
+        """Return this router's own units, including those that are leased to peers."""
         return self.own_allotment() if now_ms >= self.ready_at_ms else 0
 
     def amount_loaned(self, now_ms: float, except_borrower: Borrower | None = None) -> int:
-        """Units lent to others, leaving out one of them."""
+        """Return the units leased to peers, excluding one borrower if given."""
         return sum(
             lease.amount_at(now_ms)
             for borrower, lease in self.leases_given.items()
@@ -99,18 +105,19 @@
         )
 
     def amount_borrowed(self, now_ms: float) -> int:
-        """Units that others lend."""
+        """Return the units leased from peers."""
         return sum(lease.amount_at(now_ms) for lease in self.leases_taken.values())
 
     def amount_borrowed_from(self, giver: int, now_ms: float) -> int:
-        """Units that one peer lends."""
+        """Return the units leased from one peer."""
         lease = self.leases_taken.get(giver)
         return 0 if lease is None else lease.amount_at(now_ms)
 
     def available(self, now_ms: float) -> int:
-        """Own units that are not lent, and units borrowed.
+        """Return the own units that are not leased to peers, plus the units leased from peers.
 
-        Computed at this moment, so that a router that was paused uses nothing that ended meanwhile.
+        Leases are evaluated at ``now_ms`` rather than at the last tick, so that a router resuming from a
+        pause does not use leases that ended during the pause.
         """
         if self.has_ended(now_ms):
             return 0
@@ -120,14 +127,17 @@
         )
 
     def lendable(self, now_ms: float) -> int:
-        """Units that it may lend in all: those of its own rate beyond its demand and reserve."""
+        """Return the most units that this router may lease out in total.
+
+        These are the own units beyond the greater of this router's demand and its reserve.
+        """
         return max(0, self.own_rate(now_ms) - max(self.demand, self.own_allotment() // RESERVE_DIVISOR))
 
     def lend(self, now_ms: float, borrower: Borrower, nonce: int, requested: int) -> int | None:
-        """Lower this router's own rate by what a borrower gets, which may use it for the term from its
-        request on.
+        """Lease up to ``requested`` units to a borrower and return the number of units leased.
 
-        None: the request is no newer than one already answered.
+        Return None if the nonce is no newer than that of a request already answered: the datagram is late or
+        duplicated.
         """
         lease = self.leases_given.get(borrower)
         if lease is not None and not 0 < (nonce - lease.nonce) % NONCE_MODULUS < NONCE_MODULUS // 2:
@@ -136,19 +146,22 @@
         if lease is None:
             if not amount:
                 return 0
-            lease = self.leases_given[borrower] = Lease(nonce)
+            lease = Lease(nonce)
+            self.leases_given[borrower] = lease
         lease.nonce = nonce
         if amount:
             lease.grants.append(LeaseGrant(amount, now_ms + LEASE_TERM_MS * self.clock_drift_factor))
         return amount
 
     def _fair_amount(self, now_ms: float, borrower: Borrower, requested: int) -> int:
-        """All that a borrower requests if that leaves enough for the others that requested lately, else an
-        even share.
+        """Return the units to lease to a borrower.
 
-        So a newcomer is not shut out by those who borrowed first.
+        The amount is all that the borrower requests if enough remains for the peers whose recent requests
+        were unmet, otherwise an even share. An even share prevents the first borrowers from starving a new
+        one.
         """
-        lendable, loaned_to_others = self.lendable(now_ms), self.amount_loaned(now_ms, borrower)
+        lendable = self.lendable(now_ms)
+        loaned_to_others = self.amount_loaned(now_ms, borrower)
         for peer, unmet in list(self.unmet_requests.items()):
             if now_ms - unmet.requested_at_ms >= UNMET_REQUEST_MEMORY_MS or peer == borrower.peer:
                 del self.unmet_requests[peer]
@@ -163,7 +176,10 @@
         return amount
 
     def borrow(self, now_ms: float, giver: int, amount: int, requested_at_ms: float, term_ms: float) -> bool:
-        """Use what a peer lends until a term after the request was sent; whether that is more than before."""
+        """Record a grant from a peer that ends ``term_ms`` after the request was sent.
+
+        Return whether the grant increased the units leased from this peer.
+        """
         lease = self.leases_taken.setdefault(giver, Lease())
         amount_before = lease.amount_at(now_ms)
         lease.requested_at_ms = max(lease.requested_at_ms, requested_at_ms)
@@ -171,7 +187,7 @@
         return lease.amount_at(now_ms) > amount_before
 
     def drop_expired(self, now_ms: float) -> None:
-        """Forget leases that have ended."""
+        """Remove leases that have ended."""
         self.leases_taken = {
             giver: lease for giver, lease in self.leases_taken.items() if lease.drop_expired(now_ms)
         }
@@ -180,5 +196,8 @@
         }
 
     def can_be_removed(self, now_ms: float) -> bool:
-        """Not while units are lent: the pool may be opened again."""
+        """Return whether the pool has ended and no units are leased to peers.
+
+        Leases outlive the pool's end, and the pool may be opened again while they last.
+        """
         return self.has_ended(now_ms) and not self.leases_given
--- a/cedarthread/escrow/request_rounds.py
+++ b/cedarthread/escrow/request_rounds.py
@@ -1,7 +1,8 @@
-"""When a router asks its peers for units of a pool, and which of them.
+"""The schedule of request rounds: when a router requests units of a pool, and from which peers.
 
-Requests go out in rounds. A round that brought nothing makes the next one later and smaller, with jitter:
-where everybody wants units that are not there, the requests die down.
+After a round that gained no units, the next round starts later, with jitter, and has fewer requests. So the
+request rate falls when the whole fleet needs more units than exist. ``RoundPlanner`` and ``set_demand``
+write each pool's ``RequestRounds``; ``EscrowRequester`` records the requests sent and the units gained.
 """
 
 from __future__ import annotations
@@ -17,20 +18,24 @@
     from collections.abc import Collection, Sequence
 
 RESPONSE_TIMEOUT_MS = 500.0
-RETRY_JITTER = 0.5, 1.0  # factors on waits
-MAX_PARALLEL_REQUESTS = 8  # peers that are asked at once for one rate
-MAX_HALVINGS = 3  # of that number, one for each failed round
-BACKOFF_BASE_MS = 250.0  # after a round that brought nothing; doubled with each further one
+RETRY_JITTER = (0.5, 1.0)  # range of the random factor on each backoff
+MAX_PARALLEL_REQUESTS = 8  # requests in one round for a rate
+MAX_HALVINGS = 3  # each failed round halves MAX_PARALLEL_REQUESTS, at most this often
+BACKOFF_BASE_MS = 250.0  # doubled with each consecutive failed round
 RATE_BACKOFF_MAX_MS = 2000.0
 COUNT_BACKOFF_MAX_MS = 4000.0
-MAX_FAILED_ROUNDS = 16  # that are counted
-MAX_FAILED_ROUNDS_WHEN_WOKEN = 3  # that still count after growing demand cut a backoff short
-WAKE_INTERVAL_MS = 5000.0  # at least, between two wakings: fluctuating demand must not cancel every backoff
-MAX_HINTS_FOLLOWED = 2  # rounds in a row that start at once on a hint
+MAX_FAILED_ROUNDS = 16  # the count of failed rounds stops here
+MAX_FAILED_ROUNDS_WHEN_WOKEN = (
+    3  # limit on the count of failed rounds after growing demand cut a backoff short
+)
+WAKE_INTERVAL_MS = (
+    5000.0  # shortest interval between two cuts, so that fluctuating demand cannot defeat the backoff
+)
+MAX_HINTS_FOLLOWED = 2  # consecutive rounds that may start without backoff because of a hint
 
 
 def set_demand(now_ms: float, pool: QuotaPool, amount: int) -> None:
-    """Set what this router could use of a pool; growing demand may cut a backoff short."""
+    """Set this router's demand for a pool; growing demand may cut a backoff short."""
     rounds = pool.rounds
     if amount > pool.demand and now_ms - rounds.woken_at_ms >= WAKE_INTERVAL_MS:
         rounds.woken_at_ms = now_ms
@@ -40,7 +45,7 @@
 
 
 class RoundPlanner:
-    """Decides whether a round may start and whom to ask."""
+    """The policy that decides whether a request round may start, and which peers receive its requests."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -48,9 +53,13 @@
     def next_round(
         self, now_ms: float, pool: QuotaPool, alive_peers: Sequence[int], awaited: Collection[int]
     ) -> list[int] | None:
-        """The peers to ask for a pool's shortfall; None: no round may start now.
+        """Return the peers to send requests for a pool's shortfall, or None if no round may start now.
 
-        ``awaited``: peers that were asked and still have time to respond.
+        Args:
+            now_ms: The steady clock.
+            pool: A pool with a shortfall.
+            alive_peers: The peers that may receive requests.
+            awaited: The peers with a pending request for this pool that has not timed out.
         """
         rounds = pool.rounds
         is_waiting = bool(awaited) and not rounds.has_gained and rounds.is_open
@@ -62,16 +71,18 @@
         return self._choose_peers(now_ms, pool, candidates, _round_size(pool, pool.shortfall(now_ms)))
 
     def _finish_round(self, now_ms: float, pool: QuotaPool) -> bool:
-        """The last round is over; whether the next may start at once."""
+        """Record the outcome of the last round; return whether the next round may start without backoff."""
         rounds = pool.rounds
         rounds.is_open = False
         if rounds.has_gained:
-            rounds.has_gained, rounds.failed = False, 0
+            rounds.has_gained = False
+            rounds.failed = 0
             return True
         if rounds.hints_followed < MAX_HINTS_FOLLOWED and _has_recent_hint(now_ms, pool):
             rounds.hints_followed += 1
             return True
-        rounds.hints_followed, rounds.failed = 0, min(rounds.failed + 1, MAX_FAILED_ROUNDS)
+        rounds.hints_followed = 0
+        rounds.failed = min(rounds.failed + 1, MAX_FAILED_ROUNDS)
         max_ms = COUNT_BACKOFF_MAX_MS if pool.is_consumable else RATE_BACKOFF_MAX_MS
         backoff_ms = min(BACKOFF_BASE_MS * 2.0**rounds.failed, max_ms)
         rounds.next_at_ms = now_ms + backoff_ms * self.rng.uniform(*RETRY_JITTER)
@@ -80,9 +91,11 @@
     def _choose_peers(
         self, now_ms: float, pool: QuotaPool, candidates: Sequence[int], max_peers: int
     ) -> list[int]:
-        """Peers to ask, best first: last known to have units; had units at the start; not known to have none.
+        """Choose up to ``max_peers`` candidates at random, from the most promising group first.
 
-        Only where there is no such peer, those that are known to have none.
+        The groups, in order: peers recently known to have units; peers with an initial allotment of a
+        count; peers of unknown state. Peers recently known to have no units are chosen only if all
+        these groups are empty.
         """
         with_units: list[int] = []
         with_allotment: list[int] = []
@@ -104,7 +117,11 @@
 
 
 def _round_size(pool: QuotaPool, shortfall: int) -> int:
-    """How many peers to ask: one for a count; for a rate so many that each may give half an allotment."""
+    """Return the number of requests in a round.
+
+    A round for a count has one request. A round for a rate has enough requests to cover the shortfall if each
+    peer grants half an allotment, within the limit that failed rounds reduce.
+    """
     if pool.is_consumable:
         return 1
     half_allotment = max(1, pool.own_allotment() // 2)
--- a/cedarthread/escrow/requester.py
+++ b/cedarthread/escrow/requester.py
@@ -1,8 +1,8 @@
-"""The requesting side: whom to ask for units, when, and what their responses bring.
+"""The requesting side of escrow: sends requests for units to peers, and adds the granted units to the pools.
 
-A response counts only for a request of this incarnation that is outstanding, and once: a duplicated, late or
-forged one adds nothing. What is lost on the way is missing until it comes back (a rate) or for good (a
-count).
+A response is accepted only once, and only for an outstanding request of this incarnation. A duplicated,
+late or forged response adds no units. If a grant is lost in transit, its units are missing until their lease
+ends (rate pools) or for good (count pools).
 """
 
 from __future__ import annotations
@@ -25,27 +25,43 @@
 
 REQUESTS_PER_SECOND = 40.0
 REQUEST_BURST = 20.0
-MAX_ATTEMPTS = 4  # of a request for a count, whose response may carry units that would be lost for good
-LATE_RESPONSE_LIMIT_MS = 30_000.0  # how long a response to a request for a count is still accepted
-RENEW_AFTER_FRACTION = 0.6  # of the term, after which a lease is asked for again
+MAX_ATTEMPTS = (
+    4  # transmissions of a request for a count, because a lost response would lose its units for good
+)
+LATE_RESPONSE_LIMIT_MS = (
+    30_000.0  # a response to a request for a count is accepted this long after the request
+)
+RENEW_AFTER_FRACTION = 0.6  # fraction of its term after which a lease is renewed
 NONCE_MODULUS = 2**32
 
 
 @dataclass(slots=True)
 class OutstandingRequest:
-    """A request that may still be answered. Its lease counts from ``sent_at_ms``, when it was first sent."""
+    """A request to one peer; its response is still accepted."""
 
     pool: QuotaPool
     peer: int
     requested: int
-    sent_at_ms: float
-    timeout_at_ms: float  # until then a response is waited for
+    sent_at_ms: float  # of the first attempt; the term of a granted lease starts here
+    timeout_at_ms: float  # until then the response is pending; then the request may be retried
     attempts: int = 1
-    was_denied: bool = False  # does not end a request for a count: an earlier attempt may have been granted
+    was_denied: bool = (
+        False  # a denied request for a count stays outstanding: an earlier attempt may be granted
+    )
 
 
 class EscrowRequester:
-    """Requests units from peers. ``counters`` are shared with the escrow, for ``INFO``."""
+    """The requests of one router: those that are outstanding, and the schedule of further ones.
+
+    Args:
+        router_index: This router.
+        router_count: The configured routers.
+        incarnation: The random number of this start of the router; responses to other incarnations are
+            dropped.
+        rng: The source of nonces, jitter and the choice of peers.
+        counters: The figures for ``INFO``, which ``Escrow`` owns and shares with this object.
+        now_ms: The steady clock.
+    """
 
     def __init__(
         self,
@@ -57,8 +73,11 @@
         counters: dict[str, int],
         now_ms: float,
     ) -> None:
-        self.router_index, self.router_count, self.incarnation = router_index, router_count, incarnation
-        self.rng, self.counters = rng, counters
+        self.router_index = router_index
+        self.router_count = router_count
+        self.incarnation = incarnation
+        self.rng = rng
+        self.counters = counters
         self.alive_peers: Sequence[int] = tuple(
             router for router in range(router_count) if router != router_index
         )
@@ -68,13 +87,13 @@
         self.request_budget = TokenBucket(REQUESTS_PER_SECOND, REQUEST_BURST, REQUEST_BURST, now_ms)
 
     def set_alive(self, peers: Sequence[int]) -> None:
-        """Only these peers are asked from now on."""
+        """Restrict future requests to these peers."""
         self.alive_peers = tuple(
             peer for peer in peers if peer != self.router_index and 0 <= peer < self.router_count
         )
 
     def on_response(self, now_ms: float, sender: int, pool: QuotaPool, response: EscrowResponse) -> None:
-        """Take a response if its request is outstanding."""
+        """Add the units of a response if its request is outstanding; otherwise count the response as late."""
         request = self.outstanding.get(response.nonce)
         if request is None or not self._is_answered_by(request, sender, pool, response):
             self.counters["late"] += 1
@@ -84,8 +103,9 @@
             return
         self._note_availability(now_ms, sender, pool, response)
         if pool.is_consumable and not response.amount:
-            request.was_denied, request.timeout_at_ms = True, now_ms
-            return  # the grant to an earlier attempt may still be on its way
+            request.was_denied = True
+            request.timeout_at_ms = now_ms
+            return  # the grant of an earlier attempt may still arrive
         del self.outstanding[response.nonce]
         has_gained = self._take_units(now_ms, request, response)
         pool.rounds.has_gained |= has_gained
@@ -98,14 +118,14 @@
         return is_own and request.peer == sender and request.pool is pool
 
     def _take_units(self, now_ms: float, request: OutstandingRequest, response: EscrowResponse) -> bool:
-        """Add what a response grants to the pool; whether there is more than before."""
+        """Add the granted units to the pool; return whether the pool gained units."""
         pool = request.pool
         if isinstance(pool, RatePool):
             return pool.borrow(now_ms, request.peer, response.amount, request.sent_at_ms, response.term_ms)
         if isinstance(pool, CountPool) and response.total <= pool.total:
             pool.receive(response.amount)
             return True
-        return False  # a greater total: granted before this router learnt that the total was lowered
+        return False  # the peer knows a greater total: it granted these units before the total was lowered
 
     def _note_availability(
         self, now_ms: float, sender: int, pool: QuotaPool, response: EscrowResponse
@@ -118,17 +138,18 @@
                 pool.peer_available[hinted_peer] = PeerAvailability(max(1, known.units), now_ms)
 
     def expire(self, now_ms: float) -> None:
-        """Forget requests whose response would not be accepted any more."""
+        """Remove requests that are so old that a response is no longer accepted."""
         for nonce, request in list(self.outstanding.items()):
             limit_ms = LATE_RESPONSE_LIMIT_MS if request.pool.is_consumable else LEASE_TERM_MS
             if now_ms - request.sent_at_ms >= limit_ms:
                 del self.outstanding[nonce]
 
     def retry(self, now_ms: float) -> list[SendToPeer]:
-        """Ask the same peers again for what may have been granted and lost.
+        """Return retries of the requests that timed out, because their grants may have been lost.
 
-        A count under the same nonce, so that it is granted once; a rate once, under a new nonce, because a
-        new lease replaces the old.
+        A request for a count is retried under the same nonce, so that the peer repeats its grant rather
+        than granting twice. A request for a rate is retried once, under a new nonce, because a new lease
+        replaces the earlier one.
         """
         messages: list[SendToPeer] = []
         for nonce, request in list(self.outstanding.items()):
@@ -147,7 +168,7 @@
         return messages
 
     def request_units(self, now_ms: float, pool: QuotaPool) -> list[SendToPeer]:
-        """Renew leases of a pool and start a round of requests, as far as units are wanted."""
+        """Return the requests that renew leases of a pool and cover its shortfall."""
         messages = self._renew_leases(now_ms, pool) if isinstance(pool, RatePool) else []
         return messages + self._start_round(now_ms, pool)
 
@@ -172,7 +193,7 @@
         return SendToPeer(encode(EscrowRequest(pool.key, self.incarnation, nonce, requested)), peer)
 
     def _expected_peers(self, now_ms: float, pool: QuotaPool) -> set[int]:
-        """Peers that were asked and still have time to respond."""
+        """Return the peers with a pending request for this pool that has not timed out."""
         return {
             request.peer
             for request in self.outstanding.values()
@@ -182,7 +203,7 @@
         }
 
     def _renew_leases(self, now_ms: float, pool: RatePool) -> list[SendToPeer]:
-        """Ask givers to go on lending as far as it is still wanted, the greatest lease first."""
+        """Return requests that renew leases, the greatest first, until the demand is covered."""
         messages: list[SendToPeer] = []
         needed = pool.demand - max(0, pool.own_rate(now_ms) - pool.amount_loaned(now_ms))
         awaited = self._expected_peers(now_ms, pool)
@@ -199,7 +220,7 @@
         return messages
 
     def _start_round(self, now_ms: float, pool: QuotaPool) -> list[SendToPeer]:
-        """Ask some peers for the shortfall, if a round may start."""
+        """Return the requests of a new round for the shortfall; none if no round may start."""
         shortfall = pool.shortfall(now_ms)
         if shortfall <= 0:
             return []
@@ -215,7 +236,7 @@
 
 
 def _is_consistent(request: OutstandingRequest, response: EscrowResponse) -> bool:
-    """Whether a response grants no more than requested, for a term that fits the kind of pool."""
+    """Return whether a response grants no more than requested, for a term that fits the kind of pool."""
     has_term = bool(response.term_ms)
     return (
         response.amount <= request.requested
