--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -26,15 +26,26 @@
 
     from cedarthread.escrow.quota_pool import QuotaPool
 
-COUNTERS = "granted", "taken", "refused", "unreadable", "strangers", "unknown", "late", "drowned", "lies"
+COUNTERS = (  # figures of ``INFO`` since the start, under the names that operators' tools read
+    "granted",  # grants sent
+    "taken",  # responses that added units
+    "refused",  # denials sent
+    "unreadable",  # malformed datagrams
+    "strangers",  # datagrams from this router's own index or from no configured router
+    "unknown",  # datagrams for a pool that is not open or has ended
+    "late",  # responses without an outstanding request, and requests older than one already answered
+    "drowned",  # requests dropped because the response budget was exhausted
+    "lies",  # responses that exceed their request, and pools that conflict with an open one
+)
 _RNG_SALT = 0x4752_414E  # makes this component's random sequence differ from others with the same seed
 
 
 class Escrow:
-    """The accounts that one router has of all pools: a ``Component``, and the ``QuotaEscrow`` that other components use.
+    """The ``Component`` that owns one router's accounts of all pools.
 
-    Times are ms on this router's steady clock. For one lease term after each start, this router's own units
-    of all rate pools are 0, because leases granted by an earlier incarnation may still be in use.
+    Other components use these accounts through the ``QuotaEscrow`` protocol. Times are ms on this router's
+    steady clock. For one lease term after each start, this router's own units of all rate pools are 0,
+    because leases granted by an earlier incarnation may still be in use.
 
     Args:
         router_index: This router.
--- a/cedarthread/escrow/rate_pool.py
+++ b/cedarthread/escrow/rate_pool.py
@@ -156,9 +156,8 @@
     def _fair_amount(self, now_ms: float, borrower: Borrower, requested: int) -> int:
         """Return the units to lease to a borrower.
 
-        The amount is all that the borrower requests if enough remains for the peers whose recent requests
-        were unmet, otherwise an even share. An even share prevents the first borrowers from starving a new
-        one.
+        The amount is all that the borrower requests if enough remains for the peers with unmet recent
+        requests, otherwise an even share. An even share prevents the first borrowers from starving a new one.
         """
         lendable = self.lendable(now_ms)
         loaned_to_others = self.amount_loaned(now_ms, borrower)
