--- a/cedarthread/escrow/count_pool.py
+++ b/cedarthread/escrow/count_pool.py
@@ -43,7 +43,7 @@
         self.highest_total = 0
         self.is_lost = False  # an earlier incarnation may have used or granted this router's allotment
         self.wanted_free = 0  # units that were wanted by a user or peer but not free
-        self.last_taker: int | None = None
+        self.last_recipient: int | None = None
 
     def initialize(self, total: int, *, is_lost: bool, persisted: CountBalance | None) -> None:
         """Set up the account when this incarnation first opens the pool.
@@ -121,7 +121,7 @@
         self.demand = max(0, self.demand - amount)
         return True
 
-    def give(self, now_ms: float, taker: int, requested: int) -> int:
+    def grant(self, now_ms: float, recipient: int, requested: int) -> int:
         """Deduct up to ``requested`` units for a peer and return the number of units deducted.
 
         Units that cover this router's own demand are not granted.
@@ -131,7 +131,7 @@
             self.wanted_free = max(self.wanted_free, self.demand + requested)
         if amount:
             self._deduct(amount)
-            self.last_taker = taker
+            self.last_recipient = recipient
         return amount
 
     def is_waiting_for_disk(self) -> bool:
--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -240,7 +240,7 @@
         rates = [pool for pool in self.pools.values() if isinstance(pool, RatePool)]
         figures = {
             "pools": len(self.pools),
-            "lent": sum(pool.amount_loaned(now_ms) for pool in rates),
+            "lent": sum(pool.amount_leased_to_peers(now_ms) for pool in rates),
             "borrowed": sum(pool.amount_borrowed(now_ms) for pool in rates),
             "asks-out": len(self.requester.outstanding),
             **self.counters,
--- a/cedarthread/escrow/grantor.py
+++ b/cedarthread/escrow/grantor.py
@@ -95,16 +95,22 @@
     def _grant(self, now_ms: float, sender: int, pool: QuotaPool, request: EscrowRequest) -> Grant | None:
         """Deduct the units for a request from the pool; return None if the request gets no response."""
         if isinstance(pool, CountPool):
-            amount = pool.give(now_ms, sender, request.requested)
+            amount = pool.grant(now_ms, sender, request.requested)
             if not amount and pool.is_waiting_for_disk():
                 return None  # the units will be written off by the time the peer retries
             return Grant(amount, max(0, pool.available(now_ms) - pool.demand), 0)
         assert isinstance(pool, RatePool)
-        lent = pool.lend(now_ms, Borrower(sender, request.incarnation), request.nonce, request.requested)
-        if lent is None:
+        leased_amount = pool.lend(
+            now_ms, Borrower(sender, request.incarnation), request.nonce, request.requested
+        )
+        if leased_amount is None:
             self.counters["late"] += 1
             return None
-        return Grant(lent, max(0, pool.lendable(now_ms) - pool.amount_loaned(now_ms)), int(LEASE_TERM_MS))
+        return Grant(
+            leased_amount,
+            max(0, pool.lendable(now_ms) - pool.amount_leased_to_peers(now_ms)),
+            int(LEASE_TERM_MS),
+        )
 
     def _remember(self, request_id: RequestId, data: bytes) -> None:
         self.sent_grants[request_id] = data
@@ -117,8 +123,8 @@
         For a count, this is the peer that received units most recently; otherwise a random peer that recently
         reported available units.
         """
-        if isinstance(pool, CountPool) and pool.last_taker is not None:
-            return NO_HINT if pool.last_taker == sender else pool.last_taker
+        if isinstance(pool, CountPool) and pool.last_recipient is not None:
+            return NO_HINT if pool.last_recipient == sender else pool.last_recipient
         candidates = [
             peer
             for peer, (units, seen_at_ms) in pool.peer_available.items()
--- a/cedarthread/escrow/rate_pool.py
+++ b/cedarthread/escrow/rate_pool.py
@@ -14,7 +14,7 @@
 from cedarthread.escrow.quota_pool import QuotaPool
 
 LEASE_TERM_MS = 4000.0  # term of each lease; a response with a longer term is rejected
-UNMET_REQUEST_MEMORY_MS = 1000.0  # how long a lender reserves a fair share for a peer that requested in vain
+UNMET_REQUEST_EXPIRY_MS = 1000.0  # how long an unmet request counts when units are shared out
 RESERVE_DIVISOR = 16  # a router lends no more than 15/16 of its allotment, to serve its own next calls
 NONCE_MODULUS = 2**32
 
@@ -96,7 +96,7 @@
         """Return this router's own units, including those that are leased to peers."""
         return self.own_allotment() if now_ms >= self.ready_at_ms else 0
 
-    def amount_loaned(self, now_ms: float, except_borrower: Borrower | None = None) -> int:
+    def amount_leased_to_peers(self, now_ms: float, except_borrower: Borrower | None = None) -> int:
         """Return the units leased to peers, excluding one borrower if given."""
         return sum(
             lease.amount_at(now_ms)
@@ -108,9 +108,9 @@
         """Return the units leased from peers."""
         return sum(lease.amount_at(now_ms) for lease in self.leases_taken.values())
 
-    def amount_borrowed_from(self, giver: int, now_ms: float) -> int:
+    def amount_borrowed_from(self, lender: int, now_ms: float) -> int:
         """Return the units leased from one peer."""
-        lease = self.leases_taken.get(giver)
+        lease = self.leases_taken.get(lender)
         return 0 if lease is None else lease.amount_at(now_ms)
 
     def available(self, now_ms: float) -> int:
@@ -123,7 +123,8 @@
             return 0
         return min(
             self.total,
-            max(0, self.own_rate(now_ms) - self.amount_loaned(now_ms)) + self.amount_borrowed(now_ms),
+            max(0, self.own_rate(now_ms) - self.amount_leased_to_peers(now_ms))
+            + self.amount_borrowed(now_ms),
         )
 
     def lendable(self, now_ms: float) -> int:
@@ -160,26 +161,26 @@
         requests, otherwise an even share. An even share prevents the first borrowers from starving a new one.
         """
         lendable = self.lendable(now_ms)
-        loaned_to_others = self.amount_loaned(now_ms, borrower)
+        leased_to_others = self.amount_leased_to_peers(now_ms, borrower)
         for peer, unmet in list(self.unmet_requests.items()):
-            if now_ms - unmet.requested_at_ms >= UNMET_REQUEST_MEMORY_MS or peer == borrower.peer:
+            if now_ms - unmet.requested_at_ms >= UNMET_REQUEST_EXPIRY_MS or peer == borrower.peer:
                 del self.unmet_requests[peer]
-        amount = min(requested, max(0, lendable - loaned_to_others))
+        amount = min(requested, max(0, lendable - leased_to_others))
         if self.unmet_requests:
             claimants = {other.peer for other, lease in self.leases_given.items() if lease.amount_at(now_ms)}
             share = lendable // len(claimants | set(self.unmet_requests) | {borrower.peer})
             unmet_units = sum(unmet.units for unmet in self.unmet_requests.values())
-            amount = min(amount, max(share, lendable - loaned_to_others - unmet_units))
+            amount = min(amount, max(share, lendable - leased_to_others - unmet_units))
         if amount < requested:
             self.unmet_requests[borrower.peer] = UnmetRequest(requested - amount, now_ms)
         return amount
 
-    def borrow(self, now_ms: float, giver: int, amount: int, requested_at_ms: float, term_ms: float) -> bool:
+    def borrow(self, now_ms: float, lender: int, amount: int, requested_at_ms: float, term_ms: float) -> bool:
         """Record a grant from a peer that ends ``term_ms`` after the request was sent.
 
         Return whether the grant increased the units leased from this peer.
         """
-        lease = self.leases_taken.setdefault(giver, Lease())
+        lease = self.leases_taken.setdefault(lender, Lease())
         amount_before = lease.amount_at(now_ms)
         lease.requested_at_ms = max(lease.requested_at_ms, requested_at_ms)
         lease.grants.append(LeaseGrant(amount, requested_at_ms + term_ms))
@@ -188,7 +189,7 @@
     def drop_expired(self, now_ms: float) -> None:
         """Remove leases that have ended."""
         self.leases_taken = {
-            giver: lease for giver, lease in self.leases_taken.items() if lease.drop_expired(now_ms)
+            lender: lease for lender, lease in self.leases_taken.items() if lease.drop_expired(now_ms)
         }
         self.leases_given = {
             borrower: lease for borrower, lease in self.leases_given.items() if lease.drop_expired(now_ms)
--- a/cedarthread/escrow/request_rounds.py
+++ b/cedarthread/escrow/request_rounds.py
@@ -51,7 +51,7 @@
         self.rng = rng
 
     def next_round(
-        self, now_ms: float, pool: QuotaPool, alive_peers: Sequence[int], awaited: Collection[int]
+        self, now_ms: float, pool: QuotaPool, alive_peers: Sequence[int], pending_peers: Collection[int]
     ) -> list[int] | None:
         """Return the peers to send requests for a pool's shortfall, or None if no round may start now.
 
@@ -59,15 +59,15 @@
             now_ms: The steady clock.
             pool: A pool with a shortfall.
             alive_peers: The peers that may receive requests.
-            awaited: The peers with a pending request for this pool that has not timed out.
+            pending_peers: The peers with a pending request for this pool that has not timed out.
         """
         rounds = pool.rounds
-        is_waiting = bool(awaited) and not rounds.has_gained and rounds.is_open
+        is_waiting = bool(pending_peers) and not rounds.has_gained and rounds.is_open
         if now_ms < rounds.next_at_ms or is_waiting:
             return None
         if rounds.is_open and not self._finish_round(now_ms, pool):
             return None
-        candidates = [peer for peer in alive_peers if peer not in awaited]
+        candidates = [peer for peer in alive_peers if peer not in pending_peers]
         return self._choose_peers(now_ms, pool, candidates, _round_size(pool, pool.shortfall(now_ms)))
 
     def _finish_round(self, now_ms: float, pool: QuotaPool) -> bool:
--- a/cedarthread/escrow/requester.py
+++ b/cedarthread/escrow/requester.py
@@ -192,7 +192,7 @@
     def _message(self, pool: QuotaPool, peer: int, nonce: int, requested: int) -> SendToPeer:
         return SendToPeer(encode(EscrowRequest(pool.key, self.incarnation, nonce, requested)), peer)
 
-    def _expected_peers(self, now_ms: float, pool: QuotaPool) -> set[int]:
+    def _pending_peers(self, now_ms: float, pool: QuotaPool) -> set[int]:
         """Return the peers with a pending request for this pool that has not timed out."""
         return {
             request.peer
@@ -205,17 +205,17 @@
     def _renew_leases(self, now_ms: float, pool: RatePool) -> list[SendToPeer]:
         """Return requests that renew leases, the greatest first, until the demand is covered."""
         messages: list[SendToPeer] = []
-        needed = pool.demand - max(0, pool.own_rate(now_ms) - pool.amount_loaned(now_ms))
-        awaited = self._expected_peers(now_ms, pool)
+        needed = pool.demand - max(0, pool.own_rate(now_ms) - pool.amount_leased_to_peers(now_ms))
+        pending_peers = self._pending_peers(now_ms, pool)
         leases = sorted(
-            ((lease.amount_at(now_ms), giver) for giver, lease in pool.leases_taken.items()), reverse=True
+            ((lease.amount_at(now_ms), lender) for lender, lease in pool.leases_taken.items()), reverse=True
         )
-        for amount, giver in leases:
+        for amount, lender in leases:
             if needed <= 0:
                 break
-            age_ms = now_ms - pool.leases_taken[giver].requested_at_ms
-            if amount and age_ms >= RENEW_AFTER_FRACTION * LEASE_TERM_MS and giver not in awaited:
-                messages += self._send(now_ms, pool, giver, min(needed, amount))
+            age_ms = now_ms - pool.leases_taken[lender].requested_at_ms
+            if amount and age_ms >= RENEW_AFTER_FRACTION * LEASE_TERM_MS and lender not in pending_peers:
+                messages += self._send(now_ms, pool, lender, min(needed, amount))
             needed -= amount
         return messages
 
@@ -224,7 +224,7 @@
         shortfall = pool.shortfall(now_ms)
         if shortfall <= 0:
             return []
-        peers = self.planner.next_round(now_ms, pool, self.alive_peers, self._expected_peers(now_ms, pool))
+        peers = self.planner.next_round(now_ms, pool, self.alive_peers, self._pending_peers(now_ms, pool))
         if peers is None:
             return []
         messages: list[SendToPeer] = []
