--- a/cedarthread/escrow/count_pool.py
+++ b/cedarthread/escrow/count_pool.py
@@ -34,7 +34,9 @@
 
     is_consumable = True
 
-    def __init__(self, name: str, key: int, router_index: int, router_count: int, is_durable: bool) -> None:
+    def __init__(
+        self, name: str, key: int, router_index: int, router_count: int, *, is_durable: bool
+    ) -> None:
         super().__init__(name, key, router_index, router_count)
         self.is_durable = is_durable
         self.balance = 0
--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -111,7 +111,7 @@
         total = max(0, min(total, MAX_AMOUNT))
         pool = self.pools.get(key)
         if pool is None:
-            self.pools[key] = self._create_pool(name, key, total, is_consumable, is_new)
+            self.pools[key] = self._create_pool(name, key, total, is_consumable=is_consumable, is_new=is_new)
             self.keys_by_name[name] = key
         elif pool.name != name or pool.is_consumable is not is_consumable:
             self.counters["lies"] += 1  # another pool's name has the same hash, or the kind differs
@@ -122,9 +122,13 @@
             pool.total = total
         self.pools[key].ends_at_ms = ends_at_ms
 
-    def _create_pool(self, name: str, key: int, total: int, is_consumable: bool, is_new: bool) -> QuotaPool:
+    def _create_pool(
+        self, name: str, key: int, total: int, *, is_consumable: bool, is_new: bool
+    ) -> QuotaPool:
         if is_consumable:
-            count = CountPool(name, key, self.router_index, self.router_count, self.image.is_durable)
+            count = CountPool(
+                name, key, self.router_index, self.router_count, is_durable=self.image.is_durable
+            )
             is_lost = not (self.image.has_memory or is_new)
             count.initialize(total, is_lost=is_lost, persisted=self.image.take_restored(key))
             return count
--- a/cedarthread/escrow/image.py
+++ b/cedarthread/escrow/image.py
@@ -54,9 +54,8 @@
         try:
             balances = msgspec.msgpack.decode(data, type=list[CountBalance])
         except msgspec.MsgspecError:
-            self.has_memory = False
-            return False
-        if not all(map(_is_valid, balances)):
+            balances = None
+        if balances is None or not all(map(_is_valid, balances)):
             self.has_memory = False
             return False
         self.restored_balances = {balance.key: balance for balance in balances}
