--- a/cedarthread/gossip/__init__.py
+++ b/cedarthread/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Load gossip: routers send each other their in-flight calls and the instances that they found warm."""
+"""Load gossip: routers send each other their in-flight calls and where they found warm instances."""
--- a/cedarthread/gossip/codec.py
+++ b/cedarthread/gossip/codec.py
@@ -6,8 +6,8 @@
     worker     worker id u32, in-flight calls u8, number of instances u8            repeated to the end
     instance   function hash u32, in-flight calls u8, age of the last warm start u8  follow their worker
 
-An age is in units of 0.1 s. The incarnation is a random number that a router draws when it starts; sequence
-numbers rise within it. Flag 1 requests the receiver's full state.
+An age is in units of 0.1 s. The incarnation is a random number that a router draws at each start; sequence
+numbers increase within an incarnation. Flag 1 requests the receiver's full state.
 """
 
 from __future__ import annotations
@@ -24,25 +24,27 @@
 from cedarthread.components.messages import MessageType
 
 MESSAGE_TYPE = MessageType.GOSSIP
-FLAG_REQUEST_FULL_STATE = 1  # the sender has just started and knows nothing of the others
+FLAG_REQUEST_FULL_STATE = 1  # set by a router that has just started and has no reports of its peers
 AGE_UNIT_MS = 100.0
-AGE_UNKNOWN = 255  # the sender has not found the instance warm, or too long ago
+AGE_UNKNOWN = 255  # the sender found no warm instance, or found one more than MAX_AGE_MS ago
 MAX_AGE_MS = (AGE_UNKNOWN - 1) * AGE_UNIT_MS
-MAX_COUNT = 255  # a larger number of in-flight calls is sent as this one
+MAX_COUNT = 255  # a larger number of in-flight calls is encoded as this number
 
 _HEADER = struct.Struct("<BIIB")
 _WORKER_RECORD = struct.Struct("<IBB")
 _INSTANCE_RECORD = struct.Struct("<IBB")
-HEADER_BYTES, WORKER_BYTES, INSTANCE_BYTES = _HEADER.size, _WORKER_RECORD.size, _INSTANCE_RECORD.size
+HEADER_BYTES = _HEADER.size
+WORKER_BYTES = _WORKER_RECORD.size
+INSTANCE_BYTES = _INSTANCE_RECORD.size
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceUpdate:
     """The sender's view of one function at one worker."""
 
-    function_hash: int  # see `fold_function_id`
-    in_flight: int  # the sender's own calls of the function there
-    warm_age_ms: float | None  # since the sender last found a warm instance there; None: not lately
+    function_hash: int  # see ``fold_function_id``
+    in_flight: int  # calls of the function that the sender has in flight at the worker
+    warm_age_ms: float | None  # time since the sender last found a warm instance; None: unknown, or too long
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,13 +52,13 @@
     """The sender's view of one worker."""
 
     worker_id: int
-    in_flight: int  # all of the sender's own calls there, also of functions that are not listed
+    in_flight: int  # all calls that the sender has in flight there, including functions not in ``instances``
     instances: tuple[InstanceUpdate, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class LoadUpdate:
-    """One datagram."""
+    """The content of one datagram."""
 
     incarnation: int
     sequence_number: int
@@ -65,12 +67,12 @@
 
 
 def fold_function_id(function_id: int) -> int:
-    """Fold a 64-bit function id to the 32 bits of the wire; a collision costs a needless load, no more."""
+    """Fold a 64-bit function id to the 32 bits of the wire; a collision costs at most a needless load."""
     return (function_id ^ (function_id >> 32)) & 0xFFFFFFFF
 
 
 def encoded_size(workers: int, instances: int) -> int:
-    """The bytes of a datagram with this many workers, and instances in all."""
+    """Return the size in bytes of a datagram with this many worker records and instance records."""
     return HEADER_BYTES + workers * WORKER_BYTES + instances * INSTANCE_BYTES
 
 
@@ -83,7 +85,11 @@
 
 
 def encode(update: LoadUpdate) -> bytes:
-    """The bytes of a datagram; `ValueError` if it would be longer than may be sent."""
+    """Encode a datagram.
+
+    Raises:
+        ValueError: The datagram would exceed ``MAX_DATAGRAM_BYTES``.
+    """
     flags = FLAG_REQUEST_FULL_STATE if update.requests_full_state else 0
     fields = [_HEADER.pack(MESSAGE_TYPE, update.incarnation, update.sequence_number, flags)]
     for worker in update.workers:
@@ -99,7 +105,7 @@
 
 
 def decode(data: bytes) -> LoadUpdate | MalformedDatagram:
-    """Read a datagram; bytes that are none give a value, never an exception."""
+    """Decode a datagram. Invalid bytes return a ``MalformedDatagram``; no input raises."""
     if not HEADER_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
         return MalformedDatagram(f"{len(data)} bytes")
     message_type, incarnation, sequence_number, flags = _HEADER.unpack_from(data)
--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -1,8 +1,9 @@
-"""The load gossip component: sends this router's load to its peers and merges theirs.
+"""The load gossip component: sends this router's load to its peers and merges their load.
 
-Routers share few workers, and each sees only a part of the calls. By gossip each knows the others' calls in
-flight and the instances that they found warm. Changed entries are sent, paced by a byte budget, to all peers
-if they are few and otherwise to random ones; a router that starts requests the full state of its peers.
+Routers share workers, and each router sees only its own calls. Through gossip a router learns the in-flight
+calls and the warm instances of the others. A byte budget paces the datagrams with changed entries. With up
+to ``MAX_FANOUT`` peers each datagram is sent to all of them, otherwise to one peer at random. A router that
+starts requests the full state of its peers.
 """
 
 from __future__ import annotations
@@ -25,46 +26,54 @@
 
     from cedarthread.model.settings import RouterSettings
 
-MIN_SEND_INTERVAL_MS = 25.0  # between two batches of datagrams, so that several changes share one
-MAX_FANOUT = 4  # peers that one update reaches at most; with more peers, one at random gets each datagram
-MAX_FULL_STATE_DATAGRAMS = 6  # in answer to one request for the full state
-_RNG_SALT = 0x7461_6C6B  # keeps this component's random draws apart from others of the same seed
-
-
+MIN_SEND_INTERVAL_MS = 25.0  # between two batches of datagrams, so that several changes share one datagram
+MAX_FANOUT = 4  # most peers to which each datagram is sent; with more peers, one at random receives it
+MAX_FULL_STATE_DATAGRAMS = 6  # in response to one request for the full state
+_RNG_SALT = 0x7461_6C6B  # makes this component's random sequence differ from others with the same seed
 _NO_LOAD = InstanceLoad(0, None)
 
 
 class LoadGossip:
     """Both directions of load gossip for one router.
 
-    `changed_workers`: the peers' in-flight calls at each worker where they changed; its reader clears it.
+    ``changed_workers`` has the peers' in-flight calls at each worker where they changed, by worker id; the
+    host reads and clears the dictionary.
+
+    Args:
+        settings: The settings of this router.
+        seed: The seed of all random decisions.
+        incarnation: A random number that the caller draws at each start of the process; None: the number is
+            drawn from the seed. With an unchanged seed, peers would drop this router's datagrams after a
+            restart as older than those before.
     """
 
     message_types = frozenset({MessageType.GOSSIP})
 
     def __init__(self, settings: RouterSettings, seed: int, incarnation: int | None = None) -> None:
-        """`incarnation`: drawn anew at each start of the process; None: drawn from the seed."""
         self.rng = random.Random(seed ^ _RNG_SALT)
-        # A router whose seed survives a restart would seem to send what is older than its last datagrams.
-        drawn = self.rng.getrandbits(32)
+        drawn = self.rng.getrandbits(32)  # even if not needed, so that the later random sequence is the same
         self.incarnation = drawn if incarnation is None else incarnation & 0xFFFFFFFF  # 32 bits on the wire
         self.sequence_number = 0
         self._use_settings(settings)
         self.budget = SendBudget(settings.prices.peer_message, self.fanout)
-        self.local, self.peer_views = LocalLoadTable(), PeerViews()
+        self.local = LocalLoadTable()
+        self.peer_views = PeerViews()
         self.changed_workers: dict[int, float] = {}
-        self.malformed_datagrams = self.unknown_senders = 0
+        self.malformed_datagrams = 0
+        self.unknown_senders = 0
         self.has_started = False
-        self._next_send_at_ms = self._next_refresh_at_ms = 0.0
+        self._next_send_at_ms = 0.0
+        self._next_refresh_at_ms = 0.0
 
     def _use_settings(self, settings: RouterSettings) -> None:
-        self.router_count, self.router_index = settings.router_count, settings.router_index
+        self.router_count = settings.router_count
+        self.router_index = settings.router_index
         self.peers = [index for index in range(settings.router_count) if index != settings.router_index]
         self.fanout = min(MAX_FANOUT, len(self.peers))
         self.keep_alive_ms = min(settings.keep_alive_ms, codec.MAX_AGE_MS)
 
     def on_notification(self, now_ms: float, notification: Notification) -> list[OutboundMessage]:
-        """Send to, and count, only the peers that are alive; use new settings at once."""
+        """Adopt a new set of alive peers, or new settings."""
         if isinstance(notification, PeersChanged):
             self.peers = list(notification.alive_peers) or self.peers
             self.fanout = min(MAX_FANOUT, len(self.peers))
@@ -75,7 +84,7 @@
         return []
 
     def on_message(self, now_ms: float, sender_index: int, data: bytes) -> list[OutboundMessage]:
-        """Merge a peer's datagram."""
+        """Merge a peer's datagram; invalid datagrams and unknown senders are counted."""
         if sender_index == self.router_index or not 0 <= sender_index < self.router_count:
             self.unknown_senders += 1
             return []
@@ -87,48 +96,61 @@
         return []
 
     def on_tick(self, now_ms: float) -> list[OutboundMessage]:
-        """Expire what peers reported and did not report again."""
+        """Expire reports that peers have not refreshed."""
         self.changed_workers |= self.peer_views.expire(now_ms, self.keep_alive_ms)
         return []
 
     def status(self, now_ms: float) -> dict[str, str]:
-        """Figures for the `INFO` command, under the names that operators' tools read."""
+        """Return the figures for the ``INFO`` command, under the names that operators' tools read."""
         coverage = self.peer_coverage(now_ms)
         return {"talk.heard": f"{coverage:.2f}", "talk.unreadable": str(self.malformed_datagrams)}
 
     def on_first_attempt(self) -> None:
-        """A call's first attempt arrived: gossip may cost a little more."""
+        """Add to the send budget for a call's first attempt."""
         self.budget.earn_call()
 
     def on_attempt_sent(self, worker_id: int, function_id: int) -> None:
-        """An attempt was sent to a worker."""
+        """Count an attempt that was sent to a worker."""
         self.local.record_start(worker_id, codec.fold_function_id(function_id))
 
     def on_attempt_ended(
         self, now_ms: float, worker_id: int, function_id: int, was_warm: bool | None
     ) -> None:
-        """An attempt ended; `was_warm`: whether an instance was there then, None if that is not known."""
+        """Remove an attempt that ended from the in-flight calls, and record whether an instance is warm.
+
+        Args:
+            now_ms: The steady clock.
+            worker_id: The worker that received the attempt.
+            function_id: The function of the attempt.
+            was_warm: Whether the worker has a warm instance after the attempt; None: unknown. If False, the
+                peers' reports of the instance are dropped too.
+        """
         function_hash = codec.fold_function_id(function_id)
         is_known = self.local.record_end(now_ms, worker_id, function_hash, was_warm)
         if is_known and was_warm is False:
             self.peer_views.discard_instance(worker_id, function_hash)
 
     def forget_worker(self, worker_id: int) -> None:
-        """The worker was removed or restarted: no instance is warm there."""
+        """Drop all warm instances of a worker that was removed or restarted."""
         self.local.forget_warm_instances(worker_id)
         self.peer_views.forget_warm_instances(worker_id)
 
     def in_flight_of_peers(self, now_ms: float, worker_id: int) -> float:
-        """Calls of other routers in flight at a worker, as far as they were reported lately."""
+        """Return the other routers' in-flight calls at a worker, without expired reports."""
         return self.peer_views.in_flight(now_ms, worker_id)
 
     def peer_coverage(self, now_ms: float) -> float:
-        """The fraction of the other routers that were heard lately, 0 to 1."""
+        """Return the fraction of the other routers that sent gossip recently, 0 to 1."""
         return self.peer_views.coverage(now_ms, len(self.peers))
 
     def instances(self, now_ms: float, function_id: int) -> dict[int, InstanceLoad]:
-        """Load and warm instances of a function by worker id: own calls, and what peers reported."""
-        function_hash, loads = codec.fold_function_id(function_id), dict[int, InstanceLoad]()
+        """Return load and warm instances of a function by worker id.
+
+        In-flight calls are the sum of own calls and peers' reports. Warm ages are from peers' reports only,
+        and the youngest age counts.
+        """
+        function_hash = codec.fold_function_id(function_id)
+        loads = dict[int, InstanceLoad]()
         for worker_id in self.local.workers_by_function.get(function_hash, ()):
             loads[worker_id] = InstanceLoad(self.local.instances[worker_id, function_hash].in_flight, None)
         for worker_id, report in self.peer_views.instance_reports(function_hash):
@@ -144,7 +166,7 @@
         return loads
 
     def collect_due_datagrams(self, now_ms: float) -> list[SendToPeer]:
-        """The datagrams that are to be sent now, if any."""
+        """Return the datagrams that are due now."""
         if now_ms < self._next_send_at_ms or not self.peers:
             return []
         if not self.has_started:
@@ -169,7 +191,7 @@
         return self.budget.available_bytes >= needed_bytes
 
     def _build_full_state(self, now_ms: float, peer_index: int) -> Iterator[SendToPeer]:
-        """The warm instances for a peer that has just started, the most recently found first."""
+        """Build the datagrams with this router's warm instances for a peer that has just started."""
         smallest_record = codec.WORKER_BYTES + codec.INSTANCE_BYTES
         records_per_datagram = (MAX_DATAGRAM_BYTES - codec.HEADER_BYTES) // smallest_record
         self.local.mark_warm_dirty(MAX_FULL_STATE_DATAGRAMS * records_per_datagram)
@@ -184,7 +206,11 @@
         requests_full_state: bool = False,
         peer_index: int | None = None,
     ) -> SendToPeer:
-        """Encode one datagram and charge it; without a peer it goes to all, or to a random one of many."""
+        """Encode one datagram and deduct its bytes from the budget.
+
+        Without ``peer_index`` the datagram is for all peers, or for a random one of more than
+        ``MAX_FANOUT`` peers.
+        """
         self.sequence_number += 1
         update = codec.LoadUpdate(self.incarnation, self.sequence_number, requests_full_state, workers)
         data = codec.encode(update)
--- a/cedarthread/gossip/local_load.py
+++ b/cedarthread/gossip/local_load.py
@@ -1,7 +1,8 @@
-"""This router's own load: its in-flight calls and the instances that it found warm, with the set to gossip.
+"""This router's own load: its in-flight calls, its warm instances, and the entries to gossip next.
 
-Entries are state, not events: each says how things stand now, so that a gossip datagram which is lost, late,
-duplicated or out of order leaves no wrong count behind. Times are ms on the router's steady clock.
+Gossip sends the current state of an entry, not the change. So a datagram that is lost, late, duplicated or
+out of order leaves no wrong count at the receiver. ``LoadGossip`` writes the table. Times are ms on this
+router's steady clock.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from cedarthread.components.datagram_fields import MAX_DATAGRAM_BYTES
 from cedarthread.gossip import codec
 
-InstanceKey = tuple[int, int]  # worker id and function hash; a plain tuple, as one is built for each attempt
+InstanceKey = tuple[int, int]  # worker id and function hash; a plain tuple, because each attempt builds one
 
 
 @dataclass(slots=True)
@@ -23,29 +24,37 @@
 
 
 class LocalLoadTable:
-    """What this router knows by its own calls, by worker and function, and which entries have changed.
+    """The load that this router observed through its own calls, by worker and function.
 
-    `dirty` holds the functions of each worker that changed since they were last sent, in the order in which
-    the workers changed first.
+    ``dirty`` has the entries that changed since they were last sent, by worker id and then by function
+    hash. Workers are in the order of their first unsent change.
     """
 
     def __init__(self) -> None:
         self.in_flight_by_worker: dict[int, int] = {}
         self.instances: dict[InstanceKey, LocalInstance] = {}
-        self.workers_by_function: dict[int, set[int]] = {}  # only where own calls of it are in flight
+        self.workers_by_function: dict[int, set[int]] = {}  # workers with own in-flight calls of the function
         self.dirty: dict[int, dict[int, None]] = {}
 
     def record_start(self, worker_id: int, function_hash: int) -> None:
-        """An attempt was sent to the worker."""
+        """Count an attempt that was sent to the worker."""
         self.in_flight_by_worker[worker_id] = self.in_flight_by_worker.get(worker_id, 0) + 1
         self.instances.setdefault((worker_id, function_hash), LocalInstance()).in_flight += 1
         self.workers_by_function.setdefault(function_hash, set()).add(worker_id)
         self.mark_dirty(worker_id, function_hash)
 
     def record_end(self, now_ms: float, worker_id: int, function_hash: int, was_warm: bool | None) -> bool:
-        """An attempt ended; `was_warm`: whether an instance was there then, None if that is not known.
+        """Remove an attempt that ended from the in-flight calls, and record whether an instance is warm.
 
-        Returns False, and changes nothing, for an attempt that was never recorded.
+        Args:
+            now_ms: The steady clock.
+            worker_id: The worker that received the attempt.
+            function_hash: The function of the attempt.
+            was_warm: Whether the worker has a warm instance after the attempt; None: unknown, so that the
+                earlier observation remains.
+
+        Returns:
+            False, without any change, if the start of the attempt was not recorded.
         """
         if (instance := self.instances.get((worker_id, function_hash))) is None:
             return False
@@ -61,7 +70,7 @@
         return True
 
     def forget_warm_instances(self, worker_id: int) -> None:
-        """The worker was removed or restarted: no instance is warm there; calls in flight stay counted."""
+        """Drop the warm instances of a worker that was removed or restarted; its calls still count."""
         for key, instance in list(self.instances.items()):
             if key[0] == worker_id:
                 instance.warm_at_ms = None
@@ -69,11 +78,11 @@
                     del self.instances[key]
 
     def mark_dirty(self, worker_id: int, function_hash: int) -> None:
-        """The entry is to be sent with the next datagrams."""
+        """Schedule the entry to be sent with the next datagrams."""
         self.dirty.setdefault(worker_id, {})[function_hash] = None
 
     def refresh(self, now_ms: float, keep_alive_ms: float) -> None:
-        """Mark entries with calls in flight to be sent again; drop those that are neither busy nor warm."""
+        """Mark entries with in-flight calls dirty; drop entries without in-flight calls and warm instance."""
         for (worker_id, function_hash), instance in list(self.instances.items()):
             if instance.warm_at_ms is not None and now_ms - instance.warm_at_ms > keep_alive_ms:
                 instance.warm_at_ms = None
@@ -83,7 +92,7 @@
                 del self.instances[(worker_id, function_hash)]
 
     def mark_warm_dirty(self, limit: int) -> None:
-        """Mark the warm entries to be sent, the most recently found first, at most `limit` of them."""
+        """Mark up to ``limit`` warm entries dirty, the most recently found first."""
         warm = [
             (instance.warm_at_ms, key)
             for key, instance in self.instances.items()
@@ -93,7 +102,7 @@
             self.mark_dirty(worker_id, function_hash)
 
     def take_dirty(self, now_ms: float) -> tuple[codec.WorkerUpdate, ...]:
-        """Remove from the dirty set as much as one datagram holds, the longest waiting first."""
+        """Remove the dirty entries that fit into one datagram, the earliest first, and return their state."""
         free_bytes = MAX_DATAGRAM_BYTES - codec.HEADER_BYTES
         updates: list[codec.WorkerUpdate] = []
         for worker_id, function_hashes in list(self.dirty.items()):
--- a/cedarthread/gossip/peer_views.py
+++ b/cedarthread/gossip/peer_views.py
@@ -1,8 +1,8 @@
-"""What the other routers reported of their load, by sender, and how long each entry counts.
+"""The load that the peers reported by gossip, with expiry.
 
-A report is accepted only if it is newer, by sequence number within the sender's incarnation, than what is
-known. In-flight calls expire when they were not reported again for `IN_FLIGHT_EXPIRY_MS`; warm instances
-expire with the workers' keep-alive time. Times are ms on this router's steady clock.
+A report replaces an earlier one only if its sequence number is higher within the same incarnation of the
+sender. In-flight calls expire ``IN_FLIGHT_EXPIRY_MS`` after their last report; warm instances expire after
+the workers' keep-alive time. ``LoadGossip`` writes the views. Times are ms on this router's steady clock.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 if TYPE_CHECKING:
     from cedarthread.gossip import codec
 
-REFRESH_INTERVAL_MS = 1000.0  # after which a router sends an unchanged entry with calls in flight again
+REFRESH_INTERVAL_MS = 1000.0  # interval at which a router resends unchanged entries with in-flight calls
 IN_FLIGHT_EXPIRY_MS = 2.5 * REFRESH_INTERVAL_MS  # so that one lost refresh does not expire an entry
-MAX_IN_FLIGHT_PER_PEER = 64  # calls at one worker that one peer is believed at most: bounds what a lie can do
-FULL_STATE_INTERVAL_MS = 1000.0  # between two full states sent to one peer
-COVERAGE_CACHE_MS = 50.0  # for which a computed peer coverage is used again: each call reads it several times
-MAX_PAST_INCARNATIONS = 4  # of a peer that are remembered, so that late datagrams of theirs are dropped
+MAX_IN_FLIGHT_PER_PEER = 64  # limit on the calls at one worker that count for one peer, against false reports
+FULL_STATE_INTERVAL_MS = 1000.0  # shortest interval between two full states sent to one peer
+COVERAGE_CACHE_MS = 50.0  # lifetime of a computed peer coverage, because each call reads it several times
+MAX_PAST_INCARNATIONS = 4  # past incarnations of a peer to remember, in order to drop their late datagrams
 
 
 class WorkerReport(NamedTuple):
-    """In-flight calls at one worker as one peer reported them."""
+    """A peer's report of its in-flight calls at one worker."""
 
     in_flight: int
     sequence_number: int
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class InstanceReport:
-    """One function at one worker as one peer reported it."""
+    """A peer's report of one function at one worker."""
 
     in_flight: int
     warm_at_ms: float | None
@@ -41,34 +41,39 @@
     received_at_ms: float
 
     def is_expired(self, now_ms: float, keep_alive_ms: float) -> bool:
-        """Neither its in-flight calls nor its warm instance count any more."""
+        """Return whether both the in-flight calls and the warm instance of the report have expired."""
         is_warm = self.warm_at_ms is not None and now_ms - self.warm_at_ms <= keep_alive_ms
         return now_ms - self.received_at_ms > IN_FLIGHT_EXPIRY_MS and not is_warm
 
 
 @dataclass(slots=True)
 class PeerView:
-    """All that one peer reported in its current incarnation."""
+    """The reports of one peer in its current incarnation."""
 
     incarnation: int
     received_at_ms: float  # of its last datagram
     workers: dict[int, WorkerReport] = field(default_factory=dict)
-    # By function hash, then by worker id.
+    # Reports by function hash and then by worker id.
     instances_by_function: dict[int, dict[int, InstanceReport]] = field(default_factory=dict)
     full_state_sent_at_ms: float = -math.inf
     past_incarnations: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_PAST_INCARNATIONS))
 
 
+# A worker id and the report on that worker; a plain tuple, because each call builds several.
+WorkerAndReport = tuple[int, InstanceReport]
+
+
 class PeerViews:
-    """The views of all peers that were ever heard, by router index."""
+    """The views of all peers that have ever sent gossip, by router index."""
 
     def __init__(self) -> None:
         self.views: dict[int, PeerView] = {}
-        self.full_state_requests: list[int] = []  # peers that wait for a full state, in order of arrival
-        self._coverage, self._coverage_valid_until_ms = 0.0, -math.inf
+        self.full_state_requests: list[int] = []  # peers to send a full state to, in order of arrival
+        self._coverage = 0.0
+        self._coverage_valid_until_ms = -math.inf
 
     def merge(self, now_ms: float, sender_index: int, update: codec.LoadUpdate) -> dict[int, float]:
-        """Take a peer's datagram; returns the peers' in-flight calls at each worker that it mentions."""
+        """Merge a peer's update; return all peers' in-flight calls at each worker in the update."""
         view = self._current_view(now_ms, sender_index, update.incarnation)
         if view is None:
             return {}
@@ -80,7 +85,7 @@
         return {worker.worker_id: self.in_flight(now_ms, worker.worker_id) for worker in update.workers}
 
     def _current_view(self, now_ms: float, sender_index: int, incarnation: int) -> PeerView | None:
-        """The sender's view in this incarnation, empty if it is a new one; None for a past incarnation."""
+        """Return the sender's view, new if its incarnation is new; None if the incarnation is a past one."""
         view = self.views.get(sender_index)
         if view is None or view.incarnation != incarnation:
             known = view.past_incarnations if view is not None else ()
@@ -96,7 +101,7 @@
         return view
 
     def in_flight(self, now_ms: float, worker_id: int) -> float:
-        """The peers' calls in flight at a worker, as far as they were reported lately."""
+        """Return all peers' in-flight calls at a worker, without expired reports."""
         reports = (view.workers.get(worker_id) for view in self.views.values())
         return float(
             sum(
@@ -107,19 +112,22 @@
         )
 
     def coverage(self, now_ms: float, peer_count: int) -> float:
-        """The fraction of the other routers that were heard lately, 0 to 1."""
+        """Return the fraction of the other routers that sent gossip recently, 0 to 1."""
         if now_ms >= self._coverage_valid_until_ms:
-            heard = sum(now_ms - view.received_at_ms <= IN_FLIGHT_EXPIRY_MS for view in self.views.values())
+            reporting = sum(
+                now_ms - view.received_at_ms <= IN_FLIGHT_EXPIRY_MS for view in self.views.values()
+            )
             self._coverage_valid_until_ms = now_ms + COVERAGE_CACHE_MS
-            self._coverage = heard / max(1, peer_count)
+            self._coverage = reporting / max(1, peer_count)
         return self._coverage
 
     def reset_coverage(self) -> None:
-        """The set of peers has changed: compute the coverage anew."""
-        self._coverage, self._coverage_valid_until_ms = 0.0, -math.inf
+        """Discard the cached coverage, because the set of peers has changed."""
+        self._coverage = 0.0
+        self._coverage_valid_until_ms = -math.inf
 
-    def instance_reports(self, function_hash: int) -> list[tuple[int, InstanceReport]]:
-        """What each peer reported of a function, expired reports included, with the worker's id."""
+    def instance_reports(self, function_hash: int) -> list[WorkerAndReport]:
+        """Return all peers' reports of a function with their worker ids, including expired reports."""
         return [
             worker_and_report
             for view in self.views.values()
@@ -127,25 +135,26 @@
         ]
 
     def discard_instance(self, worker_id: int, function_hash: int) -> None:
-        """This router found no instance there, whatever the peers reported."""
+        """Drop the peers' reports of a function at a worker, because this router found no instance there."""
         for view in self.views.values():
             view.instances_by_function.get(function_hash, {}).pop(worker_id, None)
 
     def forget_warm_instances(self, worker_id: int) -> None:
-        """The worker was removed or restarted: drop what was reported of its instances."""
+        """Drop the peers' reports of the instances at a worker that was removed or restarted."""
         for view in self.views.values():
             for reports in view.instances_by_function.values():
                 reports.pop(worker_id, None)
 
     def expire(self, now_ms: float, keep_alive_ms: float) -> dict[int, float]:
-        """Drop expired reports; returns the peers' in-flight calls at each worker where that changed them."""
-        changed_workers: dict[int, None] = {}
+        """Drop expired reports; return the remaining in-flight calls at each worker that lost one."""
+        changed_workers: dict[int, None] = {}  # a dictionary, because it retains the order
         for view in self.views.values():
-            for worker_id in [
+            expired = [
                 worker_id
                 for worker_id, report in view.workers.items()
                 if now_ms - report.received_at_ms > IN_FLIGHT_EXPIRY_MS
-            ]:
+            ]
+            for worker_id in expired:
                 del view.workers[worker_id]
                 changed_workers[worker_id] = None
             _expire_instances(now_ms, view, keep_alive_ms)
@@ -170,9 +179,10 @@
 
 def _expire_instances(now_ms: float, view: PeerView, keep_alive_ms: float) -> None:
     for function_hash, reports in list(view.instances_by_function.items()):
-        for worker_id in [
+        expired = [
             worker_id for worker_id, report in reports.items() if report.is_expired(now_ms, keep_alive_ms)
-        ]:
+        ]
+        for worker_id in expired:
             del reports[worker_id]
         if not reports:
             del view.instances_by_function[function_hash]
--- a/cedarthread/gossip/send_budget.py
+++ b/cedarthread/gossip/send_budget.py
@@ -1,44 +1,51 @@
-"""Pacing of gossip: a token bucket in bytes, filled by own calls so that gossip costs a fixed part of each.
+"""Pacing of gossip: a token bucket in bytes.
 
-Where a datagram has a price, each first attempt earns the bytes whose price is `GOSSIP_COST_PER_CALL`: the
-cost does not grow with the fleet. Where datagrams are free, the bucket fills at a constant rate.
+If the settings set a price for datagrams, each call's first attempt adds the bytes that cost
+``GOSSIP_COST_PER_CALL``, so that the cost of gossip for each call is bounded and independent of the fleet's
+size. If datagrams are free, the bucket fills at a constant rate.
 """
 
 from __future__ import annotations
 
 from cedarthread.components.datagram_fields import MAX_DATAGRAM_BYTES
 
-GOSSIP_COST_PER_CALL = 0.003  # points of the operators' scoring that gossip may cost for each own call
-FREE_BYTES_PER_MS = 20.0  # fill rate where datagrams cost nothing
-BURST_DATAGRAMS = 8.0  # datagrams of full size, to the whole fanout, that may be saved up
+GOSSIP_COST_PER_CALL = 0.003  # in points of the operators' scoring, as ``prices`` in the settings
+FREE_BYTES_PER_MS = 20.0  # fill rate if datagrams are free
+BURST_DATAGRAMS = 8.0  # capacity of the bucket, in datagrams of full size to the whole fanout
 
 
 class SendBudget:
-    """Bytes that may be sent now. It may go below zero: full states are sent whatever is left."""
+    """The bytes that gossip may send now.
+
+    The balance may become negative, because full states are sent even if the budget is exhausted.
+
+    Args:
+        price: The points that one datagram to one peer costs.
+        fanout: The number of peers that receive a datagram.
+    """
 
     def __init__(self, price: float, fanout: int) -> None:
-        """`price`: points that one datagram to one peer costs; `fanout`: peers that a datagram goes to."""
         self.configure(price, fanout)
         self.available_bytes = self.burst_bytes / 2
         self._refilled_at_ms = 0.0
 
     def configure(self, price: float, fanout: int) -> None:
-        """Take new settings; what was saved up stays."""
+        """Apply new settings; the saved bytes remain."""
         self.bytes_per_call = GOSSIP_COST_PER_CALL / price * MAX_DATAGRAM_BYTES if price > 0 else 0.0
         self.bytes_per_ms = 0.0 if price > 0 else FREE_BYTES_PER_MS
         self.burst_bytes = BURST_DATAGRAMS * MAX_DATAGRAM_BYTES * fanout
 
     def earn_call(self) -> None:
-        """A first attempt of an own call came."""
+        """Add the bytes that a call's first attempt earns."""
         self.available_bytes = min(self.available_bytes + self.bytes_per_call, self.burst_bytes)
 
     def refill(self, now_ms: float) -> None:
-        """Add what came by time alone; no effect where datagrams have a price."""
+        """Add the bytes earned since the last refill; no effect if datagrams have a price."""
         if self.bytes_per_ms:
             earned = self.bytes_per_ms * (now_ms - self._refilled_at_ms)
             self.available_bytes = min(self.available_bytes + earned, self.burst_bytes)
             self._refilled_at_ms = now_ms
 
     def spend(self, sent_bytes: int) -> None:
-        """Bytes were sent."""
+        """Deduct bytes that were sent."""
         self.available_bytes -= sent_bytes
