--- a/cedarthread/membership/__init__.py
+++ b/cedarthread/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which of the configured routers are alive, by SWIM: on a clock and a seed that are passed in."""
+"""Router membership by SWIM: detects which of the configured routers are alive, without I/O or a clock."""
--- a/cedarthread/membership/codec.py
+++ b/cedarthread/membership/codec.py
@@ -5,8 +5,8 @@
     header    message type u8, kind u8, sender's incarnation u32, nonce u16, target u16
     update    member u16, incarnation u32, status u8                             repeated to the end
 
-The target is the member that a ping request wants probed, and that an acknowledgement relayed in answer to it
-comes from.
+In a ping request, the target is the member to ping. In a relayed acknowledgement, the target is the member
+that acknowledged the ping.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 
 
 class MessageKind(IntEnum):
-    """What a message wants of its receiver."""
+    """The kind of a message, which determines the receiver's reply."""
 
-    PING = 1  # an acknowledgement
-    ACK = 2  # nothing: it answers a ping
-    PING_REQUEST = 3  # to ping another member, and to pass on its acknowledgement
-    UPDATE = 4  # nothing: it only carries updates
+    PING = 1  # the receiver replies with an acknowledgement
+    ACK = 2  # the receiver relays the acknowledgement if the ping was requested by another member
+    PING_REQUEST = 3  # the receiver pings the target and relays the acknowledgement
+    UPDATE = 4  # the receiver sends no reply; the message only carries updates
 
 
 class MemberStatus(IntEnum):
-    """The state of a member; of two at one incarnation the greater overrides the other."""
+    """The state of a member; at the same incarnation, the greater state overrides the other."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -58,17 +58,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SwimMessage:
-    """One datagram."""
+    """The content of one datagram."""
 
     kind: MessageKind
     incarnation: int
-    nonce: int = 0  # returned in the acknowledgement
+    nonce: int = 0  # of a ping or a ping request; an acknowledgement repeats the nonce of its ping
     target_index: int = 0
     updates: tuple[MemberUpdate, ...] = ()
 
 
 def encode(message: SwimMessage) -> bytes:
-    """The bytes of a datagram; `ValueError` if it would be longer than may be sent."""
+    """Encode a datagram.
+
+    Raises:
+        ValueError: The message has more than ``MAX_UPDATES`` updates.
+    """
     check_record_count(message.updates, MAX_UPDATES)
     header = _HEADER.pack(
         MESSAGE_TYPE, message.kind, message.incarnation, message.nonce, message.target_index
@@ -80,7 +84,7 @@
 
 
 def decode(data: bytes) -> SwimMessage | MalformedDatagram:
-    """Read a datagram; bytes that are none give a value, never an exception."""
+    """Decode a datagram. Invalid bytes return a ``MalformedDatagram``; no input raises."""
     records = read_records(data, _HEADER.size, _UPDATE_RECORD)
     if isinstance(records, MalformedDatagram):
         return records
--- a/cedarthread/membership/dissemination.py
+++ b/cedarthread/membership/dissemination.py
@@ -1,8 +1,10 @@
-"""Which member updates are still to be sent, how often, and how many bytes they may take.
+"""The queue of member updates to disseminate, with a byte budget.
 
-Updates travel on the messages of the failure detector and on messages of their own (section 4.1 of the SWIM
-paper). Each is sent a number of times logarithmic in the size of the group, the least sent first, so that it
-reaches all with high probability. The byte budget keeps updates from causing further updates without end.
+Updates are piggybacked on the messages of the failure detector and also sent in separate messages (section
+4.1 of the SWIM paper, see ``swim``). Each update is sent a number of times that is logarithmic in the size
+of the group, the least sent update first, so that the update reaches all members with high probability. The
+byte budget bounds the traffic if updates cause further updates. ``MemberTable`` adds updates;
+``SwimMembership`` removes them.
 """
 
 from __future__ import annotations
@@ -11,38 +13,43 @@
 
 from cedarthread.membership import codec
 
-RETRANSMIT_MULTIPLIER = 3.0  # times the binary logarithm of the group: how often an update is sent
-BUDGET_BYTES_PER_MS = 0.5  # that updates may take over time
-BURST_BYTES = 1000.0  # of the budget that may be saved up
-MIN_BATCH_UPDATES = 8  # for which the budget must suffice before a message is sent for updates alone
+RETRANSMIT_MULTIPLIER = 3.0  # transmissions of an update, divided by the binary logarithm of the group size
+BUDGET_BYTES_PER_MS = 0.5  # fill rate of the budget for updates
+BURST_BYTES = 1000.0  # capacity of the budget
+MIN_BATCH_UPDATES = 8  # a separate message is sent only if the budget covers this many updates
 
 
 class DisseminationBuffer:
-    """Members whose update is pending, by the number of times that it is still to be sent."""
+    """The members with an update to send, and the byte budget for updates.
+
+    ``pending`` has the remaining transmissions of each update, by member index.
+    """
 
     def __init__(self, router_count: int, now_ms: float) -> None:
         self.pending: dict[int, int] = {}
         self._transmissions = math.ceil(RETRANSMIT_MULTIPLIER * math.log2(router_count + 1))
-        self._available_bytes, self._refilled_at_ms = BURST_BYTES, now_ms
+        self._available_bytes = BURST_BYTES
+        self._refilled_at_ms = now_ms
 
     def add(self, member_index: int) -> None:
-        """The member's state has changed: send it, from the full number of times on."""
+        """Queue the update of a member with changed state for the full number of transmissions."""
         self.pending[member_index] = self._transmissions
 
     def refill(self, now_ms: float) -> None:
-        """Add what the budget earned since the last time."""
+        """Add the bytes that the budget earned since the last refill."""
         earned = BUDGET_BYTES_PER_MS * (now_ms - self._refilled_at_ms)
         self._available_bytes = min(self._available_bytes + earned, BURST_BYTES)
         self._refilled_at_ms = now_ms
 
     def can_send_batch(self) -> bool:
-        """There are pending updates, and the budget suffices for a message that carries them alone."""
+        """Return whether updates are pending and the budget covers a separate message for them."""
         return bool(self.pending) and self._available_bytes >= codec.UPDATE_BYTES * MIN_BATCH_UPDATES
 
     def take(self, required: tuple[int, ...] = ()) -> tuple[int, ...]:
-        """The members whose update goes with the next message: `required` ones, then as many as fit.
+        """Return the members to include in the next message, and count one transmission of each.
 
-        The budget limits all but the required ones; each counts as sent once.
+        The message includes all ``required`` members, then as many pending updates as the size limit and
+        the budget allow.
         """
         rest = sorted(
             (member_index for member_index in self.pending if member_index not in required),
--- a/cedarthread/membership/failure_detector.py
+++ b/cedarthread/membership/failure_detector.py
@@ -1,9 +1,9 @@
-"""SWIM's failure detector: which member is probed when, directly and through others.
+"""SWIM's failure detector: probes the members, directly and through other members.
 
-Sections 3.1 and 4.3 of the paper (see `swim`): members are probed round-robin, in a random order that is
-drawn anew for each round. Any datagram of a member is a sign of life, so that few routers which hear each
-other anyway probe nobody. Now and then a member that is held dead is probed, so that the two sides of a
-healed partition find each other.
+Source: sections 3.1 and 4.3 of the SWIM paper (see ``swim``). Members are probed round-robin, in a random
+order that is drawn again for each round. Any datagram from a member shows that the member is alive, so
+members that send other datagrams often enough are not probed. Occasionally a member with status dead is
+pinged, so that the two sides of a partition discover each other after the partition heals.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
     from cedarthread.membership.member_table import MemberTable
 
-PROBE_INTERVAL_MS = 500.0  # between probes, by SWIM's protocol period
-PROBE_JITTER = (0.8, 1.2)  # of the interval, so that no two routers stay in step
-ACK_TIMEOUT_MS = 500.0  # for an acknowledgement of the direct ping, and again for one through others
-INDIRECT_PROBES = 3  # members that are requested to ping in this one's place
-PROBES_PER_DEAD_PROBE = 8  # one probe of so many goes to a member that is held dead
-STARTUP_GRACE_MS = 10_000.0  # after its own start, for which it suspects nobody that it has never heard
-RELAY_EXPIRY_MS = 4 * ACK_TIMEOUT_MS  # after which a relayed ping needs no acknowledgement any more
+PROBE_INTERVAL_MS = 500.0  # SWIM's protocol period; a member that sent a datagram within it is not probed
+PROBE_JITTER = (0.8, 1.2)  # range of the random factor on the interval, so that routers do not synchronize
+ACK_TIMEOUT_MS = 500.0  # for the acknowledgement of a direct ping, and again for a relayed one
+INDIRECT_PROBES = 3  # members that are requested to ping the unresponsive member
+PROBES_PER_DEAD_PROBE = 8  # one in eight probes is sent to a member with status dead
+STARTUP_GRACE_MS = 10_000.0  # from its start, a router does not suspect members that never sent a datagram
+RELAY_EXPIRY_MS = 4 * ACK_TIMEOUT_MS  # an acknowledgement of a relayed ping is dropped after this time
 
 
 class OutgoingMessage(NamedTuple):
-    """A message that is to be sent to a member."""
+    """A message to send to a member, without its updates."""
 
     kind: MessageKind
     peer_index: int
@@ -38,7 +38,7 @@
 
 
 class RelayedPing(NamedTuple):
-    """A ping that this router sent on another's request."""
+    """A ping that this router sent on a ping request of another member."""
 
     requester_index: int
     requester_nonce: int
@@ -47,41 +47,49 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The probe that waits for an acknowledgement."""
+    """A probe without an acknowledgement so far."""
 
     member_index: int
     nonce: int
     sent_at_ms: float
-    is_indirect: bool = False  # others were requested to ping the member
+    is_indirect: bool = False  # the direct ping timed out, and other members were requested to ping
 
 
 class FailureDetector:
-    """Probes members one after the other, and suspects one that does not answer in time."""
+    """The prober of one router, which suspects a member that does not acknowledge in time.
+
+    Args:
+        table: The members; the detector sets a member's status to suspect.
+        rng: The source of the probe order, jitter and the choice of helpers.
+        now_ms: The steady clock.
+    """
 
     def __init__(self, table: MemberTable, rng: random.Random, now_ms: float) -> None:
-        self._table, self._rng = table, rng
+        self._table = table
+        self._rng = rng
         self._started_at_ms = now_ms
         self._next_probe_at_ms = now_ms + rng.uniform(0.0, PROBE_INTERVAL_MS)
         self._pending: Probe | None = None
         self._probe_order: list[int] = []
-        self._probes_started = self._last_nonce = 0
+        self._probes_started = 0
+        self._last_nonce = 0
         self._relayed: dict[int, RelayedPing] = {}  # by the nonce of the ping sent here
 
     def on_activity(self, member_index: int) -> None:
-        """Something came from the member itself: its probe, if there is one, has succeeded."""
+        """End the probe of a member that sent a datagram."""
         if self._pending is not None and self._pending.member_index == member_index:
             self._pending = None
 
     def on_ping_request(
         self, now_ms: float, requester_index: int, nonce: int, target_index: int
     ) -> OutgoingMessage:
-        """Ping a member in another's place."""
+        """Return the ping that another member requested."""
         own_nonce = self._next_nonce()
         self._relayed[own_nonce] = RelayedPing(requester_index, nonce, now_ms)
         return OutgoingMessage(MessageKind.PING, target_index, own_nonce)
 
     def on_ack(self, sender_index: int, nonce: int) -> list[OutgoingMessage]:
-        """A ping was acknowledged: end the probe that it belongs to, and pass it on if it was relayed."""
+        """End the probe that an acknowledgement belongs to; relay the acknowledgement of a requested ping."""
         if self._pending is not None and self._pending.nonce == nonce:
             self._pending = None
         relayed = self._relayed.pop(nonce, None)
@@ -92,8 +100,11 @@
         ]
 
     def on_tick(self, now_ms: float) -> list[OutgoingMessage]:
-        """The messages of the pending probe if it timed out, or of the next one if that is due."""
-        for nonce in [n for n, ping in self._relayed.items() if now_ms - ping.sent_at_ms > RELAY_EXPIRY_MS]:
+        """Return the ping requests of a timed-out probe, and the ping of the next probe if one is due."""
+        expired = [
+            nonce for nonce, ping in self._relayed.items() if now_ms - ping.sent_at_ms > RELAY_EXPIRY_MS
+        ]
+        for nonce in expired:
             del self._relayed[nonce]
         messages: list[OutgoingMessage] = []
         if self._pending is not None and now_ms - self._pending.sent_at_ms >= ACK_TIMEOUT_MS:
@@ -104,7 +115,7 @@
         return messages
 
     def reset(self) -> None:
-        """Drop all probes: this router itself was paused, and acknowledgements may be long overdue."""
+        """Drop all probes after a pause of this router, because acknowledgements may be long overdue."""
         self._pending = None
         self._relayed.clear()
 
@@ -113,7 +124,7 @@
         return self._last_nonce
 
     def _start_probe(self, now_ms: float) -> list[OutgoingMessage]:
-        """Ping the next member in the order that was not heard lately, or a dead one if it is its turn."""
+        """Return a ping to the next member that sent no datagram recently, or in turn to a dead member."""
         self._probes_started += 1
         dead = self._table.dead_peers()
         if dead and self._probes_started % PROBES_PER_DEAD_PROBE == 0:
@@ -130,10 +141,11 @@
         return []
 
     def _on_ack_timeout(self, now_ms: float, probe: Probe) -> list[OutgoingMessage]:
-        """Probe through others after the direct ping; suspect the member after those have failed as well."""
+        """Return ping requests after a direct ping timed out; suspect the member if these time out too."""
         helpers = [index for index in self._table.alive_peers() if index != probe.member_index]
         if not probe.is_indirect and helpers:
-            probe.is_indirect, probe.sent_at_ms = True, now_ms
+            probe.is_indirect = True
+            probe.sent_at_ms = now_ms
             chosen = self._rng.sample(helpers, min(INDIRECT_PROBES, len(helpers)))
             return [
                 OutgoingMessage(MessageKind.PING_REQUEST, index, probe.nonce, probe.member_index)
--- a/cedarthread/membership/member_table.py
+++ b/cedarthread/membership/member_table.py
@@ -1,8 +1,9 @@
-"""The state of each member as this router sees it, and the rules by which updates change it.
+"""The table of members with their status, and the rules by which updates change the table.
 
-The rules are SWIM's (section 4.2 of the paper, see `swim`): a higher incarnation overrides a lower one; at
-the same incarnation dead overrides suspect, and suspect overrides alive. Only a member itself raises its
-incarnation, which is how it refutes what others say of it. Times are ms on the router's steady clock.
+The rules are SWIM's (section 4.2 of the paper, see ``swim``). A higher incarnation overrides a lower one.
+At the same incarnation, dead overrides suspect, and suspect overrides alive. Only a member itself raises
+its incarnation, in order to refute updates about itself. ``SwimMembership`` and ``FailureDetector`` write
+the table. Times are ms on the router's steady clock.
 """
 
 from __future__ import annotations
@@ -16,39 +17,40 @@
 if TYPE_CHECKING:
     from cedarthread.membership.dissemination import DisseminationBuffer
 
-MAX_INCARNATION_STEP = 2**16  # by which an incarnation may rise between two updates: more is taken for a lie
+MAX_INCARNATION_STEP = 2**16  # an update that raises an incarnation by more is rejected as implausible
 
 
 @dataclass(slots=True)
 class Member:
-    """Another router."""
+    """The state of another router."""
 
     incarnation: int = 0
     status: MemberStatus = MemberStatus.ALIVE
     status_since_ms: float = 0.0
-    incarnation_since_ms: float = 0.0  # when it was first known in this incarnation
-    received_at_ms: float = -math.inf  # when anything last came from the member itself
-    corrected_at_ms: float = -math.inf  # when it was last sent how it is seen, for it to refute
+    incarnation_since_ms: float = 0.0  # when this router first received the incarnation
+    received_at_ms: float = -math.inf  # when the member itself last sent a datagram
+    corrected_at_ms: float = -math.inf  # when the member was last sent a correction (see ``swim``)
 
 
 @dataclass(frozen=True, slots=True)
 class StatusChange:
-    """A member has entered another status."""
+    """A change of a member to another status."""
 
     member_index: int
     status: MemberStatus
 
 
 class MemberTable:
-    """All other members, and this router's own incarnation.
+    """The state of all other members, and this router's own incarnation.
 
-    `status_changes` is for the log; its reader clears it.
+    ``status_changes`` has the changes that are not logged yet; the host logs and clears the list.
     """
 
     def __init__(
         self, router_index: int, router_count: int, dissemination: DisseminationBuffer, now_ms: float
     ) -> None:
-        self.router_index, self.incarnation = router_index, 0
+        self.router_index = router_index
+        self.incarnation = 0
         self.members = {
             index: Member(status_since_ms=now_ms, incarnation_since_ms=now_ms)
             for index in range(router_count)
@@ -59,28 +61,28 @@
         self._dissemination = dissemination
 
     def alive_peers(self) -> list[int]:
-        """The other routers that are not held dead."""
+        """Return the other routers with status alive or suspect."""
         return [index for index, member in self.members.items() if member.status is not MemberStatus.DEAD]
 
     def dead_peers(self) -> list[int]:
-        """The other routers that are held dead."""
+        """Return the other routers with status dead."""
         return [index for index, member in self.members.items() if member.status is MemberStatus.DEAD]
 
     def status_of(self, member_index: int) -> MemberStatus:
-        """The status of one router; this one is always alive."""
+        """Return the status of one router; this router itself is always alive."""
         if member_index == self.router_index:
             return MemberStatus.ALIVE
         return self.members[member_index].status
 
     def update_of(self, member_index: int) -> MemberUpdate:
-        """What this router sends of one member, or of itself."""
+        """Return the update to send about one member, or about this router itself."""
         if member_index == self.router_index:
             return MemberUpdate(member_index, self.incarnation, MemberStatus.ALIVE)
         member = self.members[member_index]
         return MemberUpdate(member_index, member.incarnation, member.status)
 
     def merge(self, now_ms: float, update: MemberUpdate) -> None:
-        """Take what another router sent of a member, or of this router."""
+        """Apply an update that another router sent about a member or about this router."""
         if update.member_index == self.router_index:
             self._refute(update)
             return
@@ -97,7 +99,7 @@
             self.set_status(now_ms, update.member_index, update.status)
 
     def _refute(self, update: MemberUpdate) -> None:
-        """Override what others say of this router: of an earlier start, or because they do not hear it."""
+        """Raise the own incarnation if an update about this router is of an earlier start or not alive."""
         is_from_earlier_start = update.incarnation > self.incarnation
         is_accused = update.status is not MemberStatus.ALIVE and update.incarnation == self.incarnation
         if update.incarnation > self.incarnation + MAX_INCARNATION_STEP:
@@ -107,12 +109,12 @@
             self._dissemination.add(self.router_index)
 
     def raise_incarnation(self) -> None:
-        """Override all that others say of this router."""
+        """Raise the own incarnation, so that peers replace their state of this router by alive."""
         self.incarnation += 1
         self._dissemination.add(self.router_index)
 
     def set_status(self, now_ms: float, member_index: int, status: MemberStatus) -> None:
-        """Set a member's status, and disseminate it also if only its incarnation is new."""
+        """Set a member's status and disseminate the update, even if only its incarnation has changed."""
         member = self.members[member_index]
         if status is not member.status:
             self.status_changes.append(StatusChange(member_index, status))
--- a/cedarthread/membership/swim.py
+++ b/cedarthread/membership/swim.py
@@ -1,12 +1,14 @@
-"""Which routers are alive, by SWIM with suspicion and incarnations.
+"""The membership component: SWIM with suspicion and incarnations.
 
-Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol",
-2002. A member that is not heard is pinged, then pinged through others, then suspected, then held dead. Added
-to the paper:
+Source: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
+Protocol", 2002. A member that sends no datagrams is pinged, then pinged through other members, then
+suspected, then declared dead. Additions to the paper:
 
-- Any datagram of a member counts as a sign of life, whatever component it belongs to.
-- A member that is alive but seen otherwise is sent that view (a correction), so that it can refute it.
-- A router that was paused does not trust its own view: it restarts all suspicions and raises its incarnation.
+- Any datagram from a member shows that the member is alive, even a datagram of another component.
+- If a member that this router lists as suspect or dead sends a datagram, this router sends the member its
+  status (a correction), so that the member can refute the status.
+- After a pause, a router does not trust its own table: the router restarts all suspicions and raises its
+  incarnation.
 """
 
 from __future__ import annotations
@@ -24,23 +26,30 @@
 from cedarthread.membership.member_table import MemberTable
 from cedarthread.model.actions import SendToPeer
 
-SUSPICION_INTERVALS = 6.0  # probe intervals, times the decimal logarithm of the group, that a suspicion lasts
-PAUSE_THRESHOLD_MS = 2000.0  # without a tick or message, after which a router considers itself paused
-DISSEMINATION_FANOUT = 1  # members that are sent updates alone at each tick
-CORRECTION_INTERVAL_MS = 1000.0  # between two corrections sent to one member
-_RNG_SALT = 0x5357_494D  # keeps this component's random draws apart from others of the same seed
+SUSPICION_INTERVALS = 6.0  # probe intervals that a suspicion lasts, multiplied by log10 of the group size
+PAUSE_THRESHOLD_MS = 2000.0  # a longer time between two ticks or messages counts as a pause of this router
+DISSEMINATION_FANOUT = 1  # separate messages with updates at each tick
+CORRECTION_INTERVAL_MS = 1000.0  # shortest interval between two corrections to one member
+_RNG_SALT = 0x5357_494D  # makes this component's random sequence differ from others with the same seed
 
 
 class SwimMembership:
     """The membership component of one router.
 
-    `status_changes` is for the log; its reader clears it.
+    ``status_changes`` has the changes that are not logged yet; the host logs and clears the list.
+
+    Args:
+        router_index: This router.
+        router_count: The configured routers.
+        seed: The seed of all random decisions.
+        now_ms: The steady clock.
     """
 
     message_types = frozenset({MessageType.MEMBERSHIP})
 
     def __init__(self, router_index: int, router_count: int, seed: int, now_ms: float = 0.0) -> None:
-        self.router_index, self.router_count = router_index, router_count
+        self.router_index = router_index
+        self.router_count = router_count
         self._rng = random.Random(seed ^ _RNG_SALT)
         self._dissemination = DisseminationBuffer(router_count, now_ms)
         self.table = MemberTable(router_index, router_count, self._dissemination, now_ms)
@@ -51,15 +60,15 @@
         self.malformed_datagrams = 0
 
     def alive_count(self) -> int:
-        """The routers that are not held dead, this one included."""
+        """Return the number of routers with status alive or suspect, including this router."""
         return 1 + len(self.table.alive_peers())
 
     def alive_peers(self) -> list[int]:
-        """The other routers that are not held dead."""
+        """Return the other routers with status alive or suspect."""
         return self.table.alive_peers()
 
     def peers_changed(self, now_ms: float) -> PeersChanged:
-        """Who is alive, as a notification for the other components."""
+        """Return the notification of the current alive peers for the other components."""
         alive_peers = self.alive_peers()
         alive_for_ms = {
             index: now_ms - self.table.members[index].incarnation_since_ms for index in alive_peers
@@ -67,25 +76,25 @@
         return PeersChanged(tuple(alive_peers), self.router_count, alive_for_ms)
 
     def member_status(self, member_index: int) -> MemberStatus:
-        """The status of one router."""
+        """Return the status of one router."""
         return self.table.status_of(member_index)
 
     def on_notification(self, now_ms: float, notification: Notification) -> list[OutboundMessage]:
-        """Nothing that other components notify of changes who is alive."""
+        """Ignore notifications, because none affects membership."""
         return []
 
     def status(self, now_ms: float) -> dict[str, str]:
-        """Figures for the `INFO` command, under the names that operators' tools read."""
+        """Return the figures for the ``INFO`` command, under the names that operators' tools read."""
         return {"members.present": str(self.alive_count()), "members.configured": str(self.router_count)}
 
     def record_activity(self, now_ms: float, sender_index: int) -> None:
-        """A datagram of any component came from the member itself."""
+        """Record that a member sent a datagram of any component."""
         if (member := self.table.members.get(sender_index)) is not None:
             member.received_at_ms = now_ms
             self._failure_detector.on_activity(sender_index)
 
     def on_message(self, now_ms: float, sender_index: int, data: bytes) -> list[SendToPeer]:
-        """Take a member's datagram; returns what is to be sent in return."""
+        """Handle a member's datagram; return the replies."""
         message = codec.decode(data)
         if isinstance(message, MalformedDatagram) or sender_index not in self.table.members:
             self.malformed_datagrams += 1
@@ -105,8 +114,11 @@
             case MessageKind.ACK:
                 return self._failure_detector.on_ack(sender_index, message.nonce)
             case MessageKind.PING_REQUEST if message.target_index in self.table.members:
-                detector, target_index = self._failure_detector, message.target_index
-                return [detector.on_ping_request(now_ms, sender_index, message.nonce, target_index)]
+                return [
+                    self._failure_detector.on_ping_request(
+                        now_ms, sender_index, message.nonce, message.target_index
+                    )
+                ]
             case MessageKind.PING_REQUEST:
                 self.table.implausible_updates += 1
                 return []
@@ -114,16 +126,27 @@
                 return []
 
     def _correct(self, now_ms: float, member_index: int, incarnation: int) -> list[SendToPeer]:
-        """Send a member that is alive how it is seen here, if that is wrong: it may refute it."""
+        """Return a correction for a member that just sent a datagram, if its entry here is wrong.
+
+        At most one correction is returned in ``CORRECTION_INTERVAL_MS``.
+
+        Args:
+            now_ms: The steady clock.
+            member_index: The member.
+            incarnation: The incarnation that the member last sent.
+        """
         member = self.table.members[member_index]
-        is_seen_right = member.status is MemberStatus.ALIVE and incarnation >= member.incarnation
-        if is_seen_right or now_ms - member.corrected_at_ms < CORRECTION_INTERVAL_MS:
+        is_entry_right = member.status is MemberStatus.ALIVE and incarnation >= member.incarnation
+        if is_entry_right or now_ms - member.corrected_at_ms < CORRECTION_INTERVAL_MS:
             return []
         member.corrected_at_ms = now_ms
         return [self._build_datagram(OutgoingMessage(MessageKind.UPDATE, member_index), (member_index,))]
 
     def on_tick(self, now_ms: float) -> list[SendToPeer]:
-        """Several times a second: end suspicions, probe, and disseminate; returns what is to be sent."""
+        """End suspicions, probe members and disseminate updates; return the datagrams to send.
+
+        The host calls this several times a second.
+        """
         if not self.table.members:
             return []
         self._detect_pause(now_ms)
@@ -135,7 +158,7 @@
         return datagrams
 
     def _end_suspicions(self, now_ms: float) -> list[SendToPeer]:
-        """Hold members dead whose suspicion was not refuted in time; correct those that were just heard."""
+        """Declare overdue suspects dead; return corrections for members that sent datagrams recently."""
         corrections: list[SendToPeer] = []
         for index, member in self.table.members.items():
             is_overdue = now_ms - member.status_since_ms >= self._suspicion_ms
@@ -146,7 +169,7 @@
         return corrections
 
     def _send_updates(self) -> list[SendToPeer]:
-        """Messages for updates alone, to random members that are alive."""
+        """Return separate messages with updates for random alive members."""
         peers = self.alive_peers()
         chosen = self._rng.sample(peers, min(DISSEMINATION_FANOUT, len(peers)))
         return [
@@ -156,7 +179,11 @@
         ]
 
     def _detect_pause(self, now_ms: float) -> None:
-        """After a pause all others look silent, and may hold this router dead: trust nothing from before."""
+        """Detect a pause of this router; after a pause, restart all suspicions and raise the own incarnation.
+
+        After a pause every member seems to have sent no datagrams, and peers may have declared this router
+        dead.
+        """
         was_paused = now_ms - self._last_active_at_ms > PAUSE_THRESHOLD_MS
         self._last_active_at_ms = now_ms
         if not was_paused:
@@ -169,7 +196,7 @@
         self.table.raise_incarnation()
 
     def _build_datagram(self, message: OutgoingMessage, required: tuple[int, ...] = ()) -> SendToPeer:
-        """Encode a message with as many pending updates as fit, `required` members' first."""
+        """Encode a message with as many pending updates as fit, those of ``required`` members first."""
         updates = tuple(self.table.update_of(index) for index in self._dissemination.take(required))
         incarnation = self.table.incarnation
         encoded = codec.encode(
