--- a/cedarthread/escrow/grantor.py
+++ b/cedarthread/escrow/grantor.py
@@ -19,9 +19,7 @@
 
 RESPONSES_PER_SECOND = 100.0  # limits the load on the remaining routers after others have failed
 RESPONSE_BURST = 50.0
-MAX_REMEMBERED_GRANTS = (
-    1024  # grants of counts that can be repeated after a lost response; oldest dropped first
-)
+MAX_REMEMBERED_GRANTS = 1024  # grants of counts to repeat after a lost response; the oldest are dropped first
 SERIAL_MODULUS = 2**32
 
 
--- a/cedarthread/escrow/request_rounds.py
+++ b/cedarthread/escrow/request_rounds.py
@@ -25,12 +25,8 @@
 RATE_BACKOFF_MAX_MS = 2000.0
 COUNT_BACKOFF_MAX_MS = 4000.0
 MAX_FAILED_ROUNDS = 16  # the count of failed rounds stops here
-MAX_FAILED_ROUNDS_WHEN_WOKEN = (
-    3  # limit on the count of failed rounds after growing demand cut a backoff short
-)
-WAKE_INTERVAL_MS = (
-    5000.0  # shortest interval between two cuts, so that fluctuating demand cannot defeat the backoff
-)
+MAX_FAILED_ROUNDS_WHEN_WOKEN = 3  # upper limit of the same count when growing demand cuts a backoff short
+WAKE_INTERVAL_MS = 5000.0  # shortest time between two cuts: fluctuating demand must not defeat the backoff
 MAX_HINTS_FOLLOWED = 2  # consecutive rounds that may start without backoff because of a hint
 
 
--- a/cedarthread/escrow/requester.py
+++ b/cedarthread/escrow/requester.py
@@ -25,12 +25,8 @@
 
 REQUESTS_PER_SECOND = 40.0
 REQUEST_BURST = 20.0
-MAX_ATTEMPTS = (
-    4  # transmissions of a request for a count, because a lost response would lose its units for good
-)
-LATE_RESPONSE_LIMIT_MS = (
-    30_000.0  # a response to a request for a count is accepted this long after the request
-)
+MAX_ATTEMPTS = 4  # of a request for a count, because a lost response would lose its units for good
+LATE_RESPONSE_LIMIT_MS = 30_000.0  # age of a request for a count up to which its response is accepted
 RENEW_AFTER_FRACTION = 0.6  # fraction of its term after which a lease is renewed
 NONCE_MODULUS = 2**32
 
@@ -45,9 +41,7 @@
     sent_at_ms: float  # of the first attempt; the term of a granted lease starts here
     timeout_at_ms: float  # until then the response is pending; then the request may be retried
     attempts: int = 1
-    was_denied: bool = (
-        False  # a denied request for a count stays outstanding: an earlier attempt may be granted
-    )
+    was_denied: bool = False  # a denied count request stays outstanding: an earlier attempt may be granted
 
 
 class EscrowRequester:
