--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -114,7 +114,7 @@
         self.local.record_start(worker_id, codec.fold_function_id(function_id))
 
     def on_attempt_ended(
-        self, now_ms: float, worker_id: int, function_id: int, was_warm: bool | None
+        self, now_ms: float, worker_id: int, function_id: int, *, is_loaded: bool | None
     ) -> None:
         """Remove an attempt that ended from the in-flight calls, and record whether an instance is warm.
 
@@ -122,12 +122,12 @@
             now_ms: The steady clock.
             worker_id: The worker that received the attempt.
             function_id: The function of the attempt.
-            was_warm: Whether the worker has a warm instance after the attempt; None: unknown. If False, the
+            is_loaded: Whether the worker has a warm instance after the attempt; None: unknown. If False, the
                 peers' reports of the instance are dropped too.
         """
         function_hash = codec.fold_function_id(function_id)
-        is_known = self.local.record_end(now_ms, worker_id, function_hash, was_warm)
-        if is_known and was_warm is False:
+        is_known = self.local.record_end(now_ms, worker_id, function_hash, is_loaded=is_loaded)
+        if is_known and is_loaded is False:
             self.peer_views.discard_instance(worker_id, function_hash)
 
     def forget_worker(self, worker_id: int) -> None:
--- a/cedarthread/gossip/local_load.py
+++ b/cedarthread/gossip/local_load.py
@@ -43,14 +43,16 @@
         self.workers_by_function.setdefault(function_hash, set()).add(worker_id)
         self.mark_dirty(worker_id, function_hash)
 
-    def record_end(self, now_ms: float, worker_id: int, function_hash: int, was_warm: bool | None) -> bool:
+    def record_end(
+        self, now_ms: float, worker_id: int, function_hash: int, *, is_loaded: bool | None
+    ) -> bool:
         """Remove an attempt that ended from the in-flight calls, and record whether an instance is warm.
 
         Args:
             now_ms: The steady clock.
             worker_id: The worker that received the attempt.
             function_hash: The function of the attempt.
-            was_warm: Whether the worker has a warm instance after the attempt; None: unknown, so that the
+            is_loaded: Whether the worker has a warm instance after the attempt; None: unknown, so that the
                 earlier observation remains.
 
         Returns:
@@ -64,8 +66,8 @@
             workers.discard(worker_id)
             if not workers:
                 del self.workers_by_function[function_hash]
-        if was_warm is not None:
-            instance.warm_at_ms = now_ms if was_warm else None
+        if is_loaded is not None:
+            instance.warm_at_ms = now_ms if is_loaded else None
         self.mark_dirty(worker_id, function_hash)
         return True
 
--- a/cedarthread/node/attempt_observer.py
+++ b/cedarthread/node/attempt_observer.py
@@ -58,7 +58,9 @@
         components = self._components
         if components.load_gossip is not None:
             is_loaded = _is_loaded_after(event)
-            components.load_gossip.on_attempt_ended(now_ms, event.worker_id, attempt.function_id, is_loaded)
+            components.load_gossip.on_attempt_ended(
+                now_ms, event.worker_id, attempt.function_id, is_loaded=is_loaded
+            )
         if components.fleet is not None:
             was_warm = _WAS_WARM.get(event.start_kind)
             components.fleet.on_attempt_ended(
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -187,7 +187,8 @@
                 talk.on_first_attempt()
                 talk.on_attempt_sent(1 + (step + call) % 4, FUNCTION + 977 * call)
             if step > 2:
-                talk.on_attempt_ended(now_ms, 1 + step % 4, FUNCTION, (True, False, None)[step % 3])
+                is_loaded = (True, False, None)[step % 3]
+                talk.on_attempt_ended(now_ms, 1 + step % 4, FUNCTION, is_loaded=is_loaded)
             for tell in talk.collect_due_datagrams(now_ms):
                 said.append((f"exchange {step} of {number} for {tell.peer_index}", tell.data))
                 other = two if talk is one else one
--- a/tests/unit/gossip/test_gossip.py
+++ b/tests/unit/gossip/test_gossip.py
@@ -122,7 +122,7 @@
             sender.on_attempt_sent(*in_flight[-1])
         else:
             ended = in_flight.pop(rng.randrange(len(in_flight)))
-            sender.on_attempt_ended(now_ms, *ended, rng.choice([True, None]))
+            sender.on_attempt_ended(now_ms, *ended, is_loaded=rng.choice([True, None]))
         for datagram in sender.collect_due_datagrams(now_ms):
             in_transit += [datagram.data] * rng.choice([0, 0, 1, 1, 2])
         rng.shuffle(in_transit)
@@ -148,7 +148,7 @@
     assert changed_by(gossip, 1000.0, 1, codec.encode(update)) == {4: MAX_IN_FLIGHT_PER_PEER}
     assert gossip.instances(1000.0, 7)[4].warm_age_ms == 0.0
     gossip.on_attempt_sent(4, 7)
-    gossip.on_attempt_ended(1100.0, 4, 7, False)  # it was not there
+    gossip.on_attempt_ended(1100.0, 4, 7, is_loaded=False)  # it was not there
     assert 4 not in gossip.instances(1100.0, 7)
     assert gossip.in_flight_of_peers(1000.0 + IN_FLIGHT_EXPIRY_MS + 1.0, 4) == 0.0
 
@@ -167,7 +167,7 @@
     running, starting = make_gossip(0), make_gossip(1)
     for number in range(30):
         running.on_attempt_sent(number % 4, number)
-        running.on_attempt_ended(1000.0, number % 4, number, True)
+        running.on_attempt_ended(1000.0, number % 4, number, is_loaded=True)
     running.collect_due_datagrams(1000.0)
     running.collect_due_datagrams(2000.0)
     (request,) = starting.collect_due_datagrams(3000.0)
@@ -189,7 +189,7 @@
         now_ms += 20.0
         gossip.on_first_attempt()
         gossip.on_attempt_sent(number % 50, number % 200)
-        gossip.on_attempt_ended(now_ms, number % 50, number % 200, True)
+        gossip.on_attempt_ended(now_ms, number % 50, number % 200, is_loaded=True)
         for datagram in gossip.collect_due_datagrams(now_ms):
             spent_bytes += len(datagram.data) * (
                 min(router_count - 1, MAX_FANOUT) if datagram.peer_index is None else 1
@@ -218,7 +218,7 @@
         now_ms = 100.0 * (function_id + 1)
         warm_worker = 1 + function_id % 8  # no router would guess it, but by chance
         first.load_gossip.on_attempt_sent(warm_worker, function_id)
-        first.load_gossip.on_attempt_ended(now_ms, warm_worker, function_id, True)
+        first.load_gossip.on_attempt_ended(now_ms, warm_worker, function_id, is_loaded=True)
         for datagram in first.load_gossip.collect_due_datagrams(now_ms):
             second.handle(now_ms + 5.0, PeerMessageReceived(0, datagram.data))
         if function_id:  # the first datagram only requests the full state
@@ -314,7 +314,7 @@
     gossip = node.load_gossip
     assert gossip is not None
     gossip.on_attempt_sent(1, 7)
-    gossip.on_attempt_ended(50.0, 1, 7, True)
+    gossip.on_attempt_ended(50.0, 1, 7, is_loaded=True)
     instance = codec.InstanceUpdate(codec.fold_function_id(7), 0, 0.0)
     update = codec.LoadUpdate(9, 1, False, (codec.WorkerUpdate(1, 0, (instance,)),))
     node.handle(60.0, PeerMessageReceived(1, codec.encode(update)))
--- a/tests/unit/gossip/test_local_load.py
+++ b/tests/unit/gossip/test_local_load.py
@@ -15,7 +15,7 @@
     table.record_start(4, 8)
     assert table.in_flight_by_worker == {4: 2}
     assert table.workers_by_function == {7: {4}, 8: {4}}
-    assert table.record_end(10.0, 4, 7, True)
+    assert table.record_end(10.0, 4, 7, is_loaded=True)
     assert table.in_flight_by_worker == {4: 1}
     assert table.workers_by_function == {8: {4}}
     assert table.instances[4, 7].warm_at_ms == 10.0
@@ -23,16 +23,16 @@
 
 def test_an_attempt_that_was_never_recorded_changes_nothing() -> None:
     table = LocalLoadTable()
-    assert not table.record_end(10.0, 4, 7, True)
+    assert not table.record_end(10.0, 4, 7, is_loaded=True)
     assert not table.instances
     assert not table.dirty
 
 
 def test_the_end_of_an_attempt_says_whether_an_instance_is_warm_or_leaves_it_as_it_was() -> None:
     table = LocalLoadTable()
-    for now_ms, was_warm, warm_at_ms in ((10.0, True, 10.0), (20.0, None, 10.0), (30.0, False, None)):
+    for now_ms, is_loaded, warm_at_ms in ((10.0, True, 10.0), (20.0, None, 10.0), (30.0, False, None)):
         table.record_start(4, 7)
-        table.record_end(now_ms, 4, 7, was_warm)
+        table.record_end(now_ms, 4, 7, is_loaded=is_loaded)
         assert table.instances[4, 7].warm_at_ms == warm_at_ms
 
 
@@ -40,7 +40,7 @@
     table = LocalLoadTable()
     table.record_start(4, 7)
     table.record_start(4, 8)
-    table.record_end(10.0, 4, 7, True)
+    table.record_end(10.0, 4, 7, is_loaded=True)
     table.forget_warm_instances(4)
     assert list(table.instances) == [(4, 8)]
     assert table.instances[4, 8].in_flight == 1
@@ -50,8 +50,8 @@
     table = LocalLoadTable()
     for function_hash in (7, 8, 9):
         table.record_start(4, function_hash)
-    table.record_end(0.0, 4, 7, True)
-    table.record_end(900.0, 4, 8, True)
+    table.record_end(0.0, 4, 7, is_loaded=True)
+    table.record_end(900.0, 4, 8, is_loaded=True)
     table.dirty.clear()
     table.refresh(KEEP_ALIVE_MS + 1.0, KEEP_ALIVE_MS)
     assert sorted(table.instances) == [(4, 8), (4, 9)]
@@ -76,7 +76,7 @@
     table = LocalLoadTable()
     for function_hash, now_ms in ((7, 10.0), (8, 30.0), (9, 20.0)):
         table.record_start(4, function_hash)
-        table.record_end(now_ms, 4, function_hash, True)
+        table.record_end(now_ms, 4, function_hash, is_loaded=True)
     table.dirty.clear()
     table.mark_warm_dirty(2)
     assert list(table.dirty[4]) == [8, 9]
