--- a/tests/unit/gossip/test_local_load.py
+++ b/tests/unit/gossip/test_local_load.py
@@ -1,4 +1,4 @@
-"""This router's own load, and the set of entries that are to be sent."""
+"""The table of this router's own load, and its dirty entries."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     assert not table.dirty
 
 
-def test_the_end_of_an_attempt_says_whether_an_instance_is_warm_or_leaves_it_as_it_was() -> None:
+def test_the_end_of_an_attempt_updates_the_warm_instance_unless_its_state_is_unknown() -> None:
     table = LocalLoadTable()
     for now_ms, is_loaded, warm_at_ms in ((10.0, True, 10.0), (20.0, None, 10.0), (30.0, False, None)):
         table.record_start(4, 7)
@@ -36,7 +36,7 @@
         assert table.instances[4, 7].warm_at_ms == warm_at_ms
 
 
-def test_a_worker_that_is_forgotten_keeps_its_calls_in_flight() -> None:
+def test_a_worker_that_loses_its_warm_instances_retains_its_calls_in_flight() -> None:
     table = LocalLoadTable()
     table.record_start(4, 7)
     table.record_start(4, 8)
@@ -46,7 +46,7 @@
     assert table.instances[4, 8].in_flight == 1
 
 
-def test_refresh_marks_busy_entries_and_drops_those_neither_busy_nor_warm() -> None:
+def test_refresh_marks_entries_with_calls_and_drops_those_without_calls_and_warm_instance() -> None:
     table = LocalLoadTable()
     for function_hash in (7, 8, 9):
         table.record_start(4, function_hash)
@@ -58,7 +58,7 @@
     assert table.dirty == {4: {9: None}}
 
 
-def test_the_dirty_set_is_taken_in_order_and_as_much_as_fits_into_a_datagram() -> None:
+def test_dirty_entries_are_taken_in_order_as_many_as_fit_into_a_datagram() -> None:
     table = LocalLoadTable()
     for function_hash in range(100):
         table.record_start(5, function_hash)
@@ -72,7 +72,7 @@
     assert taken == [5] * 100 + [4]
 
 
-def test_the_most_recently_found_instances_are_marked_first() -> None:
+def test_the_most_recent_warm_instances_are_marked_first() -> None:
     table = LocalLoadTable()
     for function_hash, now_ms in ((7, 10.0), (8, 30.0), (9, 20.0)):
         table.record_start(4, function_hash)
--- a/tests/unit/gossip/test_peer_views.py
+++ b/tests/unit/gossip/test_peer_views.py
@@ -1,4 +1,4 @@
-"""What the other routers reported of their load, and how long it counts."""
+"""The peers' reports of their load, and their expiry."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     assert views.instance_reports(7) == []
 
 
-def test_a_new_incarnation_replaces_the_view_and_past_ones_are_ignored() -> None:
+def test_a_new_incarnation_replaces_the_view_and_past_incarnations_are_ignored() -> None:
     views = PeerViews()
     for incarnation in range(MAX_PAST_INCARNATIONS + 1):
         assert views.merge(0.0, 1, report(1, incarnation, incarnation=incarnation)) == {4: float(incarnation)}
@@ -58,14 +58,15 @@
     assert views.in_flight(1.0, 4) == MAX_PAST_INCARNATIONS
 
 
-def test_a_full_state_is_granted_once_per_interval() -> None:
-    views, request = PeerViews(), LoadUpdate(1, 1, True, ())
+def test_a_full_state_is_sent_once_per_interval() -> None:
+    views = PeerViews()
+    request = LoadUpdate(1, 1, True, ())
     for now_ms in (0.0, FULL_STATE_INTERVAL_MS - 1.0, FULL_STATE_INTERVAL_MS):
         views.merge(now_ms, 2, request)
     assert views.full_state_requests == [2, 2]
 
 
-def test_coverage_is_the_fraction_heard_lately_and_is_cached() -> None:
+def test_coverage_is_the_fraction_of_peers_with_recent_gossip_and_is_cached() -> None:
     views = PeerViews()
     assert views.coverage(0.0, 4) == 0.0
     views.merge(1.0, 1, report(1, 0))
@@ -76,7 +77,7 @@
     assert views.coverage(2.0 + IN_FLIGHT_EXPIRY_MS + COVERAGE_CACHE_MS, 0) == 0.0
 
 
-def test_a_worker_or_an_instance_can_be_forgotten() -> None:
+def test_the_reports_of_a_worker_or_of_an_instance_can_be_dropped() -> None:
     views = PeerViews()
     views.merge(0.0, 1, report(1, 5, is_warm=True))
     views.discard_instance(4, 8)
--- a/tests/unit/membership/test_swim.py
+++ b/tests/unit/membership/test_swim.py
@@ -1,4 +1,4 @@
-"""The parts of SWIM, each by itself: member table, dissemination, failure detector."""
+"""The parts of SWIM in isolation: member table, dissemination buffer and failure detector."""
 
 from __future__ import annotations
 
@@ -19,7 +19,9 @@
 )
 from cedarthread.membership.member_table import MAX_INCARNATION_STEP, MemberTable, StatusChange
 
-ALIVE, SUSPECT, DEAD = MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.DEAD
+ALIVE = MemberStatus.ALIVE
+SUSPECT = MemberStatus.SUSPECT
+DEAD = MemberStatus.DEAD
 
 
 def make_table(router_count: int = 4) -> MemberTable:
@@ -39,7 +41,7 @@
         ((3, ALIVE), (4 + MAX_INCARNATION_STEP, DEAD), (3, ALIVE)),
     ],
 )
-def test_which_of_two_updates_overrides_the_other(
+def test_a_higher_incarnation_or_a_worse_status_at_the_same_incarnation_overrides(
     known: tuple[int, MemberStatus], update: tuple[int, MemberStatus], expected: tuple[int, MemberStatus]
 ) -> None:
     table = make_table()
@@ -59,7 +61,7 @@
         ((6 + MAX_INCARNATION_STEP, DEAD), 5),
     ],
 )
-def test_only_an_accusation_or_a_later_incarnation_raises_the_own_one(
+def test_only_an_accusation_or_a_later_incarnation_raises_the_own_incarnation(
     update: tuple[int, MemberStatus], expected: int
 ) -> None:
     table = make_table()
@@ -69,7 +71,7 @@
     assert table.status_of(0) is ALIVE
 
 
-def test_an_update_that_says_nothing_new_is_not_disseminated_again() -> None:
+def test_an_update_without_change_is_not_disseminated() -> None:
     buffer = DisseminationBuffer(4, 0.0)
     table = MemberTable(0, 4, buffer, 0.0)
     table.merge(1.0, MemberUpdate(2, 3, SUSPECT))
@@ -80,7 +82,7 @@
     assert not buffer.pending
 
 
-def test_status_changes_are_noted_once() -> None:
+def test_each_status_change_is_recorded_once() -> None:
     table = make_table()
     table.set_status(1.0, 2, SUSPECT)
     table.set_status(2.0, 2, SUSPECT)
@@ -90,7 +92,7 @@
     assert table.dead_peers() == [2]
 
 
-def test_updates_are_sent_a_limited_number_of_times_the_least_sent_first() -> None:
+def test_updates_are_sent_a_limited_number_of_times_the_least_sent_update_first() -> None:
     buffer = DisseminationBuffer(3, 0.0)  # 3 * log2(4) = 6 times
     buffer.add(1)
     assert buffer.take() == (1,)
@@ -116,7 +118,7 @@
     assert buffer.can_send_batch()
 
 
-def test_a_probe_goes_through_others_before_the_member_is_suspected() -> None:
+def test_a_member_is_probed_indirectly_before_it_is_suspected() -> None:
     table = make_table()
     detector = FailureDetector(table, random.Random(1), 0.0)
     for member in table.members.values():
@@ -135,16 +137,16 @@
     assert table.status_of(ping.peer_index) is SUSPECT
 
 
-@pytest.mark.parametrize("sign_of_life", ["ack", "activity", "reset"])
-def test_a_probe_that_has_ended_suspects_nobody(sign_of_life: str) -> None:
+@pytest.mark.parametrize("probe_end", ["ack", "activity", "reset"])
+def test_a_probe_that_has_ended_suspects_no_member(probe_end: str) -> None:
     table = make_table()
     detector = FailureDetector(table, random.Random(1), 0.0)
     for member in table.members.values():
         member.received_at_ms = 0.0
     (ping,) = detector.on_tick(PROBE_INTERVAL_MS + 1.0)
-    if sign_of_life == "ack":
+    if probe_end == "ack":
         assert detector.on_ack(ping.peer_index, ping.nonce) == []
-    elif sign_of_life == "activity":
+    elif probe_end == "activity":
         detector.on_activity(ping.peer_index)
     else:
         detector.reset()
@@ -155,7 +157,7 @@
     assert table.status_changes == []
 
 
-def test_a_member_that_was_never_heard_is_suspected_only_after_the_startup_grace() -> None:
+def test_a_member_that_never_sent_a_datagram_is_suspected_only_after_the_startup_grace() -> None:
     table = make_table(2)
     detector = FailureDetector(table, random.Random(1), 0.0)
     now_ms = PROBE_INTERVAL_MS
@@ -169,7 +171,7 @@
     assert table.status_of(1) is SUSPECT
 
 
-def test_one_probe_of_several_goes_to_a_dead_member() -> None:
+def test_one_in_several_probes_is_sent_to_a_dead_member() -> None:
     table = make_table(3)
     detector = FailureDetector(table, random.Random(1), 0.0)
     table.set_status(0.0, 2, DEAD)
