--- a/cedarthread/escrow/rate_pool.py
+++ b/cedarthread/escrow/rate_pool.py
@@ -14,7 +14,7 @@
 from cedarthread.escrow.quota_pool import QuotaPool
 
 LEASE_TERM_MS = 4000.0  # term of each lease; a response with a longer term is rejected
-UNMET_REQUEST_EXPIRY_MS = 1000.0  # how long an unmet request counts when units are shared out
+UNMET_REQUEST_EXPIRY_MS = 1000.0  # how long an unmet request limits the amounts that other borrowers get
 RESERVE_DIVISOR = 16  # a router lends no more than 15/16 of its allotment, to serve its own next calls
 NONCE_MODULUS = 2**32
 
@@ -157,8 +157,8 @@
     def _fair_amount(self, now_ms: float, borrower: Borrower, requested: int) -> int:
         """Return the units to lease to a borrower.
 
-        The amount is all that the borrower requests if enough remains for the peers with unmet recent
-        requests, otherwise an even share. An even share prevents the first borrowers from starving a new one.
+        If recent requests of other peers are unmet, the amount is limited to the units that remain after
+        these requests or, if greater, to an even share. So the first borrowers cannot starve a new one.
         """
         lendable = self.lendable(now_ms)
         leased_to_others = self.amount_leased_to_peers(now_ms, borrower)
--- a/cedarthread/escrow/requester.py
+++ b/cedarthread/escrow/requester.py
@@ -124,6 +124,10 @@
     def _note_availability(
         self, now_ms: float, sender: int, pool: QuotaPool, response: EscrowResponse
     ) -> None:
+        """Record the units that the sender reports, and its hint at another peer.
+
+        A hint does not override recent knowledge that the other peer has no units.
+        """
         pool.peer_available[sender] = PeerAvailability(response.available, now_ms)
         hinted_peer = response.hinted_peer
         if 0 <= hinted_peer < self.router_count and hinted_peer != self.router_index:
--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -73,7 +73,7 @@
         self.keep_alive_ms = min(settings.keep_alive_ms, codec.MAX_AGE_MS)
 
     def on_notification(self, now_ms: float, notification: Notification) -> list[OutboundMessage]:
-        """Adopt a new set of alive peers, or new settings."""
+        """Adopt a new set of alive peers, unless the set is empty, or new settings."""
         if isinstance(notification, PeersChanged):
             self.peers = list(notification.alive_peers) or self.peers
             self.fanout = min(MAX_FANOUT, len(self.peers))
@@ -166,7 +166,7 @@
         return loads
 
     def collect_due_datagrams(self, now_ms: float) -> list[SendToPeer]:
-        """Return the datagrams that are due now."""
+        """Return the datagrams that are due now; the first one after a start requests the full state."""
         if now_ms < self._next_send_at_ms or not self.peers:
             return []
         if not self.has_started:
@@ -187,6 +187,7 @@
         return datagrams
 
     def _can_send_dirty(self) -> bool:
+        """Return whether the budget covers the records of all dirty workers, without their instances."""
         needed_bytes = codec.encoded_size(len(self.local.dirty), 0) * self.fanout
         return self.budget.available_bytes >= needed_bytes
 
--- a/cedarthread/gossip/send_budget.py
+++ b/cedarthread/gossip/send_budget.py
@@ -9,7 +9,7 @@
 
 from cedarthread.components.datagram_fields import MAX_DATAGRAM_BYTES
 
-GOSSIP_COST_PER_CALL = 0.003  # in points of the operators' scoring, as ``prices`` in the settings
+GOSSIP_COST_PER_CALL = 0.003  # points of the operators' scoring, the unit of ``prices`` in the settings
 FREE_BYTES_PER_MS = 20.0  # fill rate if datagrams are free
 BURST_DATAGRAMS = 8.0  # capacity of the bucket, in datagrams of full size to the whole fanout
 
--- a/cedarthread/membership/swim.py
+++ b/cedarthread/membership/swim.py
@@ -181,7 +181,7 @@
     def _detect_pause(self, now_ms: float) -> None:
         """Detect a pause of this router; after a pause, restart all suspicions and raise the own incarnation.
 
-        After a pause every member seems to have sent no datagrams, and peers may have declared this router
+        After a pause, the last datagram of every member seems old, and peers may have declared this router
         dead.
         """
         was_paused = now_ms - self._last_active_at_ms > PAUSE_THRESHOLD_MS
--- a/cedarthread/statistics.py
+++ b/cedarthread/statistics.py
@@ -59,7 +59,10 @@
 
 @dataclass(slots=True)
 class WindowedMaximum:
-    """The recent peak of a quantity; the peak decays exponentially after the quantity falls."""
+    """The recent peak of a quantity, which decays exponentially after the quantity falls.
+
+    The current value of the quantity is not part of the peak.
+    """
 
     time_constant_ms: float = 1.0
     value: float = 0.0
@@ -72,7 +75,7 @@
         return self.value * math.exp((self.updated_at_ms - now_ms) / self.time_constant_ms)
 
     def on_change(self, now_ms: float, value: float, new_value: float) -> None:
-        """Record that the quantity changes from ``value`` to ``new_value``; only falls are stored."""
+        """Store ``value`` as the peak if the quantity falls from it and it exceeds the decayed peak."""
         if new_value < value and value > self.read(now_ms):
             self.value = value
             self.updated_at_ms = now_ms
