--- a/cedarthread/escrow/codec.py
+++ b/cedarthread/escrow/codec.py
@@ -18,6 +18,7 @@
 from cedarthread.components.messages import MessageType
 
 NO_HINT = 0xFFFF  # the hinted peer of a response that names no peer
+NONCE_MODULUS = 2**32  # nonces wrap at 32 bits
 MAX_AMOUNT = 2**32 - 1  # the greatest number of units that the wire format can carry
 _REQUEST_KIND = 1
 _RESPONSE_KIND = 2
--- a/cedarthread/escrow/rate_pool.py
+++ b/cedarthread/escrow/rate_pool.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from cedarthread.escrow.codec import NONCE_MODULUS
 from cedarthread.escrow.quota_pool import QuotaPool
 
 LEASE_TERM_MS = 4000.0  # term of each lease; a response with a longer term is rejected
 UNMET_REQUEST_EXPIRY_MS = 1000.0  # how long an unmet request limits the amounts that other borrowers get
 RESERVE_DIVISOR = 16  # a router lends no more than 15/16 of its allotment, to serve its own next calls
-NONCE_MODULUS = 2**32
 
 
 class Borrower(NamedTuple):
@@ -141,6 +141,7 @@
         duplicated.
         """
         lease = self.leases_given.get(borrower)
+        # Nonces wrap: a nonce is newer if it is ahead by less than half of their range.
         if lease is not None and not 0 < (nonce - lease.nonce) % NONCE_MODULUS < NONCE_MODULUS // 2:
             return None
         amount = self._fair_amount(now_ms, borrower, requested)
--- a/cedarthread/escrow/requester.py
+++ b/cedarthread/escrow/requester.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from cedarthread.escrow.codec import MAX_AMOUNT, EscrowRequest, EscrowResponse, encode
+from cedarthread.escrow.codec import MAX_AMOUNT, NONCE_MODULUS, EscrowRequest, EscrowResponse, encode
 from cedarthread.escrow.count_pool import CountPool
 from cedarthread.escrow.quota_pool import NEVER_SEEN, PeerAvailability, QuotaPool
 from cedarthread.escrow.rate_pool import LEASE_TERM_MS, RatePool
@@ -28,7 +28,6 @@
 MAX_ATTEMPTS = 4  # of a request for a count, because a lost response would lose its units for good
 LATE_RESPONSE_LIMIT_MS = 30_000.0  # age of a request for a count up to which its response is accepted
 RENEW_AFTER_FRACTION = 0.6  # fraction of its term after which a lease is renewed
-NONCE_MODULUS = 2**32
 
 
 @dataclass(slots=True)
@@ -89,29 +88,29 @@
     def on_response(self, now_ms: float, sender: int, pool: QuotaPool, response: EscrowResponse) -> None:
         """Add the units of a response if its request is outstanding; otherwise count the response as late."""
         request = self.outstanding.get(response.nonce)
-        if request is None or not self._is_answered_by(request, sender, pool, response):
+        if request is None or not self._is_response_to(request, sender, pool, response):
             self.counters["late"] += 1
             return
         if not _is_consistent(request, response):
             self.counters["lies"] += 1
             return
-        self._note_availability(now_ms, sender, pool, response)
+        self._record_availability(now_ms, sender, pool, response)
         if pool.is_consumable and not response.amount:
             request.was_denied = True
             request.timeout_at_ms = now_ms
             return  # the grant of an earlier attempt may still arrive
         del self.outstanding[response.nonce]
-        has_gained = self._take_units(now_ms, request, response)
+        has_gained = self._add_units(now_ms, request, response)
         pool.rounds.has_gained |= has_gained
         self.counters["taken"] += has_gained
 
-    def _is_answered_by(
+    def _is_response_to(
         self, request: OutstandingRequest, sender: int, pool: QuotaPool, response: EscrowResponse
     ) -> bool:
         is_own = response.requester_incarnation == self.incarnation
         return is_own and request.peer == sender and request.pool is pool
 
-    def _take_units(self, now_ms: float, request: OutstandingRequest, response: EscrowResponse) -> bool:
+    def _add_units(self, now_ms: float, request: OutstandingRequest, response: EscrowResponse) -> bool:
         """Add the granted units to the pool; return whether the pool gained units."""
         pool = request.pool
         if isinstance(pool, RatePool):
@@ -121,7 +120,7 @@
             return True
         return False  # the peer knows a greater total: it granted these units before the total was lowered
 
-    def _note_availability(
+    def _record_availability(
         self, now_ms: float, sender: int, pool: QuotaPool, response: EscrowResponse
     ) -> None:
         """Record the units that the sender reports, and its hint at another peer.
@@ -162,7 +161,7 @@
                 request.attempts += 1
                 backoff_ms = RESPONSE_TIMEOUT_MS * 2.0**request.attempts
                 request.timeout_at_ms = now_ms + backoff_ms * self.rng.uniform(*RETRY_JITTER)
-                messages.append(self._message(pool, request.peer, nonce, request.requested))
+                messages.append(self._build_datagram(pool, request.peer, nonce, request.requested))
         return messages
 
     def request_units(self, now_ms: float, pool: QuotaPool) -> list[SendToPeer]:
@@ -185,9 +184,9 @@
             timeout_at_ms=now_ms + RESPONSE_TIMEOUT_MS,
             attempts=attempts,
         )
-        return [self._message(pool, peer, self.last_nonce, requested)]
+        return [self._build_datagram(pool, peer, self.last_nonce, requested)]
 
-    def _message(self, pool: QuotaPool, peer: int, nonce: int, requested: int) -> SendToPeer:
+    def _build_datagram(self, pool: QuotaPool, peer: int, nonce: int, requested: int) -> SendToPeer:
         return SendToPeer(encode(EscrowRequest(pool.key, self.incarnation, nonce, requested)), peer)
 
     def _pending_peers(self, now_ms: float, pool: QuotaPool) -> set[int]:
