--- a/cedarthread/escrow/count_pool.py
+++ b/cedarthread/escrow/count_pool.py
@@ -80,7 +80,7 @@
         If the new total exceeds the highest total so far, the balance grows by this router's allotment of
         the increase. If the new total is below the current one, this router deducts the *whole* difference,
         as far as its balance covers it. If any router's balance covers the difference, that router alone
-        makes up for the reduction; otherwise all balances are zero afterwards (docs/design/grants.md, 13).
+        makes up for the reduction; otherwise all balances are zero afterwards (docs/design/escrow.md, 13).
         """
         if total > self.highest_total:
             before = allotment(self.highest_total, self.router_count, self.place)
--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -2,7 +2,7 @@
 
 ``grantor.py`` responds to peers' requests, ``requester.py`` sends this router's own requests, ``image.py``
 encodes the state that must survive a restart, and the pools are the accounts. Design:
-docs/design/grants.md, and steps 14 to 17 of docs/design/register.md.
+docs/design/escrow.md, and steps 14 to 17 of docs/design/replication.md.
 """
 
 from __future__ import annotations
@@ -105,7 +105,7 @@
             is_consumable: Whether the pool is a count; otherwise the pool is a rate.
             ends_at_ms: When the pool ends; None: never.
             is_new: Whether no earlier incarnation of this router can have used the pool. Then this router's
-                allotment of a count is usable even without memory (docs/design/grants.md, 12).
+                allotment of a count is usable even without memory (docs/design/escrow.md, 12).
         """
         key = pool_key(name)
         total = max(0, min(total, MAX_AMOUNT))
