--- a/tests/simulation/test_escrow_fleet.py
+++ b/tests/simulation/test_escrow_fleet.py
@@ -1,4 +1,4 @@
-"""Escrow among many routers, checked by what is really used, with injected defects; and the small model."""
+"""Escrow among many routers, checked by the units that users consume, with injected defects; small models."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
     from cedarthread.escrow.quota_pool import QuotaPool
 
 
-def simulate_day(
+def simulate_faults(
     escrow_type: type[Escrow], seed: int, *, is_durable: bool = False, is_calm: bool = False
 ) -> EscrowSimulation:
-    """40 s of six routers with a rate and a count, under all faults or (calm) changing demand alone."""
+    """Run six routers with two pools for 40 s, under all faults or, if calm, only changing demand."""
     simulation = EscrowSimulation(
         6,
         seed,
@@ -46,17 +46,17 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-@pytest.mark.parametrize("stored", [False, True])
-def test_use_never_exceeds_the_total_under_all_faults(seed: int, stored: bool) -> None:
-    simulation = simulate_day(Escrow, seed, is_durable=stored)
+@pytest.mark.parametrize("is_durable", [False, True])
+def test_use_never_exceeds_the_total_under_all_faults(seed: int, is_durable: bool) -> None:
+    simulation = simulate_faults(Escrow, seed, is_durable=is_durable)
     assert not simulation.violations
     assert simulation.longest_datagram_bytes <= MAX_DATAGRAM_BYTES
     assert sum(router.consumed for router in simulation.routers) > 20
     assert simulation.transfer_checks * CHECK_INTERVAL_MS > 4000.0, "no units moved"
 
 
-class DoubleCounting(EscrowRequester):
-    """A request stays outstanding after its response."""
+class RequesterWithOpenRequests(EscrowRequester):
+    """Defect: a request remains outstanding after its response."""
 
     def on_response(self, now_ms: float, sender: int, pool: QuotaPool, response: EscrowResponse) -> None:
         request = self.outstanding.get(response.nonce)
@@ -65,14 +65,14 @@
             self.outstanding[response.nonce] = request
 
 
-class Twice(Escrow):
-    """A duplicated response is counted again."""
+class ResponseCountsTwice(Escrow):
+    """Defect: a duplicated response adds its units again."""
 
-    requester_type = DoubleCounting
+    requester_type = RequesterWithOpenRequests
 
 
-class TermFromResponse(EscrowRequester):
-    """A lease counts from when the response arrived."""
+class RequesterWithLateTerm(EscrowRequester):
+    """Defect: the term of a lease counts from when the response arrived."""
 
     def on_response(self, now_ms: float, sender: int, pool: QuotaPool, response: EscrowResponse) -> None:
         if (request := self.outstanding.get(response.nonce)) is not None:
@@ -80,30 +80,30 @@
         super().on_response(now_ms, sender, pool, response)
 
 
-class FromReception(Escrow):
-    """The taker counts the end from when the response came."""
+class TermFromReception(Escrow):
+    """Defect: the borrower counts the term from when the response arrived."""
 
-    requester_type = TermFromResponse
+    requester_type = RequesterWithLateTerm
 
 
-class NoMargin(Escrow):
-    """The giver takes a lease back at its own end, with no margin for clock drift."""
+class NoDriftMargin(Escrow):
+    """Defect: the lender uses leased units again after the term on its own clock, without drift margin."""
 
     def __init__(self, *args: Any, **settings: Any) -> None:
         super().__init__(*args, **settings)
         self.clock_drift_factor = 1.0
 
 
-class Forgetful(Escrow):
-    """A restart without memory keeps the allotment."""
+class AllotmentWithoutMemory(Escrow):
+    """Defect: a router that restarts without memory uses its allotment."""
 
     def __init__(self, *args: Any, **settings: Any) -> None:
         super().__init__(*args, **(settings | {"has_memory": True}))
         self.ready_at_ms = 0.0
 
 
-class AtTurns(Escrow):
-    """Leases end at ticks only, not at use: a router that was paused uses what has ended."""
+class LeasesEndAtTicks(Escrow):
+    """Defect: leases end only at ticks, so a router that was paused uses units of ended leases."""
 
     ticked_at_ms = 0.0
 
@@ -115,8 +115,8 @@
         return super().available(self.ticked_at_ms, name)
 
 
-class BeforeDisk(Escrow):
-    """Units are used before they are written off on the disk."""
+class UseBeforeWriteOff(Escrow):
+    """Defect: units are used before they are written off on the disk."""
 
     def image_to_write(self, now_ms: float) -> bytes | None:
         for pool in self.pools.values():
@@ -125,57 +125,68 @@
         return super().image_to_write(now_ms)
 
 
-class PerRouter(Escrow):
-    """The total is each router's, not the fleet's."""
+class TotalPerRouter(Escrow):
+    """Defect: each router may use the fleet-wide total."""
 
     def open_pool(self, name: str, total: int, **settings: Any) -> None:
         super().open_pool(name, total * self.router_count, **settings)
 
 
-class LateDeduction(EscrowGrantor):
-    """Takes out the leases that it gives, to be put back at the next tick."""
+class DeferringGrantor(EscrowGrantor):
+    """Defect: leases that were granted enter the lender's account only at its next tick."""
 
     def __init__(self, *args: Any, **settings: Any) -> None:
         super().__init__(*args, **settings)
-        self.later: list[Any] = []
+        self.deferred_leases: list[Any] = []  # pool and lease
 
     def on_request(self, now_ms: float, sender: int, pool: QuotaPool, request: EscrowRequest) -> Any:
         if not isinstance(pool, RatePool):
             return super().on_request(now_ms, sender, pool, request)
         messages = super().on_request(now_ms, sender, pool, request)
-        self.later.append((pool, pool.leases_given.pop(Borrower(sender, request.incarnation), None)))
+        self.deferred_leases.append(
+            (pool, pool.leases_given.pop(Borrower(sender, request.incarnation), None))
+        )
         return messages
 
 
-class SendsFirst(Escrow):
-    """The giver lowers its own rate at its next tick, after it has granted."""
+class DeductionAfterGrant(Escrow):
+    """Defect: the lender deducts a lease at its next tick, after it has sent the grant."""
 
-    grantor_type = LateDeduction
+    grantor_type = DeferringGrantor
 
     def on_tick(self, now_ms: float) -> Any:
         messages = super().on_tick(now_ms)
-        assert isinstance(self.grantor, LateDeduction)
-        for pool, lease in self.grantor.later:
+        assert isinstance(self.grantor, DeferringGrantor)
+        for pool, lease in self.grantor.deferred_leases:
             pool.leases_given |= {} if lease is None else {Borrower(0, lease.nonce): lease}
-        self.grantor.later = []
+        self.grantor.deferred_leases = []
         return messages
 
 
-DEFECTS = [Twice, FromReception, NoMargin, Forgetful, AtTurns, BeforeDisk, PerRouter, SendsFirst]
+DEFECTS = [
+    ResponseCountsTwice,
+    TermFromReception,
+    NoDriftMargin,
+    AllotmentWithoutMemory,
+    LeasesEndAtTicks,
+    UseBeforeWriteOff,
+    TotalPerRouter,
+    DeductionAfterGrant,
+]
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
 def test_the_simulation_finds_injected_defects(defect: type[Escrow]) -> None:
     settings = {
-        "is_durable": defect is BeforeDisk,
-        "is_calm": defect is NoMargin,  # units lost elsewhere would hide a small overlap
+        "is_durable": defect is UseBeforeWriteOff,
+        "is_calm": defect is NoDriftMargin,  # units lost elsewhere would hide a small overlap
     }
-    assert any(simulate_day(defect, seed, **settings).violations for seed in range(4))
-    assert not simulate_day(Escrow, 0, **settings).violations
+    assert any(simulate_faults(defect, seed, **settings).violations for seed in range(4))
+    assert not simulate_faults(Escrow, 0, **settings).violations
 
 
 class SmallWorld(NamedTuple):
-    """What the model starts from, how often each event may happen, and the least number of states."""
+    """The initial state of a model, how often each event may happen, and the least number of states."""
 
     pool_name: str
     router_count: int
@@ -206,7 +217,7 @@
 
 
 class QuicklyCopiedModel(SmallEscrowModel):
-    """A small model of which copies are made faster."""
+    """A small model that is copied faster."""
 
     def __deepcopy__(self, memo: dict[int, Any]) -> Any:
         if "copy" not in self.__dict__:
@@ -215,8 +226,8 @@
 
 
 def explore(escrow_type: type[Escrow], world: SmallWorld) -> tuple[int, list[Event] | None]:
-    start = world.pool_name, world.router_count, world.total, world.limits
-    return explore_states(QuicklyCopiedModel(escrow_type, *start))
+    start = QuicklyCopiedModel(escrow_type, world.pool_name, world.router_count, world.total, world.limits)
+    return explore_states(start)
 
 
 @pytest.mark.parametrize("name", WORLDS)
@@ -227,8 +238,8 @@
     assert states >= WORLDS[name].min_states
 
 
-class OwnShare(Escrow):
-    """Of a lowered count each router gives up its own allotment of the difference only."""
+class ReductionByAllotment(Escrow):
+    """Defect: when a count is lowered, each router deducts only its own allotment of the difference."""
 
     def open_pool(self, name: str, total: int, **settings: Any) -> None:
         pool = self.pool_named(name)
@@ -243,12 +254,12 @@
 @pytest.mark.parametrize(
     ("defect", "name"),
     [
-        (NoMargin, "a rate, restarts"),
-        (FromReception, "a rate, late"),
-        (SendsFirst, "a rate, doubles"),
-        (Twice, "a count of three routers"),
-        (Forgetful, "a count of three routers"),
-        (OwnShare, "a count, lowered"),
+        (NoDriftMargin, "a rate, restarts"),
+        (TermFromReception, "a rate, late"),
+        (DeductionAfterGrant, "a rate, doubles"),
+        (ResponseCountsTwice, "a count of three routers"),
+        (AllotmentWithoutMemory, "a count of three routers"),
+        (ReductionByAllotment, "a count, lowered"),
     ],
 )
 def test_a_small_model_finds_injected_defects(defect: type[Escrow], name: str) -> None:
@@ -258,12 +269,16 @@
 
 
 def test_skewed_demand_is_served_and_a_unit_of_a_small_count_is_found() -> None:
-    """Floors below the table of the design page; the figures are those of a fixed seed on virtual time."""
+    """The limits are below the table of the design page; the figures are of fixed seeds on virtual time."""
     fractions = measure_rate_service(60, 1, 1.0, 0.1)
-    assert fractions[0] < 0.6 and fractions[1] > 0.8 and min(fractions[2:6]) > 0.88, fractions
+    assert fractions[0] < 0.6, fractions
+    assert fractions[1] > 0.8, fractions
+    assert min(fractions[2:6]) > 0.88, fractions
     assert max(measure_count_acquisition(200, seed, 3, 1, 0.1)[0] for seed in range(8)) < 2500.0
 
 
-def test_requests_die_down_where_all_want_units_that_are_not_there() -> None:
+def test_requests_decrease_when_all_routers_request_units_that_do_not_exist() -> None:
     sent = measure_stampede(100, 1, 10)
-    assert all(mean < 6.0 and busiest <= 150 for mean, busiest in sent) and sent[-1][0] < 2.0, sent
+    assert all(mean < 6.0 for mean, _ in sent), sent
+    assert all(busiest <= 150 for _, busiest in sent), sent
+    assert sent[-1][0] < 2.0, sent
