--- a/cedarthread/dispatch/completion.py
+++ b/cedarthread/dispatch/completion.py
@@ -1,7 +1,8 @@
 """The ends of attempts and calls.
 
-Each call gets exactly one result. Only ``CallCompletion._deliver`` passes results to the protocol server, and
-``CallDeadlines`` triggers a result for each call that is still pending at its deadline.
+Each call gets exactly one result, except an abandoned call, which gets none. Only ``CallCompletion._deliver``
+passes results to the protocol server. A call that is pending at its deadline gets its result at most
+``OVERDUE_GRACE_MS`` later, without the router if necessary.
 """
 
 from __future__ import annotations
@@ -34,17 +35,17 @@
 
 log = logging.getLogger(__name__)
 
-OVERDUE_GRACE_MS = 5.0  # time for the router to complete a call after its attempts were ended as timed out
+OVERDUE_GRACE_MS = 5.0  # time for the router to complete a call after its attempts ended at the deadline
 
 
 class CallCompletion:
-    """Completer of attempts and calls, which reports both to the routing node as events.
+    """Completer of attempts and calls; reports the ends that the router must know to the routing node.
 
     Args:
         context: Settings, clock and worker transport of the dispatcher.
         calls: The calls of the process.
         figures: Counts each result.
-        deadlines: Schedules the second deadline of an expired call.
+        deadlines: Schedules the end of the grace of an expired call.
         enqueue_event: Queues an event for the routing node.
     """
 
@@ -94,7 +95,7 @@
             self._deliver(call, result)
 
     def reject_at_once(self, call: Call) -> None:
-        """Reject a call that was counted as accepted but not added to the pending calls."""
+        """Reject a call that never becomes pending."""
         self._deliver(call, CallRejected(self._context.settings.limits.max_retry_after_ms))
 
     def abandon(self, call: Call) -> None:
@@ -106,9 +107,9 @@
             self._enqueue_event(ClientDisconnected(call.request_id))
 
     def fail(self, call: Call) -> None:
-        """Fail a pending call of a client that can be written to but no longer read from.
+        """Fail a pending call after its client sent invalid input.
 
-        The router drops the request, as if the client had disconnected.
+        ``ClientDisconnected`` makes the router drop the request.
         """
         if not call.is_complete:
             self.complete(call, CallFailed())
@@ -135,7 +136,7 @@
     def complete_locally(self, call: Call, *, timed_out: bool) -> None:
         """Complete a call without the router: as rejected if a retry is harmless, else as failed.
 
-        The router drops the request, as if the client had disconnected.
+        ``ClientDisconnected`` makes the router drop the request.
         """
         may_have_executed = any(attempt.may_have_executed() for attempt in call.attempts)
         request_class = self._context.settings.classes[call.class_index]
@@ -173,7 +174,9 @@
 
     def _release(self, call: Call) -> None:
         self._calls.release(call)
-        for attempt in call.attempts:  # the result is no longer needed, so unsent attempts need not run
+        # Unsent attempts are withdrawn, because their results are no longer needed. Written ones are left to
+        # the router, which cancels them if the settings allow cancels.
+        for attempt in call.attempts:
             if not attempt.is_ended:
                 self._context.workers().withdraw_unsent(attempt)
         can_cancel = self._context.settings.limits.can_cancel
@@ -181,9 +184,9 @@
             self._context.call_at(call.deadline_ms, self._cancel_abandoned_attempts, call)
 
     def _cancel_abandoned_attempts(self, call: Call) -> None:
-        """Cancel the attempts of a completed call at its deadline, if the settings forbid an earlier cancel.
+        """Cancel the attempts of a released call at its deadline, where the settings forbid cancels before.
 
-        Otherwise the attempt at a worker that never responds would occupy its connection, and count as in
+        Without this, an attempt at a worker that never responds would occupy its connection, and count as in
         flight, for the lifetime of the process.
         """
         for attempt in call.attempts:
--- a/cedarthread/dispatch/deadlines.py
+++ b/cedarthread/dispatch/deadlines.py
@@ -33,7 +33,8 @@
         self._context = context
         self._calls = calls
         self._on_due = on_due
-        # A heap of times in ms and request ids. Entries of completed calls remain until their time.
+        # A heap of times in ms and request ids. An entry of a completed call is removed at the head of the
+        # heap.
         self._timer_queue: list[tuple[float, int]] = []
         self._wakeup_at_ms = math.inf
         self._wakeup_timer: asyncio.TimerHandle | None = None
@@ -45,17 +46,17 @@
             self._set_wakeup(at_ms)
 
     def bring_forward(self, at_ms: float) -> None:
-        """Set the deadline of each pending call with a later deadline to a time of the clock."""
+        """Lower the deadline of each pending call to at most a time of the clock."""
         for call in list(self._calls.pending.values()):
             if call.deadline_ms > at_ms:
                 call.deadline_ms = at_ms
                 self.schedule(at_ms, call)
 
     def run_if_due(self, now_ms: float) -> None:
-        """Handle the due calls now if the timer should have fired by ``now_ms``.
+        """Handle the due calls if the timer should have fired by ``now_ms``.
 
-        While CPU time is scarce, the loop reads many sockets before it runs its timers, so that results would
-        miss their deadlines.
+        While CPU time is scarce, the event loop reads many sockets before it runs its timers. Without this
+        call, results would miss their deadlines.
         """
         if now_ms >= self._wakeup_at_ms:
             self.on_timer()
@@ -75,7 +76,7 @@
             self._set_wakeup(timer_queue[0][0])
 
     def _set_wakeup(self, at_ms: float) -> None:
-        # Cancel the previous timer, because each timer that fires sets another, so that they would multiply.
+        # Cancel the previous timer: each fired timer sets another one, so two timers would stay two.
         if self._wakeup_timer is not None:
             self._wakeup_timer.cancel()
         self._wakeup_at_ms = at_ms
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -1,8 +1,8 @@
 """The dispatcher, which owns all calls of the process and hosts the routing node that decides on them.
 
-The protocol servers and the worker transport report to the dispatcher. Once in an iteration of the event
-loop, the dispatcher passes the queued events to the routing node and executes the actions that the node
-returns. The dispatcher depends on no protocol.
+The protocol servers and the worker transport report to the dispatcher, which queues the reports as events. In
+the next iteration of the event loop, the dispatcher passes the queued events to the routing node and executes
+the actions that the node returns, unless sending is suspended. The dispatcher depends on no protocol.
 """
 
 from __future__ import annotations
@@ -41,14 +41,17 @@
 class Dispatcher:
     """Owner of the calls and attempts of the process.
 
-    Each submitted call gets exactly one result, unless the call is abandoned. Times are Unix ms of ``clock``.
-    The class is not thread-safe: all methods must run on the event loop that runs during the construction.
+    Each submitted call gets exactly one result, except an abandoned call, which gets none. Times are Unix ms
+    of ``clock``. The class is not thread-safe: construct it and call its methods on one running event loop.
+
+    A method with a past participle (``attempt_ended``, ``endpoints_changed``) is a report by a protocol
+    server or by the worker transport.
 
     Args:
         settings: The settings in force.
         seed: Seed of the random decisions of the routing node.
         clock: Returns Unix time in ms; None: a clock that is immune to steps of the wall clock.
-        max_pending_body_bytes: Size of the bodies of all pending calls from which on calls are rejected.
+        max_pending_body_bytes: Calls are rejected once the bodies of all pending calls have this size.
         incarnation: A random number of this start of the process; None: derived from the seed.
     """
 
@@ -122,7 +125,7 @@
         self.context.send_to_peer = send_to_peer
 
     def submit(self, call: Call) -> None:
-        """Accept a call, or reject the call at once if a bound on pending calls is reached."""
+        """Add a call to the pending calls; reject the call at once if their limit is reached."""
         if self.calls.is_full(self.context.settings.limits.max_pending_requests):
             self.reject_call(call)
             return
@@ -145,11 +148,14 @@
         )
 
     def arrival_ms(self) -> float:
-        """Return the earliest arrival time of input that is read now; time limits start at this time."""
+        """Return the time at which a client's time limit starts for input that is read now.
+
+        The time is now, less the time for which the input may have been unread after a stall of the process.
+        """
         return self.context.clock() - self.input_delay_ms()
 
     def reject_call(self, call: Call) -> None:
-        """Reject a call at once without adding the call to the pending calls."""
+        """Count a call as accepted and reject the call at once; the call never becomes pending."""
         self._count_accepted(call)
         self.completion.reject_at_once(call)
 
@@ -161,7 +167,7 @@
         self.figures.count_accepted()
 
     def fail_call(self, call: Call) -> None:
-        """Fail a call of a client that can be written to but no longer read from."""
+        """Fail a call, because its client sent invalid input after it; the client gets the result."""
         self.completion.fail(call)
 
     def abandon_call(self, call: Call) -> None:
@@ -201,7 +207,10 @@
         self.send_audit.on_preload_sent(self.context.clock(), worker_id, message_id, grace_ms)
 
     def worker_states_changed(self, states: Mapping[int, EndpointState]) -> None:
-        """Apply the states of all listed workers by id to everything that is sent from now on."""
+        """Use the worker states of a new endpoint list, by worker id, in the send guard and in the audit.
+
+        ``endpoints_changed`` reports the same list to the routing node.
+        """
         self.send_guard.update_ready_workers(
             worker_id for worker_id, state in states.items() if state is EndpointState.READY
         )
@@ -244,7 +253,7 @@
         self.flush_output()
 
     def complete_all_by(self, at_ms: float) -> None:
-        """Complete every call by a time, including the calls that are submitted from now on."""
+        """Limit the deadlines of all pending and all future calls to a time, for the shutdown."""
         self.shutdown_deadline_ms = at_ms
         self.deadlines.bring_forward(at_ms)
 
@@ -281,7 +290,7 @@
         events = self._event_queue
         self._event_queue = []
         if self._has_endpoint_update:
-            # Process updates first, so that a call that arrived earlier is not sent to a drained worker.
+            # Process updates first, so that the node selects no drained worker for a call queued before them.
             events.sort(key=lambda event: not isinstance(event, EndpointUpdate))
             self._has_endpoint_update = False
         actions: list[Action] = []
--- a/cedarthread/dispatch/send_guard.py
+++ b/cedarthread/dispatch/send_guard.py
@@ -1,8 +1,9 @@
 """The guard that permits or refuses each attempt and preload immediately before its first byte is written.
 
 The router selected the worker earlier. Since then the endpoint list may have changed, or the client may have
-disconnected, so the guard checks all rules again. The module does no I/O. Only ``SendGuard`` writes its
-state.
+disconnected, so the guard checks the rules of sending (``SendRefusal``) again. The module does no I/O. Only
+``SendGuard`` writes the set of ready workers. The dispatcher passes a refusal of an attempt to the log; the
+worker connection then ends the attempt as not sent.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
 
 
 class SendRefusal(StrEnum):
-    """The reason for which an attempt or a preload may not be sent; the values are logged."""
+    """The rule that forbids a send. The value is logged if the send is an attempt."""
 
     ATTEMPT_ENDED = "attempt_ended"
     CALL_COMPLETE = "call_complete"
-    CLIENT_DISCONNECTED = "client_gone"  # the client has closed its writing half
+    CLIENT_DISCONNECTED = "client_gone"  # or the client has closed its writing half: no new attempt starts
     DEADLINE_PASSED = "deadline_passed"  # of the call
     WORKER_NOT_READY = "worker_not_ready"  # draining, removed or never listed
-    RETRY_WINDOW_PASSED = "retry_window_passed"  # the deduplication window of an idempotency key
+    RETRY_WINDOW_PASSED = "retry_window_passed"  # `write_deadline_ms`: a worker may have dropped the key
     TOO_MANY_ATTEMPTS = "too_many_attempts"
     ATTEMPT_IN_FLIGHT = "attempt_in_flight"  # another attempt of the call
     MAY_HAVE_EXECUTED = "may_have_executed"  # an earlier attempt of a call that is not idempotent
@@ -39,19 +40,22 @@
         self._ready_workers: frozenset[int] | None = None  # None: no endpoint list has arrived yet
 
     def update_ready_workers(self, worker_ids: Iterable[int]) -> None:
-        """Replace the set of ready workers; sends to all other workers are refused from now on."""
+        """Replace the set of ready workers; sends to all other workers are refused."""
         self._ready_workers = frozenset(worker_ids)
 
     def refuse_worker(self, worker_id: int) -> SendRefusal | None:
-        """Return the reason for which nothing may be sent to a worker; None: sending is permitted."""
+        """Return the rule that forbids a send to a worker; None: the send is permitted.
+
+        Before the first endpoint list all workers are permitted, because no drain can be known.
+        """
         if self._ready_workers is not None and worker_id not in self._ready_workers:
             return SendRefusal.WORKER_NOT_READY
         return None
 
     def refuse_attempt(self, now_ms: float, attempt: Attempt, settings: RouterSettings) -> SendRefusal | None:
-        """Return the reason for which an attempt may not be sent; None: sending is permitted.
+        """Return the rule that forbids an attempt; None: the attempt is permitted.
 
-        The caller must have called ``Call.refresh_client_state``.
+        The first rule that applies is returned. The caller must have called ``Call.refresh_client_state``.
         """
         call = attempt.call
         if attempt.is_ended:
@@ -64,7 +68,7 @@
             return SendRefusal.DEADLINE_PASSED
         if now_ms > attempt.write_deadline_ms:
             return SendRefusal.RETRY_WINDOW_PASSED
-        if attempt.index:
+        if attempt.index > 0:  # a retry
             refusal = _refuse_retry(attempt, settings)
             if refusal is not None:
                 return refusal
@@ -72,7 +76,7 @@
 
 
 def _refuse_retry(attempt: Attempt, settings: RouterSettings) -> SendRefusal | None:
-    """Return the reason for which a retry may not be sent; None: sending is permitted."""
+    """Return the rule that forbids a retry; None: the retry is permitted."""
     call = attempt.call
     if attempt.index >= settings.limits.max_attempts:
         return SendRefusal.TOO_MANY_ATTEMPTS
