--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -44,9 +44,6 @@
     Each submitted call gets exactly one result, except an abandoned call, which gets none. Times are Unix ms
     of ``clock``. The class is not thread-safe: construct it and call its methods on one running event loop.
 
-    A method with a past participle (``attempt_ended``, ``endpoints_changed``) is a report by a protocol
-    server or by the worker transport.
-
     Args:
         settings: The settings in force.
         seed: Seed of the random decisions of the routing node.
