--- a/cedarthread/dispatch/completion.py
+++ b/cedarthread/dispatch/completion.py
@@ -1,8 +1,8 @@
 """The ends of attempts and calls.
 
 Each call gets exactly one result, except an abandoned call, which gets none. Only ``CallCompletion._deliver``
-passes results to the protocol server. A call that is pending at its deadline gets its result at most
-``OVERDUE_GRACE_MS`` later, without the router if necessary.
+passes results to the protocol server. A call that is pending when its deadline is handled gets its result at
+most ``OVERDUE_GRACE_MS`` later; if the router does not complete the call in time, ``complete_overdue`` does.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class CallCompletion:
-    """Completer of attempts and calls; reports the ends that the router must know to the routing node.
+    """Completer of attempts and calls. It queues an event for each end that the router must know.
 
     Args:
         context: Settings, clock and worker transport of the dispatcher.
@@ -174,8 +174,8 @@
 
     def _release(self, call: Call) -> None:
         self._calls.release(call)
-        # Unsent attempts are withdrawn, because their results are no longer needed. Written ones are left to
-        # the router, which cancels them if the settings allow cancels.
+        # Unsent attempts are withdrawn, because the call needs no result. Written and partly written ones are
+        # left to the router, which cancels them if the settings allow CANCEL.
         for attempt in call.attempts:
             if not attempt.is_ended:
                 self._context.workers().withdraw_unsent(attempt)
@@ -184,7 +184,9 @@
             self._context.call_at(call.deadline_ms, self._cancel_abandoned_attempts, call)
 
     def _cancel_abandoned_attempts(self, call: Call) -> None:
-        """Cancel the attempts of a released call at its deadline, where the settings forbid cancels before.
+        """Cancel the attempts of a released call at its deadline, if the settings forbid CANCEL.
+
+        The transport then ends the attempts without a CANCEL.
 
         Without this, an attempt at a worker that never responds would occupy its connection, and count as in
         flight, for the lifetime of the process.
--- a/cedarthread/dispatch/deadlines.py
+++ b/cedarthread/dispatch/deadlines.py
@@ -1,4 +1,4 @@
-"""The deadlines of all pending calls, on one timer of the event loop.
+"""The deadlines of all pending calls, and the ends of their graces, on one timer of the event loop.
 
 Only ``CallDeadlines`` writes the queue and the timer.
 """
@@ -55,8 +55,8 @@
     def run_if_due(self, now_ms: float) -> None:
         """Handle the due calls if the timer should have fired by ``now_ms``.
 
-        While CPU time is scarce, the event loop reads many sockets before it runs its timers. Without this
-        call, results would miss their deadlines.
+        While CPU time is scarce, the event loop reads many sockets before it runs its timers. Without
+        ``run_if_due``, results would miss their deadlines.
         """
         if now_ms >= self._wakeup_at_ms:
             self.on_timer()
@@ -76,7 +76,8 @@
             self._set_wakeup(timer_queue[0][0])
 
     def _set_wakeup(self, at_ms: float) -> None:
-        # Cancel the previous timer: each fired timer sets another one, so two timers would stay two.
+        # Cancel the previous timer. Every timer that fires sets the next one, so a second timer would never
+        # end.
         if self._wakeup_timer is not None:
             self._wakeup_timer.cancel()
         self._wakeup_at_ms = at_ms
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -2,7 +2,8 @@
 
 The protocol servers and the worker transport report to the dispatcher, which queues the reports as events. In
 the next iteration of the event loop, the dispatcher passes the queued events to the routing node and executes
-the actions that the node returns, unless sending is suspended. The dispatcher depends on no protocol.
+the actions that the node returns. While ``may_proceed`` returns False, the events stay queued; deadlines
+still run. The dispatcher depends on no protocol.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
         settings: The settings in force.
         seed: Seed of the random decisions of the routing node.
         clock: Returns Unix time in ms; None: a clock that is immune to steps of the wall clock.
-        max_pending_body_bytes: Calls are rejected once the bodies of all pending calls have this size.
+        max_pending_body_bytes: Calls are rejected while the pending bodies have this size in total.
         incarnation: A random number of this start of the process; None: derived from the seed.
     """
 
@@ -122,7 +123,7 @@
         self.context.send_to_peer = send_to_peer
 
     def submit(self, call: Call) -> None:
-        """Add a call to the pending calls; reject the call at once if their limit is reached."""
+        """Add a call to the pending calls; reject it at once if their number or size is at its limit."""
         if self.calls.is_full(self.context.settings.limits.max_pending_requests):
             self.reject_call(call)
             return
@@ -164,7 +165,7 @@
         self.figures.count_accepted()
 
     def fail_call(self, call: Call) -> None:
-        """Fail a call, because its client sent invalid input after it; the client gets the result."""
+        """Fail a call, because its client then sent invalid input; the client gets the result."""
         self.completion.fail(call)
 
     def abandon_call(self, call: Call) -> None:
@@ -176,7 +177,7 @@
         self.completion.on_client_closing(call)
 
     def may_start_attempt(self, attempt: Attempt) -> bool:
-        """Return whether an attempt may be sent, checked immediately before its first byte is written.
+        """Return whether an attempt may be sent; the transport asks immediately before the first byte.
 
         The close or CANCEL of the client may be unread, because this process is late or has paused reading
         from a client that reads slowly. Without this check the attempt would start after its client
@@ -235,7 +236,10 @@
         self._enqueue_event(event)
 
     def update_settings(self, new_settings: RouterSettings) -> RouterSettings:
-        """Apply new settings, and return the settings in force, which also contain all previous classes."""
+        """Apply new settings, and return the settings in force.
+
+        These also have all previous classes, so that the class index of a pending call stays valid.
+        """
         merged = merge_request_classes(self.settings.classes, self.current_class_index, new_settings.classes)
         self.context.settings = replace(new_settings, classes=merged.classes)
         self.current_class_index = merged.current_class_index
@@ -255,7 +259,7 @@
         self.deadlines.bring_forward(at_ms)
 
     def tick_early(self, within_ms: float) -> None:
-        """Run the tick of the components now if the tick is due within ``within_ms``.
+        """Run the tick of the node's components now if the tick is due within ``within_ms``.
 
         The process is awake at this time, so this saves a wakeup.
         """
--- a/cedarthread/dispatch/send_guard.py
+++ b/cedarthread/dispatch/send_guard.py
@@ -20,14 +20,16 @@
 
 
 class SendRefusal(StrEnum):
-    """The rule that forbids a send. The value is logged if the send is an attempt."""
+    """The rule that forbids a send. The value is logged at level debug if the send is an attempt."""
 
     ATTEMPT_ENDED = "attempt_ended"
     CALL_COMPLETE = "call_complete"
-    CLIENT_DISCONNECTED = "client_gone"  # or the client has closed its writing half: no new attempt starts
+    CLIENT_DISCONNECTED = (
+        "client_gone"  # the client has closed its writing half; `abandon` covers a full close
+    )
     DEADLINE_PASSED = "deadline_passed"  # of the call
-    WORKER_NOT_READY = "worker_not_ready"  # draining, removed or never listed
-    RETRY_WINDOW_PASSED = "retry_window_passed"  # `write_deadline_ms`: a worker may have dropped the key
+    WORKER_NOT_READY = "worker_not_ready"  # in another state, such as draining, or not on the list
+    RETRY_WINDOW_PASSED = "retry_window_passed"  # a worker may have dropped the idempotency key by now
     TOO_MANY_ATTEMPTS = "too_many_attempts"
     ATTEMPT_IN_FLIGHT = "attempt_in_flight"  # another attempt of the call
     MAY_HAVE_EXECUTED = "may_have_executed"  # an earlier attempt of a call that is not idempotent
@@ -46,7 +48,7 @@
     def refuse_worker(self, worker_id: int) -> SendRefusal | None:
         """Return the rule that forbids a send to a worker; None: the send is permitted.
 
-        Before the first endpoint list all workers are permitted, because no drain can be known.
+        Before the first endpoint list all workers are permitted, because no drain is known yet.
         """
         if self._ready_workers is not None and worker_id not in self._ready_workers:
             return SendRefusal.WORKER_NOT_READY
