--- a/cedarthread/replication/__init__.py
+++ b/cedarthread/replication/__init__.py
@@ -1,5 +1,5 @@
-"""Replicated operator entries: an anti-entropy store that every router holds a full copy of.
+"""Replicated operator entries: an anti-entropy store of which every router has a full copy.
 
-No sockets and no clock of its own: times come in as arguments, datagrams go out as return values. Design and
-proof: docs/design/register.md.
+The package has no sockets and no clock of its own: times are arguments, datagrams are return values. The
+design and the proof of its guarantee are in docs/design/register.md.
 """
--- a/cedarthread/replication/codec.py
+++ b/cedarthread/replication/codec.py
@@ -4,15 +4,15 @@
     SYNC_RESPONSE    nonce u64, root digest u64, incarnation u64, flags u8 (1: voter), age step u16 ms,
                      first router u16, remembered generation u64 (the greatest store generation that the
                      requester had reported to the responder), unix_ms f64; then a byte a router from the
-                     first on: 6 bits of age in steps (63: unknown), 64: read as a voter, 128: holds this root
+                     first on: 6 bits of age in steps (63: unknown), 64: read as a voter, 128: has this root
     SUMMARY_REQUEST  nonce u64; then the sum of each of 32 buckets, 48 bits
     SUMMARY          nonce u64, root digest u64, incarnation u64, buckets u32 (a bit each), part u8,
                      parts u8; then refs of key hash u32 and the low 32 bits of the entry's digest
     FETCH_REQUEST    items of key hash u32, digest low bits u32, fragments u16 (a bit each)
     FRAGMENT         digest u64, bytes of the entry u16, fragment number u8; then data
 
-Each datagram begins with the message type u8 and the kind u8. An entry's bucket is the low 5 bits of its key
-hash.
+The first byte of each datagram is the message type u8, the second the kind u8. An entry's bucket is the low 5
+bits of its key hash. The module has no state.
 """
 
 from __future__ import annotations
@@ -30,14 +30,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-HEADER_BYTES = 2  # type of message, kind
-AGES_PER_RESPONSE = 208  # routers that one response gives ages for: what fits one datagram
+HEADER_BYTES = 2  # message type, kind
+AGES_PER_RESPONSE = 208  # the ages of so many routers fit one datagram
 BUCKET_COUNT = 32
 BUCKET_SUM_BYTES = 6
 BUCKET_SUM_MODULUS = 2**48  # bucket sums are truncated to this on the wire
-DIGEST_LOW_MODULUS = 2**32  # a ref carries these low bits of a digest
-AGE_UNKNOWN = 63  # in place of an age in steps
-VOTER_FLAG, HOLDS_ROOT_FLAG = 64, 128  # beside the age
+DIGEST_LOW_MODULUS = 2**32  # a ref has these low bits of a digest
+AGE_UNKNOWN = 63  # instead of an age in steps
+VOTER_FLAG = 64  # in the byte of the age: the age is that of a read as a voter
+HOLDS_ROOT_FLAG = 128  # in the byte of the age: the router has the responder's root digest
 SYNC_REQUEST, SYNC_RESPONSE, SUMMARY_REQUEST, SUMMARY, FETCH_REQUEST, FRAGMENT = range(1, 7)
 _SYNC_REQUEST = struct.Struct("<BBQQQHQ")
 _SYNC_RESPONSE = struct.Struct("<BBQQQBHHQd")
@@ -54,19 +55,19 @@
 
 
 class EntryRef(NamedTuple):
-    """A short name of one version of an entry."""
+    """A short reference to one version of an entry."""
 
     key_hash: int
     digest_low: int
 
     @property
     def bucket(self) -> int:
-        """Which bucket the entry is summed in."""
+        """The bucket that has the entry in its sum."""
         return self.key_hash % BUCKET_COUNT
 
 
 class FetchItem(NamedTuple):
-    """Fragments that are wanted of one entry, a bit for each."""
+    """The fragments to fetch of one entry, a bit for each."""
 
     key_hash: int
     digest_low: int
@@ -75,8 +76,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncRequest:
-    """Asks a peer for its root digest and for how recently it has read each router from ``first_router``
-    on.
+    """A request for a peer's root digest and for the ages of the peer's reads.
+
+    The ages are those of AGES_PER_RESPONSE routers from ``first_router`` on.
     """
 
     nonce: int
@@ -93,20 +95,20 @@
     nonce: int
     root_digest: int
     incarnation: int
-    is_voter: bool
-    age_step_ms: int
+    is_voter: bool  # whether the responder is a voter
+    age_step_ms: int  # unit of the ages
     first_router: int
     ages: bytes
-    remembered_generation: int = 0
-    unix_ms: float = math.nan  # the responder's wall clock; NaN: not known
+    remembered_generation: int = 0  # the greatest store generation that the requester reported
+    unix_ms: float = math.nan  # the responder's wall clock; NaN if unknown
 
 
 @dataclass(frozen=True, slots=True)
 class SummaryRequest:
-    """Bucket sums that the requester has reached so far; the peer lists the buckets in which it differs."""
+    """A request for the refs in the buckets with other sums than the requester's."""
 
     nonce: int
-    bucket_sums: tuple[int, ...]  # 48 bits each
+    bucket_sums: tuple[int, ...]  # the requester's, modulo BUCKET_SUM_MODULUS
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +118,7 @@
     nonce: int
     root_digest: int
     incarnation: int
-    bucket_bits: int
+    bucket_bits: int  # a bit for each listed bucket
     part_index: int
     part_count: int
     refs: tuple[EntryRef, ...]
@@ -124,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchRequest:
-    """Asks a peer for fragments of entries."""
+    """A request for fragments of entries."""
 
     items: tuple[FetchItem, ...]
 
@@ -143,7 +145,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a datagram."""
+    """Return the bytes of a datagram."""
     if isinstance(message, SyncRequest):
         return _encode_sync_request(message)
     if isinstance(message, SyncResponse):
@@ -204,12 +206,12 @@
 
 
 def encode_to(message: Message, peer_index: int) -> SendToPeer:
-    """A datagram for one peer."""
+    """Encode a message for one peer."""
     return SendToPeer(encode(message), peer_index)
 
 
 def split_into_fragments(data: bytes, digest: int, wanted_bits: int = ALL_FRAGMENTS) -> list[EntryFragment]:
-    """Those fragments of an entry's canonical bytes whose bits are set."""
+    """Split an entry's canonical bytes; return the fragments with a bit set in ``wanted_bits``."""
     chunks = [data[offset : offset + FRAGMENT_BYTES] for offset in range(0, len(data), FRAGMENT_BYTES)]
     return [
         EntryFragment(digest, len(data), index, chunk)
@@ -219,7 +221,7 @@
 
 
 def decode(data: bytes) -> Message | MalformedDatagram:
-    """The message in a datagram. Never raises, whatever the bytes are."""
+    """Decode a datagram. Malformed bytes give a ``MalformedDatagram``; no bytes cause an exception."""
     if (
         not HEADER_BYTES <= len(data) <= MAX_DATAGRAM_BYTES
         or data[0] != MessageType.REPLICATION
--- a/cedarthread/replication/conflicts.py
+++ b/cedarthread/replication/conflicts.py
@@ -1,10 +1,9 @@
-"""Which acts of two routers contradict each other, and what a router does instead while its state is not
-fresh.
+"""Rules for acts of routers: which acts contradict each other, and the fallback of each act.
 
-Two acts *contradict* when no single state of the replicated store allows both. Routers whose states are fresh
-act on all that fresh routers know, so they do not contradict each other for longer than the staleness bound.
-A router whose state is not fresh does the *fallback* of an act, which contradicts nothing. Step 13 of
-docs/design/register.md.
+Two acts *contradict* each other when no single state of the replicated store allows both. Fresh routers know
+the same entries, so their acts contradict each other for no longer than the staleness bound. A router with a
+state that is not fresh replaces an act by the *fallback* of that act; a fallback contradicts no act. The
+module has constants and functions only, no state. Step 13 of docs/design/register.md.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 class Act(StrEnum):
-    """What a router may do on the strength of replicated entries."""
+    """An act that a router derives from replicated entries."""
 
     CHANGE_PLACEMENT = "load, unload or migrate instances"
     USE_EXCEPTION_BUDGET = "change placement by a unit of a freeze window's exception budget"
@@ -33,13 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ActRule:
-    """One act: those it contradicts when another router does them, and what is done instead while not
-    fresh.
-    """
+    """The rule for one act: the acts that contradict it, and its fallback."""
 
-    contradicts: frozenset[Act]
-    fallback: Act
-    reason: str
+    contradicts: frozenset[Act]  # when another router does one of them
+    fallback: Act  # replaces the act while the router's state is not fresh
+    reason: str  # why the act needs a fresh state
 
 
 def _rule(fallback: Act, reason: str, *contradicts: Act) -> ActRule:
@@ -74,10 +71,10 @@
 
 
 def are_contradictory(one: Act, other: Act) -> bool:
-    """Whether no single state allows these acts of two routers."""
+    """Return whether no single state allows ``one`` at one router and ``other`` at another."""
     return other in ACT_RULES[one].contradicts
 
 
 def act_or_fallback(act: Act, is_fresh: bool) -> Act:
-    """The act itself while the router's state is fresh, else its fallback."""
+    """Return ``act`` if the router's state is fresh, else the fallback of ``act``."""
     return act if is_fresh else ACT_RULES[act].fallback
--- a/cedarthread/replication/entry.py
+++ b/cedarthread/replication/entry.py
@@ -1,8 +1,9 @@
-"""Replicated entries: size bounds, canonical encoding, digests, and the order that decides between two edits.
+"""Replicated entries: size limits, canonical encoding, digests, and the order that decides between two edits.
 
-Values only, no state. Joining two sets of entries takes, for each kind and name, the maximum in the total
-order (version, digest). The join is commutative, associative and idempotent, as in state-based replicated
-data types (Shapiro, Preguiça, Baquero, Zawirski: "Conflict-free replicated data types", 2011).
+The module has values and functions only, no state. The join of two sets of entries selects, for each kind and
+name, the maximum in the total order (version, digest). The join is commutative, associative and idempotent,
+as in state-based replicated data types (Shapiro, Preguiça, Baquero, Zawirski: "Conflict-free replicated data
+types", 2011).
 """
 
 from __future__ import annotations
@@ -14,8 +15,9 @@
 
 from cedarthread.components.replicated_state import Entry, EntryKind, Version
 
-MAX_PROPOSED_ENTRIES = 512  # a router declares no entry beyond this many
-# More are accepted from peers: routers that propose at the same time may pass the first bound together.
+MAX_PROPOSED_ENTRIES = 512  # limit for proposals of this router
+# Limit for entries from peers. It is higher, because routers that propose at the same time may exceed
+# MAX_PROPOSED_ENTRIES together.
 MAX_ENTRIES = 1024
 MAX_BODY_BYTES = 2048
 MAX_NAME_BYTES = 64  # of UTF-8
@@ -29,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectedEntry:
-    """A proposal or an encoding that is not accepted: where, and what is wrong with it."""
+    """The reason why a proposal or an encoding of an entry is not accepted."""
 
-    location: str
+    location: str  # the entry, and its field if one is wrong
     problem: str
 
 
 class EncodedEntry(NamedTuple):
-    """An entry with its canonical bytes and their digest."""
+    """An entry with its canonical bytes and the digest of these bytes."""
 
     entry: Entry
     digest: int
@@ -44,19 +46,20 @@
 
     @classmethod
     def of(cls, entry: Entry) -> EncodedEntry:
-        """Encode an entry."""
+        """Encode ``entry`` and compute its digest."""
         data = encode(entry)
         return cls(entry, digest_of_bytes(data), data)
 
     @property
     def key(self) -> EntryKey:
-        """What identifies the entry across its versions."""
+        """The kind and name, which all versions of the entry share."""
         return self.entry.kind, self.entry.name
 
 
 def encode(entry: Entry) -> bytes:
-    """The canonical bytes of an entry: what its digest covers and what routers send each other."""
-    name, version = entry.name.encode(), entry.version
+    """Return the canonical bytes of an entry, which its digest covers and which routers send each other."""
+    name = entry.name.encode()
+    version = entry.version
     header = _HEADER.pack(
         ENTRY_KINDS.index(entry.kind),
         len(name),
@@ -69,7 +72,10 @@
 
 
 def decode(data: bytes) -> Entry | RejectedEntry:
-    """The entry that these bytes encode. Never raises."""
+    """Decode the canonical bytes of an entry.
+
+    Malformed bytes give a ``RejectedEntry``; no bytes cause an exception.
+    """
     if not _HEADER.size < len(data) <= MAX_ENTRY_BYTES:
         return RejectedEntry("entry", f"{len(data)} bytes")
     kind, name_bytes, counter, author, incarnation, replaces_digest = _HEADER.unpack_from(data)
@@ -80,7 +86,7 @@
     except UnicodeDecodeError:
         return RejectedEntry("entry: name", "no UTF-8")
     body = data[_HEADER.size + name_bytes :]
-    if len(name.encode()) != name_bytes:  # the name was cut short
+    if len(name.encode()) != name_bytes:  # the data ends within the name
         return RejectedEntry("entry: name", f"{name_bytes} bytes")
     rejected = check_bounds(ENTRY_KINDS[kind], name, body)
     version = Version(counter, author, incarnation)
@@ -88,7 +94,7 @@
 
 
 def check_bounds(kind: EntryKind, name: str, body: bytes) -> RejectedEntry | None:
-    """What is wrong with the size or encoding of an entry's name or body; None if nothing is."""
+    """Return why an entry's name or body violates a limit; None if both are within the limits."""
     try:
         name_bytes = len(name.encode())
     except UnicodeEncodeError:
@@ -102,31 +108,34 @@
 
 
 def entry_digest(entry: Entry) -> int:
-    """64 bits over kind, name, version, replaced digest and body; never 0."""
+    """Return 64 bits over kind, name, version, replaced digest and body; never 0."""
     return digest_of_bytes(encode(entry))
 
 
 def digest_of_bytes(data: bytes) -> int:
-    """The digest of an entry's canonical bytes. Never 0, which means "no entry" in ``replaces_digest``."""
+    """Return the digest of an entry's canonical bytes.
+
+    The result is never 0, because 0 in ``replaces_digest`` means that an entry replaces no other.
+    """
     return int.from_bytes(blake2b(data, digest_size=8).digest(), "little") or 1
 
 
 def key_hash(kind: EntryKind, name: str) -> int:
-    """32 bits for a kind and name."""
+    """Return a 32-bit hash of a kind and name."""
     data = bytes((ENTRY_KINDS.index(kind),)) + name.encode()
     return int.from_bytes(blake2b(data, digest_size=4, person=b"name").digest(), "little")
 
 
 def order_key(entry: Entry, digest: int) -> tuple[Version, int]:
-    """Position in the total order of all entries with the same kind and name."""
+    """Return the position of an entry in the total order of all entries with the same kind and name."""
     return entry.version, digest
 
 
 def join(one: Entry, other: Entry) -> Entry:
-    """Which of two entries of the same kind and name wins."""
+    """Return the winner of two entries with the same kind and name."""
     return max(one, other, key=lambda entry: order_key(entry, entry_digest(entry)))
 
 
 def is_concurrent(winner: Entry, loser_digest: int) -> bool:
-    """Whether the winner's author did not know the loser when it wrote the winner."""
+    """Return whether the winner's author did not know the loser when writing the winner."""
     return winner.replaces_digest != loser_digest
--- a/cedarthread/replication/fragments.py
+++ b/cedarthread/replication/fragments.py
@@ -1,4 +1,7 @@
-"""Reassembly of entries that peers send in fragments."""
+"""Reassembly of entries that peers send in fragments.
+
+``FragmentAssembler`` has the state, which only ``SyncSessions`` changes.
+"""
 
 from __future__ import annotations
 
@@ -16,36 +19,50 @@
 if TYPE_CHECKING:
     from cedarthread.replication.state import ReplicaState
 
-MAX_PARTIAL_ENTRIES = 64  # entries of which fragments may wait for the rest; the oldest are dropped first
+MAX_PARTIAL_ENTRIES = 64  # the oldest partial entries are dropped first
 
 
 class PartialEntry:
-    """An entry of which some fragments have arrived."""
+    """An entry of which some fragments have arrived.
+
+    Args:
+        entry_bytes: Length of the complete entry in bytes.
+    """
 
     def __init__(self, entry_bytes: int) -> None:
         self.entry_bytes = entry_bytes
         self.fragments: dict[int, bytes] = {}  # by index
 
     def missing_bits(self) -> int:
-        """A bit for each fragment that has not arrived; 0: the entry is complete."""
+        """Return a bit mask of the fragments that have not arrived; 0 if the entry is complete."""
         fragment_count = -(-self.entry_bytes // FRAGMENT_BYTES)
         return sum(1 << index for index in range(fragment_count) if index not in self.fragments)
 
     def data(self) -> bytes:
-        """The bytes of a complete entry."""
+        """Return the bytes of a complete entry."""
         return b"".join(self.fragments[index] for index in sorted(self.fragments))
 
 
 class FragmentAssembler:
-    """Collects fragments until their entry is complete and checks the entry."""
+    """The partial entries of one router, each with its fragments, and a count of invalid ones.
+
+    Args:
+        state: This router's entries, read to recognise fragments of known entries.
+    """
 
     def __init__(self, state: ReplicaState) -> None:
         self.state = state
         self.partial_entries: dict[int, PartialEntry] = {}  # by digest
-        self.invalid_count = 0  # fragments and entries that contradicted themselves or did not fit
+        self.invalid_count = (
+            0  # fragments of the wrong length; complete entries that are malformed or exceed MAX_ENTRIES
+        )
 
     def add(self, fragment: EntryFragment) -> EncodedEntry | None:
-        """Take a fragment; the entry that it completes, if it is new here and valid."""
+        """Add a fragment and return the entry that the fragment completes, if any.
+
+        The result is None as well if the entry is already known to this router, or if the complete entry is
+        invalid.
+        """
         if fragment.digest in self.state.known_digests:
             return None
         partial = self.partial_entries.setdefault(fragment.digest, PartialEntry(fragment.entry_bytes))
@@ -70,7 +87,7 @@
         return None
 
     def missing_bits_by_digest_low(self) -> dict[int, int]:
-        """For each partial entry, by the low bits of its digest: a bit for each missing fragment."""
+        """Return the bit mask of missing fragments of each partial entry, by the low bits of its digest."""
         return {
             digest % DIGEST_LOW_MODULUS: partial.missing_bits()
             for digest, partial in self.partial_entries.items()
--- a/cedarthread/replication/local_replica.py
+++ b/cedarthread/replication/local_replica.py
@@ -1,6 +1,7 @@
-"""The replicated state on this router: its entries, their durability here and their replication elsewhere.
+"""One router's replica: its entries, their durability here and their replication to a majority.
 
-No networking: ``store.py`` joins it to the anti-entropy protocol.
+The module has no networking; ``store.py`` connects the replica to the anti-entropy protocol. Entries change
+only by ``LocalReplica.merge``.
 """
 
 from __future__ import annotations
@@ -29,20 +30,26 @@
 
 
 class LocalReplica:
-    """One router's entries and what it may conclude from them.
-
-    ``is_durable``: the host persists changes and reports them by ``mark_persisted``; until then this router
-    does not tell peers that it holds them.
+    """One router's entries, and the conclusions that this router may draw from them.
+
+    Args:
+        router_index: Index of this router, the author of the entries that ``prepare`` builds.
+        incarnation: Incarnation of this router, part of the versions that ``prepare`` builds.
+        freshness: Tracker of this router's reads; the replica reports changes to the tracker.
+        is_durable: Whether the host persists changes and reports them by ``mark_persisted``. Until then this
+            router does not confirm them to peers.
     """
 
     def __init__(
         self, router_index: int, incarnation: int, freshness: FreshnessTracker, is_durable: bool
     ) -> None:
-        self.router_index, self.incarnation = router_index, incarnation
+        self.router_index = router_index
+        self.incarnation = incarnation
         self.state = ReplicaState()
         self.freshness = freshness
         self.is_durable = is_durable
-        self.revision = self.persisted_revision = 0  # counts changes of the state
+        self.revision = 0  # counts changes of the state
+        self.persisted_revision = 0  # the latest revision that the disk has
         self._changed_keys: dict[EntryKey, None] = {}
         self._pending_logs: list[OutboundMessage] = []
 
@@ -53,14 +60,25 @@
         body: bytes,
         canonical_body: Callable[[bytes], bytes] | None = None,
     ) -> EncodedEntry | Entry | RejectedEntry:
-        """A new version of an entry, to be merged; or the entry that is held, if its meaning is the same."""
+        """Build a new version of an entry, which the caller merges.
+
+        Args:
+            kind: Kind of the entry.
+            name: Name of the entry, unique in its kind.
+            body: Body of the new version.
+            canonical_body: Returns the meaning of a body as bytes; by default the body itself.
+
+        Returns:
+            The new version; the stored entry if it has the same meaning; or the reason for a rejection.
+        """
         if (rejected := check_bounds(kind, name, body)) is not None:
             return rejected
         if self.state.is_full((kind, name), MAX_PROPOSED_ENTRIES):
             return RejectedEntry(
                 f"{kind} {name!r}", f"{MAX_PROPOSED_ENTRIES} entries are held, no more may be"
             )
-        old, meaning = self.state.records.get((kind, name)), canonical_body or bytes
+        old = self.state.records.get((kind, name))
+        meaning = canonical_body or bytes
         if old is not None and meaning(old.entry.body) == meaning(body):
             return old.entry
         version = self.state.next_version(self.router_index, self.incarnation)
@@ -80,7 +98,7 @@
             self._log_lost_edit(encoded.entry, result.replaced)
 
     def _log_lost_edit(self, winner: Entry, loser: EntryRecord) -> None:
-        """Tell operators that an edit made here was replaced by one whose author did not know it."""
+        """Log that a version by an author without knowledge of this router's edit replaced that edit."""
         version = loser.entry.version
         is_own = version.author == self.router_index and version.incarnation == self.incarnation
         if is_own and is_concurrent(winner, loser.digest):
@@ -94,16 +112,20 @@
             )
 
     def is_persisted(self) -> bool:
-        """Whether all that is held would survive a restart, as far as this router has promised it."""
+        """Return whether a restart preserves every entry that this router may confirm to peers.
+
+        A router that is not durable loses its vote in a restart, so its confirmations need no disk and the
+        result is True.
+        """
         return not self.is_durable or self.persisted_revision >= self.revision
 
     def mark_persisted(self, now_ms: float, revision: int) -> None:
-        """The state of this revision is on the disk."""
+        """Record that the disk has the state of ``revision``."""
         self.persisted_revision = max(self.persisted_revision, revision)
         self.update_freshness(now_ms)
 
     def update_freshness(self, now_ms: float) -> None:
-        """Draw conclusions from what was read, merged or persisted since the last call."""
+        """Draw conclusions from reads, merges and disk writes since the last call."""
         if self.freshness.update(now_ms, self.is_persisted()):
             self._log(format_event("replica_became_voter"))
         newly_replicated = self.freshness.majority.newly_replicated
@@ -116,14 +138,16 @@
         newly_replicated.clear()
 
     def take_changes(self) -> tuple[ReplicatedEntry, ...]:
-        """Entries that came, changed or became replicated to a majority since the last call."""
-        keys, self._changed_keys = self._changed_keys, {}
+        """Return and clear the entries received, changed or replicated to a majority since the last call."""
+        keys = self._changed_keys
+        self._changed_keys = {}
         return tuple(self.state.records[key].to_replicated_entry() for key in keys)
 
     def _log(self, line: str) -> None:
         self._pending_logs.append(LogMessage(line))
 
     def take_logs(self) -> list[OutboundMessage]:
-        """Log lines since the last call."""
-        logs, self._pending_logs = self._pending_logs, []
+        """Return and clear the log messages since the last call."""
+        logs = self._pending_logs
+        self._pending_logs = []
         return logs
--- a/cedarthread/replication/majority.py
+++ b/cedarthread/replication/majority.py
@@ -1,8 +1,9 @@
-"""Which changes of this router's state are known to be replicated to a majority of the routers.
+"""Which changes of a router's state are replicated to a majority of the routers.
 
-After each change, the routers that are known to hold the new root digest are tracked in a cohort. A router
-that holds a later root also holds the earlier ones, since states only grow. Steps 8 and 9 of
-docs/design/register.md.
+A *cohort* is created after each change and records which routers are known to have the new root digest. A
+router with a later root digest also has the entries of the earlier ones, because states only grow.
+``FreshnessTracker`` owns the tracker; ``LocalReplica`` removes the entries that it has marked as replicated.
+Steps 8 and 9 of docs/design/register.md.
 """
 
 from __future__ import annotations
@@ -13,56 +14,77 @@
 if TYPE_CHECKING:
     from cedarthread.replication.entry import EntryKey
 
-MAX_COHORTS = 8  # changes that are tracked apart until each is replicated
+MAX_COHORTS = 8  # changes that are tracked separately until each is replicated
 NEVER_MS = -math.inf
 
 
 class ChangeCohort:
-    """Entries that changed together: replicated once a majority is known to have held the root after them."""
+    """Entries that changed together, and when each router was last known to have them.
+
+    The entries are replicated once a majority is known to have had ``root_digest`` within the window.
+
+    Args:
+        root_digest: This router's root digest after the change.
+        router_count: Number of configured routers.
+    """
 
     def __init__(self, root_digest: int, router_count: int) -> None:
         self.root_digest = root_digest
-        self.held_at_ms = [NEVER_MS] * router_count  # by router: when it was last known to hold the root
+        self.held_at_ms = [
+            NEVER_MS
+        ] * router_count  # by router: when it was last known to have the root digest
         self.pending_digests: dict[EntryKey, int] = {}  # entries that are not known to be replicated yet
 
 
 class MajorityTracker:
-    """Who holds what this router holds. Times in ms on this router's steady clock.
+    """The cohorts of one router's recent changes, and the changes newly known to be replicated.
 
-    ``window_ms``: how long a router counts as holding a root after the time for which that is known.
+    Times are in ms on this router's steady clock.
+
+    Args:
+        router_count: Number of configured routers.
+        window_ms: How long a router counts as having a root digest after the time for which that is known.
+        root_digest: Root digest of this router's state at the start.
     """
 
     def __init__(self, router_count: int, window_ms: float, root_digest: int = 0) -> None:
-        self.router_count, self.window_ms = router_count, window_ms
+        self.router_count = router_count
+        self.window_ms = window_ms
         self.quorum = router_count // 2 + 1
         self.cohorts = [ChangeCohort(root_digest, router_count)]
-        self.newly_replicated: dict[EntryKey, int] = {}  # digests; the caller takes them out
+        self.newly_replicated: dict[EntryKey, int] = {}  # digests; the caller removes them
 
     def on_state_changed(self, root_digest: int, key: EntryKey, digest: int) -> None:
-        """This router's state has a new root, which no other router is known to hold."""
+        """Start a cohort for a new root digest, which no other router is known to have."""
         cohort = ChangeCohort(root_digest, self.router_count)
         cohort.pending_digests[key] = digest
         self.cohorts = [earlier for earlier in self.cohorts if earlier.pending_digests]
         if len(self.cohorts) >= MAX_COHORTS:
-            # Holding the later root implies holding the earlier one, so merging errs on the late side.
+            # A router with the later root digest also has the earlier entries, so merging two cohorts can
+            # only delay the conclusion.
             oldest = self.cohorts.pop(0)
             self.cohorts[0].pending_digests = oldest.pending_digests | self.cohorts[0].pending_digests
         self.cohorts.append(cohort)
 
     def holder_times(self, root_digest: int) -> list[list[float]]:
-        """The ``held_at_ms`` of all cohorts that a router with this root digest holds; none for an unknown
-        root.
+        """Return the confirmation times of all cohorts that a router with this root digest has.
+
+        The lists belong to the cohorts, so that the caller can record confirmations in them. An unknown root
+        digest gives an empty result.
         """
         last = next((n for n, cohort in enumerate(self.cohorts) if cohort.root_digest == root_digest), -1)
         return [cohort.held_at_ms for cohort in self.cohorts[: last + 1]]
 
     def latest_holder_times(self) -> list[float]:
-        """By router: when it was last known to hold this router's present root."""
+        """Return, by router, when the router was last known to have this router's current root digest."""
         return self.cohorts[-1].held_at_ms
 
     def update(self, now_ms: float, is_persisted: bool) -> None:
-        """Add what is replicated by now to ``newly_replicated``. ``is_persisted``: this router counts as a
-        holder.
+        """Move the changes that are replicated by now to ``newly_replicated``.
+
+        Args:
+            now_ms: Current time.
+            is_persisted: Whether this router itself counts as a holder.
         """
         for cohort in self.cohorts:
             if cohort.pending_digests and self._count_holders(now_ms, cohort) + is_persisted >= self.quorum:
--- a/cedarthread/replication/state.py
+++ b/cedarthread/replication/state.py
@@ -1,8 +1,9 @@
-"""The entries that one router holds, with digest sums by which two routers' states are compared.
+"""The entries that one router stores, with digest sums by which two routers compare their states.
 
-The root digest is the sum of all entries' digests modulo 2^64, and each bucket's sum that of its entries; the
-bucket sums add up to the root digest. A router that recognises every entry of another, held here or
-superseded here, can therefore prove by the sums alone that it lacks nothing of the other's state.
+The root digest is the sum of the digests of all entries modulo 2^64. A bucket's sum is that of the bucket's
+entries, so the bucket sums add up to the root digest. Once a router has stored or superseded every entry of
+another router, the sums alone prove that it lacks nothing of the other's state. ``LocalReplica`` merges
+entries; ``SyncSessions`` marks root digests as covered.
 """
 
 from __future__ import annotations
@@ -15,54 +16,59 @@
 from cedarthread.replication.entry import EncodedEntry, EntryKey, key_hash, order_key
 
 DIGEST_MODULUS = 2**64
-MAX_SUPERSEDED_DIGESTS = 4096  # remembered; the oldest are forgotten first
-MAX_COVERED_ROOTS = 256  # remembered; the least recently confirmed are forgotten first
+MAX_SUPERSEDED_DIGESTS = 4096  # the oldest are dropped first
+MAX_COVERED_ROOTS = 256  # the least recently confirmed are dropped first
 
 
 @dataclass(slots=True)
 class EntryRecord:
-    """The entry that is held for one kind and name. Times in ms on this router's steady clock."""
+    """The entry stored for one kind and name. Times are in ms on this router's steady clock."""
 
     entry: Entry
     digest: int
     data: bytes  # canonical
     received_at_ms: float
-    replicated_at_ms: float | None = None  # when it was first known to be held by a majority
+    replicated_at_ms: float | None = None  # when a majority was first known to have the entry
 
     def to_replicated_entry(self) -> ReplicatedEntry:
-        """The record as other components read it."""
+        """Return the record as other components read it."""
         return ReplicatedEntry(self.entry, self.received_at_ms, self.replicated_at_ms)
 
 
 class MergeResult(NamedTuple):
-    """What joining one entry did."""
+    """The effect of joining one entry into the state."""
 
     is_changed: bool
-    replaced: EntryRecord | None = None  # the record that was held before, if one was replaced
+    replaced: EntryRecord | None = None  # the previous record, if one was replaced
 
 
 def entry_ref(entry: Entry, digest: int) -> EntryRef:
-    """How summaries and fetch requests name this version of an entry."""
+    """Return the ref by which summaries and fetch requests name this version of an entry."""
     return EntryRef(key_hash(entry.kind, entry.name), digest % DIGEST_LOW_MODULUS)
 
 
 class ReplicaState:
-    """Entries by kind and name. The state only grows in the order of the join; nothing is deleted."""
+    """Entries by kind and name. The state only grows in the order of the join; no entry is deleted."""
 
     def __init__(self) -> None:
-        self.records: dict[EntryKey, EntryRecord] = {}  # the most recently received last
-        self.keys_by_ref: dict[EntryRef, EntryKey] = {}  # of the entries held
+        self.records: dict[EntryKey, EntryRecord] = {}  # in order of reception
+        self.keys_by_ref: dict[EntryRef, EntryKey] = {}  # of the stored entries
         self.superseded_digests: dict[EntryRef, int] = {}  # the oldest first
-        self.known_digests: set[int] = set()  # held or superseded
+        self.known_digests: set[int] = set()  # of stored and superseded entries
         self.bucket_sums = [0] * BUCKET_COUNT
         self.root_digest = 0
-        self.covered_roots: dict[int, None] = {0: None}  # root digests of states known to be within this one
+        self.covered_roots: dict[int, None] = {0: None}  # of states that are known to be within this one
         self.highest_counter = 0  # of all versions seen
         self._entries_by_kind: dict[EntryKind, tuple[ReplicatedEntry, ...]] = {}  # cache
 
     def merge(self, now_ms: float, encoded: EncodedEntry) -> MergeResult:
-        """Join one entry into the state. The caller enforces the bound on their number (``is_full``)."""
-        entry, digest, key = encoded.entry, encoded.digest, encoded.key
+        """Join one entry into the state.
+
+        The caller enforces the limit on the number of entries (``is_full``).
+        """
+        entry = encoded.entry
+        digest = encoded.digest
+        key = encoded.key
         ref = entry_ref(entry, digest)
         old = self.records.get(key)
         self.highest_counter = max(self.highest_counter, entry.version.counter)
@@ -87,7 +93,7 @@
         return MergeResult(True, old)
 
     def supersedes(self, entry: Entry, digest: int, old: EntryRecord) -> bool:
-        """Whether an entry wins over the one that is held."""
+        """Return whether an entry wins over the stored one."""
         return order_key(entry, digest) > order_key(old.entry, old.digest)
 
     def _add_to_sums(self, bucket: int, digest: int) -> None:
@@ -100,18 +106,19 @@
             self.known_digests.discard(self.superseded_digests.pop(next(iter(self.superseded_digests))))
 
     def known_digest(self, ref: EntryRef) -> int | None:
-        """The full digest of an entry that is held or superseded here; None if the ref is not recognised."""
+        """Return the full digest of an entry that is stored or superseded here; None for an unknown ref."""
         if (key := self.keys_by_ref.get(ref)) is not None:
             return self.records[key].digest
         return self.superseded_digests.get(ref)
 
     def is_full(self, key: EntryKey, max_entries: int) -> bool:
-        """Whether an entry of this key would exceed the bound."""
+        """Return whether an entry with this key would exceed ``max_entries``."""
         return key not in self.records and len(self.records) >= max_entries
 
     def mark_covered(self, root_digest: int) -> None:
-        """Remember that the state with this root digest is within this one; it stays so, for this one only
-        grows.
+        """Record that the state with this root digest is within this one.
+
+        The record stays valid, because this state only grows.
         """
         self.covered_roots.pop(root_digest, None)
         self.covered_roots[root_digest] = None
@@ -123,7 +130,7 @@
         self._entries_by_kind.pop(kind, None)
 
     def entries(self, kind: EntryKind) -> tuple[ReplicatedEntry, ...]:
-        """All entries of a kind, sorted by name."""
+        """Return all entries of a kind, sorted by name."""
         if (cached := self._entries_by_kind.get(kind)) is None:
             names = sorted(name for record_kind, name in self.records if record_kind is kind)
             cached = tuple(self.records[kind, name].to_replicated_entry() for name in names)
@@ -131,5 +138,5 @@
         return cached
 
     def next_version(self, author: int, incarnation: int) -> Version:
-        """A version greater than all that were seen here."""
+        """Return a version greater than all versions seen here."""
         return Version(self.highest_counter + 1, author, incarnation)
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -1,9 +1,10 @@
-"""The replicated store: the component that keeps operator entries alike at all routers by anti-entropy.
+"""The replicated store: the component that gives all routers the same operator entries, by anti-entropy.
 
-Each router asks one random peer per period for its root digest and fetches what it lacks. A response counts
-as a confirmation from when it was asked for, and only once all of the peer's state is held here. What follows
-from confirmations (freshness, replication to a majority) is in ``freshness.py`` and ``majority.py``. Steps 1
-to 13 of docs/design/register.md.
+Each router sends one sync request per period to a random peer, compares root digests, and fetches the entries
+that it lacks. A response counts as a confirmation from when its request was sent, and only once this router
+stores all of the peer's entries. ``freshness.py`` and ``majority.py`` derive freshness and replication to a
+majority from the confirmations. All state of the package changes within calls of
+``ReplicatedStore``. Steps 1 to 13 of docs/design/register.md.
 """
 
 from __future__ import annotations
@@ -40,38 +41,47 @@
     from cedarthread.components.replicated_state import Entry, EntryKind, ReplicatedEntry
     from cedarthread.model.actions import SendToPeer
 
-MAX_TICK_GAP_MS = 2000.0  # after a longer pause of this router its open requests and sessions do not count
+MAX_TICK_GAP_MS = 2000.0  # after a longer pause of this router its open requests and sessions are dropped
 MAX_TICK_INTERVAL_MS = 250.0  # the host calls on_tick at least this often
-ASSUMED_LOSS = 0.2  # of datagrams, that the default window allows for
+ASSUMED_LOSS = 0.2  # fraction of lost datagrams that the default window allows for
 BOOTSTRAP_PEERS = 8  # peers to read completely after a start before acting without a majority of voters
 _RNG_SALT = 0x5245_4749  # so that components with the same seed draw differently
 
 
 def default_window_ms(period_ms: float, router_count: int) -> float:
-    """The freshness window V by the formula of the design page, step 10: the rounds that requests need to
-    reach all.
+    """Return the default freshness window V.
+
+    The formula (step 10 of docs/design/register.md) counts the rounds in which requests reach all routers.
     """
     rounds = math.log2(router_count) + math.log(router_count) + 6.0
     return period_ms * rounds / (1.0 - ASSUMED_LOSS) ** 2
 
 
 class PeerClockSample(NamedTuple):
-    """A peer's wall clock in its sync response, and when the response was asked for and received on this
-    clock.
-    """
+    """A peer's wall clock, read from a sync response."""
 
-    unix_ms: float
-    sent_at_ms: float
-    received_at_ms: float
+    unix_ms: float  # the peer's wall clock; NaN if the peer does not know the time
+    sent_at_ms: float  # when the request was sent, on this router's steady clock
+    received_at_ms: float  # when the response arrived, on this router's steady clock
 
 
 class ReplicatedStore:
     """One router's replicated store: a ``Component``, and the ``ReplicatedState`` that other components read.
 
-    Times are in ms on this router's steady clock. ``seed`` must differ from incarnation to incarnation, and
-    the object be made after the former incarnation has ended. ``window_ms`` is the freshness window, 0 for
-    the default; it must be the same at all routers. ``is_durable``: the host persists changes, reports them
-    by ``mark_persisted``, and may restore this router as a voter.
+    Times are in ms on this router's steady clock.
+
+    Args:
+        router_index: Index of this router.
+        router_count: Number of configured routers.
+        incarnation: Random number drawn at each start of the process. The store must be created after the
+            former incarnation has ended.
+        seed: Seed for peers, nonces and jitter; must differ between incarnations.
+        period_ms: Mean time between two periodic sync requests.
+        window_ms: Freshness window, the same at all routers; 0 selects ``default_window_ms``.
+        clock_rate: Fraction by which a router's clock may run fast or slow.
+        now_ms: Start of this incarnation.
+        is_durable: Whether the host persists changes, reports them by ``mark_persisted``, and may restore
+            this router as a voter.
     """
 
     message_types = frozenset((int(MessageType.REPLICATION),))
@@ -91,7 +101,8 @@
         now_ms: float = 0.0,
         is_durable: bool = False,
     ) -> None:
-        self.router_index, self.router_count = router_index, router_count
+        self.router_index = router_index
+        self.router_count = router_count
         self.incarnation = incarnation % DIGEST_MODULUS
         self.window_ms = window_ms or default_window_ms(period_ms, router_count)
         rng = random.Random(seed ^ incarnation << 64 ^ _RNG_SALT)
@@ -110,9 +121,13 @@
         self.peer_incarnations: dict[int, int] = {}
         self.peer_restart_count = 0
         self.store_generation = 0  # of this router's disk; the host sets it
-        self.peer_generations: dict[int, int] = {}  # of peers' disks, the greatest that each has reported
-        self.generation_known_to_peer: dict[int, int] = {}  # of this router's disk, as each peer remembers it
-        self.unix_ms = math.nan  # the wall clock that peers are told; the host sets it
+        self.peer_generations: dict[
+            int, int
+        ] = {}  # of peers' disks: the greatest that each peer has reported
+        self.generation_known_to_peer: dict[
+            int, int
+        ] = {}  # of this router's disk: the greatest that each peer remembers
+        self.unix_ms = math.nan  # the wall clock that responses carry; the host sets it
         self.peer_clock_samples: dict[int, PeerClockSample] = {}  # since the host last cleared them
 
     # For operators and the host.
@@ -125,10 +140,18 @@
         body: bytes,
         canonical_body: Callable[[bytes], bytes] | None = None,
     ) -> Entry | RejectedEntry:
-        """Declare an entry at this router. If an entry of the same meaning is held, that one is returned
-        unchanged.
-
-        ``canonical_body`` gives a body's meaning as bytes, by default the body itself.
+        """Declare an entry at this router.
+
+        Args:
+            now_ms: Current time.
+            kind: Kind of the entry.
+            name: Name of the entry, unique in its kind.
+            body: Body of the entry.
+            canonical_body: Returns the meaning of a body as bytes; by default the body itself.
+
+        Returns:
+            The new entry; the stored entry, unchanged, if it has the same meaning; or the reason for a
+                rejection.
         """
         prepared = self.replica.prepare(kind, name, body, canonical_body)
         if not isinstance(prepared, EncodedEntry):
@@ -138,8 +161,13 @@
         return prepared.entry
 
     def restore(self, entries: Iterable[Entry], is_voter: bool, now_ms: float = 0.0) -> None:
-        """Take what the disk had at the start. ``is_voter``: the disk is known to be complete and no older
-        than what this router told peers, so nothing is forgotten.
+        """Merge the entries that the disk had at the start.
+
+        Args:
+            entries: The entries on the disk.
+            is_voter: Whether the disk is complete and no older than this router's confirmations to peers, so
+                that this router has lost no entry that it confirmed.
+            now_ms: Current time.
         """
         for entry in entries:
             self._merge(now_ms, EncodedEntry.of(entry))
@@ -148,7 +176,7 @@
 
     @property
     def revision(self) -> int:
-        """Counts changes of the entries held."""
+        """The number of changes to the stored entries."""
         return self.replica.revision
 
     @property
@@ -162,48 +190,47 @@
         return self.requests.all_peers
 
     def set_durable(self, is_durable: bool) -> None:
-        """Whether the host persists changes from now on."""
+        """Set whether the host persists changes from now on."""
         self.replica.is_durable = is_durable
 
     def snapshot(self) -> tuple[Entry, ...]:
-        """All entries, for the disk; ``revision`` says which state of them it is."""
+        """Return all entries, for the disk; ``revision`` identifies this state of the entries."""
         return tuple(record.entry for record in self.replica.state.records.values())
 
     def mark_persisted(self, now_ms: float, revision: int) -> None:
-        """The state of that ``revision`` is on the disk."""
+        """Record that the disk has the state of ``revision``."""
         self.replica.mark_persisted(now_ms, revision)
 
     def take_changes(self) -> tuple[ReplicatedEntry, ...]:
-        """Entries that came, changed or became replicated to a majority since the last call."""
+        """Return and clear the entries received, changed or replicated to a majority since the last call."""
         return self.replica.take_changes()
 
     def has_read_enough_peers(self) -> bool:
-        """Whether this incarnation has read several peers completely.
+        """Return whether this incarnation has read several peers completely.
 
-        An entry that one peer in eight holds is then missed once in 256 times, if half of them remember it.
-        Used where a majority are not voters, so that freshness says nothing.
+        The result serves where a majority are not voters, so that no router can become fresh. An entry that
+        one peer in eight stores is then missed once in 256 times, if half of these peers remember the entry.
         """
         return len(self.sessions.fully_read_peers) >= min(BOOTSTRAP_PEERS, len(self.requests.all_peers))
 
     # For other components.
 
     def entries(self, kind: EntryKind) -> tuple[ReplicatedEntry, ...]:
-        """All entries of a kind, sorted by name."""
+        """Return all entries of a kind, sorted by name."""
         return self.replica.state.entries(kind)
 
     def is_fresh(self, now_ms: float) -> bool:
-        """Whether a majority of the configured routers has confirmed lately that this one lacks nothing of
-        theirs.
-        """
+        """Return whether a majority confirmed recently that this router lacks no entry of theirs."""
         return self.replica.freshness.is_fresh(now_ms)
 
     def fresh_since(self, now_ms: float) -> float | None:
-        """Since when the state has been fresh without a break; None: it is not."""
+        """Return since when the state has been fresh without a break; None if it is not fresh."""
         return self.replica.freshness.fresh_since(now_ms)
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """Figures for ``INFO``."""
-        freshness, records = self.replica.freshness, self.replica.state.records.values()
+        """Return the figures of the store for ``INFO``."""
+        freshness = self.replica.freshness
+        records = self.replica.state.records.values()
         since = freshness.fresh_since(now_ms)
         return {
             "register_entries": str(len(records)),
@@ -221,13 +248,13 @@
     # The component interface.
 
     def on_notification(self, now_ms: float, notification: Notification) -> Sequence[OutboundMessage]:
-        """Requests go to the peers that are alive."""
+        """Restrict sync requests to alive peers when the alive peers change."""
         if isinstance(notification, PeersChanged):
             self.requests.set_alive(notification.alive_peers)
         return []
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
-        """Send sync requests that are due and retry sessions; called several times a second."""
+        """Send sync requests that are due and retry sessions; the host calls it several times a second."""
         self._note_activity(now_ms)
         messages = self.replica.take_logs()
         if (peer := self.requests.allow_request(now_ms)) is not None:
@@ -239,7 +266,7 @@
         return messages
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
-        """Take a peer's datagram. Never raises, whatever the bytes are."""
+        """Process a peer's datagram. Never raises, regardless of the bytes."""
         message = decode(data)
         if (
             isinstance(message, MalformedDatagram)
@@ -249,8 +276,8 @@
             self.undecodable_count += 1
             return []
         self._note_activity(now_ms)
-        answers = self._handle(now_ms, sender, message)
-        return [*self.replica.take_logs(), *answers]
+        responses = self._handle(now_ms, sender, message)
+        return [*self.replica.take_logs(), *responses]
 
     def _handle(self, now_ms: float, sender: int, message: Message) -> Sequence[SendToPeer]:
         if isinstance(message, SyncRequest):
@@ -267,7 +294,10 @@
         return []
 
     def _note_activity(self, now_ms: float) -> None:
-        """After a pause of this router, what it asked before would count as more recent than it is."""
+        """Drop open requests and sessions after a pause of this router.
+
+        After a pause the send times of open requests would appear more recent than they are.
+        """
         if now_ms - self.last_active_at_ms > MAX_TICK_GAP_MS:
             self.requests.clear()
             self.sessions.clear_sessions()
@@ -278,8 +308,9 @@
         return encode_to(self.requests.open(now_ms, peer, root_digest, self.store_generation), peer)
 
     def _on_sync_request(self, now_ms: float, sender: int, request: SyncRequest) -> list[SendToPeer]:
-        """Respond; and if the peer's state is not known to be within this one, ask it in return, once a
-        period.
+        """Respond, and request the peer's state in return if the peer's root digest is not covered here.
+
+        Such reverse requests are sent at most once per period.
         """
         self._record_incarnation(sender, request.incarnation)
         if not self.server.admits(now_ms, request):
--- a/cedarthread/replication/sync_requests.py
+++ b/cedarthread/replication/sync_requests.py
@@ -1,8 +1,9 @@
-"""Which peers this router sends sync requests to and when, and which requests are open.
+"""The schedule of a router's sync requests, and the requests that are open.
 
-Each router asks one random peer per period (anti-entropy, Demers and others: "Epidemic algorithms for
-replicated database maintenance", 1987). A response counts only if its request is open, once, and from the
-peer that was asked.
+Each router sends a sync request to one random peer per period (anti-entropy, Demers and others: "Epidemic
+algorithms for replicated database maintenance", 1987). A response counts only once, and only if its request
+is open and was sent to the responder. ``ReplicatedStore`` drives the schedule and is the only writer of its
+state.
 """
 
 from __future__ import annotations
@@ -16,20 +17,31 @@
     from collections.abc import Collection
 
 MAX_OPEN_REQUESTS = 16  # the oldest are dropped first
-REQUESTS_PER_RANDOM_PEER = 8  # one request in so many goes to any peer, alive or not, so that partitions heal
-BOOTSTRAP_REQUESTS_PER_TICK = 4  # extra requests after a start, until enough peers are read
+REQUESTS_PER_RANDOM_PEER = 8  # every 8th request may select a peer that is not alive, so that partitions heal
+BOOTSTRAP_REQUESTS_PER_TICK = 4  # extra requests until enough peers are read after a start
 PERIOD_JITTER = 0.8, 1.2  # factors on the period, so that routers do not synchronise
 
 
 class OpenRequest(NamedTuple):
-    """A sync request that may still be answered."""
+    """A sync request to which the response has not arrived."""
 
     peer: int
     sent_at_ms: float
 
 
 class SyncRequests:
-    """Schedules sync requests and remembers the open ones. Times in ms on this router's steady clock."""
+    """The schedule and the open sync requests of one router.
+
+    Times are in ms on this router's steady clock.
+
+    Args:
+        router_index: Index of this router.
+        router_count: Number of configured routers.
+        incarnation: Incarnation of this router, sent in each request.
+        period_ms: Mean time between two periodic requests.
+        rng: Draws peers, nonces and the jitter of the period.
+        now_ms: Start of this incarnation.
+    """
 
     def __init__(
         self,
@@ -41,24 +53,27 @@
         rng: random.Random,
         now_ms: float,
     ) -> None:
-        self.router_index, self.router_count, self.incarnation = router_index, router_count, incarnation
-        self.period_ms, self.rng = period_ms, rng
+        self.router_index = router_index
+        self.router_count = router_count
+        self.incarnation = incarnation
+        self.period_ms = period_ms
+        self.rng = rng
         self.all_peers = [router for router in range(router_count) if router != router_index]
         self.alive_peers = list(self.all_peers)
         self.open_requests: dict[int, OpenRequest] = {}  # by nonce
         self.next_request_at_ms = now_ms + rng.uniform(0.0, period_ms)
         self.next_reverse_request_at_ms = now_ms
         self.request_count = 0
-        self.next_age_segment = 0  # of AGES_PER_RESPONSE routers each
+        self.next_age_segment = 0  # segments of AGES_PER_RESPONSE routers
 
     def set_alive(self, peers: Collection[int]) -> None:
-        """Requests go to these peers from now on."""
+        """Restrict requests to the peers that are alive, apart from one in ``REQUESTS_PER_RANDOM_PEER``."""
         self.alive_peers = [
             peer for peer in peers if 0 <= peer < self.router_count and peer != self.router_index
         ]
 
     def allow_request(self, now_ms: float) -> int | None:
-        """The peer to ask if the periodic request is due, else None; the next one is then scheduled."""
+        """Return the peer of the periodic request and schedule the next one; None if no request is due."""
         if not self.all_peers or now_ms < self.next_request_at_ms:
             return None
         earliest_ms = max(self.next_request_at_ms, now_ms - self.period_ms)
@@ -68,19 +83,19 @@
         return self.rng.choice(self.all_peers if is_any_peer else self.alive_peers)
 
     def allow_reverse_request(self, now_ms: float) -> bool:
-        """Whether a peer that asked may be asked in return, which happens once a period."""
+        """Return whether a request to a peer that sent one may follow, at most once per period."""
         if now_ms < self.next_reverse_request_at_ms:
             return False
         self.next_reverse_request_at_ms = now_ms + self.period_ms
         return True
 
     def bootstrap_peers(self, fully_read_peers: Collection[int]) -> list[int]:
-        """Some alive peers that have not been read completely yet."""
+        """Return some alive peers that have not been read completely."""
         unread = [peer for peer in self.alive_peers if peer not in fully_read_peers]
         return self.rng.sample(unread, min(BOOTSTRAP_REQUESTS_PER_TICK, len(unread)))
 
     def open(self, now_ms: float, peer: int, root_digest: int, store_generation: int) -> SyncRequest:
-        """A request to a peer, which is open from now on."""
+        """Open a request to a peer and return its message."""
         nonce = self._new_nonce()
         self.open_requests[nonce] = OpenRequest(peer, now_ms)
         if len(self.open_requests) > MAX_OPEN_REQUESTS:
@@ -93,10 +108,10 @@
         return self.rng.getrandbits(64)
 
     def close(self, nonce: int, sender: int) -> OpenRequest | None:
-        """Take out the open request that a response names; None unless it was sent to this sender."""
+        """Remove and return the open request with this nonce; None unless it was sent to ``sender``."""
         request = self.open_requests.pop(nonce, None)
         return request if request is not None and request.peer == sender else None
 
     def clear(self) -> None:
-        """Forget all open requests."""
+        """Drop all open requests, so that their responses do not count."""
         self.open_requests.clear()
--- a/cedarthread/replication/sync_server.py
+++ b/cedarthread/replication/sync_server.py
@@ -1,5 +1,6 @@
-"""Answering peers: sync responses, summaries of buckets that differ, and fragments of entries, within
-budgets.
+"""Responses to peers, within budgets: sync responses, summaries of buckets that differ, fragments of entries.
+
+``SyncServer`` reads the replica and changes only its own budgets and count.
 """
 
 from __future__ import annotations
@@ -32,33 +33,45 @@
 
     from cedarthread.replication.local_replica import LocalReplica
 
-RESPONSES_PER_SECOND = 20.0  # so that a flood of requests is not answered in full
+RESPONSES_PER_SECOND = 20.0  # bounds the responses to a flood of requests
 RESPONSE_BURST = 20.0
-BYTES_PER_SECOND = 16_000.0  # of summaries and fragments, so that many routers may start together
+BYTES_PER_SECOND = 16_000.0  # of summaries and fragments; bounds the load when many routers start together
 BYTE_BURST = 16_384.0
-MAX_UNSOLICITED_FRAGMENTS = 4  # of the newest entry, sent along with a response to a peer whose root differs
+MAX_UNSOLICITED_FRAGMENTS = 4  # of the newest entry, sent before a response to a peer with another root
 
 
 class SummaryFragment(NamedTuple):
-    """What one summary datagram lists: buckets as bits, and which part of a bucket that needs several."""
+    """The content of one summary datagram: whole buckets, or one part of a bucket that needs several."""
 
-    bucket_bits: int
+    bucket_bits: int  # a bit for each listed bucket
     part_index: int
-    part_count: int
+    part_count: int  # 1 unless one bucket needs several datagrams
     refs: tuple[EntryRef, ...]
 
 
 class SyncServer:
-    """Answers peers out of this router's replica."""
+    """Responds to the sync, summary and fetch requests of peers from this router's replica.
+
+    Args:
+        replica: This router's replica, only read.
+        router_count: Number of configured routers.
+        rng: Draws the first bucket of summaries.
+        now_ms: Start of this incarnation, in ms on this router's steady clock.
+    """
 
     def __init__(self, replica: LocalReplica, router_count: int, rng: random.Random, now_ms: float) -> None:
-        self.replica, self.router_count, self.rng = replica, router_count, rng
+        self.replica = replica
+        self.router_count = router_count
+        self.rng = rng
         self.response_budget = TokenBucket(RESPONSES_PER_SECOND, RESPONSE_BURST, RESPONSE_BURST, now_ms)
         self.byte_budget = TokenBucket(BYTES_PER_SECOND, BYTE_BURST, BYTE_BURST, now_ms)
         self.unanswered_count = 0
 
     def admits(self, now_ms: float, request: SyncRequest) -> bool:
-        """Whether a sync request is answered; one that is not looks like a lost datagram to the peer."""
+        """Return whether a sync request gets a response, and charge the response budget.
+
+        A request without a response looks like a lost datagram to the peer.
+        """
         is_admitted = (
             self.replica.is_persisted()
             and request.first_router < self.router_count
@@ -70,8 +83,9 @@
     def respond(
         self, now_ms: float, sender: int, request: SyncRequest, remembered_generation: int, unix_ms: float
     ) -> list[SendToPeer]:
-        """The sync response, after the newest entry if the peer's state differs: most often it lacks just
-        that.
+        """Return the sync response, preceded by the newest entry if the peer's state differs.
+
+        The newest entry is sent because a peer with another state most often lacks only that entry.
         """
         messages: list[SendToPeer] = []
         replica = self.replica
@@ -92,7 +106,7 @@
         return messages
 
     def newest_entry(self, now_ms: float, sender: int) -> list[SendToPeer]:
-        """The most recently received entry in fragments, if it is recent and small."""
+        """Return the fragments of the most recently received entry, if it is recent and small."""
         record = next(reversed(self.replica.state.records.values()), None)
         if record is None or now_ms - record.received_at_ms > self.replica.freshness.window_ms:
             return []
@@ -101,8 +115,9 @@
         return self._send_within_budget(now_ms, sender, split_into_fragments(record.data, record.digest))
 
     def summaries(self, now_ms: float, sender: int, request: SummaryRequest) -> list[SendToPeer]:
-        """Refs of all entries in the buckets that differ, as many as the budget allows, from a random bucket
-        on.
+        """Return refs of all entries in the buckets that differ from the request.
+
+        The summaries start at a random bucket and end when the byte budget is used up.
         """
         state = self.replica.state
         refs_by_bucket: dict[int, list[EntryRef]] = {
@@ -114,7 +129,7 @@
             if ref.bucket in refs_by_bucket:
                 refs_by_bucket[ref.bucket].append(ref)
         parts = pack_summaries(refs_by_bucket, self.rng.randrange(BUCKET_COUNT))
-        # Without any part the root digest alone may complete the peer's proof.
+        # An empty summary still carries the root digest, which may complete the peer's proof.
         parts = parts or [SummaryFragment(0, 0, 1, ())]
         messages = [
             Summary(
@@ -131,7 +146,7 @@
         return self._send_within_budget(now_ms, sender, messages)
 
     def fetched_fragments(self, now_ms: float, sender: int, request: FetchRequest) -> list[SendToPeer]:
-        """The fragments asked for, of those entries that are held."""
+        """Return the requested fragments of those entries that this router stores."""
         state = self.replica.state
         fragments: list[EntryFragment] = []
         for item in request.items:
@@ -153,9 +168,13 @@
 
 
 def pack_summaries(refs_by_bucket: Mapping[int, list[EntryRef]], first_bucket: int) -> list[SummaryFragment]:
-    """Buckets in few datagrams: small buckets together, one that exceeds a datagram in parts of its own."""
+    """Distribute buckets over as few datagrams as their order allows.
+
+    Small buckets share a datagram. A bucket that exceeds a datagram is split into parts of its own.
+    """
     parts: list[SummaryFragment] = []
-    bucket_bits, gathered = 0, list[EntryRef]()
+    bucket_bits = 0
+    gathered = list[EntryRef]()
     for bucket in sorted(refs_by_bucket, key=lambda number: (number - first_bucket) % BUCKET_COUNT):
         refs = refs_by_bucket[bucket]
         if len(refs) > MAX_REFS_PER_SUMMARY:
@@ -167,7 +186,8 @@
             continue
         if len(gathered) + len(refs) > MAX_REFS_PER_SUMMARY:
             parts.append(SummaryFragment(bucket_bits, 0, 1, tuple(gathered)))
-            bucket_bits, gathered = 0, []
+            bucket_bits = 0
+            gathered = []
         bucket_bits |= 1 << bucket
         gathered += refs
     return [*parts, SummaryFragment(bucket_bits, 0, 1, tuple(gathered))] if bucket_bits else parts
--- a/cedarthread/replication/sync_session.py
+++ b/cedarthread/replication/sync_session.py
@@ -1,8 +1,8 @@
-"""Fetching what a peer holds and this router lacks, after the peer's sync response.
+"""Sessions that fetch the entries which a peer has and this router lacks, after the peer's sync response.
 
-A session compares bucket sums with the peer, asks for summaries of the buckets that differ, fetches the
-entries that are not recognised, and ends when the sums prove that the peer's state is within this router's.
-Only then does the peer's response count as a confirmation.
+A session compares bucket sums with the peer, requests summaries of the buckets that differ, fetches unknown
+entries, and ends when the sums prove that the peer's state is within this router's state. Only then does the
+peer's response count as a confirmation. ``ReplicatedStore`` drives the sessions.
 """
 
 from __future__ import annotations
@@ -33,34 +33,46 @@
     from cedarthread.replication.entry import EncodedEntry
     from cedarthread.replication.local_replica import LocalReplica
 
-RETRY_INTERVAL_MS = 300.0  # after which what did not arrive is asked for again
-MAX_RETRIES = 8  # without an entry arriving; then the session is given up
-RETRIES_PER_SUMMARY_REQUEST = 4  # one retry in so many asks for the summaries again too
-MAX_PENDING_FETCHES = 8  # with more entries under way no further session is started
+RETRY_INTERVAL_MS = 300.0  # after which an overdue request is repeated
+MAX_RETRIES = 8  # without the arrival of an entry; then the session is aborted
+RETRIES_PER_SUMMARY_REQUEST = 4  # every 4th retry also requests the summaries again
+MAX_PENDING_FETCHES = 8  # with more pending fetches no further session is started
 MAX_SESSIONS = 4  # the oldest are dropped first
 
 
 class SyncSession:
-    """What is known of one peer's state since its sync response."""
+    """The known part of one peer's state since its sync response.
+
+    Args:
+        now_ms: Start of the session, in ms on this router's steady clock.
+        peer: Index of the responder.
+        sent_at_ms: When the request of the response was sent.
+        response: The response that started the session.
+        bucket_sums: This router's bucket sums; the session copies them.
+    """
 
     def __init__(
         self, now_ms: float, peer: int, sent_at_ms: float, response: SyncResponse, bucket_sums: list[int]
     ) -> None:
-        self.peer, self.sent_at_ms, self.response = peer, sent_at_ms, response
+        self.peer = peer
+        self.sent_at_ms = sent_at_ms
+        self.response = response
         self.root_digest = response.root_digest  # of the state that the summaries describe
-        # Of the entries in each bucket: this router's, or the peer's once all of those are recognised here.
+        # By bucket: the sum of this router's entries, or of the peer's entries once all those are known here.
         self.bucket_sums = list(bucket_sums)
-        self.refs_by_bucket: dict[
-            int, dict[int, tuple[EntryRef, ...]]
-        ] = {}  # bucket, part: the peer's entries
+        # The peer's refs by bucket and part.
+        self.refs_by_bucket: dict[int, dict[int, tuple[EntryRef, ...]]] = {}
         self.part_counts: dict[int, int] = {}  # by bucket
-        self.progress_at_ms, self.retries = now_ms, 0
+        self.progress_at_ms = now_ms
+        self.retries = 0
 
     def add_summary(self, summary: Summary) -> None:
-        """Take what the peer lists."""
+        """Record the refs that a summary lists."""
         if self.root_digest != summary.root_digest:
-            # The peer's state has grown since. What it lists now includes what it held when it responded.
-            self.root_digest, self.refs_by_bucket, self.part_counts = summary.root_digest, {}, {}
+            # The peer's state has grown since its response; the summary includes the entries of that time.
+            self.root_digest = summary.root_digest
+            self.refs_by_bucket = {}
+            self.part_counts = {}
         listed: dict[int, list[EntryRef]] = {
             bucket: [] for bucket in range(BUCKET_COUNT) if summary.bucket_bits >> bucket & 1
         }
@@ -68,11 +80,12 @@
             listed[ref.bucket].append(ref)
         for bucket, refs in listed.items():
             if self.part_counts.setdefault(bucket, summary.part_count) != summary.part_count:
-                self.refs_by_bucket[bucket], self.part_counts[bucket] = {}, summary.part_count
+                self.refs_by_bucket[bucket] = {}
+                self.part_counts[bucket] = summary.part_count
             self.refs_by_bucket.setdefault(bucket, {})[summary.part_index] = tuple(refs)
 
     def complete_buckets(self) -> list[tuple[int, list[EntryRef]]]:
-        """Buckets of which all parts have arrived, with the refs in them."""
+        """Return the buckets of which all parts have arrived, with their refs."""
         complete = [
             bucket for bucket, parts in self.refs_by_bucket.items() if len(parts) == self.part_counts[bucket]
         ]
@@ -82,47 +95,64 @@
         ]
 
     def all_refs(self) -> list[EntryRef]:
-        """All refs that have arrived."""
+        """Return all refs that have arrived."""
         return [ref for parts in self.refs_by_bucket.values() for part in parts.values() for ref in part]
 
     def summary_request(self) -> SendToPeer:
-        """Asks the peer for the buckets in which it differs."""
+        """Return a request for summaries of the buckets in which the peer differs."""
         sums = tuple(bucket_sum % BUCKET_SUM_MODULUS for bucket_sum in self.bucket_sums)
         return encode_to(SummaryRequest(self.response.nonce, sums), self.peer)
 
 
 class SyncSessions:
-    """All sync sessions of one router, and the entries that are being fetched in them."""
+    """All sync sessions of one router, and the fetches that are pending in them.
+
+    Times are in ms on this router's steady clock.
+
+    Args:
+        replica: This router's replica, in which the sessions record confirmations.
+        rng: Draws the order of fetches.
+    """
 
     def __init__(self, replica: LocalReplica, rng: random.Random) -> None:
-        self.replica, self.rng = replica, rng
+        self.replica = replica
+        self.rng = rng
         self.sessions: dict[int, SyncSession] = {}  # by nonce
-        self.pending_fetches: dict[EntryRef, float] = {}  # when last asked for, ms
+        self.pending_fetches: dict[EntryRef, float] = {}  # ms of the last fetch request
         self.fragments = FragmentAssembler(replica.state)
-        self.fully_read_peers: set[int] = set()  # peers whose whole state was once within this router's
+        self.fully_read_peers: set[int] = set()  # peers with a state that was once within this router's
 
     def clear_sessions(self) -> None:
-        """Give up all sessions."""
+        """Abort all sessions."""
         self.sessions.clear()
 
     def start(self, now_ms: float, peer: int, sent_at_ms: float, response: SyncResponse) -> list[SendToPeer]:
-        """Begin a session after a peer's response to the request of ``sent_at_ms``, if there is anything to
-        fetch.
+        """Start a session after a peer's response, unless the peer's state is already covered.
+
+        No session starts while many fetches are pending, because further summaries would only consume the
+        bandwidth of these fetches. The oldest session is dropped if there are too many.
+
+        Args:
+            now_ms: Current time.
+            peer: Index of the responder.
+            sent_at_ms: When the request of the response was sent.
+            response: The peer's response.
         """
         session = SyncSession(now_ms, peer, sent_at_ms, response, self.replica.state.bucket_sums)
         if self._confirm_if_covered(now_ms, session):
             return []
         if self.sessions and len(self._expected_refs(now_ms)) > MAX_PENDING_FETCHES:
-            return []  # more summaries would only take bandwidth from the entries under way
+            return []
         while len(self.sessions) >= MAX_SESSIONS:
             del self.sessions[next(iter(self.sessions))]
         self.sessions[response.nonce] = session
         return [session.summary_request()]
 
     def on_summary(self, now_ms: float, sender: int, summary: Summary) -> list[SendToPeer]:
-        """Take a summary of an open session and fetch what is missing.
+        """Record a summary of an open session and fetch the missing entries.
 
-        A summary of another incarnation than the response's does not count: a later one may hold less.
+        A summary from another incarnation than that of the response is ignored, because a later incarnation
+        may store less.
         """
         session = self.sessions.get(summary.nonce)
         if session is None or session.peer != sender or not self._is_same_incarnation(session, summary):
@@ -137,21 +167,24 @@
         return session.response.incarnation == summary.incarnation
 
     def on_fragment(self, fragment: EntryFragment) -> EncodedEntry | None:
-        """Take a fragment; the entry that it completes, which the caller merges."""
+        """Add a fragment and return the entry that the fragment completes, if any.
+
+        The caller merges the entry.
+        """
         return self.fragments.add(fragment)
 
     def drop_fetch(self, ref: EntryRef) -> None:
-        """An entry has arrived and is not awaited any more."""
+        """Remove the pending fetch of an entry that has arrived."""
         self.pending_fetches.pop(ref, None)
 
     def advance_all(self, now_ms: float) -> None:
-        """Sessions that a newly merged entry has completed end; the others may retry anew."""
+        """Complete the sessions that a newly merged entry has completed; reset the retries of the others."""
         for nonce in list(self.sessions):
             self.sessions[nonce].retries = 0
             self._advance(now_ms, nonce)
 
     def on_tick(self, now_ms: float) -> list[SendToPeer]:
-        """Ask again for what did not arrive."""
+        """Repeat requests that are overdue."""
         messages: list[SendToPeer] = []
         for nonce in list(self.sessions):
             messages += self._retry(now_ms, nonce)
@@ -163,7 +196,8 @@
         session = self.sessions[nonce]
         if self._advance(now_ms, nonce) or now_ms - session.progress_at_ms < RETRY_INTERVAL_MS:
             return []
-        session.progress_at_ms, session.retries = now_ms, session.retries + 1
+        session.progress_at_ms = now_ms
+        session.retries += 1
         if session.retries > MAX_RETRIES:
             del self.sessions[nonce]
             return []
@@ -173,8 +207,10 @@
         return messages
 
     def _advance(self, now_ms: float, nonce: int) -> bool:
-        """Sum up which of the peer's entries are recognised here; true if they are all of them and the
-        session ends.
+        """Update a session's bucket sums from the known entries, and remove the session if it is complete.
+
+        Returns:
+            Whether the session was complete.
         """
         session = self.sessions[nonce]
         for bucket, refs in session.complete_buckets():
@@ -187,7 +223,11 @@
         return True
 
     def _confirm_if_covered(self, now_ms: float, session: SyncSession) -> bool:
-        """Count the peer's response if the sums prove that the peer's state is within this router's."""
+        """Record the peer's response as a confirmation if the peer's state is within this router's state.
+
+        Returns:
+            Whether the response was recorded.
+        """
         state = self.replica.state
         if session.root_digest not in state.covered_roots:
             if sum(session.bucket_sums) % DIGEST_MODULUS != session.root_digest:
@@ -200,9 +240,10 @@
         return True
 
     def _fetch_missing(self, now_ms: float, session: SyncSession) -> list[SendToPeer]:
-        """Ask the peer for entries that are unknown here and not awaited, those in part first.
+        """Return a fetch request for entries that are unknown here and not pending; partial entries first.
 
-        No more at a time than the peers' budgets carry: partial entries must not push each other out.
+        The number of pending fetches is limited to what one fetch request carries, because too many partial
+        entries would evict each other.
         """
         missing = [ref for ref in session.all_refs() if self.replica.state.known_digest(ref) is None]
         awaited = self._expected_refs(now_ms)
@@ -216,7 +257,7 @@
         return [encode_to(FetchRequest(items), session.peer)] if items else []
 
     def _expected_refs(self, now_ms: float) -> set[EntryRef]:
-        """What was asked for within the retry interval and has not arrived."""
+        """Return the refs that were fetched within the retry interval and have not arrived."""
         return {
             ref
             for ref, requested_at_ms in self.pending_fetches.items()
