--- a/cedarthread/persistence/state_persister.py
+++ b/cedarthread/persistence/state_persister.py
@@ -83,7 +83,7 @@
         self.was_voter = False  # as last written
         self.reset_above_generation: int | None = None  # the host is to reset the store above this generation
         self.log_messages: list[OutboundMessage] = []
-        replicated_store.set_durable(True)
+        replicated_store.set_durable(is_durable=True)
 
     def on_store_opened(self, now_ms: float, load_result: LoadResult, image: RecoveredImage) -> None:
         """The store has been opened, after a restart or a fault."""
@@ -132,7 +132,7 @@
             and not image.rejected_count
         )
         self.has_started = True
-        self.replicated_store.restore(image.entries, is_complete, now_ms)
+        self.replicated_store.restore(image.entries, is_voter=is_complete, now_ms=now_ms)
         if image.warm_state is not None:
             self.recovery.restore(now_ms, image.warm_state)
         self.start_escrow(now_ms, image.escrow if is_complete else None)
@@ -221,7 +221,7 @@
         So peers are told a generation that the disk has not reached.
         """
         self.is_degraded = True
-        self.replicated_store.set_durable(False)
+        self.replicated_store.set_durable(is_durable=False)
         self.replicated_store.store_generation += 1
         self.replicated_store.mark_persisted(now_ms, self.replicated_store.revision)
 
--- a/cedarthread/replication/conflicts.py
+++ b/cedarthread/replication/conflicts.py
@@ -75,6 +75,6 @@
     return other in ACT_RULES[one].contradicts
 
 
-def act_or_fallback(act: Act, is_fresh: bool) -> Act:
+def act_or_fallback(act: Act, *, is_fresh: bool) -> Act:
     """Return ``act`` if the router's state is fresh, else the fallback of ``act``."""
     return act if is_fresh else ACT_RULES[act].fallback
--- a/cedarthread/replication/entry.py
+++ b/cedarthread/replication/entry.py
@@ -37,6 +37,13 @@
     problem: str
 
 
+class EntryOrder(NamedTuple):
+    """The position of an entry in the total order of all entries with the same kind and name."""
+
+    version: Version
+    digest: int  # decides between equal versions
+
+
 class EncodedEntry(NamedTuple):
     """An entry with its canonical bytes and the digest of these bytes."""
 
@@ -126,9 +133,9 @@
     return int.from_bytes(blake2b(data, digest_size=4, person=b"name").digest(), "little")
 
 
-def order_key(entry: Entry, digest: int) -> tuple[Version, int]:
+def order_key(entry: Entry, digest: int) -> EntryOrder:
     """Return the position of an entry in the total order of all entries with the same kind and name."""
-    return entry.version, digest
+    return EntryOrder(entry.version, digest)
 
 
 def join(one: Entry, other: Entry) -> Entry:
--- a/cedarthread/replication/freshness.py
+++ b/cedarthread/replication/freshness.py
@@ -84,20 +84,20 @@
         because confirmations count from ``sent_at_ms``, when the request was sent.
         """
         held_by_peer = self.majority.holder_times(response.root_digest)
-        self._record_read(peer, sent_at_ms, response.is_voter, held_by_peer)
+        self._record_read(peer, sent_at_ms, held_by_peer, is_voter=response.is_voter)
         ages = response.ages[: max(0, self.router_count - response.first_router)]
         for router, byte in enumerate(ages, response.first_router):
             age = byte & AGE_UNKNOWN
             if age != AGE_UNKNOWN and router not in (peer, self.router_index):
                 read_at_ms = self._reported_read_time(sent_at_ms, age, response.age_step_ms)
                 held = held_by_peer if byte & HOLDS_ROOT_FLAG else []
-                self._record_read(router, read_at_ms, bool(byte & VOTER_FLAG), held)
+                self._record_read(router, read_at_ms, held, is_voter=bool(byte & VOTER_FLAG))
 
     def _reported_read_time(self, sent_at_ms: float, age: int, step_ms: int) -> float:
         return sent_at_ms - age * step_ms
 
     def _record_read(
-        self, router: int, read_at_ms: float, is_voter: bool, holder_times: list[list[float]]
+        self, router: int, read_at_ms: float, holder_times: list[list[float]], *, is_voter: bool
     ) -> None:
         self.read_at_ms[router] = max(self.read_at_ms[router], read_at_ms)
         if is_voter:
@@ -107,7 +107,7 @@
 
     # Conclusions from the records.
 
-    def update(self, now_ms: float, is_persisted: bool) -> bool:
+    def update(self, now_ms: float, *, is_persisted: bool) -> bool:
         """Recompute the freshness, and the changes that are replicated to a majority.
 
         Args:
@@ -125,7 +125,7 @@
             self.fresh_until_ms = self._compute_fresh_until()
             if not was_fresh:
                 self.fresh_since_ms = now_ms
-        self.majority.update(now_ms, is_persisted)
+        self.majority.update(now_ms, is_persisted=is_persisted)
         return has_become_voter
 
     def _compute_fresh_until(self) -> float:
--- a/cedarthread/replication/local_replica.py
+++ b/cedarthread/replication/local_replica.py
@@ -41,7 +41,7 @@
     """
 
     def __init__(
-        self, router_index: int, incarnation: int, freshness: FreshnessTracker, is_durable: bool
+        self, router_index: int, incarnation: int, freshness: FreshnessTracker, *, is_durable: bool
     ) -> None:
         self.router_index = router_index
         self.incarnation = incarnation
@@ -126,7 +126,7 @@
 
     def update_freshness(self, now_ms: float) -> None:
         """Draw conclusions from reads, merges and disk writes since the last call."""
-        if self.freshness.update(now_ms, self.is_persisted()):
+        if self.freshness.update(now_ms, is_persisted=self.is_persisted()):
             self._log(format_event("replica_became_voter"))
         newly_replicated = self.freshness.majority.newly_replicated
         for key, digest in newly_replicated.items():
--- a/cedarthread/replication/majority.py
+++ b/cedarthread/replication/majority.py
@@ -79,7 +79,7 @@
         """Return, by router, when the router was last known to have this router's current root digest."""
         return self.cohorts[-1].held_at_ms
 
-    def update(self, now_ms: float, is_persisted: bool) -> None:
+    def update(self, now_ms: float, *, is_persisted: bool) -> None:
         """Move the changes that are replicated by now to ``newly_replicated``.
 
         Args:
--- a/cedarthread/replication/state.py
+++ b/cedarthread/replication/state.py
@@ -73,11 +73,11 @@
         old = self.records.get(key)
         self.highest_counter = max(self.highest_counter, entry.version.counter)
         if old is not None and old.digest == digest:
-            return MergeResult(False)
+            return MergeResult(is_changed=False)
         self.known_digests.add(digest)
         if old is not None and not self.supersedes(entry, digest, old):
             self._remember_superseded(ref, digest)
-            return MergeResult(False)
+            return MergeResult(is_changed=False)
         if old is not None:
             old_ref = entry_ref(old.entry, old.digest)
             del self.keys_by_ref[old_ref]
@@ -90,7 +90,7 @@
         self._add_to_sums(ref.bucket, digest)
         self.mark_covered(self.root_digest)
         self.invalidate_kind(entry.kind)
-        return MergeResult(True, old)
+        return MergeResult(is_changed=True, replaced=old)
 
     def supersedes(self, entry: Entry, digest: int, old: EntryRecord) -> bool:
         """Return whether an entry wins over the stored one."""
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -110,7 +110,7 @@
             router_index, router_count, window_ms=self.window_ms, clock_rate=clock_rate, now_ms=now_ms
         )
         self.staleness_bound_ms = self.window_ms * freshness.clock_drift_factor + MAX_TICK_INTERVAL_MS
-        self.replica = LocalReplica(router_index, self.incarnation, freshness, is_durable)
+        self.replica = LocalReplica(router_index, self.incarnation, freshness, is_durable=is_durable)
         self.requests = self.requests_type(
             router_index, router_count, self.incarnation, period_ms=period_ms, rng=rng, now_ms=now_ms
         )
@@ -160,7 +160,7 @@
         self.replica.update_freshness(now_ms)
         return prepared.entry
 
-    def restore(self, entries: Iterable[Entry], is_voter: bool, now_ms: float = 0.0) -> None:
+    def restore(self, entries: Iterable[Entry], *, is_voter: bool, now_ms: float = 0.0) -> None:
         """Merge the entries that the disk had at the start.
 
         Args:
@@ -189,7 +189,7 @@
         """All configured peers, alive or not."""
         return self.requests.all_peers
 
-    def set_durable(self, is_durable: bool) -> None:
+    def set_durable(self, *, is_durable: bool) -> None:
         """Set whether the host persists changes from now on."""
         self.replica.is_durable = is_durable
 
--- a/cedarthread/replication/sync_session.py
+++ b/cedarthread/replication/sync_session.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.replication.codec import (
     ALL_FRAGMENTS,
@@ -40,6 +40,13 @@
 MAX_SESSIONS = 4  # the oldest are dropped first
 
 
+class CompleteBucket(NamedTuple):
+    """A bucket of which all parts have arrived."""
+
+    bucket: int
+    refs: list[EntryRef]  # all the peer's entries in the bucket
+
+
 class SyncSession:
     """The known part of one peer's state since its sync response.
 
@@ -84,13 +91,13 @@
                 self.part_counts[bucket] = summary.part_count
             self.refs_by_bucket.setdefault(bucket, {})[summary.part_index] = tuple(refs)
 
-    def complete_buckets(self) -> list[tuple[int, list[EntryRef]]]:
+    def complete_buckets(self) -> list[CompleteBucket]:
         """Return the buckets of which all parts have arrived, with their refs."""
         complete = [
             bucket for bucket, parts in self.refs_by_bucket.items() if len(parts) == self.part_counts[bucket]
         ]
         return [
-            (bucket, [ref for part in self.refs_by_bucket[bucket].values() for ref in part])
+            CompleteBucket(bucket, [ref for refs in self.refs_by_bucket[bucket].values() for ref in refs])
             for bucket in complete
         ]
 
--- a/tests/simulation/test_replication_fleet.py
+++ b/tests/simulation/test_replication_fleet.py
@@ -177,7 +177,7 @@
             router, self.router_count, next(self.incarnations), 7, now_ms=now_ms, **self.settings
         )
         self.stores[router] = store
-        store.restore((), is_voter, now_ms)
+        store.restore((), is_voter=is_voter, now_ms=now_ms)
         self.observer.on_state(self.now_ms, router, store)
 
     def schedule(self, at_ms: float, router: int, sender: int, data: bytes | None) -> None:
@@ -402,9 +402,9 @@
         return sorted(self.read_as_voter_at_ms)[-1] + self.window_ms
 
     def record_as_voter(
-        self: FreshnessTracker, router: int, read_at_ms: float, is_voter: bool, times: list[list[float]]
+        self: FreshnessTracker, router: int, read_at_ms: float, times: list[list[float]], *, is_voter: bool
     ) -> None:
-        record_read(self, router, read_at_ms, True, times)
+        record_read(self, router, read_at_ms, times, is_voter=True)
 
     def count_one_more(self: MajorityTracker, now_ms: float, cohort: ChangeCohort) -> int:
         return count_holders(self, now_ms, cohort) + 1
