--- a/cedarthread/replication/freshness.py
+++ b/cedarthread/replication/freshness.py
@@ -19,7 +19,7 @@
 from cedarthread.replication.codec import (
     AGE_UNKNOWN,
     AGES_PER_RESPONSE,
-    HOLDS_ROOT_FLAG,
+    HAS_ROOT_FLAG,
     VOTER_FLAG,
     SyncResponse,
 )
@@ -63,10 +63,10 @@
         # Until this time peers may count confirmations of this router's earlier incarnation.
         self.earlier_incarnation_expires_at_ms = now_ms + window_ms * self.clock_drift_factor
         self.is_voter = router_count == 1
-        self.read_at_ms = [NEVER_MS] * router_count  # by router: last read of the router, voter or not
-        self.read_as_voter_at_ms = [
-            NEVER_MS
-        ] * router_count  # by router: last read of the router while it was a voter
+        # By router: last read of the router, voter or not.
+        self.read_at_ms = [NEVER_MS] * router_count
+        # By router: last read of the router while it was a voter.
+        self.read_as_voter_at_ms = [NEVER_MS] * router_count
         self.majority = MajorityTracker(router_count, window_ms, root_digest)
         self.fresh_until_ms = math.inf if router_count == 1 else NEVER_MS  # unless more is read
         self.fresh_since_ms: float | None = now_ms if router_count == 1 else None
@@ -83,27 +83,27 @@
         The caller has verified that the peer's state is within this router's state. ``now_ms`` is not used,
         because confirmations count from ``sent_at_ms``, when the request was sent.
         """
-        held_by_peer = self.majority.holder_times(response.root_digest)
-        self._record_read(peer, sent_at_ms, held_by_peer, is_voter=response.is_voter)
+        confirmed_by_peer = self.majority.confirmation_times(response.root_digest)
+        self._record_read(peer, sent_at_ms, confirmed_by_peer, is_voter=response.is_voter)
         ages = response.ages[: max(0, self.router_count - response.first_router)]
         for router, byte in enumerate(ages, response.first_router):
             age = byte & AGE_UNKNOWN
             if age != AGE_UNKNOWN and router not in (peer, self.router_index):
                 read_at_ms = self._reported_read_time(sent_at_ms, age, response.age_step_ms)
-                held = held_by_peer if byte & HOLDS_ROOT_FLAG else []
-                self._record_read(router, read_at_ms, held, is_voter=bool(byte & VOTER_FLAG))
+                confirmations = confirmed_by_peer if byte & HAS_ROOT_FLAG else []
+                self._record_read(router, read_at_ms, confirmations, is_voter=bool(byte & VOTER_FLAG))
 
     def _reported_read_time(self, sent_at_ms: float, age: int, step_ms: int) -> float:
         return sent_at_ms - age * step_ms
 
     def _record_read(
-        self, router: int, read_at_ms: float, holder_times: list[list[float]], *, is_voter: bool
+        self, router: int, read_at_ms: float, confirmation_times: list[list[float]], *, is_voter: bool
     ) -> None:
         self.read_at_ms[router] = max(self.read_at_ms[router], read_at_ms)
         if is_voter:
             self.read_as_voter_at_ms[router] = max(self.read_as_voter_at_ms[router], read_at_ms)
-        for held_at_ms in holder_times:
-            held_at_ms[router] = max(held_at_ms[router], read_at_ms)
+        for confirmed_at_ms in confirmation_times:
+            confirmed_at_ms[router] = max(confirmed_at_ms[router], read_at_ms)
 
     # Conclusions from the records.
 
@@ -166,7 +166,7 @@
 
     def encode_ages(self, now_ms: float, first_router: int) -> bytes:
         """Return a byte for each router from ``first_router`` on: the age of its last read, and flags."""
-        held_at_ms = self.majority.latest_holder_times()
+        confirmed_at_ms = self.majority.latest_confirmation_times()
         encoded = bytearray()
         steps_per_ms = self.clock_drift_factor / self.age_step_ms
         window_start_ms = now_ms - self.window_ms
@@ -177,9 +177,9 @@
             if read_at_ms < oldest_ms:
                 read_at_ms = self.read_at_ms[router]
                 flags = 0
-            if held_at_ms[router] >= window_start_ms:
-                read_at_ms = min(read_at_ms, held_at_ms[router])
-                flags |= HOLDS_ROOT_FLAG
+            if confirmed_at_ms[router] >= window_start_ms:
+                read_at_ms = min(read_at_ms, confirmed_at_ms[router])
+                flags |= HAS_ROOT_FLAG
             is_known = read_at_ms >= oldest_ms
             encoded.append(
                 self._age_in_steps(now_ms - read_at_ms, steps_per_ms) | flags if is_known else AGE_UNKNOWN
--- a/cedarthread/replication/local_replica.py
+++ b/cedarthread/replication/local_replica.py
@@ -77,14 +77,14 @@
             return RejectedEntry(
                 f"{kind} {name!r}", f"{MAX_PROPOSED_ENTRIES} entries are held, no more may be"
             )
-        old = self.state.records.get((kind, name))
+        previous = self.state.records.get((kind, name))
         meaning = canonical_body or bytes
-        if old is not None and meaning(old.entry.body) == meaning(body):
-            return old.entry
+        if previous is not None and meaning(previous.entry.body) == meaning(body):
+            return previous.entry
         version = self.state.next_version(self.router_index, self.incarnation)
         if version.counter >= VERSION_COUNTER_LIMIT:
             return RejectedEntry(f"{kind} {name!r}: version", "the counter has come to its end")
-        return EncodedEntry.of(Entry(kind, name, version, body, old.digest if old else 0))
+        return EncodedEntry.of(Entry(kind, name, version, body, previous.digest if previous else 0))
 
     def merge(self, now_ms: float, encoded: EncodedEntry) -> None:
         """Join an entry into the state."""
--- a/cedarthread/replication/majority.py
+++ b/cedarthread/replication/majority.py
@@ -30,9 +30,8 @@
 
     def __init__(self, root_digest: int, router_count: int) -> None:
         self.root_digest = root_digest
-        self.held_at_ms = [
-            NEVER_MS
-        ] * router_count  # by router: when it was last known to have the root digest
+        # By router: when the router was last known to have the root digest.
+        self.confirmed_at_ms = [NEVER_MS] * router_count
         self.pending_digests: dict[EntryKey, int] = {}  # entries that are not known to be replicated yet
 
 
@@ -66,18 +65,20 @@
             self.cohorts[0].pending_digests = oldest.pending_digests | self.cohorts[0].pending_digests
         self.cohorts.append(cohort)
 
-    def holder_times(self, root_digest: int) -> list[list[float]]:
+    def confirmation_times(self, root_digest: int) -> list[list[float]]:
         """Return the confirmation times of all cohorts that a router with this root digest has.
 
         The lists belong to the cohorts, so that the caller can record confirmations in them. An unknown root
         digest gives an empty result.
         """
-        last = next((n for n, cohort in enumerate(self.cohorts) if cohort.root_digest == root_digest), -1)
-        return [cohort.held_at_ms for cohort in self.cohorts[: last + 1]]
+        newest = next(
+            (index for index, cohort in enumerate(self.cohorts) if cohort.root_digest == root_digest), -1
+        )
+        return [cohort.confirmed_at_ms for cohort in self.cohorts[: newest + 1]]
 
-    def latest_holder_times(self) -> list[float]:
+    def latest_confirmation_times(self) -> list[float]:
         """Return, by router, when the router was last known to have this router's current root digest."""
-        return self.cohorts[-1].held_at_ms
+        return self.cohorts[-1].confirmed_at_ms
 
     def update(self, now_ms: float, *, is_persisted: bool) -> None:
         """Move the changes that are replicated by now to ``newly_replicated``.
@@ -92,4 +93,4 @@
                 cohort.pending_digests = {}
 
     def _count_holders(self, now_ms: float, cohort: ChangeCohort) -> int:
-        return sum(held_at_ms >= now_ms - self.window_ms for held_at_ms in cohort.held_at_ms)
+        return sum(confirmed_at_ms >= now_ms - self.window_ms for confirmed_at_ms in cohort.confirmed_at_ms)
--- a/cedarthread/replication/state.py
+++ b/cedarthread/replication/state.py
@@ -70,19 +70,19 @@
         digest = encoded.digest
         key = encoded.key
         ref = entry_ref(entry, digest)
-        old = self.records.get(key)
+        previous = self.records.get(key)
         self.highest_counter = max(self.highest_counter, entry.version.counter)
-        if old is not None and old.digest == digest:
+        if previous is not None and previous.digest == digest:
             return MergeResult(is_changed=False)
         self.known_digests.add(digest)
-        if old is not None and not self.supersedes(entry, digest, old):
+        if previous is not None and not self.supersedes(entry, digest, previous):
             self._remember_superseded(ref, digest)
             return MergeResult(is_changed=False)
-        if old is not None:
-            old_ref = entry_ref(old.entry, old.digest)
-            del self.keys_by_ref[old_ref]
-            self._remember_superseded(old_ref, old.digest)
-            self._add_to_sums(old_ref.bucket, -old.digest)
+        if previous is not None:
+            previous_ref = entry_ref(previous.entry, previous.digest)
+            del self.keys_by_ref[previous_ref]
+            self._remember_superseded(previous_ref, previous.digest)
+            self._add_to_sums(previous_ref.bucket, -previous.digest)
         self.records.pop(key, None)  # so that the newest record is the last
         self.records[key] = EntryRecord(entry, digest, encoded.data, now_ms)
         self.keys_by_ref[ref] = key
@@ -90,11 +90,11 @@
         self._add_to_sums(ref.bucket, digest)
         self.mark_covered(self.root_digest)
         self.invalidate_kind(entry.kind)
-        return MergeResult(is_changed=True, replaced=old)
+        return MergeResult(is_changed=True, replaced=previous)
 
-    def supersedes(self, entry: Entry, digest: int, old: EntryRecord) -> bool:
+    def supersedes(self, entry: Entry, digest: int, previous: EntryRecord) -> bool:
         """Return whether an entry wins over the stored one."""
-        return order_key(entry, digest) > order_key(old.entry, old.digest)
+        return order_key(entry, digest) > order_key(previous.entry, previous.digest)
 
     def _add_to_sums(self, bucket: int, digest: int) -> None:
         self.bucket_sums[bucket] = (self.bucket_sums[bucket] + digest) % DIGEST_MODULUS
--- a/cedarthread/replication/sync_server.py
+++ b/cedarthread/replication/sync_server.py
@@ -40,7 +40,7 @@
 MAX_UNSOLICITED_FRAGMENTS = 4  # of the newest entry, sent before a response to a peer with another root
 
 
-class SummaryFragment(NamedTuple):
+class SummaryPart(NamedTuple):
     """The content of one summary datagram: whole buckets, or one part of a bucket that needs several."""
 
     bucket_bits: int  # a bit for each listed bucket
@@ -130,7 +130,7 @@
                 refs_by_bucket[ref.bucket].append(ref)
         parts = pack_summaries(refs_by_bucket, self.rng.randrange(BUCKET_COUNT))
         # An empty summary still carries the root digest, which may complete the peer's proof.
-        parts = parts or [SummaryFragment(0, 0, 1, ())]
+        parts = parts or [SummaryPart(0, 0, 1, ())]
         messages = [
             Summary(
                 nonce=request.nonce,
@@ -167,27 +167,27 @@
         return sent
 
 
-def pack_summaries(refs_by_bucket: Mapping[int, list[EntryRef]], first_bucket: int) -> list[SummaryFragment]:
+def pack_summaries(refs_by_bucket: Mapping[int, list[EntryRef]], first_bucket: int) -> list[SummaryPart]:
     """Distribute buckets over as few datagrams as their order allows.
 
     Small buckets share a datagram. A bucket that exceeds a datagram is split into parts of its own.
     """
-    parts: list[SummaryFragment] = []
+    parts: list[SummaryPart] = []
     bucket_bits = 0
-    gathered = list[EntryRef]()
+    shared_refs = list[EntryRef]()
     for bucket in sorted(refs_by_bucket, key=lambda number: (number - first_bucket) % BUCKET_COUNT):
         refs = refs_by_bucket[bucket]
         if len(refs) > MAX_REFS_PER_SUMMARY:
             offsets = range(0, len(refs), MAX_REFS_PER_SUMMARY)
             chunks = [tuple(refs[offset : offset + MAX_REFS_PER_SUMMARY]) for offset in offsets]
             parts += [
-                SummaryFragment(1 << bucket, index, len(chunks), chunk) for index, chunk in enumerate(chunks)
+                SummaryPart(1 << bucket, index, len(chunks), chunk) for index, chunk in enumerate(chunks)
             ]
             continue
-        if len(gathered) + len(refs) > MAX_REFS_PER_SUMMARY:
-            parts.append(SummaryFragment(bucket_bits, 0, 1, tuple(gathered)))
+        if len(shared_refs) + len(refs) > MAX_REFS_PER_SUMMARY:
+            parts.append(SummaryPart(bucket_bits, 0, 1, tuple(shared_refs)))
             bucket_bits = 0
-            gathered = []
+            shared_refs = []
         bucket_bits |= 1 << bucket
-        gathered += refs
-    return [*parts, SummaryFragment(bucket_bits, 0, 1, tuple(gathered))] if bucket_bits else parts
+        shared_refs += refs
+    return [*parts, SummaryPart(bucket_bits, 0, 1, tuple(shared_refs))] if bucket_bits else parts
--- a/cedarthread/replication/sync_session.py
+++ b/cedarthread/replication/sync_session.py
@@ -148,7 +148,7 @@
         session = SyncSession(now_ms, peer, sent_at_ms, response, self.replica.state.bucket_sums)
         if self._confirm_if_covered(now_ms, session):
             return []
-        if self.sessions and len(self._expected_refs(now_ms)) > MAX_PENDING_FETCHES:
+        if self.sessions and len(self._pending_refs(now_ms)) > MAX_PENDING_FETCHES:
             return []
         while len(self.sessions) >= MAX_SESSIONS:
             del self.sessions[next(iter(self.sessions))]
@@ -253,17 +253,17 @@
         entries would evict each other.
         """
         missing = [ref for ref in session.all_refs() if self.replica.state.known_digest(ref) is None]
-        awaited = self._expected_refs(now_ms)
+        pending = self._pending_refs(now_ms)
         missing_bits = self.fragments.missing_bits_by_digest_low()
-        refs = [ref for ref in missing if ref not in awaited]
+        refs = [ref for ref in missing if ref not in pending]
         refs = self.rng.sample(refs, len(refs))
         refs.sort(key=lambda ref: ref.digest_low not in missing_bits)
-        refs = refs[: max(0, MAX_ITEMS_PER_FETCH - len(awaited))]
+        refs = refs[: max(0, MAX_ITEMS_PER_FETCH - len(pending))]
         self.pending_fetches.update((ref, now_ms) for ref in refs)
         items = tuple(FetchItem(*ref, missing_bits.get(ref.digest_low, ALL_FRAGMENTS)) for ref in refs)
         return [encode_to(FetchRequest(items), session.peer)] if items else []
 
-    def _expected_refs(self, now_ms: float) -> set[EntryRef]:
+    def _pending_refs(self, now_ms: float) -> set[EntryRef]:
         """Return the refs that were fetched within the retry interval and have not arrived."""
         return {
             ref
--- a/tests/simulation/test_replication_fleet.py
+++ b/tests/simulation/test_replication_fleet.py
@@ -528,7 +528,7 @@
             times = [
                 *(freshness.read_at_ms if needs_reads else ()),
                 *freshness.read_as_voter_at_ms,
-                *freshness.majority.latest_holder_times(),
+                *freshness.majority.latest_confirmation_times(),
                 freshness.earlier_incarnation_expires_at_ms,
             ]
             ages = tuple(min(self.now_ms - time_ms, 2 * WINDOW_MS) for time_ms in times)
