--- a/cedarthread/replication/codec.py
+++ b/cedarthread/replication/codec.py
@@ -17,29 +17,65 @@
 
 from __future__ import annotations
 
-import math
 import struct
-from dataclasses import dataclass
-from typing import TYPE_CHECKING, NamedTuple
+from enum import IntEnum
+from typing import TYPE_CHECKING
 
 from cedarthread.components.datagram_fields import MAX_DATAGRAM_BYTES, MalformedDatagram
 from cedarthread.components.messages import MessageType
 from cedarthread.model.actions import SendToPeer
 from cedarthread.replication.entry import MAX_ENTRY_BYTES
+from cedarthread.replication.messages import (
+    AGES_PER_RESPONSE,
+    ALL_FRAGMENTS,
+    BUCKET_COUNT,
+    EntryFragment,
+    EntryRef,
+    FetchItem,
+    FetchRequest,
+    Message,
+    Summary,
+    SummaryRequest,
+    SyncRequest,
+    SyncResponse,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+__all__ = [
+    "ALL_FRAGMENTS",
+    "BUCKET_COUNT",
+    "EntryFragment",
+    "EntryRef",
+    "FetchItem",
+    "FetchRequest",
+    "Message",
+    "MessageKind",
+    "Summary",
+    "SummaryRequest",
+    "SyncRequest",
+    "SyncResponse",
+    "decode",
+    "encode",
+    "encode_to",
+    "split_into_fragments",
+]
+
+
+class MessageKind(IntEnum):
+    """The second byte of a replication datagram."""
+
+    SYNC_REQUEST = 1
+    SYNC_RESPONSE = 2
+    SUMMARY_REQUEST = 3
+    SUMMARY = 4
+    FETCH_REQUEST = 5
+    FRAGMENT = 6
+
+
 HEADER_BYTES = 2  # message type, kind
-AGES_PER_RESPONSE = 208  # the ages of so many routers fit one datagram
-BUCKET_COUNT = 32
 BUCKET_SUM_BYTES = 6
-BUCKET_SUM_MODULUS = 2**48  # bucket sums are truncated to this on the wire
-DIGEST_LOW_MODULUS = 2**32  # a ref has these low bits of a digest
-AGE_UNKNOWN = 63  # instead of an age in steps
-VOTER_FLAG = 64  # in the byte of the age: the age is that of a read as a voter
-HAS_ROOT_FLAG = 128  # in the byte of the age: the router has the responder's root digest
-SYNC_REQUEST, SYNC_RESPONSE, SUMMARY_REQUEST, SUMMARY, FETCH_REQUEST, FRAGMENT = range(1, 7)
 _SYNC_REQUEST = struct.Struct("<BBQQQHQ")
 _SYNC_RESPONSE = struct.Struct("<BBQQQBHHQd")
 _SUMMARY_REQUEST = struct.Struct("<BBQ")
@@ -47,101 +83,9 @@
 _ENTRY_REF = struct.Struct("<II")
 _FETCH_ITEM = struct.Struct("<IIH")
 _FRAGMENT = struct.Struct("<BBQHB")
-_FETCH_HEADER_BYTES = HEADER_BYTES
 MAX_REFS_PER_SUMMARY = (MAX_DATAGRAM_BYTES - _SUMMARY.size) // _ENTRY_REF.size
-MAX_ITEMS_PER_FETCH = (MAX_DATAGRAM_BYTES - _FETCH_HEADER_BYTES) // _FETCH_ITEM.size
+MAX_ITEMS_PER_FETCH = (MAX_DATAGRAM_BYTES - HEADER_BYTES) // _FETCH_ITEM.size
 FRAGMENT_BYTES = MAX_DATAGRAM_BYTES - _FRAGMENT.size  # of an entry's data in one fragment
-ALL_FRAGMENTS = 0xFFFF
-
-
-class EntryRef(NamedTuple):
-    """A short reference to one version of an entry."""
-
-    key_hash: int
-    digest_low: int
-
-    @property
-    def bucket(self) -> int:
-        """The bucket that has the entry in its sum."""
-        return self.key_hash % BUCKET_COUNT
-
-
-class FetchItem(NamedTuple):
-    """The fragments to fetch of one entry, a bit for each."""
-
-    key_hash: int
-    digest_low: int
-    fragment_bits: int
-
-
-@dataclass(frozen=True, slots=True)
-class SyncRequest:
-    """A request for a peer's root digest and for the ages of the peer's reads.
-
-    The ages are those of AGES_PER_RESPONSE routers from ``first_router`` on.
-    """
-
-    nonce: int
-    root_digest: int
-    incarnation: int
-    first_router: int
-    store_generation: int = 0
-
-
-@dataclass(frozen=True, slots=True)
-class SyncResponse:
-    """The responder's root digest, and a byte of age and flags for each router from ``first_router`` on."""
-
-    nonce: int
-    root_digest: int
-    incarnation: int
-    is_voter: bool  # whether the responder is a voter
-    age_step_ms: int  # unit of the ages
-    first_router: int
-    ages: bytes
-    remembered_generation: int = 0  # the greatest store generation that the requester reported
-    unix_ms: float = math.nan  # the responder's wall clock; NaN if unknown
-
-
-@dataclass(frozen=True, slots=True)
-class SummaryRequest:
-    """A request for the refs in the buckets with other sums than the requester's."""
-
-    nonce: int
-    bucket_sums: tuple[int, ...]  # the requester's, modulo BUCKET_SUM_MODULUS
-
-
-@dataclass(frozen=True, slots=True)
-class Summary:
-    """Refs of all entries in some buckets, or one part of a bucket that does not fit one datagram."""
-
-    nonce: int
-    root_digest: int
-    incarnation: int
-    bucket_bits: int  # a bit for each listed bucket
-    part_index: int
-    part_count: int
-    refs: tuple[EntryRef, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class FetchRequest:
-    """A request for fragments of entries."""
-
-    items: tuple[FetchItem, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class EntryFragment:
-    """One fragment of an entry's canonical bytes."""
-
-    digest: int
-    entry_bytes: int
-    fragment_index: int
-    data: bytes
-
-
-Message = SyncRequest | SyncResponse | SummaryRequest | Summary | FetchRequest | EntryFragment
 
 
 def encode(message: Message) -> bytes:
@@ -151,22 +95,21 @@
     if isinstance(message, SyncResponse):
         return _encode_sync_response(message)
     if isinstance(message, SummaryRequest):
-        header = _SUMMARY_REQUEST.pack(MessageType.REPLICATION, SUMMARY_REQUEST, message.nonce)
+        header = _SUMMARY_REQUEST.pack(MessageType.REPLICATION, MessageKind.SUMMARY_REQUEST, message.nonce)
         sums = (bucket_sum.to_bytes(BUCKET_SUM_BYTES, "little") for bucket_sum in message.bucket_sums)
         return header + b"".join(sums)
     if isinstance(message, Summary):
         return _encode_summary(message)
     if isinstance(message, FetchRequest):
-        header = bytes((MessageType.REPLICATION, FETCH_REQUEST))
+        header = bytes((MessageType.REPLICATION, MessageKind.FETCH_REQUEST))
         return header + b"".join(_FETCH_ITEM.pack(*item) for item in message.items)
-    kinds = MessageType.REPLICATION, FRAGMENT
-    return _FRAGMENT.pack(*kinds, message.digest, message.entry_bytes, message.fragment_index) + message.data
+    return _encode_fragment(message)
 
 
 def _encode_sync_request(request: SyncRequest) -> bytes:
     return _SYNC_REQUEST.pack(
         MessageType.REPLICATION,
-        SYNC_REQUEST,
+        MessageKind.SYNC_REQUEST,
         request.nonce,
         request.root_digest,
         request.incarnation,
@@ -178,7 +121,7 @@
 def _encode_sync_response(response: SyncResponse) -> bytes:
     header = _SYNC_RESPONSE.pack(
         MessageType.REPLICATION,
-        SYNC_RESPONSE,
+        MessageKind.SYNC_RESPONSE,
         response.nonce,
         response.root_digest,
         response.incarnation,
@@ -194,7 +137,7 @@
 def _encode_summary(summary: Summary) -> bytes:
     header = _SUMMARY.pack(
         MessageType.REPLICATION,
-        SUMMARY,
+        MessageKind.SUMMARY,
         summary.nonce,
         summary.root_digest,
         summary.incarnation,
@@ -205,6 +148,17 @@
     return header + b"".join(_ENTRY_REF.pack(*ref) for ref in summary.refs)
 
 
+def _encode_fragment(fragment: EntryFragment) -> bytes:
+    header = _FRAGMENT.pack(
+        MessageType.REPLICATION,
+        MessageKind.FRAGMENT,
+        fragment.digest,
+        fragment.entry_bytes,
+        fragment.fragment_index,
+    )
+    return header + fragment.data
+
+
 def encode_to(message: Message, peer_index: int) -> SendToPeer:
     """Encode a message for one peer."""
     return SendToPeer(encode(message), peer_index)
@@ -280,9 +234,9 @@
 
 
 def _decode_fetch_request(data: bytes) -> FetchRequest | None:
-    if (len(data) - _FETCH_HEADER_BYTES) % _FETCH_ITEM.size:
+    if (len(data) - HEADER_BYTES) % _FETCH_ITEM.size:
         return None
-    return FetchRequest(tuple(map(FetchItem._make, _FETCH_ITEM.iter_unpack(data[_FETCH_HEADER_BYTES:]))))
+    return FetchRequest(tuple(map(FetchItem._make, _FETCH_ITEM.iter_unpack(data[HEADER_BYTES:]))))
 
 
 def _decode_fragment(data: bytes) -> EntryFragment | None:
@@ -300,10 +254,10 @@
 
 
 _DECODERS: dict[int, Callable[[bytes], Message | None]] = {
-    SYNC_REQUEST: _decode_sync_request,
-    SYNC_RESPONSE: _decode_sync_response,
-    SUMMARY_REQUEST: _decode_summary_request,
-    SUMMARY: _decode_summary,
-    FETCH_REQUEST: _decode_fetch_request,
-    FRAGMENT: _decode_fragment,
+    MessageKind.SYNC_REQUEST: _decode_sync_request,
+    MessageKind.SYNC_RESPONSE: _decode_sync_response,
+    MessageKind.SUMMARY_REQUEST: _decode_summary_request,
+    MessageKind.SUMMARY: _decode_summary,
+    MessageKind.FETCH_REQUEST: _decode_fetch_request,
+    MessageKind.FRAGMENT: _decode_fragment,
 }
--- a/cedarthread/replication/fragments.py
+++ b/cedarthread/replication/fragments.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING
 
-from cedarthread.replication.codec import DIGEST_LOW_MODULUS, FRAGMENT_BYTES, EntryFragment
+from cedarthread.replication.codec import FRAGMENT_BYTES
 from cedarthread.replication.entry import (
     MAX_ENTRIES,
     EncodedEntry,
@@ -15,6 +15,10 @@
     digest_of_bytes,
 )
 from cedarthread.replication.entry import decode as decode_entry
+from cedarthread.replication.messages import (
+    DIGEST_LOW_MODULUS,
+    EntryFragment,
+)
 
 if TYPE_CHECKING:
     from cedarthread.replication.state import ReplicaState
--- a/cedarthread/replication/freshness.py
+++ b/cedarthread/replication/freshness.py
@@ -16,14 +16,14 @@
 import math
 from typing import TYPE_CHECKING
 
-from cedarthread.replication.codec import (
+from cedarthread.replication.majority import NEVER_MS, MajorityTracker
+from cedarthread.replication.messages import (
     AGE_UNKNOWN,
     AGES_PER_RESPONSE,
     HAS_ROOT_FLAG,
     VOTER_FLAG,
     SyncResponse,
 )
-from cedarthread.replication.majority import NEVER_MS, MajorityTracker
 
 if TYPE_CHECKING:
     from cedarthread.replication.entry import EntryKey
--- a/cedarthread/replication/state.py
+++ b/cedarthread/replication/state.py
@@ -12,8 +12,12 @@
 from typing import NamedTuple
 
 from cedarthread.components.replicated_state import Entry, EntryKind, ReplicatedEntry, Version
-from cedarthread.replication.codec import BUCKET_COUNT, DIGEST_LOW_MODULUS, EntryRef
 from cedarthread.replication.entry import EncodedEntry, EntryKey, key_hash, order_key
+from cedarthread.replication.messages import (
+    BUCKET_COUNT,
+    DIGEST_LOW_MODULUS,
+    EntryRef,
+)
 
 DIGEST_MODULUS = 2**64
 MAX_SUPERSEDED_DIGESTS = 4096  # the oldest are dropped first
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -16,7 +16,11 @@
 from cedarthread.components.datagram_fields import MalformedDatagram
 from cedarthread.components.messages import MessageType, OutboundMessage
 from cedarthread.components.notifications import Notification, PeersChanged
-from cedarthread.replication.codec import (
+from cedarthread.replication.codec import decode, encode_to
+from cedarthread.replication.entry import EncodedEntry, RejectedEntry
+from cedarthread.replication.freshness import FreshnessTracker
+from cedarthread.replication.local_replica import LocalReplica
+from cedarthread.replication.messages import (
     EntryFragment,
     FetchRequest,
     Message,
@@ -24,12 +28,7 @@
     SummaryRequest,
     SyncRequest,
     SyncResponse,
-    decode,
-    encode_to,
 )
-from cedarthread.replication.entry import EncodedEntry, RejectedEntry
-from cedarthread.replication.freshness import FreshnessTracker
-from cedarthread.replication.local_replica import LocalReplica
 from cedarthread.replication.state import DIGEST_MODULUS, entry_ref
 from cedarthread.replication.sync_requests import SyncRequests
 from cedarthread.replication.sync_server import SyncServer
--- a/cedarthread/replication/sync_requests.py
+++ b/cedarthread/replication/sync_requests.py
@@ -10,7 +10,10 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from cedarthread.replication.codec import AGES_PER_RESPONSE, SyncRequest
+from cedarthread.replication.messages import (
+    AGES_PER_RESPONSE,
+    SyncRequest,
+)
 
 if TYPE_CHECKING:
     import random
--- a/cedarthread/replication/sync_server.py
+++ b/cedarthread/replication/sync_server.py
@@ -9,10 +9,15 @@
 
 from cedarthread.model.actions import SendToPeer
 from cedarthread.replication.codec import (
-    BUCKET_COUNT,
-    BUCKET_SUM_MODULUS,
     FRAGMENT_BYTES,
     MAX_REFS_PER_SUMMARY,
+    encode,
+    encode_to,
+    split_into_fragments,
+)
+from cedarthread.replication.messages import (
+    BUCKET_COUNT,
+    BUCKET_SUM_MODULUS,
     EntryFragment,
     EntryRef,
     FetchRequest,
@@ -21,9 +26,6 @@
     SummaryRequest,
     SyncRequest,
     SyncResponse,
-    encode,
-    encode_to,
-    split_into_fragments,
 )
 from cedarthread.statistics import TokenBucket
 
--- a/cedarthread/replication/sync_session.py
+++ b/cedarthread/replication/sync_session.py
@@ -9,11 +9,12 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from cedarthread.replication.codec import (
+from cedarthread.replication.codec import MAX_ITEMS_PER_FETCH, encode_to
+from cedarthread.replication.fragments import FragmentAssembler
+from cedarthread.replication.messages import (
     ALL_FRAGMENTS,
     BUCKET_COUNT,
     BUCKET_SUM_MODULUS,
-    MAX_ITEMS_PER_FETCH,
     EntryFragment,
     EntryRef,
     FetchItem,
@@ -21,9 +22,7 @@
     Summary,
     SummaryRequest,
     SyncResponse,
-    encode_to,
 )
-from cedarthread.replication.fragments import FragmentAssembler
 from cedarthread.replication.state import DIGEST_MODULUS
 
 if TYPE_CHECKING:
--- a/tests/simulation/test_replication_fleet.py
+++ b/tests/simulation/test_replication_fleet.py
@@ -23,10 +23,13 @@
 from cedarthread.components.replicated_state import Entry, EntryKind, Version
 from cedarthread.model.actions import LogMessage, SendToPeer
 from cedarthread.replication import codec
-from cedarthread.replication.codec import AGE_UNKNOWN, EntryRef
 from cedarthread.replication.entry import EntryKey, entry_digest, order_key
 from cedarthread.replication.freshness import FreshnessTracker
 from cedarthread.replication.majority import ChangeCohort, MajorityTracker
+from cedarthread.replication.messages import (
+    AGE_UNKNOWN,
+    EntryRef,
+)
 from cedarthread.replication.state import ReplicaState
 from cedarthread.replication.store import MAX_TICK_INTERVAL_MS, ReplicatedStore
 from cedarthread.replication.sync_requests import SyncRequests
--- a/tests/unit/replication/test_replication.py
+++ b/tests/unit/replication/test_replication.py
@@ -12,7 +12,7 @@
 from cedarthread.components.datagram_fields import MAX_DATAGRAM_BYTES, MalformedDatagram
 from cedarthread.components.replicated_state import Entry, EntryKind, Version
 from cedarthread.model.actions import SendToPeer
-from cedarthread.replication import codec, conflicts
+from cedarthread.replication import codec, conflicts, messages
 from cedarthread.replication import entry as entries
 from cedarthread.replication.conflicts import Act
 from cedarthread.replication.entry import EncodedEntry, RejectedEntry, entry_digest, join
@@ -206,9 +206,9 @@
     store = ReplicatedStore(0, 3, 1, 1, window_ms=4800.0, clock_rate=0.05)
     freshness = store.replica.freshness
     freshness.read_as_voter_at_ms[1] = freshness.read_at_ms[1] = 0.0
-    ages = [byte & codec.AGE_UNKNOWN for byte in freshness.encode_ages(2000.0, 0)]
-    assert ages == [codec.AGE_UNKNOWN, 23, codec.AGE_UNKNOWN]
-    assert freshness.encode_ages(6000.0, 0)[1] == codec.AGE_UNKNOWN
+    ages = [byte & messages.AGE_UNKNOWN for byte in freshness.encode_ages(2000.0, 0)]
+    assert ages == [messages.AGE_UNKNOWN, 23, messages.AGE_UNKNOWN]
+    assert freshness.encode_ages(6000.0, 0)[1] == messages.AGE_UNKNOWN
 
 
 def test_ages_of_a_large_fleet_are_requested_in_segments() -> None:
