--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -3,33 +3,26 @@
 Each router sends one sync request per period to a random peer, compares root digests, and fetches the entries
 that it lacks. A response counts as a confirmation from when its request was sent, and only once this router
 stores all of the peer's entries. ``freshness.py`` and ``majority.py`` derive freshness and replication to a
-majority from the confirmations. All state of the package changes within calls of
-``ReplicatedStore``. Steps 1 to 13 of docs/design/register.md.
+majority from the confirmations. All state of the package changes within calls of ``ReplicatedStore``. Steps 1
+to 13 of docs/design/register.md.
 """
 
 from __future__ import annotations
 
 import math
 import random
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from cedarthread.components.datagram_fields import MalformedDatagram
 from cedarthread.components.messages import MessageType, OutboundMessage
 from cedarthread.components.notifications import Notification, PeersChanged
-from cedarthread.replication.codec import decode, encode_to
+from cedarthread.replication.codec import decode
 from cedarthread.replication.entry import EncodedEntry, RejectedEntry
 from cedarthread.replication.freshness import FreshnessTracker
 from cedarthread.replication.local_replica import LocalReplica
-from cedarthread.replication.messages import (
-    EntryFragment,
-    FetchRequest,
-    Message,
-    Summary,
-    SummaryRequest,
-    SyncRequest,
-    SyncResponse,
-)
-from cedarthread.replication.state import DIGEST_MODULUS, entry_ref
+from cedarthread.replication.peer_records import PeerClockSample
+from cedarthread.replication.state import DIGEST_MODULUS
+from cedarthread.replication.sync_exchange import SyncExchange
 from cedarthread.replication.sync_requests import SyncRequests
 from cedarthread.replication.sync_server import SyncServer
 from cedarthread.replication.sync_session import SyncSessions
@@ -38,12 +31,11 @@
     from collections.abc import Callable, Iterable, Mapping, Sequence
 
     from cedarthread.components.replicated_state import Entry, EntryKind, ReplicatedEntry
-    from cedarthread.model.actions import SendToPeer
 
-MAX_TICK_GAP_MS = 2000.0  # after a longer pause of this router its open requests and sessions are dropped
+__all__ = ["MAX_TICK_INTERVAL_MS", "PeerClockSample", "ReplicatedStore", "default_window_ms"]
+
 MAX_TICK_INTERVAL_MS = 250.0  # the host calls on_tick at least this often
 ASSUMED_LOSS = 0.2  # fraction of lost datagrams that the default window allows for
-BOOTSTRAP_PEERS = 8  # peers to read completely after a start before acting without a majority of voters
 _RNG_SALT = 0x5245_4749  # so that components with the same seed draw differently
 
 
@@ -56,14 +48,6 @@
     return period_ms * rounds / (1.0 - ASSUMED_LOSS) ** 2
 
 
-class PeerClockSample(NamedTuple):
-    """A peer's wall clock, read from a sync response."""
-
-    unix_ms: float  # the peer's wall clock; NaN if the peer does not know the time
-    sent_at_ms: float  # when the request was sent, on this router's steady clock
-    received_at_ms: float  # when the response arrived, on this router's steady clock
-
-
 class ReplicatedStore:
     """One router's replicated store: a ``Component``, and the ``ReplicatedState`` that other components read.
 
@@ -115,19 +99,8 @@
         )
         self.sessions = SyncSessions(self.replica, rng)
         self.server = self.server_type(self.replica, router_count, rng, now_ms)
-        self.last_active_at_ms = now_ms
+        self.exchange = SyncExchange(self.replica, self.requests, self.sessions, self.server, now_ms)
         self.undecodable_count = 0
-        self.peer_incarnations: dict[int, int] = {}
-        self.peer_restart_count = 0
-        self.store_generation = 0  # of this router's disk; the host sets it
-        self.peer_generations: dict[
-            int, int
-        ] = {}  # of peers' disks: the greatest that each peer has reported
-        self.generation_known_to_peer: dict[
-            int, int
-        ] = {}  # of this router's disk: the greatest that each peer remembers
-        self.unix_ms = math.nan  # the wall clock that responses carry; the host sets it
-        self.peer_clock_samples: dict[int, PeerClockSample] = {}  # since the host last cleared them
 
     # For operators and the host.
 
@@ -155,7 +128,7 @@
         prepared = self.replica.prepare(kind, name, body, canonical_body)
         if not isinstance(prepared, EncodedEntry):
             return prepared
-        self._merge(now_ms, prepared)
+        self.exchange.merge(now_ms, prepared)
         self.replica.update_freshness(now_ms)
         return prepared.entry
 
@@ -169,7 +142,7 @@
             now_ms: Current time.
         """
         for entry in entries:
-            self._merge(now_ms, EncodedEntry.of(entry))
+            self.exchange.merge(now_ms, EncodedEntry.of(entry))
         self.replica.freshness.is_voter = self.replica.freshness.is_voter or is_voter
         self.replica.mark_persisted(now_ms, self.replica.revision)
 
@@ -205,12 +178,36 @@
         return self.replica.take_changes()
 
     def has_read_enough_peers(self) -> bool:
-        """Return whether this incarnation has read several peers completely.
+        """Return whether this incarnation has read several peers completely."""
+        return self.exchange.has_read_enough_peers()
 
-        The result serves where a majority are not voters, so that no router can become fresh. An entry that
-        one peer in eight stores is then missed once in 256 times, if half of these peers remember the entry.
-        """
-        return len(self.sessions.fully_read_peers) >= min(BOOTSTRAP_PEERS, len(self.requests.all_peers))
+    @property
+    def store_generation(self) -> int:
+        """The generation of this router's disk, which sync requests carry; 0 without a disk."""
+        return self.exchange.store_generation
+
+    @store_generation.setter
+    def store_generation(self, generation: int) -> None:
+        self.exchange.store_generation = generation
+
+    @property
+    def generation_known_to_peer(self) -> Mapping[int, int]:
+        """The greatest generation of this router's disk that each peer remembers."""
+        return self.exchange.peers.generation_known_to_peer
+
+    @property
+    def unix_ms(self) -> float:
+        """The wall clock that sync responses carry, in ms of Unix time; NaN if unknown."""
+        return self.exchange.unix_ms
+
+    @unix_ms.setter
+    def unix_ms(self, unix_ms: float) -> None:
+        self.exchange.unix_ms = unix_ms
+
+    @property
+    def peer_clock_samples(self) -> dict[int, PeerClockSample]:
+        """Wall clocks read from peers, by router index; the host clears them after use."""
+        return self.exchange.peers.clock_samples
 
     # For other components.
 
@@ -239,7 +236,7 @@
             "register_seated": "yes" if freshness.is_voter else "no",
             "register_read": f"{freshness.count_recently_read(now_ms)} of {self.router_count}",
             "register_bound": f"{self.staleness_bound_ms:.0f} ms",
-            "register_restarts": str(self.peer_restart_count),
+            "register_restarts": str(self.exchange.peers.restart_count),
             "register_unreadable": str(self.undecodable_count + self.sessions.fragments.invalid_count),
             "register_unanswered": str(self.server.unanswered_count),
         }
@@ -254,15 +251,9 @@
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
         """Send sync requests that are due and retry sessions; the host calls it several times a second."""
-        self._note_activity(now_ms)
-        messages = self.replica.take_logs()
-        if (peer := self.requests.allow_request(now_ms)) is not None:
-            messages.append(self._request_sync(now_ms, peer))
-        if not self.replica.freshness.is_voter and not self.has_read_enough_peers():
-            peers = self.requests.bootstrap_peers(self.sessions.fully_read_peers)
-            messages += [self._request_sync(now_ms, peer) for peer in peers]
-        messages += self.sessions.on_tick(now_ms)
-        return messages
+        self.exchange.note_activity(now_ms)
+        logs = self.replica.take_logs()
+        return [*logs, *self.exchange.on_tick(now_ms)]
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
         """Process a peer's datagram. Never raises, regardless of the bytes."""
@@ -274,73 +265,6 @@
         ):
             self.undecodable_count += 1
             return []
-        self._note_activity(now_ms)
-        responses = self._handle(now_ms, sender, message)
+        self.exchange.note_activity(now_ms)
+        responses = self.exchange.on_message(now_ms, sender, message)
         return [*self.replica.take_logs(), *responses]
-
-    def _handle(self, now_ms: float, sender: int, message: Message) -> Sequence[SendToPeer]:
-        if isinstance(message, SyncRequest):
-            return self._on_sync_request(now_ms, sender, message)
-        if isinstance(message, SyncResponse):
-            return self._on_sync_response(now_ms, sender, message)
-        if isinstance(message, SummaryRequest):
-            return self.server.summaries(now_ms, sender, message)
-        if isinstance(message, Summary):
-            return self.sessions.on_summary(now_ms, sender, message)
-        if isinstance(message, FetchRequest):
-            return self.server.fetched_fragments(now_ms, sender, message)
-        self._on_fragment(now_ms, message)
-        return []
-
-    def _note_activity(self, now_ms: float) -> None:
-        """Drop open requests and sessions after a pause of this router.
-
-        After a pause the send times of open requests would appear more recent than they are.
-        """
-        if now_ms - self.last_active_at_ms > MAX_TICK_GAP_MS:
-            self.requests.clear()
-            self.sessions.clear_sessions()
-        self.last_active_at_ms = max(self.last_active_at_ms, now_ms)
-
-    def _request_sync(self, now_ms: float, peer: int) -> SendToPeer:
-        root_digest = self.replica.state.root_digest
-        return encode_to(self.requests.open(now_ms, peer, root_digest, self.store_generation), peer)
-
-    def _on_sync_request(self, now_ms: float, sender: int, request: SyncRequest) -> list[SendToPeer]:
-        """Respond, and request the peer's state in return if the peer's root digest is not covered here.
-
-        Such reverse requests are sent at most once per period.
-        """
-        self._record_incarnation(sender, request.incarnation)
-        if not self.server.admits(now_ms, request):
-            return []
-        remembered = self.peer_generations.get(sender, 0)
-        self.peer_generations[sender] = max(request.store_generation, remembered)
-        messages = self.server.respond(now_ms, sender, request, remembered, self.unix_ms)
-        is_covered = request.root_digest in self.replica.state.covered_roots
-        if not is_covered and self.requests.allow_reverse_request(now_ms):
-            messages.append(self._request_sync(now_ms, sender))
-        return messages
-
-    def _on_sync_response(self, now_ms: float, sender: int, response: SyncResponse) -> list[SendToPeer]:
-        request = self.requests.close(response.nonce, sender)
-        if request is None:
-            return []
-        self._record_incarnation(sender, response.incarnation)
-        self.generation_known_to_peer[sender] = response.remembered_generation
-        self.peer_clock_samples[sender] = PeerClockSample(response.unix_ms, request.sent_at_ms, now_ms)
-        return self.sessions.start(now_ms, sender, request.sent_at_ms, response)
-
-    def _on_fragment(self, now_ms: float, fragment: EntryFragment) -> None:
-        encoded = self.sessions.on_fragment(fragment)
-        if encoded is not None:
-            self._merge(now_ms, encoded)
-            self.sessions.advance_all(now_ms)
-
-    def _merge(self, now_ms: float, encoded: EncodedEntry) -> None:
-        self.replica.merge(now_ms, encoded)
-        self.sessions.drop_fetch(entry_ref(encoded.entry, encoded.digest))
-
-    def _record_incarnation(self, sender: int, incarnation: int) -> None:
-        self.peer_restart_count += self.peer_incarnations.setdefault(sender, incarnation) != incarnation
-        self.peer_incarnations[sender] = incarnation
--- a/tests/simulation/test_replication_fleet.py
+++ b/tests/simulation/test_replication_fleet.py
@@ -569,7 +569,7 @@
     requester = _copy(state.stores[router])
     if state.late is None:
         requester.requests.clear()
-    request = requester._request_sync(state.now_ms, peer)
+    request = requester.exchange.request_sync(state.now_ms, peer)
     (response,) = _copy(state.stores[peer]).on_message(state.now_ms, router, request.data)
     assert isinstance(response, SendToPeer)
     requested = _with_store(state, router, requester)
@@ -584,7 +584,7 @@
 
 def _copy(store: SmallStore) -> SmallStore:
     copied: SmallStore = pickle.loads(_pickled(store))
-    copied.last_active_at_ms = math.inf  # time passes in large steps here, which are no pauses
+    copied.exchange.last_active_at_ms = math.inf  # time passes in large steps here, which are no pauses
     return copied
 
 
--- a/tests/unit/replication/test_replication.py
+++ b/tests/unit/replication/test_replication.py
@@ -17,7 +17,8 @@
 from cedarthread.replication.conflicts import Act
 from cedarthread.replication.entry import EncodedEntry, RejectedEntry, entry_digest, join
 from cedarthread.replication.state import ReplicaState
-from cedarthread.replication.store import MAX_TICK_GAP_MS, ReplicatedStore
+from cedarthread.replication.store import ReplicatedStore
+from cedarthread.replication.sync_exchange import MAX_TICK_GAP_MS
 from cedarthread.replication.sync_server import RESPONSE_BURST
 from tests.simulation.test_replication_fleet import StoreSimulation
 
