--- a/tests/unit/replication/test_replication.py
+++ b/tests/unit/replication/test_replication.py
@@ -20,7 +20,7 @@
 from cedarthread.replication.store import ReplicatedStore
 from cedarthread.replication.sync_exchange import MAX_TICK_GAP_MS
 from cedarthread.replication.sync_server import RESPONSE_BURST
-from tests.simulation.test_replication_fleet import StoreSimulation
+from cedarthread.testing.replication_simulation import StoreSimulation
 
 VERSIONS = st.builds(Version, st.integers(0, 3), st.integers(0, 2), st.integers(0, 2))
 ENTRIES = st.builds(Entry, st.just(EntryKind.CONTRACT), st.just("t"), VERSIONS, st.binary(max_size=2))
