--- a/cedarthread/replication/freshness.py
+++ b/cedarthread/replication/freshness.py
@@ -178,6 +178,7 @@
                 read_at_ms = self.read_at_ms[router]
                 flags = 0
             if confirmed_at_ms[router] >= window_start_ms:
+                # One age covers the read and the confirmation, so the earlier time counts.
                 read_at_ms = min(read_at_ms, confirmed_at_ms[router])
                 flags |= HAS_ROOT_FLAG
             is_known = read_at_ms >= oldest_ms
--- a/cedarthread/replication/local_replica.py
+++ b/cedarthread/replication/local_replica.py
@@ -1,7 +1,7 @@
-"""One router's replica: its entries, their durability here and their replication to a majority.
+"""A router's replica: its entries, their durability here and their replication to a majority.
 
-The module has no networking; ``store.py`` connects the replica to the anti-entropy protocol. Entries change
-only by ``LocalReplica.merge``.
+The module has no networking; ``SyncExchange`` connects the replica to the anti-entropy protocol. Entries
+change only by ``LocalReplica.merge``.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 
 class LocalReplica:
-    """One router's entries, and the conclusions that this router may draw from them.
+    """The entries of one router, and the conclusions that this router may draw from them.
 
     Args:
         router_index: Index of this router, the author of the entries that ``prepare`` builds.
         incarnation: Incarnation of this router, part of the versions that ``prepare`` builds.
         freshness: Tracker of this router's reads; the replica reports changes to the tracker.
-        is_durable: Whether the host persists changes and reports them by ``mark_persisted``. Until then this
-            router does not confirm them to peers.
+        is_durable: Whether the host persists changes and reports them by ``mark_persisted``. While a change
+            is not persisted, this router sends no sync responses.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
             self._log_lost_edit(encoded.entry, result.replaced)
 
     def _log_lost_edit(self, winner: Entry, loser: EntryRecord) -> None:
-        """Log that a version by an author without knowledge of this router's edit replaced that edit."""
+        """Log that an edit of this router lost against a concurrent edit."""
         version = loser.entry.version
         is_own = version.author == self.router_index and version.incarnation == self.incarnation
         if is_own and is_concurrent(winner, loser.digest):
--- a/cedarthread/replication/majority.py
+++ b/cedarthread/replication/majority.py
@@ -19,7 +19,7 @@
 
 
 class ChangeCohort:
-    """Entries that changed together, and when each router was last known to have them.
+    """Changed entries that are tracked together, and when each router was last known to have them.
 
     The entries are replicated once a majority is known to have had ``root_digest`` within the window.
 
@@ -66,10 +66,11 @@
         self.cohorts.append(cohort)
 
     def confirmation_times(self, root_digest: int) -> list[list[float]]:
-        """Return the confirmation times of all cohorts that a router with this root digest has.
+        """Return the confirmation times of the cohort with this root digest and of all earlier cohorts.
 
-        The lists belong to the cohorts, so that the caller can record confirmations in them. An unknown root
-        digest gives an empty result.
+        A router with the root digest also has the entries of the earlier cohorts. The lists belong to the
+        cohorts, so that the caller can record confirmations in them. An unknown root digest gives an empty
+        result.
         """
         newest = next(
             (index for index, cohort in enumerate(self.cohorts) if cohort.root_digest == root_digest), -1
--- a/cedarthread/replication/messages.py
+++ b/cedarthread/replication/messages.py
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryFragment:
-    """One fragment of an entry's canonical bytes."""
+    """A fragment of an entry's canonical bytes."""
 
     digest: int
     entry_bytes: int
--- a/cedarthread/replication/state.py
+++ b/cedarthread/replication/state.py
@@ -68,7 +68,8 @@
     def merge(self, now_ms: float, encoded: EncodedEntry) -> MergeResult:
         """Join one entry into the state.
 
-        The caller enforces the limit on the number of entries (``is_full``).
+        The losing version, new or stored, is recorded as superseded. The caller enforces the limit on the
+        number of entries (``is_full``).
         """
         entry = encoded.entry
         digest = encoded.digest
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -49,7 +49,7 @@
 
 
 class ReplicatedStore:
-    """One router's replicated store: a ``Component``, and the ``ReplicatedState`` that other components read.
+    """The replicated store of one router, a ``Component`` and the ``ReplicatedState`` of other components.
 
     Times are in ms on this router's steady clock.
 
@@ -153,12 +153,12 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this router counts for majorities."""
+        """True if this router counts for majorities."""
         return self.replica.freshness.is_voter
 
     @property
     def all_peers(self) -> Sequence[int]:
-        """All configured peers, alive or not."""
+        """The configured peers, alive or not."""
         return self.requests.all_peers
 
     def set_durable(self, *, is_durable: bool) -> None:
--- a/cedarthread/replication/sync_exchange.py
+++ b/cedarthread/replication/sync_exchange.py
@@ -1,4 +1,4 @@
-"""One router's part in the anti-entropy protocol: its sync requests, and its handling of peers' messages.
+"""A router's part in the anti-entropy protocol: its sync requests, and its handling of peers' messages.
 
 ``SyncExchange`` connects the schedule of requests, the sessions, the server and the replica. It is their only
 writer, apart from the operators' and the host's changes through ``ReplicatedStore``.
--- a/cedarthread/replication/sync_requests.py
+++ b/cedarthread/replication/sync_requests.py
@@ -2,8 +2,8 @@
 
 Each router sends a sync request to one random peer per period (anti-entropy, Demers and others: "Epidemic
 algorithms for replicated database maintenance", 1987). A response counts only once, and only if its request
-is open and was sent to the responder. ``ReplicatedStore`` drives the schedule and is the only writer of its
-state.
+is open and was sent to the responder. ``SyncExchange`` drives the schedule; ``ReplicatedStore`` sets the
+alive peers.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
         self.next_request_at_ms = now_ms + rng.uniform(0.0, period_ms)
         self.next_reverse_request_at_ms = now_ms
         self.request_count = 0
-        self.next_age_segment = 0  # segments of AGES_PER_RESPONSE routers
+        self.next_age_segment = 0  # of AGES_PER_RESPONSE routers; index for the next request
 
     def set_alive(self, peers: Collection[int]) -> None:
         """Restrict requests to the peers that are alive, apart from one in ``REQUESTS_PER_RANDOM_PEER``."""
@@ -79,6 +79,7 @@
         """Return the peer of the periodic request and schedule the next one; None if no request is due."""
         if not self.all_peers or now_ms < self.next_request_at_ms:
             return None
+        # After a pause of this router at most one missed request is caught up.
         earliest_ms = max(self.next_request_at_ms, now_ms - self.period_ms)
         self.next_request_at_ms = earliest_ms + self.period_ms * self.rng.uniform(*PERIOD_JITTER)
         self.request_count += 1
@@ -86,7 +87,10 @@
         return self.rng.choice(self.all_peers if is_any_peer else self.alive_peers)
 
     def allow_reverse_request(self, now_ms: float) -> bool:
-        """Return whether a request to a peer that sent one may follow, at most once per period."""
+        """Return whether a reverse request may be sent now, and schedule the next one.
+
+        A reverse request is sent to a peer that has just sent a sync request itself.
+        """
         if now_ms < self.next_reverse_request_at_ms:
             return False
         self.next_reverse_request_at_ms = now_ms + self.period_ms
--- a/cedarthread/replication/sync_server.py
+++ b/cedarthread/replication/sync_server.py
@@ -67,7 +67,7 @@
         self.rng = rng
         self.response_budget = TokenBucket(RESPONSES_PER_SECOND, RESPONSE_BURST, RESPONSE_BURST, now_ms)
         self.byte_budget = TokenBucket(BYTES_PER_SECOND, BYTE_BURST, BYTE_BURST, now_ms)
-        self.unanswered_count = 0
+        self.unanswered_count = 0  # sync requests without a response; responses cut short by the byte budget
 
     def admits(self, now_ms: float, request: SyncRequest) -> bool:
         """Return whether a sync request gets a response, and charge the response budget.
@@ -170,7 +170,7 @@
 
 
 def pack_summaries(refs_by_bucket: Mapping[int, list[EntryRef]], first_bucket: int) -> list[SummaryPart]:
-    """Distribute buckets over as few datagrams as their order allows.
+    """Distribute buckets over few datagrams, starting with ``first_bucket``.
 
     Small buckets share a datagram. A bucket that exceeds a datagram is split into parts of its own.
     """
--- a/cedarthread/replication/sync_session.py
+++ b/cedarthread/replication/sync_session.py
@@ -2,7 +2,7 @@
 
 A session compares bucket sums with the peer, requests summaries of the buckets that differ, fetches unknown
 entries, and ends when the sums prove that the peer's state is within this router's state. Only then does the
-peer's response count as a confirmation. ``ReplicatedStore`` drives the sessions.
+peer's response count as a confirmation. ``SyncExchange`` drives the sessions.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 RETRY_INTERVAL_MS = 300.0  # after which an overdue request is repeated
 MAX_RETRIES = 8  # without the arrival of an entry; then the session is aborted
-RETRIES_PER_SUMMARY_REQUEST = 4  # every 4th retry also requests the summaries again
+RETRIES_PER_SUMMARY_REQUEST = 4  # every 4th retry requests the summaries too, not only entries
 MAX_PENDING_FETCHES = 8  # with more pending fetches no further session is started
 MAX_SESSIONS = 4  # the oldest are dropped first
 
@@ -75,7 +75,7 @@
     def add_summary(self, summary: Summary) -> None:
         """Record the refs that a summary lists."""
         if self.root_digest != summary.root_digest:
-            # The peer's state has grown since its response; the summary includes the entries of that time.
+            # The peer's state has grown since its previous message; its summary includes the earlier entries.
             self.root_digest = summary.root_digest
             self.refs_by_bucket = {}
             self.part_counts = {}
@@ -111,7 +111,7 @@
 
 
 class SyncSessions:
-    """All sync sessions of one router, and the fetches that are pending in them.
+    """The sync sessions of one router, and the fetches that are pending in them.
 
     Times are in ms on this router's steady clock.
 
@@ -135,8 +135,8 @@
     def start(self, now_ms: float, peer: int, sent_at_ms: float, response: SyncResponse) -> list[SendToPeer]:
         """Start a session after a peer's response, unless the peer's state is already covered.
 
-        No session starts while many fetches are pending, because further summaries would only consume the
-        bandwidth of these fetches. The oldest session is dropped if there are too many.
+        No session starts while other sessions have many pending fetches, because further summaries would only
+        consume the bandwidth of these fetches. Beyond ``MAX_SESSIONS`` the oldest session is dropped.
 
         Args:
             now_ms: Current time.
@@ -190,7 +190,7 @@
             self._advance(now_ms, nonce)
 
     def on_tick(self, now_ms: float) -> list[SendToPeer]:
-        """Repeat requests that are overdue."""
+        """Retry sessions without progress; drop all pending fetches if no session is open."""
         messages: list[SendToPeer] = []
         for nonce in list(self.sessions):
             messages += self._retry(now_ms, nonce)
@@ -213,7 +213,9 @@
         return messages
 
     def _advance(self, now_ms: float, nonce: int) -> bool:
-        """Update a session's bucket sums from the known entries, and remove the session if it is complete.
+        """Update a session's bucket sums, and remove the session if it is complete.
+
+        A bucket's sum becomes that of the peer's entries once all of these entries are known here.
 
         Returns:
             Whether the session was complete.
--- a/cedarthread/testing/replication_scenarios.py
+++ b/cedarthread/testing/replication_scenarios.py
@@ -82,7 +82,7 @@
 
 
 def simulate_restart_during_sync() -> StoreSimulation:
-    """Restart a router after its sync response, so that its summary comes from an empty incarnation."""
+    """Restart a router after its sync response, so that an empty incarnation sends its summary."""
     simulation = StoreSimulation(3, 2, period_ms=100.0, window_ms=4000.0)
     connect_only(simulation, {0, 1})
     simulation.propose(0, "x", b"settled")
--- a/cedarthread/testing/replication_simulation.py
+++ b/cedarthread/testing/replication_simulation.py
@@ -46,7 +46,7 @@
 
 
 class Link(NamedTuple):
-    """One direction between two routers."""
+    """A direction between two routers."""
 
     sender: int
     receiver: int
