--- a/cedarthread/replication/conflicts.py
+++ b/cedarthread/replication/conflicts.py
@@ -3,7 +3,7 @@
 Two acts *contradict* each other when no single state of the replicated store allows both. Fresh routers know
 the same entries, so their acts contradict each other for no longer than the staleness bound. A router with a
 state that is not fresh replaces an act by the *fallback* of that act; a fallback contradicts no act. The
-module has constants and functions only, no state. Step 13 of docs/design/register.md.
+module has constants and functions only, no state. Step 13 of docs/design/replication.md.
 """
 
 from __future__ import annotations
--- a/cedarthread/replication/freshness.py
+++ b/cedarthread/replication/freshness.py
@@ -8,7 +8,7 @@
 A router that started without memory may have lost entries that it confirmed in an earlier incarnation. Such a
 router is not a *voter*: it does not count for majorities until it has read enough of the other routers.
 ``SyncSessions`` records responses, ``LocalReplica`` reports changes and calls ``update``. Steps 3 to 10 of
-docs/design/register.md.
+docs/design/replication.md.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     Args:
         router_index: Index of this router.
         router_count: Number of configured routers, alive or not.
-        window_ms: How long a confirmation counts (V in docs/design/register.md).
+        window_ms: How long a confirmation counts (V in docs/design/replication.md).
         clock_rate: Fraction by which a router's clock may run fast or slow.
         now_ms: Start of this incarnation.
         root_digest: Root digest of this router's state at the start.
--- a/cedarthread/replication/majority.py
+++ b/cedarthread/replication/majority.py
@@ -3,7 +3,7 @@
 A *cohort* is created after each change and records which routers are known to have the new root digest. A
 router with a later root digest also has the entries of the earlier ones, because states only grow.
 ``FreshnessTracker`` owns the tracker; ``LocalReplica`` removes the entries that it has marked as replicated.
-Steps 8 and 9 of docs/design/register.md.
+Steps 8 and 9 of docs/design/replication.md.
 """
 
 from __future__ import annotations
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -4,7 +4,7 @@
 that it lacks. A response counts as a confirmation from when its request was sent, and only once this router
 stores all of the peer's entries. ``freshness.py`` and ``majority.py`` derive freshness and replication to a
 majority from the confirmations. All state of the package changes within calls of ``ReplicatedStore``. Steps 1
-to 13 of docs/design/register.md.
+to 13 of docs/design/replication.md.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 def default_window_ms(period_ms: float, router_count: int) -> float:
     """Return the default freshness window V.
 
-    The formula (step 10 of docs/design/register.md) counts the rounds in which requests reach all routers.
+    The formula (step 10 of docs/design/replication.md) counts the rounds in which requests reach all routers.
     """
     rounds = math.log2(router_count) + math.log(router_count) + 6.0
     return period_ms * rounds / (1.0 - ASSUMED_LOSS) ** 2
--- a/cedarthread/testing/replication_defects.py
+++ b/cedarthread/testing/replication_defects.py
@@ -1,4 +1,4 @@
-"""Injected defects of the replicated store: each breaks one rule of docs/design/register.md.
+"""Injected defects of the replicated store: each breaks one rule of docs/design/replication.md.
 
 The observer of simulations and the model checker must find them. For tests only, never loaded when serving.
 """
--- a/cedarthread/testing/replication_observer.py
+++ b/cedarthread/testing/replication_observer.py
@@ -1,4 +1,4 @@
-"""An observer of simulated replicated stores that checks the theorem of docs/design/register.md (step 9).
+"""An observer of simulated replicated stores that checks the theorem of docs/design/replication.md (step 9).
 
 The theorem: a router with a fresh state stores every entry that was replicated to a majority longer than the
 staleness bound ago. The simulation reports each step of a router in true time; the observer trusts no
--- a/cedarthread/testing/replication_scenarios.py
+++ b/cedarthread/testing/replication_scenarios.py
@@ -1,4 +1,4 @@
-"""Faults of simulated replicated stores in which the rules of docs/design/register.md matter.
+"""Faults of simulated replicated stores in which the rules of docs/design/replication.md matter.
 
 For tests only, never loaded when serving.
 """
--- a/tests/simulation/test_replication_fleet.py
+++ b/tests/simulation/test_replication_fleet.py
@@ -1,6 +1,6 @@
 """Fleets of replicated stores under faults, and a small model of them, satisfy the theorem of the design.
 
-The theorem (docs/design/register.md, step 9): a router with a fresh state stores every entry that was
+The theorem (docs/design/replication.md, step 9): a router with a fresh state stores every entry that was
 replicated to a majority longer than the staleness bound ago. The injected defects show that the observer and
 the model find violations.
 """
