--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -36,7 +36,7 @@
 
 MAX_TICK_INTERVAL_MS = 250.0  # the host calls on_tick at least this often
 ASSUMED_LOSS = 0.2  # fraction of lost datagrams that the default window allows for
-_RNG_SALT = 0x5245_4749  # so that components with the same seed draw differently
+_RNG_SALT = 0x5245_4749  # in the seed, so that components with the same seed draw different numbers
 
 
 def default_window_ms(period_ms: float, router_count: int) -> float:
@@ -250,7 +250,7 @@
         return []
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
-        """Send sync requests that are due and retry sessions; the host calls it several times a second."""
+        """Send due sync requests and retry sessions; requires several calls a second (MAX_TICK_INTERVAL_MS)."""
         self.exchange.note_activity(now_ms)
         logs = self.replica.take_logs()
         return [*logs, *self.exchange.on_tick(now_ms)]
--- a/cedarthread/replication/sync_server.py
+++ b/cedarthread/replication/sync_server.py
@@ -52,7 +52,7 @@
 
 
 class SyncServer:
-    """Responds to the sync, summary and fetch requests of peers from this router's replica.
+    """The responder to sync, summary and fetch requests of peers, which reads one router's replica.
 
     Args:
         replica: This router's replica, only read.
--- a/cedarthread/replication/sync_session.py
+++ b/cedarthread/replication/sync_session.py
@@ -184,7 +184,7 @@
         self.pending_fetches.pop(ref, None)
 
     def advance_all(self, now_ms: float) -> None:
-        """Complete the sessions that a newly merged entry has completed; reset the retries of the others."""
+        """Remove the sessions that a newly merged entry completes; reset the retries of the others."""
         for nonce in list(self.sessions):
             self.sessions[nonce].retries = 0
             self._advance(now_ms, nonce)
