--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -250,7 +250,7 @@
         return []
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
-        """Send due sync requests and retry sessions; requires several calls a second (MAX_TICK_INTERVAL_MS)."""
+        """Send due sync requests and retry sessions; required every ``MAX_TICK_INTERVAL_MS``."""
         self.exchange.note_activity(now_ms)
         logs = self.replica.take_logs()
         return [*logs, *self.exchange.on_tick(now_ms)]
