--- a/cedarthread/recovery/__init__.py
+++ b/cedarthread/recovery/__init__.py
@@ -1,4 +1,5 @@
-"""Restart recovery: what a router that has just started asks of its peers, believes, and may begin.
+"""Restart recovery: how a router that has just started relearns warm instances and limits its own load.
 
-Pure: no sockets, no disk, no clock. ``now_ms`` is milliseconds on the process's steady clock throughout.
+The package is pure: no sockets, no disk, no clock. Each ``now_ms`` is a time in milliseconds on the steady
+clock of the process.
 """
--- a/cedarthread/recovery/action_baseline.py
+++ b/cedarthread/recovery/action_baseline.py
@@ -1,4 +1,4 @@
-"""How often a router does what is paced on an undisturbed day."""
+"""The rates of the paced actions in service, from which the limits of a recovery are derived."""
 
 from __future__ import annotations
 
@@ -12,13 +12,17 @@
     from collections.abc import Mapping
 
 TIME_CONSTANT_MS = 10_000.0
-"""Time over which the undisturbed rate is averaged."""
+"""Time constant of the average that measures the baseline rates."""
 MIN_TIME_CONSTANTS = 2.0
-"""Time in service, in units of the above, from which on that average is believed."""
+"""Time in service, in multiples of ``TIME_CONSTANT_MS``, before the measured rates are used."""
 
 
 class ActionBaseline:
-    """The usual rates of one router, as it measured them itself or as a peer reported its own."""
+    """Baseline rates of one router, per second and by action: measured by itself or reported by peers.
+
+    ``Pacer`` records the actions and starts and stops the measurement; ``RecoveryComponent`` sets the rates
+    that the store or the peers supply.
+    """
 
     def __init__(self) -> None:
         self.own_per_second: dict[PacedAction, float] = {}
@@ -31,33 +35,33 @@
 
     @property
     def is_in_service(self) -> bool:
-        """Whether what is done now counts as undisturbed."""
+        """True while the router is in service, so that its actions count for the baseline."""
         return self.in_service_since_ms < math.inf
 
     def leave_service(self) -> None:
-        """A recovery begins: what is done from now on is not the usual."""
+        """Stop measuring, because the actions of a recovery are not representative."""
         self.in_service_since_ms = math.inf
 
     def enter_service(self, now_ms: float) -> None:
-        """The recovery is over: from now on the usual rate is measured anew."""
+        """Start a new measurement, because the recovery is over."""
         self.in_service_since_ms = now_ms
         self._reset_counters()
 
     def record(self, now_ms: float, action: PacedAction) -> None:
-        """The router did it once."""
+        """Count one action of this router."""
         self._counters[action].add(now_ms, 1.0)
 
     def update(self, now_ms: float) -> Mapping[PacedAction, float]:
-        """The router's own usual rates per second, measured anew once it is in service for long enough."""
+        """Return this router's own rates per second, measured again if it has been in service long enough."""
         if now_ms - self.in_service_since_ms >= MIN_TIME_CONSTANTS * TIME_CONSTANT_MS:
-            # The counters began empty: the part of their final value that they can have reached by now.
-            filled = 1.0 - math.exp((self.in_service_since_ms - now_ms) / TIME_CONSTANT_MS)
+            # The counters started empty, so by now they have reached only this fraction of their final value.
+            filled_fraction = 1.0 - math.exp((self.in_service_since_ms - now_ms) / TIME_CONSTANT_MS)
             self.own_per_second = {
-                action: 1000.0 * counter.read(now_ms) / TIME_CONSTANT_MS / filled
+                action: 1000.0 * counter.read(now_ms) / TIME_CONSTANT_MS / filled_fraction
                 for action, counter in self._counters.items()
             }
         return self.own_per_second
 
     def per_second(self, action: PacedAction) -> float | None:
-        """The usual rate of one router: this one's, else a peer's, else not known."""
+        """Return the baseline rate of one router: its own, else that of its peers, else None."""
         return self.own_per_second.get(action, self.peer_per_second.get(action))
--- a/cedarthread/recovery/admission.py
+++ b/cedarthread/recovery/admission.py
@@ -1,4 +1,7 @@
-"""Which loads, connections and queries a router may begin while it recovers; in service all are granted."""
+"""Decides which loads, connections and queries a router may start while it recovers.
+
+Once the recovery is over and no action is deferred any longer, pacing ends and every action is granted.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +16,15 @@
     from cedarthread.recovery.pacing import Pacer
 
 DEFAULT_LOAD_TIME_MS = 1000.0
-"""Time that a load is taken to last; nothing reports the real one."""
+"""Assumed duration of a load, because workers do not report the actual one."""
 PENDING_LOAD_TIMEOUT_MS = 4.0 * DEFAULT_LOAD_TIME_MS
-"""Time after which a load that did not end no longer holds back another of its function."""
+"""Time after which a load that has not ended no longer blocks another load of its function."""
 LONG_DEFERRAL_MS = 500.0
-"""Once nothing has been deferred for so long, pacing ends."""
+"""Duration from which on a deferral is long. Pacing cannot end while there is a long deferral."""
 
 
 class DeferralTracker:
-    """How long what is still wanted has been deferred."""
+    """The actions that are deferred, each with the times of its first and last request."""
 
     def __init__(self) -> None:
         self._first_and_last_ms: dict[Hashable, tuple[float, float]] = {}
@@ -30,7 +33,7 @@
         return wanted in self._first_and_last_ms
 
     def record(self, now_ms: float, wanted: Hashable, was_granted: bool) -> None:
-        """Something was asked for, and granted or deferred."""
+        """Record a request for an action, which was granted or deferred."""
         if was_granted:
             self._first_and_last_ms.pop(wanted, None)
             return
@@ -38,7 +41,10 @@
         self._first_and_last_ms[wanted] = (first_ms, now_ms)
 
     def has_long_deferral(self, now_ms: float) -> bool:
-        """Whether anything has been deferred for long. What was not asked for again lately is dropped."""
+        """Return whether any action has been deferred for longer than ``LONG_DEFERRAL_MS``.
+
+        Drops the actions that were not requested again within that time, because they are no longer needed.
+        """
         self._first_and_last_ms = {
             wanted: (first_ms, last_ms)
             for wanted, (first_ms, last_ms) in self._first_and_last_ms.items()
@@ -47,46 +53,55 @@
         return any(now_ms - first_ms > LONG_DEFERRAL_MS for first_ms, _ in self._first_and_last_ms.values())
 
     def clear(self) -> None:
-        """Nothing is wanted any more."""
+        """Forget all deferred actions."""
         self._first_and_last_ms.clear()
 
 
 @dataclass(frozen=True, slots=True)
 class PendingLoad:
-    """A call that was sent to a worker not known to be warm."""
+    """A call in flight to a worker without a known warm instance, which may therefore start a load."""
 
     sent_at_ms: float
     tokens_taken: float
 
 
 class RecoveryAdmission:
-    """Grants or defers, by the pacer's tokens, until the recovery is over and nothing waits any more."""
+    """Grants or defers the actions of one router, by the tokens of its ``Pacer`` while pacing is on.
+
+    Owns whether pacing is on, the loads in flight and the deferred actions.
+    """
 
     def __init__(self, pacer: Pacer) -> None:
         self.pacer = pacer
         self.is_paced = True
         self.pending_loads: dict[int, PendingLoad] = {}
-        """By function; one at a time, since its instance will serve all calls that wait."""
+        """By function id. One per function, because one new instance can serve all waiting calls."""
         self.deferrals = DeferralTracker()
 
     def restart(self, now_ms: float) -> None:
-        """A recovery begins after a pause."""
+        """Turn pacing on for a recovery after a pause of the process."""
         self.pacer.restart(now_ms)
         self.pending_loads.clear()
         self.deferrals.clear()
         self.is_paced = True
 
     def on_tick(self, now_ms: float, is_in_service: bool) -> None:
-        """After the state machine: raise the load rate while something waits, else end the pacing."""
+        """Raise the load rate while an action is long deferred; otherwise end pacing once in service.
+
+        The caller advances the state machine first.
+        """
         if self.is_paced and self.deferrals.has_long_deferral(now_ms):
             self.pacer.grow_load_rate(now_ms)
         elif is_in_service:
             self.is_paced = False
 
     def try_acquire_load(self, now_ms: float, function_id: int, awaits_peers: bool) -> bool:
-        """Whether a load of a function may be begun now; a yes takes its tokens.
+        """Return whether a load of a function may start now; consumes tokens if it returns True.
 
-        ``awaits_peers``: peers are about to say where it is warm, which takes less time than a load.
+        Args:
+            now_ms: Present time.
+            function_id: Function to load.
+            awaits_peers: Whether peers may soon report a warm instance, which is faster than a load.
         """
         if not self.is_paced:
             return True
@@ -101,14 +116,14 @@
         return was_granted
 
     def settle_load(self, now_ms: float, function_id: int, was_warm: bool, succeeded: bool) -> None:
-        """A call of a function ended; if it was the one that might begin a load, its tokens are settled."""
+        """Correct the tokens of a function's pending load, if any, because a call of the function ended."""
         pending = self.pending_loads.pop(function_id, None)
         if pending is not None:
             self.pacer.settle_load(now_ms, pending.tokens_taken, was_warm)
             self.pacer.record_result(PacedAction.LOAD, succeeded)
 
     def try_acquire_connection(self, now_ms: float, worker_id: int) -> bool:
-        """Whether one more connection to a worker may be begun now; a yes takes its token."""
+        """Return whether a connection to a worker may start now; consumes a token if it returns True."""
         if not self.is_paced:
             self.pacer.record_unpaced(now_ms, PacedAction.CONNECT)
             return True
@@ -120,27 +135,27 @@
         return was_granted
 
     def try_acquire_discovery_query(self, now_ms: float) -> bool:
-        """Whether a discovery query may be sent now; a yes takes its token."""
+        """Return whether a discovery query may be sent now; consumes a token if it returns True."""
         if not self.is_paced:
             self.pacer.record_unpaced(now_ms, PacedAction.DISCOVERY_QUERY)
             return True
         return self.pacer.try_acquire(now_ms, PacedAction.DISCOVERY_QUERY)
 
     def try_acquire_release(self, now_ms: float) -> bool:
-        """Whether one change that a freeze had deferred may be carried out now; a yes takes its token."""
+        """Return whether one deferred change of a freeze may be applied now; consumes a token if so."""
         was_granted = self.pacer.try_acquire(now_ms, PacedAction.RELEASE)
         if was_granted:
             self.pacer.record_result(PacedAction.RELEASE, True)
         return was_granted
 
     def on_connection_result(self, succeeded: bool) -> None:
-        """A connection that was begun is up, or has failed."""
+        """Record that a connection was established, or failed."""
         self.pacer.record_result(PacedAction.CONNECT, succeeded)
 
     def on_discovery_result(self, succeeded: bool) -> None:
-        """A discovery query was answered, or has failed."""
+        """Record that a discovery query was answered, or failed."""
         self.pacer.record_result(PacedAction.DISCOVERY_QUERY, succeeded)
 
     def on_freeze_ended(self, now_ms: float) -> None:
-        """A freeze ended: the changes that it deferred are released at a low rate first."""
+        """Reset the rate at which deferred changes are released, because a freeze ended."""
         self.pacer.on_freeze_ended(now_ms)
--- a/cedarthread/recovery/codec.py
+++ b/cedarthread/recovery/codec.py
@@ -1,15 +1,15 @@
-"""The datagrams of the peer query, 256 bytes at most, all little-endian.
+"""Encodes and decodes the datagrams of the peer query: at most 256 bytes, all fields little-endian.
 
     query:    message type u8, kind u8, nonce u32, segment u8, segment count u8
     response: message type u8, kind u8, nonce u32, part u8, part count u8,
               warm fraction u8 (in 1/254; 255: unknown), uptime u16 (in 0.1 s),
               baseline loads u16, baseline connections u16 (in 0.01 a second; 65535: unknown);
-              then, for each start of a worker: worker u32, start tag u32, observation count u8;
-              then, for each of these: function hash u32, age u16 (in 50 ms, rounded up),
+              then, for each incarnation of a worker: worker u32, start tag u32, observation count u8;
+              then, for each of its observations: function hash u32, age u16 (in 50 ms, rounded up),
               flags u8 (bit 0: was warm; from bit 1 on: hops)
     busy:     message type u8, kind u8, nonce u32, retry after u16 (ms), suggested peer u16 (65535: none)
 
-A segment of the function space holds the functions whose hash modulo the segment count is its number.
+A segment consists of the functions with a hash that, modulo the segment count, is the segment's number.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-HEADER_BYTES = 2  # type of message, kind
+HEADER_BYTES = 2  # message type and kind
 AGE_UNIT_MS = 50.0
-"""Ages are rounded up to it, which also covers clocks that run at slightly different rates."""
+"""Ages are rounded up to multiples of this unit, which also covers clocks of slightly different rates."""
 MAX_AGE_UNITS = 65535
-"""Stands for any age from here on; such an observation is left out when read."""
+"""Encodes this age and every greater one; the decoder drops such observations."""
 UPTIME_UNIT_MS = 100.0
 MAX_UPTIME_UNITS = 65535
 RATE_UNIT_PER_SECOND = 0.01
@@ -46,7 +46,7 @@
 MAX_RETRY_AFTER_MS = 65535
 NO_PEER = 0xFFFF
 MAX_PARTS = 6
-"""Datagrams that one response takes at most."""
+"""Maximum number of datagrams of one response."""
 
 _QUERY = struct.Struct("<BBIBB")
 _RESPONSE = struct.Struct("<BBIBBBHHH")
@@ -56,7 +56,7 @@
 
 
 class DatagramKind(IntEnum):
-    """What a datagram is."""
+    """The kind of a datagram: its second byte."""
 
     QUERY = 1
     RESPONSE = 2
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """Asks which instances are warm in one segment."""
+    """A request for the warm instances of one segment."""
 
     nonce: int
     segment: int
@@ -74,20 +74,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """One part of a response."""
+    """A part of a response; each part is one datagram."""
 
-    nonce: int
+    nonce: int  # of the query
     part: int
     part_count: int
-    warm_fraction: float | None  # of the sender's calls that find a warm instance, once it is in service
+    warm_fraction: float | None  # of the sender's calls; None while the sender is not in service
     uptime_ms: float  # of the sender
     observations: tuple[AgedObservation, ...] = ()
-    baseline_rates: tuple[float, float] | None = None  # loads and connections per second usual at the sender
+    baseline_rates: tuple[float, float] | None = None  # the sender's loads and connections per second
 
 
 @dataclass(frozen=True, slots=True)
 class Busy:
-    """No response now: ask again later, or ask another peer that may know."""
+    """A rejection for lack of capacity, with a Retry-After and perhaps a peer to query in the meantime."""
 
     nonce: int
     retry_after_ms: float
@@ -98,11 +98,14 @@
 
 
 def split_into_datagrams(observations: Sequence[AgedObservation]) -> list[list[AgedObservation]]:
-    """Observations by worker, in one list a datagram; what would need more than ``MAX_PARTS`` is left out."""
+    """Return the observations grouped by worker, one list per datagram.
+
+    Observations that do not fit into ``MAX_PARTS`` datagrams are left out.
+    """
     parts: list[list[AgedObservation]] = [[]]
     free_bytes = MAX_DATAGRAM_BYTES - _RESPONSE.size
     last_worker: tuple[int, int] | None = None
-    for aged in sorted(observations, key=lambda one: (one.worker_id, one.start_tag)):
+    for aged in sorted(observations, key=lambda aged: (aged.worker_id, aged.start_tag)):
         worker = (aged.worker_id, aged.start_tag)
         size = _OBSERVATION.size + (_WORKER.size if worker != last_worker else 0)
         if size > free_bytes:
@@ -118,7 +121,11 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a datagram; ValueError for one that would be longer than may be sent."""
+    """Return the bytes of a datagram.
+
+    Raises:
+        ValueError: The datagram would be longer than `MAX_DATAGRAM_BYTES`.
+    """
     if isinstance(message, Query):
         return _QUERY.pack(
             MessageType.RECOVERY, DatagramKind.QUERY, message.nonce, message.segment, message.segment_count
@@ -162,9 +169,9 @@
     for aged in observations:
         by_worker.setdefault((aged.worker_id, aged.start_tag), []).append(aged)
     encoded = []
-    for (worker_id, start_tag), of_worker in by_worker.items():
-        encoded.append(_WORKER.pack(worker_id, start_tag, len(of_worker)))
-        for aged in of_worker:
+    for (worker_id, start_tag), worker_observations in by_worker.items():
+        encoded.append(_WORKER.pack(worker_id, start_tag, len(worker_observations)))
+        for aged in worker_observations:
             age_units = min(math.ceil(aged.age_ms / AGE_UNIT_MS), MAX_AGE_UNITS)
             flags = min(aged.hops, MAX_HOPS) << 1 | aged.is_warm
             encoded.append(_OBSERVATION.pack(aged.function_hash, age_units, flags))
@@ -172,7 +179,7 @@
 
 
 def decode(data: bytes) -> Message | MalformedDatagram:
-    """What a datagram says. Whatever it holds, no error is raised."""
+    """Return the message of a datagram; never raises, for any bytes."""
     if not HEADER_BYTES <= len(data) <= MAX_DATAGRAM_BYTES or data[0] != MessageType.RECOVERY:
         return MalformedDatagram(f"{len(data)} bytes")
     kind = data[1]
@@ -211,7 +218,7 @@
 
 
 def _decode_observations(data: bytes) -> tuple[AgedObservation, ...] | MalformedDatagram:
-    """What follows the header of a response."""
+    """Decode the groups of observations that follow the header of a response."""
     groups = read_record_groups(data, _RESPONSE.size, _WORKER, _OBSERVATION)
     if isinstance(groups, MalformedDatagram):
         return groups
--- a/cedarthread/recovery/component.py
+++ b/cedarthread/recovery/component.py
@@ -1,7 +1,7 @@
-"""The recovery component: joins the state machine, the peer query, the warm state and the pacing.
+"""The recovery component, which connects the state machine, the peer query, the warm state and the pacing.
 
-The host passes datagrams and notifications in, and asks before it begins a load or a connection. Where the
-settings allow no gossip, the component sends no queries and answers none; all else stays.
+The host passes datagrams and notifications in, and requests permission for each load and connection. If the
+settings do not allow gossip, the component neither sends nor answers peer queries.
 """
 
 from __future__ import annotations
@@ -43,37 +43,43 @@
     from cedarthread.model.settings import RouterSettings
 
 SUSPENSION_AFTER_PAUSE_MS = 500.0
-"""Time after a pause in which nothing of the warm state is used: buffered answers may be from before it."""
-LOAD_HOLD_FRACTION = 0.25
-"""Part of the peer query's timeout for which a load waits for peers to say where its function is warm."""
+"""Time after a pause for which the warm state is not used, because buffered responses may precede it."""
+LOAD_DEFERRAL_FRACTION = 0.25
+"""Fraction of the peer query's timeout for which loads wait for peers to report warm instances."""
 RETRY_AFTER_FRACTIONS = 0.05, 0.15
-"""Parts of the longest Retry-After between which rejected clients are put off on any day."""
+"""Fractions of the longest Retry-After between which that of a rejected client is drawn."""
 MASS_RESTART_RETRY_AFTER_FRACTION = 0.6
-"""The greater of them while most routers restart."""
+"""The greater fraction during a mass restart."""
 MAX_CLOCK_ERROR_MS = 500.0
-"""Time by which the wall clocks of two incarnations may differ."""
+"""Largest assumed difference between the wall clocks of two incarnations."""
 
 
 class WallClock(NamedTuple):
-    """A reading of the wall clock, and when on the steady clock it was taken."""
+    """A reading of the wall clock, with the time of the steady clock at the reading."""
 
     unix_ms: float
     read_at_ms: float
 
     def at(self, now_ms: float) -> float:
-        """The Unix time at a time on the steady clock."""
+        """Return the Unix time in ms at a time on the steady clock."""
         return self.unix_ms + now_ms - self.read_at_ms
 
 
 class RecoveryComponent:
-    """Restart recovery as one component of the node."""
+    """Restart recovery as one component of the routing node; owns all state of one router's recovery.
+
+    Args:
+        settings: Settings of the router.
+        seed: Seed of the random numbers.
+        now_ms: Start of the process.
+    """
 
     message_types: frozenset[int] = frozenset({MessageType.RECOVERY})
 
     def __init__(self, settings: RouterSettings, seed: int, now_ms: float = 0.0) -> None:
         self.settings = settings
         self.can_query_peers = _can_query_peers(settings)
-        self.restarted_at_ms = now_ms  # started, or went on after a pause
+        self.restarted_at_ms = now_ms  # start, or end of the last pause
         self.warm_state = WarmState(settings.keep_alive_ms)
         self.query_client = PeerQueryClient(seed, now_ms)
         self.query_server = PeerQueryServer(now_ms)
@@ -94,7 +100,7 @@
         self.unknown_sender_count = 0
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
-        """Take a datagram of the peer query."""
+        """Handle a datagram of the peer query; return the datagrams to send."""
         self._check_pause(now_ms)
         if not self.can_query_peers or not self._is_peer(sender):
             self.unknown_sender_count += 1
@@ -103,7 +109,7 @@
         if isinstance(message, MalformedDatagram):
             self.malformed_count += 1
             return []
-        self.fleet_view.heard_from.add(sender)
+        self.fleet_view.seen_peers.add(sender)
         if isinstance(message, codec.Query):
             template = self._response_template(now_ms)
             return self.query_server.on_query(now_ms, sender, message, self.warm_state, template)
@@ -117,7 +123,7 @@
         return sender != self.settings.router_index and 0 <= sender < self.settings.router_count
 
     def _response_template(self, now_ms: float) -> codec.Response:
-        """What each part of a response says of this router itself."""
+        """Return a response with the fields that describe this router itself."""
         own_rates = self.pacer.baseline.own_per_second
         return codec.Response(
             nonce=0,
@@ -145,7 +151,7 @@
             }
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
-        """Some times a second: advance the phases and the ramps, send queries."""
+        """Advance the phases and the ramps, and send queries; called some times per second."""
         self._check_pause(now_ms)
         messages: list[OutboundMessage] = []
         if self.has_unreported_pause:
@@ -166,7 +172,7 @@
         return messages
 
     def on_notification(self, now_ms: float, fact: Notification) -> Sequence[OutboundMessage]:
-        """Follow what the recovery depends on: peers, endpoints, ended attempts, the wall clock, settings."""
+        """Handle a change of peers, endpoints or settings, an ended attempt or a wall clock reading."""
         self._check_pause(now_ms)
         match fact:
             case AttemptCompleted():
@@ -185,53 +191,58 @@
         return []
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """The figures for operators."""
+        """Return the figures for operators."""
         return recovery_status(self, now_ms)
 
     def is_in_service(self) -> bool:
-        """Whether the recovery is over."""
+        """Return whether the recovery is over."""
         return self.state_machine.phase is RecoveryPhase.IN_SERVICE
 
     def is_mass_restart(self, now_ms: float) -> bool:
-        """Whether most routers restart at once, or may do so where that cannot be told."""
+        """Return whether most routers restart at once, or, without gossip, may do so."""
         if self.can_query_peers and self.fleet_view.latest_peers is not None:
             return self.fleet_view.is_mass_restart(now_ms, self.state_machine.timeouts.total_ms())
         return self.worker_reports.is_mass_restart_possible()
 
     def warm_instances(self, now_ms: float, function_id: int) -> dict[int, InstanceLoad]:
-        """The workers where a function was warm lately, in the form of ``LoadGossip.instances``."""
+        """Return the workers with a usable warm instance, in the form of ``LoadGossip.instances``."""
         self._check_pause(now_ms)
         return self.warm_state.warm_instances(now_ms, function_id)
 
     def try_acquire_load(self, now_ms: float, function_id: int) -> bool:
-        """Whether this router may begin one more load now; a yes takes its tokens."""
+        """Return whether a load of a function may start now; consumes tokens if it returns True."""
         self._check_pause(now_ms)
-        hold_ms = LOAD_HOLD_FRACTION * self.state_machine.timeouts.peer_query_ms
+        max_deferral_ms = LOAD_DEFERRAL_FRACTION * self.state_machine.timeouts.peer_query_ms
         awaits_peers = (
             self.can_query_peers
             and self.state_machine.phase in (RecoveryPhase.STARTING, RecoveryPhase.PEER_QUERY)
-            and now_ms - self.state_machine.entered_at_ms < hold_ms
+            and now_ms - self.state_machine.entered_at_ms < max_deferral_ms
         )
         return self.admission.try_acquire_load(now_ms, function_id, awaits_peers)
 
     def try_acquire_connection(self, now_ms: float, worker_id: int) -> bool:
-        """Whether one more connection to this worker may be begun now; a yes takes its token."""
+        """Return whether a connection to a worker may start now; consumes a token if it returns True."""
         self._check_pause(now_ms)
         return self.admission.try_acquire_connection(now_ms, worker_id)
 
     def retry_after_fractions(self, now_ms: float) -> tuple[float, float]:
-        """The parts of the longest Retry-After between which a rejected client is put off."""
-        least, most = RETRY_AFTER_FRACTIONS
+        """Return the fractions of the longest Retry-After between which that of a client is drawn."""
+        shortest, longest = RETRY_AFTER_FRACTIONS
         if not self.is_in_service() and self.is_mass_restart(now_ms):
-            most = MASS_RESTART_RETRY_AFTER_FRACTION
-        return (least, most)
+            longest = MASS_RESTART_RETRY_AFTER_FRACTION
+        return (shortest, longest)
 
     def on_load_report(self, reported_calls: float, own_calls: float) -> None:
-        """A worker's load report: calls that it held, and how many of them were this router's."""
+        """Record a load report of a worker.
+
+        Args:
+            reported_calls: Calls in flight at the worker.
+            own_calls: Those of them that this router had sent.
+        """
         self.worker_reports.on_load_report(reported_calls, own_calls)
 
     def snapshot(self, now_ms: float) -> bytes | None:
-        """The warm-state snapshot for the store, with ages as of now; None without a wall clock."""
+        """Return the warm-state snapshot to store, with present ages; None without a wall clock reading."""
         if self.wall_clock is None:
             return None
         observations = self.warm_state.digest(now_ms, limit=snapshot.MAX_STORED_OBSERVATIONS)
@@ -240,10 +251,18 @@
         return snapshot.encode(unix_ms, self.baseline_warm_fraction(), own_rates, observations)
 
     def restore(self, now_ms: float, raw: bytes, clock_error_ms: float = MAX_CLOCK_ERROR_MS) -> int:
-        """Take the snapshot of the previous incarnation; how many of its observations are news.
+        """Restore the stored snapshot of the previous incarnation.
+
+        Observations are restored only after a wall clock reading, because their ages need the downtime.
+
+        Args:
+            now_ms: Present time.
+            raw: The stored snapshot.
+            clock_error_ms: Largest difference between the wall clocks of the two incarnations; added to each
+                age.
 
-        Observations that cannot be dated are left out. ``clock_error_ms``: the wall clocks of the two
-        incarnations may differ by so much; all ages grow by it.
+        Returns:
+            How many observations changed the warm state.
         """
         stored = snapshot.decode(raw)
         if stored is None:
@@ -259,12 +278,12 @@
         return snapshot.restore_observations(stored, self.warm_state, now_ms, unix_ms, clock_error_ms)
 
     def baseline_warm_fraction(self) -> float | None:
-        """The usual fraction of warm calls: by peers in service, else as it was before the restart."""
+        """Return the baseline fraction of warm calls: reported by peers, else from before the restart."""
         reported = self.query_client.median_warm_fraction()
         return self.warm_fraction.remembered_baseline if reported is None else reported
 
     def _check_pause(self, now_ms: float) -> None:
-        """First with each event: after a pause, recover anew; what comes first may be from before it."""
+        """Restart the recovery if the process was paused; every event calls this method first."""
         if not self.state_machine.detect_pause(now_ms):
             return
         self.has_unreported_pause = True
@@ -284,7 +303,7 @@
 
     def _on_attempt_completed(self, now_ms: float, attempt: AttemptCompleted) -> None:
         if now_ms < self.warm_state.suspended_until_ms:
-            return  # the answer may have waited in a buffer for as long as the pause was
+            return  # because the response may have been buffered during the pause
         succeeded = attempt.outcome is Outcome.OK
         is_cold_start = attempt.outcome is Outcome.NOT_LOADED or (
             attempt.was_warm is False and attempt.outcome is Outcome.ERROR
@@ -317,7 +336,8 @@
         self.warm_state.keep_alive_ms = settings.keep_alive_ms
         self.can_query_peers = _can_query_peers(settings)
         self.state_machine.timeouts = PhaseTimeouts.from_settings(settings)
-        self.fleet_view.router_count = self.worker_reports.router_count = settings.router_count
+        self.fleet_view.router_count = settings.router_count
+        self.worker_reports.router_count = settings.router_count
 
 
 def _can_query_peers(settings: RouterSettings) -> bool:
--- a/cedarthread/recovery/connection_turns.py
+++ b/cedarthread/recovery/connection_turns.py
@@ -1,8 +1,9 @@
-"""When a router's next connection to one worker is due, so that the fleet's do not all come at once.
+"""Spreads the connections of all recovering routers to one worker over time.
 
-Routers are taken for alike: a router's own calls tell which part of the fleet's connections a worker draws.
-Where that is within the worker's limit, connections pass as calls come; where it is far beyond, each router
-has its turn, at a place of its own within the time over which the fleet's connections are spread.
+Each router assumes that the other routers receive calls like its own. So from its own calls it estimates how
+many connections all routers together want to open to a worker. If the worker can accept that many, a router
+connects as soon as a call needs the connection. If not, each router waits for its own turn within the time
+over which all connections are spread.
 """
 
 from __future__ import annotations
@@ -12,25 +13,32 @@
 from cedarthread.recovery.pacing_limits import WINDOW_MS
 
 FIRST_CONNECT_WINDOWS = 2.0
-"""Windows over which the first connections to a worker are spread at least: calls tell little as yet."""
+"""Least number of windows over which first connections are spread, because few calls are counted as yet."""
 GOLDEN_RATIO_CONJUGATE = 0.6180339887498949
-"""Multiples of it modulo 1 fill the circle evenly (Knuth, TAOCP 3, 6.4), so no two of a few are close."""
+"""Its multiples modulo 1 fill the interval from 0 to 1 evenly, so that no two of a few are close.
+
+Source: Knuth, TAOCP 3, 6.4.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetDemand:
-    """What the turns at one worker depend on beside own calls."""
+    """The inputs of a turn that are the same for all workers."""
 
     router_count: int  # routers that recover at once
     worker_count: int
-    connections_per_window: float  # that the worker bears
+    connections_per_window: float  # that one worker can accept from all routers together
 
 
 class ConnectionTurns:
-    """The turns of one router at each worker."""
+    """Decides when one router may open its next connection to each worker; one instance lasts one recovery.
+
+    Args:
+        phase_offset: Place of this router among all routers, from 0 to 1.
+        now_ms: Start of the recovery.
+    """
 
     def __init__(self, phase_offset: float, now_ms: float) -> None:
-        """``phase_offset``: this router's place among all, from 0 to 1."""
         self._phase_offset = phase_offset
         self._started_at_ms = now_ms
         self._last_connection_ms: dict[int, float] = {}
@@ -38,22 +46,23 @@
         self._total_calls = 0
 
     def record_call(self, worker_id: int) -> None:
-        """A call went, or was to go, to a worker."""
+        """Count a call that was sent to a worker, or that needs a connection to it."""
         self._calls_by_worker[worker_id] = self._calls_by_worker.get(worker_id, 0) + 1
         self._total_calls += 1
 
     def record_connection(self, now_ms: float, worker_id: int) -> None:
-        """A connection to a worker is begun."""
+        """Record that this router starts a connection to a worker."""
         self._last_connection_ms[worker_id] = now_ms
 
     def has_connected(self, worker_id: int) -> bool:
-        """Whether a connection to a worker was begun in this recovery."""
+        """Return whether this router has started a connection to a worker in this recovery."""
         return worker_id in self._last_connection_ms
 
     def is_due(self, now_ms: float, worker_id: int, demand: FleetDemand) -> bool:
-        """Whether it is this router's turn to connect to a worker."""
+        """Return whether this router may connect to a worker now."""
         if self.has_connected(worker_id):
-            waits_since_ms, turn_fraction = self._last_connection_ms[worker_id], 1.0
+            waits_since_ms = self._last_connection_ms[worker_id]
+            turn_fraction = 1.0
         else:
             waits_since_ms = self._started_at_ms
             turn_fraction = (self._phase_offset + worker_id * GOLDEN_RATIO_CONJUGATE) % 1.0
@@ -61,7 +70,7 @@
         return not now_ms - waits_since_ms < turn_fraction * spread_windows * WINDOW_MS
 
     def _spread_windows(self, now_ms: float, worker_id: int, demand: FleetDemand) -> float:
-        """Windows over which the fleet's connections to a worker are to be spread."""
+        """Return the number of windows over which all routers' connections to a worker are spread."""
         limit = demand.connections_per_window
         windows_passed = max(1.0, (now_ms - self._started_at_ms) / WINDOW_MS)
         worker_share = (self._calls_by_worker.get(worker_id, 0) + 1.0) / (
--- a/cedarthread/recovery/fleet_view.py
+++ b/cedarthread/recovery/fleet_view.py
@@ -1,4 +1,8 @@
-"""Whether most of the fleet restarts at once, by the membership or by the load reports of workers."""
+"""Detects that most routers of the fleet restart at once (a mass restart).
+
+``FleetView`` uses the membership. ``WorkerReportView`` uses the load reports of workers, for routers that
+may not gossip.
+"""
 
 from __future__ import annotations
 
@@ -8,37 +12,40 @@
 if TYPE_CHECKING:
     from cedarthread.components.notifications import PeersChanged
 
-MIN_FLEET_ROUTERS = 2  # a router alone has no fleet that could restart
+MIN_FLEET_ROUTERS = 2  # a single router has no peers that could restart
 MASS_RESTART_FRACTION = 0.5
-"""Part of the peers that started lately, or are gone, from which on a restart counts as a mass restart."""
+"""Fraction of the peers that, recently started or absent, makes a restart a mass restart."""
 OLDER_PEER_MARGIN_MS = 5000.0
-"""Time by which a peer that did not restart with this router has been alive longer."""
+"""Least excess of a peer's uptime over this router's own if the peer did not restart with this router."""
 MIN_LOAD_REPORTS = 20.0
-"""Decayed number of load reports from which on they tell whether peers are at work."""
+"""Least decayed number of load reports from which the activity of peers is inferred."""
 REPORT_DECAY = 1.0 - 1.0 / (4 * MIN_LOAD_REPORTS)
-"""Factor by which each load report lets the earlier ones count for less."""
+"""Factor by which each load report reduces the weight of the earlier ones."""
 ABSENT_PEERS_LOAD_FRACTION = 0.5
-"""Part of the load that alike peers would have in flight under which they are taken for absent."""
+"""Fraction of the load expected of peers; if their load is lower, the peers count as absent."""
 
 
 @dataclass(slots=True)
 class FleetView:
-    """The peers and their uptimes, by the membership's last notification; uptimes have grown since."""
+    """The peers that are alive and their uptimes, from the last notification of the membership.
+
+    ``RecoveryComponent`` passes the notifications in and adds to ``seen_peers``.
+    """
 
     router_count: int
     latest_peers: PeersChanged | None = None
     latest_peers_at_ms: float = 0.0
-    heard_from: set[int] = field(default_factory=set)
-    """Peers whose datagrams came in this incarnation of the process."""
+    seen_peers: set[int] = field(default_factory=set)
+    """Peers that sent a datagram of the peer query to this incarnation."""
 
     def on_peers_changed(self, now_ms: float, peers: PeersChanged) -> None:
-        """Take the membership's present view."""
+        """Replace the view by the present one of the membership."""
         self.latest_peers = peers
         self.latest_peers_at_ms = now_ms
         self.router_count = peers.router_count
 
     def peer_uptimes_ms(self, now_ms: float) -> dict[int, float]:
-        """The peers that are alive, with the time in their present incarnation; 0 where it is not known."""
+        """Return the peers that are alive, each with its uptime; 0 if the uptime is not known."""
         if self.latest_peers is None:
             return {}
         elapsed_ms = now_ms - self.latest_peers_at_ms
@@ -48,55 +55,61 @@
         }
 
     def has_older_peers(self, now_ms: float, restarted_at_ms: float) -> bool:
-        """Whether a peer was alive before this router restarted."""
+        """Return whether a peer that is alive was alive before this router restarted."""
         min_uptime_ms = now_ms - restarted_at_ms + OLDER_PEER_MARGIN_MS
         return any(uptime_ms > min_uptime_ms for uptime_ms in self.peer_uptimes_ms(now_ms).values())
 
     def has_majority(self) -> bool:
-        """Whether more than half of the configured routers, this one included, are known to be alive."""
+        """Return whether more than half of the configured routers are known to be alive, with this one."""
         if self.latest_peers is None:
-            alive = self.heard_from
+            alive = self.seen_peers
         else:
-            known = self.heard_from | set(self.latest_peers.alive_for_ms)
+            known = self.seen_peers | set(self.latest_peers.alive_for_ms)
             alive = known & set(self.latest_peers.alive_peers)
         return 2 * (1 + len(alive)) > self.router_count
 
     def is_mass_restart(self, now_ms: float, max_uptime_ms: float) -> bool:
-        """Whether most peers are gone, or have been alive for less than ``max_uptime_ms``."""
+        """Return whether at least half of the peers are absent or have less than the given uptime."""
         if self.latest_peers is None or self.router_count < MIN_FLEET_ROUTERS:
             return False
         peer_count = self.router_count - 1
-        gone_count = peer_count - len(self.latest_peers.alive_peers)
+        absent_count = peer_count - len(self.latest_peers.alive_peers)
         alive_for_ms = self.latest_peers.alive_for_ms
         restarted_count = sum(
             peer in alive_for_ms and uptime_ms < max_uptime_ms
             for peer, uptime_ms in self.peer_uptimes_ms(now_ms).items()
         )
-        return restarted_count + gone_count >= MASS_RESTART_FRACTION * peer_count
+        return restarted_count + absent_count >= MASS_RESTART_FRACTION * peer_count
 
 
 @dataclass(slots=True)
 class WorkerReportView:
-    """What a router without gossip can see of its peers: the load that workers report beside its own.
+    """The load of the peers of a router without gossip, inferred from the load reports of workers.
 
-    Of N alike routers each has about one Nth of the calls in flight. Where the peers are gone, workers
-    hold little but this router's calls. Where all routers restarted at the same moment, nothing tells that
-    from any other day: so a mass restart is assumed until enough reports show otherwise.
+    If N routers receive similar calls, each has about one Nth of the calls in flight. If the peers are
+    absent, workers report few calls in flight beside this router's own. If all routers restarted at the same
+    moment, the reports do not show it. Therefore a mass restart is assumed until enough reports show the
+    contrary.
     """
 
     router_count: int
-    reported_calls: float = 0.0  # decayed sum of what workers reported to hold
-    own_calls: float = 0.0  # decayed sum of this router's part of that
+    reported_calls: float = 0.0  # decayed sum of the calls in flight that workers reported
+    own_calls: float = 0.0  # decayed sum of those that this router had sent
     report_count: float = 0.0  # decayed
 
     def on_load_report(self, reported_calls: float, own_calls: float) -> None:
-        """A load report: the calls that the worker held, and how many of them were this router's."""
+        """Record a load report of a worker.
+
+        Args:
+            reported_calls: Calls in flight at the worker.
+            own_calls: Those of them that this router had sent.
+        """
         self.reported_calls = self.reported_calls * REPORT_DECAY + reported_calls
         self.own_calls = self.own_calls * REPORT_DECAY + own_calls
         self.report_count = self.report_count * REPORT_DECAY + 1.0
 
     def is_mass_restart_possible(self) -> bool:
-        """Whether the router had better act as if most routers restarted at once."""
+        """Return whether a mass restart is possible, so that the router must act as if it were in one."""
         if self.router_count < MIN_FLEET_ROUTERS:
             return False
         peer_calls = self.reported_calls - self.own_calls
--- a/cedarthread/recovery/load_probability.py
+++ b/cedarthread/recovery/load_probability.py
@@ -1,6 +1,7 @@
-"""How likely a call to a worker that is not known to be warm begins a load there.
+"""The probability that a call to a worker without a known warm instance starts a load.
 
-Workers keep their instances while routers restart, so after a restart most such calls find one all the same.
+Workers retain their instances while routers restart. Therefore most such calls find a warm instance after a
+restart, although the router does not know of any.
 """
 
 from __future__ import annotations
@@ -8,24 +9,25 @@
 from cedarthread.statistics import DecayingCounter
 
 TIME_CONSTANT_MS = 5000.0
-"""Time over which the outcomes of such calls decay."""
+"""Time constant with which the outcomes of such calls decay."""
 MIN_PROBABILITY = 0.1
 PRIOR_LOADS = 1.0
-"""Outcomes' worth of belief, before any is known, that all such calls begin a load."""
+"""Weight, in outcomes, of the assumption before the first outcome that every such call starts a load."""
 
 
 class LoadProbability:
-    """An estimate from the outcomes of such calls, which starts at 1."""
+    """An estimate of the probability from the outcomes of such calls; 1 before the first outcome."""
 
     def __init__(self) -> None:
         self._warm_starts = DecayingCounter(TIME_CONSTANT_MS)
         self._cold_starts = DecayingCounter(TIME_CONSTANT_MS)
 
     def record(self, now_ms: float, was_warm: bool) -> None:
-        """Such a call ended."""
+        """Count the outcome of one such call: whether it found a warm instance."""
         (self._warm_starts if was_warm else self._cold_starts).add(now_ms, 1.0)
 
     def read(self, now_ms: float) -> float:
-        """The probability for the next such call."""
-        warm_starts, cold_starts = self._warm_starts.read(now_ms), self._cold_starts.read(now_ms)
+        """Return the probability for the next such call."""
+        warm_starts = self._warm_starts.read(now_ms)
+        cold_starts = self._cold_starts.read(now_ms)
         return max(MIN_PROBABILITY, (cold_starts + PRIOR_LOADS) / (warm_starts + cold_starts + PRIOR_LOADS))
--- a/cedarthread/recovery/pacing.py
+++ b/cedarthread/recovery/pacing.py
@@ -1,15 +1,15 @@
-"""Paces what a router does during a recovery: loads, connections, queries, released changes.
-
-Each router takes its own part of a limit for the whole fleet, as tokens that come evenly. No bucket starts
-full, and each starts at its own place between two tokens, by the router's index, so that routers that start
-at one moment take turns. As in TCP's slow start (Jacobson, Congestion avoidance and control, 1988) the rate
-begins low and doubles for each round in which what was begun succeeded, up to the limit.
-
-The limit follows from the baseline of an undisturbed day where that is known, else from ``PacingLimits``.
-
-A call to a worker that is not known to be warm begins a load only by chance. So it takes as much of a token
-as that is likely, and its answer settles the difference. At first the probability is taken for 1: one such
-call is in flight until its outcome is known; then, where instances are found, more at each answer.
+"""Limits the rates of a recovering router's actions: loads, connections, queries and releases of changes.
+
+Each router uses an equal share of a limit for the whole fleet, as a token bucket that refills evenly. A
+bucket starts with a fraction of a token, which depends on the router's index, so that routers that start at
+the same moment do not act at the same moment. As in TCP's slow start (Jacobson, Congestion avoidance and
+control, 1988) the rate starts low and doubles after each round in which more actions succeeded than failed,
+up to the limit. The limit is derived from the baseline if one is known, else from ``PacingLimits``.
+
+A call to a worker without a known warm instance may or may not start a load. Such a call therefore consumes
+only a fraction of a token, equal to the estimated probability of a load, and the response of the call
+corrects the difference. The estimate starts at 1, so at first one such call is in flight at a time; if calls
+find warm instances, the estimate falls and more such calls are in flight.
 """
 
 from __future__ import annotations
@@ -27,27 +27,39 @@
 
 WINDOWS_PER_SECOND = 1000.0 / WINDOW_MS
 INITIAL_RAMP_LEVEL = 0.25
-"""Part of the limit that a recovery begins with."""
+"""Fraction of the limit at which a recovery starts."""
 MIN_RAMP_LEVEL = 1.0 / 16.0
-"""Part of the limit that failures bring it down to."""
+"""Lowest fraction of the limit to which failures reduce the rate."""
 ROUND_MS = 250.0
-"""Time after which successes double the rate, and failures halve it."""
+"""Duration of a round; successes in a round double the rate, failures halve it."""
 MIN_RATE_FRACTION = 0.1
-"""Part of the default rate that is allowed however low the baseline is."""
+"""Fraction of the default rate that is allowed even if the baseline is lower."""
 GROWTH_FACTOR = 1.5
+"""Factor by which the load rate grows while loads are long deferred."""
 GROWTH_INTERVAL_MS = 2000.0
-MAX_TOKEN_DEBT = 3.0
-"""Tokens that a router may owe for loads that it did not expect."""
+"""Least time between two such increases."""
+MAX_TOKEN_DEFICIT = 3.0
+"""Largest negative balance of the load bucket, after loads that were less probable than estimated."""
 MAX_SOLO_FACTOR = 4.0
-"""Times its own part that a router may take that recovers alone: the others take less than theirs then."""
+"""Largest multiple of its share for a router that recovers alone, because the others use little of theirs."""
 
 
 class Pacer:
-    """The token buckets of one router, their limits and their ramps."""
+    """The token buckets of one router, with their limits and their ramps (present fractions of the limits).
+
+    ``RecoveryComponent`` sets ``limits``, ``router_count``, ``worker_count`` and ``is_mass_restart``;
+    ``RecoveryAdmission`` requests the tokens.
+
+    Args:
+        router_index: Index of this router in the fleet.
+        now_ms: Start of the recovery.
+        limits: Limits that apply while no baseline is known.
+        router_count: Number of configured routers.
+    """
 
     def __init__(self, router_index: int, now_ms: float, limits: PacingLimits, router_count: int) -> None:
         self.phase_offset = (router_index + 0.5) / max(1, router_count)
-        """This router's place among all, from 0 to 1."""
+        """Place of this router among all routers, from 0 to 1."""
         self.limits = limits
         self.router_count = max(1, router_count)
         self.worker_count = 1
@@ -56,18 +68,18 @@
         self.restart(now_ms)
 
     def restart(self, now_ms: float) -> None:
-        """A recovery begins: every rate at the start of its ramp, each bucket between two tokens."""
-        self.is_mass_restart = True  # until it is known better
+        """Start a recovery: reset each ramp to its start and each bucket to a fraction of a token."""
+        self.is_mass_restart = True  # assumed until the fleet view says otherwise
         self.baseline.leave_service()
         self.load_probability = LoadProbability()
         self.connection_turns = ConnectionTurns(self.phase_offset, now_ms)
         self.buckets = {action: self._new_bucket(now_ms, action) for action in PacedAction}
         self.ramp_levels = dict.fromkeys(PacedAction, INITIAL_RAMP_LEVEL)
-        self.ramp_levels[PacedAction.LOAD] = 1.0  # the load probability is its ramp
+        self.ramp_levels[PacedAction.LOAD] = 1.0  # because the load probability already ramps loads up
         self._last_growth_ms = now_ms
-        self._begin_round(now_ms)
+        self._start_round(now_ms)
 
-    def _begin_round(self, now_ms: float) -> None:
+    def _start_round(self, now_ms: float) -> None:
         self._round_ends_at_ms = now_ms + ROUND_MS
         self._success_counts = dict.fromkeys(PacedAction, 0)
         self._failure_counts = dict.fromkeys(PacedAction, 0)
@@ -77,21 +89,21 @@
         return TokenBucket(rate_per_second=0.0, capacity=1.0, tokens=tokens, updated_at_ms=now_ms)
 
     def on_freeze_ended(self, now_ms: float) -> None:
-        """A freeze ended, at all routers at one moment: the changes that it deferred start at a low rate."""
+        """Restart the ramp of releases, because a freeze ends at all routers at the same moment."""
         self.ramp_levels[PacedAction.RELEASE] = INITIAL_RAMP_LEVEL
         self.buckets[PacedAction.RELEASE] = self._new_bucket(now_ms, PacedAction.RELEASE)
 
     def enter_service(self, now_ms: float) -> None:
-        """The recovery is over: what is done from now on is the baseline."""
+        """Start measuring the baseline, because the recovery is over."""
         self._last_growth_ms = now_ms
         self.baseline.enter_service(now_ms)
 
     def update_baseline(self, now_ms: float) -> Mapping[PacedAction, float]:
-        """The router's own usual rates per second, as far as they are known."""
+        """Return this router's own baseline rates per second, of the actions for which they are known."""
         return self.baseline.update(now_ms)
 
     def _default_rate_per_second(self, action: PacedAction) -> float:
-        """This router's part of the limits where no baseline is known."""
+        """Return this router's share of a limit without a baseline."""
         if action is PacedAction.DISCOVERY_QUERY:
             return self.limits.discovery_queries * WINDOWS_PER_SECOND
         if action is PacedAction.PEER_QUERY:
@@ -101,7 +113,7 @@
         return self.limits.loads * WINDOWS_PER_SECOND / self.router_count
 
     def rate_per_second(self, action: PacedAction) -> float:
-        """The rate at which tokens come now."""
+        """Return the present refill rate of an action's bucket."""
         limit = self._default_rate_per_second(action)
         baseline = self.baseline.per_second(action)
         if baseline is not None and action in (PacedAction.LOAD, PacedAction.DISCOVERY_QUERY):
@@ -112,15 +124,16 @@
         return limit * factor * self.ramp_levels[action]
 
     def _refilled_bucket(self, now_ms: float, action: PacedAction) -> TokenBucket:
-        """An action's bucket with the tokens that came until now, and the rate from now on."""
-        bucket, rate_per_second = self.buckets[action], self.rate_per_second(action)
+        """Return an action's bucket, refilled until now at the previous rate, with the present rate set."""
+        bucket = self.buckets[action]
+        rate_per_second = self.rate_per_second(action)
         bucket.refill(now_ms)
         bucket.rate_per_second = rate_per_second
         bucket.capacity = max(1.0, rate_per_second * WINDOW_MS / 1000.0)
         return bucket
 
     def try_acquire(self, now_ms: float, action: PacedAction) -> bool:
-        """Take a token for an action, if there is one; whether it may be done."""
+        """Return whether an action may be performed now; consumes a token if it returns True."""
         if self._refilled_bucket(now_ms, action).take(now_ms):
             self.baseline.record(now_ms, action)
             return True
@@ -128,14 +141,18 @@
         return False
 
     def wait_ms(self, now_ms: float, action: PacedAction) -> float:
-        """The time until there is a token, at the present rate."""
+        """Return the time until a token is available at the present rate."""
         bucket = self._refilled_bucket(now_ms, action)
         if bucket.tokens >= 1.0:
             return 0.0
         return max(0.0, 1.0 - bucket.tokens) / bucket.rate_per_second * 1000.0
 
     def try_acquire_load(self, now_ms: float) -> float:
-        """Take as much of a token as a load is likely; how much that was, 0 where there was too little."""
+        """Consume a fraction of a token equal to the load probability, if the bucket has that much.
+
+        Returns:
+            The consumed fraction; 0 if the call must be deferred.
+        """
         tokens_wanted = self.load_probability.read(now_ms)
         if self._refilled_bucket(now_ms, PacedAction.LOAD).take(now_ms, tokens_wanted):
             return tokens_wanted
@@ -143,18 +160,18 @@
         return 0.0
 
     def settle_load(self, now_ms: float, tokens_taken: float, was_warm: bool) -> None:
-        """A call that took so much of a token ended: it costs a whole one if it began a load, else none."""
+        """Correct the tokens of a call that ended: one token in all if it started a load, else none."""
         bucket = self._refilled_bucket(now_ms, PacedAction.LOAD)
         tokens = bucket.tokens + tokens_taken - (0.0 if was_warm else 1.0)
-        bucket.tokens = min(bucket.capacity, max(-MAX_TOKEN_DEBT, tokens))
+        bucket.tokens = min(bucket.capacity, max(-MAX_TOKEN_DEFICIT, tokens))
         self.load_probability.record(now_ms, was_warm)
 
     def record_call(self, worker_id: int) -> None:
-        """A call went, or was to go, to a worker: a sample of what the fleet wants there."""
+        """Count a call to a worker, as a sample of the fleet's demand for connections to the worker."""
         self.connection_turns.record_call(worker_id)
 
     def try_acquire_connection(self, now_ms: float, worker_id: int) -> bool:
-        """Take a token for a connection, if it is this router's turn at the worker; whether it was."""
+        """Return whether a connection to a worker may start now; consumes a token if it returns True."""
         demand = FleetDemand(
             self.router_count if self.is_mass_restart else 1,
             self.worker_count,
@@ -168,7 +185,7 @@
         return True
 
     def _connections_per_worker_window(self) -> float:
-        """New connections in a window that one worker bears from the whole fleet."""
+        """Return the new connections in a window that one worker can accept from all routers together."""
         baseline = self.baseline.per_second(PacedAction.CONNECT)
         if baseline is None:
             return self.limits.connections_per_worker
@@ -176,35 +193,36 @@
         return max(self.limits.connections_per_worker, max_events_per_window(mean_per_window))
 
     def record_unpaced(self, now_ms: float, action: PacedAction) -> None:
-        """The router did it in service, where nothing is paced: it counts for the baseline."""
+        """Count an action that was performed in service, without pacing, for the baseline."""
         self.baseline.record(now_ms, action)
 
     def grow_load_rate(self, now_ms: float) -> None:
-        """Loads have waited for long: raise their rate, if the limit may be too low.
+        """Raise the load rate, because loads are long deferred, if the limit may be too low.
 
-        It may be where it is a default, and in service also where it is from a baseline.
+        A default limit may always be too low; a limit from a baseline only once the router is in service.
         """
         may_be_too_low = self.baseline.per_second(PacedAction.LOAD) is None or self.baseline.is_in_service
         if may_be_too_low and now_ms >= self._last_growth_ms + GROWTH_INTERVAL_MS:
-            self._refilled_bucket(now_ms, PacedAction.LOAD)  # what came until now came at the old rate
+            self._refilled_bucket(now_ms, PacedAction.LOAD)  # at the previous rate
             self.ramp_levels[PacedAction.LOAD] *= GROWTH_FACTOR
             self._last_growth_ms = now_ms
 
     def record_result(self, action: PacedAction, succeeded: bool) -> None:
-        """Something that was begun has ended."""
+        """Count whether an action that was started succeeded."""
         counts = self._success_counts if succeeded else self._failure_counts
         counts[action] += 1
 
     def on_tick(self, now_ms: float) -> None:
-        """Some times a second: after each round the rates go up or down by how its actions ended."""
+        """Raise or lower the rates after each round; called some times per second."""
         if now_ms < self._round_ends_at_ms:
             return
         for action in PacedAction:
-            self._refilled_bucket(now_ms, action)  # what came until now came at the old rate
-            successes, failures = self._success_counts[action], self._failure_counts[action]
+            self._refilled_bucket(now_ms, action)  # at the previous rate
+            successes = self._success_counts[action]
+            failures = self._failure_counts[action]
             level = self.ramp_levels[action]
             if failures > successes:
                 self.ramp_levels[action] = max(MIN_RAMP_LEVEL, level / 2)
             elif successes:
                 self.ramp_levels[action] = max(level, min(1.0, level * 2))
-        self._begin_round(now_ms)
+        self._start_round(now_ms)
--- a/cedarthread/recovery/pacing_limits.py
+++ b/cedarthread/recovery/pacing_limits.py
@@ -1,9 +1,10 @@
-"""How much a recovery may ask of what all routers share.
+"""The actions that a recovery paces, and the limits of their rates.
 
-Where nothing is known of an undisturbed day, that is a default. Else it follows from that day: m events in a
-mean window have a peak of about m + 3 sqrt(m) + 1 over some minutes, if they come by chance. The events of a
-recovery are paced, so r of them in a mean window peak at about r + sqrt(r) over all routers. That peak may be
-1.5 times the undisturbed one.
+The limits protect resources that all routers share. Without a baseline (the rates of an undisturbed day),
+``PacingLimits`` supplies defaults. With a baseline, the limit is derived from it: if events arrive at random
+with a mean of m in a window, the highest count in any window over some minutes is about m + 3 sqrt(m) + 1.
+The events of a recovery are paced, so with a mean of r in a window over all routers, their peak is about
+r + sqrt(r). A recovery may have a peak of 1.5 times the undisturbed one.
 """
 
 from __future__ import annotations
@@ -13,42 +14,51 @@
 from enum import IntEnum
 
 WINDOW_MS = 250.0
-"""Window over which peaks are counted."""
+"""Window in which the events of a peak are counted."""
 MAX_PEAK_RATIO = 1.5
-"""What the peak of a recovery may be, in undisturbed peaks."""
+"""Highest allowed peak of a recovery, as a multiple of the undisturbed peak."""
 MIN_WORKER_CONNECTIONS_PER_WINDOW = 8.0
-"""New connections that do a worker no harm, however few it usually has (docs/design/recovery.md, 21)."""
+"""New connections in a window that do not harm any worker, even one that usually receives few.
+
+Source: docs/design/recovery.md, 21.
+"""
 
 
 class PacedAction(IntEnum):
-    """What is paced. The numbers spread the first tokens of the actions over time."""
+    """An action that a recovery paces. The numbers spread the first tokens of the actions over time."""
 
-    LOAD = 0  # begun at the package store
-    CONNECT = 1  # connections to workers, with their handshakes
+    LOAD = 0  # of a function, from the package store
+    CONNECT = 1  # to a worker, with the handshake
     DISCOVERY_QUERY = 2
     PEER_QUERY = 3
-    RELEASE = 4  # of changes that a freeze had deferred
+    RELEASE = 4  # of a change that a freeze deferred
 
 
 @dataclass(frozen=True, slots=True)
 class PacingLimits:
-    """Default limits in a window."""
+    """Default limits: events in a window of ``WINDOW_MS``."""
 
-    loads: float  # of the whole fleet
-    connections_per_worker: float = MIN_WORKER_CONNECTIONS_PER_WINDOW  # of the whole fleet
-    discovery_queries: float = 2.0  # of one router, which sends some five a second on any day
+    loads: float  # of all routers together
+    connections_per_worker: float = MIN_WORKER_CONNECTIONS_PER_WINDOW  # of all routers together
+    discovery_queries: float = 2.0  # of one router, which on an undisturbed day sends about five a second
     peer_queries: float = 6.0  # of one router
-    connections: float = 16.0  # of one router, to all workers: handshakes take its own CPU time too
+    connections: float = 16.0  # of one router to all workers, because handshakes use its own CPU time too
 
     @staticmethod
     def for_fleet(worker_count: int, load_time_ms: float) -> PacingLimits:
-        """For so many workers whose loads take so long: half a load in flight on each."""
+        """Return limits under which each worker has on average half a load in flight.
+
+        Args:
+            worker_count: Workers in the endpoint list.
+            load_time_ms: Duration of one load.
+        """
         return PacingLimits(loads=0.5 * max(1, worker_count) * WINDOW_MS / max(load_time_ms, WINDOW_MS))
 
 
 def max_events_per_window(mean_events: float) -> float:
-    """Events in a mean window that a recovery may have, where there were so many undisturbed.
+    """Return the mean events in a window that a recovery may have, from the mean of an undisturbed day.
 
-    The r of r + sqrt(r) = 1.5 (m + 3 sqrt(m) + 1), see the head of this module.
+    Solves r + sqrt(r) = 1.5 (m + 3 sqrt(m) + 1) for r, with m = ``mean_events``; the module's docstring
+    explains the equation.
     """
     return (math.sqrt(0.25 + MAX_PEAK_RATIO * (mean_events + 3.0 * math.sqrt(mean_events) + 1.0)) - 0.5) ** 2
--- a/cedarthread/recovery/peer_query.py
+++ b/cedarthread/recovery/peer_query.py
@@ -1,8 +1,9 @@
-"""Both sides of the peer query: a router that recovers asks a few peers which instances are warm.
+"""Both sides of the peer query: a recovering router learns from a few peers which instances are warm.
 
-The function space is divided into segments. A segment is asked for until one more response would bring little
-that is new. How much is estimated in the manner of Good (The population frequencies of species, 1953): the
-part of the last response that was new is about the part of what peers know that this router has not heard.
+The functions are divided into segments, and the client queries one segment of one peer at a time. The client
+completes a segment once another response would contain few new observations. It estimates their fraction as
+in Good (The population frequencies of species, 1953): the fraction of the last response that was new is about
+the fraction of the peers' observations that this router does not have.
 """
 
 from __future__ import annotations
@@ -24,43 +25,43 @@
 SEGMENT_COUNT = 4
 MAX_PENDING_QUERIES = 3
 RESPONSE_TIMEOUT_MS = 400.0
-"""Time in which all parts of a response must have come."""
+"""Time within which all parts of a response must arrive."""
 INITIAL_SPREAD_MS = 150.0
-"""Time over which the first queries of routers that start at one moment are spread."""
+"""Time over which the first queries of routers that start at the same moment are spread."""
 INITIAL_BACKOFF_MS = 250.0
-"""Time that a peer which did not respond is left alone; doubles up to the maximum."""
+"""First time between queries to a peer that does not respond; doubles up to ``MAX_BACKOFF_MS``."""
 MAX_BACKOFF_MS = 2000.0
 BACKOFF_JITTER = 0.5, 1.5
-"""Range of the factor by which each backoff is varied."""
+"""Range of the random factor of each backoff."""
 NEW_FRACTION_THRESHOLD = 0.1
-"""Part of a response that is new up to which its segment counts as known."""
+"""Fraction of new observations in a response at or below which its segment is complete."""
 MIN_RESPONSES = 2
-"""Responses that a segment takes at least, where there are so many peers to ask."""
+"""Least number of responses for a segment, unless fewer peers are alive."""
 MAX_NONEMPTY_RESPONSES = 5
-"""Responses with any observation that a segment takes at most."""
+"""Number of responses with observations after which a segment is complete in any case."""
 FULL_WEIGHT_UPTIME_MS = 20_000.0
-"""Uptime from which on a peer is as likely to be chosen as any."""
+"""Uptime from which on the weight of a peer in the random selection no longer grows."""
 NEW_PEER_WEIGHT = 0.05
-"""Weight of a peer that has just started itself, against 1 for full uptime."""
+"""Weight of a peer that has just started; the uptime adds up to 1."""
 SUGGESTED_PEER_WEIGHT = 0.5
-"""Added to the weight of a peer that another named."""
+"""Additional weight of a peer that a busy peer suggested."""
 RESPONSES_PER_SECOND = 60.0
-"""Datagrams of responses that a router sends at most, to all peers together."""
+"""Most response datagrams per second that a router sends to all peers together."""
 RESPONSE_BURST = 24.0
 BUSY_REPLIES_PER_SECOND = 40.0
 BUSY_REPLY_BURST = 20.0
 MAX_RETRY_AFTER_MS = 3000.0
-"""Time by which a peer is put off at most."""
+"""Longest backlog that a busy server counts, and longest Retry-After that a client respects."""
 RECENT_RECIPIENTS = 8
-"""Peers that were answered lately and may be named to others."""
+"""Number of recently answered peers that a busy reply may suggest."""
 MAX_RESPONSE_OBSERVATIONS = 256
-"""More than fit into one response's datagrams."""
+"""Most observations that are selected for a response; fewer fit into its datagrams."""
 RNG_SALT = 0x6173_6B21
-"""Keeps the draws of the client apart from others of the same seed."""
+"""Makes the random numbers of the client differ from those of other components with the same seed."""
 
 
 class PeerQueryServer:
-    """The side that is asked: a bounded number of datagrams a second, however many peers ask."""
+    """The side that answers queries, with a bounded number of datagrams per second."""
 
     def __init__(self, now_ms: float) -> None:
         self.response_tokens = TokenBucket(RESPONSES_PER_SECOND, RESPONSE_BURST, RESPONSE_BURST, now_ms)
@@ -70,14 +71,19 @@
         self.deferred = 0
         self.dropped = 0
         self.backlog_ms = 0.0
-        """Time over which the peers that were put off are spread."""
+        """Time over which the retries of rejected peers are spread."""
 
     def on_query(
         self, now_ms: float, sender: int, query: codec.Query, warm_state: WarmState, template: codec.Response
     ) -> list[SendToPeer]:
-        """Answer a query: with observations, with a busy reply, or, past the limit of those, not at all.
-
-        ``template``: a response with what it says of this router itself.
+        """Answer with observations, or with a busy reply, or not at all if both limits are exhausted.
+
+        Args:
+            now_ms: Present time.
+            sender: Peer that sent the query.
+            query: The query.
+            warm_state: Observations of this router.
+            template: Response with the fields that describe this router itself.
         """
         digest = warm_state.digest(now_ms, query.segment, query.segment_count, MAX_RESPONSE_OBSERVATIONS)
         parts = codec.split_into_datagrams(digest)
@@ -114,19 +120,19 @@
 
 @dataclass(slots=True)
 class _PendingQuery:
-    """A query that has not been answered in full."""
+    """A query to which not all parts of the response have arrived."""
 
     peer: int
     segment: int
     sent_at_ms: float
-    received_fragments: set[int] = field(default_factory=set)
+    received_parts: set[int] = field(default_factory=set)
     received_count: int = 0  # observations
-    new_count: int = 0  # observations that were news
+    new_count: int = 0  # observations that changed the warm state
 
 
 @dataclass(slots=True)
 class _SegmentProgress:
-    """What has come for one segment of the function space."""
+    """The responses for one segment of the functions."""
 
     responses: int = 0
     nonempty_responses: int = 0
@@ -136,21 +142,26 @@
 
 @dataclass(slots=True)
 class _PeerBackoff:
-    """When a peer may be asked again."""
+    """The time from which on a peer may be queried again, and its next backoff."""
 
     not_before_ms: float = -math.inf
     next_backoff_ms: float = INITIAL_BACKOFF_MS
 
 
 class PeerQueryClient:
-    """The side that recovers."""
+    """The side that sends queries: the progress of one recovering router's peer query.
+
+    Args:
+        seed: Seed of the random numbers.
+        now_ms: Start of the recovery.
+    """
 
     def __init__(self, seed: int, now_ms: float) -> None:
         self.rng = random.Random(seed ^ RNG_SALT)
         self.restart(now_ms)
 
     def restart(self, now_ms: float) -> None:
-        """Begin the query anew: after a start, or after a pause of the process."""
+        """Start the peer query from the beginning, after a start or a pause of the process."""
         self.segments = [_SegmentProgress() for _ in range(SEGMENT_COUNT)]
         self.pending: dict[int, _PendingQuery] = {}
         """By nonce."""
@@ -158,23 +169,23 @@
         self.suggested_peers: set[int] = set()
         self.reported_warm_fractions: list[float] = []
         self.reported_baselines: list[tuple[float, float]] = []
-        """Loads and connections per second that are usual at one router, each as one peer has it."""
+        """Baseline loads and connections per second, one pair per peer that reported them."""
         self.first_query_at_ms = now_ms + self.rng.uniform(0.0, INITIAL_SPREAD_MS)
         self.sent_count = 0
         self.unexpected_count = 0
 
     def is_complete(self) -> bool:
-        """Whether more queries would bring little."""
+        """Return whether all segments are complete."""
         return all(segment.is_complete for segment in self.segments)
 
     def median_warm_fraction(self) -> float | None:
-        """The fraction of calls that find a warm instance, by the median of the peers that report one."""
+        """Return the median of the warm fractions that peers reported, or None if no peer did."""
         if not self.reported_warm_fractions:
             return None
         return sorted(self.reported_warm_fractions)[len(self.reported_warm_fractions) // 2]
 
     def median_baseline(self) -> tuple[float, float] | None:
-        """Loads and connections per second that are usual at one router, by the median of the peers."""
+        """Return the median pair of baseline loads and connections per second, or None without reports."""
         if not self.reported_baselines:
             return None
         return sorted(self.reported_baselines)[len(self.reported_baselines) // 2]
@@ -182,9 +193,12 @@
     def on_tick(
         self, now_ms: float, peer_uptimes_ms: Mapping[int, float], try_acquire: Callable[[], bool]
     ) -> list[SendToPeer]:
-        """The queries to send now.
+        """Return the queries to send now.
 
-        ``peer_uptimes_ms``: the peers that are alive; ``try_acquire``: takes the token of one query.
+        Args:
+            now_ms: Present time.
+            peer_uptimes_ms: Uptimes of the peers that are alive.
+            try_acquire: Consumes the token of one query, or returns False.
         """
         self._expire_queries(now_ms, peer_uptimes_ms)
         queries: list[SendToPeer] = []
@@ -206,7 +220,7 @@
     def _next_query(
         self, now_ms: float, peer_uptimes_ms: Mapping[int, float], try_acquire: Callable[[], bool]
     ) -> SendToPeer | None:
-        """The next query: for the segment with the fewest pending queries and responses, of a free peer."""
+        """Start a query for the least queried segment that has a free peer, or return None."""
         for number in self._incomplete_segments():
             segment = self.segments[number]
             free_peers = self._free_peers(now_ms, segment, peer_uptimes_ms)
@@ -217,7 +231,7 @@
                 peer = self.rng.choices(free_peers, weights)[0]
                 return self._start_query(now_ms, peer, number)
             if all(peer in segment.responders for peer in peer_uptimes_ms):
-                segment.is_complete = True  # all peers that are alive have answered
+                segment.is_complete = True  # because all peers that are alive have answered
         return None
 
     def _incomplete_segments(self) -> list[int]:
@@ -231,7 +245,7 @@
     def _free_peers(
         self, now_ms: float, segment: _SegmentProgress, peer_uptimes_ms: Mapping[int, float]
     ) -> list[int]:
-        """The peers that may be asked for a segment now: one pending query a peer, and none twice."""
+        """Return the peers without pending query or backoff that have not answered for the segment."""
         busy_peers = {query.peer for query in self.pending.values()}
         return [
             peer
@@ -256,14 +270,14 @@
         return SendToPeer(codec.encode(codec.Query(nonce, segment, SEGMENT_COUNT)), peer)
 
     def _back_off(self, now_ms: float, peer: int, retry_after_ms: float | None = None) -> None:
-        """Leave a peer alone: for the time that it asked for, else for its backoff, which doubles."""
+        """Suspend queries to a peer for its Retry-After or else its backoff; doubles the next backoff."""
         backoff = self.backoffs.setdefault(peer, _PeerBackoff())
         wait_ms = backoff.next_backoff_ms if retry_after_ms is None else retry_after_ms
         backoff.not_before_ms = now_ms + wait_ms * self.rng.uniform(*BACKOFF_JITTER)
         backoff.next_backoff_ms = min(2 * backoff.next_backoff_ms, MAX_BACKOFF_MS)
 
     def on_busy(self, now_ms: float, sender: int, busy: codec.Busy) -> None:
-        """A peer has no response now."""
+        """Suspend queries to a peer that rejected a query."""
         query = self.pending.get(busy.nonce)
         if query is None or query.peer != sender:
             self.unexpected_count += 1
@@ -281,21 +295,26 @@
         warm_state: WarmState,
         has_older_peers: bool,
     ) -> None:
-        """Take one part of a response at once, with ages counted from when the query was sent.
-
-        ``has_older_peers``: whether there are peers that did not restart with this router; then an empty
-        response says little.
+        """Merge one part of a response into the warm state; ages count from when the query was sent.
+
+        Args:
+            now_ms: Present time.
+            sender: Peer that sent the response.
+            response: One part of the response.
+            warm_state: State to merge into.
+            has_older_peers: Whether a peer did not restart with this router. Then an empty response does not
+                show that there are few observations to learn.
         """
         query = self.pending.get(response.nonce)
-        if query is None or query.peer != sender or response.part in query.received_fragments:
+        if query is None or query.peer != sender or response.part in query.received_parts:
             self.unexpected_count += 1
             return
-        query.received_fragments.add(response.part)
+        query.received_parts.add(response.part)
         query.received_count += len(response.observations)
         for aged in response.observations:
             if aged.function_hash % SEGMENT_COUNT == query.segment and aged.hops < MAX_HOPS:
                 query.new_count += warm_state.merge_remote(now_ms, query.sent_at_ms, aged, Source.PEER)
-        if len(query.received_fragments) < response.part_count:
+        if len(query.received_parts) < response.part_count:
             return
         del self.pending[response.nonce]
         if response.warm_fraction is not None:
@@ -305,7 +324,7 @@
         self._finish(query, has_older_peers)
 
     def _finish(self, query: _PendingQuery, has_older_peers: bool) -> None:
-        """All parts of a response have come: whether its segment is known by now."""
+        """Count a response of which all parts have arrived, and decide whether its segment is complete."""
         segment = self.segments[query.segment]
         segment.responses += 1
         segment.responders.add(query.peer)
--- a/cedarthread/recovery/snapshot.py
+++ b/cedarthread/recovery/snapshot.py
@@ -1,8 +1,7 @@
-"""The warm-state snapshot in the store: what a router keeps for its next incarnation.
+"""Encodes and decodes the warm-state snapshot that a router stores for its next incarnation.
 
-A MessagePack array: Unix time of writing in ms, the baseline warm fraction or nil, the baseline rates by the
-names below, and the observations, each as worker, start tag, function hash, age in ms, whether
-it was warm, and hops.
+The snapshot is a MessagePack array: Unix time of writing in ms, the baseline warm fraction or nil, the
+baseline rates per second by the names in ``_ACTION_NAMES``, and one ``ObservationRow`` per observation.
 """
 
 from __future__ import annotations
@@ -18,9 +17,9 @@
     from collections.abc import Iterable, Mapping
 
 MAX_STORED_OBSERVATIONS = 2048
-"""Each takes 27 bytes at most (worker and start of 32 bits), so a snapshot stays under 56 kB."""
+"""One row has at most 27 bytes (worker and start tag have 32 bits), so a snapshot is smaller than 56 kB."""
 MAX_RATE_PER_SECOND = 1e6
-"""A stored baseline rate from here on is taken for damage."""
+"""A stored baseline rate of this value or more is ignored as corrupt."""
 
 _ACTION_NAMES = {
     PacedAction.LOAD: "LOAD",
@@ -29,15 +28,15 @@
     PacedAction.PEER_QUERY: "ASK",
     PacedAction.RELEASE: "RELEASE",
 }
-"""The names of the paced actions as they are stored."""
+"""The stored names of the paced actions."""
 _ACTIONS_BY_NAME = {name: action for action, name in _ACTION_NAMES.items()}
 
 ObservationRow = tuple[int, int, int, float, bool, int]
-"""Worker, start tag, function hash, age in ms, is warm, hops."""
+"""Worker, start tag, function hash, age in ms, whether a warm instance was found, hops."""
 
 
 class StoredWarmState(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """The snapshot as it is written, in the order of its fields."""
+    """A snapshot; its fields are stored in this order."""
 
     unix_ms: float
     baseline_warm_fraction: float | None
@@ -45,7 +44,7 @@
     observations: list[ObservationRow]
 
     def known_baselines(self) -> dict[PacedAction, float]:
-        """The baseline rates of actions that this version knows, without impossible ones."""
+        """Return the baseline rates of the actions that this version knows, without out-of-range rates."""
         return {
             _ACTIONS_BY_NAME[name]: rate
             for name, rate in self.baseline_per_second.items()
@@ -59,17 +58,17 @@
     baseline_per_second: Mapping[PacedAction, float],
     observations: Iterable[AgedObservation],
 ) -> bytes:
-    """The bytes of a snapshot."""
+    """Return the bytes of a snapshot."""
     rows = [
-        (seen.worker_id, seen.start_tag, seen.function_hash, seen.age_ms, seen.is_warm, seen.hops)
-        for seen in observations
+        (aged.worker_id, aged.start_tag, aged.function_hash, aged.age_ms, aged.is_warm, aged.hops)
+        for aged in observations
     ]
     rates = {_ACTION_NAMES[action]: rate for action, rate in baseline_per_second.items()}
     return msgspec.msgpack.encode(StoredWarmState(unix_ms, baseline_warm_fraction, rates, rows))
 
 
 def decode(raw: bytes) -> StoredWarmState | None:
-    """The snapshot that was written; None for bytes that are none."""
+    """Return the snapshot that the bytes encode, or None if they do not encode one."""
     try:
         return msgspec.msgpack.decode(raw, type=StoredWarmState)
     except (msgspec.MsgspecError, ValueError, RecursionError):
@@ -79,13 +78,23 @@
 def restore_observations(
     stored: StoredWarmState, warm_state: WarmState, now_ms: float, unix_ms: float, clock_error_ms: float
 ) -> int:
-    """Take the stored observations, older by the downtime; how many are news.
+    """Merge the stored observations into the warm state, with their ages grown by the downtime.
 
-    ``unix_ms``: the wall clock now. None is taken where that clock went back by more than ``clock_error_ms``,
-    or the downtime is over the keep-alive.
+    Merges no observation if the wall clock has moved back by more than ``clock_error_ms``, or if the downtime
+    exceeds the keep-alive.
+
+    Args:
+        stored: The snapshot of the previous incarnation.
+        warm_state: State to merge into.
+        now_ms: Present time.
+        unix_ms: Present Unix time.
+        clock_error_ms: Largest difference between the wall clocks of the two incarnations.
+
+    Returns:
+        How many observations changed the warm state.
     """
     downtime_ms = unix_ms - stored.unix_ms
-    if not -clock_error_ms <= downtime_ms <= warm_state.keep_alive_ms:  # refuses NaN too
+    if not -clock_error_ms <= downtime_ms <= warm_state.keep_alive_ms:  # also true for NaN
         return 0
     age_growth_ms = max(0.0, downtime_ms) + clock_error_ms
     return sum(
@@ -97,9 +106,9 @@
 def restore_observation(
     warm_state: WarmState, now_ms: float, age_growth_ms: float, row: ObservationRow
 ) -> bool:
-    """Take one stored observation, older by ``age_growth_ms``; whether it was news."""
+    """Merge one stored observation with a greater age; return whether it changed the warm state."""
     worker_id, start_tag, function_hash, age_ms, is_warm, hops = row
-    if not (min(age_ms, hops) >= 0):  # refuses NaN too
+    if not (min(age_ms, hops) >= 0):  # also true for NaN
         return False
     aged = AgedObservation(worker_id, start_tag, function_hash, age_ms + age_growth_ms, is_warm, hops)
     return warm_state.merge_remote(now_ms, now_ms, aged, Source.STORE)
--- a/cedarthread/recovery/state_machine.py
+++ b/cedarthread/recovery/state_machine.py
@@ -1,8 +1,9 @@
-"""The recovery state machine: its phases, and what ends each of them.
+"""The state machine of a recovery: its phases, and the conditions under which each phase ends.
 
     starting -> peer query -> warming -> in service; a pause of the process leads back to the peer query
 
-A phase ends by evidence, or at its timeout, so that a router that hears from nobody starts to serve as well.
+A phase ends when its condition is satisfied, or else at its timeout. The timeouts let a router enter service
+even if no peer responds.
 """
 
 from __future__ import annotations
@@ -18,24 +19,24 @@
 MEMBERSHIP_PERIOD_MS = 500.0
 """Protocol period of the membership (SWIM)."""
 STARTING_PERIODS = 4.0
-"""Membership periods in which a majority is heard from, or is not there."""
+"""Membership periods within which a majority of routers either sends a datagram or counts as absent."""
 MIN_PHASE_TIMEOUT_MS = 500.0
 MAX_PEER_QUERY_MS = 4000.0
 MAX_WARMING_MS = 30_000.0
 WARMING_KEEP_ALIVES = 2.0
-"""Keep-alives after which every instance that was in use has been seen again, or has been unloaded."""
+"""Keep-alives after which each instance from before the restart has been used again or unloaded."""
 PAUSE_THRESHOLD_MS = 2000.0
-"""Time without any event after which the router takes itself for restarted; the membership does the same."""
+"""Time without any event after which the process counts as paused; the membership uses the same time."""
 TARGET_WARM_RATIO = 0.95
-"""Part of the baseline warm fraction from which on the router counts as fully warm."""
+"""Fraction of the baseline warm fraction that the recent one must reach to end the warming phase."""
 DEFAULT_WARM_FRACTION = 0.9
-"""Baseline warm fraction where neither the peers nor the store know one."""
+"""Baseline warm fraction if neither the peers nor the stored snapshot supply one."""
 MIN_RECENT_CALLS = 20.0
-"""Decayed number of calls from which on a measured warm fraction is believed."""
+"""Least decayed number of calls on which a usable warm fraction is based."""
 
 
 class RecoveryPhase(IntEnum):
-    """How far the recovery has come."""
+    """A phase of the recovery."""
 
     STARTING = 0
     PEER_QUERY = 1
@@ -44,17 +45,17 @@
 
 
 class TransitionCause(IntEnum):
-    """What led into the present phase."""
+    """The cause of the last change of phase."""
 
-    START = 0
-    EVIDENCE = 1
+    START = 0  # of the process
+    EVIDENCE = 1  # the condition of the previous phase was satisfied
     TIMEOUT = 2
-    PAUSE = 3
+    PAUSE = 3  # of the process
 
 
 @dataclass(frozen=True, slots=True)
 class PhaseTimeouts:
-    """How long each phase lasts at most."""
+    """The maximum duration of each phase."""
 
     starting_ms: float
     peer_query_ms: float
@@ -62,10 +63,10 @@
 
     @staticmethod
     def from_settings(settings: RouterSettings) -> PhaseTimeouts:
-        """Timeouts for these settings.
+        """Return the timeouts for the settings.
 
-        A peer query pays only while what peers remember is within the keep-alive, and must leave the calls
-        that wait for it half of the shortest deadline.
+        The peer query ends within half of the keep-alive, because older observations are no longer usable,
+        and within half of the shortest deadline, so that waiting calls can still be served in time.
         """
         shortest_deadline_ms = min(
             (request_class.deadline_ms for request_class in settings.classes), default=MAX_PEER_QUERY_MS
@@ -82,30 +83,33 @@
         )
 
     def for_phase(self, phase: RecoveryPhase) -> float:
-        """The timeout of one phase, ms; infinite for the last."""
+        """Return the timeout of one phase in ms; infinite for the last phase."""
         return (self.starting_ms, self.peer_query_ms, self.warming_ms, math.inf)[phase]
 
     def total_ms(self) -> float:
-        """The longest time that a whole recovery may take."""
+        """Return the maximum duration of a complete recovery."""
         return self.starting_ms + self.peer_query_ms + self.warming_ms
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryEvidence:
-    """What the router has seen of its recovery so far."""
+    """The inputs of the conditions under which phases end."""
 
     has_endpoint_list: bool
     can_query_peers: bool
-    has_majority: bool  # of the configured routers has been heard from
+    has_majority: bool  # more than half of the configured routers are known to be alive
     is_peer_query_complete: bool
-    recent_calls: float  # decayed number of calls whose answers said whether they found a warm instance
-    warm_fraction: float  # of these calls
-    baseline_warm_fraction: float | None  # as it was before the restart, or as peers report it
+    recent_calls: float  # decayed number of calls that reported whether they found a warm instance
+    warm_fraction: float  # of the recent calls
+    baseline_warm_fraction: float | None  # reported by peers, or measured before the restart
     has_deferred_loads: bool
 
 
 class RecoveryStateMachine:
-    """Holds the present phase, since when, and why; decides when to go on."""
+    """The present phase, the cause and time of the change into it, and the rules for the next change.
+
+    ``RecoveryComponent`` calls ``detect_pause`` first with each event, and ``advance`` at each tick.
+    """
 
     def __init__(self, timeouts: PhaseTimeouts, now_ms: float) -> None:
         self.timeouts = timeouts
@@ -115,9 +119,9 @@
         self.last_event_ms = now_ms
 
     def detect_pause(self, now_ms: float) -> bool:
-        """Whether the process stood still since the last event; if so, the recovery begins again.
+        """Return whether the process was paused since the last event; if so, restart the recovery.
 
-        To be called first with each event.
+        The caller calls this method first with each event.
         """
         was_paused = now_ms - self.last_event_ms > PAUSE_THRESHOLD_MS
         self.last_event_ms = now_ms
@@ -126,23 +130,25 @@
         return was_paused
 
     def advance(self, now_ms: float, evidence: RecoveryEvidence) -> bool:
-        """Enter the next phase if the evidence or the timeout of this one says so; whether it did."""
+        """Enter the next phase if the condition of the present one is satisfied or its timeout has passed.
+
+        Returns:
+            Whether the phase changed.
+        """
         if self.phase is RecoveryPhase.IN_SERVICE:
             return False
-        is_timed_out = now_ms - self.entered_at_ms >= self.timeouts.for_phase(self.phase)
-        is_goal_reached = self._is_goal_reached(evidence)
-        if not is_timed_out and not is_goal_reached:
+        has_timed_out = now_ms - self.entered_at_ms >= self.timeouts.for_phase(self.phase)
+        is_complete = self._is_phase_complete(evidence)
+        if not has_timed_out and not is_complete:
             return False
         next_phase = RecoveryPhase(self.phase + 1)
         if next_phase is RecoveryPhase.PEER_QUERY and not evidence.can_query_peers:
             next_phase = RecoveryPhase.WARMING
-        self._enter(
-            now_ms, next_phase, TransitionCause.EVIDENCE if is_goal_reached else TransitionCause.TIMEOUT
-        )
+        self._enter(now_ms, next_phase, TransitionCause.EVIDENCE if is_complete else TransitionCause.TIMEOUT)
         return True
 
-    def _is_goal_reached(self, evidence: RecoveryEvidence) -> bool:
-        """Whether the present phase has reached what it is for."""
+    def _is_phase_complete(self, evidence: RecoveryEvidence) -> bool:
+        """Return whether the condition under which the present phase ends is satisfied."""
         if self.phase is RecoveryPhase.STARTING:
             return evidence.has_endpoint_list and (evidence.has_majority or not evidence.can_query_peers)
         if self.phase is RecoveryPhase.PEER_QUERY:
@@ -157,4 +163,6 @@
         )
 
     def _enter(self, now_ms: float, phase: RecoveryPhase, cause: TransitionCause) -> None:
-        self.phase, self.cause, self.entered_at_ms = phase, cause, now_ms
+        self.phase = phase
+        self.cause = cause
+        self.entered_at_ms = now_ms
--- a/cedarthread/recovery/status.py
+++ b/cedarthread/recovery/status.py
@@ -1,4 +1,4 @@
-"""The recovery's figures at ``INFO``, under the names that operators read, and its log lines."""
+"""The figures of the recovery for ``INFO``, under the names that operators read, and its log lines."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def phase_log_line(recovery: RecoveryComponent, now_ms: float) -> str:
-    """What the log says when the recovery enters a phase."""
+    """Return the log line of a change of phase."""
     machine = recovery.state_machine
     return format_event(
         "recovery_phase_changed",
@@ -43,8 +43,10 @@
 
 
 def recovery_status(recovery: RecoveryComponent, now_ms: float) -> Mapping[str, str]:
-    """The figures of one router's recovery."""
-    machine, server, deferred = recovery.state_machine, recovery.query_server, recovery.pacer.deferred_counts
+    """Return the figures of one router's recovery, by name."""
+    machine = recovery.state_machine
+    server = recovery.query_server
+    deferred = recovery.pacer.deferred_counts
     baseline = recovery.baseline_warm_fraction()
     unreadable = (
         recovery.malformed_count + recovery.unknown_sender_count + recovery.query_client.unexpected_count
--- a/cedarthread/recovery/warm_fraction.py
+++ b/cedarthread/recovery/warm_fraction.py
@@ -1,4 +1,4 @@
-"""The fraction of calls that find a warm instance: lately, and as it is on any day."""
+"""The fraction of calls that find a warm instance: over the last seconds, and over a longer time."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from cedarthread.statistics import DecayingCounter
 
 RECENT_TIME_CONSTANT_MS = 2500.0
-"""Short enough to see a recovery of some seconds come to its end."""
+"""Short enough that the fraction shows the end of a recovery that lasts some seconds."""
 BASELINE_TIME_CONSTANT_MS = 20_000.0
-"""Long enough that one burst of cold starts does not pass for the usual."""
+"""Long enough that one burst of cold starts changes the baseline only slightly."""
 MIN_CALLS = 1e-9
-"""Keeps the fraction of no calls at all at 0."""
+"""Least divisor, so that the fraction is 0 without any calls."""
 
 
 class _DecayingFraction:
@@ -29,7 +29,10 @@
 
 
 class WarmFractionTracker:
-    """The recent fraction and the baseline, and the baseline that was remembered from before the restart."""
+    """The recent fraction of warm calls, the baseline fraction, and the last baseline measured in service.
+
+    ``remembered_baseline`` survives a restart, because the component restores it from the stored snapshot.
+    """
 
     def __init__(self) -> None:
         self.remembered_baseline: float | None = None
@@ -37,27 +40,27 @@
         self._baseline = _DecayingFraction(BASELINE_TIME_CONSTANT_MS)
 
     def restart(self) -> None:
-        """Forget the recent calls; the baseline stays."""
+        """Forget the recent calls, but not the baseline."""
         self._recent = _DecayingFraction(RECENT_TIME_CONSTANT_MS)
 
     def record(self, now_ms: float, was_warm: bool) -> None:
-        """A call has ended whose answer said whether it found a warm instance."""
+        """Count a call that ended and reported whether it found a warm instance."""
         self._recent.add(now_ms, was_warm)
         self._baseline.add(now_ms, was_warm)
 
     def recent(self, now_ms: float) -> float:
-        """The fraction of the last seconds."""
+        """Return the fraction of warm calls over the last seconds."""
         return self._recent.read(now_ms)
 
     def recent_calls(self, now_ms: float) -> float:
-        """The decayed number of calls that ``recent`` is measured from."""
+        """Return the decayed number of calls on which ``recent`` is based."""
         return self._recent.calls.read(now_ms)
 
     def baseline(self, now_ms: float) -> float:
-        """The fraction of a longer time; the usual one, if the router was in service all the while."""
+        """Return the fraction of warm calls over the longer time; meaningful only while in service."""
         return self._baseline.read(now_ms)
 
     def remember_baseline(self, now_ms: float) -> None:
-        """In service: take the measured baseline for the usual one, once it is from enough calls."""
+        """Save the measured baseline if it is based on enough calls; call only while in service."""
         if self._baseline.calls.read(now_ms) >= MIN_RECENT_CALLS:
             self.remembered_baseline = self.baseline(now_ms)
--- a/cedarthread/recovery/warm_state.py
+++ b/cedarthread/recovery/warm_state.py
@@ -1,7 +1,8 @@
-"""Which functions were seen warm on which workers, and when: the knowledge that a restart loses.
+"""The warm state: observations of which functions were warm on which workers, which a restart loses.
 
-Observations merge by the freshest one, so their order, loss and duplication do not matter. The age that is
-sent is that of the observation itself, whoever passes it on: forwarding makes nothing younger.
+Two observations of the same function and worker merge to the later one, so the order, loss and duplication
+of observations do not matter. Routers forward an observation with its total age, so forwarding does not make
+an observation younger.
 """
 
 from __future__ import annotations
@@ -20,15 +21,15 @@
     from collections.abc import Iterator
 
 MAX_OBSERVATIONS = 4096
-"""Observations that are kept; at a tenth more the least recently observed are evicted."""
+"""Number of observations after an eviction; an eviction occurs at a tenth more, and removes the oldest."""
 MAX_HOPS = 15
-"""Routers by way of which an observation may have come: four bits of a datagram's flags."""
+"""Most routers that may have forwarded an observation: four bits of the flags in a datagram."""
 UNKNOWN_START = 0
-"""Start tag of a worker whose start time is not known."""
+"""Start tag of a worker of unknown start time."""
 
 
 class Source(IntEnum):
-    """Where an observation came to this process from."""
+    """The origin of an observation: this router, its store, or a peer."""
 
     LOCAL = 0
     STORE = 1
@@ -37,15 +38,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """One observation of a function on one start of a worker."""
+    """An observation of a function at one incarnation of a worker."""
 
     observed_at_ms: float  # on this process's steady clock
-    is_warm: bool  # a warm instance was found, or found missing
+    is_warm: bool  # whether a warm instance was found
     source: Source
-    hops: int  # routers that it came by way of
+    hops: int  # routers that forwarded the observation
 
     def supersedes(self, other: Observation) -> bool:
-        """Whether it replaces another: the later one does; of two at one time the one that found nothing."""
+        """Return whether this observation replaces another.
+
+        The later one does. Of two at the same time, the one that found no warm instance does.
+        """
         return (self.observed_at_ms, not self.is_warm, -self.hops) > (
             other.observed_at_ms,
             not other.is_warm,
@@ -55,10 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AgedObservation:
-    """One observation as it is sent or stored: with its age, since each process has a clock of its own."""
+    """An observation as it is sent and stored: with an age, because the clocks of processes differ."""
 
     worker_id: int
-    start_tag: int
+    start_tag: int  # identifies the incarnation of the worker
     function_hash: int  # the function id folded to 32 bits
     age_ms: float  # since the observation
     is_warm: bool
@@ -67,35 +71,42 @@
 
 @dataclass(frozen=True, slots=True)
 class _ListedWorker:
-    """A worker in the present endpoint list."""
+    """A worker of the present endpoint list."""
 
     start_tag: int
     is_ready: bool
-    first_listed_at_ms: float  # when this start of it was first listed here
+    first_listed_at_ms: float  # since when this router's list has had this incarnation
 
 
 def start_tag(started_at_ms: float | None) -> int:
-    """A worker's start time in 32 bits, from the endpoint list, so that all routers have the same tag."""
+    """Return a worker's start time in 32 bits; the time is from the endpoint list, so all routers agree."""
     if started_at_ms is None or not math.isfinite(started_at_ms):
         return UNKNOWN_START
     return int(started_at_ms) & 0xFFFFFFFF
 
 
 class WarmState:
-    """All observations of one process, and the endpoint list that says which of them are still usable."""
+    """The observations of one router, and the endpoint list that decides which of them are usable.
+
+    ``RecoveryComponent`` passes all observations and endpoint updates in, and sets ``suspended_until_ms``.
+
+    Args:
+        keep_alive_ms: Time for which a worker retains an unused instance.
+        max_observations: Number of observations after an eviction.
+    """
 
     def __init__(self, keep_alive_ms: float, max_observations: int = MAX_OBSERVATIONS) -> None:
         self.keep_alive_ms = keep_alive_ms
         self.max_observations = max_observations
         self.suspended_until_ms = -math.inf
-        """No observation is usable before: after a pause the endpoint list may be from before it."""
+        """No observation is usable before this time, because the endpoint list may precede a pause."""
         self.workers: dict[int, _ListedWorker] = {}
         self.observations: dict[int, dict[tuple[int, int], Observation]] = {}
-        """By function hash, then by worker and start tag."""
+        """By function hash, then by worker id and start tag."""
         self.observation_count = 0
 
     def on_endpoint_update(self, now_ms: float, update: EndpointUpdate) -> None:
-        """Follow the endpoint list; observations of what it no longer names are not usable from now on."""
+        """Update the endpoint list; observations of workers that are no longer listed become unusable."""
         if update.kind is EndpointUpdateKind.FAILED:
             return
         if update.kind is not EndpointUpdateKind.DELTA:
@@ -103,7 +114,8 @@
             self.workers = {
                 worker_id: listed for worker_id, listed in self.workers.items() if worker_id in listed_ids
             }
-        # What the first list names may have started at any time; what joins it later, no sooner than now.
+        # An attempt sent at any time counts for a worker of the first list; for a worker that is added
+        # later, only an attempt sent from now on.
         listed_since_ms = now_ms if self.workers else -math.inf
         for endpoint in update.endpoints:
             if endpoint.state is EndpointState.REMOVED:
@@ -117,13 +129,20 @@
             is_ready = endpoint.state is EndpointState.READY
             self.workers[endpoint.worker_id] = _ListedWorker(tag, is_ready, first_listed_at_ms)
 
-    def is_usable(self, now_ms: float, worker_id: int, start: int, observation: Observation) -> bool:
-        """Whether it may decide: of the present start of a ready worker, warm, and within the keep-alive.
+    def is_usable(self, now_ms: float, worker_id: int, observed_tag: int, observation: Observation) -> bool:
+        """Return whether routing may use an observation.
 
-        ``start`` is a start tag.
+        The observation must be warm, no older than the keep-alive, and of the present incarnation of a worker
+        that is listed as ready.
+
+        Args:
+            now_ms: Present time.
+            worker_id: Worker of the observation.
+            observed_tag: Start tag of the worker at the observation.
+            observation: Observation to check.
         """
         listed = self.workers.get(worker_id)
-        if listed is None or not listed.is_ready or listed.start_tag != start:
+        if listed is None or not listed.is_ready or listed.start_tag != observed_tag:
             return False
         if now_ms < self.suspended_until_ms:
             return False
@@ -132,9 +151,17 @@
     def record_local(
         self, now_ms: float, worker_id: int, function_id: int, is_warm: bool, latency_ms: float = 0.0
     ) -> None:
-        """Take an observation of this router's own.
+        """Merge an observation that this router made by an attempt of its own.
+
+        Ignores an attempt that was sent before the worker's present incarnation was listed, because the
+        attempt may have reached an earlier incarnation.
 
-        An attempt that was sent before the worker's present start was listed says nothing of any start.
+        Args:
+            now_ms: Present time, at which the attempt ended.
+            worker_id: Worker of the attempt.
+            function_id: Function of the attempt.
+            is_warm: Whether the attempt found a warm instance.
+            latency_ms: Time since the attempt was sent.
         """
         listed = self.workers.get(worker_id)
         if listed is not None and now_ms - latency_ms >= listed.first_listed_at_ms:
@@ -144,10 +171,19 @@
     def merge_remote(
         self, now_ms: float, requested_at_ms: float, aged: AgedObservation, source: Source
     ) -> bool:
-        """Take an observation that came with an age; whether it was news.
+        """Merge an observation from a peer or the store.
+
+        The age counts from ``requested_at_ms``, so network delays make an observation older, never younger.
+
+        Args:
+            now_ms: Present time.
+            requested_at_ms: A time on this router's clock at or before which the sender computed the age,
+                such as the time of the query.
+            aged: The observation.
+            source: Origin of the observation.
 
-        ``requested_at_ms``: a time on this clock no later than the age was read, as of the query.
-        The age is counted from there, so delays on the way make an observation older, never younger.
+        Returns:
+            Whether the observation changed what this router knows.
         """
         if not (math.isfinite(aged.age_ms) and aged.age_ms >= 0 and aged.hops < MAX_HOPS):
             return False
@@ -157,13 +193,13 @@
         observation = Observation(observed_at_ms, aged.is_warm, source, aged.hops + 1)
         return self._merge(aged.worker_id, aged.start_tag, aged.function_hash, observation)
 
-    def _merge(self, worker_id: int, start: int, function_hash: int, observation: Observation) -> bool:
-        """Join one observation; whether there was none that says the same."""
-        by_start = self.observations.setdefault(function_hash, {})
-        previous = by_start.get((worker_id, start))
+    def _merge(self, worker_id: int, observed_tag: int, function_hash: int, observation: Observation) -> bool:
+        """Merge one observation; return whether there was no observation of the same content."""
+        by_incarnation = self.observations.setdefault(function_hash, {})
+        previous = by_incarnation.get((worker_id, observed_tag))
         if previous is not None and not observation.supersedes(previous):
             return False
-        by_start[worker_id, start] = observation
+        by_incarnation[worker_id, observed_tag] = observation
         if previous is None:
             self.observation_count += 1
             if self.observation_count > self.max_observations + self.max_observations // 10:
@@ -171,64 +207,68 @@
         return previous is None or previous.is_warm is not observation.is_warm
 
     def _evict_oldest(self) -> None:
-        """Bound the memory, whatever peers send."""
+        """Remove the oldest observations, so that memory stays bounded for any input from peers."""
         candidates = [
             (observation.observed_at_ms, function_hash, key)
-            for function_hash, by_start in self.observations.items()
-            for key, observation in by_start.items()
+            for function_hash, by_incarnation in self.observations.items()
+            for key, observation in by_incarnation.items()
         ]
         excess = self.observation_count - self.max_observations
         for _, function_hash, key in heapq.nsmallest(excess, candidates):
             del self.observations[function_hash][key]
             if not self.observations[function_hash]:
                 del self.observations[function_hash]
-        self.observation_count = sum(len(by_start) for by_start in self.observations.values())
+        self.observation_count = sum(len(by_incarnation) for by_incarnation in self.observations.values())
 
     def drop_expired(self, now_ms: float) -> None:
-        """Drop observations that are older than the keep-alive; none of them is ever usable again."""
-        for function_hash, by_start in list(self.observations.items()):
+        """Remove observations that are older than the keep-alive, because they cannot become usable again."""
+        for function_hash, by_incarnation in list(self.observations.items()):
             expired = [
                 key
-                for key, observation in by_start.items()
+                for key, observation in by_incarnation.items()
                 if now_ms - observation.observed_at_ms > self.keep_alive_ms
             ]
             for key in expired:
-                del by_start[key]
+                del by_incarnation[key]
                 self.observation_count -= 1
-            if not by_start:
+            if not by_incarnation:
                 del self.observations[function_hash]
 
     def warm_instances(self, now_ms: float, function_id: int) -> dict[int, InstanceLoad]:
-        """The workers that have a warm instance of a function by a usable observation, with its age.
+        """Return the workers with a usable observation of a warm instance of a function, with its age.
 
-        In the form of ``LoadGossip.instances``; no load is known.
+        The result has the form of ``LoadGossip.instances``. Its loads are 0, because observations have none.
         """
-        by_start = self.observations.get(fold_function_id(function_id), {})
+        by_incarnation = self.observations.get(fold_function_id(function_id), {})
         return {
             worker_id: InstanceLoad(0, max(0.0, now_ms - observation.observed_at_ms))
-            for (worker_id, start), observation in by_start.items()
-            if self.is_usable(now_ms, worker_id, start, observation)
+            for (worker_id, observed_tag), observation in by_incarnation.items()
+            if self.is_usable(now_ms, worker_id, observed_tag, observation)
         }
 
     def digest(
         self, now_ms: float, segment: int = 0, segment_count: int = 1, limit: int = MAX_OBSERVATIONS
     ) -> list[AgedObservation]:
-        """What peers or the store are to be sent, the freshest first, cold observations included.
+        """Return the latest observations to send to a peer or to store, latest first, warm and cold ones.
 
-        ``segment``: only functions whose hash modulo ``segment_count`` is this.
+        Args:
+            now_ms: Present time.
+            segment: Only functions with a hash that is this number modulo ``segment_count``.
+            segment_count: Number of segments.
+            limit: Most observations to return.
         """
         unexpired = self._unexpired(now_ms, segment, segment_count)
         return heapq.nsmallest(limit, unexpired, key=lambda aged: aged.age_ms)
 
     def _unexpired(self, now_ms: float, segment: int, segment_count: int) -> Iterator[AgedObservation]:
-        for function_hash, by_start in self.observations.items():
+        for function_hash, by_incarnation in self.observations.items():
             if function_hash % segment_count != segment:
                 continue
-            for (worker_id, start), observation in by_start.items():
+            for (worker_id, observed_tag), observation in by_incarnation.items():
                 age_ms = max(0.0, now_ms - observation.observed_at_ms)
                 listed = self.workers.get(worker_id)
-                is_past_start = listed is not None and listed.start_tag != start
-                if age_ms <= self.keep_alive_ms and not is_past_start:
+                is_past_incarnation = listed is not None and listed.start_tag != observed_tag
+                if age_ms <= self.keep_alive_ms and not is_past_incarnation:
                     yield AgedObservation(
-                        worker_id, start, function_hash, age_ms, observation.is_warm, observation.hops
+                        worker_id, observed_tag, function_hash, age_ms, observation.is_warm, observation.hops
                     )
--- a/tests/simulation/test_recovery_fleet.py
+++ b/tests/simulation/test_recovery_fleet.py
@@ -504,7 +504,7 @@
     ),
     "phases ended by timeouts alone": (
         RecoveryStateMachine,
-        "_is_goal_reached",
+        "_is_phase_complete",
         lambda machine, evidence: False,
         check_restart_with_peers,
         "late",
