--- a/cedarthread/recovery/admission.py
+++ b/cedarthread/recovery/admission.py
@@ -6,13 +6,11 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.recovery.pacing_limits import PacedAction
 
 if TYPE_CHECKING:
-    from collections.abc import Hashable
-
     from cedarthread.recovery.pacing import Pacer
 
 DEFAULT_LOAD_TIME_MS = 1000.0
@@ -23,38 +21,53 @@
 """Duration from which on a deferral is long. Pacing cannot end while there is a long deferral."""
 
 
+class PacedRequest(NamedTuple):
+    """A request of one action for one target, by which repeated requests are recognized."""
+
+    action: PacedAction
+    target_id: int  # function id of a load, worker id of a connection
+
+
+class _Deferral(NamedTuple):
+    """The times of the first and last request of a deferred action."""
+
+    first_ms: float
+    last_ms: float
+
+
 class DeferralTracker:
     """The actions that are deferred, each with the times of its first and last request."""
 
     def __init__(self) -> None:
-        self._first_and_last_ms: dict[Hashable, tuple[float, float]] = {}
+        self._deferrals: dict[PacedRequest, _Deferral] = {}
 
-    def __contains__(self, wanted: Hashable) -> bool:
-        return wanted in self._first_and_last_ms
+    def __contains__(self, request: PacedRequest) -> bool:
+        return request in self._deferrals
 
-    def record(self, now_ms: float, wanted: Hashable, was_granted: bool) -> None:
+    def record(self, now_ms: float, request: PacedRequest, *, was_granted: bool) -> None:
         """Record a request for an action, which was granted or deferred."""
         if was_granted:
-            self._first_and_last_ms.pop(wanted, None)
+            self._deferrals.pop(request, None)
             return
-        first_ms, _ = self._first_and_last_ms.get(wanted, (now_ms, now_ms))
-        self._first_and_last_ms[wanted] = (first_ms, now_ms)
+        previous = self._deferrals.get(request)
+        first_ms = now_ms if previous is None else previous.first_ms
+        self._deferrals[request] = _Deferral(first_ms, now_ms)
 
     def has_long_deferral(self, now_ms: float) -> bool:
         """Return whether any action has been deferred for longer than ``LONG_DEFERRAL_MS``.
 
         Drops the actions that were not requested again within that time, because they are no longer needed.
         """
-        self._first_and_last_ms = {
-            wanted: (first_ms, last_ms)
-            for wanted, (first_ms, last_ms) in self._first_and_last_ms.items()
-            if now_ms - last_ms <= LONG_DEFERRAL_MS
+        self._deferrals = {
+            request: deferral
+            for request, deferral in self._deferrals.items()
+            if now_ms - deferral.last_ms <= LONG_DEFERRAL_MS
         }
-        return any(now_ms - first_ms > LONG_DEFERRAL_MS for first_ms, _ in self._first_and_last_ms.values())
+        return any(now_ms - deferral.first_ms > LONG_DEFERRAL_MS for deferral in self._deferrals.values())
 
     def clear(self) -> None:
         """Forget all deferred actions."""
-        self._first_and_last_ms.clear()
+        self._deferrals.clear()
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +98,7 @@
         self.deferrals.clear()
         self.is_paced = True
 
-    def on_tick(self, now_ms: float, is_in_service: bool) -> None:
+    def on_tick(self, now_ms: float, *, is_in_service: bool) -> None:
         """Raise the load rate while an action is long deferred; otherwise end pacing once in service.
 
         The caller advances the state machine first.
@@ -95,7 +108,7 @@
         elif is_in_service:
             self.is_paced = False
 
-    def try_acquire_load(self, now_ms: float, function_id: int, awaits_peers: bool) -> bool:
+    def try_acquire_load(self, now_ms: float, function_id: int, *, awaits_peers: bool) -> bool:
         """Return whether a load of a function may start now; consumes tokens if it returns True.
 
         Args:
@@ -110,28 +123,29 @@
             return False
         tokens_taken = 0.0 if awaits_peers else self.pacer.try_acquire_load(now_ms)
         was_granted = tokens_taken > 0
-        self.deferrals.record(now_ms, (PacedAction.LOAD, function_id), was_granted)
+        request = PacedRequest(PacedAction.LOAD, function_id)
+        self.deferrals.record(now_ms, request, was_granted=was_granted)
         if was_granted:
             self.pending_loads[function_id] = PendingLoad(now_ms, tokens_taken)
         return was_granted
 
-    def settle_load(self, now_ms: float, function_id: int, was_warm: bool, succeeded: bool) -> None:
+    def settle_load(self, now_ms: float, function_id: int, *, was_warm: bool, succeeded: bool) -> None:
         """Correct the tokens of a function's pending load, if any, because a call of the function ended."""
         pending = self.pending_loads.pop(function_id, None)
         if pending is not None:
-            self.pacer.settle_load(now_ms, pending.tokens_taken, was_warm)
-            self.pacer.record_result(PacedAction.LOAD, succeeded)
+            self.pacer.settle_load(now_ms, pending.tokens_taken, was_warm=was_warm)
+            self.pacer.record_result(PacedAction.LOAD, succeeded=succeeded)
 
     def try_acquire_connection(self, now_ms: float, worker_id: int) -> bool:
         """Return whether a connection to a worker may start now; consumes a token if it returns True."""
         if not self.is_paced:
             self.pacer.record_unpaced(now_ms, PacedAction.CONNECT)
             return True
-        wanted = (PacedAction.CONNECT, worker_id)
-        if wanted not in self.deferrals:
+        request = PacedRequest(PacedAction.CONNECT, worker_id)
+        if request not in self.deferrals:
             self.pacer.record_call(worker_id)
         was_granted = self.pacer.try_acquire_connection(now_ms, worker_id)
-        self.deferrals.record(now_ms, wanted, was_granted)
+        self.deferrals.record(now_ms, request, was_granted=was_granted)
         return was_granted
 
     def try_acquire_discovery_query(self, now_ms: float) -> bool:
@@ -145,16 +159,16 @@
         """Return whether one deferred change of a freeze may be applied now; consumes a token if so."""
         was_granted = self.pacer.try_acquire(now_ms, PacedAction.RELEASE)
         if was_granted:
-            self.pacer.record_result(PacedAction.RELEASE, True)
+            self.pacer.record_result(PacedAction.RELEASE, succeeded=True)
         return was_granted
 
-    def on_connection_result(self, succeeded: bool) -> None:
+    def on_connection_result(self, *, succeeded: bool) -> None:
         """Record that a connection was established, or failed."""
-        self.pacer.record_result(PacedAction.CONNECT, succeeded)
+        self.pacer.record_result(PacedAction.CONNECT, succeeded=succeeded)
 
-    def on_discovery_result(self, succeeded: bool) -> None:
+    def on_discovery_result(self, *, succeeded: bool) -> None:
         """Record that a discovery query was answered, or failed."""
-        self.pacer.record_result(PacedAction.DISCOVERY_QUERY, succeeded)
+        self.pacer.record_result(PacedAction.DISCOVERY_QUERY, succeeded=succeeded)
 
     def on_freeze_ended(self, now_ms: float) -> None:
         """Reset the rate at which deferred changes are released, because a freeze ended."""
--- a/cedarthread/recovery/codec.py
+++ b/cedarthread/recovery/codec.py
@@ -18,7 +18,7 @@
 import struct
 from dataclasses import dataclass
 from enum import IntEnum
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.components.datagram_fields import (
     MAX_DATAGRAM_BYTES,
@@ -63,6 +63,13 @@
     BUSY = 3
 
 
+class BaselineRates(NamedTuple):
+    """The rates of one router in service, as far as they are sent to peers."""
+
+    loads_per_second: float
+    connections_per_second: float
+
+
 @dataclass(frozen=True, slots=True)
 class Query:
     """A request for the warm instances of one segment."""
@@ -82,7 +89,7 @@
     warm_fraction: float | None  # of the sender's calls; None while the sender is not in service
     uptime_ms: float  # of the sender
     observations: tuple[AgedObservation, ...] = ()
-    baseline_rates: tuple[float, float] | None = None  # the sender's loads and connections per second
+    baseline_rates: BaselineRates | None = None  # of the sender
 
 
 @dataclass(frozen=True, slots=True)
@@ -205,7 +212,7 @@
         return observations
     baseline_rates = None
     if UNKNOWN_RATE not in (loads, connections):
-        baseline_rates = (loads * RATE_UNIT_PER_SECOND, connections * RATE_UNIT_PER_SECOND)
+        baseline_rates = BaselineRates(loads * RATE_UNIT_PER_SECOND, connections * RATE_UNIT_PER_SECOND)
     return Response(
         nonce,
         part,
--- a/cedarthread/recovery/component.py
+++ b/cedarthread/recovery/component.py
@@ -46,14 +46,23 @@
 """Time after a pause for which the warm state is not used, because buffered responses may precede it."""
 LOAD_DEFERRAL_FRACTION = 0.25
 """Fraction of the peer query's timeout for which loads wait for peers to report warm instances."""
-RETRY_AFTER_FRACTIONS = 0.05, 0.15
-"""Fractions of the longest Retry-After between which that of a rejected client is drawn."""
 MASS_RESTART_RETRY_AFTER_FRACTION = 0.6
-"""The greater fraction during a mass restart."""
+"""The upper fraction of the longest Retry-After during a mass restart."""
 MAX_CLOCK_ERROR_MS = 500.0
 """Largest assumed difference between the wall clocks of two incarnations."""
 
 
+class RetryAfterFractions(NamedTuple):
+    """The fractions of the longest Retry-After between which that of a rejected client is drawn."""
+
+    lower: float
+    upper: float
+
+
+RETRY_AFTER_FRACTIONS = RetryAfterFractions(0.05, 0.15)
+_MASS_RESTART_RETRY_AFTER_FRACTIONS = RETRY_AFTER_FRACTIONS._replace(upper=MASS_RESTART_RETRY_AFTER_FRACTION)
+
+
 class WallClock(NamedTuple):
     """A reading of the wall clock, with the time of the steady clock at the reading."""
 
@@ -132,7 +141,7 @@
             warm_fraction=self.warm_fraction.baseline(now_ms) if self.is_in_service() else None,
             uptime_ms=now_ms - self.restarted_at_ms,
             baseline_rates=(
-                (own_rates[PacedAction.LOAD], own_rates[PacedAction.CONNECT])
+                codec.BaselineRates(own_rates[PacedAction.LOAD], own_rates[PacedAction.CONNECT])
                 if len(own_rates) == len(PacedAction)
                 else None
             ),
@@ -140,14 +149,15 @@
 
     def _on_response(self, now_ms: float, sender: int, response: codec.Response) -> None:
         has_older_peers = self.fleet_view.has_older_peers(now_ms, self.restarted_at_ms)
-        self.query_client.on_response(now_ms, sender, response, self.warm_state, has_older_peers)
-        self.pacer.record_result(PacedAction.PEER_QUERY, True)
+        self.query_client.on_response(
+            now_ms, sender, response, self.warm_state, has_older_peers=has_older_peers
+        )
+        self.pacer.record_result(PacedAction.PEER_QUERY, succeeded=True)
         peer_baseline = self.query_client.median_baseline()
         if peer_baseline is not None and not self.pacer.baseline.own_per_second:
-            loads, connections = peer_baseline
             self.pacer.baseline.peer_per_second = {
-                PacedAction.LOAD: loads,
-                PacedAction.CONNECT: connections,
+                PacedAction.LOAD: peer_baseline.loads_per_second,
+                PacedAction.CONNECT: peer_baseline.connections_per_second,
             }
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
@@ -168,7 +178,7 @@
             if self.is_in_service():
                 self.pacer.enter_service(now_ms)
             messages.append(LogMessage(phase_log_line(self, now_ms)))
-        self.admission.on_tick(now_ms, self.is_in_service())
+        self.admission.on_tick(now_ms, is_in_service=self.is_in_service())
         return messages
 
     def on_notification(self, now_ms: float, fact: Notification) -> Sequence[OutboundMessage]:
@@ -218,19 +228,18 @@
             and self.state_machine.phase in (RecoveryPhase.STARTING, RecoveryPhase.PEER_QUERY)
             and now_ms - self.state_machine.entered_at_ms < max_deferral_ms
         )
-        return self.admission.try_acquire_load(now_ms, function_id, awaits_peers)
+        return self.admission.try_acquire_load(now_ms, function_id, awaits_peers=awaits_peers)
 
     def try_acquire_connection(self, now_ms: float, worker_id: int) -> bool:
         """Return whether a connection to a worker may start now; consumes a token if it returns True."""
         self._check_pause(now_ms)
         return self.admission.try_acquire_connection(now_ms, worker_id)
 
-    def retry_after_fractions(self, now_ms: float) -> tuple[float, float]:
+    def retry_after_fractions(self, now_ms: float) -> RetryAfterFractions:
         """Return the fractions of the longest Retry-After between which that of a client is drawn."""
-        shortest, longest = RETRY_AFTER_FRACTIONS
         if not self.is_in_service() and self.is_mass_restart(now_ms):
-            longest = MASS_RESTART_RETRY_AFTER_FRACTION
-        return (shortest, longest)
+            return _MASS_RESTART_RETRY_AFTER_FRACTIONS
+        return RETRY_AFTER_FRACTIONS
 
     def on_load_report(self, reported_calls: float, own_calls: float) -> None:
         """Record a load report of a worker.
@@ -310,14 +319,20 @@
         )
         if succeeded or is_cold_start:
             self.warm_state.record_local(
-                now_ms, attempt.worker_id, attempt.function_id, succeeded, attempt.work_ms
+                now_ms,
+                attempt.worker_id,
+                attempt.function_id,
+                is_warm=succeeded,
+                latency_ms=attempt.work_ms,
             )
-        self.admission.settle_load(now_ms, attempt.function_id, attempt.was_warm is True, succeeded)
+        self.admission.settle_load(
+            now_ms, attempt.function_id, was_warm=attempt.was_warm is True, succeeded=succeeded
+        )
         self.pacer.record_call(attempt.worker_id)
         if attempt.was_warm is False and self.is_in_service():
             self.pacer.record_unpaced(now_ms, PacedAction.LOAD)
         if attempt.was_warm is not None:
-            self.warm_fraction.record(now_ms, attempt.was_warm)
+            self.warm_fraction.record(now_ms, was_warm=attempt.was_warm)
 
     def _evidence(self, now_ms: float) -> RecoveryEvidence:
         return RecoveryEvidence(
--- a/cedarthread/recovery/load_probability.py
+++ b/cedarthread/recovery/load_probability.py
@@ -22,7 +22,7 @@
         self._warm_starts = DecayingCounter(TIME_CONSTANT_MS)
         self._cold_starts = DecayingCounter(TIME_CONSTANT_MS)
 
-    def record(self, now_ms: float, was_warm: bool) -> None:
+    def record(self, now_ms: float, *, was_warm: bool) -> None:
         """Count the outcome of one such call: whether it found a warm instance."""
         (self._warm_starts if was_warm else self._cold_starts).add(now_ms, 1.0)
 
--- a/cedarthread/recovery/pacing.py
+++ b/cedarthread/recovery/pacing.py
@@ -159,12 +159,12 @@
         self.deferred_counts[PacedAction.LOAD] += 1
         return 0.0
 
-    def settle_load(self, now_ms: float, tokens_taken: float, was_warm: bool) -> None:
+    def settle_load(self, now_ms: float, tokens_taken: float, *, was_warm: bool) -> None:
         """Correct the tokens of a call that ended: one token in all if it started a load, else none."""
         bucket = self._refilled_bucket(now_ms, PacedAction.LOAD)
         tokens = bucket.tokens + tokens_taken - (0.0 if was_warm else 1.0)
         bucket.tokens = min(bucket.capacity, max(-MAX_TOKEN_DEFICIT, tokens))
-        self.load_probability.record(now_ms, was_warm)
+        self.load_probability.record(now_ms, was_warm=was_warm)
 
     def record_call(self, worker_id: int) -> None:
         """Count a call to a worker, as a sample of the fleet's demand for connections to the worker."""
@@ -207,7 +207,7 @@
             self.ramp_levels[PacedAction.LOAD] *= GROWTH_FACTOR
             self._last_growth_ms = now_ms
 
-    def record_result(self, action: PacedAction, succeeded: bool) -> None:
+    def record_result(self, action: PacedAction, *, succeeded: bool) -> None:
         """Count whether an action that was started succeeded."""
         counts = self._success_counts if succeeded else self._failure_counts
         counts[action] += 1
--- a/cedarthread/recovery/peer_query.py
+++ b/cedarthread/recovery/peer_query.py
@@ -10,7 +10,7 @@
 
 import math
 import random
-from collections import deque
+from collections import Counter, deque
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING
 
@@ -168,8 +168,8 @@
         self.backoffs: dict[int, _PeerBackoff] = {}
         self.suggested_peers: set[int] = set()
         self.reported_warm_fractions: list[float] = []
-        self.reported_baselines: list[tuple[float, float]] = []
-        """Baseline loads and connections per second, one pair per peer that reported them."""
+        self.reported_baselines: list[codec.BaselineRates] = []
+        """One per peer that reported its baseline rates."""
         self.first_query_at_ms = now_ms + self.rng.uniform(0.0, INITIAL_SPREAD_MS)
         self.sent_count = 0
         self.unexpected_count = 0
@@ -184,8 +184,8 @@
             return None
         return sorted(self.reported_warm_fractions)[len(self.reported_warm_fractions) // 2]
 
-    def median_baseline(self) -> tuple[float, float] | None:
-        """Return the median pair of baseline loads and connections per second, or None without reports."""
+    def median_baseline(self) -> codec.BaselineRates | None:
+        """Return the median of the reported baseline rates, ordered by loads, or None without reports."""
         if not self.reported_baselines:
             return None
         return sorted(self.reported_baselines)[len(self.reported_baselines) // 2]
@@ -235,12 +235,12 @@
         return None
 
     def _incomplete_segments(self) -> list[int]:
-        def pending_and_responses(number: int) -> tuple[int, int]:
-            pending_count = sum(query.segment == number for query in self.pending.values())
-            return pending_count, self.segments[number].responses
-
+        """Return the incomplete segments, ordered by pending queries, then by responses."""
+        pending_counts = Counter(query.segment for query in self.pending.values())
         incomplete = [number for number, segment in enumerate(self.segments) if not segment.is_complete]
-        return sorted(incomplete, key=pending_and_responses)
+        return sorted(
+            incomplete, key=lambda number: (pending_counts[number], self.segments[number].responses)
+        )
 
     def _free_peers(
         self, now_ms: float, segment: _SegmentProgress, peer_uptimes_ms: Mapping[int, float]
@@ -293,6 +293,7 @@
         sender: int,
         response: codec.Response,
         warm_state: WarmState,
+        *,
         has_older_peers: bool,
     ) -> None:
         """Merge one part of a response into the warm state; ages count from when the query was sent.
@@ -321,9 +322,9 @@
             self.reported_warm_fractions.append(response.warm_fraction)
         if response.baseline_rates is not None:
             self.reported_baselines.append(response.baseline_rates)
-        self._finish(query, has_older_peers)
+        self._finish(query, has_older_peers=has_older_peers)
 
-    def _finish(self, query: _PendingQuery, has_older_peers: bool) -> None:
+    def _finish(self, query: _PendingQuery, *, has_older_peers: bool) -> None:
         """Count a response of which all parts have arrived, and decide whether its segment is complete."""
         segment = self.segments[query.segment]
         segment.responses += 1
--- a/cedarthread/recovery/warm_fraction.py
+++ b/cedarthread/recovery/warm_fraction.py
@@ -20,7 +20,7 @@
         self.warm_calls = DecayingCounter(time_constant_ms)
         self.calls = DecayingCounter(time_constant_ms)
 
-    def add(self, now_ms: float, was_warm: bool) -> None:
+    def add(self, now_ms: float, *, was_warm: bool) -> None:
         self.warm_calls.add(now_ms, float(was_warm))
         self.calls.add(now_ms, 1.0)
 
@@ -43,10 +43,10 @@
         """Forget the recent calls, but not the baseline."""
         self._recent = _DecayingFraction(RECENT_TIME_CONSTANT_MS)
 
-    def record(self, now_ms: float, was_warm: bool) -> None:
+    def record(self, now_ms: float, *, was_warm: bool) -> None:
         """Count a call that ended and reported whether it found a warm instance."""
-        self._recent.add(now_ms, was_warm)
-        self._baseline.add(now_ms, was_warm)
+        self._recent.add(now_ms, was_warm=was_warm)
+        self._baseline.add(now_ms, was_warm=was_warm)
 
     def recent(self, now_ms: float) -> float:
         """Return the fraction of warm calls over the last seconds."""
--- a/cedarthread/recovery/warm_state.py
+++ b/cedarthread/recovery/warm_state.py
@@ -149,7 +149,7 @@
         return observation.is_warm and now_ms - observation.observed_at_ms <= self.keep_alive_ms
 
     def record_local(
-        self, now_ms: float, worker_id: int, function_id: int, is_warm: bool, latency_ms: float = 0.0
+        self, now_ms: float, worker_id: int, function_id: int, *, is_warm: bool, latency_ms: float = 0.0
     ) -> None:
         """Merge an observation that this router made by an attempt of its own.
 
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -441,7 +441,9 @@
         "busy": return_form.Busy(9, 750.0, 12),
         "busy naming nobody": return_form.Busy(9, 1e9),
         "tell nothing": return_form.Response(9, 0, 1, None, 0.0),
-        "tell rates": return_form.Response(9, 0, 1, 0.5, 12300.0, tuple(places[:3]), (1.25, 0.5)),
+        "tell rates": return_form.Response(
+            9, 0, 1, 0.5, 12300.0, tuple(places[:3]), return_form.BaselineRates(1.25, 0.5)
+        ),
     }
     for number, group in enumerate(groups):
         messages[f"part {number}"] = return_form.Response(9, number, len(groups), 1.0, 1e9, tuple(group))
@@ -1369,7 +1371,7 @@
     """What stands warm, as a router keeps it."""
     made = _recovery(0.0)
     for number in range(5):
-        made.warm_state.record_local(100.0 * number, 1 + number % 3, FUNCTION + number, number != 3)
+        made.warm_state.record_local(100.0 * number, 1 + number % 3, FUNCTION + number, is_warm=number != 3)
     image: bytes | None = made.snapshot(900.0)
     if image is None:
         raise ValueError("no wall clock")
@@ -1392,7 +1394,7 @@
     for number, kind in enumerate(KINDS):
         for step in range(number + 1):
             made.pacer.record_unpaced(1000.0 * step, kind)
-    made.warm_state.record_local(29_000.0, 2, FUNCTION, True)
+    made.warm_state.record_local(29_000.0, 2, FUNCTION, is_warm=True)
     image: bytes | None = made.snapshot(30_000.0)
     if image is None:
         raise ValueError("no wall clock")
--- a/tests/simulation/test_recovery_fleet.py
+++ b/tests/simulation/test_recovery_fleet.py
@@ -205,7 +205,7 @@
             return False
         self.connection_times[worker_id].append(self.now_ms)
         self.connected[index].add(worker_id)
-        recovery.admission.on_connection_result(True)
+        recovery.admission.on_connection_result(succeeded=True)
         return True
 
     def send(self, index: int, arrived_at: float, function_id: int, worker_id: int) -> None:
--- a/tests/unit/recovery/test_recovery.py
+++ b/tests/unit/recovery/test_recovery.py
@@ -74,8 +74,8 @@
 
 def test_observations_of_draining_removed_or_restarted_workers_are_not_used() -> None:
     warm_state = empty_warm_state()
-    warm_state.record_local(1000.0, 1, FUNCTION, True)
-    warm_state.record_local(1000.0, 3, FUNCTION, True)  # not listed: its start is not known
+    warm_state.record_local(1000.0, 1, FUNCTION, is_warm=True)
+    warm_state.record_local(1000.0, 3, FUNCTION, is_warm=True)  # not listed: its start is not known
     found = warm_state.warm_instances(1500.0, FUNCTION)
     assert {worker_id: instance.warm_age_ms for worker_id, instance in found.items()} == {1: 500.0}
     for changed in (
@@ -94,7 +94,7 @@
 
 def test_observations_older_than_the_keep_alive_are_not_used_and_dropped() -> None:
     warm_state = empty_warm_state()
-    warm_state.record_local(0.0, 1, FUNCTION, True)
+    warm_state.record_local(0.0, 1, FUNCTION, is_warm=True)
     assert warm_state.warm_instances(KEEP_ALIVE_MS, FUNCTION)
     assert not warm_state.warm_instances(KEEP_ALIVE_MS + 1.0, FUNCTION)
     warm_state.drop_expired(KEEP_ALIVE_MS + 1.0)
@@ -105,9 +105,9 @@
 def test_an_attempt_sent_before_the_workers_new_start_was_listed_is_no_observation_of_it() -> None:
     warm_state = empty_warm_state()
     warm_state.on_endpoint_update(1000.0, endpoint_delta(worker(1, started=900.0)))
-    warm_state.record_local(1100.0, 1, FUNCTION, True, latency_ms=200.0)
+    warm_state.record_local(1100.0, 1, FUNCTION, is_warm=True, latency_ms=200.0)
     assert not warm_state.warm_instances(1100.0, FUNCTION)
-    warm_state.record_local(1100.0, 1, FUNCTION, True, latency_ms=50.0)
+    warm_state.record_local(1100.0, 1, FUNCTION, is_warm=True, latency_ms=50.0)
     assert warm_state.warm_instances(1100.0, FUNCTION)
 
 
@@ -134,7 +134,7 @@
     """Five routers pass it on, each of which started a moment ago, over links that delay."""
     rng, observed_at_ms = random.Random(5), 1000.0
     warm_state, now_ms = empty_warm_state(), observed_at_ms
-    warm_state.record_local(observed_at_ms, 1, FUNCTION, True)
+    warm_state.record_local(observed_at_ms, 1, FUNCTION, is_warm=True)
     for _ in range(5):
         requested_at_ms = now_ms = now_ms + rng.uniform(0.0, 300.0)
         (aged,) = warm_state.digest(now_ms)
@@ -153,7 +153,7 @@
     warm_state = WarmState(KEEP_ALIVE_MS, max_observations=100)
     warm_state.on_endpoint_update(0.0, endpoint_update(worker(1)))
     for function_id in range(1000):
-        warm_state.record_local(float(function_id), 1, function_id, True)
+        warm_state.record_local(float(function_id), 1, function_id, is_warm=True)
     assert warm_state.observation_count <= 110
     assert warm_state.warm_instances(1000.0, 999)
     assert not warm_state.warm_instances(1000.0, 100)
@@ -195,12 +195,12 @@
 
 
 def test_a_survivor_that_190_routers_query_at_once_sends_a_bounded_number_of_datagrams() -> None:
-    template = codec.Response(0, 0, 1, 0.9, 9e5, (), (0.5, 2.0))
+    template = codec.Response(0, 0, 1, 0.9, 9e5, (), codec.BaselineRates(0.5, 2.0))
     survivor = PeerQueryServer(0.0)
     warm_state = WarmState(KEEP_ALIVE_MS)
     warm_state.on_endpoint_update(0.0, endpoint_update(*(worker(number) for number in range(60))))
     for function_id in range(600):
-        warm_state.record_local(0.0, function_id % 60, function_id, True)
+        warm_state.record_local(0.0, function_id % 60, function_id, is_warm=True)
     kinds: list[int] = []
     for step in range(190 * 4):
         now_ms = step * 1000.0 / (190 * 4)
@@ -244,7 +244,7 @@
             assert isinstance(query, codec.Query)
             aged = AgedObservation(1, start_tag(50.0), query.segment, 100.0, True)
             response = codec.Response(query.nonce, 0, 1, 0.9, 6e4, (aged,))
-            client.on_response(now_ms, message.peer_index, response, warm_state, True)
+            client.on_response(now_ms, message.peer_index, response, warm_state, has_older_peers=True)
         now_ms += 50.0
     max_queries = peer_query.MIN_RESPONSES * peer_query.SEGMENT_COUNT + peer_query.MAX_PENDING_QUERIES
     assert len(asked_peers) <= max_queries
@@ -372,14 +372,14 @@
             for pacer in pacers:
                 if pacer.try_acquire(window * 250.0 + at, action):
                     granted_by_window[-1] += 1
-                    pacer.record_result(action, True)
+                    pacer.record_result(action, succeeded=True)
                 pacer.on_tick(window * 250.0 + at)
     assert granted_at_once == 0
     assert granted_by_window[0] <= 0.5 * 40
     assert max(granted_by_window) <= 1.25 * 40
     assert granted_by_window[-1] >= 0.9 * 40
     for round_number in range(10):
-        pacers[0].record_result(action, False)
+        pacers[0].record_result(action, succeeded=False)
         pacers[0].on_tick(9000.0 + 250.0 * round_number)
     assert pacers[0].ramp_levels[action] == pacing.MIN_RAMP_LEVEL
 
@@ -392,7 +392,7 @@
             granted_by_step.append(sum(tokens > 0 for tokens in taken))
             for tokens in taken:
                 if tokens:
-                    pacer.settle_load(step * 50.0 + 40.0, tokens, was_warm)
+                    pacer.settle_load(step * 50.0 + 40.0, tokens, was_warm=was_warm)
         assert all(after <= 2 * before + 1 for before, after in itertools.pairwise(granted_by_step))
         if was_warm:
             assert sum(granted_by_step[-20:]) >= 190
