--- a/cedarthread/recovery/component.py
+++ b/cedarthread/recovery/component.py
@@ -153,7 +153,7 @@
             now_ms, sender, response, self.warm_state, has_older_peers=has_older_peers
         )
         self.pacer.record_result(PacedAction.PEER_QUERY, succeeded=True)
-        peer_baseline = self.query_client.median_baseline()
+        peer_baseline = self.query_client.reports.median_baseline_rates()
         if peer_baseline is not None and not self.pacer.baseline.own_per_second:
             self.pacer.baseline.peer_per_second = {
                 PacedAction.LOAD: peer_baseline.loads_per_second,
@@ -288,7 +288,7 @@
 
     def baseline_warm_fraction(self) -> float | None:
         """Return the baseline fraction of warm calls: reported by peers, else from before the restart."""
-        reported = self.query_client.median_warm_fraction()
+        reported = self.query_client.reports.median_warm_fraction()
         return self.warm_fraction.remembered_baseline if reported is None else reported
 
     def _check_pause(self, now_ms: float) -> None:
--- a/cedarthread/recovery/peer_query.py
+++ b/cedarthread/recovery/peer_query.py
@@ -1,14 +1,11 @@
 """Both sides of the peer query: a recovering router learns from a few peers which instances are warm.
 
-The functions are divided into segments, and the client queries one segment of one peer at a time. The client
-completes a segment once another response would contain few new observations. It estimates their fraction as
-in Good (The population frequencies of species, 1953): the fraction of the last response that was new is about
-the fraction of the peers' observations that this router does not have.
+The functions are divided into segments. The client sends each query to one peer, for one segment, until all
+segments are complete (``segment_progress.py``).
 """
 
 from __future__ import annotations
 
-import math
 import random
 from collections import Counter, deque
 from dataclasses import dataclass, field, replace
@@ -16,6 +13,12 @@
 
 from cedarthread.model.actions import SendToPeer
 from cedarthread.recovery import codec
+from cedarthread.recovery.peer_backoff import (
+    INITIAL_BACKOFF_MS as INITIAL_BACKOFF_MS,  # exported, because an injected defect replaces it here
+)
+from cedarthread.recovery.peer_backoff import PeerBackoffs
+from cedarthread.recovery.peer_reports import PeerReports
+from cedarthread.recovery.segment_progress import SegmentProgress
 from cedarthread.recovery.warm_state import MAX_HOPS, Source, WarmState
 from cedarthread.statistics import TokenBucket
 
@@ -23,22 +26,12 @@
     from collections.abc import Callable, Mapping
 
 SEGMENT_COUNT = 4
+"""Number of segments into which the functions are divided."""
 MAX_PENDING_QUERIES = 3
 RESPONSE_TIMEOUT_MS = 400.0
 """Time within which all parts of a response must arrive."""
 INITIAL_SPREAD_MS = 150.0
 """Time over which the first queries of routers that start at the same moment are spread."""
-INITIAL_BACKOFF_MS = 250.0
-"""First time between queries to a peer that does not respond; doubles up to ``MAX_BACKOFF_MS``."""
-MAX_BACKOFF_MS = 2000.0
-BACKOFF_JITTER = 0.5, 1.5
-"""Range of the random factor of each backoff."""
-NEW_FRACTION_THRESHOLD = 0.1
-"""Fraction of new observations in a response at or below which its segment is complete."""
-MIN_RESPONSES = 2
-"""Least number of responses for a segment, unless fewer peers are alive."""
-MAX_NONEMPTY_RESPONSES = 5
-"""Number of responses with observations after which a segment is complete in any case."""
 FULL_WEIGHT_UPTIME_MS = 20_000.0
 """Uptime from which on the weight of a peer in the random selection no longer grows."""
 NEW_PEER_WEIGHT = 0.05
@@ -130,24 +123,6 @@
     new_count: int = 0  # observations that changed the warm state
 
 
-@dataclass(slots=True)
-class _SegmentProgress:
-    """The responses for one segment of the functions."""
-
-    responses: int = 0
-    nonempty_responses: int = 0
-    responders: set[int] = field(default_factory=set)
-    is_complete: bool = False
-
-
-@dataclass(slots=True)
-class _PeerBackoff:
-    """The time from which on a peer may be queried again, and its next backoff."""
-
-    not_before_ms: float = -math.inf
-    next_backoff_ms: float = INITIAL_BACKOFF_MS
-
-
 class PeerQueryClient:
     """The side that sends queries: the progress of one recovering router's peer query.
 
@@ -162,14 +137,12 @@
 
     def restart(self, now_ms: float) -> None:
         """Start the peer query from the beginning, after a start or a pause of the process."""
-        self.segments = [_SegmentProgress() for _ in range(SEGMENT_COUNT)]
+        self.segments = [SegmentProgress() for _ in range(SEGMENT_COUNT)]
         self.pending: dict[int, _PendingQuery] = {}
         """By nonce."""
-        self.backoffs: dict[int, _PeerBackoff] = {}
+        self.backoffs = PeerBackoffs(self.rng)
         self.suggested_peers: set[int] = set()
-        self.reported_warm_fractions: list[float] = []
-        self.reported_baselines: list[codec.BaselineRates] = []
-        """One per peer that reported its baseline rates."""
+        self.reports = PeerReports()
         self.first_query_at_ms = now_ms + self.rng.uniform(0.0, INITIAL_SPREAD_MS)
         self.sent_count = 0
         self.unexpected_count = 0
@@ -178,18 +151,6 @@
         """Return whether all segments are complete."""
         return all(segment.is_complete for segment in self.segments)
 
-    def median_warm_fraction(self) -> float | None:
-        """Return the median of the warm fractions that peers reported, or None if no peer did."""
-        if not self.reported_warm_fractions:
-            return None
-        return sorted(self.reported_warm_fractions)[len(self.reported_warm_fractions) // 2]
-
-    def median_baseline(self) -> codec.BaselineRates | None:
-        """Return the median of the reported baseline rates, ordered by loads, or None without reports."""
-        if not self.reported_baselines:
-            return None
-        return sorted(self.reported_baselines)[len(self.reported_baselines) // 2]
-
     def on_tick(
         self, now_ms: float, peer_uptimes_ms: Mapping[int, float], try_acquire: Callable[[], bool]
     ) -> list[SendToPeer]:
@@ -198,7 +159,7 @@
         Args:
             now_ms: Present time.
             peer_uptimes_ms: Uptimes of the peers that are alive.
-            try_acquire: Consumes the token of one query, or returns False.
+            try_acquire: Returns whether one more query may be sent; consumes a token if it returns True.
         """
         self._expire_queries(now_ms, peer_uptimes_ms)
         queries: list[SendToPeer] = []
@@ -215,7 +176,7 @@
         for nonce, query in list(self.pending.items()):
             if now_ms - query.sent_at_ms >= RESPONSE_TIMEOUT_MS or query.peer not in peer_uptimes_ms:
                 del self.pending[nonce]
-                self._back_off(now_ms, query.peer)
+                self.backoffs.back_off(now_ms, query.peer)
 
     def _next_query(
         self, now_ms: float, peer_uptimes_ms: Mapping[int, float], try_acquire: Callable[[], bool]
@@ -243,7 +204,7 @@
         )
 
     def _free_peers(
-        self, now_ms: float, segment: _SegmentProgress, peer_uptimes_ms: Mapping[int, float]
+        self, now_ms: float, segment: SegmentProgress, peer_uptimes_ms: Mapping[int, float]
     ) -> list[int]:
         """Return the peers without pending query or backoff that have not answered for the segment."""
         busy_peers = {query.peer for query in self.pending.values()}
@@ -252,7 +213,7 @@
             for peer in peer_uptimes_ms
             if peer not in busy_peers
             and peer not in segment.responders
-            and now_ms >= self.backoffs.setdefault(peer, _PeerBackoff()).not_before_ms
+            and self.backoffs.may_query(now_ms, peer)
         ]
 
     def _weight(self, peer: int, uptime_ms: float) -> float:
@@ -269,13 +230,6 @@
         self.sent_count += 1
         return SendToPeer(codec.encode(codec.Query(nonce, segment, SEGMENT_COUNT)), peer)
 
-    def _back_off(self, now_ms: float, peer: int, retry_after_ms: float | None = None) -> None:
-        """Suspend queries to a peer for its Retry-After or else its backoff; doubles the next backoff."""
-        backoff = self.backoffs.setdefault(peer, _PeerBackoff())
-        wait_ms = backoff.next_backoff_ms if retry_after_ms is None else retry_after_ms
-        backoff.not_before_ms = now_ms + wait_ms * self.rng.uniform(*BACKOFF_JITTER)
-        backoff.next_backoff_ms = min(2 * backoff.next_backoff_ms, MAX_BACKOFF_MS)
-
     def on_busy(self, now_ms: float, sender: int, busy: codec.Busy) -> None:
         """Suspend queries to a peer that rejected a query."""
         query = self.pending.get(busy.nonce)
@@ -283,7 +237,7 @@
             self.unexpected_count += 1
             return
         del self.pending[busy.nonce]
-        self._back_off(now_ms, sender, min(busy.retry_after_ms, MAX_RETRY_AFTER_MS))
+        self.backoffs.back_off(now_ms, sender, min(busy.retry_after_ms, MAX_RETRY_AFTER_MS))
         if busy.suggested_peer is not None:
             self.suggested_peers.add(busy.suggested_peer)
 
@@ -303,8 +257,7 @@
             sender: Peer that sent the response.
             response: One part of the response.
             warm_state: State to merge into.
-            has_older_peers: Whether a peer did not restart with this router. Then an empty response does not
-                show that there are few observations to learn.
+            has_older_peers: Whether a peer did not restart with this router.
         """
         query = self.pending.get(response.nonce)
         if query is None or query.peer != sender or response.part in query.received_parts:
@@ -318,23 +271,10 @@
         if len(query.received_parts) < response.part_count:
             return
         del self.pending[response.nonce]
-        if response.warm_fraction is not None:
-            self.reported_warm_fractions.append(response.warm_fraction)
-        if response.baseline_rates is not None:
-            self.reported_baselines.append(response.baseline_rates)
-        self._finish(query, has_older_peers=has_older_peers)
-
-    def _finish(self, query: _PendingQuery, *, has_older_peers: bool) -> None:
-        """Count a response of which all parts have arrived, and decide whether its segment is complete."""
-        segment = self.segments[query.segment]
-        segment.responses += 1
-        segment.responders.add(query.peer)
-        segment.nonempty_responses += query.received_count > 0
-        if query.received_count:
-            has_little_new = query.new_count <= NEW_FRACTION_THRESHOLD * query.received_count
-        else:
-            has_little_new = not has_older_peers
-        if segment.responses >= MIN_RESPONSES and has_little_new:
-            segment.is_complete = True
-        if segment.nonempty_responses >= MAX_NONEMPTY_RESPONSES:
-            segment.is_complete = True
+        self.reports.add(response)
+        self.segments[query.segment].on_response(
+            query.peer,
+            received_count=query.received_count,
+            new_count=query.new_count,
+            has_older_peers=has_older_peers,
+        )
--- /dev/null
+++ b/cedarthread/recovery/segment_progress.py
@@ -0,0 +1,49 @@
+"""The rule that ends the peer query for one segment of the functions.
+
+A segment is complete once another response would contain few new observations. Their fraction is estimated as
+in Good (The population frequencies of species, 1953): the fraction of the last response that was new is about
+the fraction of the peers' observations that this router does not have.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+NEW_FRACTION_THRESHOLD = 0.1
+"""Fraction of new observations in a response at or below which its segment is complete."""
+MIN_RESPONSES = 2
+"""Least number of responses for a segment, unless fewer peers are alive."""
+MAX_NONEMPTY_RESPONSES = 5
+"""Number of responses with observations after which a segment is complete in any case."""
+
+
+@dataclass(slots=True)
+class SegmentProgress:
+    """The responses for one segment, and whether the segment is complete."""
+
+    responses: int = 0
+    nonempty_responses: int = 0
+    responders: set[int] = field(default_factory=set)
+    is_complete: bool = False
+
+    def on_response(self, peer: int, *, received_count: int, new_count: int, has_older_peers: bool) -> None:
+        """Count a response of which all parts have arrived, and decide whether the segment is complete.
+
+        Args:
+            peer: Peer that sent the response.
+            received_count: Observations in the response.
+            new_count: Those of them that changed the warm state.
+            has_older_peers: Whether a peer did not restart with this router. If there is one, an empty
+                response does not mean that there is nothing to learn.
+        """
+        self.responses += 1
+        self.responders.add(peer)
+        self.nonempty_responses += received_count > 0
+        if received_count:
+            has_little_new = new_count <= NEW_FRACTION_THRESHOLD * received_count
+        else:
+            has_little_new = not has_older_peers
+        if self.responses >= MIN_RESPONSES and has_little_new:
+            self.is_complete = True
+        if self.nonempty_responses >= MAX_NONEMPTY_RESPONSES:
+            self.is_complete = True
--- a/tests/unit/recovery/test_recovery.py
+++ b/tests/unit/recovery/test_recovery.py
@@ -18,7 +18,7 @@
 from cedarthread.model.actions import LogMessage
 from cedarthread.model.endpoints import Endpoint, EndpointState, EndpointUpdate, EndpointUpdateKind
 from cedarthread.model.outcomes import Outcome
-from cedarthread.recovery import codec, pacing, peer_query, state_machine
+from cedarthread.recovery import codec, pacing, peer_query, segment_progress, state_machine
 from cedarthread.recovery.component import (
     MASS_RESTART_RETRY_AFTER_FRACTION,
     RETRY_AFTER_FRACTIONS,
@@ -246,9 +246,9 @@
             response = codec.Response(query.nonce, 0, 1, 0.9, 6e4, (aged,))
             client.on_response(now_ms, message.peer_index, response, warm_state, has_older_peers=True)
         now_ms += 50.0
-    max_queries = peer_query.MIN_RESPONSES * peer_query.SEGMENT_COUNT + peer_query.MAX_PENDING_QUERIES
+    max_queries = segment_progress.MIN_RESPONSES * peer_query.SEGMENT_COUNT + peer_query.MAX_PENDING_QUERIES
     assert len(asked_peers) <= max_queries
-    assert client.median_warm_fraction() == 0.9
+    assert client.reports.median_warm_fraction() == 0.9
     assert sum(peer % 2 for peer in asked_peers) >= 6
 
 
