--- a/cedarthread/recovery/peer_query.py
+++ b/cedarthread/recovery/peer_query.py
@@ -60,9 +60,9 @@
         self.response_tokens = TokenBucket(RESPONSES_PER_SECOND, RESPONSE_BURST, RESPONSE_BURST, now_ms)
         self.busy_tokens = TokenBucket(BUSY_REPLIES_PER_SECOND, BUSY_REPLY_BURST, BUSY_REPLY_BURST, now_ms)
         self.recent_recipients: deque[int] = deque(maxlen=RECENT_RECIPIENTS)
-        self.answered = 0
-        self.deferred = 0
-        self.dropped = 0
+        self.answered_queries = 0
+        self.rejected_queries = 0
+        self.dropped_queries = 0
         self.backlog_ms = 0.0
         """Time over which the retries of rejected peers are spread."""
 
@@ -83,7 +83,7 @@
         if not self.response_tokens.take(now_ms, len(parts)):
             return self._reply_busy(now_ms, sender, query)
         self.backlog_ms = max(0.0, self.backlog_ms - RESPONSE_TIMEOUT_MS / 2)
-        self.answered += 1
+        self.answered_queries += 1
         if sender not in self.recent_recipients:
             self.recent_recipients.append(sender)
         responses = (
@@ -100,13 +100,13 @@
 
     def _reply_busy(self, now_ms: float, sender: int, query: codec.Query) -> list[SendToPeer]:
         if not self.busy_tokens.take(now_ms):
-            self.dropped += 1
+            self.dropped_queries += 1
             return []
-        self.deferred += 1
+        self.rejected_queries += 1
         response_ms = 1000.0 * codec.MAX_PARTS / RESPONSES_PER_SECOND
         self.backlog_ms = min(self.backlog_ms + response_ms, MAX_RETRY_AFTER_MS)
         others = [peer for peer in self.recent_recipients if peer != sender]
-        suggested_peer = others[self.deferred % len(others)] if others else None
+        suggested_peer = others[self.rejected_queries % len(others)] if others else None
         busy = codec.Busy(query.nonce, INITIAL_BACKOFF_MS + self.backlog_ms, suggested_peer)
         return [SendToPeer(codec.encode(busy), sender)]
 
--- a/tests/unit/recovery/test_recovery.py
+++ b/tests/unit/recovery/test_recovery.py
@@ -212,8 +212,8 @@
     )
     assert responses <= peer_query.RESPONSES_PER_SECOND + peer_query.RESPONSE_BURST
     assert busy_replies <= peer_query.BUSY_REPLIES_PER_SECOND + peer_query.BUSY_REPLY_BURST
-    assert survivor.answered >= 5
-    assert survivor.dropped > 0
+    assert survivor.answered_queries >= 5
+    assert survivor.dropped_queries > 0
 
 
 def test_a_busy_peer_names_another_and_is_not_asked_before_its_retry_after() -> None:
