--- a/cedarthread/recovery/action_baseline.py
+++ b/cedarthread/recovery/action_baseline.py
@@ -20,8 +20,8 @@
 class ActionBaseline:
     """Baseline rates of one router, per second and by action: measured by itself or reported by peers.
 
-    ``Pacer`` records the actions and starts and stops the measurement; ``RecoveryComponent`` sets the rates
-    that the store or the peers supply.
+    ``Pacer`` records the actions and starts and stops the measurement. ``SnapshotExchange`` sets the rates
+    from the store, ``PeerExchange`` those of peers.
     """
 
     def __init__(self) -> None:
--- a/cedarthread/recovery/fleet_view.py
+++ b/cedarthread/recovery/fleet_view.py
@@ -29,7 +29,7 @@
 class FleetView:
     """The peers that are alive and their uptimes, from the last notification of the membership.
 
-    ``RecoveryComponent`` passes the notifications in and adds to ``seen_peers``.
+    ``RecoveryComponent`` passes the notifications in; ``PeerExchange`` adds to ``seen_peers``.
     """
 
     router_count: int
--- a/cedarthread/recovery/state_machine.py
+++ b/cedarthread/recovery/state_machine.py
@@ -116,6 +116,7 @@
         self.phase = RecoveryPhase.STARTING
         self.cause = TransitionCause.START
         self.entered_at_ms = now_ms
+        self.restarted_at_ms = now_ms  # start of the process, or end of its last pause
         self.last_event_ms = now_ms
 
     def detect_pause(self, now_ms: float) -> bool:
@@ -125,6 +126,8 @@
         """
         was_paused = now_ms - self.last_event_ms > PAUSE_THRESHOLD_MS
         self.last_event_ms = now_ms
+        if was_paused:
+            self.restarted_at_ms = now_ms
         if was_paused and self.phase is not RecoveryPhase.STARTING:
             self._enter(now_ms, RecoveryPhase.PEER_QUERY, TransitionCause.PAUSE)
         return was_paused
--- a/cedarthread/recovery/status.py
+++ b/cedarthread/recovery/status.py
@@ -2,17 +2,15 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 from cedarthread.logs import format_event
-from cedarthread.recovery.pacing_limits import PacedAction
 from cedarthread.recovery.state_machine import RecoveryPhase, TransitionCause
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from cedarthread.recovery.component import RecoveryComponent
-
 _PHASE_FIGURES = {
     RecoveryPhase.STARTING: "starting",
     RecoveryPhase.PEER_QUERY: "asking",
@@ -29,41 +27,65 @@
 PAUSE_LOG_LINE = format_event("process_pause_detected")
 
 
-def phase_log_line(recovery: RecoveryComponent, now_ms: float) -> str:
+@dataclass(frozen=True, slots=True)
+class PhaseChange:
+    """A change of phase, as it is logged."""
+
+    phase: RecoveryPhase
+    cause: TransitionCause
+    since_restart_ms: float
+    observation_count: int
+    recent_warm_fraction: float
+
+
+@dataclass(frozen=True, slots=True)
+class RecoveryFigures:
+    """The present values of all figures."""
+
+    phase: RecoveryPhase
+    cause: TransitionCause  # of the change into the phase
+    in_phase_ms: float
+    is_paced: bool
+    is_mass_restart: bool
+    observation_count: int
+    recent_warm_fraction: float
+    baseline_warm_fraction: float | None
+    sent_queries: int
+    answered_queries: int
+    rejected_queries: int  # of peers, with a busy reply or without any
+    deferred_loads: int
+    deferred_connections: int
+    unreadable_count: int  # rejected datagrams and snapshots
+
+
+def phase_log_line(change: PhaseChange) -> str:
     """Return the log line of a change of phase."""
-    machine = recovery.state_machine
     return format_event(
         "recovery_phase_changed",
-        phase=machine.phase.name.lower(),
-        cause=machine.cause.name.lower(),
-        after_ms=f"{now_ms - recovery.restarted_at_ms:.0f}",
-        known_instances=recovery.warm_state.observation_count,
-        warm_fraction=f"{recovery.warm_fraction.recent(now_ms):.2f}",
+        phase=change.phase.name.lower(),
+        cause=change.cause.name.lower(),
+        after_ms=f"{change.since_restart_ms:.0f}",
+        known_instances=change.observation_count,
+        warm_fraction=f"{change.recent_warm_fraction:.2f}",
     )
 
 
-def recovery_status(recovery: RecoveryComponent, now_ms: float) -> Mapping[str, str]:
-    """Return the figures of one router's recovery, by name."""
-    machine = recovery.state_machine
-    server = recovery.query_server
-    deferred = recovery.pacer.deferred_counts
-    baseline = recovery.baseline_warm_fraction()
-    unreadable = (
-        recovery.malformed_count + recovery.unknown_sender_count + recovery.query_client.unexpected_count
-    )
+def recovery_status(figures: RecoveryFigures) -> Mapping[str, str]:
+    """Return the figures by the names that operators read."""
+    baseline = figures.baseline_warm_fraction
     return {
-        "return_phase": _PHASE_FIGURES[machine.phase],
-        "return_phase_by": _CAUSE_FIGURES[machine.cause],
-        "return_phase_ms": f"{now_ms - machine.entered_at_ms:.0f}",
-        "return_bounded": str(int(recovery.admission.is_paced)),
-        "return_mass": str(int(recovery.is_mass_restart(now_ms))),
-        "return_places": str(recovery.warm_state.observation_count),
-        "return_warm": f"{recovery.warm_fraction.recent(now_ms):.2f}",
+        "return_phase": _PHASE_FIGURES[figures.phase],
+        "return_phase_by": _CAUSE_FIGURES[figures.cause],
+        "return_phase_ms": f"{figures.in_phase_ms:.0f}",
+        "return_bounded": str(int(figures.is_paced)),
+        "return_mass": str(int(figures.is_mass_restart)),
+        "return_places": str(figures.observation_count),
+        "return_warm": f"{figures.recent_warm_fraction:.2f}",
         "return_warm_usual": "unknown" if baseline is None else f"{baseline:.2f}",
-        "return_asked": str(recovery.query_client.sent_count),
-        "return_answered": str(server.answered_queries),
-        "return_put_off_peers": str(server.rejected_queries + server.dropped_queries),
-        "return_put_off_loads": str(deferred[PacedAction.LOAD]),
-        "return_put_off_connections": str(deferred[PacedAction.CONNECT]),
-        "return_unreadable": str(unreadable),
+        "return_asked": str(figures.sent_queries),
+        "return_answered": str(figures.answered_queries),
+        "return_put_off_peers": str(figures.rejected_queries),
+        "return_put_off_loads": str(figures.deferred_loads),
+        "return_put_off_connections": str(figures.deferred_connections),
+        "return_unreadable": str(figures.unreadable_count),
     }
--- a/tests/simulation/test_recovery_fleet.py
+++ b/tests/simulation/test_recovery_fleet.py
@@ -151,7 +151,7 @@
         recovery = self.routers[index] = self.new_router(index)
         if store:
             recovery.restore(self.now_ms, self.snapshots[index])
-        recovery.can_query_peers = recovery.can_query_peers and peers
+        recovery.peer_exchange.can_query_peers = recovery.peer_exchange.can_query_peers and peers
         if self.restarts_all_knowing:
             recovery.state_machine.phase = RecoveryPhase.IN_SERVICE
             for worker_id, functions in self.last_used.items():
@@ -615,13 +615,13 @@
                 assert instance.warm_age_ms is not None
                 assert self.now_ms - instance.warm_age_ms <= self.last_seen_warm
                 assert instance.warm_age_ms <= 1200.0
-            assert len(recovery.query_client.pending) <= peer_query.MAX_PENDING_QUERIES
+            assert len(recovery.peer_exchange.client.pending) <= peer_query.MAX_PENDING_QUERIES
             machine = recovery.state_machine
             if machine.phase is RecoveryPhase.PEER_QUERY and machine.cause is TransitionCause.EVIDENCE:
                 alive_count = 1 + len(recovery.fleet_view.peer_uptimes_ms(self.now_ms))
                 assert 2 * alive_count > len(self.routers)
             if machine.phase is RecoveryPhase.IN_SERVICE:  # no call came: by timeouts alone
-                assert self.now_ms - recovery.restarted_at_ms >= machine.timeouts.warming_ms
+                assert self.now_ms - recovery.state_machine.restarted_at_ms >= machine.timeouts.warming_ms
 
     def key(self) -> object:
         """What tells two states apart; times in whole milliseconds, without nonces."""
@@ -638,11 +638,11 @@
         )
 
     def _router_key(self, recovery: RecoveryComponent) -> object:
-        client = recovery.query_client
+        client = recovery.peer_exchange.client
         return (
             recovery.state_machine.phase,
             round(self.now_ms - recovery.state_machine.entered_at_ms),
-            round(self.now_ms - recovery.restarted_at_ms),
+            round(self.now_ms - recovery.state_machine.restarted_at_ms),
             tuple(
                 (segment.responses, segment.is_complete, tuple(sorted(segment.responders)))
                 for segment in client.segments
--- a/tests/unit/recovery/test_recovery.py
+++ b/tests/unit/recovery/test_recovery.py
@@ -20,8 +20,6 @@
 from cedarthread.model.outcomes import Outcome
 from cedarthread.recovery import codec, pacing, peer_query, segment_progress, state_machine
 from cedarthread.recovery.component import (
-    MASS_RESTART_RETRY_AFTER_FRACTION,
-    RETRY_AFTER_FRACTIONS,
     SUSPENSION_AFTER_PAUSE_MS,
     RecoveryComponent,
 )
@@ -29,6 +27,7 @@
 from cedarthread.recovery.pacing import Pacer
 from cedarthread.recovery.pacing_limits import PacedAction, PacingLimits
 from cedarthread.recovery.peer_query import PeerQueryClient, PeerQueryServer
+from cedarthread.recovery.retry_after import MASS_RESTART_RETRY_AFTER_FRACTION, RETRY_AFTER_FRACTIONS
 from cedarthread.recovery.state_machine import (
     PhaseTimeouts,
     RecoveryEvidence,
@@ -498,7 +497,7 @@
     changed = settings(router_count=1, keep_alive_ms=50.0)
     recovery.on_notification(41_000.0, SettingsChanged(changed))
     assert not recovery.warm_instances(41_000.0, FUNCTION)
-    assert not recovery.can_query_peers
+    assert not recovery.peer_exchange.can_query_peers
     assert set(recovery.status(41_000.0)) >= {"return_phase", "return_mass", "return_places"}
     timeouts = PhaseTimeouts.from_settings(settings(keep_alive_ms=1e6))
     assert timeouts.peer_query_ms <= state_machine.MAX_PEER_QUERY_MS
