--- a/cedarthread/recovery/warm_state.py
+++ b/cedarthread/recovery/warm_state.py
@@ -88,7 +88,8 @@
 class WarmState:
     """The observations of one router, and the endpoint list that decides which of them are usable.
 
-    ``RecoveryComponent`` passes all observations and endpoint updates in, and sets ``suspended_until_ms``.
+    ``RecoveryComponent`` records local observations and endpoint updates, and sets ``suspended_until_ms``;
+    ``PeerQueryClient`` and ``snapshot.restore_observations`` merge observations from peers and the store.
 
     Args:
         keep_alive_ms: Time for which a worker retains an unused instance.
