--- a/cedarthread/recovery/codec.py
+++ b/cedarthread/recovery/codec.py
@@ -9,7 +9,7 @@
               flags u8 (bit 0: was warm; from bit 1 on: hops)
     busy:     message type u8, kind u8, nonce u32, retry after u16 (ms), suggested peer u16 (65535: none)
 
-A segment consists of the functions with a hash that, modulo the segment count, is the segment's number.
+The segment of a function is its hash modulo the segment count.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 AGE_UNIT_MS = 50.0
 """Ages are rounded up to multiples of this unit, which also covers clocks of slightly different rates."""
 MAX_AGE_UNITS = 65535
-"""Encodes this age and every greater one; the decoder drops such observations."""
+"""This number also encodes every greater age; the decoder drops such observations."""
 UPTIME_UNIT_MS = 100.0
 MAX_UPTIME_UNITS = 65535
 RATE_UNIT_PER_SECOND = 0.01
--- a/cedarthread/recovery/component.py
+++ b/cedarthread/recovery/component.py
@@ -234,7 +234,7 @@
                 age.
 
         Returns:
-            How many observations changed the warm state.
+            How many observations were new.
         """
         return self.snapshots.restore(now_ms, raw, clock_error_ms)
 
--- a/cedarthread/recovery/connection_turns.py
+++ b/cedarthread/recovery/connection_turns.py
@@ -13,7 +13,10 @@
 from cedarthread.recovery.pacing_limits import WINDOW_MS
 
 FIRST_CONNECT_WINDOWS = 2.0
-"""Least number of windows over which first connections are spread, because few calls are counted as yet."""
+"""Windows over which first connections are spread, because few calls are counted at first.
+
+Fewer windows suffice if the worker can accept the connections of all routers in them.
+"""
 GOLDEN_RATIO_CONJUGATE = 0.6180339887498949
 """Its multiples modulo 1 fill the interval from 0 to 1 evenly, so that no two of a few are close.
 
@@ -76,8 +79,9 @@
         worker_share = (self._calls_by_worker.get(worker_id, 0) + 1.0) / (
             self._total_calls + demand.worker_count
         )
-        wanted = demand.router_count * max(1.0, self._total_calls) / windows_passed * worker_share
+        fleet_calls_per_window = demand.router_count * max(1.0, self._total_calls) / windows_passed
+        wanted_per_window = fleet_calls_per_window * worker_share
         min_windows = 0.0
         if not self.has_connected(worker_id):
             min_windows = min(FIRST_CONNECT_WINDOWS, demand.router_count / limit)
-        return max(min_windows, demand.router_count / limit * max(0.0, 1.0 - limit / wanted))
+        return max(min_windows, demand.router_count / limit * max(0.0, 1.0 - limit / wanted_per_window))
--- a/cedarthread/recovery/fleet_view.py
+++ b/cedarthread/recovery/fleet_view.py
@@ -14,9 +14,9 @@
 
 MIN_FLEET_ROUTERS = 2  # a single router has no peers that could restart
 MASS_RESTART_FRACTION = 0.5
-"""Fraction of the peers that, recently started or absent, makes a restart a mass restart."""
+"""Least fraction of the peers that started recently or are absent in a mass restart."""
 OLDER_PEER_MARGIN_MS = 5000.0
-"""Least excess of a peer's uptime over this router's own if the peer did not restart with this router."""
+"""A peer did not restart with this router if its uptime is greater by more than this margin."""
 MIN_LOAD_REPORTS = 20.0
 """Least decayed number of load reports from which the activity of peers is inferred."""
 REPORT_DECAY = 1.0 - 1.0 / (4 * MIN_LOAD_REPORTS)
@@ -60,7 +60,7 @@
         return any(uptime_ms > min_uptime_ms for uptime_ms in self.peer_uptimes_ms(now_ms).values())
 
     def has_majority(self) -> bool:
-        """Return whether more than half of the configured routers are known to be alive, with this one."""
+        """Return whether this router and the peers known to be alive are a majority of all routers."""
         if self.latest_peers is None:
             alive = self.seen_peers
         else:
--- a/cedarthread/recovery/pacing.py
+++ b/cedarthread/recovery/pacing.py
@@ -1,10 +1,13 @@
 """Limits the rates of a recovering router's actions: loads, connections, queries and releases of changes.
 
-Each router uses an equal share of a limit for the whole fleet, as a token bucket that refills evenly. A
-bucket starts with a fraction of a token, which depends on the router's index, so that routers that start at
-the same moment do not act at the same moment. As in TCP's slow start (Jacobson, Congestion avoidance and
-control, 1988) the rate starts low and doubles after each round in which more actions succeeded than failed,
-up to the limit. The limit is derived from the baseline if one is known, else from ``PacingLimits``.
+Each action has a token bucket that refills evenly. A bucket starts with a fraction of a token, which depends
+on the router's index, so that routers that start at the same moment do not act at the same moment. As in
+TCP's slow start (Jacobson, Congestion avoidance and control, 1988) the rate starts low and doubles after each
+round in which failures do not prevail, up to the limit.
+
+The limit of loads is an equal share of a limit for the whole fleet; the other limits are per router. The
+limits of loads and discovery queries, and that of new connections to one worker, are derived from the
+baseline if one is known. All others are the defaults of ``PacingLimits``.
 
 A call to a worker without a known warm instance may or may not start a load. Such a call therefore consumes
 only a fraction of a token, equal to the estimated probability of a load, and the response of the call
@@ -31,7 +34,7 @@
 MIN_RAMP_LEVEL = 1.0 / 16.0
 """Lowest fraction of the limit to which failures reduce the rate."""
 ROUND_MS = 250.0
-"""Duration of a round; successes in a round double the rate, failures halve it."""
+"""Duration of a round. More failures than successes halve the rate; otherwise any success doubles it."""
 MIN_RATE_FRACTION = 0.1
 """Fraction of the default rate that is allowed even if the baseline is lower."""
 GROWTH_FACTOR = 1.5
@@ -103,7 +106,7 @@
         return self.baseline.update(now_ms)
 
     def _default_rate_per_second(self, action: PacedAction) -> float:
-        """Return this router's share of a limit without a baseline."""
+        """Return the rate limit of this router that applies without a baseline."""
         if action is PacedAction.DISCOVERY_QUERY:
             return self.limits.discovery_queries * WINDOWS_PER_SECOND
         if action is PacedAction.PEER_QUERY:
@@ -203,7 +206,7 @@
         """
         may_be_too_low = self.baseline.per_second(PacedAction.LOAD) is None or self.baseline.is_in_service
         if may_be_too_low and now_ms >= self._last_growth_ms + GROWTH_INTERVAL_MS:
-            self._refilled_bucket(now_ms, PacedAction.LOAD)  # at the previous rate
+            self._refilled_bucket(now_ms, PacedAction.LOAD)  # at the rate before the change
             self.ramp_levels[PacedAction.LOAD] *= GROWTH_FACTOR
             self._last_growth_ms = now_ms
 
@@ -217,7 +220,7 @@
         if now_ms < self._round_ends_at_ms:
             return
         for action in PacedAction:
-            self._refilled_bucket(now_ms, action)  # at the previous rate
+            self._refilled_bucket(now_ms, action)  # at the rate before the change
             successes = self._success_counts[action]
             failures = self._failure_counts[action]
             level = self.ramp_levels[action]
--- a/cedarthread/recovery/peer_query.py
+++ b/cedarthread/recovery/peer_query.py
@@ -120,7 +120,7 @@
     sent_at_ms: float
     received_parts: set[int] = field(default_factory=set)
     received_count: int = 0  # observations
-    new_count: int = 0  # observations that changed the warm state
+    new_count: int = 0  # observations that were new to this router
 
 
 class PeerQueryClient:
--- a/cedarthread/recovery/segment_progress.py
+++ b/cedarthread/recovery/segment_progress.py
@@ -32,7 +32,7 @@
         Args:
             peer: Peer that sent the response.
             received_count: Observations in the response.
-            new_count: Those of them that changed the warm state.
+            new_count: Those of them that were new to this router.
             has_older_peers: Whether a peer did not restart with this router. If there is one, an empty
                 response does not mean that there is nothing to learn.
         """
--- a/cedarthread/recovery/snapshot.py
+++ b/cedarthread/recovery/snapshot.py
@@ -91,7 +91,7 @@
         clock_error_ms: Largest difference between the wall clocks of the two incarnations.
 
     Returns:
-        How many observations changed the warm state.
+        How many observations were new.
     """
     downtime_ms = unix_ms - stored.unix_ms
     if not -clock_error_ms <= downtime_ms <= warm_state.keep_alive_ms:  # also true for NaN
@@ -106,7 +106,7 @@
 def restore_observation(
     warm_state: WarmState, now_ms: float, age_growth_ms: float, row: ObservationRow
 ) -> bool:
-    """Merge one stored observation with a greater age; return whether it changed the warm state."""
+    """Merge one stored observation with ``age_growth_ms`` added to its age; return whether it was new."""
     worker_id, start_tag, function_hash, age_ms, is_warm, hops = row
     if not (min(age_ms, hops) >= 0):  # also true for NaN
         return False
--- a/cedarthread/recovery/snapshot_exchange.py
+++ b/cedarthread/recovery/snapshot_exchange.py
@@ -59,7 +59,7 @@
         return snapshot.encode(unix_ms, baseline_warm_fraction, own_rates, observations)
 
     def restore(self, now_ms: float, raw: bytes, clock_error_ms: float) -> int:
-        """Restore a snapshot; return how many observations changed the warm state."""
+        """Restore a snapshot; return how many of its observations were new."""
         stored = snapshot.decode(raw)
         if stored is None:
             self.malformed_count += 1
--- a/cedarthread/recovery/state_machine.py
+++ b/cedarthread/recovery/state_machine.py
@@ -19,7 +19,7 @@
 MEMBERSHIP_PERIOD_MS = 500.0
 """Protocol period of the membership (SWIM)."""
 STARTING_PERIODS = 4.0
-"""Membership periods within which a majority of routers either sends a datagram or counts as absent."""
+"""Timeout of the phase STARTING, in membership periods; by then, a majority is known to be alive or not."""
 MIN_PHASE_TIMEOUT_MS = 500.0
 MAX_PEER_QUERY_MS = 4000.0
 MAX_WARMING_MS = 30_000.0
@@ -65,8 +65,8 @@
     def from_settings(settings: RouterSettings) -> PhaseTimeouts:
         """Return the timeouts for the settings.
 
-        The peer query ends within half of the keep-alive, because older observations are no longer usable,
-        and within half of the shortest deadline, so that waiting calls can still be served in time.
+        The peer query lasts at most half of the keep-alive, because observations older than the keep-alive
+        are not usable, and at most half of the shortest deadline, so that waiting calls can still be served.
         """
         shortest_deadline_ms = min(
             (request_class.deadline_ms for request_class in settings.classes), default=MAX_PEER_QUERY_MS
--- a/cedarthread/recovery/warm_state.py
+++ b/cedarthread/recovery/warm_state.py
@@ -178,13 +178,13 @@
 
         Args:
             now_ms: Present time.
-            requested_at_ms: A time on this router's clock at or before which the sender computed the age,
+            requested_at_ms: A time on this router's clock that is not later than the computation of the age,
                 such as the time of the query.
             aged: The observation.
             source: Origin of the observation.
 
         Returns:
-            Whether the observation changed what this router knows.
+            Whether the observation is new: it replaces no observation, or one of the opposite ``is_warm``.
         """
         if not (math.isfinite(aged.age_ms) and aged.age_ms >= 0 and aged.hops < MAX_HOPS):
             return False
@@ -195,7 +195,7 @@
         return self._merge(aged.worker_id, aged.start_tag, aged.function_hash, observation)
 
     def _merge(self, worker_id: int, observed_tag: int, function_hash: int, observation: Observation) -> bool:
-        """Merge one observation; return whether there was no observation of the same content."""
+        """Merge one observation; return whether it is new, as defined by ``merge_remote``."""
         by_incarnation = self.observations.setdefault(function_hash, {})
         previous = by_incarnation.get((worker_id, observed_tag))
         if previous is not None and not observation.supersedes(previous):
@@ -250,7 +250,7 @@
     def digest(
         self, now_ms: float, segment: int = 0, segment_count: int = 1, limit: int = MAX_OBSERVATIONS
     ) -> list[AgedObservation]:
-        """Return the latest observations to send to a peer or to store, latest first, warm and cold ones.
+        """Return the latest observations, warm and cold, to send to a peer or to store; latest first.
 
         Args:
             now_ms: Present time.
