--- a/cedarthread/recovery/admission.py
+++ b/cedarthread/recovery/admission.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from cedarthread.recovery.pacing_limits import PacedAction
 
@@ -21,14 +21,15 @@
 """Duration from which on a deferral is long. Pacing cannot end while there is a long deferral."""
 
 
-class PacedRequest(NamedTuple):
-    """A request of one action for one target, by which repeated requests are recognized."""
+PacedRequest = tuple[PacedAction, int]
+"""An action and its target: the function id of a load, or the worker id of a connection.
 
-    action: PacedAction
-    target_id: int  # function id of a load, worker id of a connection
+Identifies repeated requests. A plain tuple, because each call of a recovering router builds one.
+"""
 
 
-class _Deferral(NamedTuple):
+@dataclass(slots=True)
+class _Deferral:
     """The times of the first and last request of a deferred action."""
 
     first_ms: float
@@ -49,9 +50,11 @@
         if was_granted:
             self._deferrals.pop(request, None)
             return
-        previous = self._deferrals.get(request)
-        first_ms = now_ms if previous is None else previous.first_ms
-        self._deferrals[request] = _Deferral(first_ms, now_ms)
+        deferral = self._deferrals.get(request)
+        if deferral is None:
+            self._deferrals[request] = _Deferral(now_ms, now_ms)
+        else:
+            deferral.last_ms = now_ms
 
     def has_long_deferral(self, now_ms: float) -> bool:
         """Return whether any action has been deferred for longer than ``LONG_DEFERRAL_MS``.
@@ -123,8 +126,7 @@
             return False
         tokens_taken = 0.0 if awaits_peers else self.pacer.try_acquire_load(now_ms)
         was_granted = tokens_taken > 0
-        request = PacedRequest(PacedAction.LOAD, function_id)
-        self.deferrals.record(now_ms, request, was_granted=was_granted)
+        self.deferrals.record(now_ms, (PacedAction.LOAD, function_id), was_granted=was_granted)
         if was_granted:
             self.pending_loads[function_id] = PendingLoad(now_ms, tokens_taken)
         return was_granted
@@ -141,7 +143,7 @@
         if not self.is_paced:
             self.pacer.record_unpaced(now_ms, PacedAction.CONNECT)
             return True
-        request = PacedRequest(PacedAction.CONNECT, worker_id)
+        request = (PacedAction.CONNECT, worker_id)
         if request not in self.deferrals:
             self.pacer.record_call(worker_id)
         was_granted = self.pacer.try_acquire_connection(now_ms, worker_id)
