--- a/tests/unit/test_import_layers.py
+++ b/tests/unit/test_import_layers.py
@@ -1,4 +1,4 @@
-"""Imports point downwards only, also those for annotations.
+"""Imports point downwards only, and no two files import each other, not even for annotations.
 
 The layers are those of docs/ARCHITECTURE.md. A file may import from its own layer and from those before it.
 """
@@ -86,3 +86,23 @@
         if any(_first_part(imported) == TEST_TOOLS for imported in IMPORTS[module])
     ]
     assert users == [f"{PACKAGE}.cli"]
+
+
+def _find_circle(start: str) -> list[str]:
+    """Return a path of imports from a module back to itself; empty if there is none."""
+    paths = [[start]]
+    seen = {start}
+    while paths:
+        path = paths.pop()
+        for imported in IMPORTS[path[-1]]:
+            if imported == start:
+                return [*path, start]
+            if imported not in seen:
+                seen.add(imported)
+                paths.append([*path, imported])
+    return []
+
+
+def test_no_files_import_each_other() -> None:
+    circles = {" -> ".join(sorted(set(circle))) for module in MODULES if (circle := _find_circle(module))}
+    assert sorted(circles) == []
