--- a/cedarthread/recovery/component.py
+++ b/cedarthread/recovery/component.py
@@ -53,9 +53,9 @@
     from cedarthread.model.settings import RouterSettings
 
 SUSPENSION_AFTER_PAUSE_MS = 500.0
-"""Time after a pause for which the warm state is not used, because buffered responses may precede it."""
+"""Time after a pause without use of the warm state, because responses from before it may still arrive."""
 LOAD_DEFERRAL_FRACTION = 0.25
-"""Fraction of the peer query's timeout for which loads wait for peers to report warm instances."""
+"""Fraction of the peer query's timeout; loads wait that long in each phase before the warming phase."""
 
 
 class RecoveryComponent:
@@ -96,7 +96,7 @@
         self.has_unreported_pause = False
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
-        """Handle a datagram of the peer query; return the datagrams to send."""
+        """Handle a datagram of the peer query; return the messages to send."""
         self._check_pause(now_ms)
         return self.peer_exchange.on_message(now_ms, sender, data)
 
@@ -177,7 +177,11 @@
         return self.state_machine.phase is RecoveryPhase.IN_SERVICE
 
     def is_mass_restart(self, now_ms: float) -> bool:
-        """Return whether most routers restart at once, or may do so because no membership is known."""
+        """Return whether most routers restart at once.
+
+        Without gossip or membership, the load reports of workers decide, and a doubt counts as a mass
+        restart.
+        """
         if self.peer_exchange.can_query_peers and self.fleet_view.latest_peers is not None:
             return self.fleet_view.is_mass_restart(now_ms, self.state_machine.timeouts.total_ms())
         return self.worker_reports.is_mass_restart_possible()
@@ -204,7 +208,7 @@
         return self.admission.try_acquire_connection(now_ms, worker_id)
 
     def retry_after_fractions(self, now_ms: float) -> RetryAfterFractions:
-        """Return the fractions of the longest Retry-After between which that of a client is drawn."""
+        """Return the range from which a client's Retry-After is drawn, as fractions of the longest one."""
         if not self.is_in_service() and self.is_mass_restart(now_ms):
             return MASS_RESTART_RETRY_AFTER_FRACTIONS
         return RETRY_AFTER_FRACTIONS
@@ -214,7 +218,7 @@
 
         Args:
             reported_calls: Calls in flight at the worker.
-            own_calls: Those of them that this router had sent.
+            own_calls: Calls in flight there that this router sent.
         """
         self.worker_reports.on_load_report(reported_calls, own_calls)
 
@@ -244,7 +248,7 @@
         return self.warm_fraction.remembered_baseline if reported is None else reported
 
     def _check_pause(self, now_ms: float) -> None:
-        """Restart the recovery if the process was paused; called first with each event and request."""
+        """Restart the recovery if the process was paused. Events and requests for loads check this first."""
         if not self.state_machine.detect_pause(now_ms):
             return
         self.has_unreported_pause = True
--- a/cedarthread/recovery/pacing.py
+++ b/cedarthread/recovery/pacing.py
@@ -2,17 +2,19 @@
 
 Each action has a token bucket that refills evenly. A bucket starts with a fraction of a token, which depends
 on the router's index, so that routers that start at the same moment do not act at the same moment. As in
-TCP's slow start (Jacobson, Congestion avoidance and control, 1988) the rate starts low and doubles after each
-round in which failures do not prevail, up to the limit.
+TCP's slow start (Jacobson, Congestion avoidance and control, 1988) the rate starts at a fraction of the
+limit. After a round with some successes and no more failures than successes the rate doubles, up to the
+limit; after more failures it halves. Loads start at their limit, because the load probability (below) limits
+them at first.
 
-The limit of loads is an equal share of a limit for the whole fleet; the other limits are per router. The
-limits of loads and discovery queries, and that of new connections to one worker, are derived from the
-baseline if one is known. All others are the defaults of ``PacingLimits``.
+The limit of loads, and of releases of deferred changes, is an equal part of a limit for the whole fleet; the
+other limits are per router. If a baseline is known, three limits follow from it: those of loads, of discovery
+queries, and of new connections to one worker. All others are the defaults of ``PacingLimits``.
 
 A call to a worker without a known warm instance may or may not start a load. Such a call therefore consumes
 only a fraction of a token, equal to the estimated probability of a load, and the response of the call
-corrects the difference. The estimate starts at 1, so at first one such call is in flight at a time; if calls
-find warm instances, the estimate falls and more such calls are in flight.
+corrects the difference. The estimate starts at 1, so at first each such call consumes a whole token. If calls
+find warm instances, the estimate falls and more such calls fit into the rate.
 """
 
 from __future__ import annotations
@@ -42,13 +44,15 @@
 GROWTH_INTERVAL_MS = 2000.0
 """Least time between two such increases."""
 MAX_TOKEN_DEFICIT = 3.0
-"""Largest negative balance of the load bucket, after loads that were less probable than estimated."""
+"""Largest negative balance of the load bucket, after more loads than the estimated probability implied."""
 MAX_SOLO_FACTOR = 4.0
-"""Largest multiple of its share for a router that recovers alone, because the others use little of theirs."""
+"""Largest factor on all limits outside a mass restart, because the other routers use little of theirs."""
 
 
 class Pacer:
-    """The token buckets of one router, with their limits and their ramps (present fractions of the limits).
+    """The token buckets of one router, with their limits and ramp levels.
+
+    A ramp level is the present rate as a fraction of the limit; that of loads may exceed 1.
 
     ``RecoveryComponent`` sets ``limits``, ``router_count``, ``worker_count`` and ``is_mass_restart``;
     ``RecoveryAdmission`` requests the tokens.
@@ -56,7 +60,7 @@
     Args:
         router_index: Index of this router in the fleet.
         now_ms: Start of the recovery.
-        limits: Limits that apply while no baseline is known.
+        limits: Limits without a baseline; ``_default_rate_per_second`` applies them.
         router_count: Number of configured routers.
     """
 
@@ -97,12 +101,12 @@
         self.buckets[PacedAction.RELEASE] = self._new_bucket(now_ms, PacedAction.RELEASE)
 
     def enter_service(self, now_ms: float) -> None:
-        """Start measuring the baseline, because the recovery is over."""
+        """Start measuring the baseline, and restart the growth interval, because the recovery is over."""
         self._last_growth_ms = now_ms
         self.baseline.enter_service(now_ms)
 
     def update_baseline(self, now_ms: float) -> Mapping[PacedAction, float]:
-        """Return this router's own baseline rates per second, of the actions for which they are known."""
+        """Update the baseline; return its rates per second, of the actions for which they are known."""
         return self.baseline.update(now_ms)
 
     def _default_rate_per_second(self, action: PacedAction) -> float:
@@ -127,7 +131,7 @@
         return limit * factor * self.ramp_levels[action]
 
     def _refilled_bucket(self, now_ms: float, action: PacedAction) -> TokenBucket:
-        """Return an action's bucket, refilled until now at the previous rate, with the present rate set."""
+        """Refill an action's bucket at its previous rate, set its present rate, and return the bucket."""
         bucket = self.buckets[action]
         rate_per_second = self.rate_per_second(action)
         bucket.refill(now_ms)
@@ -200,9 +204,9 @@
         self.baseline.record(now_ms, action)
 
     def grow_load_rate(self, now_ms: float) -> None:
-        """Raise the load rate, because loads are long deferred, if the limit may be too low.
+        """Raise the load rate after long deferrals, unless the limit is reliable.
 
-        A default limit may always be too low; a limit from a baseline only once the router is in service.
+        A default limit is never reliable. A limit from a baseline is reliable until the router is in service.
         """
         may_be_too_low = self.baseline.per_second(PacedAction.LOAD) is None or self.baseline.is_in_service
         if may_be_too_low and now_ms >= self._last_growth_ms + GROWTH_INTERVAL_MS:
--- a/cedarthread/replication/freshness.py
+++ b/cedarthread/replication/freshness.py
@@ -1,14 +1,16 @@
-"""Freshness: a majority of routers confirmed recently that this router's state lacks no entry of theirs.
+"""Freshness: this router has recently read a majority of routers, so its state lacks no entry of theirs.
 
-All times are in ms on this router's steady clock and err to the past, because a confirmation counts from when
-its request was sent. Two times are recorded for each router k. *Read at c*: this router stores everything
-that k stored at time c. *Confirmed at h*: k stored at time h everything that this router stores since its
-last change (``majority.py``).
+Two relations to each other router k are recorded, with their times. *Read at c*: this router stores every
+entry that k stored at time c. *Confirmed at h*: k stored, at time h, every entry that this router stores now
+(``majority.py``). Freshness follows from reads, replication to a majority from confirmations. All times are
+in ms on this router's steady clock. A read counts from the time at which its request was sent, so a recorded
+time is never too late.
 
 A router that started without memory may have lost entries that it confirmed in an earlier incarnation. Such a
-router is not a *voter*: it does not count for majorities until it has read enough of the other routers.
-``SyncSessions`` records responses, ``LocalReplica`` reports changes and calls ``update``. Steps 3 to 10 of
-docs/design/replication.md.
+router is not a *voter*: it does not count for majorities until it has read enough of the other routers. If so
+many voters are down that no majority of all configured routers can be read, no router is fresh until they
+return. ``SyncSessions`` records responses, ``LocalReplica`` reports changes and calls ``update``. Steps 3 to
+10 of docs/design/replication.md.
 """
 
 from __future__ import annotations
@@ -37,7 +39,7 @@
     Args:
         router_index: Index of this router.
         router_count: Number of configured routers, alive or not.
-        window_ms: How long a confirmation counts (V in docs/design/replication.md).
+        window_ms: How long a read or a confirmation counts (V in docs/design/replication.md).
         clock_rate: Fraction by which a router's clock may run fast or slow.
         now_ms: Start of this incarnation.
         root_digest: Root digest of this router's state at the start.
@@ -68,20 +70,26 @@
         # By router: last read of the router while it was a voter.
         self.read_as_voter_at_ms = [NEVER_MS] * router_count
         self.majority = MajorityTracker(router_count, window_ms, root_digest)
-        self.fresh_until_ms = math.inf if router_count == 1 else NEVER_MS  # unless more is read
+        self.fresh_until_ms = math.inf if router_count == 1 else NEVER_MS  # a later read moves it
         self.fresh_since_ms: float | None = now_ms if router_count == 1 else None
 
     # Records of reads and changes.
 
     def on_state_changed(self, root_digest: int, key: EntryKey, digest: int) -> None:
-        """Start to track which routers have the root digest that results from a changed entry."""
+        """Track which routers confirm a changed entry.
+
+        Args:
+            root_digest: Digest of this router's state after the change.
+            key: Key of the entry.
+            digest: Digest of the entry itself.
+        """
         self.majority.on_state_changed(root_digest, key, digest)
 
     def record_response(self, now_ms: float, peer: int, sent_at_ms: float, response: SyncResponse) -> None:
         """Record the reads that a sync response proves: of the peer, and of the routers that the peer read.
 
-        The caller has verified that the peer's state is within this router's state. ``now_ms`` is not used,
-        because confirmations count from ``sent_at_ms``, when the request was sent.
+        The caller has verified that this router stores every entry of the peer. Reads count from
+        ``sent_at_ms``, when the request was sent, so ``now_ms`` is unused.
         """
         confirmed_by_peer = self.majority.confirmation_times(response.root_digest)
         self._record_read(peer, sent_at_ms, confirmed_by_peer, is_voter=response.is_voter)
@@ -112,8 +120,8 @@
 
         Args:
             now_ms: Current time.
-            is_persisted: Whether this router counts as storing its entries: a restart either preserves them
-                or removes this router's vote.
+            is_persisted: Whether this router counts among the routers that store its entries. It does if the
+                disk has them, and without a disk, because a restart then removes this router's vote.
 
         Returns:
             Whether this router has just become a voter.
@@ -129,12 +137,15 @@
         return has_become_voter
 
     def _compute_fresh_until(self) -> float:
-        """Return when the oldest of the most recent reads that form a majority leaves the window."""
+        """Return until when a majority has been read within the window.
+
+        The majority is of the configured routers and consists of voters; this router counts if it is one.
+        """
         needed_peers = self.quorum - self.is_voter
         return sorted(self.read_as_voter_at_ms)[-needed_peers] + self.window_ms
 
     def is_fresh(self, now_ms: float) -> bool:
-        """Return whether a majority of voters has been read within the window."""
+        """Return whether a majority of the configured routers was read within the window, all as voters."""
         return now_ms <= self.fresh_until_ms
 
     def fresh_since(self, now_ms: float) -> float | None:
@@ -144,9 +155,10 @@
     def can_become_voter(self, now_ms: float) -> bool:
         """Return whether a router that started without memory has read enough to vote.
 
-        Only reads after the expiry of the earlier incarnation count. Either this router has read so many
-        voters that they overlap every majority; or a majority has no vote either, so that no vote can
-        contradict this router's own.
+        Only reads after the expiry of the earlier incarnation count. One of two conditions suffices. This
+        router has read more voters than a majority can lack, so it knows every replicated entry. Or a
+        majority of the routers, this one included, were read within the window as non-voters, so that no
+        majority of voters can have confirmed anything that this router lost.
         """
         expired_at_ms = self.earlier_incarnation_expires_at_ms
         oldest_ms = max(expired_at_ms, now_ms - self.window_ms)
@@ -159,7 +171,7 @@
         return meets_every_majority or non_voters >= self.quorum
 
     def count_recently_read(self, now_ms: float) -> int:
-        """Return the number of routers read within the window, this router included."""
+        """Return the number of routers read within the window, this router and non-voters included."""
         return 1 + sum(read_at_ms >= now_ms - self.window_ms for read_at_ms in self.read_at_ms)
 
     # Reports to peers.
@@ -178,7 +190,7 @@
                 read_at_ms = self.read_at_ms[router]
                 flags = 0
             if confirmed_at_ms[router] >= window_start_ms:
-                # One age covers the read and the confirmation, so the earlier time counts.
+                # The byte has one age for the read and for the confirmation, so the earlier time counts.
                 read_at_ms = min(read_at_ms, confirmed_at_ms[router])
                 flags |= HAS_ROOT_FLAG
             is_known = read_at_ms >= oldest_ms
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -1,10 +1,11 @@
 """The replicated store: the component that gives all routers the same operator entries, by anti-entropy.
 
 Each router sends one sync request per period to a random peer, compares root digests, and fetches the entries
-that it lacks. A response counts as a confirmation from when its request was sent, and only once this router
-stores all of the peer's entries. ``freshness.py`` and ``majority.py`` derive freshness and replication to a
-majority from the confirmations. All state of the package changes within calls of ``ReplicatedStore``. Steps 1
-to 13 of docs/design/replication.md.
+that it lacks. A response counts as a read of the peer once this router stores all entries of the peer; the
+read then has the time at which the request was sent. ``freshness.py`` derives freshness from the reads.
+``majority.py`` derives from confirmations of the peers which entries a majority stores. All state of the
+package changes within calls of ``ReplicatedStore``, except that the host clears ``peer_clock_samples``. Steps
+1 to 13 of docs/design/replication.md.
 """
 
 from __future__ import annotations
@@ -42,7 +43,8 @@
 def default_window_ms(period_ms: float, router_count: int) -> float:
     """Return the default freshness window V.
 
-    The formula (step 10 of docs/design/replication.md) counts the rounds in which requests reach all routers.
+    The formula (step 10 of docs/design/replication.md) estimates the rounds until random requests have
+    reached all routers, with some to spare. Request and response may each be lost, hence the square.
     """
     rounds = math.log2(router_count) + math.log(router_count) + 6.0
     return period_ms * rounds / (1.0 - ASSUMED_LOSS) ** 2
@@ -56,8 +58,8 @@
     Args:
         router_index: Index of this router.
         router_count: Number of configured routers.
-        incarnation: Random number drawn at each start of the process. The store must be created after the
-            former incarnation has ended.
+        incarnation: Random number of this start of the process. Two processes of one router must never run at
+            a time, because peers would count the entries of both as one router's.
         seed: Seed for peers, nonces and jitter; must differ between incarnations.
         period_ms: Mean time between two periodic sync requests.
         window_ms: Freshness window, the same at all routers; 0 selects ``default_window_ms``.
@@ -115,11 +117,10 @@
         """Declare an entry at this router.
 
         Args:
-            now_ms: Current time.
-            kind: Kind of the entry.
-            name: Name of the entry, unique in its kind.
-            body: Body of the entry.
-            canonical_body: Returns the meaning of a body as bytes; by default the body itself.
+            now_ms: Current time. kind: Kind of the entry. name: Name of the entry, unique in its kind. body:
+            Body of the entry. canonical_body: Normalizes a body, so that bodies with the same meaning compare
+            equal; by default the
+                body itself.
 
         Returns:
             The new entry; the stored entry, unchanged, if it has the same meaning; or the reason for a
@@ -137,8 +138,8 @@
 
         Args:
             entries: The entries on the disk.
-            is_voter: Whether the disk is complete and no older than this router's confirmations to peers, so
-                that this router has lost no entry that it confirmed.
+            is_voter: Whether this router votes from the start. The disk must then have every entry that this
+                router ever confirmed to a peer; ``persistence/state_persister.py`` decides that.
             now_ms: Current time.
         """
         for entry in entries:
@@ -174,7 +175,10 @@
         self.replica.mark_persisted(now_ms, revision)
 
     def take_changes(self) -> tuple[ReplicatedEntry, ...]:
-        """Return and clear the entries received, changed or replicated to a majority since the last call."""
+        """Return and clear the entries that changed, or became replicated to a majority, since the last call.
+
+        ``FleetComponents`` is the only caller.
+        """
         return self.replica.take_changes()
 
     def has_read_enough_peers(self) -> bool:
@@ -216,7 +220,7 @@
         return self.replica.state.entries(kind)
 
     def is_fresh(self, now_ms: float) -> bool:
-        """Return whether a majority confirmed recently that this router lacks no entry of theirs."""
+        """Return whether this router has recently read a majority, so that it lacks no entry of theirs."""
         return self.replica.freshness.is_fresh(now_ms)
 
     def fresh_since(self, now_ms: float) -> float | None:
