--- a/cedarthread/recovery/component.py
+++ b/cedarthread/recovery/component.py
@@ -53,9 +53,9 @@
     from cedarthread.model.settings import RouterSettings
 
 SUSPENSION_AFTER_PAUSE_MS = 500.0
-"""Time after a pause without use of the warm state, because responses from before it may still arrive."""
+"""After a pause the warm state is unused for this time, because older responses may still arrive."""
 LOAD_DEFERRAL_FRACTION = 0.25
-"""Fraction of the peer query's timeout; loads wait that long in each phase before the warming phase."""
+"""Loads wait for peers at most this fraction of the peer query's timeout, in each phase before warming."""
 
 
 class RecoveryComponent:
@@ -177,11 +177,7 @@
         return self.state_machine.phase is RecoveryPhase.IN_SERVICE
 
     def is_mass_restart(self, now_ms: float) -> bool:
-        """Return whether most routers restart at once.
-
-        Without gossip or membership, the load reports of workers decide, and a doubt counts as a mass
-        restart.
-        """
+        """Return whether most routers restart at once; without gossip, worker reports decide."""
         if self.peer_exchange.can_query_peers and self.fleet_view.latest_peers is not None:
             return self.fleet_view.is_mass_restart(now_ms, self.state_machine.timeouts.total_ms())
         return self.worker_reports.is_mass_restart_possible()
@@ -229,7 +225,8 @@
     def restore(self, now_ms: float, raw: bytes, clock_error_ms: float = MAX_CLOCK_ERROR_MS) -> int:
         """Restore the stored snapshot of the previous incarnation.
 
-        Observations are restored only after a wall clock reading, because their ages need the downtime.
+        Observations need an earlier wall clock reading, because their ages include the downtime; without one
+        they are dropped.
 
         Args:
             now_ms: Present time.
@@ -248,7 +245,7 @@
         return self.warm_fraction.remembered_baseline if reported is None else reported
 
     def _check_pause(self, now_ms: float) -> None:
-        """Restart the recovery if the process was paused. Events and requests for loads check this first."""
+        """Restart the recovery if the process was paused; most public methods check this first."""
         if not self.state_machine.detect_pause(now_ms):
             return
         self.has_unreported_pause = True
--- a/cedarthread/recovery/pacing.py
+++ b/cedarthread/recovery/pacing.py
@@ -3,13 +3,13 @@
 Each action has a token bucket that refills evenly. A bucket starts with a fraction of a token, which depends
 on the router's index, so that routers that start at the same moment do not act at the same moment. As in
 TCP's slow start (Jacobson, Congestion avoidance and control, 1988) the rate starts at a fraction of the
-limit. After a round with some successes and no more failures than successes the rate doubles, up to the
-limit; after more failures it halves. Loads start at their limit, because the load probability (below) limits
-them at first.
+limit. A round doubles the rate, halves it, or leaves it (``ROUND_MS``). Loads start at their limit, because
+the load probability (below) limits them at first.
 
-The limit of loads, and of releases of deferred changes, is an equal part of a limit for the whole fleet; the
-other limits are per router. If a baseline is known, three limits follow from it: those of loads, of discovery
-queries, and of new connections to one worker. All others are the defaults of ``PacingLimits``.
+The limit of loads is an equal part of a limit for the whole fleet; releases of deferred changes have the same
+limit. The other default limits are per router. If a baseline is known, three limits follow from it: those of
+loads and of discovery queries, both as equal parts of a limit for the fleet, and that of new connections to
+one worker.
 
 A call to a worker without a known warm instance may or may not start a load. Such a call therefore consumes
 only a fraction of a token, equal to the estimated probability of a load, and the response of the call
@@ -61,7 +61,7 @@
         router_index: Index of this router in the fleet.
         now_ms: Start of the recovery.
         limits: Limits without a baseline; ``_default_rate_per_second`` applies them.
-        router_count: Number of configured routers.
+        router_count: Number of configured routers; ``RecoveryComponent`` later sets the number of alive ones.
     """
 
     def __init__(self, router_index: int, now_ms: float, limits: PacingLimits, router_count: int) -> None:
--- a/cedarthread/replication/freshness.py
+++ b/cedarthread/replication/freshness.py
@@ -70,7 +70,7 @@
         # By router: last read of the router while it was a voter.
         self.read_as_voter_at_ms = [NEVER_MS] * router_count
         self.majority = MajorityTracker(router_count, window_ms, root_digest)
-        self.fresh_until_ms = math.inf if router_count == 1 else NEVER_MS  # a later read moves it
+        self.fresh_until_ms = math.inf if router_count == 1 else NEVER_MS  # advanced by reads of voters
         self.fresh_since_ms: float | None = now_ms if router_count == 1 else None
 
     # Records of reads and changes.
@@ -120,8 +120,8 @@
 
         Args:
             now_ms: Current time.
-            is_persisted: Whether this router counts among the routers that store its entries. It does if the
-                disk has them, and without a disk, because a restart then removes this router's vote.
+            is_persisted: Whether this router counts among the routers that store its entries: true if the
+                disk has them, and true without a disk, because then a restart ends this router's vote.
 
         Returns:
             Whether this router has just become a voter.
@@ -155,10 +155,14 @@
     def can_become_voter(self, now_ms: float) -> bool:
         """Return whether a router that started without memory has read enough to vote.
 
-        Only reads after the expiry of the earlier incarnation count. One of two conditions suffices. This
-        router has read more voters than a majority can lack, so it knows every replicated entry. Or a
-        majority of the routers, this one included, were read within the window as non-voters, so that no
-        majority of voters can have confirmed anything that this router lost.
+        Only reads after the expiry of the earlier incarnation count. One of two conditions suffices:
+
+        - The number of voters read exceeds the number of routers outside a majority. Then every majority has
+        a
+          router that was read, so this router knows every replicated entry. Such reads stay valid.
+        - A majority of the routers, this one included, are non-voters that were read within the window. Then
+        no
+          majority of voters exists that this router's vote could contradict.
         """
         expired_at_ms = self.earlier_incarnation_expires_at_ms
         oldest_ms = max(expired_at_ms, now_ms - self.window_ms)
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -2,7 +2,7 @@
 
 Each router sends one sync request per period to a random peer, compares root digests, and fetches the entries
 that it lacks. A response counts as a read of the peer once this router stores all entries of the peer; the
-read then has the time at which the request was sent. ``freshness.py`` derives freshness from the reads.
+read counts from the time at which the request was sent. ``freshness.py`` derives freshness from the reads.
 ``majority.py`` derives from confirmations of the peers which entries a majority stores. All state of the
 package changes within calls of ``ReplicatedStore``, except that the host clears ``peer_clock_samples``. Steps
 1 to 13 of docs/design/replication.md.
@@ -59,7 +59,7 @@
         router_index: Index of this router.
         router_count: Number of configured routers.
         incarnation: Random number of this start of the process. Two processes of one router must never run at
-            a time, because peers would count the entries of both as one router's.
+            a time, because peers would count the confirmations of both as one router's.
         seed: Seed for peers, nonces and jitter; must differ between incarnations.
         period_ms: Mean time between two periodic sync requests.
         window_ms: Freshness window, the same at all routers; 0 selects ``default_window_ms``.
@@ -117,10 +117,12 @@
         """Declare an entry at this router.
 
         Args:
-            now_ms: Current time. kind: Kind of the entry. name: Name of the entry, unique in its kind. body:
-            Body of the entry. canonical_body: Normalizes a body, so that bodies with the same meaning compare
-            equal; by default the
-                body itself.
+            now_ms: Current time.
+            kind: Kind of the entry.
+            name: Name of the entry, unique in its kind.
+            body: Body of the entry.
+            canonical_body: Normalizes a body, so that bodies with the same meaning compare equal; by default
+                the body itself.
 
         Returns:
             The new entry; the stored entry, unchanged, if it has the same meaning; or the reason for a
@@ -220,7 +222,10 @@
         return self.replica.state.entries(kind)
 
     def is_fresh(self, now_ms: float) -> bool:
-        """Return whether this router has recently read a majority, so that it lacks no entry of theirs."""
+        """Return whether this router has read a majority within the window.
+
+        A fresh router lacks no entry that a majority had ``staleness_bound_ms`` ago.
+        """
         return self.replica.freshness.is_fresh(now_ms)
 
     def fresh_since(self, now_ms: float) -> float | None:
