--- a/cedarthread/change_freeze/__init__.py
+++ b/cedarthread/change_freeze/__init__.py
@@ -1,1 +1,1 @@
-"""Change freezes: windows in which no placement changes, and the admission gate for placement changes."""
+"""Change freezes: the windows in which placements must not change, and the gate that enforces them."""
--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -1,7 +1,9 @@
-"""The admission gate between the placement changes that are requested and those that are made.
+"""The admission gate, which permits, denies or defers each change of where functions are placed.
 
-Whatever is about to change where functions are placed asks here first; docs/design/freeze.md lists all the
-paths, and ``placement_paths`` checks the source against that list. Times are ms on the steady clock.
+Each code path that changes placements consults the gate before the change. docs/design/freeze.md lists these
+paths, and ``placement_paths`` checks the source against that list. ``ChangeFreezeComponent`` writes the
+gate's rules and flags; the other state changes as the router consults the gate. All times are ms on the
+steady clock.
 """
 
 from __future__ import annotations
@@ -27,39 +29,49 @@
     from cedarthread.components.quota_escrow import QuotaEscrow
     from cedarthread.model.settings import RouterSettings
 
-MAX_RETAINED_HOMES = 4096  # functions whose home workers are kept as they were before a window
+MAX_RETAINED_HOMES = 4096  # functions of which the gate remembers the home workers from before a window
 LOADING_KINDS = ("first-copy", "order")  # the changes that bring an instance to a worker
 
 
 def exception_pool_name(window_id: str) -> str:
-    """The name of a window's exception budget in the quota escrow."""
+    """Return the name of the quota escrow pool that contains a window's exception budget."""
     return f"freeze/{window_id}"
 
 
 class AdmissionGate:
-    """The gate of one router. While not ``is_active``, nothing is frozen, and that test is all it costs."""
+    """Decides for one router which placement changes may be made while freeze windows are in force.
+
+    While ``is_active`` is False, nothing is frozen, and each method returns after this one test. The gate
+    owns the placement table, the deferred changes and the home workers from before the windows.
+
+    Args:
+        escrow: Contains the exception budgets of the windows in force.
+    """
 
     def __init__(self, escrow: QuotaEscrow) -> None:
         self.escrow = escrow
         self.is_active = False
         self.rules: tuple[FreezeRule, ...] = ()
-        self.is_uncertain = False  # this router may have missed a window, which may freeze anything
+        self.is_uncertain = False  # this router may lack a window, so all changes count as frozen
         self.placements = PlacementTable()
         self.deferred_changes = DeferredChanges()
-        self.retained_homes: dict[int, tuple[int, ...]] = {}  # by function, as last seen before it was frozen
+        self.retained_homes: dict[int, tuple[int, ...]] = {}  # worker ids by function, from before the freeze
         self.deferred_settings: RouterSettings | None = None
-        self.exceptions_used = self.denied_count = 0
-        # Over 0: one more deferred change may be released now, and this uses it up.
+        self.exceptions_used = 0
+        self.denied_count = 0
+        # Consumes one release token if it returns more than 0.
         self.take_release: Callable[[float], int] = lambda now_ms: 1
 
-    # Questions.
-
     def is_frozen(self, change: PlacementChange) -> bool:
-        """Whether the change is frozen, except for the exception budget."""
+        """Return whether a rule in force freezes the change, without regard to the exception budget."""
         return self.is_active and (self.is_uncertain or any(rule.covers(change) for rule in self.rules))
 
     def is_emergency(self, function_id: int, has_alternatives: bool) -> bool:
-        """Whether an exception may be used: no placed worker has capacity, or most placements were lost."""
+        """Return whether an exception may be used for a call of the function.
+
+        An emergency exists if no worker where the function is placed has capacity, or if most of the
+        function's placements were lost.
+        """
         return not has_alternatives or self.placements.has_lost_most(function_id)
 
     def can_send(
@@ -73,10 +85,16 @@
         is_placed: bool,
         has_alternatives: bool,
     ) -> bool:
-        """Whether a call may be sent to a worker; no budget is used up.
-
-        ``is_placed``: the router knows an instance there, and does not merely hope for one;
-        ``has_alternatives``: another worker where the function is placed has capacity.
+        """Return whether a call may be sent to a worker, without use of an exception.
+
+        Args:
+            now_ms: The time on the steady clock.
+            function_id: The function that is called.
+            worker_id: The worker to which the call would be sent.
+            zone_index: The worker's zone; None if unknown.
+            tenant_index: The caller's tenant; None if unknown.
+            is_placed: Whether the router knows of an instance of the function at the worker.
+            has_alternatives: Whether another worker where the function is placed has capacity.
         """
         if not self.is_active:
             return True
@@ -97,7 +115,11 @@
         return change.is_emergency and self._has_exception(now_ms, change)
 
     def admit(self, now_ms: float, change: PlacementChange) -> AdmissionDecision:
-        """The final decision before a change is made. Where it is frozen, one exception is used up."""
+        """Decide on a change immediately before the router makes the change.
+
+        If the change is frozen and permitted by exception, one exception of each window that covers the
+        change is consumed. A denied change is deferred.
+        """
         if not self.is_active or self._is_known_placement(change):
             return AdmissionDecision(AdmissionAnswer.PERMITTED)
         rules = self._rules_for(change)
@@ -120,14 +142,16 @@
         tenant_index: int | None,
         candidates: Sequence[PlacementCandidate],
     ) -> tuple[RoutingVerdict, int | None]:
-        """``call_routing.route_call`` under what is in force.
+        """Apply ``call_routing.route_call`` under the rules in force.
 
-        A candidate also counts as open where nothing is frozen, or where the function is known to be placed.
-        The first one that is not open is deferred.
+        Besides the candidates that are open already, a candidate counts as open if no rule freezes a load
+        there, or if the placement table has the function there. The load at the first ready candidate that is
+        not open and not selected is deferred.
         """
 
         def first_copy(candidate: PlacementCandidate, is_emergency: bool) -> PlacementChange:
-            worker_id, zone_index = candidate.worker_id, candidate.zone_index
+            worker_id = candidate.worker_id
+            zone_index = candidate.zone_index
             return PlacementChange(
                 "first-copy", worker_id, function_id, zone_index, tenant_index, is_emergency
             )
@@ -157,9 +181,10 @@
     def home_workers(
         self, now_ms: float, function_id: int, ready_workers: Sequence[int], home_count: int
     ) -> tuple[Sequence[int], int]:
-        """The ready workers in the order of preference for the function, and how many of them are its homes.
+        """Return the ready workers in the order of preference for the function, and its number of homes.
 
-        While that is frozen: the homes from before, as long as they are ready; lost ones are not replaced.
+        While home workers are frozen, the homes are those from before the freeze that are still ready. Homes
+        that are lost during the freeze are not replaced.
         """
         if not self.is_active:
             return ready_workers, home_count
@@ -182,7 +207,11 @@
         return [*retained_ready, *others], len(retained_ready)
 
     def admitted_settings(self, now_ms: float, old: RouterSettings, new: RouterSettings) -> RouterSettings:
-        """The settings that may be in force now: the new ones, but what would move instances is deferred."""
+        """Return the settings to apply now: the new ones, without changes that the freeze defers.
+
+        If the freeze denies changes of settings, the settings that decide where instances are placed
+        retain their old values, and the new settings are stored in ``deferred_settings``.
+        """
         if not self.is_active or (without_moves := _with_placement_settings_of(old, new)) == new:
             self.deferred_settings = None
             return new
@@ -193,20 +222,21 @@
         return without_moves
 
     def release(self, now_ms: float) -> list[DeferredChange]:
-        """The deferred changes that the host may make now: not frozen, and as many as the rate permits."""
+        """Remove and return the deferred changes that are no longer frozen, as many as the rate permits."""
         released = self.deferred_changes.release(now_ms, self.is_frozen, self.take_release)
         for deferred in released:
             if deferred.kind == "homes" and deferred.function_id is not None:
                 self.retained_homes.pop(deferred.function_id, None)
         return released
 
-    # Inside.
-
     def _rules_for(self, change: PlacementChange) -> list[FreezeRule]:
         return [rule for rule in self.rules if rule.covers(change)]
 
     def _is_known_placement(self, change: PlacementChange) -> bool:
-        """Whether the function is placed there: an idle instance that returns to its worker moves nothing."""
+        """Return whether the change loads a function at a worker where the function is placed already.
+
+        Such a change is permitted because an instance that is loaded again at its own worker moves nothing.
+        """
         if change.kind not in LOADING_KINDS or change.function_id is None or change.worker_id is None:
             return False
         return self.placements.has_placement(change.function_id, change.worker_id)
@@ -220,10 +250,12 @@
         )
 
     def _use_exception(self, now_ms: float, change: PlacementChange, rules: list[FreezeRule]) -> bool:
-        """Use one of each window's budget, if all have one: where windows overlap, the strictest holds."""
+        """Consume one exception of each window that covers the change; return whether all had one.
+
+        Where windows overlap, the strictest decides, because each must have an exception left.
+        """
         if change.kind not in LOADING_KINDS or not self._has_exception(now_ms, change):
             return False
-        # A list, not a generator: one is used of each, also where an earlier one failed.
         return all(self.escrow.consume(now_ms, exception_pool_name(rule.window_id)) for rule in rules)
 
     def _deny(self, change: PlacementChange, cause: str) -> AdmissionDecision:
@@ -232,7 +264,7 @@
         return AdmissionDecision(AdmissionAnswer.DENIED, cause)
 
     def _defer(self, change: PlacementChange) -> None:
-        if self.rules:  # without a declared window there is no end after which changes are to be released
+        if self.rules:  # without a declared window there is no window end at which to release the change
             self.deferred_changes.add(change)
 
     def _try_release(self, now_ms: float, change: PlacementChange) -> bool:
@@ -243,7 +275,7 @@
 
 
 def _with_placement_settings_of(old: RouterSettings, new: RouterSettings) -> RouterSettings:
-    """The new settings with what decides where instances are placed taken from the old ones."""
+    """Return the new settings with the old values of those that decide where instances are placed."""
     prices = replace(new.prices, idle_memory=old.prices.idle_memory, cross_zone=old.prices.cross_zone)
     return replace(
         new,
--- a/cedarthread/change_freeze/call_routing.py
+++ b/cedarthread/change_freeze/call_routing.py
@@ -1,4 +1,8 @@
-"""Where a call goes while placements are frozen: service first, then the freeze."""
+"""The routing of one call while placements are frozen, as a pure function.
+
+Serving calls has precedence over the freeze: a call without an open worker may load its function elsewhere
+if an exception permits the load.
+"""
 
 from __future__ import annotations
 
@@ -11,34 +15,34 @@
 
 
 class RoutingVerdict(Enum):
-    """What becomes of a call."""
+    """The kind of a routing decision for one call."""
 
-    SEND = "send"  # to a worker where the function is placed, or where nothing is frozen
-    LOAD = "place"  # to a worker that must load the function, as an exception
-    WAIT = "wait"  # for a worker where the function is placed
-    REJECT = "refuse"  # there is none
+    SEND = "send"  # to an open worker, which has capacity
+    LOAD = "place"  # to a worker that is not open and must load the function, by exception
+    WAIT = "wait"  # for an open worker, which has no capacity yet
+    REJECT = "refuse"  # no worker is open, and no exception permits a load
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementCandidate:
-    """A worker as a call sees it."""
+    """A worker to which a call may be sent."""
 
     worker_id: int
-    is_ready: bool  # it drains otherwise, or is not there
-    is_open: bool  # the function is placed there, or nothing is frozen there
-    has_capacity: bool  # as the router counts it
-    distance: float = 0.0  # the router's preference, the least first
+    is_ready: bool  # False while the worker drains or is absent from the endpoint list
+    is_open: bool  # the function is placed at the worker, or no rule freezes a load there
+    has_capacity: bool  # by the router's count of calls in flight
+    distance: float = 0.0  # the router prefers the least
     zone_index: int | None = None
 
 
 def route_call(
     candidates: Iterable[PlacementCandidate], is_load_permitted: bool
 ) -> tuple[RoutingVerdict, int | None]:
-    """The verdict on a call, and its worker.
+    """Return the verdict on a call and the worker of the verdict.
 
-    First an open worker with capacity; without one a new placement, where an exception permits it; then
-    waiting. Only a call that finds no open worker at all is rejected. A worker that is not ready gets
-    nothing.
+    An open worker with capacity is preferred. Without one, the call loads its function at another worker if
+    an exception permits the load. Otherwise the call waits for an open worker, and is rejected only if no
+    worker is open. A worker that is not ready receives no call.
     """
     ready = sorted(
         (candidate for candidate in candidates if candidate.is_ready),
--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -1,6 +1,7 @@
-"""The change freeze component: the windows held here, when they are in force, and the gate they close.
+"""The change freeze component: follows the declared windows and sets the rules of the admission gate.
 
-Pure: the clock (ms, steady) and the host's wall clock are handed in. Design: docs/design/freeze.md.
+The component is pure: the caller passes the steady clock (ms) and readings of the host's wall clock.
+Design: docs/design/freeze.md.
 """
 
 from __future__ import annotations
@@ -38,14 +39,28 @@
     from cedarthread.fleet_config import SharingConfig
     from cedarthread.model.settings import RouterSettings
 
-WINDOW_LEAD_MS = 500.0  # by which windows begin early: twice the longest time between ticks
-PLACEMENT_EXPIRY_INTERVAL_MS = 5000.0  # between looks for placements that expired
-BUDGETED_STATES = (WindowState.PENDING, WindowState.IN_FORCE)  # in which a window's exception pool is open
-ACTIVE_STATES = (*BUDGETED_STATES, WindowState.LIFTED)  # in which placements are tracked
+WINDOW_LEAD_MS = 500.0  # by which windows start early; twice the longest interval between ticks
+PLACEMENT_EXPIRY_INTERVAL_MS = 5000.0  # between removals of expired placements
+BUDGETED_STATES = (WindowState.PENDING, WindowState.IN_FORCE)  # a window's exception pool is open
+ACTIVE_STATES = (*BUDGETED_STATES, WindowState.LIFTED)  # placements are tracked
 
 
 class ChangeFreezeComponent:
-    """``on_tick`` comes before any event that is later than ``WINDOW_LEAD_MS`` after the last tick."""
+    """The change freeze of one router; owns its windows, its wall clock and the admission gate.
+
+    The host must call ``on_tick`` before any event that is more than ``WINDOW_LEAD_MS`` after the last tick,
+    because windows take effect on ticks.
+
+    Args:
+        settings: The router's settings.
+        sharing: The fleet's limits of clock error and clock drift.
+        replicated_state: Contains the entries that declare, revoke and lift windows.
+        escrow: Contains the exception budgets of the windows.
+        now_ms: The time on the steady clock.
+        has_read_enough_peers: Returns whether several peers were read completely in this incarnation. If so,
+            the entries known at the start count even without confirmation by a majority
+            (docs/design/freeze.md, step 21).
+    """
 
     message_types: frozenset[int] = frozenset()
 
@@ -59,17 +74,15 @@
         now_ms: float = 0.0,
         has_read_enough_peers: Callable[[], bool] = bool,
     ) -> None:
-        """``has_read_enough_peers``: several other routers were read completely in this incarnation.
-
-        What a start then knows counts, though no majority confirmed it: docs/design/freeze.md, step 21.
-        """
-        self.replicated_state, self.escrow, self.settings = replicated_state, escrow, settings
+        self.replicated_state = replicated_state
+        self.escrow = escrow
+        self.settings = settings
         self.wall_clock = WallClock(max(1, settings.router_count), sharing.clock_error, sharing.clock_rate)
         self.gate = AdmissionGate(escrow)
         self.gate.take_release = ReleaseRateLimiter(refilled_at_ms=now_ms)
         self.registry = WindowRegistry()
         self.stale_hold = StaleHold(now_ms, has_read_enough_peers)
-        self.opened_pools: dict[str, tuple[int, float]] = {}  # by window: total and end (steady ms)
+        self.opened_pools: dict[str, tuple[int, float]] = {}  # by window: total, and end on the steady clock
         self.last_expiry_at_ms = now_ms
         self.reported_deviation_ms = 0.0
         self.pending_messages: list[OutboundMessage] = []
@@ -78,11 +91,11 @@
     # The component interface.
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
-        """No datagram is its own."""
+        """Ignore the datagram: the component has no message type."""
         return ()
 
     def on_notification(self, now_ms: float, notification: Notification) -> Sequence[OutboundMessage]:
-        """Follow entries, settings, the endpoint list and the wall clock, and note where instances are."""
+        """Process new entries, settings, endpoints, wall clock readings and completed attempts."""
         if isinstance(notification, AttemptCompleted):
             self._on_attempt_completed(now_ms, notification)
         elif isinstance(notification, EndpointUpdate):
@@ -100,7 +113,7 @@
         return self._take_messages()
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
-        """Look at the clocks and the replicated store, and set the gate by them."""
+        """Read the replicated store and the clocks, and update the gate."""
         for kind in WINDOW_ENTRY_KINDS:
             self._take_entries(now_ms, self.replicated_state.entries(kind))
         for window_id in self.registry.forget_removed(self.replicated_state):
@@ -113,7 +126,7 @@
         return self._take_messages()
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """The figures that operators read; their names are part of the operators' interface."""
+        """Return the figures for operators; their names are part of the operators' interface."""
         figures = {
             "freeze_wanted": str(len(self.gate.deferred_changes)),
             "freeze_denied": str(self.gate.denied_count),
@@ -126,16 +139,16 @@
         windows = self.registry.windows.items()
         return figures | {f"freeze_window_{name}": window.state.value for name, window in windows}
 
-    # What the host asks and tells.
+    # Calls by the host.
 
     def release_deferred_changes(self, now_ms: float) -> list[DeferredChange]:
-        """The deferred changes that may be made now, at the gate's rate: the host makes them."""
+        """Return the deferred changes that the host must make now, at the gate's release rate."""
         released = self.gate.release(now_ms) if self.gate.deferred_changes else []
         self._update_gate(now_ms)
         return released
 
     def on_worker_down(self, now_ms: float, worker_id: int) -> None:
-        """The host found a worker's process gone: no connection to it comes up."""
+        """Remove the placements of a worker whose process accepts no connection."""
         self.gate.placements.on_worker_down(worker_id)
 
     # Entries and clocks.
@@ -175,7 +188,7 @@
         )
 
     def _has_relevant_window(self, unix_ms: float) -> bool:
-        """Whether a step of the wall clock to this time must be confirmed before it is followed."""
+        """Return whether other routers must confirm a step of the wall clock to this time."""
         is_sensitive = self.registry.has_step_sensitive_window(
             unix_ms, self.wall_clock.max_error_ms, self.replicated_state.staleness_bound_ms
         )
@@ -187,7 +200,7 @@
         has_changed = abs(deviation_ms - reported_ms) > 2 * self.wall_clock.max_error_ms
         if (deviation_ms != 0.0) != (reported_ms != 0.0) or has_changed:
             if deviation_ms:
-                # A positive deviation: this clock is behind those of most other routers.
+                # A positive deviation means that this clock is behind the median clock.
                 self._log(format_event("wall_clock_deviating", offset_s=f"{-deviation_ms / 1000.0:+.1f}"))
             else:
                 self._log(format_event("wall_clock_synchronized"))
@@ -213,7 +226,7 @@
         self.gate.is_uncertain = is_uncertain
 
     def _update_gate(self, now_ms: float) -> None:
-        """Set the gate by the windows that are in force at this moment."""
+        """Update the states of all windows, and the gate's rules from the windows in force."""
         self._update_uncertainty(now_ms)
         reading = self._clock_reading(now_ms)
         rules: list[FreezeRule] = []
@@ -230,7 +243,7 @@
                 remaining_ms = max(0.0, window.latest_end_unix_ms() - reading.earliest_unix_ms)
                 self._update_exception_pool(window, now_ms + remaining_ms)
         gate = self.gate
-        gate.rules = tuple(dict.fromkeys(rules))  # each once, in order
+        gate.rules = tuple(dict.fromkeys(rules))  # without duplicates
         gate.placements.is_frozen = bool(rules) or gate.is_uncertain
         has_active_window = any(window.state in ACTIVE_STATES for window in self.registry.windows.values())
         gate.is_active = gate.is_uncertain or has_active_window or bool(gate.deferred_changes)
@@ -238,7 +251,11 @@
             gate.retained_homes.clear()
 
     def _update_exception_pool(self, window: FreezeWindow, until_ms: float) -> None:
-        """Open the window's pool, or change it with its total, or with its end by more than clocks err."""
+        """Open the window's exception pool, or update its total or end.
+
+        A shift of the end within the error of the clocks is ignored, so that the pool is not updated on each
+        tick.
+        """
         previous_total, previous_until_ms = self.opened_pools.get(window.window_id, (-1, 0.0))
         total = window.minimum_exception_budget()
         tolerance_ms = self.wall_clock.max_error_ms + WINDOW_LEAD_MS
@@ -274,7 +291,10 @@
 
 
 def _indexes_of(names: tuple[str, ...], known_names: tuple[str, ...]) -> frozenset[int] | None:
-    """The indexes of names. A name that these settings do not know may be any, so all are meant: None."""
+    """Return the indexes of names; None, which means all, without names or if a name is unknown here.
+
+    A name that this router's settings lack may denote any zone or tenant, so all must count as covered.
+    """
     if not names or any(name not in known_names for name in names):
         return None
     return frozenset(known_names.index(name) for name in names)
--- a/cedarthread/change_freeze/deferred_changes.py
+++ b/cedarthread/change_freeze/deferred_changes.py
@@ -1,4 +1,7 @@
-"""Placement changes that were denied in a window and are released after it, at a limited rate."""
+"""Placement changes that are denied during a window and released after the window, at a limited rate.
+
+The admission gate adds, releases and discards the changes.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,14 @@
 
     from cedarthread.fleet_config import FrozenAction
 
-MAX_DEFERRED_CHANGES = 512  # past which all changes count as deferred until the last is released
-RELEASES_PER_MS = 0.004  # 4 per second: the default where the host gives no rate of its own
-RELEASE_BURST = 4.0  # releases that are saved up at most
+MAX_DEFERRED_CHANGES = 512  # after an overflow, every change counts as deferred until all are released
+RELEASES_PER_MS = 0.004  # 4 per second: the default if the host passes no limiter of its own
+RELEASE_BURST = 4.0  # releases
 
 
 @dataclass(slots=True)
 class ReleaseRateLimiter:
-    """A token bucket for releases; calling it takes one token."""
+    """A token bucket for releases of deferred changes; a call consumes one token."""
 
     rate_per_ms: float = RELEASES_PER_MS
     burst: float = RELEASE_BURST
@@ -27,7 +30,7 @@
     refilled_at_ms: float = 0.0
 
     def __call__(self, now_ms: float) -> int:
-        """1 where one change may be released now, else 0."""
+        """Return 1 and consume a token if one change may be released now; else return 0."""
         self.tokens = min(self.burst, self.tokens + self.rate_per_ms * max(0.0, now_ms - self.refilled_at_ms))
         self.refilled_at_ms = now_ms
         if self.tokens < 1.0:
@@ -38,18 +41,21 @@
 
 @dataclass(slots=True)
 class DeferredChange:
-    """The denied changes of one kind and function: where the first was requested, and how often."""
+    """The denied changes of one kind and function.
+
+    The worker, zone and tenant are those of the first request.
+    """
 
     kind: FrozenAction
     function_id: int | None
     worker_id: int | None
     request_count: int = 1
-    is_emergency: bool = False
+    is_emergency: bool = False  # at any of the requests
     zone_index: int | None = None
     tenant_index: int | None = None
 
     def as_change(self) -> PlacementChange:
-        """The change, to ask whether it is still frozen."""
+        """Return the placement change, so that the gate can check whether a rule still freezes it."""
         return PlacementChange(
             self.kind, self.worker_id, self.function_id, self.zone_index, self.tenant_index, self.is_emergency
         )
@@ -60,13 +66,13 @@
 
     def __init__(self) -> None:
         self.changes: dict[tuple[FrozenAction, int | None], DeferredChange] = {}
-        self.has_overflowed = False  # some were not kept, so it is not known which
+        self.has_overflowed = False  # some denied changes were not stored, and which is unknown
 
     def __len__(self) -> int:
         return len(self.changes)
 
     def add(self, change: PlacementChange) -> None:
-        """Keep a denied change, or count it where one of its kind and function is kept."""
+        """Store a denied change, or count the request if one of its kind and function is stored."""
         key = (change.kind, change.function_id)
         if (deferred := self.changes.get(key)) is not None:
             deferred.request_count += 1
@@ -85,11 +91,11 @@
             self.has_overflowed = True
 
     def includes(self, kind: FrozenAction, function_id: int | None) -> bool:
-        """Whether a change of this kind was deferred and has not been released since."""
+        """Return whether a change of this kind and function may be deferred and not yet released."""
         return (kind, function_id) in self.changes or (self.has_overflowed and bool(self.changes))
 
     def discard(self, kind: FrozenAction, function_id: int | None) -> None:
-        """The change was made after all."""
+        """Remove a change that has been made."""
         self.changes.pop((kind, function_id), None)
 
     def release(
@@ -98,9 +104,14 @@
         is_frozen: Callable[[PlacementChange], bool],
         take_release: Callable[[float], int],
     ) -> list[DeferredChange]:
-        """Take out what is not frozen now, as much as the rate permits.
+        """Remove and return the changes that are no longer frozen, as many as the rate permits.
+
+        Emergencies are released first, then the changes that were requested most often.
 
-        Emergencies first, then what was requested most often.
+        Args:
+            now_ms: The time on the steady clock.
+            is_frozen: Returns whether a rule in force freezes a change.
+            take_release: Consumes one release token if it returns more than 0.
         """
         due = [deferred for deferred in self.changes.values() if not is_frozen(deferred.as_change())]
         due.sort(key=lambda deferred: (not deferred.is_emergency, -deferred.request_count))
--- a/cedarthread/change_freeze/placement_changes.py
+++ b/cedarthread/change_freeze/placement_changes.py
@@ -1,6 +1,6 @@
-"""Placement changes that are requested, what the admission gate answers, and the rules of windows in force.
+"""Records of the admission gate: placement changes, decisions, and the rules of windows in force.
 
-Which acts count as a placement change: docs/design/freeze.md, steps 1 to 4.
+docs/design/freeze.md, steps 1 to 4, defines which acts are placement changes.
 """
 
 from __future__ import annotations
@@ -14,45 +14,55 @@
 
 
 class PlacementChange(NamedTuple):
-    """A placement change that is requested. None: not known, so it may concern any of them."""
+    """A placement change that is requested.
+
+    A field that is None is unknown: the change may concern any worker, function, zone or tenant.
+    """
 
     kind: FrozenAction
     worker_id: int | None
     function_id: int | None
     zone_index: int | None = None
     tenant_index: int | None = None
-    is_emergency: bool = False  # no placed worker has capacity, or most placements were lost
+    is_emergency: bool = False  # no placed worker has capacity, or most placements are lost
 
 
 class AdmissionAnswer(Enum):
-    """The gate's answer to a placement change."""
+    """The answer of the admission gate to a placement change."""
 
     PERMITTED = "yes"
-    PERMITTED_BY_EXCEPTION = "under the allowance"  # one of the exception budget is used up
+    PERMITTED_BY_EXCEPTION = "under the allowance"  # consumes one exception of each window
     DENIED = "no"
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionDecision:
-    """The answer and its cause: a window's id, ``UNCERTAIN``, ``RELEASING``; '' where nothing is frozen."""
+    """An answer of the admission gate and its cause.
+
+    ``window_id`` is the id of a window in force, ``UNCERTAIN``, ``RELEASING``, or '' if nothing freezes
+    the change.
+    """
 
     answer: AdmissionAnswer
     window_id: str = ""
 
     @property
     def is_permitted(self) -> bool:
-        """Whether the change may be made."""
+        """Return whether the change may be made."""
         return self.answer is not AdmissionAnswer.DENIED
 
 
 # Causes of a denial other than a window's id.
-UNCERTAIN = "unsure"  # a window may have been missed
-RELEASING = "releasing"  # the window is over, but deferred changes are released at a limited rate
+UNCERTAIN = "unsure"  # this router may lack a window
+RELEASING = "releasing"  # the window has ended, and deferred changes are released at a limited rate
 
 
 @dataclass(frozen=True, slots=True)
 class FreezeRule:
-    """The terms of a window in force, its names as indexes of this router. None: all of them."""
+    """The terms of a window in force, with zones and tenants as indexes in this router's settings.
+
+    A field that is None covers all zones, functions or tenants.
+    """
 
     window_id: str
     frozen_kinds: frozenset[str]
@@ -62,7 +72,11 @@
     exception_budget: int
 
     def covers(self, change: PlacementChange) -> bool:
-        """Whether the change is frozen. What is not known of it is covered: it may be what is meant."""
+        """Return whether the rule freezes the change.
+
+        A field of the change that is unknown counts as covered, because its value may be one that the
+        rule names.
+        """
         return (
             change.kind in self.frozen_kinds
             and (
--- a/cedarthread/change_freeze/placement_paths.py
+++ b/cedarthread/change_freeze/placement_paths.py
@@ -1,9 +1,8 @@
-"""The list of all paths by which placements can change, and a check of source text against it.
+"""The list of all code paths that change placements, and a check of source text against the list.
 
-A path is a function of the decisions that makes a ``PreloadFunction``, an ``UnloadFunction`` or a
-``StartAttempt``, or that sets how many home workers there are or in which order workers become them. The
-check reads the syntax tree: it finds by name a path that is not on the list, and one on it that does not ask
-the gate.
+A path is a function that creates a ``PreloadFunction``, an ``UnloadFunction`` or a ``StartAttempt``, or that
+sets the number or the order of home workers. The check searches the syntax tree by name. It finds paths that
+are not on the list, and paths that do not consult the admission gate.
 """
 
 from __future__ import annotations
@@ -11,26 +10,27 @@
 import ast
 from dataclasses import dataclass
 
-# Names of the product's code. A rename there must be followed here; the test of this list fails otherwise.
-# What can bring an instance to a worker, or remove one:
+# The constants below name functions and attributes of other modules. A rename there must be repeated here;
+# otherwise the test of this list fails.
+# Calls that can load an instance at a worker, or remove one:
 PLACEMENT_CALLS = ("PreloadFunction", "UnloadFunction", "_start_attempt")
-# Attributes that say where functions are wanted:
+# Attributes that determine the home workers of functions:
 PLACEMENT_ATTRIBUTES = ("placement_order",)
-# Owner and method by which settings that move home workers are followed:
+# Attribute and method through which new settings reach the router, which may move home workers:
 SETTINGS_CALL = ("router", "update_settings")
-# The name by which a path that is not listed must ask:
+# The name of the gate that a path must use if it is not on the list:
 GATE_NAME = "gate"
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementPath:
-    """A function of a module that changes placements, by which act, and what it asks the gate for it."""
+    """A function that changes placements, and the name through which the function consults the gate."""
 
-    module: str  # below the package, dotted
+    module: str  # dotted name below the package
     function: str
     act: str
-    asks_by: str  # the name in it by which it asks the gate
-    question: str
+    asks_by: str  # a name in the function through which the function consults the gate
+    question: str  # the gate's method, and when the function calls the method
 
 
 PLACEMENT_PATHS = (
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeSite:
-    """A function in a source text that changes placements, and whether it asks the gate."""
+    """A function in a source text that changes placements, and whether the function consults the gate."""
 
     function: str
     act: str
@@ -75,7 +75,11 @@
 
 
 def find_change_sites(source: str) -> list[ChangeSite]:
-    """All such functions of a source text, in order. SyntaxError: the text is no Python."""
+    """Return the functions of a source text that change placements, in the order of the syntax tree.
+
+    Raises:
+        SyntaxError: The text is not valid Python.
+    """
     gate_names = {(path.function, path.act): path.asks_by for path in PLACEMENT_PATHS}
     sites: list[ChangeSite] = []
     for node in ast.walk(ast.parse(source)):
@@ -90,7 +94,7 @@
 
 
 def _acts_of(node: ast.AST) -> list[str]:
-    """The acts of one node of the tree that change placements, by name."""
+    """Return the names of the calls and attributes by which one syntax node changes placements."""
     if isinstance(node, ast.Call):
         name = getattr(node.func, "attr", getattr(node.func, "id", ""))
         owner = getattr(getattr(node.func, "value", None), "attr", "")
@@ -105,11 +109,11 @@
 
 
 def find_unlisted_sites(module: str, source: str) -> list[ChangeSite]:
-    """What changes placements in a module and is not on the list."""
+    """Return the functions of a module that change placements and are not on the list."""
     listed = {(path.function, path.act) for path in PLACEMENT_PATHS if path.module == module}
     return [site for site in find_change_sites(source) if (site.function, site.act) not in listed]
 
 
 def find_sites_bypassing_gate(source: str) -> list[ChangeSite]:
-    """What changes placements without asking the gate."""
+    """Return the functions that change placements without consulting the gate."""
     return [site for site in find_change_sites(source) if not site.asks_gate]
--- a/cedarthread/change_freeze/placement_table.py
+++ b/cedarthread/change_freeze/placement_table.py
@@ -1,4 +1,8 @@
-"""Where functions are placed, as far as this router knows from its own calls and other routers' gossip."""
+"""The table of where functions are placed, as far as one router knows.
+
+The admission gate and the change freeze component write the table, from completed attempts, permitted loads
+and updates of the endpoint list.
+"""
 
 from __future__ import annotations
 
@@ -6,16 +10,16 @@
 
 from cedarthread.model.endpoints import Endpoint, EndpointState, EndpointUpdate, EndpointUpdateKind
 
-# Before a window, how long after an instance was last known the function still counts as placed on its
-# worker.
+# How long a function counts as placed on a worker after an instance was last known there. Placements expire
+# only while no window is in force.
 PLACEMENT_MEMORY_MS = 1_800_000.0
-MAX_PLACEMENTS = 20_000  # pairs of function and worker that are remembered
-MAX_REMOVED_WORKERS = 4096  # workers off the endpoint list whose placements are remembered
+MAX_PLACEMENTS = 20_000  # pairs of function and worker
+MAX_REMOVED_WORKERS = 4096  # workers that left the endpoint list, with their placements
 
 
 @dataclass(slots=True)
 class _RemovedWorker:
-    """A worker that left the endpoint list, and what was placed on it: by function, when it was last seen."""
+    """A worker that left the endpoint list, and when each function was last seen on the worker."""
 
     started_at_ms: float | None
     placements: dict[int, float]
@@ -23,25 +27,26 @@
 
 @dataclass(slots=True)
 class PlacementTable:
-    """The functions that are placed on each worker: a part of the truth, never more.
+    """The functions that are placed on each worker, as far as this router has seen instances.
 
-    In a window no placement expires: an instance that became idle may be loaded again where it was. Times:
-    ms on the steady clock.
+    During a window no placement expires, because an instance that was unloaded while idle may be loaded again
+    at its worker. All times are ms on the steady clock.
     """
 
-    last_seen_by_function: dict[int, dict[int, float]] = field(default_factory=dict)  # function, worker
+    # Time by function id and worker id; the function that was recorded least recently is first.
+    last_seen_by_function: dict[int, dict[int, float]] = field(default_factory=dict)
     endpoints: dict[int, Endpoint] = field(default_factory=dict)
     removed_workers: dict[int, _RemovedWorker] = field(default_factory=dict)
-    lost_placements: dict[int, int] = field(default_factory=dict)  # by function, since the window began
-    placement_count: int = 0
-    is_frozen: bool = False  # a window is in force
+    lost_placements: dict[int, int] = field(default_factory=dict)  # count by function, reset by ``expire``
+    placement_count: int = 0  # pairs of function and worker
+    is_frozen: bool = False  # whether a window is in force or may be
 
     def record(self, now_ms: float, function_id: int, worker_id: int) -> None:
-        """An instance of the function is on the worker now."""
+        """Record that an instance of the function is on the worker."""
         last_seen = self.last_seen_by_function.pop(function_id, None)
         if last_seen is None:
             last_seen = {}
-        self.last_seen_by_function[function_id] = last_seen  # in the order of use, the least recent first
+        self.last_seen_by_function[function_id] = last_seen  # now the most recent
         self.placement_count += worker_id not in last_seen
         last_seen[worker_id] = now_ms
         while self.placement_count > MAX_PLACEMENTS:
@@ -49,15 +54,15 @@
             self.placement_count -= len(self.last_seen_by_function.pop(least_recent))
 
     def has_placement(self, function_id: int, worker_id: int) -> bool:
-        """Whether the function is placed on the worker."""
+        """Return whether the function is placed on the worker."""
         return worker_id in self.last_seen_by_function.get(function_id, ())
 
     def has_lost_most(self, function_id: int) -> bool:
-        """Whether more placements were lost than are left, which will be overloaded."""
+        """Return whether more placements were lost than are left, so that those left may be overloaded."""
         return self.lost_placements.get(function_id, 0) > len(self.last_seen_by_function.get(function_id, ()))
 
     def expire(self, now_ms: float) -> None:
-        """Outside windows, forget placements of which nothing was known for long."""
+        """Remove placements older than ``PLACEMENT_MEMORY_MS`` and reset the losses, except in a window."""
         if self.is_frozen:
             return
         self.lost_placements.clear()
@@ -76,7 +81,11 @@
     # Changes of the endpoint list.
 
     def on_endpoint_update(self, event: EndpointUpdate) -> None:
-        """Workers that left the list, drain or restarted have lost their placements."""
+        """Update the placements from the endpoint list.
+
+        Placements are removed if their worker left the list or restarted. They count as lost also when their
+        worker starts to drain.
+        """
         if event.kind is EndpointUpdateKind.FAILED:
             return
         if event.kind is not EndpointUpdateKind.DELTA:
@@ -87,7 +96,7 @@
             self._update_endpoint(entry)
 
     def on_worker_down(self, worker_id: int) -> None:
-        """The host found the worker's process gone, for no connection comes up: its placements are lost."""
+        """Remove the placements of a worker whose process cannot be reached, and count them as lost."""
         self._remove_placements(worker_id)
 
     def _update_endpoint(self, entry: Endpoint) -> None:
@@ -99,7 +108,7 @@
         if known is not None and known.started_at_ms != entry.started_at_ms:
             self._remove_placements(entry.worker_id)
         removed = self.removed_workers.pop(entry.worker_id, None) if known is None else None
-        # A corrupted list may leave out a worker that is there: the same start means that nothing was lost.
+        # A corrupted list may omit a running worker. The same start time means that no instance was lost.
         if (
             removed is not None
             and removed.started_at_ms is not None
@@ -119,7 +128,7 @@
                 del self.removed_workers[next(iter(self.removed_workers))]
 
     def _remove_placements(self, worker_id: int) -> dict[int, float]:
-        """Remove a worker's placements and count them as lost; by function, when each was last seen."""
+        """Remove a worker's placements and count them as lost; return when each function was last seen."""
         removed: dict[int, float] = {}
         for function_id, last_seen in self.last_seen_by_function.items():
             if (seen_at := last_seen.pop(worker_id, None)) is not None:
--- a/cedarthread/change_freeze/stale_hold.py
+++ b/cedarthread/change_freeze/stale_hold.py
@@ -1,6 +1,7 @@
-"""How long a router that is not fresh keeps all placements as they are, for it may have missed a window.
+"""The time for which a router that is not fresh freezes all placements, because it may lack a window.
 
-Not for ever: service comes first in the end. Why these times: docs/design/freeze.md, steps 20 and 21.
+The time is limited because serving calls has precedence over a window that may not exist.
+docs/design/freeze.md, steps 20 and 21, derives the limits.
 """
 
 from __future__ import annotations
@@ -11,28 +12,35 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-STALE_HOLD_MS = (
-    60_000.0  # from when it was last fresh in this incarnation: windows end though no peer is heard
-)
-RESTART_HOLD_MS = 600_000.0  # from its start, where it holds an entry about windows
-FIRST_START_HOLD_MS = 60_000.0  # from its start, where it holds none
+# Since the router was last fresh in this incarnation, so that windows end even if no peer responds.
+STALE_HOLD_MS = 60_000.0
+RESTART_HOLD_MS = 600_000.0  # since the start of a router that stores an entry about windows
+FIRST_START_HOLD_MS = 60_000.0  # since the start of a router that stores no entry about windows
 
 
 @dataclass(slots=True)
 class StaleHold:
-    """Whether this router may have missed a window. Times: ms on the steady clock."""
+    """Determines whether this router may lack a window. All times are ms on the steady clock."""
 
     started_at_ms: float
-    has_read_enough_peers: Callable[[], bool]  # several others were read completely in this incarnation
-    last_fresh_at_ms: float | None = None
+    has_read_enough_peers: Callable[[], bool]  # whether several peers were read completely since the start
+    last_fresh_at_ms: float | None = None  # in this incarnation; None: never
 
     def is_uncertain(self, now_ms: float, is_fresh: bool, has_entries: bool) -> bool:
-        """Whether all placements must stay as they are now. ``has_entries``: about windows."""
+        """Return whether all placements must stay frozen, because this router may lack a window.
+
+        Args:
+            now_ms: The time on the steady clock.
+            is_fresh: Whether the replicated store is fresh.
+            has_entries: Whether the router stores an entry about windows.
+        """
         if is_fresh:
             self.last_fresh_at_ms = now_ms
         if self.last_fresh_at_ms is not None:
-            since_ms, hold_ms = self.last_fresh_at_ms, STALE_HOLD_MS
+            since_ms = self.last_fresh_at_ms
+            hold_ms = STALE_HOLD_MS
         else:
-            since_ms, hold_ms = self.started_at_ms, RESTART_HOLD_MS if has_entries else FIRST_START_HOLD_MS
+            since_ms = self.started_at_ms
+            hold_ms = RESTART_HOLD_MS if has_entries else FIRST_START_HOLD_MS
         knows_from_start = self.last_fresh_at_ms is None and self.has_read_enough_peers()
         return not is_fresh and not knows_from_start and now_ms - since_ms < hold_ms
--- a/cedarthread/change_freeze/wall_clock.py
+++ b/cedarthread/change_freeze/wall_clock.py
@@ -1,9 +1,11 @@
-"""The wall clock as far as it can be trusted: slewed, and compared with other routers' clocks.
-
-Freeze windows are declared in wall time. The clock here runs on the steady clock and slews toward the
-host's wall clock by no more than the drift that both may have, so a step of the host's clock shows as a gap
-and opens no window. Offsets to other routers come from a request and its response, as in NTP (Mills, RFC
-5905); their median tells whose clock deviates. Design: docs/design/freeze.md, steps 17 to 19.
+"""A wall clock that tolerates steps of the host's clock and detects its deviation from other routers' clocks.
+
+Freeze windows are declared in wall time. ``WallClock`` runs on the steady clock and slews toward the host's
+wall clock by no more than the drift that both clocks may have. A step of the host's clock therefore shows as
+a gap and opens no window. The offset to another router's clock is computed from a request and its response,
+as in NTP (Mills, RFC 5905); the median offset shows whether this router's clock deviates. The change freeze
+component passes host readings, and the host passes the samples of other routers' clocks.
+Design: docs/design/freeze.md, steps 17 to 19.
 """
 
 from __future__ import annotations
@@ -15,14 +17,14 @@
 from cedarthread.change_freeze.window_entries import MAX_WINDOW_MS
 from cedarthread.logs import format_event
 
-STEP_THRESHOLD_MS = 100.0  # a smaller gap is no step: the two clocks are read one after the other
-SAMPLE_LIFETIME_MS = 120_000.0  # for which a comparison is used: the other clock drifts meanwhile
-MAX_QUORUM = 9  # clocks, the own one too, that are enough for a median; a majority where that is fewer
-MAX_ROUND_TRIP_MS = 60_000.0  # over which a comparison says nothing
+STEP_THRESHOLD_MS = 100.0  # a smaller gap is not a step, because the two clocks are read one after the other
+SAMPLE_LIFETIME_MS = 120_000.0  # limits the drift of the other clock since the comparison
+MAX_QUORUM = 9  # clocks, including the own one, that suffice for a median, if a majority is not fewer
+MAX_ROUND_TRIP_MS = 60_000.0  # a comparison with a longer round trip is too uncertain
 
 
 class OffsetBounds(NamedTuple):
-    """A clock offset in ms, as the range that it may be in."""
+    """The range in ms that contains a clock offset."""
 
     lower_ms: float
     upper_ms: float
@@ -35,68 +37,82 @@
 class _OffsetSample:
     """One comparison with another router's clock."""
 
-    offset_ms: float  # its wall clock less this router's steady clock
-    uncertainty_ms: float  # by which that may be wrong either way
+    offset_ms: float  # the other router's wall clock minus this router's steady clock
+    uncertainty_ms: float  # maximum error of the offset in either direction
     received_at_ms: float
 
 
 class WallClock:
-    """Wall time (Unix ms) on the steady clock (ms). Raises nothing.
+    """The wall time (Unix ms) as a function of the steady clock (ms). No method raises.
 
-    ``max_error_ms``: by which wall clocks may differ. ``max_drift_rate``: part by which a clock may run
-    fast or slow.
+    Args:
+        router_count: Number of routers in the fleet, including this one.
+        max_error_ms: Maximum difference between wall clocks that work correctly.
+        max_drift_rate: Maximum fraction by which a clock runs fast or slow.
     """
 
     def __init__(self, router_count: int, max_error_ms: float, max_drift_rate: float) -> None:
-        self.router_count, self.max_error_ms, self.max_drift_rate = router_count, max_error_ms, max_drift_rate
-        self.followed_offset_ms: float | None = None  # wall less steady clock; None: no reading came yet
-        self.read_at_ms = 0.0  # of the host's last reading
-        self.unfollowed_offset_ms: float | None = None  # the host's, while it has stepped unconfirmed
-        self.stepped_at_ms = 0.0  # when that was first seen
-        self.samples: dict[int, _OffsetSample] = {}  # by router
-        self.step_count = self.invalid_sample_count = 0
+        self.router_count = router_count
+        self.max_error_ms = max_error_ms
+        self.max_drift_rate = max_drift_rate
+        self.followed_offset_ms: float | None = None  # wall clock minus steady clock; None: no reading yet
+        self.read_at_ms = 0.0  # time of the last host reading
+        self.unfollowed_offset_ms: float | None = None  # of the host's clock after an unconfirmed step
+        self.stepped_at_ms = 0.0  # when the unconfirmed step was first seen
+        self.samples: dict[int, _OffsetSample] = {}  # latest sample by router index
+        self.step_count = 0
+        self.invalid_sample_count = 0
 
     def on_host_reading(self, now_ms: float, unix_ms: float, has_window: bool) -> str | None:
-        """Take a reading of the host's wall clock; a line to log where it stepped or went back.
+        """Process a reading of the host's wall clock; return a log line if the clock stepped or stepped back.
 
-        ``has_window``: a window is known, so a step is followed only if other routers confirm it.
+        Args:
+            now_ms: The time on the steady clock.
+            unix_ms: The host's wall time.
+            has_window: Whether a window is known. If True, the clock follows a step only if other routers
+                confirm the step.
         """
         if not math.isfinite(unix_ms):
             return None
         offset_ms = unix_ms - now_ms
         if self.followed_offset_ms is None:
-            self.followed_offset_ms, self.read_at_ms = offset_ms, now_ms
+            self.followed_offset_ms = offset_ms
+            self.read_at_ms = now_ms
             return None
         allowed_drift_ms = self.max_drift_rate * max(0.0, now_ms - self.read_at_ms) * 2.0
         self.read_at_ms = now_ms
         gap_ms = offset_ms - self.followed_offset_ms
         if abs(gap_ms) <= STEP_THRESHOLD_MS + allowed_drift_ms:
             self.followed_offset_ms += min(max(gap_ms, -allowed_drift_ms), allowed_drift_ms)
-            is_back, self.unfollowed_offset_ms = self.unfollowed_offset_ms is not None, None
+            is_back = self.unfollowed_offset_ms is not None
+            self.unfollowed_offset_ms = None
             return format_event("wall_clock_step_undone") if is_back else None
         is_new_step = (
             self.unfollowed_offset_ms is None
             or abs(offset_ms - self.unfollowed_offset_ms) > STEP_THRESHOLD_MS + allowed_drift_ms
         )
         if is_new_step:
-            self.stepped_at_ms, self.step_count = now_ms, self.step_count + 1
+            self.stepped_at_ms = now_ms
+            self.step_count += 1
         self.unfollowed_offset_ms = offset_ms
         step_s = f"{gap_ms / 1000.0:+.1f}"
         if not has_window or self._is_step_confirmed(now_ms, offset_ms):
-            self.followed_offset_ms, self.unfollowed_offset_ms = offset_ms, None
+            self.followed_offset_ms = offset_ms
+            self.unfollowed_offset_ms = None
             return format_event("wall_clock_stepped", step_s=step_s, followed=True)
         return format_event("wall_clock_stepped", step_s=step_s, followed=False) if is_new_step else None
 
     def unix_ms(self, now_ms: float) -> float:
-        """The wall time that is followed, which other routers are told too. NaN before any reading."""
+        """Return the followed wall time, which other routers receive too; NaN before the first reading."""
         return now_ms + self.followed_offset_ms if self.followed_offset_ms is not None else math.nan
 
     # Comparison with other routers.
 
     def add_sample(self, now_ms: float, sender: int, unix_ms: float, sent_at_ms: float) -> None:
-        """Take another router's response: the wall time that it follows, as requested at ``sent_at_ms``.
+        """Store the wall time that another router follows, as reported in a response received now.
 
-        The response was made between the request and now, so the offset may be wrong by half of that time.
+        The other router read its clock between ``sent_at_ms``, when the request was sent, and ``now_ms``, so
+        the offset may be wrong by half of the round trip.
         """
         round_trip_ms = now_ms - sent_at_ms
         is_known_router = 0 <= sender < self.router_count
@@ -107,9 +123,9 @@
         self.samples[sender] = _OffsetSample(unix_ms - midpoint_ms, round_trip_ms / 2.0, now_ms)
 
     def peer_offset_bounds_ms(self, now_ms: float) -> OffsetBounds:
-        """How far the median of all clocks is ahead of this one; no offset where there are too few samples.
+        """Return by how much the median of all clocks is ahead of this one; no offset without a quorum.
 
-        With one other router nobody can tell whose clock deviates: both may.
+        With only one other router, the samples cannot show which of the two clocks deviates.
         """
         if self.followed_offset_ms is None:
             return NO_OFFSET
@@ -119,9 +135,11 @@
         self._drop_old_samples(now_ms)
         if not self._has_quorum():
             return NO_OFFSET
-        lower_offsets, upper_offsets = [0.0], [0.0]  # the own clock's
+        lower_offsets = [0.0]  # the own clock
+        upper_offsets = [0.0]
         for sample in self.samples.values():
-            ahead_ms, uncertainty_ms = sample.offset_ms - own_offset_ms, self._uncertainty_ms(now_ms, sample)
+            ahead_ms = sample.offset_ms - own_offset_ms
+            uncertainty_ms = self._uncertainty_ms(now_ms, sample)
             lower_offsets.append(ahead_ms - uncertainty_ms)
             upper_offsets.append(ahead_ms + uncertainty_ms)
         lower_offsets.sort()
@@ -145,9 +163,10 @@
         return sample.uncertainty_ms + 2.0 * self.max_drift_rate * (now_ms - sample.received_at_ms)
 
     def _is_step_confirmed(self, now_ms: float, offset_ms: float) -> bool:
-        """Whether most other routers follow the time that this clock stepped to.
+        """Return whether most other routers follow the time to which the host's clock stepped.
 
-        They tell what they follow, so a step that one bad source gives to all at once is not confirmed.
+        Routers report the time that they follow, not the time of their hosts. A wrong time source that steps
+        all hosts at once is therefore not confirmed.
         """
         agreeing = sum(
             abs(sample.offset_ms - offset_ms) <= self.max_error_ms + self._uncertainty_ms(now_ms, sample)
@@ -156,27 +175,30 @@
         self._drop_old_samples(now_ms)
         return self._has_quorum() and 2 * agreeing > len(self.samples)
 
-    # What windows are decided by.
+    # Results that determine when windows start and end.
 
     def deviation_ms(self, now_ms: float) -> float:
-        """How far most other clocks are ahead of this one, where that is over the stated error; else 0."""
+        """Return by how much the median clock is ahead of this one if over ``max_error_ms``; else 0."""
         bounds = self.peer_offset_bounds_ms(now_ms)
         worst_ms = bounds.lower_ms if abs(bounds.lower_ms) > abs(bounds.upper_ms) else bounds.upper_ms
         is_over_error = bounds.lower_ms > self.max_error_ms or bounds.upper_ms < -self.max_error_ms
         return worst_ms if is_over_error else 0.0
 
     def unix_ms_bounds(self, now_ms: float) -> tuple[float, float]:
-        """The range that the wall time is in: a window begins by the latest and ends by the earliest.
+        """Return the range that contains the wall time, Unix ms: the earliest and the latest.
 
-        The stated error widens the range both ways. A clock that deviates by more widens it by its
-        deviation; past the longest window it is no evidence, and the others' alone count. A step that is
-        not followed may make a window begin earlier, never end later: what is in force ends at its end by
-        the steady clock.
+        A window starts when the latest reaches its start, and ends when the earliest reaches its end.
+        ``max_error_ms`` widens the range in both directions. A larger deviation of this router's clock
+        widens the range by the deviation. If the deviation exceeds the longest window, only the clocks of
+        the other routers count. A step that is not followed only raises the latest: a window may start
+        earlier, but never ends later than its end by the steady clock.
         """
         if self.followed_offset_ms is None:
             return -math.inf, math.inf
-        unix_ms, error_ms = self.unix_ms(now_ms), self.max_error_ms
-        earliest = latest = unix_ms
+        unix_ms = self.unix_ms(now_ms)
+        error_ms = self.max_error_ms
+        earliest = unix_ms
+        latest = unix_ms
         if self.deviation_ms(now_ms) != 0.0:
             lower_ms, upper_ms = self.peer_offset_bounds_ms(now_ms)
             is_far_off = max(abs(lower_ms), abs(upper_ms)) > MAX_WINDOW_MS
--- a/cedarthread/change_freeze/window.py
+++ b/cedarthread/change_freeze/window.py
@@ -1,8 +1,10 @@
-"""One freeze window at one router: a state machine over the versions of its entries that may be in effect.
+"""One freeze window at one router: a state machine over the versions of the window's entries.
 
-What restricts is in effect as soon as it is held; what relaxes is in effect only once it has been
-replicated to a majority for the staleness bound. Both come out of one rule: all versions of a window are in
-effect together until a later one has been replicated for so long (docs/design/freeze.md, steps 12 to 16).
+A restriction is in effect as soon as this router receives its entry. A relaxation is in effect only after its
+entry has been on a majority of routers for the staleness bound. One rule implements both: all versions of a
+window are in effect together until a later version has been on a majority for the staleness bound
+(docs/design/freeze.md, steps 12 to 16). The window registry adds versions; the change freeze component
+updates the state.
 """
 
 from __future__ import annotations
@@ -24,14 +26,14 @@
 if TYPE_CHECKING:
     from cedarthread.components.replicated_state import ReplicatedEntry
 
-MAX_VERSIONS = 8  # of one window that are in effect together; more are merged into one that covers them
+MAX_VERSIONS = 8  # in effect together for one window; beyond, the two oldest are merged into their union
 
 
 class WindowState(StrEnum):
-    """The state of a window at one router; the values are figures that operators read."""
+    """The state of a window at one router; the values are shown to operators."""
 
     DECLARED = "declared"
-    PENDING = "due"  # it begins within the staleness bound
+    PENDING = "due"  # starts within the staleness bound
     IN_FORCE = "in force"
     LIFTED = "broken open"  # by break-glass
     ENDED = "ended"
@@ -43,13 +45,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """One look at the clocks: the steady clock, and the wall clock as a range, in Unix ms."""
+    """One reading of the steady clock, and of the wall clock as a range in Unix ms."""
 
     now_ms: float  # steady clock
     earliest_unix_ms: float
     latest_unix_ms: float
-    staleness_bound_ms: float  # B of the replicated store's design page
-    lead_ms: float = 0.0  # by which windows begin earlier: the next look may come so much later
+    staleness_bound_ms: float  # B in docs/design/register.md
+    lead_ms: float = 0.0  # by which windows start early, because the next reading may be that much later
 
 
 _BodyT = TypeVar("_BodyT", WindowTerms, Revocation, BreakGlass)
@@ -57,14 +59,14 @@
 
 @dataclass(slots=True)
 class _StoredVersion(Generic[_BodyT]):
-    """One version of an entry as this router holds it."""
+    """One version of an entry, with its decoded body."""
 
     replicated: ReplicatedEntry
     body: _BodyT
-    is_predecessor_unknown: bool = False  # it replaced a version that this router never held
+    is_predecessor_unknown: bool = False  # replaced a version that this router never received
 
     def is_effective(self, reading: ClockReading) -> bool:
-        """Whether all fresh routers hold it by now, so that what it relaxes is relaxed."""
+        """Return whether all fresh routers have this version by now, so its relaxations are in effect."""
         replicated_at_ms = self.replicated.replicated_at_ms
         return (
             replicated_at_ms is not None and reading.now_ms >= replicated_at_ms + reading.staleness_bound_ms
@@ -73,7 +75,7 @@
 
 @dataclass(slots=True)
 class FreezeWindow:
-    """One window as one router holds it: its versions that may be in effect, the oldest first."""
+    """One window at one router: the versions of its entries that may be in effect, oldest first."""
 
     window_id: str
     versions: list[_StoredVersion[WindowTerms]] = field(default_factory=list)
@@ -83,7 +85,7 @@
     was_declared_late: bool = False  # less than the staleness bound before its start
 
     def add(self, replicated: ReplicatedEntry, body: WindowBody) -> bool:
-        """Hold an entry, or what is newly known of its replication; whether it was not held before."""
+        """Add an entry, or update its replication time; return whether the entry is new."""
         if isinstance(body, Revocation):
             is_new = self.revocation is None
             if is_new or not self._is_older(replicated, self.revocation):
@@ -111,13 +113,13 @@
                 version.replicated = replicated
                 return False
         if versions and replicated.entry.version < versions[-1].replicated.entry.version:
-            return False  # the replicated store never goes back: this is an old version that comes late
+            return False  # an old version that arrives late; the replicated store never reverts to one
         is_predecessor_unknown = not versions and replicated.entry.replaces_digest != 0
         versions.append(_StoredVersion(replicated, body, is_predecessor_unknown))
         return True
 
     def update(self, reading: ClockReading) -> tuple[WindowTerms, ...]:
-        """Drop versions that are superseded by now, set the state, and return the terms in force."""
+        """Drop superseded versions, set the state, and return the terms in force."""
         _drop_superseded(self.versions, reading)
         _drop_superseded(self.break_glass, reading)
         in_force = tuple(
@@ -137,7 +139,8 @@
             and not version.is_effective(reading)
             and reading.now_ms < version.replicated.received_at_ms + MAX_WINDOW_MS
         ):
-            # Other routers may still act on the unknown version that it replaced: all may be frozen.
+            # Other routers may still act on the replaced version. Its terms are unknown here, so every kind
+            # of change is frozen.
             return WindowTerms(
                 terms.window_id,
                 0,
@@ -156,7 +159,7 @@
     def _next_state(self, reading: ClockReading, is_covered: bool) -> WindowState:
         if self.revocation is not None and (
             self.state is WindowState.REVOKED or self.revocation.is_effective(reading)
-        ):  # once revoked, a later version of the revocation does not bring the window back
+        ):  # a later version of the revocation does not end the revoked state
             return WindowState.REVOKED
         if is_covered:
             return WindowState.LIFTED if self._is_lifted(reading) else WindowState.IN_FORCE
@@ -171,7 +174,11 @@
         return WindowState.PENDING if begins_soon else WindowState.DECLARED
 
     def _is_lifted(self, reading: ClockReading) -> bool:
-        """Break-glass lasts from when all fresh routers hold it to the earliest end that is held."""
+        """Return whether break-glass is in effect.
+
+        Break-glass starts once all fresh routers have its oldest version, and ends at the earliest end of its
+        versions.
+        """
         return (
             bool(self.break_glass)
             and self.break_glass[0].is_effective(reading)
@@ -179,20 +186,23 @@
         )
 
     def earliest_start_unix_ms(self) -> float:
-        """The earliest start of the versions held; 0 where none is."""
+        """Return the earliest start of the versions in effect; 0 without a version."""
         return min((version.body.start_unix_ms for version in self.versions), default=0)
 
     def latest_end_unix_ms(self) -> float:
-        """The latest end of the versions held; 0 where none is."""
+        """Return the latest end of the versions in effect; 0 without a version."""
         return max((version.body.end_unix_ms for version in self.versions), default=0)
 
     def minimum_exception_budget(self) -> int:
-        """The least budget of the versions held: it rises only once all fresh routers know."""
+        """Return the least exception budget of the versions in effect.
+
+        A budget rises only after all fresh routers have the version that raises it.
+        """
         return min((version.body.exception_budget for version in self.versions), default=0)
 
 
 def _drop_superseded(versions: list[_StoredVersion[_BodyT]], reading: ClockReading) -> None:
-    """Drop all versions before the latest one that all fresh routers hold."""
+    """Drop all versions before the latest one that all fresh routers have."""
     for index in range(len(versions) - 1, 0, -1):
         if versions[index].is_effective(reading):
             del versions[:index]
--- a/cedarthread/change_freeze/window_entries.py
+++ b/cedarthread/change_freeze/window_entries.py
@@ -1,7 +1,7 @@
 """Entries of the replicated store that declare freeze windows: records, validation and codec.
 
-An entry's body is a MessagePack array in canonical form: one meaning has exactly one encoding, so equal
-declarations have equal digests, and no edit is seen where there is none. Times are Unix ms.
+An entry's body is a MessagePack array in canonical form: each meaning has exactly one encoding. Equal
+declarations therefore have equal digests and do not count as edits. Times are Unix ms.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
     from cedarthread import fleet_config
 
 MAX_WINDOW_MS = MAX_WINDOW_SECONDS * 1000.0
-MAX_NAMES = 256  # of a kind (zones, functions, tenants) in one body
-MAX_TEXT_BYTES = 512  # of a reason or an author
+MAX_NAMES = 256  # zones, functions or tenants in one body
+MAX_TEXT_BYTES = 512  # length of a reason or an author
 MAX_NAME_BYTES = 64
-MAX_EXCEPTION_BUDGET = 10_000  # placement changes that one window may permit
-MAX_UNIX_MS = 2**53  # over it a time is no whole number as a float
+MAX_EXCEPTION_BUDGET = 10_000  # placement changes per window
+MAX_UNIX_MS = 2**53  # a float represents no greater whole number exactly
 ALL_CHANGE_KINDS: tuple[FrozenAction, ...] = get_args(FrozenAction)
 
 
 class _EntryBody(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A body is an array of values in a fixed order: field names are not on the wire."""
+    """The body of an entry: on the wire an array of values in the order of the fields."""
 
 
 class WindowTerms(_EntryBody, frozen=True):
-    """What one version of a window says. An empty tuple of names means all of that kind."""
+    """The terms of one version of a window. An empty tuple of names, ids or tenants means all of them."""
 
     window_id: str
     start_unix_ms: int
@@ -49,7 +49,7 @@
 
 
 class Revocation(_EntryBody, frozen=True):
-    """Ends a window early and for good: a window that is wanted after all takes another id."""
+    """The body that ends a window early and permanently; a later window requires another id."""
 
     window_id: str
     author: str
@@ -57,7 +57,7 @@
 
 
 class BreakGlass(_EntryBody, frozen=True):
-    """Lifts a window until ``end_unix_ms``."""
+    """The body that lifts a window until ``end_unix_ms``."""
 
     window_id: str
     end_unix_ms: int
@@ -74,7 +74,11 @@
 
 
 def entries_from_config(fleet: fleet_config.FleetConfig) -> list[tuple[EntryKind, str, bytes]]:
-    """Kind, name and body of each entry of a file. FleetConfigError: one that no router would accept."""
+    """Return kind, name and encoded body of each entry that a fleet file declares.
+
+    Raises:
+        FleetConfigError: An entry is invalid, so that no router would accept it.
+    """
     bodies: list[tuple[EntryKind, WindowBody]] = []
     for window in fleet.freeze:
         bodies.append((EntryKind.FREEZE, _window_terms(window)))
@@ -92,12 +96,12 @@
 
 
 def encode(body: WindowBody) -> bytes:
-    """The canonical encoding of a body."""
+    """Return the canonical encoding of a body."""
     return msgspec.msgpack.encode(body)
 
 
 def decode(kind: EntryKind, name: str, raw: bytes) -> WindowBody | MalformedDatagram:
-    """The body of an entry, or why it cannot be read. Raises nothing, whatever the bytes are."""
+    """Return the body of an entry, or why the bytes are malformed; never raise, even on hostile bytes."""
     if (body_type := _BODY_TYPES.get(kind)) is None:
         return MalformedDatagram(f"{kind} is not about windows")
     try:
@@ -108,7 +112,7 @@
         return MalformedDatagram("the body is of another window than its name")
     if (problem := _error_in(body)) is not None:
         return MalformedDatagram(problem)
-    # Two encodings of one meaning would have two digests, and look like an edit each.
+    # A second encoding of one meaning would have another digest, and would count as an edit.
     return body if encode(body) == raw else MalformedDatagram("not the canonical encoding")
 
 
@@ -136,7 +140,7 @@
 
 
 def _error_in(body: WindowBody) -> str | None:
-    """What is invalid in a body, None for nothing: entries come over the network, from any author."""
+    """Return what is invalid in a body, or None; entries arrive over the network from any author."""
     if not 1 <= len(body.window_id.encode()) <= MAX_NAME_BYTES:
         return "no name of 1 to 64 bytes"
     if max(len(body.author.encode()), len(body.reason.encode())) > MAX_TEXT_BYTES:
@@ -171,7 +175,7 @@
 
 
 def strictest_union(first: WindowTerms, second: WindowTerms) -> WindowTerms:
-    """Terms at least as strict as both together at any time: wider than needed, never narrower."""
+    """Return terms that at any time are at least as strict as both together, and may be stricter."""
 
     def union(names: tuple[str, ...], other_names: tuple[str, ...]) -> tuple[str, ...]:
         return _sorted_unique((*names, *other_names)) if names and other_names else ()
--- a/cedarthread/change_freeze/window_registry.py
+++ b/cedarthread/change_freeze/window_registry.py
@@ -1,4 +1,7 @@
-"""All freeze windows that a router holds, read from the entries of the replicated store."""
+"""The registry of all freeze windows of one router, decoded from entries of the replicated store.
+
+The change freeze component passes the entries.
+"""
 
 from __future__ import annotations
 
@@ -12,39 +15,39 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MAX_UNREADABLE_ENTRIES = 256  # that are remembered, so that each is logged once
+MAX_UNREADABLE_ENTRIES = 256  # remembered so that each is logged once
 WINDOW_ENTRY_KINDS = (EntryKind.FREEZE, EntryKind.REVOKE, EntryKind.BREAK_GLASS)
 
 
 class NewVersion(NamedTuple):
-    """A version of a window's terms that was not held before."""
+    """A version of a window's terms that the registry did not contain before."""
 
     window: FreezeWindow
     terms: WindowTerms
 
 
 class UnreadableEntry(NamedTuple):
-    """An entry whose body cannot be read, and why."""
+    """An entry with a malformed body, and the reason."""
 
     entry: Entry
     reason: str
 
 
 class WindowRegistry:
-    """Windows by id."""
+    """The windows by id, the latest entries, and the entries that could not be decoded."""
 
     def __init__(self) -> None:
         self.windows: dict[str, FreezeWindow] = {}
         self.last_entries: dict[tuple[EntryKind, str], ReplicatedEntry] = {}
-        self.unreadable: dict[Entry, str] = {}  # why
+        self.unreadable: dict[Entry, str] = {}  # reason by entry
 
     @property
     def has_entries(self) -> bool:
-        """Whether any entry about windows is held, readable or not."""
+        """Return whether the registry contains any entry about windows, readable or not."""
         return bool(self.windows or self.unreadable)
 
     def add(self, entries: Iterable[ReplicatedEntry]) -> list[NewVersion | UnreadableEntry]:
-        """Take entries of any kind; what came of them that is to be logged, in their order."""
+        """Add the entries about windows; return new versions and unreadable entries in order, for the log."""
         findings: list[NewVersion | UnreadableEntry] = []
         for replicated in entries:
             entry = replicated.entry
@@ -66,7 +69,7 @@
         return findings
 
     def forget_removed(self, replicated_state: ReplicatedState) -> list[str]:
-        """Forget windows that the replicated store has forgotten, long after their end; their ids."""
+        """Remove ended or revoked windows without an entry in the replicated store; return their ids."""
         names = {
             replicated.entry.name
             for kind in WINDOW_ENTRY_KINDS
@@ -86,9 +89,10 @@
     def has_step_sensitive_window(
         self, unix_ms: float, max_error_ms: float, staleness_bound_ms: float
     ) -> bool:
-        """Whether a step of the wall clock to this time could open, skip or bring back a window.
+        """Return whether a step of the wall clock to this time could open, skip or reopen a window.
 
-        Not a window that begins later by both times: a clock that is set right before it is followed.
+        Three windows are not affected: one that starts later than the staleness bound by both times, because
+        the clock may be corrected first; one that has ended by both times; and a revoked one.
         """
         for window in self.windows.values():
             if window.state is WindowState.ENDED and window.latest_end_unix_ms() <= unix_ms - max_error_ms:
