--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -1,7 +1,7 @@
 """The admission gate, which permits, denies or defers each change of where functions are placed.
 
-Each code path that changes placements consults the gate before the change. docs/design/freeze.md lists these
-paths, and ``placement_paths`` checks the source against that list. ``ChangeFreezeComponent`` writes the
+Each code path that changes placements consults the gate before the change. docs/design/change-freeze.md lists
+these paths, and ``placement_paths`` checks the source against that list. ``ChangeFreezeComponent`` writes the
 gate's rules and flags; the other state changes as the router consults the gate. All times are ms on the
 steady clock.
 """
@@ -9,9 +9,9 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
-from cedarthread.change_freeze.call_routing import PlacementCandidate, RoutingVerdict, route_call
+from cedarthread.change_freeze.call_routing import PlacementCandidate, RoutingDecision, route_call
 from cedarthread.change_freeze.deferred_changes import DeferredChange, DeferredChanges
 from cedarthread.change_freeze.placement_changes import (
     RELEASING,
@@ -20,17 +20,19 @@
     AdmissionDecision,
     FreezeRule,
     PlacementChange,
+    PlacementChangeKind,
 )
 from cedarthread.change_freeze.placement_table import PlacementTable
 
 if TYPE_CHECKING:
-    from collections.abc import Callable, Sequence
+    from collections.abc import Callable, Iterable, Sequence
 
     from cedarthread.components.quota_escrow import QuotaEscrow
     from cedarthread.model.settings import RouterSettings
 
 MAX_RETAINED_HOMES = 4096  # functions of which the gate remembers the home workers from before a window
-LOADING_KINDS = ("first-copy", "order")  # the changes that bring an instance to a worker
+# The changes that load an instance at a worker:
+LOADING_KINDS = (PlacementChangeKind.FIRST_INSTANCE, PlacementChangeKind.PRELOAD)
 
 
 def exception_pool_name(window_id: str) -> str:
@@ -38,6 +40,13 @@
     return f"freeze/{window_id}"
 
 
+class HomeWorkers(NamedTuple):
+    """The ready workers in the order of preference for a function; the first ``home_count`` are its homes."""
+
+    worker_ids: Sequence[int]
+    home_count: int
+
+
 class AdmissionGate:
     """Decides for one router which placement changes may be made while freeze windows are in force.
 
@@ -46,10 +55,13 @@
 
     Args:
         escrow: Contains the exception budgets of the windows in force.
+        acquire_release: Returns whether one deferred change may be released now; consumes a release token if
+            so.
     """
 
-    def __init__(self, escrow: QuotaEscrow) -> None:
+    def __init__(self, escrow: QuotaEscrow, acquire_release: Callable[[float], bool]) -> None:
         self.escrow = escrow
+        self.acquire_release = acquire_release
         self.is_active = False
         self.rules: tuple[FreezeRule, ...] = ()
         self.is_uncertain = False  # this router may lack a window, so all changes count as frozen
@@ -59,14 +71,26 @@
         self.deferred_settings: RouterSettings | None = None
         self.exceptions_used = 0
         self.denied_count = 0
-        # Consumes one release token if it returns more than 0.
-        self.take_release: Callable[[float], int] = lambda now_ms: 1
+
+    def set_rules(self, rules: Iterable[FreezeRule], *, has_active_window: bool) -> None:
+        """Replace the rules in force, and set from them whether placements are frozen and the gate is active.
+
+        Args:
+            rules: The rules of all windows in force.
+            has_active_window: Whether a window is in force, about to start, or lifted by break-glass, so that
+                placements must be tracked.
+        """
+        self.rules = tuple(dict.fromkeys(rules))  # without duplicates
+        self.placements.is_frozen = bool(self.rules) or self.is_uncertain
+        self.is_active = self.is_uncertain or has_active_window or bool(self.deferred_changes)
+        if not self.is_active:
+            self.retained_homes.clear()
 
     def is_frozen(self, change: PlacementChange) -> bool:
         """Return whether a rule in force freezes the change, without regard to the exception budget."""
         return self.is_active and (self.is_uncertain or any(rule.covers(change) for rule in self.rules))
 
-    def is_emergency(self, function_id: int, has_alternatives: bool) -> bool:
+    def is_emergency(self, function_id: int, *, has_alternatives: bool) -> bool:
         """Return whether an exception may be used for a call of the function.
 
         An emergency exists if no worker where the function is placed has capacity, or if most of the
@@ -100,8 +124,15 @@
             return True
         if is_placed:
             self.placements.record(now_ms, function_id, worker_id)
-        is_emergency = self.is_emergency(function_id, has_alternatives)
-        change = PlacementChange("first-copy", worker_id, function_id, zone_index, tenant_index, is_emergency)
+        is_emergency = self.is_emergency(function_id, has_alternatives=has_alternatives)
+        change = PlacementChange(
+            PlacementChangeKind.FIRST_INSTANCE,
+            worker_id,
+            function_id,
+            zone_index,
+            tenant_index,
+            is_emergency,
+        )
         if self._can_place(now_ms, change):
             return True
         self._defer(change)
@@ -141,7 +172,7 @@
         function_id: int,
         tenant_index: int | None,
         candidates: Sequence[PlacementCandidate],
-    ) -> tuple[RoutingVerdict, int | None]:
+    ) -> RoutingDecision:
         """Apply ``call_routing.route_call`` under the rules in force.
 
         Besides the candidates that are open already, a candidate counts as open if no rule freezes a load
@@ -149,15 +180,20 @@
         not open and not selected is deferred.
         """
 
-        def first_copy(candidate: PlacementCandidate, is_emergency: bool) -> PlacementChange:
-            worker_id = candidate.worker_id
-            zone_index = candidate.zone_index
+        def load_at(candidate: PlacementCandidate, *, is_emergency: bool) -> PlacementChange:
             return PlacementChange(
-                "first-copy", worker_id, function_id, zone_index, tenant_index, is_emergency
+                PlacementChangeKind.FIRST_INSTANCE,
+                candidate.worker_id,
+                function_id,
+                candidate.zone_index,
+                tenant_index,
+                is_emergency,
             )
 
-        def can_place(candidate: PlacementCandidate, is_emergency: bool) -> bool:
-            return not self.is_active or self._can_place(now_ms, first_copy(candidate, is_emergency))
+        def can_place(candidate: PlacementCandidate, *, is_emergency: bool) -> bool:
+            return not self.is_active or self._can_place(
+                now_ms, load_at(candidate, is_emergency=is_emergency)
+            )
 
         seen = [
             replace(candidate, is_open=candidate.is_open or can_place(candidate, is_emergency=False))
@@ -171,40 +207,40 @@
             for candidate in seen
             if candidate.is_open or (is_emergency and can_place(candidate, is_emergency=True))
         ]
-        verdict, worker_id = route_call(eligible, is_emergency)
+        decision = route_call(eligible, is_load_permitted=is_emergency)
         for candidate in seen:
-            if candidate.is_ready and not candidate.is_open and candidate.worker_id != worker_id:
-                self._defer(first_copy(candidate, is_emergency))
+            if candidate.is_ready and not candidate.is_open and candidate.worker_id != decision.worker_id:
+                self._defer(load_at(candidate, is_emergency=is_emergency))
                 break
-        return verdict, worker_id
+        return decision
 
     def home_workers(
         self, now_ms: float, function_id: int, ready_workers: Sequence[int], home_count: int
-    ) -> tuple[Sequence[int], int]:
+    ) -> HomeWorkers:
         """Return the ready workers in the order of preference for the function, and its number of homes.
 
         While home workers are frozen, the homes are those from before the freeze that are still ready. Homes
         that are lost during the freeze are not replaced.
         """
         if not self.is_active:
-            return ready_workers, home_count
+            return HomeWorkers(ready_workers, home_count)
         homes = tuple(ready_workers[:home_count])
-        change = PlacementChange("homes", None, function_id)
-        is_free = not self.is_frozen(change) and not self.deferred_changes.includes("homes", function_id)
+        change = PlacementChange(PlacementChangeKind.HOME_WORKERS, None, function_id)
+        is_free = not self.is_frozen(change) and not self.deferred_changes.includes(change.kind, function_id)
         retained_homes = self.retained_homes.get(function_id)
         if is_free or retained_homes is None:
             if len(self.retained_homes) < MAX_RETAINED_HOMES or retained_homes is not None:
                 self.retained_homes[function_id] = homes
-            return ready_workers, home_count
+            return HomeWorkers(ready_workers, home_count)
         if homes != retained_homes:
             self._defer(change)
         ready = set(ready_workers)
         retained_ready = [worker_id for worker_id in retained_homes if worker_id in ready]
         if not retained_ready:
-            return ready_workers, min(home_count, 1)
+            return HomeWorkers(ready_workers, min(home_count, 1))
         known = set(retained_ready)
         others = (worker_id for worker_id in ready_workers if worker_id not in known)
-        return [*retained_ready, *others], len(retained_ready)
+        return HomeWorkers([*retained_ready, *others], len(retained_ready))
 
     def admitted_settings(self, now_ms: float, old: RouterSettings, new: RouterSettings) -> RouterSettings:
         """Return the settings to apply now: the new ones, without changes that the freeze defers.
@@ -215,7 +251,7 @@
         if not self.is_active or (without_moves := _with_placement_settings_of(old, new)) == new:
             self.deferred_settings = None
             return new
-        if self.admit(now_ms, PlacementChange("retune", None, None)).is_permitted:
+        if self.admit(now_ms, PlacementChange(PlacementChangeKind.SETTINGS, None, None)).is_permitted:
             self.deferred_settings = None
             return new
         self.deferred_settings = new
@@ -223,9 +259,9 @@
 
     def release(self, now_ms: float) -> list[DeferredChange]:
         """Remove and return the deferred changes that are no longer frozen, as many as the rate permits."""
-        released = self.deferred_changes.release(now_ms, self.is_frozen, self.take_release)
+        released = self.deferred_changes.release(now_ms, self.is_frozen, self.acquire_release)
         for deferred in released:
-            if deferred.kind == "homes" and deferred.function_id is not None:
+            if deferred.kind is PlacementChangeKind.HOME_WORKERS and deferred.function_id is not None:
                 self.retained_homes.pop(deferred.function_id, None)
         return released
 
@@ -268,7 +304,7 @@
             self.deferred_changes.add(change)
 
     def _try_release(self, now_ms: float, change: PlacementChange) -> bool:
-        if self.take_release(now_ms) < 1:
+        if not self.acquire_release(now_ms):
             return False
         self.deferred_changes.discard(change.kind, change.function_id)
         return True
--- a/cedarthread/change_freeze/call_routing.py
+++ b/cedarthread/change_freeze/call_routing.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 from enum import Enum
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -23,6 +23,13 @@
     REJECT = "refuse"  # no worker is open, and no exception permits a load
 
 
+class RoutingDecision(NamedTuple):
+    """The verdict on one call, and the worker of the verdict; None for a rejected call."""
+
+    verdict: RoutingVerdict
+    worker_id: int | None
+
+
 @dataclass(frozen=True, slots=True)
 class PlacementCandidate:
     """A worker to which a call may be sent."""
@@ -35,9 +42,7 @@
     zone_index: int | None = None
 
 
-def route_call(
-    candidates: Iterable[PlacementCandidate], is_load_permitted: bool
-) -> tuple[RoutingVerdict, int | None]:
+def route_call(candidates: Iterable[PlacementCandidate], *, is_load_permitted: bool) -> RoutingDecision:
     """Return the verdict on a call and the worker of the verdict.
 
     An open worker with capacity is preferred. Without one, the call loads its function at another worker if
@@ -51,11 +56,11 @@
     open_candidates = [candidate for candidate in ready if candidate.is_open]
     for candidate in open_candidates:
         if candidate.has_capacity:
-            return RoutingVerdict.SEND, candidate.worker_id
+            return RoutingDecision(RoutingVerdict.SEND, candidate.worker_id)
     if is_load_permitted:
         for candidate in ready:
             if not candidate.is_open:
-                return RoutingVerdict.LOAD, candidate.worker_id
+                return RoutingDecision(RoutingVerdict.LOAD, candidate.worker_id)
     if open_candidates:
-        return RoutingVerdict.WAIT, open_candidates[0].worker_id
-    return RoutingVerdict.REJECT, None
+        return RoutingDecision(RoutingVerdict.WAIT, open_candidates[0].worker_id)
+    return RoutingDecision(RoutingVerdict.REJECT, None)
--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -1,7 +1,7 @@
 """The change freeze component: follows the declared windows and sets the rules of the admission gate.
 
 The component is pure: the caller passes the steady clock (ms) and readings of the host's wall clock.
-Design: docs/design/freeze.md.
+Design: docs/design/change-freeze.md.
 """
 
 from __future__ import annotations
@@ -59,7 +59,9 @@
         now_ms: The time on the steady clock.
         has_read_enough_peers: Returns whether several peers were read completely in this incarnation. If so,
             the entries known at the start count even without confirmation by a majority
-            (docs/design/freeze.md, step 21).
+            (docs/design/change-freeze.md, step 21).
+        acquire_release: Returns whether one deferred change may be released at a time on the steady clock,
+            and consumes a token if so; None: a ``ReleaseRateLimiter`` of this component.
     """
 
     message_types: frozenset[int] = frozenset()
@@ -73,13 +75,13 @@
         *,
         now_ms: float = 0.0,
         has_read_enough_peers: Callable[[], bool] = bool,
+        acquire_release: Callable[[float], bool] | None = None,
     ) -> None:
         self.replicated_state = replicated_state
         self.escrow = escrow
         self.settings = settings
         self.wall_clock = WallClock(max(1, settings.router_count), sharing.clock_error, sharing.clock_rate)
-        self.gate = AdmissionGate(escrow)
-        self.gate.take_release = ReleaseRateLimiter(refilled_at_ms=now_ms)
+        self.gate = AdmissionGate(escrow, acquire_release or ReleaseRateLimiter(refilled_at_ms=now_ms))
         self.registry = WindowRegistry()
         self.stale_hold = StaleHold(now_ms, has_read_enough_peers)
         self.opened_pools: dict[str, tuple[int, float]] = {}  # by window: total, and end on the steady clock
@@ -102,7 +104,8 @@
             self.gate.placements.on_endpoint_update(notification)
         elif isinstance(notification, WallClockRead):
             unix_ms = notification.unix_ms
-            self._log(self.wall_clock.on_host_reading(now_ms, unix_ms, self._has_relevant_window(unix_ms)))
+            has_window = self._has_relevant_window(unix_ms)
+            self._log(self.wall_clock.on_host_reading(now_ms, unix_ms, has_window=has_window))
         elif isinstance(notification, SettingsChanged):
             self.settings = notification.settings
             self.wall_clock.router_count = max(1, notification.settings.router_count)
@@ -216,7 +219,9 @@
 
     def _update_uncertainty(self, now_ms: float) -> None:
         is_fresh = self.replicated_state.is_fresh(now_ms)
-        is_uncertain = self.stale_hold.is_uncertain(now_ms, is_fresh, self.registry.has_entries)
+        is_uncertain = self.stale_hold.is_uncertain(
+            now_ms, is_fresh=is_fresh, has_entries=self.registry.has_entries
+        )
         if is_uncertain != self.gate.is_uncertain and now_ms > self.stale_hold.started_at_ms:
             self._log(
                 format_event("change_freeze_hold_started", reason="this router may have missed a window")
@@ -242,13 +247,8 @@
             if window.state in BUDGETED_STATES:
                 remaining_ms = max(0.0, window.latest_end_unix_ms() - reading.earliest_unix_ms)
                 self._update_exception_pool(window, now_ms + remaining_ms)
-        gate = self.gate
-        gate.rules = tuple(dict.fromkeys(rules))  # without duplicates
-        gate.placements.is_frozen = bool(rules) or gate.is_uncertain
         has_active_window = any(window.state in ACTIVE_STATES for window in self.registry.windows.values())
-        gate.is_active = gate.is_uncertain or has_active_window or bool(gate.deferred_changes)
-        if not gate.is_active:
-            gate.retained_homes.clear()
+        self.gate.set_rules(rules, has_active_window=has_active_window)
 
     def _update_exception_pool(self, window: FreezeWindow, until_ms: float) -> None:
         """Open the window's exception pool, or update its total or end.
--- a/cedarthread/change_freeze/deferred_changes.py
+++ b/cedarthread/change_freeze/deferred_changes.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from cedarthread.fleet_config import FrozenAction
+    from cedarthread.change_freeze.placement_changes import PlacementChangeKind
 
 MAX_DEFERRED_CHANGES = 512  # after an overflow, every change counts as deferred until all are released
 RELEASES_PER_MS = 0.004  # 4 per second: the default if the host passes no limiter of its own
@@ -29,14 +29,14 @@
     tokens: float = RELEASE_BURST
     refilled_at_ms: float = 0.0
 
-    def __call__(self, now_ms: float) -> int:
-        """Return 1 and consume a token if one change may be released now; else return 0."""
+    def __call__(self, now_ms: float) -> bool:
+        """Return whether one change may be released now; consume a token if so."""
         self.tokens = min(self.burst, self.tokens + self.rate_per_ms * max(0.0, now_ms - self.refilled_at_ms))
         self.refilled_at_ms = now_ms
         if self.tokens < 1.0:
-            return 0
+            return False
         self.tokens -= 1.0
-        return 1
+        return True
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
     The worker, zone and tenant are those of the first request.
     """
 
-    kind: FrozenAction
+    kind: PlacementChangeKind
     function_id: int | None
     worker_id: int | None
     request_count: int = 1
@@ -65,7 +65,7 @@
     """All deferred changes of one router, by kind and function."""
 
     def __init__(self) -> None:
-        self.changes: dict[tuple[FrozenAction, int | None], DeferredChange] = {}
+        self.changes: dict[tuple[PlacementChangeKind, int | None], DeferredChange] = {}
         self.has_overflowed = False  # some denied changes were not stored, and which is unknown
 
     def __len__(self) -> int:
@@ -90,11 +90,11 @@
         else:
             self.has_overflowed = True
 
-    def includes(self, kind: FrozenAction, function_id: int | None) -> bool:
+    def includes(self, kind: PlacementChangeKind, function_id: int | None) -> bool:
         """Return whether a change of this kind and function may be deferred and not yet released."""
         return (kind, function_id) in self.changes or (self.has_overflowed and bool(self.changes))
 
-    def discard(self, kind: FrozenAction, function_id: int | None) -> None:
+    def discard(self, kind: PlacementChangeKind, function_id: int | None) -> None:
         """Remove a change that has been made."""
         self.changes.pop((kind, function_id), None)
 
@@ -102,7 +102,7 @@
         self,
         now_ms: float,
         is_frozen: Callable[[PlacementChange], bool],
-        take_release: Callable[[float], int],
+        acquire_release: Callable[[float], bool],
     ) -> list[DeferredChange]:
         """Remove and return the changes that are no longer frozen, as many as the rate permits.
 
@@ -111,12 +111,12 @@
         Args:
             now_ms: The time on the steady clock.
             is_frozen: Returns whether a rule in force freezes a change.
-            take_release: Consumes one release token if it returns more than 0.
+            acquire_release: Returns whether one change may be released now; consumes a release token if so.
         """
         due = [deferred for deferred in self.changes.values() if not is_frozen(deferred.as_change())]
         due.sort(key=lambda deferred: (not deferred.is_emergency, -deferred.request_count))
         released: list[DeferredChange] = []
-        while due and take_release(now_ms) > 0:
+        while due and acquire_release(now_ms):
             deferred = due.pop(0)
             del self.changes[deferred.kind, deferred.function_id]
             released.append(deferred)
--- a/cedarthread/change_freeze/placement_changes.py
+++ b/cedarthread/change_freeze/placement_changes.py
@@ -1,16 +1,23 @@
 """Records of the admission gate: placement changes, decisions, and the rules of windows in force.
 
-docs/design/freeze.md, steps 1 to 4, defines which acts are placement changes.
+docs/design/change-freeze.md, steps 1 to 4, defines which acts are placement changes.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from enum import Enum
-from typing import TYPE_CHECKING, NamedTuple
+from enum import Enum, StrEnum
+from typing import NamedTuple
 
-if TYPE_CHECKING:
-    from cedarthread.fleet_config import FrozenAction
+
+class PlacementChangeKind(StrEnum):
+    """The kind of a placement change; the values stand in fleet files and on the wire."""
+
+    FIRST_INSTANCE = "first-copy"  # a call loads its function at a worker
+    PRELOAD = "order"  # a worker loads a function before a call needs it
+    UNLOAD = "unload"
+    HOME_WORKERS = "homes"  # other workers become the home workers of a function
+    SETTINGS = "retune"  # new settings change where instances are placed
 
 
 class PlacementChange(NamedTuple):
@@ -19,7 +26,7 @@
     A field that is None is unknown: the change may concern any worker, function, zone or tenant.
     """
 
-    kind: FrozenAction
+    kind: PlacementChangeKind
     worker_id: int | None
     function_id: int | None
     zone_index: int | None = None
@@ -65,7 +72,7 @@
     """
 
     window_id: str
-    frozen_kinds: frozenset[str]
+    frozen_kinds: frozenset[PlacementChangeKind]
     zone_indexes: frozenset[int] | None
     function_ids: frozenset[int] | None
     tenant_indexes: frozenset[int] | None
--- a/cedarthread/change_freeze/placement_paths.py
+++ b/cedarthread/change_freeze/placement_paths.py
@@ -19,7 +19,7 @@
 # Attribute and method through which new settings reach the router, which may move home workers:
 SETTINGS_CALL = ("router", "update_settings")
 # The name of the gate that a path must use if it is not on the list:
-GATE_NAME = "gate"
+DEFAULT_GATE_NAME = "gate"
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     module: str  # dotted name below the package
     function: str
     act: str
-    asks_by: str  # a name in the function through which the function consults the gate
+    gate_name: str  # a name in the function through which the function consults the gate
     question: str  # the gate's method, and when the function calls the method
 
 
@@ -71,7 +71,7 @@
 
     function: str
     act: str
-    asks_gate: bool
+    uses_gate: bool
 
 
 def find_change_sites(source: str) -> list[ChangeSite]:
@@ -80,14 +80,14 @@
     Raises:
         SyntaxError: The text is not valid Python.
     """
-    gate_names = {(path.function, path.act): path.asks_by for path in PLACEMENT_PATHS}
+    gate_names = {(path.function, path.act): path.gate_name for path in PLACEMENT_PATHS}
     sites: list[ChangeSite] = []
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.FunctionDef):
             names = {getattr(inner, field, "") for inner in ast.walk(node) for field in ("attr", "id", "arg")}
             acts = dict.fromkeys(act for inner in ast.walk(node) for act in _acts_of(inner))
             sites += [
-                ChangeSite(node.name, act, gate_names.get((node.name, act), GATE_NAME) in names)
+                ChangeSite(node.name, act, gate_names.get((node.name, act), DEFAULT_GATE_NAME) in names)
                 for act in acts
             ]
     return sites
@@ -116,4 +116,4 @@
 
 def find_sites_bypassing_gate(source: str) -> list[ChangeSite]:
     """Return the functions that change placements without consulting the gate."""
-    return [site for site in find_change_sites(source) if not site.asks_gate]
+    return [site for site in find_change_sites(source) if not site.uses_gate]
--- a/cedarthread/change_freeze/stale_hold.py
+++ b/cedarthread/change_freeze/stale_hold.py
@@ -1,7 +1,7 @@
 """The time for which a router that is not fresh freezes all placements, because it may lack a window.
 
 The time is limited because serving calls has precedence over a window that may not exist.
-docs/design/freeze.md, steps 20 and 21, derives the limits.
+docs/design/change-freeze.md, steps 20 and 21, derives the limits.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     has_read_enough_peers: Callable[[], bool]  # whether several peers were read completely since the start
     last_fresh_at_ms: float | None = None  # in this incarnation; None: never
 
-    def is_uncertain(self, now_ms: float, is_fresh: bool, has_entries: bool) -> bool:
+    def is_uncertain(self, now_ms: float, *, is_fresh: bool, has_entries: bool) -> bool:
         """Return whether all placements must stay frozen, because this router may lack a window.
 
         Args:
--- a/cedarthread/change_freeze/wall_clock.py
+++ b/cedarthread/change_freeze/wall_clock.py
@@ -5,7 +5,7 @@
 a gap and opens no window. The offset to another router's clock is computed from a request and its response,
 as in NTP (Mills, RFC 5905); the median offset shows whether this router's clock deviates. The change freeze
 component passes host readings, and the host passes the samples of other routers' clocks.
-Design: docs/design/freeze.md, steps 17 to 19.
+Design: docs/design/change-freeze.md, steps 17 to 19.
 """
 
 from __future__ import annotations
@@ -30,7 +30,15 @@
     upper_ms: float
 
 
+class UnixTimeBounds(NamedTuple):
+    """The range in Unix ms that contains the wall time."""
+
+    earliest_unix_ms: float
+    latest_unix_ms: float
+
+
 NO_OFFSET = OffsetBounds(0.0, 0.0)
+UNKNOWN_TIME = UnixTimeBounds(-math.inf, math.inf)
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +71,7 @@
         self.step_count = 0
         self.invalid_sample_count = 0
 
-    def on_host_reading(self, now_ms: float, unix_ms: float, has_window: bool) -> str | None:
+    def on_host_reading(self, now_ms: float, unix_ms: float, *, has_window: bool) -> str | None:
         """Process a reading of the host's wall clock; return a log line if the clock stepped or stepped back.
 
         Args:
@@ -184,8 +192,8 @@
         is_over_error = bounds.lower_ms > self.max_error_ms or bounds.upper_ms < -self.max_error_ms
         return worst_ms if is_over_error else 0.0
 
-    def unix_ms_bounds(self, now_ms: float) -> tuple[float, float]:
-        """Return the range that contains the wall time, Unix ms: the earliest and the latest.
+    def unix_ms_bounds(self, now_ms: float) -> UnixTimeBounds:
+        """Return the range that contains the wall time.
 
         A window starts when the latest reaches its start, and ends when the earliest reaches its end.
         ``max_error_ms`` widens the range in both directions. A larger deviation of this router's clock
@@ -194,7 +202,7 @@
         earlier, but never ends later than its end by the steady clock.
         """
         if self.followed_offset_ms is None:
-            return -math.inf, math.inf
+            return UNKNOWN_TIME
         unix_ms = self.unix_ms(now_ms)
         error_ms = self.max_error_ms
         earliest = unix_ms
@@ -207,4 +215,4 @@
         if self.unfollowed_offset_ms is not None:
             error_ms += 2.0 * self.max_drift_rate * (now_ms - self.stepped_at_ms)
             latest = max(latest, min(self.unfollowed_offset_ms + now_ms, unix_ms + MAX_WINDOW_MS))
-        return earliest - error_ms, latest + error_ms
+        return UnixTimeBounds(earliest - error_ms, latest + error_ms)
--- a/cedarthread/change_freeze/window.py
+++ b/cedarthread/change_freeze/window.py
@@ -3,7 +3,7 @@
 A restriction is in effect as soon as this router receives its entry. A relaxation is in effect only after its
 entry has been on a majority of routers for the staleness bound. One rule implements both: all versions of a
 window are in effect together until a later version has been on a majority for the staleness bound
-(docs/design/freeze.md, steps 12 to 16). The window registry adds versions; the change freeze component
+(docs/design/change-freeze.md, steps 12 to 16). The window registry adds versions; the change freeze component
 updates the state.
 """
 
@@ -50,7 +50,7 @@
     now_ms: float  # steady clock
     earliest_unix_ms: float
     latest_unix_ms: float
-    staleness_bound_ms: float  # B in docs/design/register.md
+    staleness_bound_ms: float  # B in docs/design/replication.md
     lead_ms: float = 0.0  # by which windows start early, because the next reading may be that much later
 
 
@@ -127,7 +127,7 @@
             for version in self.versions
             if (terms := self._terms_in_force(version, reading)) is not None
         )
-        self.state = self._next_state(reading, bool(in_force))
+        self.state = self._next_state(reading, is_covered=bool(in_force))
         return in_force if self.state is WindowState.IN_FORCE else ()
 
     def _terms_in_force(
@@ -156,7 +156,8 @@
         has_begun = reading.latest_unix_ms + reading.lead_ms >= terms.start_unix_ms
         return terms if has_begun and reading.earliest_unix_ms < terms.end_unix_ms else None
 
-    def _next_state(self, reading: ClockReading, is_covered: bool) -> WindowState:
+    def _next_state(self, reading: ClockReading, *, is_covered: bool) -> WindowState:
+        """Return the next state. ``is_covered``: whether the terms of a version are in force."""
         if self.revocation is not None and (
             self.state is WindowState.REVOKED or self.revocation.is_effective(reading)
         ):  # a later version of the revocation does not end the revoked state
--- a/cedarthread/change_freeze/window_entries.py
+++ b/cedarthread/change_freeze/window_entries.py
@@ -6,13 +6,14 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, get_args
+from typing import TYPE_CHECKING, NamedTuple
 
 import msgspec
 
+from cedarthread.change_freeze.placement_changes import PlacementChangeKind
 from cedarthread.components.datagram_fields import MalformedDatagram
 from cedarthread.components.replicated_state import EntryKind
-from cedarthread.fleet_config import MAX_WINDOW_SECONDS, FleetConfigError, FrozenAction
+from cedarthread.fleet_config import MAX_WINDOW_SECONDS, FleetConfigError
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -26,7 +27,7 @@
 MAX_NAME_BYTES = 64
 MAX_EXCEPTION_BUDGET = 10_000  # placement changes per window
 MAX_UNIX_MS = 2**53  # a float represents no greater whole number exactly
-ALL_CHANGE_KINDS: tuple[FrozenAction, ...] = get_args(FrozenAction)
+ALL_CHANGE_KINDS = tuple(PlacementChangeKind)  # in the canonical order of a body
 
 
 class _EntryBody(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -42,7 +43,7 @@
     zone_names: tuple[str, ...]
     function_ids: tuple[int, ...]
     tenant_names: tuple[str, ...]
-    frozen_kinds: tuple[FrozenAction, ...]
+    frozen_kinds: tuple[PlacementChangeKind, ...]
     exception_budget: int
     author: str
     reason: str
@@ -73,8 +74,16 @@
 }
 
 
-def entries_from_config(fleet: fleet_config.FleetConfig) -> list[tuple[EntryKind, str, bytes]]:
-    """Return kind, name and encoded body of each entry that a fleet file declares.
+class WindowEntry(NamedTuple):
+    """An entry to propose to the replicated store; the name is the window's id."""
+
+    kind: EntryKind
+    name: str
+    body: bytes
+
+
+def entries_from_config(fleet: fleet_config.FleetConfig) -> list[WindowEntry]:
+    """Return the entries that a fleet file declares.
 
     Raises:
         FleetConfigError: An entry is invalid, so that no router would accept it.
@@ -92,7 +101,7 @@
     for kind, body in bodies:
         if (problem := _error_in(body)) is not None:
             raise FleetConfigError(f"{kind} ({body.window_id}): {problem}")
-    return [(kind, body.window_id, encode(body)) for kind, body in bodies]
+    return [WindowEntry(kind, body.window_id, encode(body)) for kind, body in bodies]
 
 
 def encode(body: WindowBody) -> bytes:
--- a/cedarthread/node/constraints.py
+++ b/cedarthread/node/constraints.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from cedarthread.change_freeze.placement_changes import PlacementChange
+from cedarthread.change_freeze.placement_changes import PlacementChange, PlacementChangeKind
 from cedarthread.model.endpoints import EndpointState
 from cedarthread.node.preemption_view import preemption_candidates, preemption_claim
 
@@ -72,12 +72,12 @@
         request, endpoint = pending.request, worker.endpoint
         if self.gate.is_active:
             change = PlacementChange(
-                "first-copy",
+                PlacementChangeKind.FIRST_INSTANCE,
                 endpoint.worker_id,
                 request.function_id,
                 endpoint.zone,
                 request.tenant_index,
-                self.gate.is_emergency(request.function_id, has_alternative),
+                self.gate.is_emergency(request.function_id, has_alternatives=has_alternative),
             )
             if not self.gate.admit(now_ms, change).is_permitted:
                 return False
--- a/cedarthread/node/fleet_components.py
+++ b/cedarthread/node/fleet_components.py
@@ -10,6 +10,7 @@
 
 from cedarthread.change_freeze import window_entries
 from cedarthread.change_freeze.component import ChangeFreezeComponent
+from cedarthread.change_freeze.placement_changes import PlacementChangeKind
 from cedarthread.components.notifications import AttemptCompleted, EntriesChanged, Notification, WallClockRead
 from cedarthread.escrow.escrow import Escrow
 from cedarthread.logs import format_event
@@ -82,6 +83,7 @@
         self.escrow = self._new_escrow(now_ms, has_memory=self.router_count == 1, is_durable=False)
         self.escrow_pools = EscrowPools(self.escrow, self.store)
         self.priority = PriorityComponent(self.store, self.escrow_pools, settings, seed)
+        self.recovery = RecoveryComponent(settings, seed ^ incarnation, now_ms)
         self.change_freeze = ChangeFreezeComponent(
             settings,
             sharing,
@@ -89,10 +91,9 @@
             self.escrow_pools,
             now_ms=now_ms,
             has_read_enough_peers=self.store.has_read_enough_peers,
+            acquire_release=self.recovery.admission.try_acquire_release,
         )
-        self.recovery = RecoveryComponent(settings, seed ^ incarnation, now_ms)
         self.constraints = FleetConstraints(self.priority, self.change_freeze.gate, self.recovery)
-        self.change_freeze.gate.take_release = lambda at: int(self.recovery.admission.try_acquire_release(at))
         self.persister = self._new_persister(now_ms) if fleet_config.disk else None
         self.rejected_entries = 0  # of the fleet file, by the replicated store
 
@@ -171,7 +172,7 @@
         """
         deferred = self.change_freeze.gate.deferred_settings
         released = self.change_freeze.release_deferred_changes(now_ms)
-        return deferred if any(change.kind == "retune" for change in released) else None
+        return deferred if any(change.kind is PlacementChangeKind.SETTINGS for change in released) else None
 
     def notify(self, now_ms: float, notification: Notification) -> list[OutboundMessage]:
         """Pass a notification to these components."""
--- a/cedarthread/priority/body_history.py
+++ b/cedarthread/priority/body_history.py
@@ -2,7 +2,7 @@
 
 A router cannot know which version another acts on while an edit is being replicated. So each keeps, for
 each entry, the *certain* body (known to be replicated to a majority for the staleness bound) and the
-*pending* ones after it: docs/design/tiers.md, steps 3 and 4.
+*pending* ones after it: docs/design/priority.md, steps 3 and 4.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
         """Whether the certain body is the only one that may be in effect; ask after ``effective_bodies``.
 
         Not while anything is pending: the pending version may have replaced one that other routers act on, of
-        which its author need not have known (docs/design/tiers.md, step 5).
+        which its author need not have known (docs/design/priority.md, step 5).
         """
         return self.certain_body is not None and not self.pending
 
--- a/cedarthread/priority/component.py
+++ b/cedarthread/priority/component.py
@@ -2,7 +2,7 @@
 
 The router asks ``on_arrival`` for a call's priority, ``shed_probability`` how load shedding falls on it and
 ``choose_victim`` which call it preempts, and reports what became of the calls. Pure: the clock (ms, steady)
-and the seed are handed in. Design: docs/design/tiers.md.
+and the seed are handed in. Design: docs/design/priority.md.
 """
 
 from __future__ import annotations
--- a/cedarthread/priority/contract_entries.py
+++ b/cedarthread/priority/contract_entries.py
@@ -2,7 +2,7 @@
 
 An entry's body is a MessagePack array in canonical form: one meaning has exactly one encoding, so equal
 declarations have equal digests. Figures are fixed-point integers (``FIXED_POINT_SCALE``), which compare alike
-on all routers. Why these records: docs/design/tiers.md, step 1.
+on all routers. Why these records: docs/design/priority.md, step 1.
 """
 
 from __future__ import annotations
--- a/cedarthread/priority/contracts.py
+++ b/cedarthread/priority/contracts.py
@@ -2,7 +2,7 @@
 
 Where several versions of an entry may be in effect somewhere, quotas are granted by their greatest lower
 bound, and a tenant neither preempts nor is preempted by its tier until one version is certain:
-docs/design/tiers.md, steps 1 to 7.
+docs/design/priority.md, steps 1 to 7.
 """
 
 from __future__ import annotations
--- a/cedarthread/priority/load_pressure.py
+++ b/cedarthread/priority/load_pressure.py
@@ -1,6 +1,6 @@
 """The load pressure at one router: how much more is offered than can be served.
 
-Why these two factors: docs/design/tiers.md, step 8.
+Why these two factors: docs/design/priority.md, step 8.
 """
 
 from __future__ import annotations
--- a/cedarthread/priority/overload_level.py
+++ b/cedarthread/priority/overload_level.py
@@ -6,7 +6,7 @@
         2   calls that are queued in the router may be preempted
         3   calls that run may be preempted too
 
-Why these levels: docs/design/tiers.md, step 11.
+Why these levels: docs/design/priority.md, step 11.
 """
 
 from __future__ import annotations
--- a/cedarthread/priority/pressure_gossip.py
+++ b/cedarthread/priority/pressure_gossip.py
@@ -1,6 +1,6 @@
 """Gossip of load pressure: each router's latest report, and the pressure that most of the fleet is under.
 
-Why these figures: docs/design/tiers.md, steps 9 and 10.
+Why these figures: docs/design/priority.md, steps 9 and 10.
 """
 
 from __future__ import annotations
--- a/cedarthread/testing/cluster/injected_defects.py
+++ b/cedarthread/testing/cluster/injected_defects.py
@@ -105,14 +105,14 @@
     """The host's wall clock is trusted, whatever other routers have."""
     from cedarthread.change_freeze import wall_clock
 
-    def follow_host(self: wall_clock.WallClock, now_ms: float, unix_ms: float, has_window: bool) -> None:
+    def follow_host(self: wall_clock.WallClock, now_ms: float, unix_ms: float, *, has_window: bool) -> None:
         self.followed_offset_ms = unix_ms - now_ms
 
     wall_clock.WallClock.on_host_reading = follow_host  # type: ignore[method-assign]
 
-    def constant_bounds(self: wall_clock.WallClock, now_ms: float) -> tuple[float, float]:
+    def constant_bounds(self: wall_clock.WallClock, now_ms: float) -> wall_clock.UnixTimeBounds:
         unix_ms = self.unix_ms(now_ms)
-        return unix_ms - self.max_error_ms, unix_ms + self.max_error_ms
+        return wall_clock.UnixTimeBounds(unix_ms - self.max_error_ms, unix_ms + self.max_error_ms)
 
     wall_clock.WallClock.unix_ms_bounds = constant_bounds  # type: ignore[method-assign]
 
--- a/tests/simulation/test_change_freeze.py
+++ b/tests/simulation/test_change_freeze.py
@@ -22,7 +22,12 @@
 from cedarthread.change_freeze.call_routing import PlacementCandidate, RoutingVerdict
 from cedarthread.change_freeze.component import ChangeFreezeComponent
 from cedarthread.change_freeze.deferred_changes import ReleaseRateLimiter
-from cedarthread.change_freeze.placement_changes import AdmissionAnswer, AdmissionDecision, PlacementChange
+from cedarthread.change_freeze.placement_changes import (
+    AdmissionAnswer,
+    AdmissionDecision,
+    PlacementChange,
+    PlacementChangeKind,
+)
 from cedarthread.change_freeze.wall_clock import WallClock
 from cedarthread.change_freeze.window_entries import (
     ALL_CHANGE_KINDS,
@@ -191,12 +196,15 @@
         ]
         self.log_lines += [each.message for each in messages if isinstance(each, LogMessage)]
         for deferred in self.component.release_deferred_changes(now_ms):
-            if deferred.kind == "retune" and self.component.gate.deferred_settings is not None:
+            if (
+                deferred.kind is PlacementChangeKind.SETTINGS
+                and self.component.gate.deferred_settings is not None
+            ):
                 self.reload_settings(self.component.gate.deferred_settings)
             elif (
                 deferred.worker_id is not None
                 and deferred.function_id is not None
-                and deferred.kind != "unload"
+                and deferred.kind is not PlacementChangeKind.UNLOAD
             ):
                 self.fleet.load_function(deferred.worker_id, deferred.function_id)
         for peer in self.fleet.routers:  # one request and its response a tick, where neither is partitioned
@@ -232,7 +240,12 @@
         verdict, worker_id = gate.route_call(now_ms, function_id, None, candidates)
         if worker_id is not None and verdict in (RoutingVerdict.SEND, RoutingVerdict.LOAD):
             change = PlacementChange(
-                "first-copy", worker_id, function_id, worker_id % 2, None, verdict is RoutingVerdict.LOAD
+                PlacementChangeKind.FIRST_INSTANCE,
+                worker_id,
+                function_id,
+                worker_id % 2,
+                None,
+                verdict is RoutingVerdict.LOAD,
             )
             if gate.admit(now_ms, change).is_permitted:
                 fleet.send(self, worker_id, function_id)
@@ -267,10 +280,12 @@
             if function_id not in worker.placed_functions and not (worker.is_gone or worker.is_draining)
         ]
         if without_instance:
-            preload = PlacementChange("order", without_instance[0], function_id)
+            preload = PlacementChange(PlacementChangeKind.PRELOAD, without_instance[0], function_id)
             if gate.admit(now_ms, preload).is_permitted:
                 self.fleet.load_function(without_instance[0], function_id)
-        unload = PlacementChange("unload", without_instance[-1] if without_instance else 0, function_id)
+        unload = PlacementChange(
+            PlacementChangeKind.UNLOAD, without_instance[-1] if without_instance else 0, function_id
+        )
         if gate.admit(now_ms, unload).is_permitted:
             self.fleet.unloads.append(self.fleet.now_ms)
 
@@ -631,7 +646,7 @@
 def admit_all_preloads(gate: AdmissionGate, now_ms: float, change: PlacementChange) -> AdmissionDecision:
     return (
         AdmissionDecision(AdmissionAnswer.PERMITTED)
-        if change.kind == "order"
+        if change.kind is PlacementChangeKind.PRELOAD
         else ORIGINAL_ADMIT(gate, now_ms, change)
     )
 
@@ -673,7 +688,9 @@
         "follows steps",
         WallClock,
         "on_host_reading",
-        lambda clock, now_ms, unix_ms, has_window: ORIGINAL_ON_HOST_READING(clock, now_ms, unix_ms, False),
+        lambda clock, now_ms, unix_ms, has_window: ORIGINAL_ON_HOST_READING(
+            clock, now_ms, unix_ms, has_window=False
+        ),
         clocks_step,
     ),
     (
@@ -691,7 +708,7 @@
         routers_restart,
     ),
     ("cut off, it moves on", stale_hold, "STALE_HOLD_MS", 0.0, partitioned_router),
-    ("all wishes at once", ReleaseRateLimiter, "__call__", lambda limiter, now_ms: 1, released_slowly),
+    ("all wishes at once", ReleaseRateLimiter, "__call__", lambda limiter, now_ms: True, released_slowly),
     ("ends only when heard", stale_hold, "STALE_HOLD_MS", math.inf, no_peer_heard),
 )
 
--- a/tests/simulation/test_change_freeze_exploration.py
+++ b/tests/simulation/test_change_freeze_exploration.py
@@ -18,7 +18,12 @@
 from cedarthread.change_freeze.admission_gate import AdmissionGate
 from cedarthread.change_freeze.call_routing import PlacementCandidate, RoutingVerdict, route_call
 from cedarthread.change_freeze.component import ChangeFreezeComponent
-from cedarthread.change_freeze.placement_changes import AdmissionAnswer, FreezeRule, PlacementChange
+from cedarthread.change_freeze.placement_changes import (
+    AdmissionAnswer,
+    FreezeRule,
+    PlacementChange,
+    PlacementChangeKind,
+)
 from cedarthread.change_freeze.placement_table import PlacementTable
 from cedarthread.change_freeze.wall_clock import WallClock
 from cedarthread.change_freeze.window_entries import (
@@ -245,7 +250,9 @@
     def violation(self) -> str | None:
         """What is wrong in this state, judged by the surroundings' truth alone; None: nothing."""
         assert self.component is not None
-        is_open = not self.component.gate.is_frozen(PlacementChange("first-copy", None, 1))
+        is_open = not self.component.gate.is_frozen(
+            PlacementChange(PlacementChangeKind.FIRST_INSTANCE, None, 1)
+        )
         relaxed_at = min(
             (at + BOUND_STEPS for n, at in self.replicated_at.items() if n != WINDOW), default=NEVER
         )
@@ -355,7 +362,7 @@
 
 def test_a_deviating_clock_widens_windows_and_one_wrong_peer_does_not() -> None:
     clock = WallClock(5, 500.0, 0.001)
-    clock.on_host_reading(0.0, EPOCH_UNIX_MS, True)
+    clock.on_host_reading(0.0, EPOCH_UNIX_MS, has_window=True)
     for peer, offset_ms in ((1, 0.0), (2, 40.0), (3, 9e6)):
         clock.add_sample(10.0, peer, EPOCH_UNIX_MS + offset_ms, 0.0)
     assert clock.deviation_ms(10.0) == 0.0
@@ -372,15 +379,15 @@
 
 def test_a_clock_step_is_followed_once_most_peers_confirm_it() -> None:
     clock = WallClock(3, 500.0, 0.001)
-    clock.on_host_reading(0.0, EPOCH_UNIX_MS, True)
+    clock.on_host_reading(0.0, EPOCH_UNIX_MS, has_window=True)
     stepped = EPOCH_UNIX_MS + 7.2e6
-    line = clock.on_host_reading(100.0, stepped, True)
+    line = clock.on_host_reading(100.0, stepped, has_window=True)
     assert line == "wall_clock_stepped step_s=+7199.9 followed=false"
     assert clock.unix_ms(100.0) == EPOCH_UNIX_MS + 100.0
-    assert clock.on_host_reading(200.0, stepped + 100.0, True) is None
+    assert clock.on_host_reading(200.0, stepped + 100.0, has_window=True) is None
     for peer in (1, 2):
         clock.add_sample(300.0, peer, stepped + 200.0, 298.0)
-    line = clock.on_host_reading(300.0, stepped + 200.0, True)
+    line = clock.on_host_reading(300.0, stepped + 200.0, has_window=True)
     assert line == "wall_clock_stepped step_s=+7199.9 followed=true"
     assert clock.unix_ms(300.0) > EPOCH_UNIX_MS + 7e6
 
@@ -388,10 +395,10 @@
 def test_calls_prefer_open_workers_and_skip_draining_ones() -> None:
     placed, full = PlacementCandidate(1, True, True, True, 5.0), PlacementCandidate(1, True, True, False)
     not_placed, draining = PlacementCandidate(2, True, False, True), PlacementCandidate(3, False, True, True)
-    assert route_call([not_placed, placed], True) == (RoutingVerdict.SEND, 1)
-    assert route_call([not_placed, full], True) == (RoutingVerdict.LOAD, 2)
-    assert route_call([not_placed, full], False) == (RoutingVerdict.WAIT, 1)
-    assert route_call([draining, not_placed], False) == (RoutingVerdict.REJECT, None)
+    assert route_call([not_placed, placed], is_load_permitted=True) == (RoutingVerdict.SEND, 1)
+    assert route_call([not_placed, full], is_load_permitted=True) == (RoutingVerdict.LOAD, 2)
+    assert route_call([not_placed, full], is_load_permitted=False) == (RoutingVerdict.WAIT, 1)
+    assert route_call([draining, not_placed], is_load_permitted=False) == (RoutingVerdict.REJECT, None)
 
 
 def test_placements_survive_a_corrupted_list_but_not_a_restart() -> None:
@@ -430,7 +437,7 @@
         for site in placement_paths.find_change_sites(source)
     } == {(path.module, path.function, path.act) for path in placement_paths.PLACEMENT_PATHS}
     for path in placement_paths.PLACEMENT_PATHS:
-        unasked = re.sub(rf"\b{path.asks_by}\b", "free", modules[path.module])
+        unasked = re.sub(rf"\b{path.gate_name}\b", "free", modules[path.module])
         assert path.function in [site.function for site in placement_paths.find_sites_bypassing_gate(unasked)]
 
 
@@ -447,7 +454,8 @@
 
 def test_homes_are_kept_and_the_strictest_of_two_windows_holds() -> None:
     escrow = FakeEscrow(0, False)
-    gate = AdmissionGate(escrow)
+    may_release = True
+    gate = AdmissionGate(escrow, lambda now_ms: may_release)
     gate.is_active, rule = True, FreezeRule("a", frozenset(ALL_CHANGE_KINDS), frozenset({0}), None, None, 9)
     assert gate.home_workers(0.0, 7, (1, 2, 3), 2) == ((1, 2, 3), 2)
     gate.rules = (rule, dataclasses.replace(rule, window_id="b", zone_indexes=None))
@@ -455,18 +463,24 @@
     assert gate.home_workers(1.0, 7, (3, 2), 2) == ([2, 3], 1)  # lost ones are not replaced
     escrow.open_pool("freeze/a", 60, is_consumable=True, ends_at_ms=None)
     escrow.open_pool("freeze/b", 6, is_consumable=True, ends_at_ms=None)
-    first, second = (PlacementChange("first-copy", worker, 7, 0, None, True) for worker in (4, 5))
+    first, second = (
+        PlacementChange(PlacementChangeKind.FIRST_INSTANCE, worker, 7, 0, None, True) for worker in (4, 5)
+    )
     answers = [gate.admit(2.0, change).answer for change in (first, first, second)]
     assert answers == [
         AdmissionAnswer.PERMITTED_BY_EXCEPTION,
         AdmissionAnswer.PERMITTED,  # a placement uses up one exception, once
         AdmissionAnswer.DENIED,
     ]
-    gate.rules, gate.take_release = (), lambda now_ms: 0
+    gate.rules = ()
+    may_release = False
     call: Any = {"function_id": 7, "worker_id": 5, "zone_index": 0, "tenant_index": None, "is_placed": False}
     assert not gate.can_send(3.0, **call, has_alternatives=True)  # still deferred
     assert gate.can_send(3.0, **call, has_alternatives=False)  # but service comes first
-    gate.take_release = lambda now_ms: 1
-    assert {deferred.kind for deferred in gate.release(4.0)} == {"homes", "first-copy"}
+    may_release = True
+    assert {deferred.kind for deferred in gate.release(4.0)} == {
+        PlacementChangeKind.HOME_WORKERS,
+        PlacementChangeKind.FIRST_INSTANCE,
+    }
     assert not gate.deferred_changes
     assert gate.home_workers(5.0, 7, (3, 2, 1), 3) == ((3, 2, 1), 3)
