--- a/cedarthread/change_freeze/placement_paths.py
+++ b/cedarthread/change_freeze/placement_paths.py
@@ -56,7 +56,7 @@
         "home_workers(...) over the order by rendezvous hashing, before it is used",
     ),
     PlacementPath(
-        "components.node",
+        "node.routing_node",
         "update_settings",
         "update_settings",
         "gate",
--- a/tests/simulation/test_change_freeze_exploration.py
+++ b/tests/simulation/test_change_freeze_exploration.py
@@ -421,7 +421,7 @@
     package = Path(placement_paths.__file__).parents[1]
     return {
         f"{folder}.{file.stem}": file.read_text()
-        for folder in ("routing", "components")
+        for folder in ("routing", "node", "components")
         for file in sorted((package / folder).glob("*.py"))
     }
 
