--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -9,10 +9,16 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
-from cedarthread.change_freeze.call_routing import PlacementCandidate, RoutingDecision, route_call
+from cedarthread.change_freeze.call_routing import (
+    PlacementCandidate,
+    RoutingDecision,
+    first_instance_change,
+    route_call,
+)
 from cedarthread.change_freeze.deferred_changes import DeferredChange, DeferredChanges
+from cedarthread.change_freeze.home_workers import HomeWorkers, with_retained_homes
 from cedarthread.change_freeze.placement_changes import (
     RELEASING,
     UNCERTAIN,
@@ -22,6 +28,7 @@
     PlacementChange,
     PlacementChangeKind,
 )
+from cedarthread.change_freeze.placement_settings import with_placement_settings_of
 from cedarthread.change_freeze.placement_table import PlacementTable
 
 if TYPE_CHECKING:
@@ -40,15 +47,8 @@
     return f"freeze/{window_id}"
 
 
-class HomeWorkers(NamedTuple):
-    """The ready workers in the order of preference for a function; the first ``home_count`` are its homes."""
-
-    worker_ids: Sequence[int]
-    home_count: int
-
-
 class AdmissionGate:
-    """Decides for one router which placement changes may be made while freeze windows are in force.
+    """The admission gate of one router, which decides on its placement changes while windows are in force.
 
     While ``is_active`` is False, nothing is frozen, and each method returns after this one test. The gate
     owns the placement table, the deferred changes and the home workers from before the windows.
@@ -181,19 +181,11 @@
         """
 
         def load_at(candidate: PlacementCandidate, *, is_emergency: bool) -> PlacementChange:
-            return PlacementChange(
-                PlacementChangeKind.FIRST_INSTANCE,
-                candidate.worker_id,
-                function_id,
-                candidate.zone_index,
-                tenant_index,
-                is_emergency,
-            )
+            return first_instance_change(candidate, function_id, tenant_index, is_emergency=is_emergency)
 
         def can_place(candidate: PlacementCandidate, *, is_emergency: bool) -> bool:
-            return not self.is_active or self._can_place(
-                now_ms, load_at(candidate, is_emergency=is_emergency)
-            )
+            change = load_at(candidate, is_emergency=is_emergency)
+            return not self.is_active or self._can_place(now_ms, change)
 
         seen = [
             replace(candidate, is_open=candidate.is_open or can_place(candidate, is_emergency=False))
@@ -219,8 +211,8 @@
     ) -> HomeWorkers:
         """Return the ready workers in the order of preference for the function, and its number of homes.
 
-        While home workers are frozen, the homes are those from before the freeze that are still ready. Homes
-        that are lost during the freeze are not replaced.
+        While home workers are frozen, the homes are those from before the freeze, or from the function's
+        first call in the freeze, that are still ready. Homes that are lost in the freeze are not replaced.
         """
         if not self.is_active:
             return HomeWorkers(ready_workers, home_count)
@@ -234,13 +226,7 @@
             return HomeWorkers(ready_workers, home_count)
         if homes != retained_homes:
             self._defer(change)
-        ready = set(ready_workers)
-        retained_ready = [worker_id for worker_id in retained_homes if worker_id in ready]
-        if not retained_ready:
-            return HomeWorkers(ready_workers, min(home_count, 1))
-        known = set(retained_ready)
-        others = (worker_id for worker_id in ready_workers if worker_id not in known)
-        return HomeWorkers([*retained_ready, *others], len(retained_ready))
+        return with_retained_homes(ready_workers, retained_homes, home_count)
 
     def admitted_settings(self, now_ms: float, old: RouterSettings, new: RouterSettings) -> RouterSettings:
         """Return the settings to apply now: the new ones, without changes that the freeze defers.
@@ -248,7 +234,7 @@
         If the freeze denies changes of settings, the settings that decide where instances are placed
         retain their old values, and the new settings are stored in ``deferred_settings``.
         """
-        if not self.is_active or (without_moves := _with_placement_settings_of(old, new)) == new:
+        if not self.is_active or (without_moves := with_placement_settings_of(old, new)) == new:
             self.deferred_settings = None
             return new
         if self.admit(now_ms, PlacementChange(PlacementChangeKind.SETTINGS, None, None)).is_permitted:
@@ -308,16 +294,3 @@
             return False
         self.deferred_changes.discard(change.kind, change.function_id)
         return True
-
-
-def _with_placement_settings_of(old: RouterSettings, new: RouterSettings) -> RouterSettings:
-    """Return the new settings with the old values of those that decide where instances are placed."""
-    prices = replace(new.prices, idle_memory=old.prices.idle_memory, cross_zone=old.prices.cross_zone)
-    return replace(
-        new,
-        prices=prices,
-        weight_meaning=old.weight_meaning,
-        keep_alive_ms=old.keep_alive_ms,
-        when_not_loaded=old.when_not_loaded,
-        allows_preloading=old.allows_preloading,
-    )
--- a/cedarthread/change_freeze/call_routing.py
+++ b/cedarthread/change_freeze/call_routing.py
@@ -10,6 +10,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING, NamedTuple
 
+from cedarthread.change_freeze.placement_changes import PlacementChange, PlacementChangeKind
+
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
@@ -42,6 +44,20 @@
     zone_index: int | None = None
 
 
+def first_instance_change(
+    candidate: PlacementCandidate, function_id: int, tenant_index: int | None, *, is_emergency: bool
+) -> PlacementChange:
+    """Return the change by which a call of the function loads an instance at the candidate."""
+    return PlacementChange(
+        PlacementChangeKind.FIRST_INSTANCE,
+        candidate.worker_id,
+        function_id,
+        candidate.zone_index,
+        tenant_index,
+        is_emergency,
+    )
+
+
 def route_call(candidates: Iterable[PlacementCandidate], *, is_load_permitted: bool) -> RoutingDecision:
     """Return the verdict on a call and the worker of the verdict.
 
--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -12,7 +12,7 @@
 
 from cedarthread.change_freeze.admission_gate import AdmissionGate, exception_pool_name
 from cedarthread.change_freeze.deferred_changes import DeferredChange, ReleaseRateLimiter
-from cedarthread.change_freeze.placement_changes import FreezeRule
+from cedarthread.change_freeze.freeze_rules import rule_from_terms
 from cedarthread.change_freeze.stale_hold import StaleHold
 from cedarthread.change_freeze.wall_clock import WallClock
 from cedarthread.change_freeze.window import ClockReading, FreezeWindow, WindowState
@@ -32,6 +32,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping, Sequence
 
+    from cedarthread.change_freeze.placement_changes import FreezeRule
     from cedarthread.change_freeze.window_entries import WindowTerms
     from cedarthread.components.messages import OutboundMessage
     from cedarthread.components.quota_escrow import QuotaEscrow
@@ -243,7 +244,8 @@
                 self._log(
                     format_event("change_freeze_window_state_changed", window=window.window_id, state=state)
                 )
-            rules += [self._rule_for(window, terms) for terms in in_force]
+            budget = window.minimum_exception_budget()
+            rules += [rule_from_terms(terms, budget, self.settings) for terms in in_force]
             if window.state in BUDGETED_STATES:
                 remaining_ms = max(0.0, window.latest_end_unix_ms() - reading.earliest_unix_ms)
                 self._update_exception_pool(window, now_ms + remaining_ms)
@@ -265,16 +267,6 @@
                 exception_pool_name(window.window_id), total, is_consumable=True, ends_at_ms=until_ms
             )
 
-    def _rule_for(self, window: FreezeWindow, terms: WindowTerms) -> FreezeRule:
-        return FreezeRule(
-            window.window_id,
-            frozenset(terms.frozen_kinds),
-            _indexes_of(terms.zone_names, self.settings.zones),
-            frozenset(terms.function_ids) if terms.function_ids else None,
-            _indexes_of(terms.tenant_names, tuple(tenant.name for tenant in self.settings.tenants)),
-            window.minimum_exception_budget(),
-        )
-
     def _on_attempt_completed(self, now_ms: float, completed: AttemptCompleted) -> None:
         if completed.outcome is Outcome.OK or completed.was_warm:
             self.gate.placements.record(now_ms, completed.function_id, completed.worker_id)
@@ -290,15 +282,5 @@
         return messages
 
 
-def _indexes_of(names: tuple[str, ...], known_names: tuple[str, ...]) -> frozenset[int] | None:
-    """Return the indexes of names; None, which means all, without names or if a name is unknown here.
-
-    A name that this router's settings lack may denote any zone or tenant, so all must count as covered.
-    """
-    if not names or any(name not in known_names for name in names):
-        return None
-    return frozenset(known_names.index(name) for name in names)
-
-
 def _format_time(unix_ms: float) -> str:
     return datetime.fromtimestamp(unix_ms / 1000.0, UTC).isoformat(timespec="seconds")
--- a/cedarthread/change_freeze/deferred_changes.py
+++ b/cedarthread/change_freeze/deferred_changes.py
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class ReleaseRateLimiter:
-    """A token bucket for releases of deferred changes; a call consumes one token."""
+    """Token bucket for releases of deferred changes; calling the limiter consumes one token."""
 
     rate_per_ms: float = RELEASES_PER_MS
     burst: float = RELEASE_BURST
--- a/cedarthread/change_freeze/placement_changes.py
+++ b/cedarthread/change_freeze/placement_changes.py
@@ -11,7 +11,7 @@
 
 
 class PlacementChangeKind(StrEnum):
-    """The kind of a placement change; the values stand in fleet files and on the wire."""
+    """The kind of a placement change; fleet files and entries contain the values."""
 
     FIRST_INSTANCE = "first-copy"  # a call loads its function at a worker
     PRELOAD = "order"  # a worker loads a function before a call needs it
--- a/cedarthread/change_freeze/window_entries.py
+++ b/cedarthread/change_freeze/window_entries.py
@@ -88,16 +88,19 @@
     Raises:
         FleetConfigError: An entry is invalid, so that no router would accept it.
     """
-    bodies: list[tuple[EntryKind, WindowBody]] = []
-    for window in fleet.freeze:
-        bodies.append((EntryKind.FREEZE, _window_terms(window)))
-    for revoked in fleet.revoke:
-        bodies.append((EntryKind.REVOKE, Revocation(revoked.freeze, revoked.author, revoked.reason)))
-    for lifted in fleet.break_glass:
-        end_unix_ms = _to_unix_ms(lifted.end)
-        bodies.append(
-            (EntryKind.BREAK_GLASS, BreakGlass(lifted.freeze, end_unix_ms, lifted.author, lifted.reason))
+    windows = [(EntryKind.FREEZE, _window_terms(window)) for window in fleet.freeze]
+    revocations = [
+        (EntryKind.REVOKE, Revocation(revoked.freeze, revoked.author, revoked.reason))
+        for revoked in fleet.revoke
+    ]
+    break_glass = [
+        (
+            EntryKind.BREAK_GLASS,
+            BreakGlass(lifted.freeze, _to_unix_ms(lifted.end), lifted.author, lifted.reason),
         )
+        for lifted in fleet.break_glass
+    ]
+    bodies: list[tuple[EntryKind, WindowBody]] = [*windows, *revocations, *break_glass]
     for kind, body in bodies:
         if (problem := _error_in(body)) is not None:
             raise FleetConfigError(f"{kind} ({body.window_id}): {problem}")
