--- a/cedarthread/change_freeze/stale_hold.py
+++ b/cedarthread/change_freeze/stale_hold.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class StaleHold:
-    """The limits in time of the freeze while this router may lack a window. All times are ms on the steady clock."""
+    """The time-limited freeze of a router that may lack a window. All times are ms on the steady clock."""
 
     started_at_ms: float
     has_read_enough_peers: Callable[[], bool]  # whether several peers were read completely since the start
