--- a/cedarthread/priority/__init__.py
+++ b/cedarthread/priority/__init__.py
@@ -1,1 +1,4 @@
-"""Contract priorities: which calls go first while the fleet is overloaded. Pure: time is passed in."""
+"""Contract priorities: which calls are rejected or preempted first while the fleet is overloaded.
+
+All modules are pure: the caller passes the time.
+"""
--- a/cedarthread/priority/body_history.py
+++ b/cedarthread/priority/body_history.py
@@ -1,8 +1,9 @@
 """The versions of an entry's body that may be in effect at some router while an edit spreads.
 
-A router cannot know which version another acts on while an edit is being replicated. So each keeps, for
-each entry, the *certain* body (known to be replicated to a majority for the staleness bound) and the
-*pending* ones after it: docs/design/priority.md, steps 3 and 4.
+While an edit is being replicated, a router cannot know on which version another router acts. For each entry,
+a router therefore stores the *certain* body, which has been on a majority for the staleness bound, and the
+*pending* bodies after the certain one (docs/design/priority.md, steps 3 and 4). ``EffectiveContracts`` adds
+the versions.
 """
 
 from __future__ import annotations
@@ -18,28 +19,28 @@
 
     from cedarthread.components.replicated_state import Entry, EntryKind, ReplicatedEntry, ReplicatedState
 
-MAX_PENDING_BODIES = 8  # versions of one entry that may be in effect at once; with more it counts as unknown
+MAX_PENDING_BODIES = 8  # of one entry; beyond, the certain body counts as unknown
 
 
 @dataclass(slots=True)
 class _PendingBody(Generic[BodyT]):
-    """A version whose predecessors may still be in effect elsewhere. Times: ms on the steady clock."""
+    """A version with predecessors that may still be in effect elsewhere. Times are ms on the steady clock."""
 
     entry: Entry
     value: BodyT
     received_at_ms: float
-    replicated_at_ms: float | None  # when a majority was first known to hold it; None: not known to
+    replicated_at_ms: float | None  # when a majority was first known to have the entry; None: not yet
 
 
 @dataclass(slots=True)
 class BodyHistory(Generic[BodyT]):
-    """The versions of one entry that may be in effect at some router, the oldest first."""
+    """The versions of one entry that may be in effect at some router, oldest first."""
 
-    certain_body: BodyT | None = None  # None: what was in effect before is not known here
+    certain_body: BodyT | None = None  # None: unknown at this router
     pending: list[_PendingBody[BodyT]] = field(default_factory=list)
 
     def add(self, replicated: ReplicatedEntry, value: BodyT) -> None:
-        """Take the version that the replicated store holds now, or what is newly known of its replication."""
+        """Add the latest version in the replicated store, or update when that version was replicated."""
         if self.pending and self.pending[-1].entry == replicated.entry:
             if self.pending[-1].replicated_at_ms is None:
                 self.pending[-1].replicated_at_ms = replicated.replicated_at_ms
@@ -52,27 +53,33 @@
             del self.pending[0]
 
     def effective_bodies(self, now_ms: float, staleness_bound_ms: float) -> tuple[BodyT, ...]:
-        """The versions that may be in effect, as far as they are known here, the oldest first."""
+        """Return the known versions that may be in effect, oldest first."""
         for index in reversed(range(len(self.pending))):
             body = self.pending[index]
             if body.replicated_at_ms is not None and now_ms >= body.replicated_at_ms + staleness_bound_ms:
-                self.certain_body = body.value  # from here on no fresh router acts on an earlier one
+                self.certain_body = body.value  # no fresh router acts on an earlier version any more
                 del self.pending[: index + 1]
                 break
         certain = () if self.certain_body is None else (self.certain_body,)
         return certain + tuple(body.value for body in self.pending)
 
     def is_certain(self) -> bool:
-        """Whether the certain body is the only one that may be in effect; ask after ``effective_bodies``.
+        """Return whether the certain body is the only one that may be in effect.
 
-        Not while anything is pending: the pending version may have replaced one that other routers act on, of
-        which its author need not have known (docs/design/priority.md, step 5).
+        The result is valid after ``effective_bodies``, which updates the certain body. While a version is
+        pending, the result is False: the pending version may have replaced one that other routers act on and
+        that its author did not know (docs/design/priority.md, step 5).
         """
         return self.certain_body is not None and not self.pending
 
 
 class HistoriesByName(Generic[BodyT]):
-    """The histories of all entries of one kind."""
+    """The histories of all entries of one kind, by name.
+
+    Args:
+        entry_kind: The kind of the entries.
+        decode: Returns the body of an entry, or why the body is malformed.
+    """
 
     def __init__(self, entry_kind: EntryKind, decode: Callable[[Entry], BodyT | MalformedDatagram]) -> None:
         self.entry_kind = entry_kind
@@ -82,7 +89,7 @@
         self.unreadable_count = 0
 
     def refresh(self, replicated_state: ReplicatedState) -> None:
-        """Take what the replicated store holds now; a body that cannot be read is counted and ignored."""
+        """Add the entries in the replicated store; count and ignore each malformed body."""
         for replicated in replicated_state.entries(self.entry_kind):
             name = replicated.entry.name
             is_new = self.last_entries.get(name) != replicated.entry
--- a/cedarthread/priority/call_priority.py
+++ b/cedarthread/priority/call_priority.py
@@ -1,4 +1,4 @@
-"""The priority of a call: a table of its tenant's tier by whether it is within quota. 0 is the highest.
+"""The priority of a call, from its tenant's tier and whether the call is within quota; 0 is the highest.
 
     tier of the tenant      within quota    over quota
     first (say firm)                  0            64
@@ -6,9 +6,9 @@
     third (interruptible)             2            66
     no contract                       -           127
 
-Everything within quota goes before everything over quota: nobody's contract pays for what another takes
-over its own, whatever its tier. Where it is not known which version of a contract is in effect elsewhere,
-the priority is a range.
+A call within quota has precedence over each call over quota, so that no tenant's contract suffers from
+another tenant's excess, regardless of tiers. While several versions of a contract may be in effect at other
+routers, the priority is a range.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 def assign_priority(
     tenant_name: str | None, contract: EffectiveContract, is_within_quota: bool
 ) -> CallPriority:
-    """The priority of a call. While the tenant's contract is not certain, it may be anywhere in the table."""
+    """Return the priority of a call; the range of all priorities while the contract is not certain."""
     position = contract.tier_index + (0 if is_within_quota else OVER_QUOTA_OFFSET)
     if not contract.is_certain:
         return CallPriority(0, LOWEST_PRIORITY, position, tenant_name, is_within_quota)
@@ -34,9 +34,9 @@
 def preemption_key(
     priority: CallPriority, priority_weight: float, arrived_at_ms: float, request_id: int
 ) -> tuple[float, ...]:
-    """The sort key of the calls that may be preempted; the least goes first.
+    """Return the sort key of a call that may be preempted; the call with the least key is preempted first.
 
-    The lowest priority, then the least weight, then the latest arrival, which has waited and cost least; the
-    request's id makes the order total.
+    The order is: the lowest priority, the least weight, then the latest arrival, because that call has waited
+    and consumed least. The request id makes the order total.
     """
     return (-priority.best_position, priority_weight, -arrived_at_ms, request_id)
--- a/cedarthread/priority/codec.py
+++ b/cedarthread/priority/codec.py
@@ -3,8 +3,8 @@
     message type u8; then entries: router u16, pressure u8 (in 1/32), calls u8 (logarithmic), age u8 (in 50
     ms)
 
-All little-endian. The first entry is the sender's own. Ages are rounded up each time a report is forwarded,
-so a report that circulates grows old whatever way it takes.
+All fields are little-endian. The first entry is the sender's own. The age is rounded up each time a report is
+forwarded, so that the age of a circulating report always grows.
 """
 
 from __future__ import annotations
@@ -19,25 +19,29 @@
 _ENTRY_FORMAT = struct.Struct("<HBBB")
 ENTRY_BYTES = _ENTRY_FORMAT.size
 MAX_ENTRIES = (MAX_DATAGRAM_BYTES - 1) // ENTRY_BYTES
-PRESSURE_STEPS_PER_UNIT = 32.0  # so a byte reaches a pressure of 8
+PRESSURE_STEPS_PER_UNIT = 32.0  # so that a byte represents a pressure of up to 8
 AGE_STEP_MS = 50.0
-MAX_AGE_MS = 254 * AGE_STEP_MS  # an age of 255 steps means that old or older
-CALL_RATE_LOG_BASE = 1.05  # a byte reaches from 1 to 240,000 calls per second
+MAX_AGE_MS = 254 * AGE_STEP_MS  # an age of 255 steps means 255 steps or more
+CALL_RATE_LOG_BASE = 1.05  # so that a byte represents 1 to 240,000 calls per second
 MAX_BYTE = 255
 
 
 @dataclass(frozen=True, slots=True)
 class RouterPressure:
-    """The load pressure at one router: offered over served calls."""
+    """The load pressure at one router: the ratio of offered to served calls."""
 
     router_index: int
     pressure: float
     calls_per_second: float
-    age_ms: float  # how long ago it was measured
+    age_ms: float  # since the measurement
 
 
 def encode(reports: list[RouterPressure]) -> bytes:
-    """The bytes of a datagram. ValueError: over ``MAX_ENTRIES`` reports, which would be too long to send."""
+    """Return the bytes of a datagram.
+
+    Raises:
+        ValueError: More than ``MAX_ENTRIES`` reports, which do not fit in a datagram.
+    """
     if len(reports) > MAX_ENTRIES:
         raise ValueError(f"{len(reports)} entries, {MAX_ENTRIES} at most")
     return bytes((MessageType.LOAD_PRESSURE,)) + b"".join(
@@ -52,7 +56,7 @@
 
 
 def decode(data: bytes) -> tuple[RouterPressure, ...] | MalformedDatagram:
-    """The reports in a datagram, or why it cannot be read. Raises nothing, whatever the bytes are."""
+    """Return the reports in a datagram, or why the bytes are malformed; never raise on hostile bytes."""
     if (
         not 1 + ENTRY_BYTES <= len(data) <= MAX_DATAGRAM_BYTES
         or (len(data) - 1) % ENTRY_BYTES
--- a/cedarthread/priority/component.py
+++ b/cedarthread/priority/component.py
@@ -1,8 +1,8 @@
 """The priority component: call priorities, load shedding and preemption under cluster overload.
 
-The router asks ``on_arrival`` for a call's priority, ``shed_probability`` how load shedding falls on it and
-``choose_victim`` which call it preempts, and reports what became of the calls. Pure: the clock (ms, steady)
-and the seed are handed in. Design: docs/design/priority.md.
+The router calls ``on_arrival`` for the priority of a call, ``shed_probability`` for the probability to reject
+the call, and ``choose_victim`` for the call to preempt, and reports rejected and completed calls. The
+component is pure: the caller passes the steady clock (ms) and the seed. Design: docs/design/priority.md.
 """
 
 from __future__ import annotations
@@ -48,33 +48,41 @@
     from cedarthread.model.settings import RouterSettings
 
 SHEDDING_LEVEL = 1  # overload level from which load shedding is weighted by priority
-PREEMPT_QUEUED_LEVEL = 2  # from which queued calls are preempted
-PREEMPT_RUNNING_LEVEL = 3  # from which running calls are preempted too
-PREEMPTED_RETENTION_MS = 120_000.0  # for which a preempted call is remembered: its client came back by then
-MAX_REMEMBERED_PREEMPTIONS = 8192  # past which no call is preempted: it might be one that was before
-MIN_DIVISOR = 1e-9  # in place of a mean of nothing
-SEED_SALT = 0x7469_6572  # keeps these draws apart from those of other users of the router's seed
+PREEMPT_QUEUED_LEVEL = 2  # overload level from which queued calls are preempted
+PREEMPT_RUNNING_LEVEL = 3  # overload level from which running calls are preempted too
+PREEMPTED_RETENTION_MS = 120_000.0  # for which a preempted call is remembered; its client retries sooner
+MAX_REMEMBERED_PREEMPTIONS = 8192  # at this count no call is preempted, so that none is preempted twice
+MIN_DIVISOR = 1e-9  # avoids a division by zero
+SEED_SALT = 0x7469_6572  # makes these draws independent of other users of the router's seed
 
 
 class PreemptionEvent(StrEnum):
-    """What is counted; the values are the names of the figures that operators read."""
+    """An event that is counted; the values are part of the names of the figures for operators."""
 
     QUEUED_PREEMPTED = "waiting"
     RUNNING_PREEMPTED = "running"
-    PROTECTED_BY_FLOOR = "floor"
-    ALREADY_PREEMPTED = "again"
-    BUDGET_EXHAUSTED = "budget"
+    PROTECTED_BY_FLOOR = "floor"  # the tenant of a candidate is at its floor
+    ALREADY_PREEMPTED = "again"  # a candidate has been preempted before
+    BUDGET_EXHAUSTED = "budget"  # the preemption budget had no token
 
 
 class PriorityComponent:
-    """Which calls are rejected or preempted under cluster overload, at one router."""
+    """The priorities of one router; owns contracts, usage, load pressure, overload level and budgets.
+
+    Args:
+        replicated_state: Contains the entries that declare tiers and contracts.
+        escrow: Contains the pools of quotas and preemptions.
+        settings: The router's settings.
+        seed: Seeds the random draws of gossip and of the preemption budget.
+    """
 
     message_types = frozenset({int(MessageType.LOAD_PRESSURE)})
 
     def __init__(
         self, replicated_state: ReplicatedState, escrow: QuotaEscrow, settings: RouterSettings, seed: int
     ) -> None:
-        self.replicated_state, self.settings = replicated_state, settings
+        self.replicated_state = replicated_state
+        self.settings = settings
         self.contracts = EffectiveContracts(replicated_state)
         self.usage = TenantUsage(escrow)
         self.pressure_estimator = LoadPressureEstimator()
@@ -84,18 +92,18 @@
         self.recent_value = DecayingCounter(BUDGET_WINDOW_MS)  # sum of the values of recent calls
         self.recent_calls = DecayingCounter(BUDGET_WINDOW_MS)
         self.preemption_budget = PreemptionBudget(escrow, random.Random(seed ^ SEED_SALT))
-        self.preempted_at: dict[int, float] = {}  # ms, by the call's retry identity
+        self.preempted_at: dict[int, float] = {}  # time in ms by the call's retry identity
         self.counters = dict.fromkeys(PreemptionEvent, 0)
 
     # The component interface.
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
-        """Take a datagram of load pressure."""
+        """Store the reports of a datagram of load pressure."""
         self.pressure_gossip.on_message(now_ms, sender, data)
         return ()
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
-        """Follow the contracts, measure load pressure, gossip it and update the overload level."""
+        """Update contracts, quotas and the overload level, and return the gossip of load pressure."""
         self.contracts.refresh(now_ms)
         self.usage.on_tick(now_ms, self.contracts.effective)
         self.preemption_budget.on_tick(now_ms, self.contracts.overload_parameters, self._may_preempt())
@@ -113,7 +121,7 @@
         return messages + self._update_overload_level(now_ms)
 
     def on_notification(self, now_ms: float, notification: Notification) -> Sequence[OutboundMessage]:
-        """Follow new entries, peers and settings, and count what is served."""
+        """Process new entries, peers and settings, and count served calls."""
         if isinstance(notification, EntriesChanged):
             self.contracts.refresh(now_ms)
             self.usage.on_tick(now_ms, self.contracts.effective)
@@ -125,10 +133,10 @@
         elif isinstance(notification, AttemptCompleted) and notification.outcome is Outcome.OK:
             self.pressure_estimator.record_completion(now_ms)
             self.preemption_budget.record_completed_work(now_ms, notification.work_ms)
-        return ()  # other notifications, as the wall clock's, concern nothing here
+        return ()
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """The figures that operators read; their names are part of the operators' interface."""
+        """Return the figures for operators; their names are part of the operators' interface."""
         pressure = self.pressure_gossip.fleet_pressure(now_ms)
         gossip = self.pressure_gossip
         unreadable = self.contracts.unreadable_count + gossip.unreadable_count + gossip.invalid_count
@@ -142,7 +150,7 @@
         }
         return figures | {f"tiers_{event.value}": str(count) for event, count in self.counters.items()}
 
-    # What the router asks.
+    # Calls by the router.
 
     def on_arrival(
         self,
@@ -152,12 +160,16 @@
         utilization: float = 0.0,
         is_client_retry: bool = False,
     ) -> CallPriority:
-        """A call came: its priority.
-
-        ``tenant``: its index in the settings or its caller's name; ``value``: of the call for its time;
-        ``utilization``: the wait that calls must expect over the one at which overload begins.
+        """Count a call that arrived, and return its priority.
+
+        Args:
+            now_ms: The time on the steady clock.
+            tenant: The tenant's index in the settings, or the caller's name.
+            value: The call's value per time.
+            utilization: The expected wait divided by the wait at which overload starts.
+            is_client_retry: Whether the client retries a call that was rejected.
         """
-        if not is_client_retry:  # rejected calls come again: they would make the pressure grow by itself
+        if not is_client_retry:  # otherwise retries of rejected calls would raise the pressure further
             self.pressure_estimator.record_arrival(now_ms, utilization)
         if self.contracts.overload_parameters is None:
             return NO_PRIORITY
@@ -175,18 +187,24 @@
         return priority
 
     def overload_level(self, now_ms: float) -> int:
-        """The level of cluster overload; 0 at a router that is not fresh: it could preempt wrong calls."""
+        """Return the level of cluster overload; 0 at a router that is not fresh, as contracts may be stale."""
         acts = self.contracts.overload_parameters is not None and self.replicated_state.is_fresh(now_ms)
         return self.overload.level if acts else 0
 
     def shed_probability(
         self, now_ms: float, priority: CallPriority, shed_probability: float, value: float = 1.0
     ) -> float | None:
-        """The probability to reject a call like this where ``shed_probability`` of all must be rejected.
+        """Return the probability to reject a call with this priority; None while priorities do not apply.
 
-        None: priorities don't matter now. ``shed_probability`` is the overload estimator's for the
-        strictest latency objective, whatever this call's own is, and is also to be told when it is 0. Value
-        and priority are weighed here.
+        The router calls this method for each call, also if ``shed_probability`` is 0, because the method
+        smooths that probability over time.
+
+        Args:
+            now_ms: The time on the steady clock.
+            priority: The call's priority.
+            shed_probability: The fraction of all calls to reject, from the overload estimator for the
+                strictest latency objective, not for the call's own.
+            value: The call's value per time.
         """
         shed_probability = self.shedding_order.smooth(now_ms, shed_probability)
         if self.overload_level(now_ms) < SHEDDING_LEVEL:
@@ -196,14 +214,14 @@
         )
 
     def record_rejected(self, now_ms: float, priority: CallPriority, is_client_retry: bool = False) -> None:
-        """A call was rejected: it counts against its tenant's floor."""
+        """Count a rejected call against its tenant's floor, unless the call is a client's retry."""
         if not is_client_retry:
             self.usage.record_rejected(now_ms, priority.tenant_name)
 
     def choose_victim(
         self, now_ms: float, claim: PreemptionClaim, candidates: Iterable[PreemptionCandidate]
     ) -> int | None:
-        """The request id of the call that the claim preempts, which then counts as preempted; None: none."""
+        """Return the request id of the call to preempt, and count the preemption; None: no call."""
         level = self.overload_level(now_ms)
         is_in_time = claim.expected_wait_ms + claim.service_time_ms <= claim.remaining_ms
         if level < PREEMPT_QUEUED_LEVEL or len(self.preempted_at) >= MAX_REMEMBERED_PREEMPTIONS or is_in_time:
@@ -224,13 +242,11 @@
         return victim.request_id
 
     def rejection_reason(self, priority: CallPriority) -> str:
-        """What the preempted call's client is told: about its own contract and nobody else's."""
+        """Return the reason that the preempted client receives; the text mentions only its own contract."""
         tier_name = self.contracts.for_tenant(priority.tenant_name).tier_name
         side = "within" if priority.is_within_quota else "beyond"
         return f"preempted under cluster overload: tier {tier_name}, {side} contract; try again later"
 
-    # Inside.
-
     def _may_preempt(self) -> bool:
         return self.overload.level >= PREEMPT_QUEUED_LEVEL
 
@@ -255,7 +271,7 @@
         return shedding_score(priority, value / max(mean_value, MIN_DIVISOR), is_at_floor)
 
     def _can_preempt(self, now_ms: float, candidate: PreemptionCandidate) -> bool:
-        """Whether floors hold without this call; no call is preempted twice."""
+        """Return whether the call is preempted for the first time and its tenant stays above the floor."""
         if candidate.retry_identity in self.preempted_at:
             self.counters[PreemptionEvent.ALREADY_PREEMPTED] += 1
             return False
--- a/cedarthread/priority/contract_entries.py
+++ b/cedarthread/priority/contract_entries.py
@@ -1,8 +1,8 @@
 """Entries of the replicated store that declare priority tiers and tenants' contracts: records and codec.
 
-An entry's body is a MessagePack array in canonical form: one meaning has exactly one encoding, so equal
-declarations have equal digests. Figures are fixed-point integers (``FIXED_POINT_SCALE``), which compare alike
-on all routers. Why these records: docs/design/priority.md, step 1.
+An entry's body is a MessagePack array in canonical form: each meaning has exactly one encoding, so equal
+declarations have equal digests. Figures are fixed-point integers (``FIXED_POINT_SCALE``), which compare the
+same on all routers. docs/design/priority.md, step 1, gives the reasons for these records.
 """
 
 from __future__ import annotations
@@ -18,32 +18,32 @@
 if TYPE_CHECKING:
     from cedarthread.fleet_config import FleetConfig
 
-TIER_ORDER_NAME = "order"  # the name of the one entry of EntryKind.TIERS
-FIXED_POINT_SCALE = 1000  # units to one: 1/1000 call per second, 1/1000 of capacity, ms to a second
-MAX_RATE_MILLI_PER_SECOND = 10**9  # a million calls per second: more than any fleet serves
-MAX_NAME_BYTES = 64  # as in the operators' file (``fleet_config``)
-MAX_ERROR_CHARACTERS = 80  # of a decoder's message that are kept: it may quote hostile input
+TIER_ORDER_NAME = "order"  # the name of the only entry of EntryKind.TIERS
+FIXED_POINT_SCALE = 1000  # integer units per call per second, per whole capacity, and per second
+MAX_RATE_MILLI_PER_SECOND = 10**9  # a million calls per second, more than any fleet serves
+MAX_NAME_BYTES = 64  # the same limit as in ``fleet_config``
+MAX_ERROR_CHARACTERS = 80  # of a decoder's message, which may quote hostile input
 
-# What an order of tiers may say, in fixed point: the ranges that the operators' file is checked against.
+# The ranges of a tier order's figures in fixed point; ``fleet_config`` checks the fleet file against them.
 ONSET_PERMILLE_RANGE = (500, 10_000)
 MIN_RELEASE_PERMILLE = 100
 MAX_DWELL_MS = 600_000
 
 
 class ContractTerms(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """One tenant's contract. ``floor_permille``: the part of its calls within quota that is always served."""
+    """One tenant's contract."""
 
     tier_name: str
     rate_milli_per_second: int
-    floor_permille: int
+    floor_permille: int  # of the calls within quota that are always served
 
 
 class TierOrder(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """The tiers, preempted last first, and the figures of cluster overload (parts of capacity in 1/1000)."""
+    """The order of tiers and the figures of cluster overload; the first tier is preempted last."""
 
     tier_names: tuple[str, ...]
-    onset_permille: int
-    release_permille: int
+    onset_permille: int  # load pressure at which overload starts, in 1/1000 of capacity
+    release_permille: int  # load pressure under which overload ends, in 1/1000 of capacity
     dwell_ms: int
     preemptions_milli_per_second: int
 
@@ -52,9 +52,9 @@
 
 
 def entries_from_config(fleet: FleetConfig) -> list[tuple[EntryKind, str, bytes]]:
-    """Kind, name and body of each entry that a checked file declares.
+    """Return kind, name and body of each entry that a valid fleet file declares.
 
-    A file without tiers declares nothing about them: it does not end anybody's contract.
+    A file without tiers declares no entry, and so ends no contract.
     """
     if not fleet.tier:
         return []
@@ -78,20 +78,21 @@
 
 
 def decode_contract(entry: Entry) -> ContractTerms | MalformedDatagram:
-    """The contract that an entry declares, or why it cannot be read. Raises nothing, whatever the body."""
+    """Return the contract that an entry declares, or why the body is malformed; never raise."""
     terms = _decode(entry.body, ContractTerms)
     if isinstance(terms, MalformedDatagram):
         return terms
     if not _is_valid_name(terms.tier_name) or not _is_valid_name(entry.name):
         return MalformedDatagram("no name of 1 to 64 bytes")
-    rate, floor = terms.rate_milli_per_second, terms.floor_permille
+    rate = terms.rate_milli_per_second
+    floor = terms.floor_permille
     if not (0 <= rate <= MAX_RATE_MILLI_PER_SECOND and 0 <= floor <= FIXED_POINT_SCALE):
         return MalformedDatagram(f"rate {rate}, floor {floor}")
     return terms
 
 
 def decode_tier_order(entry: Entry) -> TierOrder | MalformedDatagram:
-    """The tiers that an entry declares, or why it cannot be read. Raises nothing, whatever the body."""
+    """Return the tiers that an entry declares, or why the body is malformed; never raise."""
     order = _decode(entry.body, TierOrder)
     if isinstance(order, MalformedDatagram):
         return order
@@ -101,10 +102,12 @@
     if not all(map(_is_valid_name, names)):
         return MalformedDatagram("no name of 1 to 64 bytes")
     min_onset, max_onset = ONSET_PERMILLE_RANGE
-    onset, release = order.onset_permille, order.release_permille
+    onset = order.onset_permille
+    release = order.release_permille
     if not (min_onset <= onset <= max_onset and MIN_RELEASE_PERMILLE <= release <= onset):
         return MalformedDatagram(f"onset {onset}, end {release}")
-    dwell_ms, preemptions = order.dwell_ms, order.preemptions_milli_per_second
+    dwell_ms = order.dwell_ms
+    preemptions = order.preemptions_milli_per_second
     if not (0 <= dwell_ms <= MAX_DWELL_MS and 0 <= preemptions <= MAX_RATE_MILLI_PER_SECOND):
         return MalformedDatagram(f"dwell {dwell_ms}, preempts {preemptions}")
     return order
@@ -119,6 +122,6 @@
         value = msgspec.msgpack.decode(body, type=body_type)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         return MalformedDatagram(str(error)[:MAX_ERROR_CHARACTERS])
-    if msgspec.msgpack.encode(value) != body:  # two encodings of one meaning would have two digests
+    if msgspec.msgpack.encode(value) != body:  # a second encoding of one meaning would have another digest
         return MalformedDatagram("not the canonical encoding")
     return value
--- a/cedarthread/priority/contracts.py
+++ b/cedarthread/priority/contracts.py
@@ -1,8 +1,8 @@
-"""The contracts and overload parameters that are in effect at this router now.
+"""The contracts and overload parameters that are in effect at one router.
 
-Where several versions of an entry may be in effect somewhere, quotas are granted by their greatest lower
-bound, and a tenant neither preempts nor is preempted by its tier until one version is certain:
-docs/design/priority.md, steps 1 to 7.
+While several versions of an entry may be in effect at some router, quotas follow the greatest lower bound of
+the versions, and a tenant neither preempts nor is preempted by its tier until one version is certain
+(docs/design/priority.md, steps 1 to 7).
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveContract:
-    """What is in effect of one tenant's contract at this router."""
+    """One tenant's contract as in effect at this router: the strictest of the versions in effect."""
 
-    tier_index: int  # the worst of the tiers that it may have; 0 is preempted last
-    rate_milli_per_second: int  # the least that may be in effect
-    floor_permille: int  # of its calls within quota, the greatest that may be in effect
-    tier_name: str  # by the newest version, for people
-    is_certain: bool  # no other version may be in effect at a fresh router
+    tier_index: int  # the greatest of all versions; 0 is preempted last
+    rate_milli_per_second: int  # the least of all versions
+    floor_permille: int  # of the calls within quota, the greatest of all versions
+    tier_name: str  # from the newest version, for texts
+    is_certain: bool  # whether no other version may be in effect at a fresh router
 
 
 NO_CONTRACT = EffectiveContract(MAX_TIERS, 0, 0, "none", True)
@@ -43,32 +43,32 @@
 
 @dataclass(frozen=True, slots=True)
 class OverloadParameters:
-    """When the cluster counts as overloaded: of all versions in effect, what preempts least."""
+    """The figures of cluster overload; of all versions in effect, those that preempt least."""
 
-    onset: float  # load pressure at which overload begins; 1 is the fleet's capacity
-    release: float  # load pressure under which it ends
+    onset: float  # load pressure at which overload starts; 1 is the fleet's capacity
+    release: float  # load pressure under which overload ends
     dwell_ms: float
     preemptions_milli_per_second: int
 
 
 class EffectiveContracts:
-    """All contracts as they are in effect at this router; ``refresh`` brings them up to date."""
+    """All contracts in effect at one router, as of the last ``refresh``."""
 
     def __init__(self, replicated_state: ReplicatedState) -> None:
         self.replicated_state = replicated_state
         self.tier_orders = HistoriesByName[TierOrder](EntryKind.TIERS, decode_tier_order)
         self.contract_terms = HistoriesByName[ContractTerms](EntryKind.CONTRACT, decode_contract)
         self.effective: dict[str, EffectiveContract] = {}
-        self.overload_parameters: OverloadParameters | None = None  # None: no tiers are declared or known yet
+        self.overload_parameters: OverloadParameters | None = None  # None: no tiers are known
         self.is_fresh = False
 
     @property
     def unreadable_count(self) -> int:
-        """Entries whose body could not be read; they are treated as if they had not come."""
+        """Number of entries with a malformed body, which are ignored."""
         return self.tier_orders.unreadable_count + self.contract_terms.unreadable_count
 
     def refresh(self, now_ms: float) -> None:
-        """Follow the replicated store: at each of its changes and at each tick."""
+        """Update the contracts from the replicated store, on each change of entries and on each tick."""
         self.tier_orders.refresh(self.replicated_state)
         self.contract_terms.refresh(self.replicated_state)
         staleness_bound_ms = self.replicated_state.staleness_bound_ms
@@ -87,13 +87,17 @@
         }
 
     def for_tenant(self, tenant_name: str | None) -> EffectiveContract:
-        """What is in effect for a tenant. A fresh router that holds no contract of it knows that none is."""
+        """Return the contract in effect for a tenant.
+
+        If no entry is found, a fresh router knows that the tenant has no contract. A router that is not fresh
+        does not know.
+        """
         found = self.effective.get(tenant_name) if tenant_name is not None else None
         return found or (NO_CONTRACT if self.is_fresh else UNKNOWN_CONTRACT)
 
 
 def _greatest_lower_bound(tier_orders: Iterable[TierOrder]) -> OverloadParameters:
-    """The parameters that preempt no more than any of these would."""
+    """Return the parameters that preempt no more than any of these tier orders."""
     orders = tuple(tier_orders)
     return OverloadParameters(
         max(order.onset_permille for order in orders) / FIXED_POINT_SCALE,
@@ -119,5 +123,5 @@
 
 
 def _tier_index(order: TierOrder, tier_name: str) -> int:
-    """The index of a tier, 0 is preempted last; ``MAX_TIERS`` for one that the order does not name."""
+    """Return the index of a tier, 0 for the one preempted last; ``MAX_TIERS`` for an unknown tier."""
     return order.tier_names.index(tier_name) if tier_name in order.tier_names else MAX_TIERS
--- a/cedarthread/priority/load_pressure.py
+++ b/cedarthread/priority/load_pressure.py
@@ -1,6 +1,6 @@
-"""The load pressure at one router: how much more is offered than can be served.
+"""The load pressure at one router: the ratio of offered calls to served calls.
 
-Why these two factors: docs/design/priority.md, step 8.
+docs/design/priority.md, step 8, gives the reasons for the two factors.
 """
 
 from __future__ import annotations
@@ -8,19 +8,19 @@
 from cedarthread.statistics import DecayingCounter
 
 PRESSURE_TIME_CONSTANT_MS = 2000.0  # over which arrivals and completions decay
-# Part of the wait that begins to reject, from which a router counts as overloaded: calls of high weight are
+# Utilization from which a router counts as overloaded. The value is below 1 because calls of high weight are
 # rejected only at a longer wait.
 OVERLOAD_UTILIZATION = 0.5
-PRIOR_CALLS = 3.0  # calls assumed on both sides of the ratio: few calls are weak evidence
+PRIOR_CALLS = 3.0  # added to both sides of the ratio, because few calls are weak evidence
 MS_PER_SECOND = 1000.0
 
 
 class LoadPressureEstimator:
-    """Arrivals over completions, scaled down while the wait shows no overload.
+    """Estimator of load pressure: arrivals over completions, scaled down while the wait shows no overload.
 
-    The first factor shows how much more is offered than is served, whether a router rejects or lets all
-    calls wait; failing workers raise it too. The wait does not show how much, but failing workers do not
-    raise it.
+    The ratio shows how much more is offered than is served, both for a router that rejects calls and for one
+    that queues them, but failing workers raise the ratio too. The wait does not show by how much capacity is
+    exceeded, but failing workers do not raise the wait.
     """
 
     def __init__(self) -> None:
@@ -29,16 +29,21 @@
         self.utilization = DecayingCounter(PRESSURE_TIME_CONSTANT_MS)
 
     def record_arrival(self, now_ms: float, utilization: float) -> None:
-        """A call came, no retry. ``utilization``: the expected wait over the one at which overload begins."""
+        """Count an arrival that is no retry.
+
+        Args:
+            now_ms: The time on the steady clock.
+            utilization: The expected wait divided by the wait at which overload starts.
+        """
         self.arrivals.add(now_ms, 1.0)
         self.utilization.add(now_ms, min(1.0, max(0.0, utilization)))
 
     def record_completion(self, now_ms: float) -> None:
-        """A call was served."""
+        """Count a served call."""
         self.completions.add(now_ms, 1.0)
 
     def pressure(self, now_ms: float) -> float:
-        """Under 1: there is spare capacity; 2: twice what is served is offered."""
+        """Return the load pressure; under 1 there is spare capacity, at 2 the offer is twice the service."""
         arrivals = self.arrivals.read(now_ms)
         utilization = self.utilization.read(now_ms) / (arrivals + PRIOR_CALLS)
         return (
@@ -48,5 +53,5 @@
         )
 
     def calls_per_second(self, now_ms: float) -> float:
-        """First attempts per second."""
+        """Return the rate of calls per second, without clients' retries."""
         return self.arrivals.read(now_ms) / PRESSURE_TIME_CONSTANT_MS * MS_PER_SECOND
--- a/cedarthread/priority/load_shedding.py
+++ b/cedarthread/priority/load_shedding.py
@@ -1,9 +1,9 @@
-"""How load shedding under cluster overload is weighted by priority: which calls are rejected, not how many.
+"""Load shedding by priority under cluster overload: which calls are rejected, not how many.
 
-The overload estimator decides what part of all calls to reject, and that stays as it is, so the workers
-stay as busy. First rejected are the calls of least value for their time, weighted by priority (the greedy
-rule of the fractional knapsack problem, Dantzig 1957): it recovers in value what protecting the first tier
-costs.
+The overload estimator determines the fraction of calls to reject. This module does not change the fraction,
+so the workers remain as busy. The calls with the least value per time, weighted by priority, are rejected
+first (the greedy rule of the fractional knapsack problem, Dantzig 1957). This order recovers the value that
+the protection of the first tier costs.
 """
 
 from __future__ import annotations
@@ -15,25 +15,31 @@
 
 from cedarthread.model.call_priority import OVER_QUOTA_OFFSET, CallPriority
 
-SAMPLE_CALLS = 400  # recent calls from which the distribution of scores is known
-RESORT_INTERVAL_CALLS = 40  # after which the sample is sorted anew
-TIER_FACTOR = 0.8  # weight of a call's value for each tier down
-MAX_TIER_STEPS = 3  # tiers down past which the weight falls no more
-OVER_QUOTA_FACTOR = 0.7  # weight of a call's value over quota
-VALUE_BAND = 0.05  # relative difference of value within which calls are rejected alike: it is all jitter
+SAMPLE_CALLS = 400  # recent calls that represent the distribution of scores
+RESORT_INTERVAL_CALLS = 40  # calls between sorts of the sample
+TIER_FACTOR = 0.8  # factor on a call's value for each tier below the first
+MAX_TIER_STEPS = 3  # tiers below the first beyond which the factor is constant
+OVER_QUOTA_FACTOR = 0.7  # factor on the value of a call over quota
+VALUE_BAND = 0.05  # relative difference of value that counts as jitter, so that calls are rejected alike
 SMOOTHING_MS = 400.0  # time constant of the shed probability
-MAX_SHED_PROBABILITY = 0.95  # the rest is always admitted: it shows when the overload is over
+MAX_SHED_PROBABILITY = 0.95  # the calls still admitted show when the overload has ended
 
 
 class SheddingScore(NamedTuple):
-    """The place of a call among those that may be rejected, by comparison; the least is rejected first."""
+    """The rank of a call among those that may be rejected; the least score is rejected first."""
 
-    is_protected: bool  # highest priority, or its tenant is at its floor
+    is_protected: bool  # the call has the highest priority, or its tenant is at its floor
     weighted_value: float
 
 
 def shedding_score(priority: CallPriority, value: float, is_at_floor: bool) -> SheddingScore:
-    """The score of a call of this value for its time. ``is_at_floor``: its tenant may lose no more calls."""
+    """Return the score of a call with this value per time.
+
+    Args:
+        priority: The call's priority.
+        value: The call's value per time, relative to the mean of recent calls.
+        is_at_floor: Whether a further rejection would violate the floor of the call's tenant.
+    """
     if priority.is_highest() or is_at_floor:
         return SheddingScore(True, value)
     over_quota, tier_index = divmod(priority.position, OVER_QUOTA_OFFSET)
@@ -42,16 +48,17 @@
 
 
 class SheddingOrder:
-    """The distribution of the scores of recent calls, and from it each call's shed probability."""
+    """The distribution of the scores of recent calls, which determines the shed probability of each call."""
 
     def __init__(self) -> None:
         self.recent_scores: deque[SheddingScore] = deque(maxlen=SAMPLE_CALLS)
         self.sorted_scores: list[SheddingScore] = []
         self.calls_since_sort = 0
-        self.smoothed_shed_probability, self.smoothed_at_ms = 0.0, 0.0
+        self.smoothed_shed_probability = 0.0
+        self.smoothed_at_ms = 0.0
 
     def smooth(self, now_ms: float, shed_probability: float) -> float:
-        """The shed probability without short random peaks, so that the order of the calls is kept."""
+        """Return the shed probability smoothed over time, so that short peaks reject no call out of order."""
         gain = 1.0 - math.exp((self.smoothed_at_ms - now_ms) / SMOOTHING_MS)
         self.smoothed_shed_probability += gain * (shed_probability - self.smoothed_shed_probability)
         self.smoothed_at_ms = now_ms
@@ -62,10 +69,16 @@
         self.recent_scores.append(score)
         self.calls_since_sort += 1
         if self.calls_since_sort >= RESORT_INTERVAL_CALLS or len(self.sorted_scores) < RESORT_INTERVAL_CALLS:
-            self.sorted_scores, self.calls_since_sort = sorted(self.recent_scores), 0
+            self.sorted_scores = sorted(self.recent_scores)
+            self.calls_since_sort = 0
 
     def shed_probability(self, shed_probability: float, score: SheddingScore) -> float:
-        """The probability to reject a call of this score, where ``shed_probability`` of all are to be."""
+        """Return the probability to reject a call of this score.
+
+        Args:
+            shed_probability: The fraction of all calls to reject.
+            score: The call's score.
+        """
         if not self.sorted_scores:
             return min(MAX_SHED_PROBABILITY, shed_probability)
         is_protected, value = score
@@ -74,7 +87,9 @@
         band_end = SheddingScore(is_protected, value * (1.0 + VALUE_BAND))
         low = bisect_left(self.sorted_scores, band_start) / sample_size
         high = bisect_right(self.sorted_scores, band_end) / sample_size
-        if is_protected:  # not before more must be rejected than all others together: the estimate is noisy
-            low, high = 1.0 + low, 1.0 + high
+        if is_protected:
+            # A protected call is rejected only if the noisy fraction to reject is over all unprotected calls.
+            low = 1.0 + low
+            high = 1.0 + high
         high = max(high, low + 1.0 / sample_size)
         return min(MAX_SHED_PROBABILITY, max(0.0, (shed_probability - low) / (high - low)))
--- a/cedarthread/priority/overload_level.py
+++ b/cedarthread/priority/overload_level.py
@@ -1,12 +1,12 @@
 """The level of cluster overload: a state machine with hysteresis over the fleet's load pressure.
 
-    level   what is done
-        0   nothing
+    level   effect
+        0   none
         1   load shedding is weighted by priority
         2   calls that are queued in the router may be preempted
-        3   calls that run may be preempted too
+        3   running calls may be preempted too
 
-Why these levels: docs/design/priority.md, step 11.
+docs/design/priority.md, step 11, gives the reasons for the levels.
 """
 
 from __future__ import annotations
@@ -17,29 +17,33 @@
 if TYPE_CHECKING:
     from cedarthread.priority.contracts import OverloadParameters
 
-LEVEL_MULTIPLES = (1.0, 1.2, 1.4)  # times the onset at which levels 1 to 3 begin
+LEVEL_MULTIPLES = (1.0, 1.2, 1.4)  # of the onset; the pressures at which levels 1 to 3 start
 
 
 class OverloadStateMachine:
-    """Moves one level at a time, after the pressure has asked for it during the whole dwell time.
+    """The overload level of one router, which moves by one level after each complete dwell time.
 
-    Up: the pressure is at or over the next level's beginning. Down: it is under this level's beginning times
-    ``release / onset``. Where the pressure is not known, the level is 0 at once.
+    The level rises if the pressure was at or over the start of the next level for the whole dwell time. The
+    level falls if the pressure was under the start of the current level times ``release / onset`` for the
+    whole dwell time. If the pressure is unknown, the level is 0 immediately.
     """
 
     def __init__(self) -> None:
         self.level = 0
-        self.requested_since_ms: float | None = None  # when the pressure first asked for ``requested_step``
-        self.requested_step = 0  # -1, 0 or 1
+        self.requested_since_ms: float | None = None  # start of the current ``requested_step``
+        self.requested_step = 0  # -1, 0 or 1: the change of level for which the dwell time runs
 
     def update(self, now_ms: float, pressure: float | None, parameters: OverloadParameters | None) -> int:
-        """Take the fleet's pressure now and return the level."""
+        """Update the level from the fleet's load pressure, and return the level."""
         if pressure is None or parameters is None:
-            self.level, self.requested_since_ms, self.requested_step = 0, None, 0
+            self.level = 0
+            self.requested_since_ms = None
+            self.requested_step = 0
             return 0
         requested_step = self._requested_step(pressure, parameters)
         if requested_step != self.requested_step or self.requested_since_ms is None:
-            self.requested_step, self.requested_since_ms = requested_step, now_ms
+            self.requested_step = requested_step
+            self.requested_since_ms = now_ms
         if requested_step and now_ms - self.requested_since_ms >= parameters.dwell_ms:
             self.level += requested_step
             self.requested_since_ms = now_ms
--- a/cedarthread/priority/preemption.py
+++ b/cedarthread/priority/preemption.py
@@ -1,8 +1,8 @@
-"""Which call a call of higher priority preempts: a pure choice among one router's open calls, in one pass.
+"""The choice of the call to preempt among one router's open calls, as a pure function in one pass.
 
-Only a call of strictly lower priority, only one that can be given up without breaking a promise, and only
-where the freed capacity answers the higher call within its latency objective. Otherwise none: work that is
-thrown away for nothing serves no tier.
+The victim must have a strictly lower priority, must be safe to reject, and must free capacity early enough
+for the claiming call to meet its latency objective. Otherwise no call is preempted, because wasted work
+serves no tier.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 
     from cedarthread.model.call_priority import CallPriority
 
-CANCELLATION_DELAY_MS = 10.0  # for a cancellation to reach a worker and free its concurrency slot
-MAX_COMPLETED_SHARE = (
-    0.5  # of its work, past which a running call is left to end: it soon frees its slot itself
-)
+CANCELLATION_DELAY_MS = 10.0  # until a cancellation frees the concurrency slot at the worker
+# A running call that has completed more than this share of its work is not preempted, because the call soon
+# frees its slot itself.
+MAX_COMPLETED_SHARE = 0.5
 
 
 class CallStage(IntEnum):
-    """How far an open call has come."""
+    """The progress of an open call."""
 
     QUEUED = 0  # in the router
     UNWRITTEN = 1  # an attempt is in flight of which no byte has been written
-    WRITTEN = 2  # a byte has been written, or that is not known: the worker may run it
-    STREAMING = 3  # its response has begun
+    WRITTEN = 2  # a byte has been written, or may have been, so the worker may run the call
+    STREAMING = 3  # the response has started
 
 
 @dataclass(frozen=True, slots=True)
 class PreemptionCandidate:
-    """An open call as far as the choice needs it."""
+    """An open call that may be preempted."""
 
     request_id: int
     retry_identity: int  # the same for a call and its client's retries of it
@@ -46,40 +46,40 @@
     deduplication_scope: DeduplicationScope
     priority_weight: float
     arrived_at_ms: float
-    worker_id: int | None  # where it runs; of a queued call, whose slot it gets next; None: not known
-    time_to_free_ms: float  # until it frees its slot by itself; of a queued call, until it would get its slot
-    deduplication_remaining_ms: float = 0.0  # during which workers still drop a retry with the same key
-    consumed_work_ms: float = 0.0  # that the worker has done for it
-    is_client_retry: bool = False  # its first attempt may have been preempted, here or at another router
-    attempts_in_flight: int = 1  # one of several hedged attempts frees no slot alone
+    worker_id: int | None  # that runs the call, or for a queued call the next worker to run it; None: unknown
+    time_to_free_ms: float  # until the call frees its slot, or for a queued call until the call gets a slot
+    deduplication_remaining_ms: float = 0.0  # for which workers still reject a retry with the same key
+    consumed_work_ms: float = 0.0  # of the worker for the call
+    is_client_retry: bool = False  # if so, the first call may have been preempted, here or at another router
+    attempts_in_flight: int = 1  # with several hedged attempts, no single cancellation frees the call's slots
 
 
 @dataclass(frozen=True, slots=True)
 class PreemptionClaim:
-    """A call that would miss its latency objective as things stand."""
+    """A call that would miss its latency objective without preemption."""
 
     priority: CallPriority
-    service_time_ms: float  # from a free slot to its response
-    remaining_ms: float  # of its latency objective
-    expected_wait_ms: float  # until it gets a slot if no call is preempted
-    wait_by_worker_ms: Mapping[int, float]  # where it may go: its wait there with one call less in flight
+    service_time_ms: float  # from a free slot to the response
+    remaining_ms: float  # until the latency objective is missed
+    expected_wait_ms: float  # until the call gets a slot if no call is preempted
+    wait_by_worker_ms: Mapping[int, float]  # by eligible worker, the wait with one call less in flight
 
 
 @dataclass(frozen=True, slots=True)
 class PreemptionLimits:
-    """What may be given up now."""
+    """The limits on which call may be preempted now."""
 
-    allows_running: bool  # calls that run may be preempted too
-    waste_budget_ms: float  # of work that may be thrown away
-    max_retry_after_ms: float  # by which a rejected client has come back at the latest
-    is_allowed: Callable[[PreemptionCandidate], bool]  # by its tenant's floor, and not preempted before
+    allows_running: bool  # whether running calls may be preempted too
+    waste_budget_ms: float  # completed work that may be wasted
+    max_retry_after_ms: float  # the latest time at which a rejected client retries
+    is_allowed: Callable[[PreemptionCandidate], bool]  # checks the tenant's floor and earlier preemptions
 
 
 def is_safe_to_reject(candidate: PreemptionCandidate, max_retry_after_ms: float) -> bool:
-    """Whether the call may be rejected with the promise that a retry does no harm.
+    """Return whether the client can retry the call safely after a rejection.
 
-    A written call may have run: it must be idempotent, or have an idempotency key that all workers know until
-    its client has come back. One that must not run twice is never safe once a byte of it has been written.
+    A written call may have run. The call must therefore be idempotent, or have an idempotency key that all
+    workers remember until the client retries. Otherwise a written call is never safe to reject.
     """
     if candidate.stage is CallStage.STREAMING:
         return False
@@ -93,7 +93,10 @@
 
 
 def frees_capacity_in_time(claim: PreemptionClaim, candidate: PreemptionCandidate) -> bool:
-    """Whether the freed capacity answers the claim in time. A free slot goes to the queue's head there."""
+    """Return whether the freed capacity serves the claim within its latency objective.
+
+    The worker gives a free slot to the head of its queue, so the claim still waits for the calls ahead.
+    """
     worker_id = candidate.worker_id
     if worker_id is None or worker_id not in claim.wait_by_worker_ms or candidate.attempts_in_flight > 1:
         return False
@@ -107,9 +110,9 @@
 def choose_victim(
     claim: PreemptionClaim, candidates: Iterable[PreemptionCandidate], limits: PreemptionLimits
 ) -> PreemptionCandidate | None:
-    """The call that the claim preempts: the least by ``preemption_key``; None: none may be preempted."""
+    """Return the call to preempt, the least by ``preemption_key``; None if no call may be preempted."""
     if claim.expected_wait_ms + claim.service_time_ms <= claim.remaining_ms:
-        return None  # it is served in time as things stand
+        return None  # the claim meets its latency objective without preemption
     victim: PreemptionCandidate | None = None
     victim_key: tuple[float, ...] = ()
     for candidate in candidates:
@@ -119,14 +122,18 @@
             candidate.priority, candidate.priority_weight, candidate.arrived_at_ms, candidate.request_id
         )
         if victim is None or key < victim_key:
-            victim, victim_key = candidate, key
+            victim = candidate
+            victim_key = key
     return victim
 
 
 def _may_be_preempted(
     claim: PreemptionClaim, candidate: PreemptionCandidate, limits: PreemptionLimits
 ) -> bool:
-    """All conditions on one candidate. ``is_allowed`` comes last: it counts whom it protects."""
+    """Return whether a candidate satisfies all conditions.
+
+    ``is_allowed`` is the last condition because the function counts the candidates that it protects.
+    """
     return (
         claim.priority.outranks(candidate.priority)
         and not candidate.is_client_retry
@@ -138,7 +145,7 @@
 
 
 def _is_cheap_enough(candidate: PreemptionCandidate, limits: PreemptionLimits) -> bool:
-    """Whether preempting it throws away no more work than the limits permit."""
+    """Return whether the preemption wastes no more work than the limits permit."""
     if candidate.stage is not CallStage.WRITTEN:
         return True
     total_work_ms = candidate.consumed_work_ms + candidate.time_to_free_ms
--- a/cedarthread/priority/pressure_gossip.py
+++ b/cedarthread/priority/pressure_gossip.py
@@ -1,6 +1,6 @@
-"""Gossip of load pressure: each router's latest report, and the pressure that most of the fleet is under.
+"""Gossip of load pressure: the latest report of each router, and the pressure that most of the fleet reaches.
 
-Why these figures: docs/design/priority.md, steps 9 and 10.
+docs/design/priority.md, steps 9 and 10, derives the figures.
 """
 
 from __future__ import annotations
@@ -16,36 +16,46 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MAX_REPORT_AGE_MS = 8000.0  # after which a report counts no more
-MAX_FORWARDED_AGE_MS = MAX_REPORT_AGE_MS / 2  # an older one would expire before it has spread
+MAX_REPORT_AGE_MS = 8000.0  # older reports are ignored
+MAX_FORWARDED_AGE_MS = MAX_REPORT_AGE_MS / 2  # older reports would expire before they reach all routers
 GOSSIP_INTERVAL_MS = 500.0
-GOSSIP_JITTER = (0.8, 1.2)  # times the interval, so that routers don't send in step
+GOSSIP_JITTER = (0.8, 1.2)  # range of the factor on the interval, so that routers do not send in step
 GOSSIP_FANOUT = 2  # peers per interval
 MAX_REPORTS_PER_MESSAGE = 50  # 251 bytes of the 256 that a datagram may have
-ROUNDING_TOLERANCE = 1e-9  # relative: the sum of weights depends on their order
-SEED_SALT = 0x50_52_45_53  # keeps these draws apart from those of other users of the router's seed
+ROUNDING_TOLERANCE = 1e-9  # relative, because the sum of weights depends on their order
+SEED_SALT = 0x50_52_45_53  # makes these draws independent of other users of the router's seed
 
 
 @dataclass(slots=True)
 class _PressureReport:
+    """The latest report of one router; the time is ms on this router's steady clock."""
+
     pressure: float
     calls_per_second: float
     measured_at_ms: float
 
 
 class PressureGossip:
-    """The load pressure reported by all routers; of each the latest report counts."""
+    """The latest report of load pressure of each router, and the schedule of messages to peers.
+
+    Args:
+        router_index: The index of this router.
+        router_count: Number of routers in the fleet.
+        seed: Seeds the choice of peers and the jitter.
+    """
 
     def __init__(self, router_index: int, router_count: int, seed: int) -> None:
-        self.router_index, self.router_count = router_index, router_count
+        self.router_index = router_index
+        self.router_count = router_count
         self.rng = random.Random(seed ^ SEED_SALT)
         self.reports: dict[int, _PressureReport] = {}
         self.alive_peers: tuple[int, ...] = ()
         self.next_send_at_ms = self.rng.uniform(0.0, GOSSIP_INTERVAL_MS)
-        self.unreadable_count = self.invalid_count = 0
+        self.unreadable_count = 0
+        self.invalid_count = 0
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> None:
-        """Take a datagram; one that is malformed, or names a wrong router, is counted and ignored."""
+        """Store the reports of a datagram; count and ignore one that is malformed or names a wrong router."""
         reports = codec.decode(data)
         if isinstance(reports, MalformedDatagram):
             self.unreadable_count += 1
@@ -68,11 +78,11 @@
                 )
 
     def record_own(self, now_ms: float, pressure: float, calls_per_second: float) -> None:
-        """What this router measured itself."""
+        """Store the measurement of this router."""
         self.reports[self.router_index] = _PressureReport(pressure, calls_per_second, now_ms)
 
     def messages_due(self, now_ms: float) -> list[tuple[int, bytes]]:
-        """Peer and datagram of each message that is due now: as many bytes in a fleet of any size."""
+        """Return peer and datagram of each message due now; the bytes do not depend on the fleet's size."""
         if now_ms < self.next_send_at_ms or not self.alive_peers or self.router_index not in self.reports:
             return []
         self.next_send_at_ms = now_ms + GOSSIP_INTERVAL_MS * self.rng.uniform(*GOSSIP_JITTER)
@@ -80,10 +90,10 @@
         return [(peer_index, codec.encode(self._reports_to_send(now_ms))) for peer_index in peers]
 
     def _reports_to_send(self, now_ms: float) -> list[RouterPressure]:
-        """The own report first, then the latest ones, so that each spreads while it counts.
+        """Return the own report, then the latest reports of others, so that each spreads before its expiry.
 
-        Measured with 200 routers at a loss of 0.2: with others at random instead, one router had 72 of them
-        within 6 s, not 106.
+        Measured with 200 routers at a loss of 0.2: with random reports in place of the latest, one router
+        received 72 reports within 6 s, not 106.
         """
         others = (
             (now_ms - report.measured_at_ms, router_index)
@@ -101,9 +111,10 @@
         )
 
     def fleet_pressure(self, now_ms: float) -> float | None:
-        """The pressure that more than half of the fleet is under, by calls and by number: the lesser of both.
+        """Return the pressure that more than half of the fleet reaches; None without reports of a majority.
 
-        None: reports of too few routers are here to know it; so a partitioned router sees no overload.
+        The result is the lesser of the medians weighted by calls and by routers. A partitioned router has too
+        few reports, and therefore sees no overload.
         """
         alive = {self.router_index, *self.alive_peers}
         recent = [
@@ -118,9 +129,10 @@
 
 
 def _lower_weighted_median(weighted_values: Iterable[tuple[float, float]]) -> float:
-    """The greatest value that is reached by values of more than half of the weight. Pairs: value, weight."""
+    """Return the greatest value that more than half of the weight reaches, from pairs of value and weight."""
     descending = sorted(weighted_values, reverse=True)
-    half_weight, weight_sum = sum(weight for _, weight in descending) / 2.0, 0.0
+    half_weight = sum(weight for _, weight in descending) / 2.0
+    weight_sum = 0.0
     for value, weight in descending:
         weight_sum += weight
         if weight_sum > half_weight * (1.0 + ROUNDING_TOLERANCE):
--- a/cedarthread/priority/usage.py
+++ b/cedarthread/priority/usage.py
@@ -1,9 +1,9 @@
-"""What tenants use of their quotas, over the whole fleet.
+"""The use of tenants' quotas at one router.
 
-The rate of a contract is a pool of the quota escrow; each router counts its calls against its amount by a
-token bucket (Turner, 1986). The amounts never sum up to more than the rate, so in any time T all routers
-together count at most rate x (T + ``BUCKET_DEPTH_MS``) calls as within quota, and one more for each router
-whose amount is under one call in ``BUCKET_DEPTH_MS``.
+The rate of a contract is a pool of the quota escrow. Each router counts its calls against its own amount of
+the pool with a token bucket (Turner, 1986). The amounts of all routers never exceed the rate. In any time T,
+all routers together therefore count at most rate x (T + ``BUCKET_DEPTH_MS``) calls as within quota, plus one
+call for each router with an amount under one call per ``BUCKET_DEPTH_MS``.
 """
 
 from __future__ import annotations
@@ -20,32 +20,33 @@
     from cedarthread.components.quota_escrow import QuotaEscrow
     from cedarthread.priority.contracts import EffectiveContract
 
-BUCKET_DEPTH_MS = 1000.0  # of its rate that a bucket holds at most
+BUCKET_DEPTH_MS = 1000.0  # time in which the rate fills a bucket
 DEMAND_TIME_CONSTANT_MS = 3000.0
-DEMAND_HEADROOM = 1.25  # times its demand that a router requests: growth must not wait for a grant each time
-REQUEST_STEPS = 20  # a lower demand is requested once it differs by over 1/20
-FLOOR_WINDOW_MS = 10_000.0  # in which a floor must hold
-IDLE_TENANT_TIMEOUT_MS = 600_000.0  # after which a tenant without calls is forgotten
+DEMAND_HEADROOM = 1.25  # factor on the demand that a router requests, so that growth needs no new grant
+REQUEST_STEPS = 20  # a lower demand is requested only if it is lower by over 1/20
+FLOOR_WINDOW_MS = 10_000.0  # time constant over which a floor is measured
+IDLE_TENANT_TIMEOUT_MS = 600_000.0  # after which a tenant without calls is removed
 MS_PER_SECOND = 1000.0
 
 
 def quota_pool_name(tenant_name: str) -> str:
-    """The name of a contract's pool in the quota escrow."""
+    """Return the name of a contract's pool in the quota escrow."""
     return f"tier/{tenant_name}"
 
 
 @dataclass(slots=True)
 class QuotaBucket:
-    """A token bucket whose rate changes as the escrow moves amounts between routers."""
+    """A token bucket with a rate that changes as the escrow moves amounts between routers."""
 
     tokens: float = 0.0
     rate_milli_per_second: int = 0
     filled_at_ms: float | None = None
 
     def refill(self, now_ms: float, rate_milli_per_second: int) -> None:
-        """Add the tokens since the last refill, by the lower of the rates at both ends.
+        """Add the tokens since the last refill, at the lower of the previous and the new rate.
 
-        An amount may have been given away just after the last refill, or have come just before this one.
+        The escrow may have moved an amount away immediately after the last refill, or here immediately before
+        this one, so the lower rate is the only safe one.
         """
         if self.filled_at_ms is not None and now_ms > self.filled_at_ms:
             rate = min(rate_milli_per_second, self.rate_milli_per_second) / FIXED_POINT_SCALE
@@ -53,11 +54,12 @@
         depth = 0.0
         if rate_milli_per_second > 0:
             depth = max(1.0, rate_milli_per_second / FIXED_POINT_SCALE * BUCKET_DEPTH_MS / MS_PER_SECOND)
-        self.tokens, self.rate_milli_per_second = min(self.tokens, depth), rate_milli_per_second
+        self.tokens = min(self.tokens, depth)
+        self.rate_milli_per_second = rate_milli_per_second
         self.filled_at_ms = now_ms
 
     def try_take(self) -> bool:
-        """Take one token; False where there is none."""
+        """Consume one token; return False if there is none."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -66,6 +68,8 @@
 
 @dataclass(slots=True)
 class _TenantCounters:
+    """The recent calls of one tenant at this router, and its token bucket."""
+
     demand: DecayingCounter = field(default_factory=lambda: DecayingCounter(DEMAND_TIME_CONSTANT_MS))
     calls: DecayingCounter = field(default_factory=lambda: DecayingCounter(FLOOR_WINDOW_MS))
     calls_within_quota: DecayingCounter = field(default_factory=lambda: DecayingCounter(FLOOR_WINDOW_MS))
@@ -77,24 +81,25 @@
 
 
 class TenantUsage:
-    """The calls of all tenants at this router, counted against their quotas and floors."""
+    """The calls of all tenants at one router, counted against their quotas and floors."""
 
     def __init__(self, escrow: QuotaEscrow) -> None:
         self.escrow = escrow
         self.tenants: dict[str, _TenantCounters] = {}
-        self.pool_totals: dict[str, int] = {}  # by tenant, as the pools were last opened
+        self.pool_totals: dict[str, int] = {}  # milli-calls per second of the open pools, by tenant
 
     def record_call(
         self, now_ms: float, tenant_name: str, contract: EffectiveContract, is_client_retry: bool
     ) -> bool:
-        """Count a call of a tenant; whether it is within quota.
+        """Count a call of a tenant; return whether the call is within quota.
 
-        A client's retry is no new call for the floor: else each preempted call would make room for
-        another.
+        A client's retry does not count as a new call for the floor. Otherwise the retry of each preempted
+        call would permit another preemption.
         """
         counters = self.tenants.get(tenant_name)
         if counters is None:
-            counters = self.tenants[tenant_name] = _TenantCounters()
+            counters = _TenantCounters()
+            self.tenants[tenant_name] = counters
             self._request_quota(now_ms, tenant_name, counters)
         counters.demand.add(now_ms, 1.0)
         if not is_client_retry:
@@ -111,9 +116,10 @@
             counters.rejected_calls.add(now_ms, 1.0)
 
     def can_reject(self, now_ms: float, tenant_name: str | None, floor_permille: int) -> bool:
-        """Whether with one call less the tenant is still at its floor, a part of its calls within quota.
+        """Return whether the tenant stays at or above its floor if one more call is rejected.
 
-        Each router holds the floor of the calls that came to it, so the fleet holds it of all calls.
+        The floor is a fraction of the tenant's calls within quota. Each router guarantees the floor for the
+        calls that it receives, so the fleet guarantees the floor for all calls.
         """
         counters = self.tenants.get(tenant_name) if tenant_name is not None else None
         if counters is None or floor_permille <= 0:
@@ -122,7 +128,7 @@
         return served_calls >= floor_permille / FIXED_POINT_SCALE * counters.calls_within_quota.read(now_ms)
 
     def on_tick(self, now_ms: float, contracts: Mapping[str, EffectiveContract]) -> None:
-        """Open and change pools, and request what this router could use of each."""
+        """Open and update the pools, and request the amount of each that this router can use."""
         for tenant_name, contract in contracts.items():
             rate = contract.rate_milli_per_second
             if self.pool_totals.get(tenant_name) != rate:
@@ -145,7 +151,7 @@
         counters.bucket.refill(now_ms, min(available, contract.rate_milli_per_second))
 
     def _request_quota(self, now_ms: float, tenant_name: str, counters: _TenantCounters) -> None:
-        """Request a growing demand at once, a falling one once it differs by over 1/``REQUEST_STEPS``."""
+        """Request a greater demand at once, a lower one only if lower by over 1/``REQUEST_STEPS``."""
         calls_per_second = (
             DEMAND_HEADROOM * counters.demand.read(now_ms) / DEMAND_TIME_CONSTANT_MS * MS_PER_SECOND
         )
