--- a/cedarthread/change_freeze/wall_clock.py
+++ b/cedarthread/change_freeze/wall_clock.py
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _OffsetSample:
-    """One comparison with another router's clock."""
+    """A comparison with another router's clock."""
 
     offset_ms: float  # the other router's wall clock minus this router's steady clock
     uncertainty_ms: float  # maximum error of the offset in either direction
--- a/cedarthread/change_freeze/window.py
+++ b/cedarthread/change_freeze/window.py
@@ -1,4 +1,4 @@
-"""One freeze window at one router: a state machine over the versions of the window's entries.
+"""A freeze window at one router: a state machine over the versions of the window's entries.
 
 A restriction is in effect as soon as this router receives its entry. A relaxation is in effect only after its
 entry has been on a majority of routers for the staleness bound. One rule implements both: all versions of a
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """One reading of the steady clock, and of the wall clock as a range in Unix ms."""
+    """A reading of the steady clock, and of the wall clock as a range in Unix ms."""
 
     now_ms: float  # steady clock
     earliest_unix_ms: float
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class _StoredVersion(Generic[_BodyT]):
-    """One version of an entry, with its decoded body."""
+    """A version of an entry, with its decoded body."""
 
     replicated: ReplicatedEntry
     body: _BodyT
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class FreezeWindow:
-    """One window at one router: the versions of its entries that may be in effect, oldest first."""
+    """A window at one router: the versions of its entries that may be in effect, oldest first."""
 
     window_id: str
     versions: list[_StoredVersion[WindowTerms]] = field(default_factory=list)
--- a/cedarthread/node/constraints.py
+++ b/cedarthread/node/constraints.py
@@ -109,14 +109,18 @@
         """
         request = pending.request
         tenant = request.caller if request.tenant_index is None else request.tenant_index
-        priority = self.priority.on_arrival(now_ms, tenant, value, utilization, request.is_client_retry)
+        priority = self.priority.on_arrival(
+            now_ms, tenant, value, utilization, is_client_retry=request.is_client_retry
+        )
         pending.call_priority = priority
         return self.priority.shed_probability(now_ms, priority, shed_fraction, value)
 
     def on_rejected(self, now_ms: float, pending: PendingRequest) -> None:
         """A request was rejected: it counts for the floor of its tenant."""
         if pending.call_priority is not None:
-            self.priority.record_rejected(now_ms, pending.call_priority, pending.request.is_client_retry)
+            self.priority.record_rejected(
+                now_ms, pending.call_priority, is_client_retry=pending.request.is_client_retry
+            )
 
     def overload_level(self, now_ms: float) -> int:
         """How overloaded the fleet is; 0: it is not, or that is not known."""
--- a/cedarthread/priority/call_priority.py
+++ b/cedarthread/priority/call_priority.py
@@ -22,7 +22,7 @@
 
 
 def assign_priority(
-    tenant_name: str | None, contract: EffectiveContract, is_within_quota: bool
+    tenant_name: str | None, contract: EffectiveContract, *, is_within_quota: bool
 ) -> CallPriority:
     """Return the priority of a call; the range of all priorities while the contract is not certain."""
     position = contract.tier_index + (0 if is_within_quota else OVER_QUOTA_OFFSET)
--- a/cedarthread/priority/component.py
+++ b/cedarthread/priority/component.py
@@ -106,7 +106,9 @@
         """Update contracts, quotas and the overload level, and return the gossip of load pressure."""
         self.contracts.refresh(now_ms)
         self.usage.on_tick(now_ms, self.contracts.effective)
-        self.preemption_budget.on_tick(now_ms, self.contracts.overload_parameters, self._may_preempt())
+        self.preemption_budget.on_tick(
+            now_ms, self.contracts.overload_parameters, may_preempt=self._may_preempt()
+        )
         for retry_identity in [
             identity for identity, at in self.preempted_at.items() if now_ms - at > PREEMPTED_RETENTION_MS
         ]:
@@ -116,7 +118,7 @@
             now_ms, estimator.pressure(now_ms), estimator.calls_per_second(now_ms)
         )
         messages: list[OutboundMessage] = [
-            SendToPeer(data, peer_index) for peer_index, data in self.pressure_gossip.messages_due(now_ms)
+            SendToPeer(due.data, due.peer_index) for due in self.pressure_gossip.messages_due(now_ms)
         ]
         return messages + self._update_overload_level(now_ms)
 
@@ -158,13 +160,14 @@
         tenant: int | str | None,
         value: float = 1.0,
         utilization: float = 0.0,
+        *,
         is_client_retry: bool = False,
     ) -> CallPriority:
         """Count a call that arrived, and return its priority.
 
         Args:
             now_ms: The time on the steady clock.
-            tenant: The tenant's index in the settings, or the caller's name.
+            tenant: The tenant's index in the settings, or the caller's name; None: unknown.
             value: The call's value per time.
             utilization: The expected wait divided by the wait at which overload starts.
             is_client_retry: Whether the client retries a call that was rejected.
@@ -178,16 +181,16 @@
         is_within_quota = (
             tenant_name is not None
             and tenant_name in self.contracts.effective
-            and self.usage.record_call(now_ms, tenant_name, contract, is_client_retry)
+            and self.usage.record_call(now_ms, tenant_name, contract, is_client_retry=is_client_retry)
         )
-        priority = assign_priority(tenant_name, contract, is_within_quota)
+        priority = assign_priority(tenant_name, contract, is_within_quota=is_within_quota)
         self.recent_value.add(now_ms, value)
         self.recent_calls.add(now_ms, 1.0)
         self.shedding_order.record_arrival(self._shedding_score(now_ms, priority, value))
         return priority
 
     def overload_level(self, now_ms: float) -> int:
-        """Return the level of cluster overload; 0 at a router that is not fresh, as contracts may be stale."""
+        """Return the level of cluster overload; 0 while this router is not fresh, as contracts may differ."""
         acts = self.contracts.overload_parameters is not None and self.replicated_state.is_fresh(now_ms)
         return self.overload.level if acts else 0
 
@@ -213,7 +216,9 @@
             shed_probability, self._shedding_score(now_ms, priority, value)
         )
 
-    def record_rejected(self, now_ms: float, priority: CallPriority, is_client_retry: bool = False) -> None:
+    def record_rejected(
+        self, now_ms: float, priority: CallPriority, *, is_client_retry: bool = False
+    ) -> None:
         """Count a rejected call against its tenant's floor, unless the call is a client's retry."""
         if not is_client_retry:
             self.usage.record_rejected(now_ms, priority.tenant_name)
@@ -226,7 +231,7 @@
         is_in_time = claim.expected_wait_ms + claim.service_time_ms <= claim.remaining_ms
         if level < PREEMPT_QUEUED_LEVEL or len(self.preempted_at) >= MAX_REMEMBERED_PREEMPTIONS or is_in_time:
             return None
-        if not self.preemption_budget.has_token(now_ms, self._may_preempt()):
+        if not self.preemption_budget.has_token(now_ms, may_preempt=self._may_preempt()):
             self.counters[PreemptionEvent.BUDGET_EXHAUSTED] += 1
             return None
         limits = PreemptionLimits(
@@ -268,7 +273,7 @@
         mean_value = self.recent_value.read(now_ms) / max(self.recent_calls.read(now_ms), MIN_DIVISOR)
         floor_permille = self.contracts.for_tenant(priority.tenant_name).floor_permille
         is_at_floor = not self.usage.can_reject(now_ms, priority.tenant_name, floor_permille)
-        return shedding_score(priority, value / max(mean_value, MIN_DIVISOR), is_at_floor)
+        return shedding_score(priority, value / max(mean_value, MIN_DIVISOR), is_at_floor=is_at_floor)
 
     def _can_preempt(self, now_ms: float, candidate: PreemptionCandidate) -> bool:
         """Return whether the call is preempted for the first time and its tenant stays above the floor."""
--- a/cedarthread/priority/contract_entries.py
+++ b/cedarthread/priority/contract_entries.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, TypeVar
+from typing import TYPE_CHECKING, NamedTuple, TypeVar
 
 import msgspec
 
@@ -31,7 +31,7 @@
 
 
 class ContractTerms(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """One tenant's contract."""
+    """A tenant's contract."""
 
     tier_name: str
     rate_milli_per_second: int
@@ -51,8 +51,16 @@
 BodyT = TypeVar("BodyT", ContractTerms, TierOrder)
 
 
-def entries_from_config(fleet: FleetConfig) -> list[tuple[EntryKind, str, bytes]]:
-    """Return kind, name and body of each entry that a valid fleet file declares.
+class ContractEntry(NamedTuple):
+    """An entry to propose to the replicated store; the name is a tenant's or ``TIER_ORDER_NAME``."""
+
+    kind: EntryKind
+    name: str
+    body: bytes
+
+
+def entries_from_config(fleet: FleetConfig) -> list[ContractEntry]:
+    """Return the entries that a valid fleet file declares.
 
     A file without tiers declares no entry, and so ends no contract.
     """
@@ -66,10 +74,10 @@
         _to_fixed_point(overload.dwell),  # seconds to ms
         _to_fixed_point(overload.preempts),
     )
-    entries = [(EntryKind.TIERS, TIER_ORDER_NAME, msgspec.msgpack.encode(tier_order))]
+    entries = [ContractEntry(EntryKind.TIERS, TIER_ORDER_NAME, msgspec.msgpack.encode(tier_order))]
     for contract in fleet.contract:
         terms = ContractTerms(contract.tier, _to_fixed_point(contract.rate), _to_fixed_point(contract.floor))
-        entries.append((EntryKind.CONTRACT, contract.tenant, msgspec.msgpack.encode(terms)))
+        entries.append(ContractEntry(EntryKind.CONTRACT, contract.tenant, msgspec.msgpack.encode(terms)))
     return entries
 
 
--- a/cedarthread/priority/contracts.py
+++ b/cedarthread/priority/contracts.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveContract:
-    """One tenant's contract as in effect at this router: the strictest of the versions in effect."""
+    """A tenant's contract as in effect at this router: the strictest of the versions in effect."""
 
     tier_index: int  # the greatest of all versions; 0 is preempted last
     rate_milli_per_second: int  # the least of all versions
@@ -37,8 +37,8 @@
     is_certain: bool  # whether no other version may be in effect at a fresh router
 
 
-NO_CONTRACT = EffectiveContract(MAX_TIERS, 0, 0, "none", True)
-UNKNOWN_CONTRACT = EffectiveContract(MAX_TIERS, 0, 0, "unknown", False)
+NO_CONTRACT = EffectiveContract(MAX_TIERS, 0, 0, "none", is_certain=True)
+UNKNOWN_CONTRACT = EffectiveContract(MAX_TIERS, 0, 0, "unknown", is_certain=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 
 
 class EffectiveContracts:
-    """All contracts in effect at one router, as of the last ``refresh``."""
+    """The contracts in effect at one router, as of the last ``refresh``."""
 
     def __init__(self, replicated_state: ReplicatedState) -> None:
         self.replicated_state = replicated_state
@@ -81,7 +81,7 @@
             tenant_name: _effective_contract(
                 terms.effective_bodies(now_ms, staleness_bound_ms),
                 effective_orders,
-                is_certain and terms.is_certain(),
+                is_certain=is_certain and terms.is_certain(),
             )
             for tenant_name, terms in self.contract_terms.histories.items()
         }
@@ -108,7 +108,7 @@
 
 
 def _effective_contract(
-    bodies: tuple[ContractTerms, ...], tier_orders: tuple[TierOrder, ...], is_certain: bool
+    bodies: tuple[ContractTerms, ...], tier_orders: tuple[TierOrder, ...], *, is_certain: bool
 ) -> EffectiveContract:
     return EffectiveContract(
         max(
--- a/cedarthread/priority/load_shedding.py
+++ b/cedarthread/priority/load_shedding.py
@@ -32,7 +32,7 @@
     weighted_value: float
 
 
-def shedding_score(priority: CallPriority, value: float, is_at_floor: bool) -> SheddingScore:
+def shedding_score(priority: CallPriority, value: float, *, is_at_floor: bool) -> SheddingScore:
     """Return the score of a call with this value per time.
 
     Args:
@@ -41,10 +41,10 @@
         is_at_floor: Whether a further rejection would violate the floor of the call's tenant.
     """
     if priority.is_highest() or is_at_floor:
-        return SheddingScore(True, value)
+        return SheddingScore(is_protected=True, weighted_value=value)
     over_quota, tier_index = divmod(priority.position, OVER_QUOTA_OFFSET)
     weight = TIER_FACTOR ** min(tier_index, MAX_TIER_STEPS)
-    return SheddingScore(False, value * weight * OVER_QUOTA_FACTOR**over_quota)
+    return SheddingScore(is_protected=False, weighted_value=value * weight * OVER_QUOTA_FACTOR**over_quota)
 
 
 class SheddingOrder:
--- a/cedarthread/priority/preemption_budget.py
+++ b/cedarthread/priority/preemption_budget.py
@@ -38,7 +38,7 @@
         self.completed_work_ms = DecayingCounter(BUDGET_WINDOW_MS)
         self.wasted_work_ms = DecayingCounter(BUDGET_WINDOW_MS)
 
-    def on_tick(self, now_ms: float, parameters: OverloadParameters | None, may_preempt: bool) -> None:
+    def on_tick(self, now_ms: float, parameters: OverloadParameters | None, *, may_preempt: bool) -> None:
         """Open or update the pool, and request the amount that this router can use."""
         if parameters is None:
             return
@@ -49,12 +49,12 @@
         attempts_per_second = MS_PER_SECOND * self.attempts.read(now_ms) / BUDGET_WINDOW_MS
         requested = math.ceil(attempts_per_second * FIXED_POINT_SCALE)
         self.escrow.request(now_ms, PREEMPTION_POOL, min(requested, total))
-        self._refill(now_ms, may_preempt)
+        self._refill(now_ms, may_preempt=may_preempt)
 
-    def has_token(self, now_ms: float, may_preempt: bool) -> bool:
+    def has_token(self, now_ms: float, *, may_preempt: bool) -> bool:
         """Return whether one more call may be preempted now, and count the query as demand for the pool."""
         self.attempts.add(now_ms, 1.0)
-        self._refill(now_ms, may_preempt)
+        self._refill(now_ms, may_preempt=may_preempt)
         return self.bucket.tokens >= 1.0
 
     def waste_budget_ms(self, now_ms: float) -> float:
@@ -71,7 +71,7 @@
         """Count the work in ms of a served call."""
         self.completed_work_ms.add(now_ms, work_ms)
 
-    def _refill(self, now_ms: float, may_preempt: bool) -> None:
+    def _refill(self, now_ms: float, *, may_preempt: bool) -> None:
         """Fill the bucket; without overload, draw its tokens at random in place of saving them.
 
         Saved tokens would let all routers preempt at the same time when overload starts.
--- a/cedarthread/priority/pressure_gossip.py
+++ b/cedarthread/priority/pressure_gossip.py
@@ -7,7 +7,7 @@
 
 import random
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.components.datagram_fields import MalformedDatagram
 from cedarthread.priority import codec
@@ -35,6 +35,13 @@
     measured_at_ms: float
 
 
+class PressureMessage(NamedTuple):
+    """A datagram of load pressure to send to a peer."""
+
+    peer_index: int
+    data: bytes
+
+
 class PressureGossip:
     """The latest report of load pressure of each router, and the schedule of messages to peers.
 
@@ -81,13 +88,15 @@
         """Store the measurement of this router."""
         self.reports[self.router_index] = _PressureReport(pressure, calls_per_second, now_ms)
 
-    def messages_due(self, now_ms: float) -> list[tuple[int, bytes]]:
-        """Return peer and datagram of each message due now; the bytes do not depend on the fleet's size."""
+    def messages_due(self, now_ms: float) -> list[PressureMessage]:
+        """Return the messages due now; their bytes do not grow with the size of the fleet."""
         if now_ms < self.next_send_at_ms or not self.alive_peers or self.router_index not in self.reports:
             return []
         self.next_send_at_ms = now_ms + GOSSIP_INTERVAL_MS * self.rng.uniform(*GOSSIP_JITTER)
         peers = self.rng.sample(self.alive_peers, min(GOSSIP_FANOUT, len(self.alive_peers)))
-        return [(peer_index, codec.encode(self._reports_to_send(now_ms))) for peer_index in peers]
+        return [
+            PressureMessage(peer_index, codec.encode(self._reports_to_send(now_ms))) for peer_index in peers
+        ]
 
     def _reports_to_send(self, now_ms: float) -> list[RouterPressure]:
         """Return the own report, then the latest reports of others, so that each spreads before its expiry.
--- a/cedarthread/priority/usage.py
+++ b/cedarthread/priority/usage.py
@@ -89,7 +89,7 @@
         self.pool_totals: dict[str, int] = {}  # milli-calls per second of the open pools, by tenant
 
     def record_call(
-        self, now_ms: float, tenant_name: str, contract: EffectiveContract, is_client_retry: bool
+        self, now_ms: float, tenant_name: str, contract: EffectiveContract, *, is_client_retry: bool
     ) -> bool:
         """Count a call of a tenant; return whether the call is within quota.
 
--- a/tests/simulation/test_priority_fleet.py
+++ b/tests/simulation/test_priority_fleet.py
@@ -198,7 +198,7 @@
             OVERLOAD_START * mean_objective_ms
         )
         call.priority = self.component.on_arrival(
-            now_ms, call.tenant_index, value, utilization, call.is_client_retry
+            now_ms, call.tenant_index, value, utilization, is_client_retry=call.is_client_retry
         )
         own_shed_probability = self.estimated_shed_probability(now_ms, objective_ms)
         strictest_shed_probability = self.estimated_shed_probability(now_ms, STRICTEST_OBJECTIVE_MS)
@@ -210,7 +210,7 @@
         if shed_probability is None:
             shed_probability = min(0.95, own_shed_probability * math.sqrt(mean_value / value))
         if self.rng.random() < shed_probability and not self.fleet.never_sheds:
-            self.component.record_rejected(now_ms, call.priority, call.is_client_retry)
+            self.component.record_rejected(now_ms, call.priority, is_client_retry=call.is_client_retry)
             return
         worker_id = min(self.in_flight, key=lambda w: (len(self.in_flight[w]), self.rng.random()))
         if self.fleet.uses_priorities:
@@ -306,7 +306,7 @@
                 self.send(now_ms, queued_call, call.worker_id)
 
 
-# The time that is measured: after the onset of 6 s, which docs/design/tiers.md reports by itself.
+# The time that is measured: after the onset of 6 s, which docs/design/priority.md reports by itself.
 MEASURED_FROM_MS, MEASURED_UNTIL_MS = 14_000.0, 44_000.0
 ArrivalRates = Callable[[float], tuple[float, float, float]]
 
@@ -676,7 +676,9 @@
 def _preemption_sign(now_ms: float, contracts: EffectiveContracts) -> int:
     """1: the first of ``EDITED_TENANTS`` goes before the second here; -1: the other way; 0: neither."""
     contracts.refresh(now_ms)
-    first, second = (assign_priority(name, contracts.for_tenant(name), True) for name in EDITED_TENANTS)
+    first, second = (
+        assign_priority(name, contracts.for_tenant(name), is_within_quota=True) for name in EDITED_TENANTS
+    )
     return first.outranks(second) - second.outranks(first)
 
 
@@ -749,7 +751,7 @@
     return (self.pending[-1].value,) if self.pending else (self.certain_body,) if self.certain_body else ()
 
 
-def _unlimited_budget(self: preemption_budget.PreemptionBudget, now_ms: float, may_preempt: bool) -> None:
+def _unlimited_budget(self: preemption_budget.PreemptionBudget, now_ms: float, *, may_preempt: bool) -> None:
     self.bucket.tokens = 9.0
 
 
--- a/tests/unit/priority/test_priority.py
+++ b/tests/unit/priority/test_priority.py
@@ -292,7 +292,9 @@
             state.contract = _replicated(EntryKind.CONTRACT, "mill", terms, edit, received_at, at)
             contracts.refresh(received_at if edit else LONG_AGO)
     contracts.refresh(now_ms)
-    mill, town = (assign_priority(name, contracts.for_tenant(name), True) for name in ("mill", "town"))
+    mill, town = (
+        assign_priority(name, contracts.for_tenant(name), is_within_quota=True) for name in ("mill", "town")
+    )
     return mill.outranks(town) - town.outranks(mill)
 
 
