--- /dev/null
+++ b/tests/unit/priority/contract_world.py
@@ -0,0 +1,169 @@
+"""A small world of two routers and two edits of one contract, explored exhaustively.
+
+Two routers act on the contracts of the tenants ``mill``, which is edited, and ``town``, which is not. The
+exploration checks that the routers never contradict each other on which tenant has precedence.
+"""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING, NamedTuple
+
+import msgspec
+
+from cedarthread.components.replicated_state import Entry, EntryKind, ReplicatedEntry, Version
+from cedarthread.priority import contract_entries
+from cedarthread.priority.call_priority import assign_priority
+from cedarthread.priority.contracts import EffectiveContracts
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+BOUND_TICKS = 2.0  # the staleness bound
+LAST_TICK = 4
+LONG_AGO = -99.0  # ticks
+
+
+class FixedState:
+    """The replicated store of one router: one contract that is edited, and one that is not."""
+
+    staleness_bound_ms = BOUND_TICKS
+
+    def __init__(self, contract: ReplicatedEntry, hears_majority: bool) -> None:
+        self.contract = contract
+        self.hears_majority = hears_majority
+
+    def entries(self, kind: EntryKind) -> tuple[ReplicatedEntry, ...]:
+        return (TIER_ORDER,) if kind is EntryKind.TIERS else (self.contract, TOWN_CONTRACT)
+
+    def is_fresh(self, now_ms: float) -> bool:
+        return self.hears_majority
+
+    def fresh_since(self, now_ms: float) -> float | None:
+        return None
+
+
+def _replicated(
+    kind: EntryKind, name: str, body: object, edit: int, received_at: float, replicated_at: float | None
+) -> ReplicatedEntry:
+    entry = Entry(kind, name, Version(edit, 0, 0), msgspec.msgpack.encode(body))
+    return ReplicatedEntry(entry, received_at, replicated_at)
+
+
+TIER_ORDER = _replicated(
+    EntryKind.TIERS,
+    "order",
+    contract_entries.TierOrder(("a", "b", "c"), 1100, 900, 0, 0),
+    0,
+    LONG_AGO,
+    LONG_AGO,
+)
+TOWN_CONTRACT = _replicated(
+    EntryKind.CONTRACT, "town", contract_entries.ContractTerms("b", 0, 0), 0, LONG_AGO, LONG_AGO
+)
+
+
+class KnownEdit(NamedTuple):
+    """An edit of the mill's contract as known to one router."""
+
+    edit: int
+    received_at: float
+    known_replicated_at: float | None
+
+
+KnownEdits = tuple[KnownEdit, ...]
+ReplicatedAt = tuple[float | None, ...]  # by edit: when a majority had received it
+
+
+class WorldState(NamedTuple):
+    """A state of the world: the time, the edits that were made, and the edits known to each router."""
+
+    now_ms: int
+    last_edit: int
+    replicated_at: ReplicatedAt
+    routers: tuple[KnownEdits, KnownEdits]
+    contradiction_ticks: int  # duration of the contradiction that lasts until now
+
+
+def _preemption_sign(known: KnownEdits, now_ms: float, replicated_at: ReplicatedAt, first_tier: str) -> int:
+    """Return 1 if the mill outranks the town at a router, -1 if the town outranks the mill, else 0."""
+    is_fresh = all(
+        at is None or at + BOUND_TICKS > now_ms or known[-1].edit >= edit
+        for edit, at in enumerate(replicated_at)
+    )
+    tiers = (first_tier, "c" if first_tier == "a" else "a", first_tier)
+    state = FixedState(TOWN_CONTRACT, is_fresh)
+    contracts = EffectiveContracts(state)
+    for edit, received_at, known_replicated_at in known:
+        terms = contract_entries.ContractTerms(tiers[edit], 0, 0)
+        for at in (None, known_replicated_at):
+            state.contract = _replicated(EntryKind.CONTRACT, "mill", terms, edit, received_at, at)
+            contracts.refresh(received_at if edit else LONG_AGO)
+    contracts.refresh(now_ms)
+    mill, town = (
+        assign_priority(name, contracts.for_tenant(name), is_within_quota=True) for name in ("mill", "town")
+    )
+    return mill.outranks(town) - town.outranks(mill)
+
+
+def _successors(state: WorldState) -> Iterator[WorldState]:
+    """Yield the states that one edit, delivery, replication or its notice at a router leads to."""
+    now_ms = float(state.now_ms)
+    for router in (0, 1):
+        own_edits = state.routers[router]
+        other_edits = state.routers[1 - router]
+
+        def knowing(known: KnownEdits, router: int = router, last_edit: int = state.last_edit) -> WorldState:
+            routers = (known, state.routers[1]) if router == 0 else (state.routers[0], known)
+            return state._replace(routers=routers, last_edit=last_edit)
+
+        if state.last_edit < router + 1:  # the first router makes the first edit, because both are alike
+            edit = state.last_edit + 1
+            yield knowing((*own_edits, KnownEdit(edit, now_ms, None)), last_edit=edit)
+        if other_edits[-1].edit > own_edits[-1].edit:
+            yield knowing((*own_edits, KnownEdit(other_edits[-1].edit, now_ms, None)))
+        latest = own_edits[-1]
+        if latest.known_replicated_at is None and state.replicated_at[latest.edit] is not None:
+            yield knowing((*own_edits[:-1], latest._replace(known_replicated_at=now_ms)))
+        if state.replicated_at[latest.edit] is None:  # the majority includes this router
+            before = state.replicated_at[: latest.edit]
+            after = state.replicated_at[latest.edit + 1 :]
+            yield state._replace(replicated_at=(*before, now_ms, *after))
+
+
+class Exploration(NamedTuple):
+    """The result of an exploration."""
+
+    state_count: int
+    act_count: int  # states in which one tenant outranks the other at the first router
+    longest_contradiction_ticks: int
+
+
+def explore(first_tier: str, max_ticks: float = math.inf) -> Exploration:
+    """Explore all runs of two routers and two edits, or until a contradiction exceeds ``max_ticks``."""
+    start: KnownEdits = (KnownEdit(0, LONG_AGO, LONG_AGO),)
+    pending = [WorldState(0, 0, (LONG_AGO, None, None), (start, start), 0)]
+    seen = set(pending)
+    act_count = 0
+    longest_ticks = 0
+    signs: dict[tuple[KnownEdits, int, ReplicatedAt], int] = {}
+    while pending and longest_ticks <= max_ticks:
+        state = pending.pop()
+        keys = [(known, state.now_ms, state.replicated_at) for known in state.routers]
+        for key in keys:
+            if key not in signs:
+                signs[key] = _preemption_sign(key[0], float(state.now_ms), state.replicated_at, first_tier)
+        first_sign, other_sign = (signs[key] for key in keys)
+        act_count += first_sign != 0
+        contradiction_ticks = state.contradiction_ticks + 1 if first_sign * other_sign < 0 else 0
+        longest_ticks = max(longest_ticks, contradiction_ticks)
+        successors = list(_successors(state))
+        if state.now_ms < LAST_TICK:
+            successors.append(
+                state._replace(now_ms=state.now_ms + 1, contradiction_ticks=contradiction_ticks)
+            )
+        for successor in successors:
+            if successor not in seen:
+                seen.add(successor)
+                pending.append(successor)
+    return Exploration(len(seen), act_count, longest_ticks)
