--- a/tests/simulation/test_change_freeze.py
+++ b/tests/simulation/test_change_freeze.py
@@ -123,7 +123,7 @@
 
 
 def window_edited(fleet: SimulatedFleet) -> Violations:
-    """A window is extended and overlapped at once, then shortened after all routers know of the edit."""
+    """A window is overlapped, extended and later shortened; only the shortening waits for the bound."""
     fleet.declare(EntryKind.FREEZE, window_terms(end_ms=40_000.0))
     fleet.declare(
         EntryKind.FREEZE, window_terms(start_ms=35_000.0, end_ms=50_000.0, window_id="x", function_ids=(1, 2))
