--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -112,14 +112,14 @@
             self.wall_clock.router_count = max(1, notification.settings.router_count)
             self._update_gate(now_ms)
         elif isinstance(notification, EntriesChanged):
-            self._take_entries(now_ms, notification.entries)
+            self._add_entries(now_ms, notification.entries)
             self._update_gate(now_ms)
-        return self._take_messages()
+        return self._drain_messages()
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
         """Read the replicated store and the clocks, and update the gate."""
         for kind in WINDOW_ENTRY_KINDS:
-            self._take_entries(now_ms, self.replicated_state.entries(kind))
+            self._add_entries(now_ms, self.replicated_state.entries(kind))
         for window_id in self.registry.forget_removed(self.replicated_state):
             self.opened_pools.pop(window_id, None)
         self._report_clock_deviation(now_ms)
@@ -127,7 +127,7 @@
         if now_ms - self.last_expiry_at_ms >= PLACEMENT_EXPIRY_INTERVAL_MS:
             self.last_expiry_at_ms = now_ms
             self.gate.placements.expire(now_ms)
-        return self._take_messages()
+        return self._drain_messages()
 
     def status(self, now_ms: float) -> Mapping[str, str]:
         """Return the figures for operators; their names are part of the operators' interface."""
@@ -157,7 +157,7 @@
 
     # Entries and clocks.
 
-    def _take_entries(self, now_ms: float, entries: Iterable[ReplicatedEntry]) -> None:
+    def _add_entries(self, now_ms: float, entries: Iterable[ReplicatedEntry]) -> None:
         for finding in self.registry.add(entries):
             if isinstance(finding, UnreadableEntry):
                 entry = finding.entry
@@ -174,11 +174,17 @@
 
     def _on_window_declared(self, now_ms: float, window: FreezeWindow, terms: WindowTerms) -> None:
         unix_ms = self.wall_clock.unix_ms(now_ms)
-        earliest_start = max(float(terms.start_unix_ms), unix_ms + self.replicated_state.staleness_bound_ms)
+        earliest_start_unix_ms = max(
+            float(terms.start_unix_ms), unix_ms + self.replicated_state.staleness_bound_ms
+        )
         window.was_declared_late = (
-            not math.isnan(unix_ms) and terms.start_unix_ms < earliest_start and unix_ms < terms.end_unix_ms
+            not math.isnan(unix_ms)
+            and terms.start_unix_ms < earliest_start_unix_ms
+            and unix_ms < terms.end_unix_ms
+        )
+        late = (
+            {"late_in_force_from": _format_time(earliest_start_unix_ms)} if window.was_declared_late else {}
         )
-        late = {"late_in_force_from": _format_time(earliest_start)} if window.was_declared_late else {}
         self._log(
             format_event(
                 "change_freeze_window_declared",
@@ -211,9 +217,13 @@
             self.reported_deviation_ms = deviation_ms
 
     def _clock_reading(self, now_ms: float) -> ClockReading:
-        earliest, latest = self.wall_clock.unix_ms_bounds(now_ms)
+        earliest_unix_ms, latest_unix_ms = self.wall_clock.unix_ms_bounds(now_ms)
         return ClockReading(
-            now_ms, earliest, latest, self.replicated_state.staleness_bound_ms, WINDOW_LEAD_MS
+            now_ms,
+            earliest_unix_ms,
+            latest_unix_ms,
+            self.replicated_state.staleness_bound_ms,
+            WINDOW_LEAD_MS,
         )
 
     # The gate.
@@ -277,7 +287,7 @@
         if line is not None:
             self.pending_messages.append(LogMessage(line))
 
-    def _take_messages(self) -> list[OutboundMessage]:
+    def _drain_messages(self) -> list[OutboundMessage]:
         messages, self.pending_messages = self.pending_messages, []
         return messages
 
--- a/cedarthread/change_freeze/placement_table.py
+++ b/cedarthread/change_freeze/placement_table.py
@@ -70,8 +70,8 @@
             last_seen = self.last_seen_by_function[function_id]
             for worker_id in [
                 worker_id
-                for worker_id, seen_at in last_seen.items()
-                if now_ms - seen_at > PLACEMENT_MEMORY_MS
+                for worker_id, seen_at_ms in last_seen.items()
+                if now_ms - seen_at_ms > PLACEMENT_MEMORY_MS
             ]:
                 del last_seen[worker_id]
                 self.placement_count -= 1
@@ -131,8 +131,8 @@
         """Remove a worker's placements and count them as lost; return when each function was last seen."""
         removed: dict[int, float] = {}
         for function_id, last_seen in self.last_seen_by_function.items():
-            if (seen_at := last_seen.pop(worker_id, None)) is not None:
-                removed[function_id] = seen_at
+            if (seen_at_ms := last_seen.pop(worker_id, None)) is not None:
+                removed[function_id] = seen_at_ms
                 self.lost_placements[function_id] = self.lost_placements.get(function_id, 0) + 1
                 self.placement_count -= 1
         for function_id in removed:
@@ -141,6 +141,6 @@
         return removed
 
     def _restore_placements(self, worker_id: int, removed: _RemovedWorker) -> None:
-        for function_id, seen_at in removed.placements.items():
-            self.record(seen_at, function_id, worker_id)
+        for function_id, seen_at_ms in removed.placements.items():
+            self.record(seen_at_ms, function_id, worker_id)
             self.lost_placements[function_id] = max(0, self.lost_placements.get(function_id, 0) - 1)
--- a/cedarthread/change_freeze/wall_clock.py
+++ b/cedarthread/change_freeze/wall_clock.py
@@ -19,7 +19,7 @@
 
 STEP_THRESHOLD_MS = 100.0  # a smaller gap is not a step, because the two clocks are read one after the other
 SAMPLE_LIFETIME_MS = 120_000.0  # limits the drift of the other clock since the comparison
-MAX_QUORUM = 9  # clocks, including the own one, that suffice for a median, if a majority is not fewer
+MAX_QUORUM = 9  # clocks, including the own one, that suffice for a median in a large fleet
 MAX_ROUND_TRIP_MS = 60_000.0  # a comparison with a longer round trip is too uncertain
 
 
@@ -92,9 +92,9 @@
         gap_ms = offset_ms - self.followed_offset_ms
         if abs(gap_ms) <= STEP_THRESHOLD_MS + allowed_drift_ms:
             self.followed_offset_ms += min(max(gap_ms, -allowed_drift_ms), allowed_drift_ms)
-            is_back = self.unfollowed_offset_ms is not None
+            is_undone = self.unfollowed_offset_ms is not None
             self.unfollowed_offset_ms = None
-            return format_event("wall_clock_step_undone") if is_back else None
+            return format_event("wall_clock_step_undone") if is_undone else None
         is_new_step = (
             self.unfollowed_offset_ms is None
             or abs(offset_ms - self.unfollowed_offset_ms) > STEP_THRESHOLD_MS + allowed_drift_ms
@@ -205,14 +205,16 @@
             return UNKNOWN_TIME
         unix_ms = self.unix_ms(now_ms)
         error_ms = self.max_error_ms
-        earliest = unix_ms
-        latest = unix_ms
+        earliest_unix_ms = unix_ms
+        latest_unix_ms = unix_ms
         if self.deviation_ms(now_ms) != 0.0:
             lower_ms, upper_ms = self.peer_offset_bounds_ms(now_ms)
             is_far_off = max(abs(lower_ms), abs(upper_ms)) > MAX_WINDOW_MS
-            earliest = unix_ms + lower_ms if is_far_off else unix_ms + min(0.0, lower_ms)
-            latest = unix_ms + upper_ms if is_far_off else unix_ms + max(0.0, upper_ms)
+            earliest_unix_ms = unix_ms + lower_ms if is_far_off else unix_ms + min(0.0, lower_ms)
+            latest_unix_ms = unix_ms + upper_ms if is_far_off else unix_ms + max(0.0, upper_ms)
         if self.unfollowed_offset_ms is not None:
             error_ms += 2.0 * self.max_drift_rate * (now_ms - self.stepped_at_ms)
-            latest = max(latest, min(self.unfollowed_offset_ms + now_ms, unix_ms + MAX_WINDOW_MS))
-        return UnixTimeBounds(earliest - error_ms, latest + error_ms)
+            latest_unix_ms = max(
+                latest_unix_ms, min(self.unfollowed_offset_ms + now_ms, unix_ms + MAX_WINDOW_MS)
+            )
+        return UnixTimeBounds(earliest_unix_ms - error_ms, latest_unix_ms + error_ms)
--- a/cedarthread/change_freeze/window.py
+++ b/cedarthread/change_freeze/window.py
@@ -153,8 +153,8 @@
                 terms.author,
                 terms.reason,
             )
-        has_begun = reading.latest_unix_ms + reading.lead_ms >= terms.start_unix_ms
-        return terms if has_begun and reading.earliest_unix_ms < terms.end_unix_ms else None
+        has_started = reading.latest_unix_ms + reading.lead_ms >= terms.start_unix_ms
+        return terms if has_started and reading.earliest_unix_ms < terms.end_unix_ms else None
 
     def _next_state(self, reading: ClockReading, *, is_covered: bool) -> WindowState:
         """Return the next state. ``is_covered``: whether the terms of a version are in force."""
@@ -168,11 +168,11 @@
             reading.earliest_unix_ms >= version.body.end_unix_ms for version in self.versions
         ):
             return WindowState.ENDED
-        begins_soon = any(
+        starts_soon = any(
             reading.latest_unix_ms + reading.staleness_bound_ms >= version.body.start_unix_ms
             for version in self.versions
         )
-        return WindowState.PENDING if begins_soon else WindowState.DECLARED
+        return WindowState.PENDING if starts_soon else WindowState.DECLARED
 
     def _is_lifted(self, reading: ClockReading) -> bool:
         """Return whether break-glass is in effect.
--- a/cedarthread/priority/component.py
+++ b/cedarthread/priority/component.py
@@ -92,7 +92,7 @@
         self.recent_value = DecayingCounter(BUDGET_WINDOW_MS)  # sum of the values of recent calls
         self.recent_calls = DecayingCounter(BUDGET_WINDOW_MS)
         self.preemption_budget = PreemptionBudget(escrow, random.Random(seed ^ SEED_SALT))
-        self.preempted_at: dict[int, float] = {}  # time in ms by the call's retry identity
+        self.preempted_at_ms: dict[int, float] = {}  # by the call's retry identity
         self.counters = dict.fromkeys(PreemptionEvent, 0)
 
     # The component interface.
@@ -110,9 +110,11 @@
             now_ms, self.contracts.overload_parameters, may_preempt=self._may_preempt()
         )
         for retry_identity in [
-            identity for identity, at in self.preempted_at.items() if now_ms - at > PREEMPTED_RETENTION_MS
+            identity
+            for identity, at_ms in self.preempted_at_ms.items()
+            if now_ms - at_ms > PREEMPTED_RETENTION_MS
         ]:
-            del self.preempted_at[retry_identity]
+            del self.preempted_at_ms[retry_identity]
         estimator = self.pressure_estimator
         self.pressure_gossip.record_own(
             now_ms, estimator.pressure(now_ms), estimator.calls_per_second(now_ms)
@@ -191,8 +193,10 @@
 
     def overload_level(self, now_ms: float) -> int:
         """Return the level of cluster overload; 0 while this router is not fresh, as contracts may differ."""
-        acts = self.contracts.overload_parameters is not None and self.replicated_state.is_fresh(now_ms)
-        return self.overload.level if acts else 0
+        is_effective = self.contracts.overload_parameters is not None and self.replicated_state.is_fresh(
+            now_ms
+        )
+        return self.overload.level if is_effective else 0
 
     def shed_probability(
         self, now_ms: float, priority: CallPriority, shed_probability: float, value: float = 1.0
@@ -229,7 +233,11 @@
         """Return the request id of the call to preempt, and count the preemption; None: no call."""
         level = self.overload_level(now_ms)
         is_in_time = claim.expected_wait_ms + claim.service_time_ms <= claim.remaining_ms
-        if level < PREEMPT_QUEUED_LEVEL or len(self.preempted_at) >= MAX_REMEMBERED_PREEMPTIONS or is_in_time:
+        if (
+            level < PREEMPT_QUEUED_LEVEL
+            or len(self.preempted_at_ms) >= MAX_REMEMBERED_PREEMPTIONS
+            or is_in_time
+        ):
             return None
         if not self.preemption_budget.has_token(now_ms, may_preempt=self._may_preempt()):
             self.counters[PreemptionEvent.BUDGET_EXHAUSTED] += 1
@@ -258,7 +266,7 @@
     def _record_preempted(self, now_ms: float, victim: PreemptionCandidate) -> None:
         is_running = victim.stage is CallStage.WRITTEN
         self.preemption_budget.spend(now_ms, victim.consumed_work_ms if is_running else None)
-        self.preempted_at[victim.retry_identity] = now_ms
+        self.preempted_at_ms[victim.retry_identity] = now_ms
         self.usage.record_rejected(now_ms, victim.priority.tenant_name)
         event = PreemptionEvent.RUNNING_PREEMPTED if is_running else PreemptionEvent.QUEUED_PREEMPTED
         self.counters[event] += 1
@@ -277,7 +285,7 @@
 
     def _can_preempt(self, now_ms: float, candidate: PreemptionCandidate) -> bool:
         """Return whether the call is preempted for the first time and its tenant stays above the floor."""
-        if candidate.retry_identity in self.preempted_at:
+        if candidate.retry_identity in self.preempted_at_ms:
             self.counters[PreemptionEvent.ALREADY_PREEMPTED] += 1
             return False
         tenant_name = candidate.priority.tenant_name
