--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -18,6 +18,7 @@
     route_call,
 )
 from cedarthread.change_freeze.deferred_changes import DeferredChange, DeferredChanges
+from cedarthread.change_freeze.exception_pools import exception_pool_name
 from cedarthread.change_freeze.home_workers import HomeWorkers, with_retained_homes
 from cedarthread.change_freeze.placement_changes import (
     RELEASING,
@@ -42,11 +43,6 @@
 LOADING_KINDS = (PlacementChangeKind.FIRST_INSTANCE, PlacementChangeKind.PRELOAD)
 
 
-def exception_pool_name(window_id: str) -> str:
-    """Return the name of the quota escrow pool that contains a window's exception budget."""
-    return f"freeze/{window_id}"
-
-
 class AdmissionGate:
     """The admission gate of one router, which decides on its placement changes while windows are in force.
 
--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -10,8 +10,9 @@
 from datetime import UTC, datetime
 from typing import TYPE_CHECKING
 
-from cedarthread.change_freeze.admission_gate import AdmissionGate, exception_pool_name
+from cedarthread.change_freeze.admission_gate import AdmissionGate
 from cedarthread.change_freeze.deferred_changes import DeferredChange, ReleaseRateLimiter
+from cedarthread.change_freeze.exception_pools import ExceptionPools
 from cedarthread.change_freeze.freeze_rules import rule_from_terms
 from cedarthread.change_freeze.stale_hold import StaleHold
 from cedarthread.change_freeze.wall_clock import WallClock
@@ -79,13 +80,12 @@
         acquire_release: Callable[[float], bool] | None = None,
     ) -> None:
         self.replicated_state = replicated_state
-        self.escrow = escrow
         self.settings = settings
         self.wall_clock = WallClock(max(1, settings.router_count), sharing.clock_error, sharing.clock_rate)
         self.gate = AdmissionGate(escrow, acquire_release or ReleaseRateLimiter(refilled_at_ms=now_ms))
         self.registry = WindowRegistry()
         self.stale_hold = StaleHold(now_ms, has_read_enough_peers)
-        self.opened_pools: dict[str, tuple[int, float]] = {}  # by window: total, and end on the steady clock
+        self.exception_pools = ExceptionPools(escrow, self.wall_clock.max_error_ms + WINDOW_LEAD_MS)
         self.last_expiry_at_ms = now_ms
         self.reported_deviation_ms = 0.0
         self.pending_messages: list[OutboundMessage] = []
@@ -121,7 +121,7 @@
         for kind in WINDOW_ENTRY_KINDS:
             self._add_entries(now_ms, self.replicated_state.entries(kind))
         for window_id in self.registry.forget_removed(self.replicated_state):
-            self.opened_pools.pop(window_id, None)
+            self.exception_pools.forget(window_id)
         self._report_clock_deviation(now_ms)
         self._update_gate(now_ms)
         if now_ms - self.last_expiry_at_ms >= PLACEMENT_EXPIRY_INTERVAL_MS:
@@ -258,25 +258,10 @@
             rules += [rule_from_terms(terms, budget, self.settings) for terms in in_force]
             if window.state in BUDGETED_STATES:
                 remaining_ms = max(0.0, window.latest_end_unix_ms() - reading.earliest_unix_ms)
-                self._update_exception_pool(window, now_ms + remaining_ms)
+                self.exception_pools.update(window.window_id, budget, now_ms + remaining_ms)
         has_active_window = any(window.state in ACTIVE_STATES for window in self.registry.windows.values())
         self.gate.set_rules(rules, has_active_window=has_active_window)
 
-    def _update_exception_pool(self, window: FreezeWindow, until_ms: float) -> None:
-        """Open the window's exception pool, or update its total or end.
-
-        A shift of the end within the error of the clocks is ignored, so that the pool is not updated on each
-        tick.
-        """
-        previous_total, previous_until_ms = self.opened_pools.get(window.window_id, (-1, 0.0))
-        total = window.minimum_exception_budget()
-        tolerance_ms = self.wall_clock.max_error_ms + WINDOW_LEAD_MS
-        if previous_total != total or abs(until_ms - previous_until_ms) > tolerance_ms:
-            self.opened_pools[window.window_id] = total, until_ms
-            self.escrow.open_pool(
-                exception_pool_name(window.window_id), total, is_consumable=True, ends_at_ms=until_ms
-            )
-
     def _on_attempt_completed(self, now_ms: float, completed: AttemptCompleted) -> None:
         if completed.outcome is Outcome.OK or completed.was_warm:
             self.gate.placements.record(now_ms, completed.function_id, completed.worker_id)
