--- a/cedarthread/priority/component.py
+++ b/cedarthread/priority/component.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 import random
-from enum import StrEnum
 from typing import TYPE_CHECKING
 
 from cedarthread.components.messages import MessageType, OutboundMessage
@@ -28,14 +27,8 @@
 from cedarthread.priority.load_pressure import LoadPressureEstimator
 from cedarthread.priority.load_shedding import SheddingOrder, SheddingScore, shedding_score
 from cedarthread.priority.overload_level import OverloadStateMachine
-from cedarthread.priority.preemption import (
-    CallStage,
-    PreemptionCandidate,
-    PreemptionClaim,
-    PreemptionLimits,
-    choose_victim,
-)
 from cedarthread.priority.preemption_budget import BUDGET_WINDOW_MS, PreemptionBudget
+from cedarthread.priority.preemptor import PREEMPT_QUEUED_LEVEL, Preemptor
 from cedarthread.priority.pressure_gossip import PressureGossip
 from cedarthread.priority.usage import TenantUsage
 from cedarthread.statistics import DecayingCounter
@@ -46,26 +39,13 @@
     from cedarthread.components.quota_escrow import QuotaEscrow
     from cedarthread.components.replicated_state import ReplicatedState
     from cedarthread.model.settings import RouterSettings
+    from cedarthread.priority.preemption import PreemptionCandidate, PreemptionClaim
 
 SHEDDING_LEVEL = 1  # overload level from which load shedding is weighted by priority
-PREEMPT_QUEUED_LEVEL = 2  # overload level from which queued calls are preempted
-PREEMPT_RUNNING_LEVEL = 3  # overload level from which running calls are preempted too
-PREEMPTED_RETENTION_MS = 120_000.0  # for which a preempted call is remembered; its client retries sooner
-MAX_REMEMBERED_PREEMPTIONS = 8192  # at this count no call is preempted, so that none is preempted twice
 MIN_DIVISOR = 1e-9  # avoids a division by zero
 SEED_SALT = 0x7469_6572  # makes these draws independent of other users of the router's seed
 
 
-class PreemptionEvent(StrEnum):
-    """An event that is counted; the values are part of the names of the figures for operators."""
-
-    QUEUED_PREEMPTED = "waiting"
-    RUNNING_PREEMPTED = "running"
-    PROTECTED_BY_FLOOR = "floor"  # the tenant of a candidate is at its floor
-    ALREADY_PREEMPTED = "again"  # a candidate has been preempted before
-    BUDGET_EXHAUSTED = "budget"  # the preemption budget had no token
-
-
 class PriorityComponent:
     """The priorities of one router; owns contracts, usage, load pressure, overload level and budgets.
 
@@ -92,8 +72,7 @@
         self.recent_value = DecayingCounter(BUDGET_WINDOW_MS)  # sum of the values of recent calls
         self.recent_calls = DecayingCounter(BUDGET_WINDOW_MS)
         self.preemption_budget = PreemptionBudget(escrow, random.Random(seed ^ SEED_SALT))
-        self.preempted_at_ms: dict[int, float] = {}  # by the call's retry identity
-        self.counters = dict.fromkeys(PreemptionEvent, 0)
+        self.preemptor = Preemptor(self.contracts, self.usage, self.preemption_budget)
 
     # The component interface.
 
@@ -106,15 +85,7 @@
         """Update contracts, quotas and the overload level, and return the gossip of load pressure."""
         self.contracts.refresh(now_ms)
         self.usage.on_tick(now_ms, self.contracts.effective)
-        self.preemption_budget.on_tick(
-            now_ms, self.contracts.overload_parameters, may_preempt=self._may_preempt()
-        )
-        for retry_identity in [
-            identity
-            for identity, at_ms in self.preempted_at_ms.items()
-            if now_ms - at_ms > PREEMPTED_RETENTION_MS
-        ]:
-            del self.preempted_at_ms[retry_identity]
+        self.preemptor.on_tick(now_ms, self.overload.level)
         estimator = self.pressure_estimator
         self.pressure_gossip.record_own(
             now_ms, estimator.pressure(now_ms), estimator.calls_per_second(now_ms)
@@ -152,7 +123,9 @@
             "tiers_not_sure": str(sum(not contract.is_certain for contract in contracts.values())),
             "tiers_unreadable": str(unreadable),
         }
-        return figures | {f"tiers_{event.value}": str(count) for event, count in self.counters.items()}
+        return figures | {
+            f"tiers_{event.value}": str(count) for event, count in self.preemptor.counters.items()
+        }
 
     # Calls by the router.
 
@@ -232,27 +205,15 @@
     ) -> int | None:
         """Return the request id of the call to preempt, and count the preemption; None: no call."""
         level = self.overload_level(now_ms)
-        is_in_time = claim.expected_wait_ms + claim.service_time_ms <= claim.remaining_ms
-        if (
-            level < PREEMPT_QUEUED_LEVEL
-            or len(self.preempted_at_ms) >= MAX_REMEMBERED_PREEMPTIONS
-            or is_in_time
-        ):
+        if level < PREEMPT_QUEUED_LEVEL:
             return None
-        if not self.preemption_budget.has_token(now_ms, may_preempt=self._may_preempt()):
-            self.counters[PreemptionEvent.BUDGET_EXHAUSTED] += 1
-            return None
-        limits = PreemptionLimits(
-            allows_running=level >= PREEMPT_RUNNING_LEVEL,
-            waste_budget_ms=self.preemption_budget.waste_budget_ms(now_ms),
+        return self.preemptor.choose_victim(
+            now_ms,
+            claim,
+            candidates,
+            level=level,
             max_retry_after_ms=self.settings.limits.max_retry_after_ms,
-            is_allowed=lambda candidate: self._can_preempt(now_ms, candidate),
         )
-        victim = choose_victim(claim, candidates, limits)
-        if victim is None:
-            return None
-        self._record_preempted(now_ms, victim)
-        return victim.request_id
 
     def rejection_reason(self, priority: CallPriority) -> str:
         """Return the reason that the preempted client receives; the text mentions only its own contract."""
@@ -260,17 +221,6 @@
         side = "within" if priority.is_within_quota else "beyond"
         return f"preempted under cluster overload: tier {tier_name}, {side} contract; try again later"
 
-    def _may_preempt(self) -> bool:
-        return self.overload.level >= PREEMPT_QUEUED_LEVEL
-
-    def _record_preempted(self, now_ms: float, victim: PreemptionCandidate) -> None:
-        is_running = victim.stage is CallStage.WRITTEN
-        self.preemption_budget.spend(now_ms, victim.consumed_work_ms if is_running else None)
-        self.preempted_at_ms[victim.retry_identity] = now_ms
-        self.usage.record_rejected(now_ms, victim.priority.tenant_name)
-        event = PreemptionEvent.RUNNING_PREEMPTED if is_running else PreemptionEvent.QUEUED_PREEMPTED
-        self.counters[event] += 1
-
     def _tenant_name(self, tenant: int | str | None) -> str | None:
         if isinstance(tenant, int):
             tenants = self.settings.tenants
@@ -283,19 +233,6 @@
         is_at_floor = not self.usage.can_reject(now_ms, priority.tenant_name, floor_permille)
         return shedding_score(priority, value / max(mean_value, MIN_DIVISOR), is_at_floor=is_at_floor)
 
-    def _can_preempt(self, now_ms: float, candidate: PreemptionCandidate) -> bool:
-        """Return whether the call is preempted for the first time and its tenant stays above the floor."""
-        if candidate.retry_identity in self.preempted_at_ms:
-            self.counters[PreemptionEvent.ALREADY_PREEMPTED] += 1
-            return False
-        tenant_name = candidate.priority.tenant_name
-        if not self.usage.can_reject(
-            now_ms, tenant_name, self.contracts.for_tenant(tenant_name).floor_permille
-        ):
-            self.counters[PreemptionEvent.PROTECTED_BY_FLOOR] += 1
-            return False
-        return True
-
     def _update_overload_level(self, now_ms: float) -> list[OutboundMessage]:
         previous_level = self.overload.level
         level = self.overload.update(
--- a/tests/simulation/test_priority_fleet.py
+++ b/tests/simulation/test_priority_fleet.py
@@ -15,7 +15,7 @@
 import pytest
 
 from cedarthread.model.settings import Idempotency
-from cedarthread.priority import component, preemption, preemption_budget, pressure_gossip, usage
+from cedarthread.priority import preemption, preemption_budget, preemptor, pressure_gossip, usage
 from cedarthread.priority.body_history import BodyHistory
 from cedarthread.priority.contracts import OverloadParameters
 from cedarthread.priority.overload_level import OverloadStateMachine
@@ -180,9 +180,7 @@
     assert check(3) is None
 
 
-def _can_preempt_twice(
-    self: component.PriorityComponent, now_ms: float, candidate: PreemptionCandidate
-) -> bool:
+def _can_preempt_twice(self: preemptor.Preemptor, now_ms: float, candidate: PreemptionCandidate) -> bool:
     return self.usage.can_reject(
         now_ms,
         candidate.priority.tenant_name,
@@ -263,8 +261,8 @@
     "a call preempted twice": (
         "_queued_preempted",
         [
-            (component.PriorityComponent, "_can_preempt", _can_preempt_twice),
-            (component, "choose_victim", _ignores_retry_mark),
+            (preemptor.Preemptor, "_can_preempt", _can_preempt_twice),
+            (preemptor, "choose_victim", _ignores_retry_mark),
         ],
     ),
     "no hysteresis": ("_level_flaps", [(OverloadStateMachine, "_requested_step", _no_hysteresis)]),
