--- a/cedarthread/dispatch/completion.py
+++ b/cedarthread/dispatch/completion.py
@@ -1,7 +1,8 @@
 """The ends of attempts and calls.
 
-Each call gets exactly one result: ``CallCompletion._deliver`` is the one place where a result is handed to
-the client's side, and ``CallDeadlines`` sees to it that no call stays without.
+Each call gets exactly one result, except an abandoned call, which gets none. Only ``CallCompletion._deliver``
+passes results to the protocol server. A call that is pending when its deadline is handled gets its result at
+most ``OVERDUE_GRACE_MS`` later; if the router does not complete the call in time, ``complete_overdue`` does.
 """
 
 from __future__ import annotations
@@ -17,6 +18,7 @@
     CallRejected,
     CallResult,
     CallSucceeded,
+    Progress,
 )
 from cedarthread.logs import format_event
 from cedarthread.model.events import AttemptEnded, ClientDisconnected, Event
@@ -33,11 +35,19 @@
 
 log = logging.getLogger(__name__)
 
-OVERDUE_GRACE_MS = 5.0  # time that the router has to answer a call whose attempts have just timed out
+OVERDUE_GRACE_MS = 5.0  # time for the router to complete a call after its attempts ended at the deadline
 
 
 class CallCompletion:
-    """Ends attempts, completes calls and reports both to the node by ``enqueue_event``."""
+    """Completer of attempts and calls. It queues an event for each end that the router must know.
+
+    Args:
+        context: Settings, clock and worker transport of the dispatcher.
+        calls: The calls of the process.
+        figures: Counts each result.
+        deadlines: Schedules the end of the grace of an expired call.
+        enqueue_event: Queues an event for the routing node.
+    """
 
     def __init__(
         self,
@@ -54,7 +64,7 @@
         self._enqueue_event = enqueue_event
 
     def end_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
-        """End an attempt, once; a response of the worker goes to the client at once."""
+        """End an attempt unless it has ended, and complete its call if the worker succeeded."""
         if attempt.is_ended:
             return
         attempt.is_ended = True
@@ -79,24 +89,55 @@
         )
 
     def complete(self, call: Call, result: CallResult) -> None:
-        """Complete a call with a result, unless it is complete already."""
+        """Complete a call with a result, unless the call is already complete."""
         if not call.is_complete:
             self._release(call)
             self._deliver(call, result)
 
     def reject_at_once(self, call: Call) -> None:
-        """Reject a call that was counted but never became pending."""
+        """Reject a call that never becomes pending."""
         self._deliver(call, CallRejected(self._context.settings.limits.max_retry_after_ms))
 
     def abandon(self, call: Call) -> None:
-        """The client has disconnected: no result is owed any more."""
+        """End a pending call without a result, because its client has disconnected."""
+        call.client_disconnected_at_ms = min(call.client_disconnected_at_ms, self._context.clock())
         if not call.is_complete:
             self._figures.count_client_disconnected()
             self._release(call)
             self._enqueue_event(ClientDisconnected(call.request_id))
 
+    def fail(self, call: Call) -> None:
+        """Fail a pending call after its client sent invalid input.
+
+        ``ClientDisconnected`` makes the router drop the request.
+        """
+        if not call.is_complete:
+            self.complete(call, CallFailed())
+            self._enqueue_event(ClientDisconnected(call.request_id))
+
+    def on_client_closing(self, call: Call) -> None:
+        """Record that the client has closed its writing half; the client may still read the result.
+
+        An attempt of which at least one byte has been written may still provide the result, but no further
+        attempt starts. A call without such an attempt is completed now.
+        """
+        if call.is_complete or call.is_client_closing:
+            return
+        call.is_client_closing = True
+        call.client_disconnected_at_ms = self._context.clock()
+        for attempt in call.attempts:
+            self._context.workers().refresh_progress(attempt)
+        has_written_attempt = any(
+            not attempt.is_ended and attempt.progress >= Progress.PARTLY_WRITTEN for attempt in call.attempts
+        )
+        if not has_written_attempt:
+            self.complete_locally(call, timed_out=False)
+
     def complete_locally(self, call: Call, *, timed_out: bool) -> None:
-        """Complete a call without the router: rejected where a retry is harmless, else failed."""
+        """Complete a call without the router: as rejected if a retry is harmless, else as failed.
+
+        ``ClientDisconnected`` makes the router drop the request.
+        """
         may_have_executed = any(attempt.may_have_executed() for attempt in call.attempts)
         request_class = self._context.settings.classes[call.class_index]
         if may_have_executed and request_class.idempotency is not Idempotency.IDEMPOTENT:
@@ -107,23 +148,23 @@
         self._enqueue_event(ClientDisconnected(call.request_id))
 
     def expire(self, call: Call) -> None:
-        """The deadline of a call has come: its attempts time out; the router has a moment for a result."""
+        """End the attempts of a call at its deadline, and allow the router a short grace for the result."""
         for attempt in call.attempts:
             if not attempt.is_ended:
                 workers = self._context.workers()
                 workers.refresh_progress(attempt)
                 outcome = Outcome.TIMEOUT if attempt.may_have_executed() else Outcome.CONNECT_FAILED
                 self.end_attempt(attempt, AttemptResult(outcome))
-                workers.cancel(attempt)  # which tells the worker where the settings allow that
+                workers.cancel(attempt)  # the transport sends CANCEL if the settings allow it
         call.is_expired = True
         self._deadlines.schedule(self._context.clock() + OVERDUE_GRACE_MS, call)
 
     def complete_overdue(self, call: Call) -> None:
-        """Complete a call that the router kept past its deadline, or lost by an exception of its own."""
+        """Complete a call that is still pending after the grace, perhaps because the router raised."""
         self.complete_locally(call, timed_out=True)
 
     def _deliver(self, call: Call, result: CallResult) -> None:
-        """Count a result and hand it to the client's side."""
+        """Count a result and pass it to the protocol server."""
         call.is_complete = True
         self._figures.count_result(call, result)
         try:
@@ -133,7 +174,9 @@
 
     def _release(self, call: Call) -> None:
         self._calls.release(call)
-        for attempt in call.attempts:  # nobody waits for it: what has not left need not run
+        # Unsent attempts are withdrawn, because the call needs no result. Written and partly written ones are
+        # left to the router, which cancels them if the settings allow CANCEL.
+        for attempt in call.attempts:
             if not attempt.is_ended:
                 self._context.workers().withdraw_unsent(attempt)
         can_cancel = self._context.settings.limits.can_cancel
@@ -141,8 +184,12 @@
             self._context.call_at(call.deadline_ms, self._cancel_abandoned_attempts, call)
 
     def _cancel_abandoned_attempts(self, call: Call) -> None:
-        """End at the deadline what nobody waits for, where the settings forbid to cancel it before: a silent
-        worker would otherwise keep a connection and its share of the figures for good.
+        """Cancel the attempts of a released call at its deadline, if the settings forbid CANCEL.
+
+        The transport then ends the attempts without a CANCEL.
+
+        Without this, an attempt at a worker that never responds would occupy its connection, and count as in
+        flight, for the lifetime of the process.
         """
         for attempt in call.attempts:
             if not attempt.is_ended:
--- a/cedarthread/persistence/power_cut.py
+++ b/cedarthread/persistence/power_cut.py
@@ -1,29 +1,30 @@
-"""What a power cut leaves on a disk, after each single operation of a recorded run."""
+"""A model of the files that a power cut leaves on a disk, after each operation of a recorded run."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
     import random
 
 SECTOR_BYTES = 512
-SECTOR_SURVIVAL = 0.5  # probability that a sector of a torn write is on the disk
-"""Bytes that a disk writes as a whole."""
+"""Number of bytes that a disk writes completely or not at all."""
+SECTOR_SURVIVAL = 0.5
+"""Probability that a sector of a torn write is on the disk."""
 
 
 @dataclass(frozen=True, slots=True)
 class DiskOperation:
-    """One operation on one file: a write of ``data`` at ``offset``, a truncation to it, or a sync."""
+    """An operation on one file: a write of ``data`` at ``offset``, a truncation to ``offset``, or a sync."""
 
     path: str
     offset: int = 0
     data: bytes | None = None
     sync: bool = False
-    failed: bool = False  # the sync: what it was to write may be on the disk or not, and is never retried
-    mark: object = None  # a test's note between operations: what had been acknowledged by then
+    failed: bool = False  # a failed sync: its writes may be on the disk or not, and are never retried
+    mark: object = None  # if set, no operation but a test's record of its progress at this point
 
 
 def apply_operation(content: bytearray, operation: DiskOperation) -> None:
@@ -36,22 +37,29 @@
     content[operation.offset : operation.offset + len(operation.data)] = operation.data
 
 
+class PowerCutImage(NamedTuple):
+    """The marks until a power cut, and the content of each file after the cut, by path."""
+
+    marks: list[object]
+    contents: dict[str, bytes]
+
+
 PowerCutModel = Callable[[DiskOperation], Iterator[DiskOperation]]
-"""Which part of an operation that was not synced is on the disk after a power cut."""
+"""Yields the parts of an unsynced operation that are on the disk after a power cut."""
 
 
 def lose_unsynced(_: DiskOperation) -> Iterator[DiskOperation]:
-    """All that was not synced is lost."""
+    """Return no part: all unsynced operations are lost."""
     return iter(())
 
 
 def keep_unsynced(operation: DiskOperation) -> Iterator[DiskOperation]:
-    """All that was not synced is written all the same."""
+    """Return the whole operation: all unsynced operations are on the disk."""
     return iter((operation,))
 
 
 def tear_unsynced(rng: random.Random) -> PowerCutModel:
-    """Some operations are written, some are lost, and of some each sector may be either."""
+    """Return a model in which each operation is complete, lost, or torn at random sectors."""
 
     def tear(operation: DiskOperation) -> Iterator[DiskOperation]:
         choice = rng.randrange(4)
@@ -66,10 +74,16 @@
     return tear
 
 
-def power_cut_images(
-    operations: Sequence[DiskOperation], model: PowerCutModel
-) -> Iterator[tuple[list[object], dict[str, bytes]]]:
-    """For a power cut after each operation: the marks until then, and the content of each file."""
+def power_cut_images(operations: Sequence[DiskOperation], model: PowerCutModel) -> Iterator[PowerCutImage]:
+    """Simulate a power cut after each operation.
+
+    Args:
+        operations: all recorded operations and marks, in order.
+        model: the parts of an unsynced operation that are on the disk.
+
+    Yields:
+        The image of each power cut, in the order of the operations.
+    """
     synced: dict[str, bytearray] = {}
     unsynced: dict[str, list[DiskOperation]] = {}
     marks: list[object] = []
@@ -83,7 +97,7 @@
                     apply_operation(synced.setdefault(operation.path, bytearray()), part)
         else:
             unsynced.setdefault(operation.path, []).append(operation)
-        yield list(marks), _content_after_cut(synced, unsynced, model)
+        yield PowerCutImage(list(marks), _content_after_cut(synced, unsynced, model))
 
 
 def _content_after_cut(
