--- a/tests/simulation/change_freeze_fleet.py
+++ b/tests/simulation/change_freeze_fleet.py
@@ -211,7 +211,8 @@
         worker = self.fleet.workers[worker_id]
         if worker.incarnation == incarnation and not worker.is_removed:
             self.component.on_notification(
-                self.local_now_ms, AttemptCompleted(worker_id, function_id, None, 30.0, Outcome.OK, True)
+                self.local_now_ms,
+                AttemptCompleted(worker_id, function_id, None, 30.0, Outcome.OK, was_warm=True),
             )
 
     def request_preload(self, function_id: int) -> None:
--- a/tests/simulation/priority_records.py
+++ b/tests/simulation/priority_records.py
@@ -10,25 +10,34 @@
 from cedarthread.model.settings import DeduplicationScope, Idempotency, RequestClass
 
 STALENESS_BOUND_MS = 4000.0
+
+
+def _request_class(
+    name: str,
+    latency_objective_ms: float,
+    deadline_ms: float,
+    priority_weight: float,
+    idempotency: Idempotency,
+    deduplication_window_ms: float = 0.0,
+) -> RequestClass:
+    return RequestClass(
+        name,
+        latency_objective_ms,
+        deadline_ms,
+        priority_weight,
+        late_priority_weight=0.2,
+        idempotency=idempotency,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window_ms=deduplication_window_ms,
+        is_streaming=False,
+        latency_objective_work_factor=0.0,
+    )
+
+
 CLASSES = (
-    RequestClass(
-        "price", 500.0, 3000.0, 2.0, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False, 0.0
-    ),
-    RequestClass(
-        "confirm",
-        1500.0,
-        5000.0,
-        1.0,
-        0.2,
-        Idempotency.NOT_IDEMPOTENT,
-        DeduplicationScope.ALL,
-        0.0,
-        False,
-        0.0,
-    ),
-    RequestClass(
-        "nominate", 900.0, 4000.0, 1.5, 0.2, Idempotency.WITH_KEY, DeduplicationScope.ALL, 5000.0, False, 0.0
-    ),
+    _request_class("price", 500.0, 3000.0, 2.0, Idempotency.IDEMPOTENT),
+    _request_class("confirm", 1500.0, 5000.0, 1.0, Idempotency.NOT_IDEMPOTENT),
+    _request_class("nominate", 900.0, 4000.0, 1.5, Idempotency.WITH_KEY, 5000.0),
 )
 MEAN_WORK_MS = (100.0, 300.0, 200.0)  # by class
 ROUTER_COUNT = 6
--- a/tests/simulation/test_change_freeze.py
+++ b/tests/simulation/test_change_freeze.py
@@ -46,8 +46,8 @@
 Scenario = Callable[[SimulatedFleet], Violations]
 
 
-def violation_if(is_wrong: bool, text: str) -> Violations:
-    return [text] if is_wrong else []
+def violation(text: str, *, when: bool) -> Violations:
+    return [text] if when else []
 
 
 def changes_over_budget(
@@ -55,7 +55,7 @@
 ) -> Violations:
     count = fleet.count_placements(from_ms, until_ms)
     text = f"{count} changes from {from_ms} to {until_ms}, {exception_budget} permitted"
-    return violation_if(count > exception_budget, text)
+    return violation(text, when=count > exception_budget)
 
 
 def quiet_window(fleet: SimulatedFleet) -> Violations:
@@ -63,13 +63,13 @@
     fleet.run(RUN_END_MS)
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, WINDOW_END_MS),
-        *violation_if(
-            any(WINDOW_START_MS <= at_ms < WINDOW_END_MS for at_ms in fleet.unloads_at_ms), "unloaded"
+        *violation(
+            "unloaded", when=any(WINDOW_START_MS <= at_ms < WINDOW_END_MS for at_ms in fleet.unloads_at_ms)
         ),
-        *violation_if(
-            fleet.count_placements(WINDOW_END_MS, RUN_END_MS) == 0, "nothing was requested or released"
+        *violation(
+            "nothing was requested or released", when=fleet.count_placements(WINDOW_END_MS, RUN_END_MS) == 0
         ),
-        *violation_if(bool(fleet.rejections_at_ms), "calls were rejected"),
+        *violation("calls were rejected", when=bool(fleet.rejections_at_ms)),
     ]
 
 
@@ -79,7 +79,7 @@
     is_logged = all("late_in_force_from=" in "".join(router.log_lines) for router in fleet.routers)
     return [
         *changes_over_budget(fleet, 15_000.0 + STALENESS_BOUND_MS, WINDOW_END_MS),
-        *violation_if(not is_logged, "the late declaration was not logged"),
+        *violation("the late declaration was not logged", when=not is_logged),
     ]
 
 
@@ -93,8 +93,8 @@
     is_unused = fleet.count_placements(WINDOW_START_MS, WINDOW_END_MS) == 0
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, WINDOW_END_MS, 7),
-        *violation_if(is_unused, "the exception budget was not used"),
-        *violation_if(bool(fleet.needless_rejections_at_ms), "a placed worker had capacity"),
+        *violation("the exception budget was not used", when=is_unused),
+        *violation("a placed worker had capacity", when=bool(fleet.needless_rejections_at_ms)),
     ]
 
 
@@ -106,7 +106,7 @@
     released = fleet.count_placements(effective_from + DELIVERY_SPREAD_MS, WINDOW_END_MS - 5_000.0)
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, effective_from),
-        *violation_if(released == 0, "the window was not revoked"),
+        *violation("the window was not revoked", when=released == 0),
     ]
 
 
@@ -118,12 +118,12 @@
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, 25_000.0 + STALENESS_BOUND_MS),
         *changes_over_budget(fleet, 45_000.0, WINDOW_END_MS),
-        *violation_if(fleet.count_placements(31_000.0, 44_000.0) == 0, "the window was not lifted"),
+        *violation("the window was not lifted", when=fleet.count_placements(31_000.0, 44_000.0) == 0),
     ]
 
 
 def window_edited(fleet: SimulatedFleet) -> Violations:
-    """A window is overlapped, extended and later shortened; only the shortening waits for the bound."""
+    """Overlap, extend and later shorten a window; only the shortening waits for the bound."""
     fleet.declare(EntryKind.FREEZE, window_terms(end_ms=40_000.0))
     fleet.declare(
         EntryKind.FREEZE, window_terms(start_ms=35_000.0, end_ms=50_000.0, window_id="x", function_ids=(1, 2))
@@ -139,8 +139,8 @@
     )
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, effective_from),
-        *violation_if(in_overlap, "the overlapping window was not enforced"),
-        *violation_if(released == 0, "the window was not shortened"),
+        *violation("the overlapping window was not enforced", when=in_overlap),
+        *violation("the window was not shortened", when=released == 0),
     ]
 
 
@@ -156,12 +156,12 @@
     fleet.run(RUN_END_MS)
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, WINDOW_END_MS),
-        *violation_if(fleet.count_placements(WINDOW_END_MS, RUN_END_MS) == 0, "it did not end"),
+        *violation("it did not end", when=fleet.count_placements(WINDOW_END_MS, RUN_END_MS) == 0),
     ]
 
 
 def clock_behind_from_start(fleet: SimulatedFleet) -> Violations:
-    """A clock is hours behind from its router's start: the window starts by the other routers' clocks."""
+    """Set a clock back by hours from its router's start; the window starts by the other routers' clocks."""
     fleet.routers[3].wall_clock_step_ms = -7_200_000.0
     fleet.restart_router(3, has_disk=False)
     fleet.run(16_000.0).declare(EntryKind.FREEZE, window_terms(start_ms=21_000.0))
@@ -169,7 +169,7 @@
     is_logged = "wall_clock_deviating offset_s=-" in "".join(fleet.routers[3].log_lines)
     return [
         *changes_over_budget(fleet, 21_000.0, WINDOW_END_MS),
-        *violation_if(not is_logged, "the deviation of the clock was not logged"),
+        *violation("the deviation of the clock was not logged", when=not is_logged),
     ]
 
 
@@ -192,12 +192,12 @@
     fleet.run(110_000.0)
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, 100_000.0),
-        *violation_if(fleet.count_placements(100_000.0, 110_000.0) == 0, "it did not end"),
+        *violation("it did not end", when=fleet.count_placements(100_000.0, 110_000.0) == 0),
     ]
 
 
 def partitioned_router(fleet: SimulatedFleet) -> Violations:
-    """A window is declared while a router is partitioned: the router freezes without the entry."""
+    """Declare a window while a router is partitioned; the router freezes without the entry."""
     fleet.routers[2].partition = Partition(12_000.0, 50_000.0)
     fleet.run(16_000.0).declare(EntryKind.FREEZE, window_terms(start_ms=21_000.0))
     return changes_over_budget(fleet.run(WINDOW_END_MS), 21_000.0, WINDOW_END_MS)
@@ -213,7 +213,7 @@
     are_followed = all(router.settings.prices.idle_memory == 0.5 for router in fleet.routers)
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, WINDOW_END_MS),
-        *violation_if(not are_followed, "the settings were never followed"),
+        *violation("the settings were never followed", when=not are_followed),
     ]
 
 
@@ -222,7 +222,7 @@
     fleet.declare(EntryKind.FREEZE, window_terms())
     peak = fleet.run(RUN_END_MS).peak_placements(WINDOW_END_MS, RUN_END_MS)
     max_peak = 1.5 * SimulatedFleet().start().run(WINDOW_END_MS).peak_placements(10_000.0, WINDOW_END_MS)
-    return violation_if(peak > max_peak, f"{peak} changes in 250 ms, {max_peak} at most")
+    return violation(f"{peak} changes in 250 ms, {max_peak} at most", when=peak > max_peak)
 
 
 SCENARIOS = (
--- a/tests/simulation/test_priority_fleet.py
+++ b/tests/simulation/test_priority_fleet.py
@@ -134,7 +134,7 @@
 
 
 def _tenant_floods(seed: int) -> str | None:
-    """The first tenant sends far more than its quota; another tenant's calls within quota are served."""
+    """Send far more than the first tenant's quota; another tenant's calls within quota are served."""
     until_ms = MEASURED_UNTIL_MS - 1000.0  # later calls may not have ended
     flooded = SimulatedFleet(
         seed, lambda now_ms: (250.0, 45.0, 5.0) if now_ms > 8000.0 else (45.0, 45.0, 5.0)
@@ -146,7 +146,7 @@
 
 
 def _level_flaps(seed: int) -> str | None:
-    """The pressure oscillates slowly around the onset, then fast and far; the level must not follow."""
+    """Vary the pressure slowly around the onset, then fast and far; the level must not follow."""
     machine = OverloadStateMachine()
     rng = random.Random(seed)
     changes = 0
--- a/tests/unit/change_freeze/builders.py
+++ b/tests/unit/change_freeze/builders.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import msgspec
 
 from cedarthread.change_freeze.window_entries import ALL_CHANGE_KINDS, WindowTerms
@@ -12,7 +10,7 @@
 ROUTER_COUNT = 6
 
 
-def window_terms(start_ms: float, end_ms: float, **changes: Any) -> WindowTerms:
+def window_terms(start_ms: float, end_ms: float, **changes: object) -> WindowTerms:
     """Return terms that freeze all changes between two virtual times, with changed fields."""
     base = WindowTerms(
         "w",
--- a/tests/unit/change_freeze/test_admission_gate.py
+++ b/tests/unit/change_freeze/test_admission_gate.py
@@ -31,7 +31,9 @@
 
 
 def _emergency_load(worker_id: int) -> PlacementChange:
-    return PlacementChange(PlacementChangeKind.FIRST_INSTANCE, worker_id, FUNCTION_ID, 0, None, True)
+    return PlacementChange(
+        PlacementChangeKind.FIRST_INSTANCE, worker_id, FUNCTION_ID, 0, None, is_emergency=True
+    )
 
 
 def test_homes_are_retained_and_the_strictest_of_two_windows_decides() -> None:
--- a/tests/unit/priority/contract_world.py
+++ b/tests/unit/priority/contract_world.py
@@ -29,7 +29,7 @@
 
     staleness_bound_ms = BOUND_TICKS
 
-    def __init__(self, contract: ReplicatedEntry, hears_majority: bool) -> None:
+    def __init__(self, contract: ReplicatedEntry, *, hears_majority: bool) -> None:
         self.contract = contract
         self.hears_majority = hears_majority
 
@@ -92,7 +92,7 @@
         for edit, at in enumerate(replicated_at)
     )
     tiers = (first_tier, "c" if first_tier == "a" else "a", first_tier)
-    state = FixedState(TOWN_CONTRACT, is_fresh)
+    state = FixedState(TOWN_CONTRACT, hears_majority=is_fresh)
     contracts = EffectiveContracts(state)
     for edit, received_at, known_replicated_at in known:
         terms = contract_entries.ContractTerms(tiers[edit], 0, 0)
--- a/tests/unit/priority/test_preemption.py
+++ b/tests/unit/priority/test_preemption.py
@@ -18,7 +18,7 @@
 
 LOW_PRIORITY = CallPriority(66, 66, 66, "bulk")
 CLAIM = PreemptionClaim(
-    CallPriority(0, 0, 0, "mill", True),
+    CallPriority(0, 0, 0, "mill", is_within_quota=True),
     service_time_ms=100.0,
     remaining_ms=300.0,
     expected_wait_ms=500.0,
@@ -61,7 +61,7 @@
         (WITH_KEY | {"deduplication_remaining_ms": 1900.0}, False),
         (WITH_KEY | {"deduplication_scope": DeduplicationScope.ZONE}, False),
         ({"stage": CallStage.STREAMING}, False),
-        ({"priority": CallPriority(0, 0, 0, "other", True)}, False),
+        ({"priority": CallPriority(0, 0, 0, "other", is_within_quota=True)}, False),
         ({"priority": CallPriority(0, 127, 66, "edited")}, False),
         ({"is_client_retry": True}, False),
         ({"attempts_in_flight": 2}, False),
@@ -73,7 +73,7 @@
         ({"stage": CallStage.QUEUED, "time_to_free_ms": 250.0}, False),
     ],
 )
-def test_only_safe_and_useful_candidates_are_preempted(changes: dict[str, object], chosen: bool) -> None:
+def test_only_safe_and_useful_candidates_are_preempted(changes: dict[str, object], *, chosen: bool) -> None:
     assert (choose_victim(CLAIM, [_candidate(1, **changes)], LIMITS) is not None) is chosen
 
 
