--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -1,7 +1,9 @@
-"""The admission gate between the placement changes that are requested and those that are made.
+"""The admission gate, which permits, denies or defers each change of where functions are placed.
 
-Whatever is about to change where functions are placed asks here first; docs/design/freeze.md lists all the
-paths, and ``placement_paths`` checks the source against that list. Times are ms on the steady clock.
+Each code path that changes placements consults the gate before the change. docs/design/change-freeze.md lists
+these paths, and ``placement_paths`` checks the source against that list. ``ChangeFreezeComponent`` writes the
+gate's rules and flags; the other state changes as the router consults the gate. All times are ms on the
+steady clock.
 """
 
 from __future__ import annotations
@@ -9,8 +11,15 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from cedarthread.change_freeze.call_routing import PlacementCandidate, RoutingVerdict, route_call
+from cedarthread.change_freeze.call_routing import (
+    PlacementCandidate,
+    RoutingDecision,
+    first_instance_change,
+    route_call,
+)
 from cedarthread.change_freeze.deferred_changes import DeferredChange, DeferredChanges
+from cedarthread.change_freeze.exception_pools import exception_pool_name
+from cedarthread.change_freeze.home_workers import HomeWorkers, with_retained_homes
 from cedarthread.change_freeze.placement_changes import (
     RELEASING,
     UNCERTAIN,
@@ -18,48 +27,71 @@
     AdmissionDecision,
     FreezeRule,
     PlacementChange,
+    PlacementChangeKind,
 )
+from cedarthread.change_freeze.placement_settings import with_placement_settings_of
 from cedarthread.change_freeze.placement_table import PlacementTable
 
 if TYPE_CHECKING:
-    from collections.abc import Callable, Sequence
+    from collections.abc import Callable, Iterable, Sequence
 
     from cedarthread.components.quota_escrow import QuotaEscrow
     from cedarthread.model.settings import RouterSettings
 
-MAX_RETAINED_HOMES = 4096  # functions whose home workers are kept as they were before a window
-LOADING_KINDS = ("first-copy", "order")  # the changes that bring an instance to a worker
+MAX_RETAINED_HOMES = 4096  # functions of which the gate remembers the home workers from before a window
+# The changes that load an instance at a worker:
+LOADING_KINDS = (PlacementChangeKind.FIRST_INSTANCE, PlacementChangeKind.PRELOAD)
 
 
-def exception_pool_name(window_id: str) -> str:
-    """The name of a window's exception budget in the quota escrow."""
-    return f"freeze/{window_id}"
+class AdmissionGate:
+    """The admission gate of one router, which decides on its placement changes while windows are in force.
 
+    While ``is_active`` is False, nothing is frozen, and each method returns after this one test. The gate
+    owns the placement table, the deferred changes and the home workers from before the windows.
 
-class AdmissionGate:
-    """The gate of one router. While not ``is_active``, nothing is frozen, and that test is all it costs."""
+    Args:
+        escrow: Contains the exception budgets of the windows in force.
+        acquire_release: Returns whether one deferred change may be released now; consumes a release token if
+            so.
+    """
 
-    def __init__(self, escrow: QuotaEscrow) -> None:
+    def __init__(self, escrow: QuotaEscrow, acquire_release: Callable[[float], bool]) -> None:
         self.escrow = escrow
+        self.acquire_release = acquire_release
         self.is_active = False
         self.rules: tuple[FreezeRule, ...] = ()
-        self.is_uncertain = False  # this router may have missed a window, which may freeze anything
+        self.is_uncertain = False  # this router may lack a window, so all changes count as frozen
         self.placements = PlacementTable()
         self.deferred_changes = DeferredChanges()
-        self.retained_homes: dict[int, tuple[int, ...]] = {}  # by function, as last seen before it was frozen
+        self.retained_homes: dict[int, tuple[int, ...]] = {}  # worker ids by function, from before the freeze
         self.deferred_settings: RouterSettings | None = None
-        self.exceptions_used = self.denied_count = 0
-        # Over 0: one more deferred change may be released now, and this uses it up.
-        self.take_release: Callable[[float], int] = lambda now_ms: 1
+        self.exceptions_used = 0
+        self.denied_count = 0
 
-    # Questions.
+    def set_rules(self, rules: Iterable[FreezeRule], *, has_active_window: bool) -> None:
+        """Replace the rules in force, and set from them whether placements are frozen and the gate is active.
+
+        Args:
+            rules: The rules of all windows in force.
+            has_active_window: Whether a window is in force, about to start, or lifted by break-glass, so that
+                placements must be tracked.
+        """
+        self.rules = tuple(dict.fromkeys(rules))  # without duplicates
+        self.placements.is_frozen = bool(self.rules) or self.is_uncertain
+        self.is_active = self.is_uncertain or has_active_window or bool(self.deferred_changes)
+        if not self.is_active:
+            self.retained_homes.clear()
 
     def is_frozen(self, change: PlacementChange) -> bool:
-        """Whether the change is frozen, except for the exception budget."""
+        """Return whether a rule in force freezes the change, without regard to the exception budget."""
         return self.is_active and (self.is_uncertain or any(rule.covers(change) for rule in self.rules))
 
-    def is_emergency(self, function_id: int, has_alternatives: bool) -> bool:
-        """Whether an exception may be used: no placed worker has capacity, or most placements were lost."""
+    def is_emergency(self, function_id: int, *, has_alternatives: bool) -> bool:
+        """Return whether an exception may be used for a call of the function.
+
+        An emergency exists if no worker where the function is placed has capacity, or if most of the
+        function's placements were lost.
+        """
         return not has_alternatives or self.placements.has_lost_most(function_id)
 
     def can_send(
@@ -73,17 +105,30 @@
         is_placed: bool,
         has_alternatives: bool,
     ) -> bool:
-        """Whether a call may be sent to a worker; no budget is used up.
-
-        ``is_placed``: the router knows an instance there, and does not merely hope for one;
-        ``has_alternatives``: another worker where the function is placed has capacity.
+        """Return whether a call may be sent to a worker, without use of an exception.
+
+        Args:
+            now_ms: The time on the steady clock.
+            function_id: The function that is called.
+            worker_id: The worker to which the call would be sent.
+            zone_index: The worker's zone; None if unknown.
+            tenant_index: The caller's tenant; None if unknown.
+            is_placed: Whether the router knows of an instance of the function at the worker.
+            has_alternatives: Whether another worker where the function is placed has capacity.
         """
         if not self.is_active:
             return True
         if is_placed:
             self.placements.record(now_ms, function_id, worker_id)
-        is_emergency = self.is_emergency(function_id, has_alternatives)
-        change = PlacementChange("first-copy", worker_id, function_id, zone_index, tenant_index, is_emergency)
+        is_emergency = self.is_emergency(function_id, has_alternatives=has_alternatives)
+        change = PlacementChange(
+            PlacementChangeKind.FIRST_INSTANCE,
+            worker_id,
+            function_id,
+            zone_index,
+            tenant_index,
+            is_emergency,
+        )
         if self._can_place(now_ms, change):
             return True
         self._defer(change)
@@ -97,7 +142,11 @@
         return change.is_emergency and self._has_exception(now_ms, change)
 
     def admit(self, now_ms: float, change: PlacementChange) -> AdmissionDecision:
-        """The final decision before a change is made. Where it is frozen, one exception is used up."""
+        """Decide on a change immediately before the router makes the change.
+
+        If the change is frozen and permitted by exception, one exception of each window that covers the
+        change is consumed. A denied change is deferred.
+        """
         if not self.is_active or self._is_known_placement(change):
             return AdmissionDecision(AdmissionAnswer.PERMITTED)
         rules = self._rules_for(change)
@@ -119,21 +168,20 @@
         function_id: int,
         tenant_index: int | None,
         candidates: Sequence[PlacementCandidate],
-    ) -> tuple[RoutingVerdict, int | None]:
-        """``call_routing.route_call`` under what is in force.
+    ) -> RoutingDecision:
+        """Apply ``call_routing.route_call`` under the rules in force.
 
-        A candidate also counts as open where nothing is frozen, or where the function is known to be placed.
-        The first one that is not open is deferred.
+        Besides the candidates that are open already, a candidate counts as open if no rule freezes a load
+        there, or if the placement table has the function there. The load at the first ready candidate that is
+        not open and not selected is deferred.
         """
 
-        def first_copy(candidate: PlacementCandidate, is_emergency: bool) -> PlacementChange:
-            worker_id, zone_index = candidate.worker_id, candidate.zone_index
-            return PlacementChange(
-                "first-copy", worker_id, function_id, zone_index, tenant_index, is_emergency
-            )
+        def load_at(candidate: PlacementCandidate, *, is_emergency: bool) -> PlacementChange:
+            return first_instance_change(candidate, function_id, tenant_index, is_emergency=is_emergency)
 
-        def can_place(candidate: PlacementCandidate, is_emergency: bool) -> bool:
-            return not self.is_active or self._can_place(now_ms, first_copy(candidate, is_emergency))
+        def can_place(candidate: PlacementCandidate, *, is_emergency: bool) -> bool:
+            change = load_at(candidate, is_emergency=is_emergency)
+            return not self.is_active or self._can_place(now_ms, change)
 
         seen = [
             replace(candidate, is_open=candidate.is_open or can_place(candidate, is_emergency=False))
@@ -147,66 +195,66 @@
             for candidate in seen
             if candidate.is_open or (is_emergency and can_place(candidate, is_emergency=True))
         ]
-        verdict, worker_id = route_call(eligible, is_emergency)
+        decision = route_call(eligible, is_load_permitted=is_emergency)
         for candidate in seen:
-            if candidate.is_ready and not candidate.is_open and candidate.worker_id != worker_id:
-                self._defer(first_copy(candidate, is_emergency))
+            if candidate.is_ready and not candidate.is_open and candidate.worker_id != decision.worker_id:
+                self._defer(load_at(candidate, is_emergency=is_emergency))
                 break
-        return verdict, worker_id
+        return decision
 
     def home_workers(
         self, now_ms: float, function_id: int, ready_workers: Sequence[int], home_count: int
-    ) -> tuple[Sequence[int], int]:
-        """The ready workers in the order of preference for the function, and how many of them are its homes.
+    ) -> HomeWorkers:
+        """Return the ready workers in the order of preference for the function, and its number of homes.
 
-        While that is frozen: the homes from before, as long as they are ready; lost ones are not replaced.
+        While home workers are frozen, the homes are those from before the freeze, or from the function's
+        first call in the freeze, that are still ready. Homes that are lost in the freeze are not replaced.
         """
         if not self.is_active:
-            return ready_workers, home_count
+            return HomeWorkers(ready_workers, home_count)
         homes = tuple(ready_workers[:home_count])
-        change = PlacementChange("homes", None, function_id)
-        is_free = not self.is_frozen(change) and not self.deferred_changes.includes("homes", function_id)
+        change = PlacementChange(PlacementChangeKind.HOME_WORKERS, None, function_id)
+        is_free = not self.is_frozen(change) and not self.deferred_changes.includes(change.kind, function_id)
         retained_homes = self.retained_homes.get(function_id)
         if is_free or retained_homes is None:
             if len(self.retained_homes) < MAX_RETAINED_HOMES or retained_homes is not None:
                 self.retained_homes[function_id] = homes
-            return ready_workers, home_count
+            return HomeWorkers(ready_workers, home_count)
         if homes != retained_homes:
             self._defer(change)
-        ready = set(ready_workers)
-        retained_ready = [worker_id for worker_id in retained_homes if worker_id in ready]
-        if not retained_ready:
-            return ready_workers, min(home_count, 1)
-        known = set(retained_ready)
-        others = (worker_id for worker_id in ready_workers if worker_id not in known)
-        return [*retained_ready, *others], len(retained_ready)
+        return with_retained_homes(ready_workers, retained_homes, home_count)
 
     def admitted_settings(self, now_ms: float, old: RouterSettings, new: RouterSettings) -> RouterSettings:
-        """The settings that may be in force now: the new ones, but what would move instances is deferred."""
-        if not self.is_active or (without_moves := _with_placement_settings_of(old, new)) == new:
+        """Return the settings to apply now: the new ones, without changes that the freeze defers.
+
+        If the freeze denies changes of settings, the settings that decide where instances are placed
+        retain their old values, and the new settings are stored in ``deferred_settings``.
+        """
+        if not self.is_active or (without_moves := with_placement_settings_of(old, new)) == new:
             self.deferred_settings = None
             return new
-        if self.admit(now_ms, PlacementChange("retune", None, None)).is_permitted:
+        if self.admit(now_ms, PlacementChange(PlacementChangeKind.SETTINGS, None, None)).is_permitted:
             self.deferred_settings = None
             return new
         self.deferred_settings = new
         return without_moves
 
     def release(self, now_ms: float) -> list[DeferredChange]:
-        """The deferred changes that the host may make now: not frozen, and as many as the rate permits."""
-        released = self.deferred_changes.release(now_ms, self.is_frozen, self.take_release)
+        """Remove and return the deferred changes that are no longer frozen, as many as the rate permits."""
+        released = self.deferred_changes.release(now_ms, self.is_frozen, self.acquire_release)
         for deferred in released:
-            if deferred.kind == "homes" and deferred.function_id is not None:
+            if deferred.kind is PlacementChangeKind.HOME_WORKERS and deferred.function_id is not None:
                 self.retained_homes.pop(deferred.function_id, None)
         return released
 
-    # Inside.
-
     def _rules_for(self, change: PlacementChange) -> list[FreezeRule]:
         return [rule for rule in self.rules if rule.covers(change)]
 
     def _is_known_placement(self, change: PlacementChange) -> bool:
-        """Whether the function is placed there: an idle instance that returns to its worker moves nothing."""
+        """Return whether the change loads a function at a worker where the function is placed already.
+
+        Such a change is permitted because an instance that is loaded again at its own worker moves nothing.
+        """
         if change.kind not in LOADING_KINDS or change.function_id is None or change.worker_id is None:
             return False
         return self.placements.has_placement(change.function_id, change.worker_id)
@@ -220,10 +268,12 @@
         )
 
     def _use_exception(self, now_ms: float, change: PlacementChange, rules: list[FreezeRule]) -> bool:
-        """Use one of each window's budget, if all have one: where windows overlap, the strictest holds."""
+        """Consume one exception of each window that covers the change; return whether all had one.
+
+        Where windows overlap, the strictest decides, because each must have an exception left.
+        """
         if change.kind not in LOADING_KINDS or not self._has_exception(now_ms, change):
             return False
-        # A list, not a generator: one is used of each, also where an earlier one failed.
         return all(self.escrow.consume(now_ms, exception_pool_name(rule.window_id)) for rule in rules)
 
     def _deny(self, change: PlacementChange, cause: str) -> AdmissionDecision:
@@ -232,24 +282,11 @@
         return AdmissionDecision(AdmissionAnswer.DENIED, cause)
 
     def _defer(self, change: PlacementChange) -> None:
-        if self.rules:  # without a declared window there is no end after which changes are to be released
+        if self.rules:  # without a declared window there is no window end at which to release the change
             self.deferred_changes.add(change)
 
     def _try_release(self, now_ms: float, change: PlacementChange) -> bool:
-        if self.take_release(now_ms) < 1:
+        if not self.acquire_release(now_ms):
             return False
         self.deferred_changes.discard(change.kind, change.function_id)
         return True
-
-
-def _with_placement_settings_of(old: RouterSettings, new: RouterSettings) -> RouterSettings:
-    """The new settings with what decides where instances are placed taken from the old ones."""
-    prices = replace(new.prices, idle_memory=old.prices.idle_memory, cross_zone=old.prices.cross_zone)
-    return replace(
-        new,
-        prices=prices,
-        weight_meaning=old.weight_meaning,
-        keep_alive_ms=old.keep_alive_ms,
-        when_not_loaded=old.when_not_loaded,
-        allows_preloading=old.allows_preloading,
-    )
--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -1,6 +1,7 @@
-"""The change freeze component: the windows held here, when they are in force, and the gate they close.
+"""The change freeze component: follows the declared windows and sets the rules of the admission gate.
 
-Pure: the clock (ms, steady) and the host's wall clock are handed in. Design: docs/design/freeze.md.
+The component is pure: the caller passes the steady clock (ms) and readings of the host's wall clock.
+Design: docs/design/change-freeze.md.
 """
 
 from __future__ import annotations
@@ -9,9 +10,10 @@
 from datetime import UTC, datetime
 from typing import TYPE_CHECKING
 
-from cedarthread.change_freeze.admission_gate import AdmissionGate, exception_pool_name
+from cedarthread.change_freeze.admission_gate import AdmissionGate
 from cedarthread.change_freeze.deferred_changes import DeferredChange, ReleaseRateLimiter
-from cedarthread.change_freeze.placement_changes import FreezeRule
+from cedarthread.change_freeze.exception_pools import ExceptionPools
+from cedarthread.change_freeze.freeze_rules import rule_from_terms
 from cedarthread.change_freeze.stale_hold import StaleHold
 from cedarthread.change_freeze.wall_clock import WallClock
 from cedarthread.change_freeze.window import ClockReading, FreezeWindow, WindowState
@@ -31,6 +33,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping, Sequence
 
+    from cedarthread.change_freeze.placement_changes import FreezeRule
     from cedarthread.change_freeze.window_entries import WindowTerms
     from cedarthread.components.messages import OutboundMessage
     from cedarthread.components.quota_escrow import QuotaEscrow
@@ -38,14 +41,30 @@
     from cedarthread.fleet_config import SharingConfig
     from cedarthread.model.settings import RouterSettings
 
-WINDOW_LEAD_MS = 500.0  # by which windows begin early: twice the longest time between ticks
-PLACEMENT_EXPIRY_INTERVAL_MS = 5000.0  # between looks for placements that expired
-BUDGETED_STATES = (WindowState.PENDING, WindowState.IN_FORCE)  # in which a window's exception pool is open
-ACTIVE_STATES = (*BUDGETED_STATES, WindowState.LIFTED)  # in which placements are tracked
+WINDOW_LEAD_MS = 500.0  # by which windows start early; twice the longest interval between ticks
+PLACEMENT_EXPIRY_INTERVAL_MS = 5000.0  # between removals of expired placements
+BUDGETED_STATES = (WindowState.PENDING, WindowState.IN_FORCE)  # a window's exception pool is open
+ACTIVE_STATES = (*BUDGETED_STATES, WindowState.LIFTED)  # placements are tracked
 
 
 class ChangeFreezeComponent:
-    """``on_tick`` comes before any event that is later than ``WINDOW_LEAD_MS`` after the last tick."""
+    """The change freeze of one router; owns its windows, its wall clock and the admission gate.
+
+    The host must call ``on_tick`` before any event that is more than ``WINDOW_LEAD_MS`` after the last tick,
+    because windows take effect on ticks.
+
+    Args:
+        settings: The router's settings.
+        sharing: The fleet's limits of clock error and clock drift.
+        replicated_state: Contains the entries that declare, revoke and lift windows.
+        escrow: Contains the exception budgets of the windows.
+        now_ms: The time on the steady clock.
+        has_read_enough_peers: Returns whether several peers were read completely in this incarnation. If so,
+            the entries known at the start count even without confirmation by a majority
+            (docs/design/change-freeze.md, step 21).
+        acquire_release: Returns whether one deferred change may be released at a time on the steady clock,
+            and consumes a token if so; None: a ``ReleaseRateLimiter`` of this component.
+    """
 
     message_types: frozenset[int] = frozenset()
 
@@ -58,18 +77,15 @@
         *,
         now_ms: float = 0.0,
         has_read_enough_peers: Callable[[], bool] = bool,
+        acquire_release: Callable[[float], bool] | None = None,
     ) -> None:
-        """``has_read_enough_peers``: several other routers were read completely in this incarnation.
-
-        What a start then knows counts, though no majority confirmed it: docs/design/freeze.md, step 21.
-        """
-        self.replicated_state, self.escrow, self.settings = replicated_state, escrow, settings
+        self.replicated_state = replicated_state
+        self.settings = settings
         self.wall_clock = WallClock(max(1, settings.router_count), sharing.clock_error, sharing.clock_rate)
-        self.gate = AdmissionGate(escrow)
-        self.gate.take_release = ReleaseRateLimiter(refilled_at_ms=now_ms)
+        self.gate = AdmissionGate(escrow, acquire_release or ReleaseRateLimiter(refilled_at_ms=now_ms))
         self.registry = WindowRegistry()
         self.stale_hold = StaleHold(now_ms, has_read_enough_peers)
-        self.opened_pools: dict[str, tuple[int, float]] = {}  # by window: total and end (steady ms)
+        self.exception_pools = ExceptionPools(escrow, self.wall_clock.max_error_ms + WINDOW_LEAD_MS)
         self.last_expiry_at_ms = now_ms
         self.reported_deviation_ms = 0.0
         self.pending_messages: list[OutboundMessage] = []
@@ -78,42 +94,43 @@
     # The component interface.
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
-        """No datagram is its own."""
+        """Ignore the datagram: the component has no message type."""
         return ()
 
     def on_notification(self, now_ms: float, notification: Notification) -> Sequence[OutboundMessage]:
-        """Follow entries, settings, the endpoint list and the wall clock, and note where instances are."""
+        """Process new entries, settings, endpoints, wall clock readings and completed attempts."""
         if isinstance(notification, AttemptCompleted):
             self._on_attempt_completed(now_ms, notification)
         elif isinstance(notification, EndpointUpdate):
             self.gate.placements.on_endpoint_update(notification)
         elif isinstance(notification, WallClockRead):
             unix_ms = notification.unix_ms
-            self._log(self.wall_clock.on_host_reading(now_ms, unix_ms, self._has_relevant_window(unix_ms)))
+            has_window = self._has_relevant_window(unix_ms)
+            self._log(self.wall_clock.on_host_reading(now_ms, unix_ms, has_window=has_window))
         elif isinstance(notification, SettingsChanged):
             self.settings = notification.settings
             self.wall_clock.router_count = max(1, notification.settings.router_count)
             self._update_gate(now_ms)
         elif isinstance(notification, EntriesChanged):
-            self._take_entries(now_ms, notification.entries)
+            self._add_entries(now_ms, notification.entries)
             self._update_gate(now_ms)
-        return self._take_messages()
+        return self._drain_messages()
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
-        """Look at the clocks and the replicated store, and set the gate by them."""
+        """Read the replicated store and the clocks, and update the gate."""
         for kind in WINDOW_ENTRY_KINDS:
-            self._take_entries(now_ms, self.replicated_state.entries(kind))
+            self._add_entries(now_ms, self.replicated_state.entries(kind))
         for window_id in self.registry.forget_removed(self.replicated_state):
-            self.opened_pools.pop(window_id, None)
+            self.exception_pools.forget(window_id)
         self._report_clock_deviation(now_ms)
         self._update_gate(now_ms)
         if now_ms - self.last_expiry_at_ms >= PLACEMENT_EXPIRY_INTERVAL_MS:
             self.last_expiry_at_ms = now_ms
             self.gate.placements.expire(now_ms)
-        return self._take_messages()
+        return self._drain_messages()
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """The figures that operators read; their names are part of the operators' interface."""
+        """Return the figures for operators; their names are part of the operators' interface."""
         figures = {
             "freeze_wanted": str(len(self.gate.deferred_changes)),
             "freeze_denied": str(self.gate.denied_count),
@@ -126,21 +143,21 @@
         windows = self.registry.windows.items()
         return figures | {f"freeze_window_{name}": window.state.value for name, window in windows}
 
-    # What the host asks and tells.
+    # Calls by the host.
 
     def release_deferred_changes(self, now_ms: float) -> list[DeferredChange]:
-        """The deferred changes that may be made now, at the gate's rate: the host makes them."""
+        """Return the deferred changes that the host must make now, at the gate's release rate."""
         released = self.gate.release(now_ms) if self.gate.deferred_changes else []
         self._update_gate(now_ms)
         return released
 
     def on_worker_down(self, now_ms: float, worker_id: int) -> None:
-        """The host found a worker's process gone: no connection to it comes up."""
+        """Remove the placements of a worker whose process accepts no connection."""
         self.gate.placements.on_worker_down(worker_id)
 
     # Entries and clocks.
 
-    def _take_entries(self, now_ms: float, entries: Iterable[ReplicatedEntry]) -> None:
+    def _add_entries(self, now_ms: float, entries: Iterable[ReplicatedEntry]) -> None:
         for finding in self.registry.add(entries):
             if isinstance(finding, UnreadableEntry):
                 entry = finding.entry
@@ -157,11 +174,17 @@
 
     def _on_window_declared(self, now_ms: float, window: FreezeWindow, terms: WindowTerms) -> None:
         unix_ms = self.wall_clock.unix_ms(now_ms)
-        earliest_start = max(float(terms.start_unix_ms), unix_ms + self.replicated_state.staleness_bound_ms)
+        earliest_start_unix_ms = max(
+            float(terms.start_unix_ms), unix_ms + self.replicated_state.staleness_bound_ms
+        )
         window.was_declared_late = (
-            not math.isnan(unix_ms) and terms.start_unix_ms < earliest_start and unix_ms < terms.end_unix_ms
+            not math.isnan(unix_ms)
+            and terms.start_unix_ms < earliest_start_unix_ms
+            and unix_ms < terms.end_unix_ms
+        )
+        late = (
+            {"late_in_force_from": _format_time(earliest_start_unix_ms)} if window.was_declared_late else {}
         )
-        late = {"late_in_force_from": _format_time(earliest_start)} if window.was_declared_late else {}
         self._log(
             format_event(
                 "change_freeze_window_declared",
@@ -175,7 +198,7 @@
         )
 
     def _has_relevant_window(self, unix_ms: float) -> bool:
-        """Whether a step of the wall clock to this time must be confirmed before it is followed."""
+        """Return whether other routers must confirm a step of the wall clock to this time."""
         is_sensitive = self.registry.has_step_sensitive_window(
             unix_ms, self.wall_clock.max_error_ms, self.replicated_state.staleness_bound_ms
         )
@@ -187,23 +210,29 @@
         has_changed = abs(deviation_ms - reported_ms) > 2 * self.wall_clock.max_error_ms
         if (deviation_ms != 0.0) != (reported_ms != 0.0) or has_changed:
             if deviation_ms:
-                # A positive deviation: this clock is behind those of most other routers.
+                # A positive deviation means that this clock is behind the median clock.
                 self._log(format_event("wall_clock_deviating", offset_s=f"{-deviation_ms / 1000.0:+.1f}"))
             else:
                 self._log(format_event("wall_clock_synchronized"))
             self.reported_deviation_ms = deviation_ms
 
     def _clock_reading(self, now_ms: float) -> ClockReading:
-        earliest, latest = self.wall_clock.unix_ms_bounds(now_ms)
+        earliest_unix_ms, latest_unix_ms = self.wall_clock.unix_ms_bounds(now_ms)
         return ClockReading(
-            now_ms, earliest, latest, self.replicated_state.staleness_bound_ms, WINDOW_LEAD_MS
+            now_ms,
+            earliest_unix_ms,
+            latest_unix_ms,
+            self.replicated_state.staleness_bound_ms,
+            WINDOW_LEAD_MS,
         )
 
     # The gate.
 
     def _update_uncertainty(self, now_ms: float) -> None:
         is_fresh = self.replicated_state.is_fresh(now_ms)
-        is_uncertain = self.stale_hold.is_uncertain(now_ms, is_fresh, self.registry.has_entries)
+        is_uncertain = self.stale_hold.is_uncertain(
+            now_ms, is_fresh=is_fresh, has_entries=self.registry.has_entries
+        )
         if is_uncertain != self.gate.is_uncertain and now_ms > self.stale_hold.started_at_ms:
             self._log(
                 format_event("change_freeze_hold_started", reason="this router may have missed a window")
@@ -213,7 +242,7 @@
         self.gate.is_uncertain = is_uncertain
 
     def _update_gate(self, now_ms: float) -> None:
-        """Set the gate by the windows that are in force at this moment."""
+        """Update the states of all windows, and the gate's rules from the windows in force."""
         self._update_uncertainty(now_ms)
         reading = self._clock_reading(now_ms)
         rules: list[FreezeRule] = []
@@ -225,38 +254,13 @@
                 self._log(
                     format_event("change_freeze_window_state_changed", window=window.window_id, state=state)
                 )
-            rules += [self._rule_for(window, terms) for terms in in_force]
+            budget = window.minimum_exception_budget()
+            rules += [rule_from_terms(terms, budget, self.settings) for terms in in_force]
             if window.state in BUDGETED_STATES:
                 remaining_ms = max(0.0, window.latest_end_unix_ms() - reading.earliest_unix_ms)
-                self._update_exception_pool(window, now_ms + remaining_ms)
-        gate = self.gate
-        gate.rules = tuple(dict.fromkeys(rules))  # each once, in order
-        gate.placements.is_frozen = bool(rules) or gate.is_uncertain
+                self.exception_pools.update(window.window_id, budget, now_ms + remaining_ms)
         has_active_window = any(window.state in ACTIVE_STATES for window in self.registry.windows.values())
-        gate.is_active = gate.is_uncertain or has_active_window or bool(gate.deferred_changes)
-        if not gate.is_active:
-            gate.retained_homes.clear()
-
-    def _update_exception_pool(self, window: FreezeWindow, until_ms: float) -> None:
-        """Open the window's pool, or change it with its total, or with its end by more than clocks err."""
-        previous_total, previous_until_ms = self.opened_pools.get(window.window_id, (-1, 0.0))
-        total = window.minimum_exception_budget()
-        tolerance_ms = self.wall_clock.max_error_ms + WINDOW_LEAD_MS
-        if previous_total != total or abs(until_ms - previous_until_ms) > tolerance_ms:
-            self.opened_pools[window.window_id] = total, until_ms
-            self.escrow.open_pool(
-                exception_pool_name(window.window_id), total, is_consumable=True, ends_at_ms=until_ms
-            )
-
-    def _rule_for(self, window: FreezeWindow, terms: WindowTerms) -> FreezeRule:
-        return FreezeRule(
-            window.window_id,
-            frozenset(terms.frozen_kinds),
-            _indexes_of(terms.zone_names, self.settings.zones),
-            frozenset(terms.function_ids) if terms.function_ids else None,
-            _indexes_of(terms.tenant_names, tuple(tenant.name for tenant in self.settings.tenants)),
-            window.minimum_exception_budget(),
-        )
+        self.gate.set_rules(rules, has_active_window=has_active_window)
 
     def _on_attempt_completed(self, now_ms: float, completed: AttemptCompleted) -> None:
         if completed.outcome is Outcome.OK or completed.was_warm:
@@ -268,17 +272,10 @@
         if line is not None:
             self.pending_messages.append(LogMessage(line))
 
-    def _take_messages(self) -> list[OutboundMessage]:
+    def _drain_messages(self) -> list[OutboundMessage]:
         messages, self.pending_messages = self.pending_messages, []
         return messages
 
 
-def _indexes_of(names: tuple[str, ...], known_names: tuple[str, ...]) -> frozenset[int] | None:
-    """The indexes of names. A name that these settings do not know may be any, so all are meant: None."""
-    if not names or any(name not in known_names for name in names):
-        return None
-    return frozenset(known_names.index(name) for name in names)
-
-
 def _format_time(unix_ms: float) -> str:
     return datetime.fromtimestamp(unix_ms / 1000.0, UTC).isoformat(timespec="seconds")
--- a/cedarthread/node/constraints.py
+++ b/cedarthread/node/constraints.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from cedarthread.change_freeze.placement_changes import PlacementChange
+from cedarthread.change_freeze.placement_changes import PlacementChange, PlacementChangeKind
 from cedarthread.model.endpoints import EndpointState
 from cedarthread.node.preemption_view import preemption_candidates, preemption_claim
 
@@ -91,12 +91,12 @@
         endpoint = worker.endpoint
         if self.gate.is_active:
             change = PlacementChange(
-                "first-copy",
+                PlacementChangeKind.FIRST_INSTANCE,
                 endpoint.worker_id,
                 request.function_id,
                 endpoint.zone,
                 request.tenant_index,
-                self.gate.is_emergency(request.function_id, has_alternative),
+                self.gate.is_emergency(request.function_id, has_alternatives=has_alternative),
             )
             if not self.gate.admit(now_ms, change).is_permitted:
                 return False
@@ -132,14 +132,18 @@
         """
         request = pending.request
         tenant = request.caller if request.tenant_index is None else request.tenant_index
-        priority = self.priority.on_arrival(now_ms, tenant, value, utilization, request.is_client_retry)
+        priority = self.priority.on_arrival(
+            now_ms, tenant, value, utilization, is_client_retry=request.is_client_retry
+        )
         pending.call_priority = priority
         return self.priority.shed_probability(now_ms, priority, shed_fraction, value)
 
     def on_rejected(self, now_ms: float, pending: PendingRequest) -> None:
         """Count a rejected request towards the floor of its tenant."""
         if pending.call_priority is not None:
-            self.priority.record_rejected(now_ms, pending.call_priority, pending.request.is_client_retry)
+            self.priority.record_rejected(
+                now_ms, pending.call_priority, is_client_retry=pending.request.is_client_retry
+            )
 
     def overload_level(self, now_ms: float) -> int:
         """Return how overloaded the fleet is; 0: not overloaded, or not known."""
