--- a/cedarthread/cli.py
+++ b/cedarthread/cli.py
@@ -35,6 +35,7 @@
 
 import cedarthread
 from cedarthread import config
+from cedarthread.errors import ConfigurationError
 
 if TYPE_CHECKING:
     from cedarthread.protocols.invoke.config import InvokeConfig
@@ -62,7 +63,7 @@
         return EXIT_OK
     try:
         loaded_config = config.load()
-    except config.ConfigError as error:
+    except ConfigurationError as error:
         return _fail(error)
     if options["check-config"]:
         print(describe(loaded_config))
--- a/cedarthread/config.py
+++ b/cedarthread/config.py
@@ -1,25 +1,27 @@
-"""The configuration: what the platform tells a router at its start, in a JSON file and the environment."""
+"""The configuration of one router: a JSON file that the platform writes, and environment variables."""
 
 from __future__ import annotations
 
-import json
 import os
 from dataclasses import dataclass
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
-from cedarthread.errors import CedarthreadError
-from cedarthread.number_checks import bounded_number
-from cedarthread.protocols.discovery.endpoint_list import EndpointRecord, endpoint_from_json, parse_address
+from cedarthread.config_section import ConfigSection, ConfigValue, parse_json
+from cedarthread.errors import ConfigurationError
+from cedarthread.model.endpoints import EndpointState
+from cedarthread.protocols.discovery.endpoint_list import EndpointRecord, parse_address
 from cedarthread.protocols.peers import PeerAddresses
-from cedarthread.settings_parser import SettingsError, settings_from_object
+from cedarthread.settings_parser import SETTINGS_KEY, settings_from_section
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
     from cedarthread.model.settings import RouterSettings
 
-# Environment variables: the path of the file, and values that take the place of the file's.
+ConfigError = ConfigurationError  # the name under which other packages catch an error of the configuration
+
+# Environment variables: the path of the file, and values that replace the values in the file.
 CONFIG_PATH_VARIABLE = "BALANCER_CONFIG"
 LISTEN_VARIABLE = "BALANCER_LISTEN"
 NAME_VARIABLE = "BALANCER_NAME"
@@ -27,26 +29,16 @@
 
 DEFAULT_MAX_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
+BYTES_PER_MB = 2**20
 
-# What a document of the wrong shape raises while it is read.
-_MALFORMED = (
-    ValueError,
-    KeyError,
-    TypeError,
-    AttributeError,
-    ArithmeticError,
-    RecursionError,
-    SettingsError,
-)
-
-
-class ConfigError(CedarthreadError):
-    """The configuration can't be used. The text names the file and what is wrong in it."""
+_SEED_BASE = 16
+_ADDRESS_WORDS = "an address host:port"
+_STATE_BY_NAME = {state.value: state for state in EndpointState}
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration. Addresses are pairs of host and port."""
+    """The configuration of one router. Addresses are pairs of host and port."""
 
     router_name: str
     host: str  # where clients connect
@@ -59,75 +51,127 @@
     # Updates of the endpoint list by their serial numbers; the first one is complete.
     initial_endpoints: tuple[tuple[int, tuple[EndpointRecord, ...]], ...]
     control_address: tuple[str, int] | None = None  # where operators connect
-    peer_addresses: PeerAddresses | None = None  # of the other routers; None: this one runs without gossip
+    peer_addresses: PeerAddresses | None = None  # of the other routers; None: the router runs without gossip
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """The configuration that the environment names; ConfigError where it can't be used."""
+    """Return the configuration that the environment names.
+
+    Raises:
+        ConfigurationError: The configuration cannot be used.
+    """
     path = environ.get(CONFIG_PATH_VARIABLE)
     if not path:
-        raise ConfigError(f"{CONFIG_PATH_VARIABLE} is not set")
+        raise ConfigurationError(f"{CONFIG_PATH_VARIABLE} is not set")
     try:
-        return decode(Path(path).read_bytes(), environ)
-    except (OSError, ConfigError) as error:
-        raise ConfigError(f"{path}: {error}") from None
+        raw = Path(path).read_bytes()
+    except OSError as error:
+        raise ConfigurationError(f"cannot be read: {error.strerror or error}", source=path) from None
+    return decode(raw, environ, path)
 
 
-def decode(raw: bytes, environ: Mapping[str, str]) -> Config:
-    """The configuration from a file's bytes; ConfigError where they can't be used."""
+def decode(raw: bytes, environ: Mapping[str, str], source: str = "") -> Config:
+    """Return the configuration in the bytes of a file.
+
+    Args:
+        raw: The bytes of the file.
+        environ: The environment variables, which replace values in the file.
+        source: The path of the file, for errors.
+
+    Raises:
+        ConfigurationError: The configuration cannot be used.
+    """
+    document = parse_json(raw, source)
     try:
-        return from_json(json.loads(raw), environ)
-    except _MALFORMED as error:
-        raise ConfigError(f"{type(error).__name__}: {error}") from None
+        return _parse_document(ConfigValue(document, source, "").section(), environ)
+    except RecursionError:  # while a nested list or object is written as a text
+        raise ConfigurationError("lists or objects are nested too deeply", source=source) from None
 
 
-def from_json(document: dict[str, Any], environ: Mapping[str, str]) -> Config:
-    """The configuration from a JSON document. Values of the environment come before the document's."""
-    host, port = parse_address(environ.get(LISTEN_VARIABLE) or document["listen"])
-    initial_endpoints = _parse_initial_endpoints(document)
-    limits = document.get("limits", {})
+def _parse_document(document: ConfigSection, environ: Mapping[str, str]) -> Config:
+    listen = _variable(environ, LISTEN_VARIABLE) or document.required("listen")
+    host, port = _parse_address(listen)
+    limits = document.optional_section("limits")
     return Config(
-        router_name=environ.get(NAME_VARIABLE) or str(document.get("name", "")),
+        router_name=environ.get(NAME_VARIABLE) or document.text("name"),
         host=host,
         port=port,
-        seed=int(str(document.get("seed", "0")), 16),
-        max_sockets=int(bounded_number(limits.get("sockets", DEFAULT_MAX_SOCKETS), 1)),
-        memory_bytes=int(bounded_number(limits.get("memory_mb", DEFAULT_MEMORY_MB), 1) * 2**20),
-        discovery_address=parse_address(document["dns"]) if document.get("dns") else None,
-        settings=settings_from_object(document["settings"]),
-        initial_endpoints=initial_endpoints,
-        control_address=_parse_control_address(environ.get(CONTROL_VARIABLE) or document.get("control")),
+        seed=document.optional("seed", "0").convert("a hexadecimal number", _parse_seed),
+        max_sockets=int(limits.number("sockets", DEFAULT_MAX_SOCKETS, minimum=1)),
+        memory_bytes=int(limits.number("memory_mb", DEFAULT_MEMORY_MB, minimum=1) * BYTES_PER_MB),
+        discovery_address=_parse_address(document.required("dns")) if document.has("dns") else None,
+        settings=settings_from_section(document.required(SETTINGS_KEY).section()),
+        initial_endpoints=_parse_initial_endpoints(document),
+        control_address=_parse_control_address(document, environ),
         peer_addresses=_parse_peer_addresses(document),
     )
 
 
+def _variable(environ: Mapping[str, str], name: str) -> ConfigValue | None:
+    """Return the value of an environment variable; None where the variable is not set or empty."""
+    text = environ.get(name)
+    return ConfigValue(text, f"environment variable {name}", "") if text else None
+
+
+def _parse_seed(value: object) -> int:
+    return int(str(value), _SEED_BASE)
+
+
+def _parse_address(address: ConfigValue) -> tuple[str, int]:
+    """Return host and port of an address, which is a text."""
+    if not isinstance(address.value, str):
+        raise address.error(_ADDRESS_WORDS)
+    return _parse_address_of_any_type(address)
+
+
+def _parse_address_of_any_type(address: ConfigValue) -> tuple[str, int]:
+    """Return host and port of an address that is converted to a text first."""
+    return address.convert(_ADDRESS_WORDS, lambda value: parse_address(str(value)))
+
+
 def _parse_initial_endpoints(
-    document: dict[str, Any],
+    document: ConfigSection,
 ) -> tuple[tuple[int, tuple[EndpointRecord, ...]], ...]:
-    events = document.get("known", {}).get("events", [])
-    return tuple(
-        (int(event["n"]), tuple(endpoint_from_json(entry) for entry in event["members"]["endpoints"]))
-        for event in events
-    )
+    events = document.optional_section("known").optional("events", ()).entries()
+    return tuple(_parse_endpoint_event(event.section()) for event in events)
 
 
-def _parse_peer_addresses(document: dict[str, Any]) -> PeerAddresses | None:
-    """The addresses of peers; None where the document names none, or no address to listen on."""
-    listen, peers = document.get("peer_listen"), document.get("peers")
-    if not listen or not peers:
-        return None
-    if not isinstance(peers, list):
-        raise ValueError(f"peers: {peers!r} is no list of addresses")
-    broadcast = document.get("peers_all")
-    addresses = tuple(parse_address(str(peer)) for peer in peers)
-    return PeerAddresses(
-        parse_address(str(listen)), addresses, parse_address(str(broadcast)) if broadcast else None
+def _parse_endpoint_event(event: ConfigSection) -> tuple[int, tuple[EndpointRecord, ...]]:
+    """Return the serial number and the endpoints of one update of the endpoint list."""
+    endpoints = event.required("members").section().required("endpoints").entries()
+    return event.required("n").integer(), tuple(_parse_endpoint(entry.section()) for entry in endpoints)
+
+
+def _parse_endpoint(entry: ConfigSection) -> EndpointRecord:
+    host, port = _parse_address_of_any_type(entry.required("address"))
+    return EndpointRecord(
+        name=entry.required_text("name"),
+        host=host,
+        port=port,
+        zone=entry.required_text("zone"),
+        kind=entry.required_text("type"),
+        cell=entry.optional("group", 0).integer(),
+        state=entry.required("status").value_in(_STATE_BY_NAME),
+        weight=entry.optional("weight", 1).finite_number(),
+        started_at_ms=entry.optional("since_ms", 0).finite_number(),
     )
 
 
-def _parse_control_address(text: Any) -> tuple[str, int] | None:
-    if text in (None, ""):
+def _parse_control_address(document: ConfigSection, environ: Mapping[str, str]) -> tuple[str, int] | None:
+    """Return the operators' address; None where it is missing, null or an empty text."""
+    address = _variable(environ, CONTROL_VARIABLE) or document.optional("control", None)
+    return None if address.value in (None, "") else _parse_address(address)
+
+
+def _parse_peer_addresses(document: ConfigSection) -> PeerAddresses | None:
+    """Return the addresses of the routers; None where the document lacks the peers or the own address."""
+    if not document.has("peer_listen") or not document.has("peers"):
         return None
-    if not isinstance(text, str):
-        raise ValueError(f"control: {text!r} is no address")
-    return parse_address(text)
+    peers = document.required("peers")
+    if not isinstance(peers.value, list):
+        raise peers.error("a list of addresses host:port")
+    return PeerAddresses(
+        _parse_address_of_any_type(document.required("peer_listen")),
+        tuple(_parse_address_of_any_type(peer) for peer in peers.entries()),
+        (_parse_address_of_any_type(document.required("peers_all")) if document.has("peers_all") else None),
+    )
--- a/cedarthread/lifecycle/reload.py
+++ b/cedarthread/lifecycle/reload.py
@@ -6,13 +6,14 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from cedarthread.config import Config, ConfigError
+from cedarthread.errors import ConfigurationError
 from cedarthread.logs import format_event
 
 if TYPE_CHECKING:
     from collections.abc import Callable
     from pathlib import Path
 
+    from cedarthread.config import Config
     from cedarthread.fleet_config import FleetConfig
     from cedarthread.lifecycle.listeners import PeerListener
     from cedarthread.lifecycle.state import ServiceParts, ServiceState
@@ -53,7 +54,7 @@
             return
         try:
             loaded = self.load_config()
-        except ConfigError as error:
+        except ConfigurationError as error:
             self._state.reload_errors += 1
             log.error(format_event("configuration_rejected", error=error))
             return
--- a/cedarthread/protocols/discovery/endpoint_list.py
+++ b/cedarthread/protocols/discovery/endpoint_list.py
@@ -3,11 +3,10 @@
 from __future__ import annotations
 
 import logging
-import math
 import re
 import zlib
 from dataclasses import dataclass, replace
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from cedarthread.logs import format_event
 from cedarthread.model.endpoints import Endpoint, EndpointState, EndpointUpdate, EndpointUpdateKind
@@ -24,7 +23,6 @@
 MAX_PORT_DIGITS = 5
 MAX_ECHOED_CHARACTERS = 80  # of an invalid address, in the error that says so
 _NUMBERED_NAME = re.compile(r"[a-z]+-([0-9a-f]{8})\Z")
-_STATE_BY_NAME = {state.value: state for state in EndpointState}
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,25 +54,6 @@
     return host.removeprefix("[").removesuffix("]"), int(port)
 
 
-def endpoint_from_json(entry: dict[str, Any]) -> EndpointRecord:
-    """An entry of the configuration's endpoint list; ValueError, KeyError or TypeError if it is invalid."""
-    host, port = parse_address(str(entry["address"]))
-    weight, started_at_ms = float(entry.get("weight", 1)), float(entry.get("since_ms", 0))
-    if not (math.isfinite(weight) and math.isfinite(started_at_ms)):
-        raise ValueError(f"weight or since_ms of {entry['name']} is no number")
-    return EndpointRecord(
-        name=str(entry["name"]),
-        host=host,
-        port=port,
-        zone=str(entry["zone"]),
-        kind=str(entry["type"]),
-        cell=int(entry.get("group", 0)),
-        state=_STATE_BY_NAME[entry["status"]],
-        weight=weight,
-        started_at_ms=started_at_ms,
-    )
-
-
 class EndpointList:
     """What is known of the workers now."""
 
--- a/cedarthread/testing/fuzzing/injected_defects.py
+++ b/cedarthread/testing/fuzzing/injected_defects.py
@@ -15,7 +15,7 @@
 
 from cryptography import x509
 
-from cedarthread import config, settings_parser
+from cedarthread import config_section
 from cedarthread.dispatch import deferred, send_guard
 from cedarthread.dispatch.actions import ActionExecutor
 from cedarthread.dispatch.call_table import CallTable
@@ -388,10 +388,7 @@
         "figures-unchecked",
         "config",
         400,
-        (
-            (settings_parser, "bounded_number", _number_unchecked),
-            (config, "bounded_number", _number_unchecked),
-        ),
+        ((config_section, "bounded_number", _number_unchecked),),
     ),
     Defect("foreign-call-collected", "deferred", 50, ((deferred.DeferredCalls, "find", _find_of_any_owner),)),
     Defect("kept-bytes-leak", "deferred", 50, ((deferred.DeferredCalls, "remove", _remove_without_bytes),)),
--- a/tests/unit/lifecycle/test_settings_reload.py
+++ b/tests/unit/lifecycle/test_settings_reload.py
@@ -10,6 +10,7 @@
 import pytest
 
 from cedarthread import config
+from cedarthread.logs import format_event
 from cedarthread.model.settings import Idempotency
 from cedarthread.testing.fakes.scripted import ScriptedWorker, ask_control, client, pack_call, service
 from cedarthread.testing.fakes.settings import SETTINGS
@@ -110,6 +111,13 @@
     asyncio.run(test())
     [line] = [r for r in caplog.records if "configuration_rejected error=" in r.getMessage()]
     assert line.levelname == "ERROR"
-    where = {"deadline 0": "classes[0]: ", "no deadline": "classes[2]: 'deadline' is missing"}
-    where |= {"attempts 0": "limits.send-cap: ", "attempts negative": "limits.send-cap: "}
-    assert where.get(change, "") in line.getMessage()
+    problem_by_change = {
+        "deadline 0": "settings.classes[0].deadline: must be a number from 1 to 1e+15, found 0",
+        "no deadline": 'settings.classes[2]: missing required key "deadline"',
+        "attempts 0": "settings.limits.send-cap: must be a number above 0, found 0",
+        "attempts negative": "settings.limits.send-cap: must be a number from 0 to 1e+15, found -1",
+    }
+    rejected = format_event("configuration_rejected", error=problem_by_change.get(change, "")).removesuffix(
+        '"'
+    )
+    assert line.getMessage().startswith(rejected) or change not in problem_by_change
