--- a/cedarthread/cli.py
+++ b/cedarthread/cli.py
@@ -5,20 +5,22 @@
   cedarthread check-config
   cedarthread version
   cedarthread fuzz [ARGUMENT...]
-  cedarthread (rig | drill) [ARGUMENT...]
+  cedarthread (cluster | rig | drill) [ARGUMENT...]
   cedarthread --help
 
 Commands:
-  serve         Serve on sockets, as the environment's BALANCER_CONFIG says (the default).
-  check-config  Read that configuration, print what it holds, and end.
+  serve         Serve on sockets, as the file in the environment's BALANCER_CONFIG says (the default).
+  check-config  Read that file, print a summary of the configuration, and exit.
   version       Print the version.
-  fuzz          Look for inputs that break the program (see `cedarthread fuzz --help`).
-  rig, drill    Many processes of the program with faults between them (see `cedarthread rig --help`).
+  fuzz          Search for inputs that break the program (see `cedarthread fuzz --help`).
+  cluster       Run a scenario of many router processes with faults between them, or chart its results (see
+                `cedarthread cluster --help`). `rig` is the earlier name of this command and still works.
+  drill         Run a set of such scenarios and check each (see `cedarthread cluster --help`).
 
 Options:
   --invoke FILE  Serve the invoke API too, as this file says (see deploy/invoke.toml); off by default.
   --fleet FILE   What operators declare for the whole fleet (see deploy/fleet.toml); off by default.
-  --store FOLDER  Where this router keeps its state: takes the place of the file's own folder.
+  --store FOLDER  The folder for this router's state; replaces the folder that the fleet file names.
   --log LEVEL    Least level of the log lines: debug, info, warning or error [default: info].
 """
 
@@ -42,21 +44,32 @@
 
 
 EXIT_OK = 0
-EXIT_CANNOT_SERVE = 1  # an address can't be listened on, or there are too few file descriptors
-EXIT_BAD_INPUT = 2  # a file or the environment can't be used, or a tool is not installed
-
-_DEVELOPMENT_COMMANDS = ("rig", "drill")
+EXIT_CANNOT_SERVE = 1  # an address cannot be listened on, or there are too few file descriptors
+EXIT_BAD_INPUT = 2  # a file or the environment cannot be used, or a tool is not installed
+
+_TOOL_COMMANDS = ("fuzz", "cluster", "rig", "drill")
+_TOOLS_PACKAGE = "cedarthread.testing"  # not deployed with the program
+_SERVING_REQUIREMENTS = "requirements.txt"
+_DEVELOPMENT_REQUIREMENTS = "requirements-dev.txt"
+_TOOL_REQUIREMENTS = "requirements-tools.txt"
+# The file that installs a package which the tools import, by the package's name in Python.
+_REQUIREMENTS_BY_PACKAGE = {
+    "apsw": _SERVING_REQUIREMENTS,
+    "cryptography": _SERVING_REQUIREMENTS,
+    "msgspec": _SERVING_REQUIREMENTS,
+    "hdrh": _DEVELOPMENT_REQUIREMENTS,
+    "msgpack": _DEVELOPMENT_REQUIREMENTS,
+    "atheris": _TOOL_REQUIREMENTS,
+    "coverage": _TOOL_REQUIREMENTS,
+    "matplotlib": _TOOL_REQUIREMENTS,
+}
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one command; returns the exit code of the process."""
+    """Run one command and return the exit code of the process."""
     arguments = sys.argv[1:] if argv is None else argv
-    if arguments[:1] == ["fuzz"]:
-        return run_fuzz(arguments[1:])
-    if arguments and arguments[0] in _DEVELOPMENT_COMMANDS:
-        from cedarthread.testing.cluster import cli as cluster_cli
-
-        return cluster_cli.main(arguments)
+    if arguments and arguments[0] in _TOOL_COMMANDS:
+        return run_tool(arguments)
     options = docopt(__doc__, arguments)
     if options["version"]:
         print(cedarthread.__version__)
@@ -80,23 +93,45 @@
 
 
 def _fail(problem: object, exit_code: int = EXIT_BAD_INPUT) -> int:
-    """Say on standard error what is wrong; returns the exit code."""
+    """Print to standard error what is wrong, and return the exit code."""
     print(f"cedarthread: {problem}", file=sys.stderr)
     return exit_code
 
 
-def run_fuzz(argv: list[str]) -> int:
-    """Run the fuzzing tools of development, if they are installed."""
+def run_tool(arguments: list[str]) -> int:
+    """Run a test tool and return its exit code; serving never loads the modules of the tools.
+
+    Args:
+        arguments: The name of the tool and the arguments of the tool.
+    """
     try:
-        from cedarthread.testing.fuzzing import cli
-    except ImportError as error:
-        print(f"cedarthread fuzz: {error}; install requirements-tools.txt", file=sys.stderr)
-        return EXIT_BAD_INPUT
-    return cli.main(argv)
+        if arguments[0] == "fuzz":
+            from cedarthread.testing.fuzzing import cli as fuzzing_cli
+
+            return fuzzing_cli.main(arguments[1:])
+        from cedarthread.testing.cluster import cli as cluster_cli
+
+        return cluster_cli.main(arguments)
+    except ModuleNotFoundError as error:
+        problem = _missing_package_problem(error.name or "")
+        if problem is None:
+            raise
+        return _fail(f"{arguments[0]}: {problem}")
+
+
+def _missing_package_problem(module_name: str) -> str | None:
+    """Return what to install for a module that a tool imports; None where the module is a part of a tool."""
+    if module_name == _TOOLS_PACKAGE:
+        return "the test tools are not part of this installation; run the command in a checkout of the source"
+    package = module_name.partition(".")[0]
+    requirements = _REQUIREMENTS_BY_PACKAGE.get(package)
+    if requirements is None:
+        return None
+    return f'the package "{package}" is not installed; run: pip install -r {requirements}'
 
 
 def read_invoke_config(path: str | None) -> InvokeConfig | None:
-    """The configuration of the invoke API; None where no file is named."""
+    """Return the configuration of the invoke API; None where no file is named."""
     if path is None:
         return None
     from cedarthread.protocols.invoke import config as invoke_config
@@ -105,7 +140,7 @@
 
 
 def check_fleet_config(path: Path) -> str | None:
-    """What is wrong with the fleet file; None: nothing."""
+    """Return what is wrong with the fleet file; None where the file can be used."""
     from cedarthread import fleet_config
 
     try:
@@ -116,7 +151,7 @@
 
 
 def describe(loaded_config: config.Config) -> str:
-    """A configuration in one line, for ``check-config``."""
+    """Return a configuration in one line, for ``check-config``."""
     classes = ", ".join(
         f"{request_class.name} ({request_class.idempotency.value})"
         for request_class in loaded_config.settings.classes
@@ -132,7 +167,7 @@
 
 
 def _configure_logging(level_name: str) -> None:
-    """Log to standard error; an unknown level means info."""
+    """Log to standard error, at level info where the level is unknown."""
     logging.basicConfig(
         level=getattr(logging, level_name.upper(), logging.INFO),
         stream=sys.stderr,
@@ -147,10 +182,10 @@
     fleet_file: Path | None = None,
     store_folder: str | None = None,
 ) -> int:
-    """Serve until a signal ends it; returns the exit code."""
+    """Serve until a signal ends the process, and return the exit code."""
     from cedarthread.service import Service
 
-    # A SIGHUP that comes before the event loop handles it must not end the process.
+    # Without this, a SIGHUP that arrives before the event loop has its handler would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
     async def run() -> None:
--- a/cedarthread/testing/cluster/cli.py
+++ b/cedarthread/testing/cluster/cli.py
@@ -1,24 +1,25 @@
-"""Many processes of cedarthread with faults between them.
+"""Many router processes of cedarthread with faults between them.
 
 Usage:
-  cedarthread rig run FILE [--out DIR]
-  cedarthread rig report DIR
+  cedarthread (cluster | rig) run FILE [--out DIR]
+  cedarthread (cluster | rig) report DIR
   cedarthread drill NAME [--full] [--routers N] [--seed S] [--seconds S] [--defect D] [--no-talk] [--out DIR]
 
 Commands:
-  rig run       Run the scenario of FILE and print its table.
-  rig report    Chart the results in DIR: load by worker over time, the faults marked, as SVG.
-  drill         Run a set of scenarios and check each; 1 where one fails, 2 where the harness was late.
-                NAME: faults, spread, freeze, return.
+  cluster run     Run the scenario of FILE and print its table.
+  cluster report  Chart the results in DIR as SVG: load by worker over time, with the faults marked.
+  rig             The earlier name of `cluster`; it still works.
+  drill           Run a set of scenarios and check each. The exit code is 1 where a check fails and 2 where
+                  the harness was late. NAME: faults, spread, freeze, return.
 
 Options:
-  --full       A whole fleet, each fault by itself, instead of a short run with several at once.
-  --routers N  Router processes; without it 24, or 200 with --full.
+  --full       Run a whole fleet, with each fault alone, instead of a short run with several at once.
+  --routers N  The number of router processes; 24 by default, or 200 with --full.
   --seed S     The seed of arrivals and faults [default: 1].
-  --seconds S  How long faults last, after the warm-up; of ``faults`` alone.
-  --defect D   The routers run with this injected defect, to see that it is found.
-  --no-talk    Settings that forbid gossip between routers.
-  --out DIR    Where results are written, as JSON; the table is printed in any case.
+  --seconds S  How long faults last after the warm-up; for NAME ``faults`` only.
+  --defect D   Run the routers with this injected defect, to check that the drill finds the defect.
+  --no-talk    Use settings that forbid gossip between routers.
+  --out DIR    Write the results to this folder as JSON; the table is printed in any case.
 """
 
 from __future__ import annotations
@@ -48,16 +49,19 @@
 
 MakeScenarios = Callable[[int, int], Iterable[Scenario]]
 
-QUICK_ROUTERS, FULL_ROUTERS = 24, 200
-EXIT_FAILED, EXIT_USAGE, EXIT_INTERRUPTED = 1, 2, 130
+QUICK_ROUTERS = 24
+FULL_ROUTERS = 200
+EXIT_FAILED = 1
+EXIT_USAGE = 2
+EXIT_INTERRUPTED = 130
 
 
 def main(argv: list[str]) -> int:
-    """Run one command; the exit code."""
+    """Run one command and return the exit code."""
     options = docopt(__doc__, argv)
     try:
         if options["report"]:
-            from cedarthread.testing.cluster.report import write_charts  # it needs a library for tools only
+            from cedarthread.testing.cluster.report import write_charts
 
             return write_charts(Path(options["DIR"]))
         if options["run"]:
@@ -74,8 +78,9 @@
 
 
 def _drill(options: dict[str, Any]) -> int:
-    """Run a set of scenarios; the exit code says whether all held."""
-    scenario_set, is_full = load_scenario_set(options["NAME"]), options["--full"]
+    """Run a set of scenarios and return the exit code: 0 if every check passed."""
+    scenario_set = load_scenario_set(options["NAME"])
+    is_full = options["--full"]
     routers = int(options["--routers"] or (FULL_ROUTERS if is_full else QUICK_ROUTERS))
     make: MakeScenarios = scenario_set.full if is_full else scenario_set.quick
     if options["--seconds"] is not None:
@@ -101,14 +106,18 @@
 
 
 def _with_seconds(make: MakeScenarios, seconds: float) -> MakeScenarios:
-    """The same set with runs of another length; ``ValueError`` where it has one length alone."""
+    """Return the same set with runs of another length.
+
+    Raises:
+        ValueError: All runs of the set have one fixed length.
+    """
     if "seconds" not in inspect.signature(make).parameters:
         raise ValueError("--seconds: the runs of this drill have one length")
     return cast("MakeScenarios", functools.partial(cast("Any", make), seconds=seconds))
 
 
 def run_scenarios(scenario_set: ScenarioSet, scenarios: Iterable[Scenario], out: str | None) -> list[Result]:
-    """Run scenarios one after another, with a line of the table for each as it ends."""
+    """Run scenarios one after another, and print a line of the table after each."""
     print(scenario_set.HEAD, scenario_set.RULE, sep="\n", flush=True)
     results = []
     for scenario in scenarios:
@@ -127,14 +136,17 @@
 
 
 async def _run_until_interrupted(scenario: Scenario) -> Result:
-    """One run that ends all processes it started when it is interrupted, wherever it is then."""
-    loop, task = asyncio.get_running_loop(), asyncio.ensure_future(run_scenario(scenario))
-    for which in (signal.SIGINT, signal.SIGTERM):  # handled by the loop: no start of a process is cut in two
-        loop.add_signal_handler(which, task.cancel)
+    """Run one scenario; an interrupt at any moment ends every process that the run has started."""
+    loop = asyncio.get_running_loop()
+    task = asyncio.ensure_future(run_scenario(scenario))
+    # The event loop handles the signals between its steps, so that a signal never interrupts the start of a
+    # process midway.
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, task.cancel)
     return await task
 
 
 async def run_scenario(scenario: Scenario) -> Result:
-    """One run, its files in a temporary folder."""
+    """Run one scenario with its files in a temporary folder."""
     with tempfile.TemporaryDirectory(prefix="cedarthread-") as folder:
         return await ClusterRun(scenario, Path(folder)).run()
