--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -27,6 +27,7 @@
 from cedarthread.dispatch.figures import CallFigures
 from cedarthread.dispatch.node_timers import NodeTimers
 from cedarthread.dispatch.send_audit import SendAudit
+from cedarthread.dispatch.send_gate import OpenSendGate
 from cedarthread.dispatch.send_guard import SendGuard
 from cedarthread.logs import format_event
 from cedarthread.model.endpoints import EndpointState, EndpointUpdate
@@ -42,6 +43,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
+    from cedarthread.dispatch.send_gate import SendGate
     from cedarthread.fleet_config import FleetConfig
     from cedarthread.model.actions import Action
     from cedarthread.model.settings import RouterSettings
@@ -62,11 +64,14 @@
         clock: Callable[[], float] | None = None,
         max_pending_body_bytes: int = DEFAULT_MAX_BODY_BYTES,
         incarnation: int | None = None,
+        *,
+        flush_output: Callable[[], None] = lambda: None,
+        send_gate: SendGate | None = None,
     ) -> None:
         self.context = DispatchContext(settings, clock or steady_unix_clock_ms())
         self.node = RoutingNode(settings, seed, incarnation)
         self.router = self.node.router
-        self.flush_output: Callable[[], None] = lambda: None  # writes what one batch of events brought
+        self.flush_output = flush_output  # writes what one batch of events brought
         self.shutdown_deadline_ms: float | None = None  # when all must be complete, once shutdown has begun
         self.current_class_index = {
             request_class.name: index for index, request_class in enumerate(settings.classes)
@@ -81,8 +86,10 @@
         self._executor = ActionExecutor(self.context, self.calls, self.completion, self.node_timers)
         self.send_guard = SendGuard()
         self.send_audit = SendAudit()
-        self.may_proceed: Callable[[], bool] = lambda: True  # False: events wait until ``resume``
-        self.input_delay_ms: Callable[[], float] = lambda: 0.0  # for how long input may have waited unread
+        gate = send_gate if send_gate is not None else OpenSendGate()
+        gate.add_waiter(self.resume)
+        self._may_proceed = gate.is_open  # False: events wait until ``resume``
+        self._input_delay_ms = gate.input_delay_ms
         self._event_queue: list[Event] = []
         self._has_endpoint_update = False  # one is among the queued events
         self._last_request_id = 0
@@ -145,7 +152,7 @@
 
     def arrival_ms(self) -> float:
         """Since when input that is read now may have been here: its sender's time limit runs from then on."""
-        return self.context.clock() - self.input_delay_ms()
+        return self.context.clock() - self._input_delay_ms()
 
     def reject_call(self, call: Call) -> None:
         """Reject a call at once, before anything is done for it, since a bound is reached."""
@@ -295,7 +302,7 @@
     def _process_events(self) -> None:
         now_ms = self.context.clock()
         self.deadlines.run_if_due(now_ms)
-        if not self._event_queue or not self.may_proceed():
+        if not self._event_queue or not self._may_proceed():
             self.flush_output()
             return
         events, self._event_queue = self._event_queue, []
--- /dev/null
+++ b/cedarthread/dispatch/send_gate.py
@@ -0,0 +1,36 @@
+"""The gate in front of all sending: closed while the endpoint list may be out of date after a stall."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Protocol
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+
+class SendGate(Protocol):
+    """Decides whether the dispatcher may process events and the worker connections may send."""
+
+    def is_open(self) -> bool:
+        """Return whether events may be processed and requests sent now."""
+
+    def input_delay_ms(self) -> float:
+        """Return how long the input that is read now may have waited unread."""
+
+    def add_waiter(self, resume: Callable[[], None]) -> None:
+        """Call ``resume`` whenever the gate opens again; waiters are called in the order they were added."""
+
+
+class OpenSendGate:
+    """A gate that is always open, for a router without discovery."""
+
+    def is_open(self) -> bool:
+        """Return True."""
+        return True
+
+    def input_delay_ms(self) -> float:
+        """Return 0."""
+        return 0.0
+
+    def add_waiter(self, resume: Callable[[], None]) -> None:
+        """Do nothing, because this gate never closes."""
--- a/cedarthread/lifecycle/__init__.py
+++ b/cedarthread/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The lifecycle of the service: start of its listeners, status report, reload, maintenance and shutdown."""
+"""The lifecycle of the service: composition, listeners, endpoint updates, status, reload and shutdown."""
--- a/cedarthread/lifecycle/freshness_gate.py
+++ b/cedarthread/lifecycle/freshness_gate.py
@@ -1,4 +1,4 @@
-"""Lets the dispatcher decide and send only by an endpoint list that is newer than a stall of the process."""
+"""The gate that closes after a stall of the process, until the endpoint list has been refreshed."""
 
 from __future__ import annotations
 
@@ -11,68 +11,87 @@
 from cedarthread.logs import format_event
 
 if TYPE_CHECKING:
-    from cedarthread.dispatch.dispatcher import Dispatcher
-    from cedarthread.protocols.discovery.client import DiscoveryClient
-    from cedarthread.protocols.worker.connections import WorkerConnections
+    from collections.abc import Callable
+
+    from cedarthread.protocols.discovery.poll_schedule import PollSchedule
+    from cedarthread.protocols.discovery.query_tracker import QueryTracker
 
 log = logging.getLogger(__name__)
 
-MIN_STALL_S = 0.05  # lateness of a timer that is taken for a stall, not for the work of a loop pass
-# After a stall, in which all that waited in the sockets is read.
-READING_WINDOW_S = 0.03
+MIN_STALL_S = 0.05  # a discovery query that is later than this shows a stall, not the work of one loop pass
+READING_WINDOW_S = 0.03  # after a stall; within this time the process reads all input that waited in sockets
 
 
 class FreshnessGate:
-    """Asked before events are processed and before attempts are written."""
-
-    def __init__(
-        self, discovery: DiscoveryClient, dispatcher: Dispatcher, workers: WorkerConnections
-    ) -> None:
-        self._discovery = discovery
-        self._dispatcher = dispatcher
-        self._workers = workers
+    """A ``SendGate`` that closes when a discovery query is overdue, which shows that the process stalled.
+
+    After a stall the endpoint list may lack a drain, so that a request could be sent to a worker that has
+    already ended. The gate opens again when discovery has confirmed the list or after a fraction of the drain
+    grace. The gate is a ``PollObserver`` of the discovery client. Times are loop seconds.
+
+    Args:
+        schedule: The schedule of the discovery client.
+        queries: The queries of the discovery client, from which the freshness of the endpoint list follows.
+    """
+
+    def __init__(self, schedule: PollSchedule, queries: QueryTracker) -> None:
+        self._schedule = schedule
+        self._queries = queries
+        self._waiters: list[Callable[[], None]] = []
         self._hold = StallHold()
-        self._stalled_since_s = self._resumed_at_s = -math.inf
+        self._stalled_since_s = -math.inf
+        self._resumed_at_s = -math.inf
         self._loop = asyncio.get_running_loop()
 
+    def add_waiter(self, resume: Callable[[], None]) -> None:
+        """Call ``resume`` whenever the gate opens again; waiters are called in the order they were added."""
+        self._waiters.append(resume)
+
     def is_open(self) -> bool:
-        """May work go on? After a stall discovery is asked, and ``on_fresh`` or a timer opens it again."""
-        if not self._discovery.is_polling:
+        """Return whether events may be processed and requests sent now.
+
+        The first call after a stall closes the gate and sends a query to discovery.
+        """
+        if not self._schedule.is_polling:
             return True
-        now_s, due_at_s = self._loop.time(), self._discovery.next_poll_at_s
-        if now_s > due_at_s + MIN_STALL_S and self._begin_if_stalled(due_at_s):
-            self._discovery.poll_now()
+        now_s = self._loop.time()
+        due_at_s = self._schedule.next_poll_at_s
+        if now_s > due_at_s + MIN_STALL_S and self._close_if_stalled(due_at_s):
+            self._schedule.poll_now()
         return not self._hold.is_holding(now_s)
 
     def on_poll_due(self, due_at_s: float) -> None:
-        """Discovery is about to be asked, as was due at that time."""
-        self._begin_if_stalled(due_at_s)
+        """Close the gate if the regular query that is sent next is overdue."""
+        self._close_if_stalled(due_at_s)
 
     def input_delay_ms(self) -> float:
-        """For how long what is read now may have waited: since a timer was due and not served."""
-        now_s, due_at_s = self._loop.time(), self._discovery.next_poll_at_s
+        """Return how long the input that is read now may have waited unread, because of a stall."""
+        now_s = self._loop.time()
+        due_at_s = self._schedule.next_poll_at_s
         if now_s > due_at_s + MIN_STALL_S:
             return 1000.0 * (now_s - due_at_s)
         if now_s < self._resumed_at_s + READING_WINDOW_S:
             return 1000.0 * (now_s - self._stalled_since_s)
         return 0.0
 
-    def _begin_if_stalled(self, due_at_s: float) -> bool:
+    def _close_if_stalled(self, due_at_s: float) -> bool:
+        """Close the gate if the query due at that time is overdue; return whether the gate has closed."""
         now_s = self._loop.time()
         if now_s > due_at_s + MIN_STALL_S:
-            self._stalled_since_s, self._resumed_at_s = due_at_s, now_s
-        hold_s = self._hold.begin_if_stalled(now_s, due_at_s, self._discovery.queries.drain_grace_s)
+            self._stalled_since_s = due_at_s
+            self._resumed_at_s = now_s
+        hold_s = self._hold.begin_if_stalled(now_s, due_at_s, self._queries.drain_grace_s)
         if hold_s is None:
             return False
         log.info(format_event("stall_detected", late_ms=round(1000.0 * (now_s - due_at_s))))
-        self._loop.call_later(hold_s, self._release)
+        self._loop.call_later(hold_s, self._open)
         return True
 
     def on_fresh(self) -> None:
-        """Discovery has replied."""
-        if self._hold.on_fresh(self._discovery.queries.fresh_as_of_s):
-            self._release()
+        """Open the gate if the endpoint list is now known to be newer than the stall."""
+        if self._hold.on_fresh(self._queries.fresh_as_of_s):
+            self._open()
 
-    def _release(self) -> None:
-        self._dispatcher.resume()
-        self._workers.flush_held()
+    def _open(self) -> None:
+        for resume in self._waiters:
+            resume()
--- a/cedarthread/lifecycle/listeners.py
+++ b/cedarthread/lifecycle/listeners.py
@@ -1,7 +1,7 @@
-"""The listeners that the service can do without: for operators, and for other routers.
+"""The listeners for operators and for other routers, without which the service can serve calls.
 
-Where one of their addresses can't be listened on, calls are served meanwhile and the attempt is repeated: at
-an upgrade the old process still holds the addresses for a while.
+Where one of their addresses cannot be listened on, the service serves calls and the listener retries, because
+at an upgrade the old process occupies the addresses for a while.
 """
 
 from __future__ import annotations
@@ -23,17 +23,25 @@
 
 
 class ControlListener:
-    """Listens for operators."""
+    """The listening socket for operators, opened at the start or as soon as the address is free.
+
+    Args:
+        control: The server that replies to operators.
+        state: The state of the service, with the configured address.
+    """
 
     def __init__(self, control: ControlServer, state: ServiceState) -> None:
-        self.port = 0  # once it listens
+        self.port = 0  # 0 until the listener is open
         self._control = control
         self._state = state
         self._is_failure_logged = False
 
     def listen(self) -> None:
-        """Listen on the configured address, now or later. ``socket.gaierror`` where its host name is unknown:
-        a repeated lookup would block the event loop each time.
+        """Listen on the configured address, or retry later if the address is in use.
+
+        Raises:
+            socket.gaierror: The host name of the address is unknown. There is no retry, because each lookup
+                blocks the event loop.
         """
         address = self._state.config.control_address
         if address is None or self._state.shutdown_requested.is_set():
@@ -51,7 +59,12 @@
 
 
 class PeerListener:
-    """Listens for other routers and lets the dispatcher send to them."""
+    """The socket for other routers; connects the dispatcher to the socket.
+
+    Args:
+        dispatcher: The dispatcher that receives and sends the messages.
+        state: The state of the service, with the configured addresses; this listener sets ``state.peers``.
+    """
 
     def __init__(self, dispatcher: Dispatcher, state: ServiceState) -> None:
         self._dispatcher = dispatcher
@@ -59,20 +72,22 @@
         self._is_failure_logged = False
 
     async def listen(self) -> None:
-        """Join the other routers, now or later, where the settings allow gossip and addresses are known."""
+        """Open the socket if the settings allow gossip and the addresses are configured, or retry later."""
         state = self._state
         addresses = state.config.peer_addresses
         is_allowed = state.config.settings.limits.allows_gossip and not state.shutdown_requested.is_set()
         if state.peers is not None or addresses is None or not is_allowed:
             return
         listen_address = "{}:{}".format(*addresses.listen_address)
-        state.peers = peers = PeerTransport(addresses, self._dispatcher.peer_message_received)
+        peers = PeerTransport(addresses, self._dispatcher.peer_message_received)
+        state.peers = peers
         try:
             await peers.start()
         except OSError as error:
             if not self._is_failure_logged:
                 log.error(format_event("peer_listen_failed", address=listen_address, error=error))
-            state.peers, self._is_failure_logged = None, True
+            state.peers = None
+            self._is_failure_logged = True
             asyncio.get_running_loop().call_later(LISTEN_RETRY_S, self._retry)
             return
         self._is_failure_logged = False
--- a/cedarthread/lifecycle/maintenance.py
+++ b/cedarthread/lifecycle/maintenance.py
@@ -1,10 +1,10 @@
-"""What the service does by the clock, whatever calls there are."""
+"""The periodic work of the service: sweeps of connections, ticks of the store, log lines, file checks."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.logs import format_event
 
@@ -19,16 +19,32 @@
 
 log = logging.getLogger(__name__)
 
-SWEEP_PERIOD_S = 0.25  # between checks for idle and silent connections
-REPORT_PERIOD_S = 10.0  # between log lines on the calls
+SWEEP_PERIOD_S = 0.25  # between sweeps of idle and silent connections
+REPORT_PERIOD_S = 10.0  # between log lines with the counts of calls
 INVOKE_FILES_PERIOD_S = 1.0  # between checks whether the invoke API's files have changed
-# By how much a sweep or tick may come early when the process is awake anyway to poll discovery: each wakeup
-# of an idle process costs about 0.2 ms of CPU.
+# A sweep or tick that is due within this time runs together with a discovery poll, because each wakeup of an
+# idle process costs about 0.2 ms of CPU.
 EARLY_WAKEUP_S = 0.1
 
 
+class DroppedDatagrams(NamedTuple):
+    """The datagrams of other routers dropped since the start, under the names of the log line's fields."""
+
+    unknown_sender: int
+    malformed: int
+    unsent: int
+
+
 class Maintenance:
-    """Sweeps connections, ticks the store, logs counts and checks files."""
+    """The timers of the periodic work; owns the timer of the next sweep.
+
+    Args:
+        dispatcher: The dispatcher that is ticked and reported on.
+        workers: The connections to workers that are swept.
+        platform: The connections of clients that are swept.
+        invoke: The invoke API that is swept; None where the API is off.
+        state: The state of the service, with the store and the socket for other routers.
+    """
 
     def __init__(
         self,
@@ -46,7 +62,11 @@
         self._state = state
 
     def start(self, reload_invoke_files: Callable[[], None]) -> None:
-        """Start the timers."""
+        """Start the timers.
+
+        Args:
+            reload_invoke_files: Called at each check of the invoke API's files.
+        """
         loop = asyncio.get_running_loop()
         self.sweep_timer = loop.call_later(SWEEP_PERIOD_S, self.sweep)
         loop.call_later(REPORT_PERIOD_S, self.log_counts)
@@ -66,7 +86,7 @@
         self.sweep_timer = loop.call_later(SWEEP_PERIOD_S, self.sweep)
 
     def on_discovery_poll(self) -> None:
-        """Discovery is polled: do now what would wake the process a little later, in one wakeup."""
+        """Run a tick and a sweep that are due soon, because the process is awake to poll discovery."""
         self._dispatcher.tick_early(EARLY_WAKEUP_S * 1000.0)
         soon_s = asyncio.get_running_loop().time() + EARLY_WAKEUP_S
         if self.sweep_timer is not None and self.sweep_timer.when() <= soon_s:
@@ -74,29 +94,24 @@
             self.sweep()
 
     def log_counts(self) -> None:
-        """Log the calls by result and the dropped datagrams, and set the timer of the next report."""
+        """Log the calls by result and the dropped datagrams, and set the timer of the next log lines."""
         open_calls = len(self._dispatcher.pending_calls)
         log.info(format_event("call_counts", **self._dispatcher.result_counts, open=open_calls))
         dropped = self._dropped_datagrams()
         if any(dropped):
-            unknown_sender, malformed, unsent = dropped
-            log.warning(
-                format_event(
-                    "peer_datagrams_dropped",
-                    unknown_sender=unknown_sender,
-                    malformed=malformed,
-                    unsent=unsent,
-                )
-            )
+            log.warning(format_event("peer_datagrams_dropped", **dropped._asdict()))
         asyncio.get_running_loop().call_later(REPORT_PERIOD_S, self.log_counts)
 
-    def _dropped_datagrams(self) -> tuple[int, int, int]:
-        """Datagrams from unknown senders, malformed ones and ones not sent, since the start."""
-        peers, gossip = self._state.peers, self._dispatcher.node.load_gossip
+    def _dropped_datagrams(self) -> DroppedDatagrams:
+        peers = self._state.peers
+        gossip = self._dispatcher.node.load_gossip
         if peers is None or gossip is None:
-            return 0, 0, 0
-        unknown = peers.unknown_sender_count + gossip.unknown_senders
-        return unknown, gossip.malformed_datagrams, peers.unsent_count
+            return DroppedDatagrams(0, 0, 0)
+        return DroppedDatagrams(
+            unknown_sender=peers.unknown_sender_count + gossip.unknown_senders,
+            malformed=gossip.malformed_datagrams,
+            unsent=peers.unsent_count,
+        )
 
     def _check_invoke_files(self, reload_invoke_files: Callable[[], None]) -> None:
         reload_invoke_files()
--- a/cedarthread/lifecycle/reload.py
+++ b/cedarthread/lifecycle/reload.py
@@ -1,4 +1,4 @@
-"""Reload at SIGHUP: each file is taken as a whole, or rejected as a whole with a log line."""
+"""The reload at SIGHUP: each file is accepted as a whole, or rejected as a whole with a log line."""
 
 from __future__ import annotations
 
@@ -23,14 +23,22 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetFiles:
-    """Where the operators' declarations for the whole fleet are, and where this router keeps its state."""
+    """The file of the operators' declarations for the whole fleet, and the folder for this router's state."""
 
-    fleet_file: Path | None  # None: nothing is declared, and the parts for it are not loaded
-    store_folder: str | None  # takes the place of the folder that the fleet file names
+    fleet_file: Path | None  # None: nothing is declared, and the fleet's modules are not loaded
+    store_folder: str | None  # replaces the folder that the fleet file names
 
 
 class Reloader:
-    """Loads the settings file and the fleet file again. Pending calls keep the settings they began under."""
+    """The reload of all files. A pending call stays under the settings in force when the call was accepted.
+
+    Args:
+        parts: The parts that follow new settings.
+        state: The state of the service; the reloader sets ``config``, the counts of reloads and the store.
+        peer_listener: Opens the socket for other routers where new settings allow gossip.
+        fleet_files: The files of the operators' declarations for the whole fleet.
+        load_config: Loads the configuration again; None: the configuration never changes.
+    """
 
     def __init__(
         self,
@@ -40,14 +48,14 @@
         fleet_files: FleetFiles,
         load_config: Callable[[], Config] | None,
     ) -> None:
-        self.load_config = load_config  # None: the settings are never loaded again
+        self.load_config = load_config
         self._parts = parts
         self._state = state
         self._peer_listener = peer_listener
         self._fleet_files = fleet_files
 
     def reload(self) -> None:
-        """Load certificates, fleet file and settings again, and follow what changed."""
+        """Load certificates, fleet file and configuration again, and apply the changes."""
         self.reload_invoke_files()
         self.load_fleet_config()
         if self.load_config is None:
@@ -62,7 +70,7 @@
         self._apply_config(loaded)
 
     def _apply_config(self, loaded: Config) -> None:
-        """Follow new settings and a new discovery address; the other addresses stay as they were."""
+        """Apply new settings and a new discovery address; the other addresses never change."""
         state = self._state
         self._parts.workers.update_settings(self._parts.dispatcher.update_settings(loaded.settings))
         self._parts.discovery.queries.update_drain_grace(loaded.settings.rules.drain_grace_ms / 1000.0)
@@ -85,11 +93,13 @@
             self._state.start_task(self._parts.invoke.reload_if_changed())
 
     def load_fleet_config(self) -> None:
-        """Load the fleet file: what is new in it is declared at this router and told to all."""
+        """Load the fleet file; this router declares new entries and replicates them to all routers."""
         fleet_file = self._fleet_files.fleet_file
         if fleet_file is None:
             return
-        from cedarthread import fleet_config  # with its libraries: not loaded where no fleet file is named
+        from cedarthread import (
+            fleet_config,
+        )  # loads msgspec, which a router without a fleet file does not need
 
         try:
             loaded = fleet_config.load_fleet_config(fleet_file, self._fleet_files.store_folder)
@@ -99,12 +109,14 @@
             return
         self._parts.dispatcher.apply_fleet_config(loaded)
         self._open_store(loaded)
-        contracts, windows = len(loaded.contract), len(loaded.freeze)
-        log.info(format_event("fleet_config_loaded", contracts=contracts, windows=windows))
+        log.info(
+            format_event("fleet_config_loaded", contracts=len(loaded.contract), windows=len(loaded.freeze))
+        )
 
     def _open_store(self, loaded: FleetConfig) -> None:
-        """Open the store that the fleet file names, once."""
-        dispatcher, state = self._parts.dispatcher, self._state
+        """Open the store that the fleet file names, if no store is open yet."""
+        dispatcher = self._parts.dispatcher
+        state = self._state
         fleet_components = dispatcher.node.fleet_components
         persister = fleet_components.persister if fleet_components is not None else None
         if state.event_loop_store is None and loaded.disk is not None and persister is not None:
--- a/cedarthread/lifecycle/shutdown.py
+++ b/cedarthread/lifecycle/shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown: every call that was accepted gets its result before the process ends.
+"""The graceful shutdown: every accepted call gets its result before the process ends.
 
-The platform sends SIGKILL some time after SIGTERM. The bounds below keep the end of the process before it, as
-measured from SIGTERM by the longest deadline of the request classes.
+The platform sends SIGKILL some time after SIGTERM. The bounds below end the process before SIGKILL; they are
+measured from SIGTERM and depend on the longest deadline of the request classes.
 """
 
 from __future__ import annotations
@@ -20,17 +20,24 @@
 log = logging.getLogger(__name__)
 
 SHUTDOWN_GRACE_S = 0.75  # after SIGTERM, during which new calls are still accepted
-# The longest deadline that counts: the earliest SIGKILL assumes no longer one.
+# A longer deadline counts as this one, because the earliest SIGKILL does not wait for longer deadlines.
 MAX_SHUTDOWN_DEADLINE_S = 3.0
-# Past the longest deadline, by which every call is complete: half a second before SIGKILL.
+# From the longest deadline until every call is complete, half a second before SIGKILL.
 SHUTDOWN_COMPLETION_SLACK_S = 0.2
-SHUTDOWN_EXIT_SLACK_S = 0.45  # past the longest deadline, at which the process ends whatever is pending
-DRAIN_POLL_S = 0.01  # between checks whether all is drained
+SHUTDOWN_EXIT_SLACK_S = 0.45  # from the longest deadline until the process ends, even with pending calls
+DRAIN_POLL_S = 0.01  # between checks whether everything is drained
 
 
 async def shut_down(parts: ServiceParts, state: ServiceState, log_counts: Callable[[], None]) -> None:
-    """Report not ready, complete all that still comes, and return when the last result has been sent."""
-    loop, dispatcher = asyncio.get_running_loop(), parts.dispatcher
+    """Report not ready, complete every accepted call, and return when the last result has been sent.
+
+    Args:
+        parts: The parts that are drained and closed.
+        state: The state of the service, with the settings, the socket for other routers and the store.
+        log_counts: Logs the counts of calls after the last result.
+    """
+    loop = asyncio.get_running_loop()
+    dispatcher = parts.dispatcher
     requested_at_s = loop.time()
     log.info(format_event("shutdown_started", open_calls=len(dispatcher.pending_calls)))
     parts.platform.is_ready = False
@@ -51,13 +58,13 @@
 
 
 def _is_drained(parts: ServiceParts) -> bool:
-    """Has every call its result, and every client received it?"""
+    """Return whether every call has a result and every client has received the results."""
     are_servers_drained = parts.platform.is_drained() and (parts.invoke is None or parts.invoke.is_drained())
     return are_servers_drained and not parts.dispatcher.pending_calls
 
 
 def _close(parts: ServiceParts, state: ServiceState) -> None:
-    """Close listeners, discovery, peers and store."""
+    """Close the listeners, the discovery client, the socket for other routers and the store."""
     parts.platform.stop_listening()
     if parts.invoke is not None:
         parts.invoke.stop_listening()
--- a/cedarthread/lifecycle/state.py
+++ b/cedarthread/lifecycle/state.py
@@ -1,4 +1,4 @@
-"""The parts of a running service, and what changes of it while it runs."""
+"""The parts of a running service, and the state that changes while the service runs."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from cedarthread.protocols.platform.server import PlatformServer
     from cedarthread.protocols.worker.connections import WorkerConnections
 
-LISTEN_RETRY_S = 0.5  # between attempts to listen on an address that another process still holds
+LISTEN_RETRY_S = 0.5  # between attempts to listen on an address that another process still uses
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,19 +36,26 @@
 
 @dataclass(eq=False, slots=True)
 class ServiceState:
-    """What changes while the service runs."""
+    """The state that changes while the service runs.
 
-    config: Config  # as of the last reload
-    is_serving: bool = False  # the known endpoints are in use and the clients' port listens
+    ``Service`` writes ``is_serving`` and ``shutdown_requested``, ``PeerListener`` writes ``peers``, and
+    ``Reloader`` writes the other fields.
+    """
+
+    config: Config  # the configuration in force
+    is_serving: bool = False  # the configured endpoints are applied and the clients' port is open
     shutdown_requested: asyncio.Event = field(default_factory=asyncio.Event)
-    peers: PeerTransport | None = None  # None until its address is listened on, or where gossip is off
+    peers: PeerTransport | None = None  # None until its socket is open, or where gossip is off
     event_loop_store: EventLoopStore | None = None  # None where the fleet file names no disk
-    reloads: int = 0  # settings files taken at SIGHUP
-    reload_errors: int = 0  # settings and fleet files rejected at SIGHUP or start
+    reloads: int = 0  # configuration files accepted at SIGHUP
+    reload_errors: int = 0  # configuration files and fleet files rejected at SIGHUP or at the start
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     def start_task(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine beside the caller, and keep a reference until it is done."""
+        """Run a coroutine as a task, and reference the task until the task is done.
+
+        The event loop itself has only a weak reference to a task.
+        """
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/cedarthread/lifecycle/status.py
+++ b/cedarthread/lifecycle/status.py
@@ -1,10 +1,11 @@
-"""What operators read at the control address."""
+"""The replies to operators at the control address."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from cedarthread.dispatch.figures import CLASS_FIGURES
+from cedarthread.protocols.control import ControlReply
 
 if TYPE_CHECKING:
     from cedarthread.dispatch.dispatcher import Dispatcher
@@ -13,7 +14,14 @@
 
 
 class StatusReport:
-    """The replies to PING and INFO. The names of the figures are the operators'."""
+    """The replies to PING and INFO, with the figures under the operators' names.
+
+    Args:
+        dispatcher: The dispatcher with the counts of calls.
+        endpoint_list: The workers that are known.
+        state: The state of the service.
+        has_fleet: Whether a fleet file is named, so that INFO has the fleet's figures.
+    """
 
     def __init__(
         self, dispatcher: Dispatcher, endpoint_list: EndpointList, state: ServiceState, *, has_fleet: bool
@@ -21,18 +29,19 @@
         self._dispatcher = dispatcher
         self._endpoint_list = endpoint_list
         self._state = state
-        self._has_fleet = has_fleet  # a fleet file is named
+        self._has_fleet = has_fleet
 
-    def ping(self) -> tuple[bool, list[str]]:
-        """PING: is this router ready for calls?"""
-        return self._state.is_serving and not self._state.shutdown_requested.is_set(), []
+    def ping(self) -> ControlReply:
+        """Reply to PING: return whether this router is ready for calls, and no lines."""
+        is_ready = self._state.is_serving and not self._state.shutdown_requested.is_set()
+        return ControlReply(is_ready, [])
 
-    def info(self) -> tuple[bool, list[str]]:
-        """INFO: all figures."""
-        return True, [*self.lines(), "END"]
+    def info(self) -> ControlReply:
+        """Reply to INFO: return yes and all figures."""
+        return ControlReply(is_yes=True, lines=[*self.lines(), "END"])
 
     def lines(self) -> list[str]:
-        """All figures, a ``name=value`` a line."""
+        """Return all figures, one ``name=value`` per line."""
         lines = [*self._class_lines(), *self._router_lines()]
         if self._has_fleet:
             lines += self._fleet_lines()
@@ -56,7 +65,9 @@
             "load_errors": self._state.reload_errors,
         }
         violations = self._dispatcher.send_audit.violations
-        if violations:  # a further line only then: the platform's page knows no such figure
+        if (
+            violations
+        ):  # without violations the line is left out, because the platform does not know the figure
             figures["rule_violations"] = violations.total()
         return [f"router.{name}={value}" for name, value in figures.items()]
 
--- a/cedarthread/protocols/control.py
+++ b/cedarthread/protocols/control.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from typing import TYPE_CHECKING, TypeAlias
+from typing import TYPE_CHECKING, NamedTuple, TypeAlias
 
 from cedarthread.transport.acceptor import Acceptor, create_listener
 from cedarthread.transport.connection import BufferedConnection
@@ -23,7 +23,15 @@
 LISTEN_BACKLOG = 64
 MAX_ECHOED_CHARACTERS = 32  # of an unknown command, in the reply that says so
 
-CommandHandler: TypeAlias = Callable[[], tuple[bool, list[str]]]  # YES or NO, and the lines after the first
+
+class ControlReply(NamedTuple):
+    """The reply to one command."""
+
+    is_yes: bool  # whether the first line is YES or NO
+    lines: list[str]  # the lines after the first
+
+
+CommandHandler: TypeAlias = Callable[[], ControlReply]
 
 
 class ControlConnection(BufferedConnection):
@@ -74,8 +82,9 @@
         if handler is None:
             self.reply_no(f"unknown command {command[:MAX_ECHOED_CHARACTERS]!r}")
             return
-        is_yes, lines = handler()
-        self.reply(("YES" if is_yes else "NO") + "\n" + "".join(f"{line}\n" for line in lines))
+        answer = handler()
+        first_line = "YES" if answer.is_yes else "NO"
+        self.reply("".join(f"{line}\n" for line in (first_line, *answer.lines)))
 
     def reply_no(self, reason: str) -> None:
         """Reply NO, and why."""
--- a/cedarthread/protocols/discovery/client.py
+++ b/cedarthread/protocols/discovery/client.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import logging
-import math
 import random
 from typing import TYPE_CHECKING, cast
 
@@ -12,17 +11,15 @@
 from cedarthread.protocols import dns
 from cedarthread.protocols.discovery.endpoint_records import PartialList, endpoints_from_reply, partial_list
 from cedarthread.protocols.discovery.list_acceptance import ListAcceptance, ListVerdict
-from cedarthread.protocols.discovery.query_tracker import (
-    DEFAULT_DRAIN_GRACE_S,
-    MAX_POLL_INTERVAL_S,
-    QueryTracker,
-)
+from cedarthread.protocols.discovery.poll_schedule import NoPollObserver, PollSchedule
+from cedarthread.protocols.discovery.query_tracker import MAX_POLL_INTERVAL_S, QueryTracker
 from cedarthread.transport.descriptor_budget import EXHAUSTION_ERRNOS
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
+    from cedarthread.protocols.discovery.poll_schedule import PollObserver
 
 log = logging.getLogger(__name__)
 
@@ -64,8 +61,8 @@
 
     ``on_update`` gets both; ``on_poll`` is called with each query, when the process is awake anyway;
     ``release_descriptor`` frees a descriptor where none is left, and says whether it has;
-    ``on_partial_list`` gets what an unusable reply still tells of drains; ``on_fresh`` is called when a reply
-    shows that the list is up to date.
+    ``on_partial_list`` gets what an unusable reply still tells of drains; ``observer`` follows queries and
+    replies; ``schedule`` and ``queries`` are shared with a freshness gate, where there is one.
     """
 
     def __init__(
@@ -75,18 +72,19 @@
         release_descriptor: Callable[[], bool] = lambda: False,
         *,
         on_partial_list: Callable[[PartialList], bool] | None = None,
-        on_fresh: Callable[[], None] = lambda: None,
-        drain_grace_s: float = DEFAULT_DRAIN_GRACE_S,
+        observer: PollObserver | None = None,
+        schedule: PollSchedule | None = None,
+        queries: QueryTracker | None = None,
     ) -> None:
         self.on_update, self.on_poll = on_update, on_poll
         self.release_descriptor = release_descriptor
-        self.on_partial_list, self.on_fresh = on_partial_list, on_fresh
-        # Set by the service: called with the time at which a regular query was due, before it is sent.
-        self.on_poll_due: Callable[[float], None] = lambda due_at_s: None
+        self.on_partial_list = on_partial_list
+        self._observer = observer if observer is not None else NoPollObserver()
+        self._schedule = schedule if schedule is not None else PollSchedule()
         self.acceptance = ListAcceptance()
         self.last_usable_reply_at = 0.0  # loop time in seconds
         self._random = random.SystemRandom()
-        self.queries = QueryTracker(lambda: self._random.random(), drain_grace_s)
+        self.queries = queries if queries is not None else QueryTracker(lambda: self._random.random())
         self._address: tuple[str, int] | None = None  # the one to poll
         self._connect_task: asyncio.Task[None] | None = None
         self._last_payload = b""  # a reply with the list in use, without its query id
@@ -95,7 +93,6 @@
         # The one before it, after a move: polled too until the new server replies.
         self._previous_transport: asyncio.DatagramTransport | None = None
         self._has_transport_replied = False
-        self._timer: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
 
     @property
@@ -147,6 +144,7 @@
         else:  # it never replied: the one before it is worth more
             _close(self._transport)
         self._transport, self._has_transport_replied = cast("asyncio.DatagramTransport", transport), False
+        self._schedule.start(self._poll)
         self.queries.restart_retries(self._loop.time())
         self._poll()
 
@@ -157,23 +155,8 @@
             _close(self._previous_transport)
             self._previous_transport = None
 
-    @property
-    def is_polling(self) -> bool:
-        """Is there a server to ask?"""
-        return self._transport is not None
-
-    @property
-    def next_poll_at_s(self) -> float:
-        """When the next query is due, loop time; where that is past, this process is late."""
-        return self._timer.when() if self._timer is not None else math.inf
-
-    def poll_now(self) -> None:
-        """Query at once, as after a stall of this process."""
-        if self._transport is not None:
-            self._poll()
-
     def _poll_on_timer(self) -> None:
-        self.on_poll_due(self.next_poll_at_s)
+        self._observer.on_poll_due(self._schedule.next_poll_at_s)
         self._poll()
 
     def _poll(self) -> None:
@@ -188,9 +171,7 @@
         self.on_poll()
 
     def _schedule_poll(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-        self._timer = self._loop.call_at(self.queries.next_query_at_s(), self._poll_on_timer)
+        self._schedule.schedule(self.queries.next_query_at_s(), self._poll_on_timer)
 
     def datagram_received(self, data: bytes, addr: object) -> bool:
         """A reply, perhaps late, perhaps a duplicate; whether it shows that the list is up to date."""
@@ -214,7 +195,7 @@
         self.queries.on_usable_reply(query_id, now_s)
         if self._transport is not None:
             self._schedule_poll()
-        self.on_fresh()
+        self._observer.on_fresh()
 
     def _handle_reply(self, reply: dns.Reply | dns.UnusableReply, query_id: int, payload: bytes) -> bool:
         """Take a reply to one of the queries; whether it shows that the list is up to date."""
@@ -272,16 +253,16 @@
             self._previous_transport = None
         elif transport is self._transport and self._address is not None:
             self._transport, self._previous_transport = self._previous_transport, None
-            if self._transport is None and self._timer is not None:
-                self._timer.cancel()
+            if self._transport is None:
+                self._schedule.cancel()
+                self._schedule.stop()
             self.start_polling(*self._address)
 
     def stop(self) -> None:
         """Poll no more."""
         self._cancel_connecting()
         self._address = None
-        if self._timer is not None:
-            self._timer.cancel()
+        self._schedule.cancel()
         _close(self._transport)
         _close(self._previous_transport)
 
--- a/cedarthread/protocols/invoke/server.py
+++ b/cedarthread/protocols/invoke/server.py
@@ -42,15 +42,20 @@
         config: InvokeConfig,
         flusher: Flusher,
         clock_s: Callable[[], float] = time.monotonic,
+        *,
+        max_connections: int | None = None,
+        release_descriptor: Callable[[], bool] = lambda: False,
     ) -> None:
         self.dispatcher = dispatcher
         self.flusher = flusher
         self.config = config
         self.calls = InvokeCalls(dispatcher, clock_s)
         self.is_ready = True
-        self.max_connections = config.max_connections  # the descriptor budget may allow fewer
-        # Set by the service: frees a descriptor where none is left, False if it cannot.
-        self.release_descriptor: Callable[[], bool] = lambda: False
+        # The descriptor budget may allow fewer connections than the configuration.
+        self.max_connections = max_connections if max_connections is not None else config.max_connections
+        self._release_descriptor = (
+            release_descriptor  # frees a descriptor if none is left; False if it cannot
+        )
         self.connections: dict[InvokeConnection, None] = {}  # the least recently used first
         self._acceptor: Acceptor[InvokeConnection] | None = None
         self._file_times = config.file_times()
@@ -99,7 +104,7 @@
             max_accepts_per_pass=SMALL_ACCEPTS_PER_PASS,
             create_protocol=self._create_connection,
             on_setup_failed=self._on_setup_failed,
-            release_descriptor=self.release_descriptor,
+            release_descriptor=self._release_descriptor,
             tls_context=self.config.create_tls_context(),
         )
         return self._acceptor.port
--- a/cedarthread/protocols/worker/connections.py
+++ b/cedarthread/protocols/worker/connections.py
@@ -9,7 +9,7 @@
 import json
 import logging
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Protocol
 
 from cedarthread.dispatch.calls import (
     Attempt,
@@ -18,6 +18,7 @@
     connection_lost_result,
     not_sent_result,
 )
+from cedarthread.dispatch.send_gate import OpenSendGate
 from cedarthread.logs import format_event
 from cedarthread.model.endpoints import EndpointState
 from cedarthread.model.outcomes import Outcome
@@ -29,6 +30,7 @@
     from collections.abc import Callable
 
     from cedarthread.dispatch.dispatcher import Dispatcher
+    from cedarthread.dispatch.send_gate import SendGate
     from cedarthread.model.settings import RouterSettings
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
     from cedarthread.protocols.worker.connection import WorkerConnection
@@ -43,22 +45,36 @@
 IDLE_CLOSE_FRACTION = 0.8  # of the worker's idle timeout, after which this end closes first
 
 
+class IdleClients(Protocol):
+    """The connections of clients, of which an idle one may be closed to free its descriptor."""
+
+    def evict_idle(self) -> bool:
+        """Close an idle connection; return False if there is none."""
+
+
 class WorkerConnections:
     """The pools of all workers: implements the dispatcher's ``WorkerTransport``."""
 
     def __init__(
-        self, settings: RouterSettings, dispatcher: Dispatcher, max_connections: int, flusher: Flusher
+        self,
+        settings: RouterSettings,
+        dispatcher: Dispatcher,
+        max_connections: int,
+        flusher: Flusher,
+        *,
+        clients: IdleClients | None = None,
+        send_gate: SendGate | None = None,
     ) -> None:
         self.flusher = flusher
         self.settings = settings
         self.dispatcher = dispatcher
         self.max_connections = max_connections
-        # Set by the service: closes an idle client connection to free its descriptor, False if there is none.
-        self.release_client_descriptor: Callable[[], bool] = lambda: False
+        self._clients = clients
         self.pools: dict[int, WorkerConnectionPool] = {}  # by worker id
         self.class_names_json: list[str] = []  # by class index
-        # Set by the service: False while nothing may be sent, until ``flush_held``.
-        self.may_send: Callable[[], bool] = lambda: True
+        gate = send_gate if send_gate is not None else OpenSendGate()
+        gate.add_waiter(self.flush_held)
+        self.may_send: Callable[[], bool] = gate.is_open  # False: output waits until ``flush_held``
         self._held: list[WorkerConnection] = []  # connections with output that waits for ``flush_held``
         self.preloads = PreloadRequests(dispatcher)
         self.update_settings(settings)
@@ -237,7 +253,8 @@
         """Close an idle connection, a client's or a worker's: its descriptor is free in the next loop pass.
         False if there is none.
         """
-        return self.release_client_descriptor() or self._close_longest_idle()
+        has_released = self._clients is not None and self._clients.evict_idle()
+        return has_released or self._close_longest_idle()
 
     def _close_longest_idle(self) -> bool:
         idle = [found for pool in self.pools.values() if (found := pool.longest_idle()) is not None]
