--- a/cedarthread/lifecycle/endpoint_updates.py
+++ b/cedarthread/lifecycle/endpoint_updates.py
@@ -56,7 +56,9 @@
             records: All workers, or the workers that changed.
             is_complete: Whether ``records`` has all workers.
         """
-        event = self.endpoint_list.apply_update(serial, self._with_corrected_starts(records), is_complete)
+        event = self.endpoint_list.apply_update(
+            serial, self._with_corrected_starts(records), is_snapshot=is_complete
+        )
         self._on_list_changed(serial, event)
 
     def replace(self, serial: int, records: list[EndpointRecord]) -> None:
--- a/cedarthread/persistence/sqlite_database.py
+++ b/cedarthread/persistence/sqlite_database.py
@@ -1,8 +1,8 @@
-"""One open database file of a store: its pragmas, its tables, and how they are read, verified and written.
+"""An open database file of a store: its pragmas, its tables, and how they are read, verified and written.
 
-The journal is a rollback journal rather than a write-ahead log: a flipped bit in a log cuts off all later
-commits unnoticed, whereas here content stays in its place, and each damage shows (docs/design/store.md).
-There is one table of rows and one head.
+The file has one table of rows and one head. SQLite uses a rollback journal, because a flipped bit in a
+write-ahead log silently discards all later commits. With a rollback journal, content stays in its place in
+the file, so that checksums detect each corruption (docs/design/store.md).
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import logging
 from contextlib import contextmanager
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, NamedTuple
 
 import apsw
 
@@ -22,6 +22,8 @@
     from collections.abc import Iterator, Mapping, Sequence
     from pathlib import Path
 
+    from apsw import SQLiteValue
+
     from cedarthread.persistence.store import KeyValueWrite, SyncMode
 
 log = logging.getLogger(__name__)
@@ -35,44 +37,57 @@
 
 
 class DatabaseCorruptedError(CedarthreadError):
-    """What was read from a database file cannot be what was written there."""
+    """The content of a database file differs from what was written to it."""
 
 
 @dataclass(slots=True)
 class StoreContents:
-    """The rows of a store with their checksums. Generation 0: nothing complete was ever written."""
+    """The rows of a store with their checksums. Generation 0 means that no commit was ever completed."""
 
     values: dict[str, bytes] = field(default_factory=dict)
     row_checksums: dict[str, bytes] = field(default_factory=dict)
     generation: int = 0
 
 
+class SalvagedRows(NamedTuple):
+    """The values that could be read from a corrupted file, and the highest generation that was found."""
+
+    values: Mapping[str, bytes]
+    generation: int
+
+
 class SqliteDatabase:
-    """A connection to one database file. Its methods raise errors of apsw and of the operating system."""
+    """A connection to one database file, which is created if missing.
+
+    All methods but ``close`` raise ``apsw.Error`` or ``OSError`` when the disk or the file has a fault.
+
+    Args:
+        path: the database file.
+        vfs: name of the SQLite VFS to use; None selects the default VFS.
+    """
 
     def __init__(self, path: Path, vfs: str | None) -> None:
-        """Open the file, or make it. ``vfs``: name of the SQLite layer beneath, None: the default one."""
         self.path = path
         self._connection = apsw.Connection(str(path), vfs=vfs)
-        self._device_and_inode = (0, 0)
+        self._device_and_inode = database_folder.FileIdentity(0, 0)
 
     def configure(self, sync_mode: SyncMode) -> None:
-        """Set the pragmas; first thing after opening."""
+        """Set the pragmas; the caller must do this before any other call."""
         self.execute("PRAGMA locking_mode=EXCLUSIVE; PRAGMA journal_mode=PERSIST; PRAGMA trusted_schema=OFF")
         self.execute("PRAGMA temp_store=MEMORY")
         self.execute(f"PRAGMA synchronous={'OFF' if sync_mode == 'none' else 'EXTRA'}")
         self._device_and_inode = database_folder.device_and_inode(self.path)
 
-    def execute(self, statement: str, bindings: Sequence[Any] = ()) -> list[tuple[Any, ...]]:
-        """Run statements; all rows that they give."""
+    def execute(self, statement: str, bindings: Sequence[SQLiteValue] = ()) -> list[tuple[SQLiteValue, ...]]:
+        """Run SQL statements and return all their result rows."""
         return list(self._connection.execute(statement, bindings))
 
     def is_in_place(self) -> bool:
-        """Whether the open file still is the one in its folder. If not, what is written to it is lost."""
+        """Return whether the open file is still the one in its folder; otherwise, writes to it are lost."""
         return database_folder.device_and_inode(self.path) == self._device_and_inode
 
     def roll_back_unfinished(self) -> bool:
-        """Play back what a power cut left half done; False where the file is read-only."""
+        """Roll back a transaction that a power cut interrupted; return False if the file is read-only."""
         try:
             self.execute("BEGIN IMMEDIATE; COMMIT")
         except apsw.ReadOnlyError:
@@ -80,7 +95,11 @@
         return True
 
     def read_verified(self) -> StoreContents:
-        """All content. DatabaseCorruptedError: not exactly what the last commit wrote."""
+        """Read all content and verify it against its checksums.
+
+        Raises:
+            DatabaseCorruptedError: the content is not exactly the one that the last commit wrote.
+        """
         if not self.execute("SELECT name FROM sqlite_schema"):
             return StoreContents()
         heads = self.execute(_SELECT_HEAD)
@@ -89,40 +108,44 @@
             raise DatabaseCorruptedError(f"{self.path}: {rows.rejected_count} rows have wrong checksums")
         if len(heads) != 1:
             raise DatabaseCorruptedError(f"{self.path}: {len(heads)} heads")
-        generation, total, checksum = heads[0]
-        if not checksums.is_valid_head(generation, total, checksum):
+        head = checksums.verify_head(heads[0])
+        if head is None:
             raise DatabaseCorruptedError(f"{self.path}: the head has a wrong checksum")
-        if total != checksums.total_checksum(rows.row_checksums.values()):
+        if head.total != checksums.total_checksum(rows.row_checksums.values()):
             raise DatabaseCorruptedError(f"{self.path}: rows are missing or of an earlier commit")
-        if generation < rows.max_generation:
+        if head.generation < rows.max_generation:
             raise DatabaseCorruptedError(f"{self.path}: a row is newer than the head")
-        return StoreContents(rows.values, rows.row_checksums, generation)
+        return StoreContents(rows.values, rows.row_checksums, head.generation)
 
-    def salvage(self) -> tuple[Mapping[str, bytes], int]:
-        """The rows that can be read and verified, and the highest generation of them or the head."""
-        rows: list[tuple[Any, ...]] = []
+    def salvage(self) -> SalvagedRows:
+        """Return the rows that can be read and verified, and the highest generation of rows and head."""
+        rows: list[tuple[SQLiteValue, ...]] = []
         generation = 0
         try:
-            for row in self._connection.execute(_SELECT_ROWS):
-                rows.append(row)  # one by one: those before an error count
+            cursor = self._connection.execute(_SELECT_ROWS)
+            while (row := cursor.fetchone()) is not None:  # one by one, to salvage the rows before an error
+                rows.append(row)
         except (apsw.Error, OSError) as error:
             if log.isEnabledFor(logging.DEBUG):
                 log.debug(format_event("store_salvage_incomplete", table="rows", read=len(rows), error=error))
         try:
-            for head in self.execute(_SELECT_HEAD):
-                if checksums.is_valid_head(*head):
-                    generation = max(generation, head[0])
+            for raw_head in self.execute(_SELECT_HEAD):
+                head = checksums.verify_head(raw_head)
+                if head is not None:
+                    generation = max(generation, head.generation)
         except (apsw.Error, OSError) as error:
             if log.isEnabledFor(logging.DEBUG):
                 log.debug(format_event("store_salvage_incomplete", table="head", error=error))
         verified = checksums.verify_rows(rows)
-        return verified.values, max(generation, verified.max_generation)
+        return SalvagedRows(verified.values, max(generation, verified.max_generation))
 
     def write(self, contents: StoreContents, writes: Sequence[KeyValueWrite], *, clear: bool) -> None:
         """Apply writes to ``contents`` and, in one transaction, to the file.
 
-        ``contents``: those of the file, with the generation that is to be written; with ``clear``, the file's
-        rows are all deleted first, and ``contents`` is empty.
+        Args:
+            contents: the rows of the file, with the generation to write; without rows if ``clear`` is set.
+            writes: the writes to apply, in order.
+            clear: whether to delete all rows of the file first.
         """
         with self.transaction():
             self.execute(_SCHEMA)
@@ -149,7 +172,7 @@
 
     @contextmanager
     def transaction(self) -> Iterator[None]:
-        """Commit what is written within, or nothing of it."""
+        """Run the body in a transaction, which is rolled back if the body or the commit raises."""
         self.execute("BEGIN IMMEDIATE")
         try:
             yield
@@ -163,9 +186,9 @@
             raise
 
     def close(self) -> None:
-        """Close the file, whatever state it is in."""
+        """Close the file; log errors at debug level only, because a faulted file may fail to close."""
         try:
-            self._connection.close(True)
+            self._connection.close(force=True)
         except (apsw.Error, OSError) as error:
             if log.isEnabledFor(logging.DEBUG):
                 log.debug(format_event("store_close_failed", file=self.path.name, error=error))
