--- a/cedarthread/dispatch/deadlines.py
+++ b/cedarthread/dispatch/deadlines.py
@@ -1,4 +1,4 @@
-"""The deadlines of all pending calls, on one timer of the event loop.
+"""The deadlines of all pending calls, and the ends of their graces, on one timer of the event loop.
 
 Only ``CallDeadlines`` writes the queue and the timer.
 """
@@ -33,7 +33,8 @@
         self._context = context
         self._calls = calls
         self._on_due = on_due
-        # A heap of times in ms and request ids. Entries of completed calls remain until their time.
+        # A heap of times in ms and request ids. An entry of a completed call is removed at the head of the
+        # heap.
         self._timer_queue: list[tuple[float, int]] = []
         self._wakeup_at_ms = math.inf
         self._wakeup_timer: asyncio.TimerHandle | None = None
@@ -45,17 +46,17 @@
             self._set_wakeup(at_ms)
 
     def bring_forward(self, at_ms: float) -> None:
-        """Set the deadline of each pending call with a later deadline to a time of the clock."""
+        """Lower the deadline of each pending call to at most a time of the clock."""
         for call in list(self._calls.pending.values()):
             if call.deadline_ms > at_ms:
                 call.deadline_ms = at_ms
                 self.schedule(at_ms, call)
 
     def run_if_due(self, now_ms: float) -> None:
-        """Handle the due calls now if the timer should have fired by ``now_ms``.
+        """Handle the due calls if the timer should have fired by ``now_ms``.
 
-        While CPU time is scarce, the loop reads many sockets before it runs its timers, so that results would
-        miss their deadlines.
+        While CPU time is scarce, the event loop reads many sockets before it runs its timers. Without
+        ``run_if_due``, results would miss their deadlines.
         """
         if now_ms >= self._wakeup_at_ms:
             self.on_timer()
@@ -75,7 +76,8 @@
             self._set_wakeup(timer_queue[0][0])
 
     def _set_wakeup(self, at_ms: float) -> None:
-        # Cancel the previous timer, because each timer that fires sets another, so that they would multiply.
+        # Cancel the previous timer. Every timer that fires sets the next one, so a second timer would never
+        # end.
         if self._wakeup_timer is not None:
             self._wakeup_timer.cancel()
         self._wakeup_at_ms = at_ms
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -1,8 +1,9 @@
 """The dispatcher, which owns all calls of the process and hosts the routing node that decides on them.
 
-The protocol servers and the worker transport report to the dispatcher. Once in an iteration of the event
-loop, the dispatcher passes the queued events to the routing node and executes the actions that the node
-returns. The dispatcher depends on no protocol.
+The protocol servers and the worker transport report to the dispatcher, which queues the reports as events. In
+the next iteration of the event loop, the dispatcher passes the queued events to the routing node and executes
+the actions that the node returns. While the send gate is closed, the events stay queued; deadlines
+still run. The dispatcher depends on no protocol.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from cedarthread.dispatch.node_timers import NodeTimers
 from cedarthread.dispatch.request_classes import merge_request_classes
 from cedarthread.dispatch.send_audit import SendAudit
-from cedarthread.dispatch.send_gate import OpenSendGate
+from cedarthread.dispatch.send_gate import OPEN_SEND_GATE, SendGate
 from cedarthread.dispatch.send_guard import SendGuard
 from cedarthread.logs import format_event
 from cedarthread.model.endpoints import EndpointState, EndpointUpdate
@@ -32,7 +33,6 @@
     from collections.abc import Callable, Mapping
 
     from cedarthread.dispatch.calls import Attempt, AttemptResult, Call, WorkerTransport
-    from cedarthread.dispatch.send_gate import SendGate
     from cedarthread.fleet_config import FleetConfig
     from cedarthread.model.actions import Action
     from cedarthread.model.settings import RouterSettings
@@ -43,15 +43,17 @@
 class Dispatcher:
     """Owner of the calls and attempts of the process.
 
-    Each submitted call gets exactly one result, unless the call is abandoned. Times are Unix ms of ``clock``.
-    The class is not thread-safe: all methods must run on the event loop that runs during the construction.
+    Each submitted call gets exactly one result, except an abandoned call, which gets none. Times are Unix ms
+    of ``clock``. The class is not thread-safe: construct it and call its methods on one running event loop.
 
     Args:
         settings: The settings in force.
         seed: Seed of the random decisions of the routing node.
         clock: Returns Unix time in ms; None: a clock that is immune to steps of the wall clock.
-        max_pending_body_bytes: Size of the bodies of all pending calls from which on calls are rejected.
+        max_pending_body_bytes: Calls are rejected while the pending bodies have this size in total.
         incarnation: A random number of this start of the process; None: derived from the seed.
+        flush_output: Writes the output of a batch of events.
+        send_gate: While this gate is closed, events stay queued.
     """
 
     def __init__(
@@ -63,12 +65,12 @@
         incarnation: int | None = None,
         *,
         flush_output: Callable[[], None] = lambda: None,
-        send_gate: SendGate | None = None,
+        send_gate: SendGate = OPEN_SEND_GATE,
     ) -> None:
         self.context = DispatchContext(settings, clock or steady_unix_clock_ms())
         self.node = RoutingNode(settings, seed, incarnation)
         self.router = self.node.router
-        self.flush_output = flush_output  # writes the output of a batch of events
+        self.flush_output = flush_output
         self.shutdown_deadline_ms: float | None = None  # for all calls; None: no shutdown has started
         self.current_class_index = {
             request_class.name: index for index, request_class in enumerate(settings.classes)
@@ -83,10 +85,8 @@
         self._executor = ActionExecutor(self.context, self.calls, self.completion, self.node_timers)
         self.send_guard = SendGuard()
         self.send_audit = SendAudit()
-        gate = send_gate if send_gate is not None else OpenSendGate()
-        gate.add_waiter(self.resume)
-        self._may_proceed = gate.is_open  # False: events stay queued until ``resume``
-        self._input_delay_ms = gate.input_delay_ms
+        send_gate.add_waiter(self.resume)
+        self._send_gate = send_gate
         self._event_queue: list[Event] = []
         self._has_endpoint_update = False  # whether the queue contains an ``EndpointUpdate``
         self._last_request_id = 0
@@ -129,7 +129,7 @@
         self.context.send_to_peer = send_to_peer
 
     def submit(self, call: Call) -> None:
-        """Accept a call, or reject the call at once if a bound on pending calls is reached."""
+        """Add a call to the pending calls; reject it at once if their number or size is at its limit."""
         if self.calls.is_full(self.context.settings.limits.max_pending_requests):
             self.reject_call(call)
             return
@@ -152,11 +152,14 @@
         )
 
     def arrival_ms(self) -> float:
-        """Return the earliest arrival time of input that is read now; time limits start at this time."""
-        return self.context.clock() - self._input_delay_ms()
+        """Return the time at which a client's time limit starts for input that is read now.
+
+        The time is now, less the time for which the input may have been unread after a stall of the process.
+        """
+        return self.context.clock() - self._send_gate.input_delay_ms()
 
     def reject_call(self, call: Call) -> None:
-        """Reject a call at once without adding the call to the pending calls."""
+        """Count a call as accepted and reject the call at once; the call never becomes pending."""
         self._count_accepted(call)
         self.completion.reject_at_once(call)
 
@@ -168,7 +171,7 @@
         self.figures.count_accepted()
 
     def fail_call(self, call: Call) -> None:
-        """Fail a call of a client that can be written to but no longer read from."""
+        """Fail a call, because its client then sent invalid input; the client gets the result."""
         self.completion.fail(call)
 
     def abandon_call(self, call: Call) -> None:
@@ -180,7 +183,7 @@
         self.completion.on_client_closing(call)
 
     def may_start_attempt(self, attempt: Attempt) -> bool:
-        """Return whether an attempt may be sent, checked immediately before its first byte is written.
+        """Return whether an attempt may be sent; the transport asks immediately before the first byte.
 
         The close or CANCEL of the client may be unread, because this process is late or has paused reading
         from a client that reads slowly. Without this check the attempt would start after its client
@@ -208,7 +211,10 @@
         self.send_audit.on_preload_sent(self.context.clock(), worker_id, message_id, grace_ms)
 
     def worker_states_changed(self, states: Mapping[int, EndpointState]) -> None:
-        """Apply the states of all listed workers by id to everything that is sent from now on."""
+        """Use the worker states of a new endpoint list, by worker id, in the send guard and in the audit.
+
+        ``endpoints_changed`` reports the same list to the routing node.
+        """
         self.send_guard.update_ready_workers(
             worker_id for worker_id, state in states.items() if state is EndpointState.READY
         )
@@ -236,7 +242,10 @@
         self._enqueue_event(event)
 
     def update_settings(self, new_settings: RouterSettings) -> RouterSettings:
-        """Apply new settings, and return the settings in force, which also contain all previous classes."""
+        """Apply new settings, and return the settings in force.
+
+        These also have all previous classes, so that the class index of a pending call stays valid.
+        """
         merged = merge_request_classes(self.settings.classes, self.current_class_index, new_settings.classes)
         self.context.settings = replace(new_settings, classes=merged.classes)
         self.current_class_index = merged.current_class_index
@@ -251,12 +260,12 @@
         self.flush_output()
 
     def complete_all_by(self, at_ms: float) -> None:
-        """Complete every call by a time, including the calls that are submitted from now on."""
+        """Limit the deadlines of all pending and all future calls to a time, for the shutdown."""
         self.shutdown_deadline_ms = at_ms
         self.deadlines.bring_forward(at_ms)
 
     def tick_early(self, within_ms: float) -> None:
-        """Run the tick of the components now if the tick is due within ``within_ms``.
+        """Run the tick of the node's components now if the tick is due within ``within_ms``.
 
         The process is awake at this time, so this saves a wakeup.
         """
@@ -274,7 +283,7 @@
         self._event_queue.append(event)
 
     def resume(self) -> None:
-        """Process the events that stayed queued while ``may_proceed`` returned False."""
+        """Process the events that stayed queued while the send gate was closed."""
         if self._event_queue:
             self.context.loop.call_soon(self._process_events)
 
@@ -282,13 +291,13 @@
         """Handle due deadlines, pass the queued events to the node, and execute the resulting actions."""
         now_ms = self.context.clock()
         self.deadlines.run_if_due(now_ms)
-        if not self._event_queue or not self._may_proceed():
+        if not self._event_queue or not self._send_gate.is_open():
             self.flush_output()
             return
         events = self._event_queue
         self._event_queue = []
         if self._has_endpoint_update:
-            # Process updates first, so that a call that arrived earlier is not sent to a drained worker.
+            # Process updates first, so that the node selects no drained worker for a call queued before them.
             events.sort(key=lambda event: not isinstance(event, EndpointUpdate))
             self._has_endpoint_update = False
         actions: list[Action] = []
--- a/cedarthread/dispatch/send_gate.py
+++ b/cedarthread/dispatch/send_gate.py
@@ -34,3 +34,6 @@
 
     def add_waiter(self, resume: Callable[[], None]) -> None:
         """Do nothing, because this gate never closes."""
+
+
+OPEN_SEND_GATE = OpenSendGate()
--- a/cedarthread/protocols/worker/connections.py
+++ b/cedarthread/protocols/worker/connections.py
@@ -18,7 +18,7 @@
     connection_lost_result,
     not_sent_result,
 )
-from cedarthread.dispatch.send_gate import OpenSendGate
+from cedarthread.dispatch.send_gate import OPEN_SEND_GATE, SendGate
 from cedarthread.logs import format_event
 from cedarthread.model.endpoints import EndpointState
 from cedarthread.model.outcomes import Outcome
@@ -30,7 +30,6 @@
     from collections.abc import Callable
 
     from cedarthread.dispatch.dispatcher import Dispatcher
-    from cedarthread.dispatch.send_gate import SendGate
     from cedarthread.model.settings import RouterSettings
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
     from cedarthread.protocols.worker.connection import WorkerConnection
@@ -64,7 +63,7 @@
         flusher: Flusher,
         *,
         clients: IdleClients | None = None,
-        send_gate: SendGate | None = None,
+        send_gate: SendGate = OPEN_SEND_GATE,
     ) -> None:
         self.flusher = flusher
         self.settings = settings
@@ -73,9 +72,8 @@
         self._clients = clients
         self.pools: dict[int, WorkerConnectionPool] = {}  # by worker id
         self.class_names_json: list[str] = []  # by class index
-        gate = send_gate if send_gate is not None else OpenSendGate()
-        gate.add_waiter(self.flush_held)
-        self.may_send: Callable[[], bool] = gate.is_open  # False: output waits until ``flush_held``
+        send_gate.add_waiter(self.flush_held)
+        self.may_send: Callable[[], bool] = send_gate.is_open  # False: output waits until ``flush_held``
         self._held: list[BufferedConnection] = []  # their output is suspended until ``flush_held``
         self.preloads = PreloadRequests(dispatcher)
         self.update_settings(settings)
