--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -2,7 +2,7 @@
 
 The protocol servers and the worker transport report to the dispatcher, which queues the reports as events. In
 the next iteration of the event loop, the dispatcher passes the queued events to the routing node and executes
-the actions that the node returns. While ``may_proceed`` returns False, the events stay queued; deadlines
+the actions that the node returns. While the send gate is closed, the events stay queued; deadlines
 still run. The dispatcher depends on no protocol.
 """
 
@@ -22,6 +22,7 @@
 from cedarthread.dispatch.node_timers import NodeTimers
 from cedarthread.dispatch.request_classes import merge_request_classes
 from cedarthread.dispatch.send_audit import SendAudit
+from cedarthread.dispatch.send_gate import OPEN_SEND_GATE, SendGate
 from cedarthread.dispatch.send_guard import SendGuard
 from cedarthread.logs import format_event
 from cedarthread.model.endpoints import EndpointState, EndpointUpdate
@@ -51,6 +52,8 @@
         clock: Returns Unix time in ms; None: a clock that is immune to steps of the wall clock.
         max_pending_body_bytes: Calls are rejected while the pending bodies have this size in total.
         incarnation: A random number of this start of the process; None: derived from the seed.
+        flush_output: Writes the output of a batch of events.
+        send_gate: While this gate is closed, events stay queued.
     """
 
     def __init__(
@@ -60,11 +63,14 @@
         clock: Callable[[], float] | None = None,
         max_pending_body_bytes: int = DEFAULT_MAX_BODY_BYTES,
         incarnation: int | None = None,
+        *,
+        flush_output: Callable[[], None] = lambda: None,
+        send_gate: SendGate = OPEN_SEND_GATE,
     ) -> None:
         self.context = DispatchContext(settings, clock or steady_unix_clock_ms())
         self.node = RoutingNode(settings, seed, incarnation)
         self.router = self.node.router
-        self.flush_output: Callable[[], None] = lambda: None  # writes the output of a batch of events
+        self.flush_output = flush_output
         self.shutdown_deadline_ms: float | None = None  # for all calls; None: no shutdown has started
         self.current_class_index = {
             request_class.name: index for index, request_class in enumerate(settings.classes)
@@ -79,8 +85,8 @@
         self._executor = ActionExecutor(self.context, self.calls, self.completion, self.node_timers)
         self.send_guard = SendGuard()
         self.send_audit = SendAudit()
-        self.may_proceed: Callable[[], bool] = lambda: True  # False: events stay queued until ``resume``
-        self.input_delay_ms: Callable[[], float] = lambda: 0.0  # how long input may have been unread
+        send_gate.add_waiter(self.resume)
+        self._send_gate = send_gate
         self._event_queue: list[Event] = []
         self._has_endpoint_update = False  # whether the queue contains an ``EndpointUpdate``
         self._last_request_id = 0
@@ -150,7 +156,7 @@
 
         The time is now, less the time for which the input may have been unread after a stall of the process.
         """
-        return self.context.clock() - self.input_delay_ms()
+        return self.context.clock() - self._send_gate.input_delay_ms()
 
     def reject_call(self, call: Call) -> None:
         """Count a call as accepted and reject the call at once; the call never becomes pending."""
@@ -277,7 +283,7 @@
         self._event_queue.append(event)
 
     def resume(self) -> None:
-        """Process the events that stayed queued while ``may_proceed`` returned False."""
+        """Process the events that stayed queued while the send gate was closed."""
         if self._event_queue:
             self.context.loop.call_soon(self._process_events)
 
@@ -285,7 +291,7 @@
         """Handle due deadlines, pass the queued events to the node, and execute the resulting actions."""
         now_ms = self.context.clock()
         self.deadlines.run_if_due(now_ms)
-        if not self._event_queue or not self.may_proceed():
+        if not self._event_queue or not self._send_gate.is_open():
             self.flush_output()
             return
         events = self._event_queue
--- a/cedarthread/protocols/discovery/client.py
+++ b/cedarthread/protocols/discovery/client.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import logging
-import math
 import random
 from typing import TYPE_CHECKING, cast
 
@@ -12,17 +11,15 @@
 from cedarthread.protocols import dns
 from cedarthread.protocols.discovery.endpoint_records import PartialList, endpoints_from_reply, partial_list
 from cedarthread.protocols.discovery.list_acceptance import ListAcceptance, ListVerdict
-from cedarthread.protocols.discovery.query_tracker import (
-    DEFAULT_DRAIN_GRACE_S,
-    MAX_POLL_INTERVAL_S,
-    QueryTracker,
-)
+from cedarthread.protocols.discovery.poll_schedule import NoPollObserver, PollSchedule
+from cedarthread.protocols.discovery.query_tracker import MAX_POLL_INTERVAL_S, QueryTracker
 from cedarthread.transport.descriptor_budget import EXHAUSTION_ERRNOS
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
+    from cedarthread.protocols.discovery.poll_schedule import PollObserver
 
 log = logging.getLogger(__name__)
 
@@ -60,12 +57,16 @@
 
 
 class DiscoveryClient:
-    """Polls, and reports the serial and the endpoints of each newer usable reply.
-
-    ``on_update`` gets both; ``on_poll`` is called with each query, when the process is awake anyway;
-    ``release_descriptor`` frees a descriptor where none is left, and says whether it has;
-    ``on_partial_list`` gets what an unusable reply still tells of drains; ``on_fresh`` is called when a reply
-    shows that the list is up to date.
+    """Polls discovery servers, and reports the serial and the endpoints of each newer usable reply.
+
+    Args:
+        on_update: Applies the serial and the complete list of a newer usable reply.
+        on_poll: Called with each query, because the process is awake then.
+        release_descriptor: Frees a descriptor where none is left; returns whether it has freed one.
+        on_partial_list: Applies the drains that an unusable reply still shows; returns whether it has any.
+        observer: Follows regular queries and replies.
+        schedule: The time of the next query, shared with a freshness gate where there is one.
+        queries: The queries in flight and the freshness of the list, shared likewise.
     """
 
     def __init__(
@@ -75,18 +76,19 @@
         release_descriptor: Callable[[], bool] = lambda: False,
         *,
         on_partial_list: Callable[[PartialList], bool] | None = None,
-        on_fresh: Callable[[], None] = lambda: None,
-        drain_grace_s: float = DEFAULT_DRAIN_GRACE_S,
+        observer: PollObserver | None = None,
+        schedule: PollSchedule | None = None,
+        queries: QueryTracker | None = None,
     ) -> None:
         self.on_update, self.on_poll = on_update, on_poll
         self.release_descriptor = release_descriptor
-        self.on_partial_list, self.on_fresh = on_partial_list, on_fresh
-        # Set by the service: called with the time at which a regular query was due, before it is sent.
-        self.on_poll_due: Callable[[float], None] = lambda due_at_s: None
+        self.on_partial_list = on_partial_list
+        self._observer = observer if observer is not None else NoPollObserver()
+        self._schedule = schedule if schedule is not None else PollSchedule()
         self.acceptance = ListAcceptance()
         self.last_usable_reply_at = 0.0  # loop time in s
         self._random = random.SystemRandom()
-        self.queries = QueryTracker(self._draw, drain_grace_s)
+        self.queries = queries if queries is not None else QueryTracker(self._draw)
         self._address: tuple[str, int] | None = None  # of the server to poll
         self._connect_task: asyncio.Task[None] | None = None
         self._last_payload = b""  # the last reply with the list in use, without its query id
@@ -95,7 +97,6 @@
         # The previous socket after a change of address; polled until the new server replies.
         self._previous_transport: asyncio.DatagramTransport | None = None
         self._has_transport_replied = False
-        self._timer: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
 
     def _draw(self) -> float:
@@ -151,6 +152,7 @@
             _close(self._transport)
         self._transport = cast("asyncio.DatagramTransport", transport)
         self._has_transport_replied = False
+        self._schedule.start(self._poll)
         self.queries.restart_retries(self._loop.time())
         self._poll()
 
@@ -161,23 +163,8 @@
             _close(self._previous_transport)
             self._previous_transport = None
 
-    @property
-    def is_polling(self) -> bool:
-        """Whether a discovery socket is open."""
-        return self._transport is not None
-
-    @property
-    def next_poll_at_s(self) -> float:
-        """Loop time in s at which the next query is due; a past time means that this process is late."""
-        return self._timer.when() if self._timer is not None else math.inf
-
-    def poll_now(self) -> None:
-        """Send a query at once, for example after a stall of this process."""
-        if self._transport is not None:
-            self._poll()
-
     def _poll_on_timer(self) -> None:
-        self.on_poll_due(self.next_poll_at_s)
+        self._observer.on_poll_due(self._schedule.next_poll_at_s)
         self._poll()
 
     def _poll(self) -> None:
@@ -192,9 +179,7 @@
         self.on_poll()
 
     def _schedule_poll(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-        self._timer = self._loop.call_at(self.queries.next_query_at_s(), self._poll_on_timer)
+        self._schedule.schedule(self.queries.next_query_at_s(), self._poll_on_timer)
 
     def datagram_received(self, data: bytes, addr: object) -> bool:
         """Process a reply, possibly late or duplicated.
@@ -222,7 +207,7 @@
         self.queries.on_usable_reply(query_id, now_s)
         if self._transport is not None:
             self._schedule_poll()
-        self.on_fresh()
+        self._observer.on_fresh()
 
     def _handle_reply(self, reply: dns.Reply | dns.UnusableReply, query_id: int, payload: bytes) -> bool:
         """Process the parsed reply to a query.
@@ -286,16 +271,16 @@
         elif transport is self._transport and self._address is not None:
             self._transport = self._previous_transport
             self._previous_transport = None
-            if self._transport is None and self._timer is not None:
-                self._timer.cancel()
+            if self._transport is None:
+                self._schedule.cancel()
+                self._schedule.stop()
             self.start_polling(*self._address)
 
     def stop(self) -> None:
         """Stop polling and close the sockets."""
         self._cancel_connecting()
         self._address = None
-        if self._timer is not None:
-            self._timer.cancel()
+        self._schedule.cancel()
         _close(self._transport)
         _close(self._previous_transport)
 
--- a/tests/unit/test_import_layers.py
+++ b/tests/unit/test_import_layers.py
@@ -17,7 +17,16 @@
 
 # From the lowest layer to the highest; a package or a module of the top folder each.
 LAYERS = (
-    ("errors", "logs", "number_checks", "statistics", "model", "settings_parser", "fleet_config"),
+    (
+        "errors",
+        "logs",
+        "number_checks",
+        "config_section",
+        "statistics",
+        "model",
+        "settings_parser",
+        "fleet_config",
+    ),
     ("components",),
     ("routing",),
     ("change_freeze", "escrow", "gossip", "membership", "persistence", "priority", "recovery", "replication"),
