--- a/cedarthread/fleet_config.py
+++ b/cedarthread/fleet_config.py
@@ -1,7 +1,7 @@
-"""The operators' fleet file ``fleet.toml``: a file is accepted as a whole or rejected as a whole.
+"""The operators' fleet file ``fleet.toml``, which is accepted or rejected as a whole.
 
-Field names are the keys of the file, in kebab case there. What is not checked by type is checked in
-``parse_fleet_config``; an error says where in the file it is, and what is wrong.
+Field names are the keys of the file, which has them in kebab case. ``parse_fleet_config`` checks the rules that
+the types do not express. An error names the place in the file and the fault.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 
 class FleetConfigError(CedarthreadError):
-    """The file cannot be used: where, and what is wrong."""
+    """An unusable fleet file; the message names the place and the fault."""
 
 
 class _StrictSection(msgspec.Struct, forbid_unknown_fields=True, rename="kebab", frozen=True):
-    """Rejects unknown keys: a misspelt floor must not mean that there is none."""
+    """A section that rejects unknown keys, so that a misspelt floor does not count as a missing one."""
 
 
 class SharingConfig(_StrictSection, frozen=True):
-    """The replicated store. Times in ms."""
+    """Parameters of the replicated store, times in ms."""
 
     period: float = 400.0  # between two sync requests of a router
     fresh: float = 0.0  # freshness window; 0: by the formula of the design page
@@ -41,7 +41,7 @@
 
 
 class DiskConfig(_StrictSection, frozen=True):
-    """Where state is persisted, and when a write counts as done."""
+    """The folder of persisted state, and the condition under which a write counts as done."""
 
     folder: str
     sync: Literal["each", "group", "none"] = "group"
@@ -55,7 +55,7 @@
 
 
 class OverloadConfig(_StrictSection, frozen=True):
-    """When the fleet counts as overloaded: fractions of its capacity, and seconds that each must last."""
+    """The thresholds of overload: fractions of the fleet's capacity, and the seconds that each must last."""
 
     onset: float = 1.1
     end: float = 0.9
@@ -64,8 +64,9 @@
 
 
 class ContractConfig(_StrictSection, frozen=True):
-    """One tenant's contract: ``rate`` calls a second, ``floor`` the fraction of them that is never
-    preempted.
+    """The contract of one tenant.
+
+    ``rate`` is in calls per second; ``floor`` is the fraction of these that is never preempted.
     """
 
     tenant: str
@@ -75,7 +76,7 @@
 
 
 class FreezeWindowConfig(_StrictSection, frozen=True):
-    """One freeze window. An empty list of rooms, functions or tenants means all of them."""
+    """One freeze window. An empty list of zones, functions or tenants means all of them."""
 
     id: str
     start: datetime
@@ -90,7 +91,7 @@
 
 
 class RevocationConfig(_StrictSection, frozen=True):
-    """Ends a freeze window early."""
+    """The declaration that ends a freeze window early."""
 
     freeze: str
     author: str
@@ -98,7 +99,7 @@
 
 
 class BreakGlassConfig(_StrictSection, frozen=True):
-    """Lifts a freeze window for a while; the log names the author and reason."""
+    """The declaration that lifts a freeze window for some time; the log names the author and reason."""
 
     freeze: str
     author: str
@@ -107,7 +108,7 @@
 
 
 class FleetConfig(_StrictSection, frozen=True):
-    """The whole file."""
+    """The content of the file."""
 
     sharing: SharingConfig = SharingConfig()
     disk: DiskConfig | None = None
@@ -120,8 +121,14 @@
 
 
 def load_fleet_config(path: Path, store: str | None = None) -> FleetConfig:
-    """Read and check the file; raises FleetConfigError with its path. ``store`` replaces the folder of
-    [disk].
+    """Read and check the file.
+
+    Args:
+        path: The file.
+        store: Replaces the folder of ``[disk]``.
+
+    Raises:
+        FleetConfigError: The file is unusable; the message begins with the path.
     """
     try:
         fleet = parse_fleet_config(path.read_bytes())
@@ -134,7 +141,11 @@
 
 
 def parse_fleet_config(raw: bytes) -> FleetConfig:
-    """Decode and check the file's bytes; raises FleetConfigError."""
+    """Decode and check the file's bytes.
+
+    Raises:
+        FleetConfigError: The file is unusable.
+    """
     try:
         fleet = msgspec.toml.decode(raw, type=FleetConfig)
     except (msgspec.MsgspecError, UnicodeDecodeError, ValueError) as error:
