--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -46,8 +46,9 @@
 class AdmissionGate:
     """The admission gate of one router, which decides on its placement changes while windows are in force.
 
-    While ``is_active`` is False, nothing is frozen, and each method returns after this one test. The gate
-    owns the placement table, the deferred changes and the home workers from before the windows.
+    While ``is_active`` is False, nothing is frozen, and the methods on the path of calls return after this
+    test. The gate owns the placement table, the deferred changes and the home workers from before the
+    windows.
 
     Args:
         escrow: Contains the exception budgets of the windows in force.
@@ -105,7 +106,7 @@
         is_placed: bool,
         has_alternatives: bool,
     ) -> bool:
-        """Return whether a call may be sent to a worker, without use of an exception.
+        """Return whether a call may be sent to a worker; consumes no exception.
 
         Args:
             now_ms: The time on the steady clock.
@@ -171,9 +172,9 @@
     ) -> RoutingDecision:
         """Apply ``call_routing.route_call`` under the rules in force.
 
-        Besides the candidates that are open already, a candidate counts as open if no rule freezes a load
-        there, or if the placement table has the function there. The load at the first ready candidate that is
-        not open and not selected is deferred.
+        A candidate that is not open yet counts as open if the placement table has the function there, or if
+        no rule freezes a load there and no such load is deferred. The load at the first ready candidate that
+        is not open and not selected is deferred.
         """
 
         def load_at(candidate: PlacementCandidate, *, is_emergency: bool) -> PlacementChange:
@@ -207,8 +208,8 @@
     ) -> HomeWorkers:
         """Return the ready workers in the order of preference for the function, and its number of homes.
 
-        While home workers are frozen, the homes are those from before the freeze, or from the function's
-        first call in the freeze, that are still ready. Homes that are lost in the freeze are not replaced.
+        While home workers are frozen, the function keeps its homes from before the freeze, or from its first
+        call in the freeze. Homes that are no longer ready are left out and not replaced.
         """
         if not self.is_active:
             return HomeWorkers(ready_workers, home_count)
--- a/cedarthread/change_freeze/wall_clock.py
+++ b/cedarthread/change_freeze/wall_clock.py
@@ -1,10 +1,12 @@
 """A wall clock that tolerates steps of the host's clock and detects its deviation from other routers' clocks.
 
 Freeze windows are declared in wall time. ``WallClock`` runs on the steady clock and slews toward the host's
-wall clock by no more than the drift that both clocks may have. A step of the host's clock therefore shows as
-a gap and opens no window. The offset to another router's clock is computed from a request and its response,
-as in NTP (Mills, RFC 5905); the median offset shows whether this router's clock deviates. The change freeze
-component passes host readings, and the host passes the samples of other routers' clocks.
+wall clock by no more than the drift that both clocks may have. While a window is declared, a step of the
+host's clock is therefore a gap that ends no window, and is followed only once other routers confirm it;
+without a window, a step is followed at once. The offset to another router's clock is computed from a request
+and its response, as in NTP (Mills, RFC 5905); the median offset shows whether this router's clock deviates.
+The change freeze component passes the readings of the host's clock; ``FleetComponents`` passes the samples of
+other routers' clocks.
 Design: docs/design/change-freeze.md, steps 17 to 19.
 """
 
@@ -72,7 +74,7 @@
         self.invalid_sample_count = 0
 
     def on_host_reading(self, now_ms: float, unix_ms: float, *, has_window: bool) -> str | None:
-        """Process a reading of the host's wall clock; return a log line if the clock stepped or stepped back.
+        """Process a reading of the host's wall clock; return a log line at a step, or if a step was undone.
 
         Args:
             now_ms: The time on the steady clock.
@@ -171,7 +173,7 @@
         return sample.uncertainty_ms + 2.0 * self.max_drift_rate * (now_ms - sample.received_at_ms)
 
     def _is_step_confirmed(self, now_ms: float, offset_ms: float) -> bool:
-        """Return whether most other routers follow the time to which the host's clock stepped.
+        """Return whether most samples of other routers agree with the time to which the host's clock stepped.
 
         Routers report the time that they follow, not the time of their hosts. A wrong time source that steps
         all hosts at once is therefore not confirmed.
@@ -186,7 +188,7 @@
     # Results that determine when windows start and end.
 
     def deviation_ms(self, now_ms: float) -> float:
-        """Return by how much the median clock is ahead of this one if over ``max_error_ms``; else 0."""
+        """Return the offset of the median clock, ahead above 0, if it exceeds ``max_error_ms``; else 0."""
         bounds = self.peer_offset_bounds_ms(now_ms)
         worst_ms = bounds.lower_ms if abs(bounds.lower_ms) > abs(bounds.upper_ms) else bounds.upper_ms
         is_over_error = bounds.lower_ms > self.max_error_ms or bounds.upper_ms < -self.max_error_ms
--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -35,7 +35,7 @@
     "unknown",  # datagrams for a pool that is not open or has ended
     "late",  # responses without an outstanding request, and requests older than one already answered
     "drowned",  # requests dropped because the response budget was exhausted
-    "lies",  # responses that exceed their request, and pools that conflict with an open one
+    "lies",  # responses that exceed their request, and any declaration that conflicts with an open pool
 )
 _RNG_SALT = 0x4752_414E  # makes this component's random sequence differ from others with the same seed
 
@@ -104,7 +104,7 @@
             total: The fleet-wide total.
             is_consumable: Whether the pool is a count; otherwise the pool is a rate.
             ends_at_ms: When the pool ends; None: never.
-            is_new: Whether no earlier incarnation of this router can have used the pool. Then this router's
+            is_new: Whether the pool is new, so that no earlier incarnation used it. Then this router's
                 allotment of a count is usable even without memory (docs/design/escrow.md, 12).
         """
         key = pool_key(name)
@@ -159,7 +159,7 @@
         return isinstance(pool, CountPool) and amount > 0 and pool.consume(now_ms, amount)
 
     def request(self, now_ms: float, name: str, amount: int) -> None:
-        """Set this router's demand for a pool, until the next call of this method.
+        """Set this router's demand for a pool; the next call of this method replaces the demand.
 
         For a rate, ``amount`` is the number of units that this router could use now. For a count,
         ``amount`` is the number of units to have available for consumption, and each consumption reduces
@@ -171,7 +171,7 @@
     # The disk.
 
     def snapshot(self) -> bytes:
-        """Return the image in which all free units are written off."""
+        """Return the image that records all unused units of counts as used (written off)."""
         return self.image.encode(self.pools, {})
 
     def restore(self, data: bytes) -> bool:
--- a/cedarthread/escrow/rate_pool.py
+++ b/cedarthread/escrow/rate_pool.py
@@ -14,9 +14,11 @@
 from cedarthread.escrow.codec import NONCE_MODULUS
 from cedarthread.escrow.quota_pool import QuotaPool
 
-LEASE_TERM_MS = 4000.0  # term of each lease; a response with a longer term is rejected
+LEASE_TERM_MS = 4000.0  # term of each lease; the requester rejects a response with a longer term
 UNMET_REQUEST_EXPIRY_MS = 1000.0  # how long an unmet request limits the amounts that other borrowers get
-RESERVE_DIVISOR = 16  # a router lends no more than 15/16 of its allotment, to serve its own next calls
+RESERVE_DIVISOR = (
+    16  # a sixteenth of the allotment, rounded down, is not lent, for the router's own next calls
+)
 
 
 class Borrower(NamedTuple):
@@ -135,7 +137,7 @@
         return max(0, self.own_rate(now_ms) - max(self.demand, self.own_allotment() // RESERVE_DIVISOR))
 
     def lend(self, now_ms: float, borrower: Borrower, nonce: int, requested: int) -> int | None:
-        """Lease up to ``requested`` units to a borrower and return the number of units leased.
+        """Lease up to ``requested`` units in total to a borrower, and return the number of units leased.
 
         Return None if the nonce is no newer than that of a request already answered: the datagram is late or
         duplicated.
@@ -159,7 +161,8 @@
         """Return the units to lease to a borrower.
 
         If recent requests of other peers are unmet, the amount is limited to the units that remain after
-        these requests or, if greater, to an even share. So the first borrowers cannot starve a new one.
+        these requests or, if greater, to an even share of the lendable units among all who want some. So the
+        first borrowers cannot starve a new one.
         """
         lendable = self.lendable(now_ms)
         leased_to_others = self.amount_leased_to_peers(now_ms, borrower)
--- a/cedarthread/fleet_config.py
+++ b/cedarthread/fleet_config.py
@@ -1,7 +1,7 @@
 """The operators' fleet file ``fleet.toml``, which is accepted or rejected as a whole.
 
-Field names are the keys of the file, which has them in kebab case. ``parse_fleet_config`` checks the rules that
-the types do not express. An error names the place in the file and the fault.
+Field names are the keys of the file, which has them in kebab case. ``parse_fleet_config`` checks the rules
+that the types do not express. An error names the place in the file and the fault.
 """
 
 from __future__ import annotations
--- a/cedarthread/priority/component.py
+++ b/cedarthread/priority/component.py
@@ -165,7 +165,11 @@
         return priority
 
     def overload_level(self, now_ms: float) -> int:
-        """Return the level of cluster overload; 0 while this router is not fresh, as contracts may differ."""
+        """Return the level of cluster overload.
+
+        The level is 0 without overload parameters, and while this router is not fresh, because its contracts
+        may then differ from those of other routers.
+        """
         is_effective = self.contracts.overload_parameters is not None and self.replicated_state.is_fresh(
             now_ms
         )
@@ -182,8 +186,8 @@
         Args:
             now_ms: The time on the steady clock.
             priority: The call's priority.
-            shed_probability: The fraction of all calls to reject, from the overload estimator for the
-                strictest latency objective, not for the call's own.
+            shed_probability: The fraction of all calls to reject, by the overload estimator. The estimate is
+                for the strictest latency objective of all classes.
             value: The call's value per time.
         """
         shed_probability = self.shedding_order.smooth(now_ms, shed_probability)
@@ -216,7 +220,7 @@
         )
 
     def rejection_reason(self, priority: CallPriority) -> str:
-        """Return the reason that the preempted client receives; the text mentions only its own contract."""
+        """Return the reason for the client of a preempted call; it names only this client's contract."""
         tier_name = self.contracts.for_tenant(priority.tenant_name).tier_name
         side = "within" if priority.is_within_quota else "beyond"
         return f"preempted under cluster overload: tier {tier_name}, {side} contract; try again later"
