--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -106,7 +106,7 @@
         is_placed: bool,
         has_alternatives: bool,
     ) -> bool:
-        """Return whether a call may be sent to a worker; consumes no exception.
+        """Return whether a call may be sent to a worker; it consumes no exception, but a denial is deferred.
 
         Args:
             now_ms: The time on the steady clock.
--- a/cedarthread/dispatch/send_guard.py
+++ b/cedarthread/dispatch/send_guard.py
@@ -24,9 +24,8 @@
 
     ATTEMPT_ENDED = "attempt_ended"
     CALL_COMPLETE = "call_complete"
-    CLIENT_DISCONNECTED = (
-        "client_gone"  # the client has closed its writing half; `abandon` covers a full close
-    )
+    # The client has closed its writing half; `abandon` covers a full close.
+    CLIENT_DISCONNECTED = "client_gone"
     DEADLINE_PASSED = "deadline_passed"  # of the call
     WORKER_NOT_READY = "worker_not_ready"  # in another state, such as draining, or not on the list
     RETRY_WINDOW_PASSED = "retry_window_passed"  # a worker may have dropped the idempotency key by now
--- a/cedarthread/escrow/rate_pool.py
+++ b/cedarthread/escrow/rate_pool.py
@@ -16,9 +16,8 @@
 
 LEASE_TERM_MS = 4000.0  # term of each lease; the requester rejects a response with a longer term
 UNMET_REQUEST_EXPIRY_MS = 1000.0  # how long an unmet request limits the amounts that other borrowers get
-RESERVE_DIVISOR = (
-    16  # a sixteenth of the allotment, rounded down, is not lent, for the router's own next calls
-)
+# A sixteenth of the allotment, rounded down, is not lent, for the router's own next calls.
+RESERVE_DIVISOR = 16
 
 
 class Borrower(NamedTuple):
--- a/cedarthread/membership/swim.py
+++ b/cedarthread/membership/swim.py
@@ -4,7 +4,7 @@
 Protocol", 2002. A member that sends no datagrams is pinged, then pinged through other members, then
 suspected, then declared dead. Additions to the paper:
 
-- Any datagram from a member shows that the member is alive, even a datagram of another component.
+- Any datagram from a member counts as activity of the member, even a datagram of another component.
 - If a member that this router lists as suspect or dead sends a datagram, this router sends the member its
   status (a correction), so that the member can refute the status.
 - After a pause, a router does not trust its own table: the router restarts all suspicions and raises its
@@ -26,7 +26,8 @@
 from cedarthread.membership.member_table import MemberTable
 from cedarthread.model.actions import SendToPeer
 
-SUSPICION_INTERVALS = 6.0  # probe intervals that a suspicion lasts, multiplied by log10 of the group size
+# Probe intervals of a suspicion, for each factor 10 of the group size; at least as for a group of 10.
+SUSPICION_INTERVALS = 6.0
 PAUSE_THRESHOLD_MS = 2000.0  # a longer time between two ticks or messages counts as a pause of this router
 DISSEMINATION_FANOUT = 1  # separate messages with updates at each tick
 CORRECTION_INTERVAL_MS = 1000.0  # shortest interval between two corrections to one member
@@ -169,7 +170,7 @@
         return corrections
 
     def _send_updates(self) -> list[SendToPeer]:
-        """Return separate messages with updates for random alive members."""
+        """Return messages that carry only membership updates, to random alive members."""
         peers = self.alive_peers()
         chosen = self._rng.sample(peers, min(DISSEMINATION_FANOUT, len(peers)))
         return [
--- a/cedarthread/priority/component.py
+++ b/cedarthread/priority/component.py
@@ -2,7 +2,7 @@
 
 The router calls ``on_arrival`` for the priority of a call, ``shed_probability`` for the probability to reject
 the call, and ``choose_victim`` for the call to preempt, and reports rejected and completed calls. The
-component is pure: the caller passes the steady clock (ms) and the seed. Design: docs/design/priority.md.
+component does no I/O: the caller passes the steady clock (ms) and the seed. Design: docs/design/priority.md.
 """
 
 from __future__ import annotations
@@ -143,7 +143,7 @@
         Args:
             now_ms: The time on the steady clock.
             tenant: The tenant's index in the settings, or the caller's name; None: unknown.
-            value: The call's value per time.
+            value: The call's priority weight, divided by its expected work.
             utilization: The expected wait divided by the wait at which overload starts.
             is_client_retry: Whether the client retries a call that was rejected.
         """
@@ -188,7 +188,7 @@
             priority: The call's priority.
             shed_probability: The fraction of all calls to reject, by the overload estimator. The estimate is
                 for the strictest latency objective of all classes.
-            value: The call's value per time.
+            value: The call's priority weight, divided by its expected work.
         """
         shed_probability = self.shedding_order.smooth(now_ms, shed_probability)
         if self.overload_level(now_ms) < SHEDDING_LEVEL:
--- a/cedarthread/replication/fragments.py
+++ b/cedarthread/replication/fragments.py
@@ -57,9 +57,8 @@
     def __init__(self, state: ReplicaState) -> None:
         self.state = state
         self.partial_entries: dict[int, PartialEntry] = {}  # by digest
-        self.invalid_count = (
-            0  # fragments of the wrong length; complete entries that are malformed or exceed MAX_ENTRIES
-        )
+        # Fragments of the wrong length; complete entries that are malformed or exceed MAX_ENTRIES.
+        self.invalid_count = 0
 
     def add(self, fragment: EntryFragment) -> EncodedEntry | None:
         """Add a fragment and return the entry that the fragment completes, if any.
--- a/cedarthread/routing/outlier_detection.py
+++ b/cedarthread/routing/outlier_detection.py
@@ -97,9 +97,8 @@
         attempt.has_suspect_error = True
         return None  # that may be the client's doing, unless another worker serves it
     if outcome is Outcome.CONNECT_FAILED and event.is_unreachable:
-        worker.unreachable_at_ms = (
-            now_ms  # a broken connection shows no more than itself: some break on any day
-        )
+        # A broken connection shows no more than itself: some break on any day.
+        worker.unreachable_at_ms = now_ms
     elif outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
         if worker.connection_broken_at_ms == now_ms:
             return None  # all that was in flight on one connection ends at once
--- a/cedarthread/routing/router.py
+++ b/cedarthread/routing/router.py
@@ -75,9 +75,8 @@
         state = self.state
         state.event_at_ms, state.actions = now_ms, []
         if now_ms > state.timers.armed_at_ms + STALL_THRESHOLD_MS:
-            state.stalled_at_ms = (
-                now_ms  # no turn when one was due: what comes now is old, judge nobody by it
-            )
+            # No turn when one was due: what comes now is old, judge nobody by it.
+            state.stalled_at_ms = now_ms
         # Messages of peers go to the components beside the router; health checks are not asked for.
         if (handler := self.handlers.get(type(event))) is not None:
             handler(now_ms, event)
--- a/cedarthread/routing/zone_reachability.py
+++ b/cedarthread/routing/zone_reachability.py
@@ -18,9 +18,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-UNREACHABLE_SURPRISE = (
-    6.0  # surprise by which a zone is unreachable: chance alone brings it once in 400 times
-)
+# Surprise by which a zone is unreachable: chance alone brings it once in 400 times.
+UNREACHABLE_SURPRISE = 6.0
 MAX_WORKER_SURPRISE = 3.0  # most that one worker adds: its silence is its own
 MIN_SHARED_SURPRISE = 1.0  # least that each of several zones adds that are silent together
 CONNECT_FAILURE_SURPRISE = 3.0  # what a connection adds that did not come up
--- a/cedarthread/testing/cluster/scenarios/mass_restart.py
+++ b/cedarthread/testing/cluster/scenarios/mass_restart.py
@@ -45,9 +45,8 @@
 UNDISTURBED_WINDOWS = 8  # before the last kill, over which the undisturbed share is taken
 LIST_REFRESH_MS = 600.0  # in which a router must have the current list: three of its queries
 MAX_PEAK_RATIO = 1.5  # of the undisturbed peak in 250 ms
-CONNECTION_PEAK_FLOOR = (
-    24  # connections at one worker in 250 ms that do no harm: some 0.2 ms of its time each
-)
+# Connections at one worker in 250 ms that do no harm: some 0.2 ms of its time each.
+CONNECTION_PEAK_FLOOR = 24
 QUERY_PEAK_FLOOR = 1.25  # queries of each router in 250 ms: it asks five times a second
 PEER_DATAGRAM_FLOOR = 45  # of recovery, for each router in 250 ms: six queries, answers by both full buckets
 MIN_SERVED_FRACTION = 0.9  # of the value, undisturbed: else there is no full service to come back to
