--- a/cedarthread/model/actions.py
+++ b/cedarthread/model/actions.py
@@ -8,9 +8,11 @@
 from dataclasses import dataclass, field
 
 
-@dataclass(slots=True)  # not frozen: made once or more per call, and frozen ones take three times as long
+@dataclass(
+    slots=True
+)  # not frozen: created on each call, and creating a frozen one costs three times as much
 class StartAttempt:
-    """Start an attempt at a worker. ``timeout_ms`` None: until the request's deadline."""
+    """The start of an attempt at a worker; without ``timeout_ms`` the limit is the request's deadline."""
 
     request_id: int
     worker_id: int
@@ -19,23 +21,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: rejected; the request was not executed or may be repeated safely."""
+    """The final answer that a request is rejected: it was not executed or may be repeated safely."""
 
     request_id: int
     retry_after_ms: float | None = None
-    reason: str = ""  # for the client, as text; "" for the default text
+    reason: str = ""  # text for the client; "": the default text
 
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed; the request may have been executed."""
+    """The final answer that a request failed: it may have been executed."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cancel one attempt."""
+    """The cancellation of one attempt."""
 
     request_id: int
     attempt_index: int
@@ -43,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreloadFunction:
-    """Have a worker load at least so many instances of a function; 0 only asks how many it has."""
+    """The load of at least this many instances of a function at a worker; 0 only queries their number."""
 
     worker_id: int
     function_id: int
@@ -52,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnloadFunction:
-    """Have a worker unload its idle instances of a function."""
+    """The unload of a worker's idle instances of a function."""
 
     worker_id: int
     function_id: int
@@ -60,14 +62,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Check the health of a worker."""
+    """A health check of a worker."""
 
     worker_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Send a datagram to one other router, or to all of them (``peer_index`` None)."""
+    """A datagram to one other router, or to all of them if ``peer_index`` is None."""
 
     data: bytes
     peer_index: int | None = None
@@ -75,26 +77,28 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscribeEndpoints:
-    """Subscribe to updates of the endpoint list, or unsubscribe."""
+    """The start or the end of the subscription to updates of the endpoint list."""
 
     is_enabled: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Fetch the complete endpoint list once."""
+    """A single fetch of the complete endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close the idle connections to a worker."""
+    """The closing of the idle connections to a worker."""
 
     worker_id: int
 
 
-@dataclass(slots=True)  # not frozen: made once or more per call, and frozen ones take three times as long
+@dataclass(
+    slots=True
+)  # not frozen: created on each call, and creating a frozen one costs three times as much
 class SetTimer:
-    """Request a ``TimerFired`` with this token at this time."""
+    """A request for one ``TimerFired`` with this token at this time."""
 
     at_ms: float
     token: int
@@ -102,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """Write a log line for the on-call engineers (see ``cedarthread/logs.py`` for its form)."""
+    """A log line for the on-call engineers (see ``cedarthread/logs.py`` for its format)."""
 
     message: str = field(default="")
 
--- a/cedarthread/model/call_priority.py
+++ b/cedarthread/model/call_priority.py
@@ -1,4 +1,4 @@
-"""The priority of a call, 0 is the highest; ``priority/call_priority.py`` assigns it by contract."""
+"""The priority of a call; 0 is the highest. ``priority/call_priority.py`` assigns priorities by contract."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallPriority:
-    """The position of one call in the table, 0 is the highest priority.
+    """The position of one call in the table of tiers; 0 is the highest priority.
 
-    ``worst_position`` counts where it preempts, ``best_position`` where it may be preempted, ``position``
-    where it may be rejected: the worst that the versions known here give.
+    A router may know several versions of the contracts. ``worst_position`` decides whether the call preempts
+    another, ``best_position`` whether another preempts it, and ``position``, the worst of the known versions,
+    whether it may be rejected.
     """
 
     best_position: int
@@ -24,13 +25,13 @@
     is_within_quota: bool = False
 
     def outranks(self, other: CallPriority) -> bool:
-        """Whether it goes before the other by every version that may be in effect at a router."""
+        """Return whether the call has priority over the other in each version that a router may apply."""
         return self.worst_position < other.best_position
 
     def is_highest(self) -> bool:
-        """Whether it is of the first tier and within quota, by all that is known."""
+        """Return whether the call is in the first tier and within quota in all known versions."""
         return self.position == 0
 
 
-# Of a call while no tiers are in effect: it preempts no call and no call preempts it.
+# The priority of a call while no tiers are in effect; such a call preempts none and none preempts it.
 NO_PRIORITY = CallPriority(0, LOWEST_PRIORITY)
--- a/cedarthread/model/endpoints.py
+++ b/cedarthread/model/endpoints.py
@@ -27,7 +27,7 @@
 class Endpoint:
     """One worker on the endpoint list.
 
-    Workers of one ``cell`` may drop each other's repeats (see ``DeduplicationScope``).
+    Workers of one ``cell`` may deduplicate each other's requests (see ``DeduplicationScope``).
     """
 
     worker_id: int
@@ -36,12 +36,12 @@
     cell: int
     state: EndpointState
     weight: float | None
-    started_at_ms: float | None  # on the router's clock; None: long ago
+    started_at_ms: float | None  # on the router's steady clock; None: long ago
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """An update of the endpoint list; ``version`` only grows."""
+    """An update of the endpoint list; ``version`` never decreases."""
 
     kind: EndpointUpdateKind
     version: int
--- a/cedarthread/model/events.py
+++ b/cedarthread/model/events.py
@@ -1,4 +1,4 @@
-"""The events that a router takes.
+"""The events that a router handles.
 
 Times are milliseconds on the steady clock that is passed in with each event.
 """
@@ -11,9 +11,11 @@
 from cedarthread.model.outcomes import Outcome, StartKind
 
 
-@dataclass(slots=True)  # not frozen: made once or more per call, and frozen ones take three times as long
+@dataclass(
+    slots=True
+)  # not frozen: created on each call, and creating a frozen one costs three times as much
 class RequestArrived:
-    """A client sent a request. From here on exactly one final answer is owed.
+    """The arrival of a client's request, to which the router must give exactly one final answer.
 
     ``concurrency``, ``memory``, ``load_time_ms`` and ``work`` are hints of the platform about the function.
     """
@@ -29,12 +31,12 @@
     work: float | None = None
     is_client_retry: bool = False
     is_write: bool = False
-    caller: str | None = None  # the authenticated identity, where the front end knows it
+    caller: str | None = None  # the authenticated identity, if the front end knows one
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The response to an attempt has begun to stream; the request has no deadline any more."""
+    """The start of a streamed response to an attempt; from now on the request has no deadline."""
 
     request_id: int
     attempt_index: int
@@ -42,35 +44,35 @@
     latency_ms: float
 
 
-@dataclass(slots=True)  # not frozen: made once or more per call, and frozen ones take three times as long
+@dataclass(
+    slots=True
+)  # not frozen: created on each call, and creating a frozen one costs three times as much
 class AttemptEnded:
-    """How one attempt ended."""
+    """The end of one attempt."""
 
     request_id: int
     attempt_index: int
     worker_id: int
     outcome: Outcome
     latency_ms: float
-    is_final: bool  # the client has its response
+    is_final: bool  # the client has received its response
     start_kind: StartKind = StartKind.UNKNOWN
-    reported_concurrency: int | None = None  # requests of the function in flight at the worker then
+    reported_concurrency: int | None = None  # requests of the function in flight at the worker at that time
     load_report: tuple[float | None, ...] = ()
-    is_unreachable: bool = (
-        True  # if it failed to connect: no connection was established, the worker may be down
-    )
-    is_local: bool = False  # not sent for a cause in this process: it says nothing about the worker
+    is_unreachable: bool = True  # for CONNECT_FAILED: no connection was established; the worker may be down
+    is_local: bool = False  # not sent, for a cause in this process, so not a fault of the worker
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client gave up; no answer is owed any more."""
+    """The disconnection of a client; the request needs no final answer any more."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was requested by ``SetTimer`` fired."""
+    """The firing of a timer that ``SetTimer`` requested."""
 
     token: int
 
@@ -95,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreloadEnded:
-    """How a ``PreloadFunction`` ended; ``instances`` are loaded at the worker now."""
+    """The end of a ``PreloadFunction``; the worker now has ``instances`` instances loaded."""
 
     worker_id: int
     function_id: int
--- a/cedarthread/model/instance_load.py
+++ b/cedarthread/model/instance_load.py
@@ -1,4 +1,4 @@
-"""The load of one function at one worker, as all routers together see it."""
+"""The load of one function at one worker, summed over all routers."""
 
 from __future__ import annotations
 
@@ -10,4 +10,4 @@
     """Attempts in flight and the age of the last warm instance of one function at one worker."""
 
     in_flight: int  # attempts of all routers, those of this router included
-    warm_age_ms: float | None  # since another router last found a warm instance there; None: not recently
+    warm_age_ms: float | None  # since another router's last warm response there; None: none recently
--- a/cedarthread/model/outcomes.py
+++ b/cedarthread/model/outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt, a health check or a preload ended, and what its answer said of the instance it ran on."""
+"""The outcomes of attempts, health checks and preloads, and the kinds of instance starts in responses."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt, a health check or a preload ended, and whether the request may have been executed."""
+    """The outcome of an attempt, a health check or a preload, and whether the request was executed."""
 
     OK = "ok"
     ERROR = "error"  # may have been executed
@@ -16,18 +16,18 @@
     RESET = "reset"  # may have been executed
     CANCELLED = "cancelled"  # may have been executed
     NOT_SENT = "moot"  # not executed: the router did not send it
-    NOT_LOADED = "miss"  # not executed: no instance there, or the load that it waited for failed
+    NOT_LOADED = "miss"  # not executed: no instance at the worker, or its load failed
 
 
-# Outcomes that prove that the request was not executed, so that any class may be sent again.
+# Outcomes that prove that the request was not executed, so a request of any class may be retried.
 NOT_EXECUTED = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.NOT_LOADED)
 
 
 class StartKind(Enum):
-    """What a response says of the function instance that it ran on."""
+    """The start of the function instance that served a request, as the response reports it."""
 
     UNKNOWN = "none"
     WARM = "found"  # the instance was loaded already
     COLD = "began"  # this request started the load
-    PENDING = "awaited"  # it waited for a load that was started before
+    PENDING = "awaited"  # this request waited for a load that an earlier one started
     LOAD_FAILED = "load_failed"
--- a/cedarthread/model/settings.py
+++ b/cedarthread/model/settings.py
@@ -1,6 +1,6 @@
-"""What a router is configured with: request classes, tenants, limits, rule parameters and prices.
+"""The settings of a router: request classes, tenants, limits, rule parameters and prices.
 
-Plain records without logic. All times are milliseconds; ``None`` stands for a value that was not configured.
+Plain records without logic. All times are milliseconds; ``None`` means that a value is not configured.
 ``cedarthread/settings_parser.py`` maps the operators' key names to these fields.
 """
 
@@ -11,15 +11,15 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may be executed more than once."""
+    """The permission of a request class to be executed more than once."""
 
     IDEMPOTENT = "safe"  # may be executed any number of times
-    WITH_KEY = "keyed"  # workers drop repeats of one idempotency key, within a scope and a window
+    WITH_KEY = "keyed"  # workers deduplicate by idempotency key, within a scope and a window
     NOT_IDEMPOTENT = "unsafe"  # must never be executed twice
 
 
 class DeduplicationScope(Enum):
-    """The workers among which repeats of one idempotency key are dropped."""
+    """The group of workers that deduplicate requests by idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,21 +27,21 @@
 
 
 class NotLoadedBehavior(Enum):
-    """What a worker does with a request for a function that it has not loaded."""
+    """The reaction of a worker to a request for a function that it has not loaded."""
 
     LOAD = "load"  # load the function while the request waits
-    REJECT = "miss"  # answer NOT_LOADED; only a preload brings the function
+    REJECT = "miss"  # respond NOT_LOADED; only a preload loads the function
 
 
 class DiscoveryMode(Enum):
-    """How the endpoint list reaches the router."""
+    """The way in which the router receives the endpoint list."""
 
     PUSH = "push"
     POLL = "ask"
 
 
 class LoadReportSource(Enum):
-    """Where workers report their load."""
+    """The messages in which workers report their load."""
 
     NONE = "none"
     RESPONSES = "answers"
@@ -49,7 +49,7 @@
 
 
 class WeightMeaning(Enum):
-    """What the weight of an endpoint means."""
+    """The meaning of an endpoint's weight."""
 
     NONE = "none"  # nothing
     NOMINAL = "nominal"  # its registered capacity
@@ -59,9 +59,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """Requests that share an objective, a deadline and the rules for repeating them.
+    """A class of requests with the same latency objective, deadline and idempotency.
 
-    Priority weights are the points that an answer earns: in time, and after the objective.
+    The priority weights are the points that a response earns: within the objective, and after it.
     """
 
     name: str
@@ -71,9 +71,9 @@
     late_priority_weight: float
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
-    deduplication_window_ms: float  # how long workers remember an idempotency key
+    deduplication_window_ms: float  # how long workers store an idempotency key
     is_streaming: bool
-    latency_objective_work_factor: float  # the objective grows by this many times the request's work
+    latency_objective_work_factor: float  # the objective grows by this multiple of the request's work
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits: bounds, and mechanisms that are switched on or off."""
+    """The limits of the deployment: bounds, and switches for mechanisms."""
 
     max_attempts: int
     max_pending_requests: int
@@ -99,23 +99,23 @@
     max_retry_after_ms: float
     max_attempts_per_connection: int = 32  # concurrent attempts on one connection to a worker
     connect_timeout_ms: float = 250.0
-    idle_timeout_ms: float = 30000.0  # a connection that carries nothing is closed after this time
+    idle_timeout_ms: float = 30000.0  # an idle connection is closed after this time
 
 
 @dataclass(frozen=True, slots=True)
 class RuleParameters:
-    """The parameters of the operators' five rules (repeats, draining, cold workers, polling, preloads)."""
+    """The parameters of the operators' rules: retries, draining, slow start, polling, preloads."""
 
     answer_slack_ms: float
     drain_grace_ms: float
-    slow_start_min_capacity: float  # fraction of its capacity that a started worker has at least
-    slow_start_ms: float  # after this time it has its full capacity
-    collapse_multiple: float  # a cold worker collapses above this multiple of what it can carry
-    collapse_window_ms: float  # the window over which its load is counted
+    slow_start_min_capacity: float  # least fraction of its capacity that a started worker has
+    slow_start_ms: float  # a worker has its full capacity after this time
+    collapse_multiple: float  # a cold worker collapses above this multiple of its capacity
+    collapse_window_ms: float  # the window over which the load of a cold worker is counted
     max_poll_delay_ms: float
     preload_allowance: float
     preload_share: float
-    preload_window_ms: float  # 0: preloads are not limited
+    preload_window_ms: float  # 0: preloads are unlimited
 
 
 @dataclass(frozen=True, slots=True)
--- a/cedarthread/routing/admission.py
+++ b/cedarthread/routing/admission.py
@@ -1,6 +1,7 @@
-"""Admission: which requests are shed or rejected, which wait in the router, and which give way to others.
+"""Admission: which requests are shed or rejected, which wait in the router, and which are preempted.
 
-All times are ms of the clock that is handed in.
+All times are ms of the steady clock that the caller passes in. The policy has no state of its own except the
+mean latency objective of the settings.
 """
 
 from __future__ import annotations
@@ -19,18 +20,23 @@
     from cedarthread.routing.router_state import RouterState
     from cedarthread.routing.selection import WorkerSelector
 
-CLIENT_RETRY_SHED_FACTOR = 3.0  # times that a client's retry is shed as often: its first attempt had its turn
-MAX_SHED_PROBABILITY = 0.95  # the rest always passes: it shows when the overload is over
-MIN_VALUE = 1e-6  # least value of a request: a class of no weight is shed first, but divides nothing by zero
-QUOTA_FACTORS = 0.5, 2.0  # least and most that use over quota counts, before it is squared
-MIN_REMAINING_FRACTION = 0.5  # part of its expected time under which a request's time left is not enough
-MAX_QUEUED_FRACTION = 0.5  # part of its time for which a request that was not sent waits at most
-MIN_PEER_COVERAGE = 0.5  # part of the other routers whose gossip must come for requests to wait
-RETRY_AFTER_RANGE = 0.05, 0.15  # parts of the longest Retry-After that a rejected client is told
+CLIENT_RETRY_SHED_FACTOR = 3.0  # multiplies the shed probability of a client's retry
+MAX_SHED_PROBABILITY = 0.95  # some requests always pass, so that the end of an overload is noticed
+MIN_VALUE = 1e-6  # lower bound of a request's value, so that a class of weight 0 causes no division by zero
+QUOTA_FACTORS = 0.5, 2.0  # bounds of a tenant's use over its quota, before it is squared
+MIN_REMAINING_FRACTION = 0.5  # of its expected time: a request with less time left is shed
+MAX_QUEUED_FRACTION = 0.5  # of its time: a request that was never sent waits no longer
+MIN_PEER_COVERAGE = 0.5  # requests wait only if the gossip of this fraction of the other routers is recent
+RETRY_AFTER_RANGE = 0.05, 0.15  # fractions of the longest Retry-After between which a rejection's is drawn
 
 
 class AdmissionPolicy:
-    """Admits, queues, preempts and rejects requests."""
+    """The admission policy of one router: sheds, queues, preempts and rejects requests.
+
+    Args:
+        state: The router's state, which all policies share.
+        selector: Reports whether another worker has an instance with capacity left.
+    """
 
     def __init__(self, state: RouterState, selector: WorkerSelector) -> None:
         self.state, self.selector = state, selector
@@ -38,14 +44,20 @@
         self.update_settings(state.settings)
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """What follows from the settings alone."""
+        """Compute the mean latency objective of the classes in the new settings."""
         objectives = [request_class.latency_objective_ms for request_class in settings.classes]
         self.mean_objective_ms = sum(objectives) / max(1, len(objectives))
 
     # New requests.
 
     def should_shed(self, now_ms: float, pending: PendingRequest, quota_use: float) -> bool:
-        """Whether to reject a new request early, by its value for its time and its tenant's quota."""
+        """Return whether to reject a new request early, by its value per ms of work and its tenant's quota.
+
+        Args:
+            now_ms: The steady clock.
+            pending: The new request.
+            quota_use: The tenant's fraction of the calls over its quota; 1.0 without a quota.
+        """
         state, request_class = self.state, pending.request_class
         remaining_ms = pending.request.deadline_ms - now_ms
         expected_ms = state.service_times.expected_ms(pending)
@@ -57,8 +69,9 @@
         mean_value = state.traffic.request_value.mean
         stretched_ms = request_class.latency_objective_work_factor * expected_ms
         objective_ms = min(remaining_ms, request_class.latency_objective_ms + stretched_ms)
-        # Between a class's own time and one time for all, later for those of more value: what has little time
-        # is not shed first for that alone, nor is what has much of it never.
+        # The geometric mean of the request's own objective and the mean objective of all classes, so that a
+        # short objective alone does not make a request the first to be shed, nor a long one exempt it.
+        # Relative value stretches the objective, so that valuable requests are shed later.
         objective_ms = math.sqrt(max(objective_ms, 1.0) * self.mean_objective_ms * value / mean_value)
         overload = state.overload.shed_probability(now_ms, objective_ms, state.workers.not_ejected_ids())
         by_contract = self._shed_probability_by_contract(now_ms, pending, value)
@@ -78,7 +91,7 @@
     def _shed_probability_by_contract(
         self, now_ms: float, pending: PendingRequest, value: float
     ) -> float | None:
-        """What the priority contracts of the fleet say; None: nothing, the overload alone counts."""
+        """Return the shed probability by the fleet's priority contracts; None: use the overload alone."""
         state = self.state
         if state.constraints is None:
             return None
@@ -90,8 +103,8 @@
     # Requests that wait.
 
     def may_queue(self, now_ms: float, pending: PendingRequest) -> bool:
-        """Whether a request that can't be sent now may wait till the queue is looked at again."""
-        # What has not been sent by half of its time had better be told so: its client can go elsewhere.
+        """Return whether a request that cannot be sent now may wait until the next check of the queue."""
+        # A request that was never sent is rejected early, so that its client has time to try elsewhere.
         arrived_at_ms, deadline_ms = pending.arrived_at_ms, pending.request.deadline_ms
         if pending.possibly_executed():
             latest_ms = deadline_ms - MIN_REMAINING_MS
@@ -100,7 +113,10 @@
         return now_ms + QUEUE_CHECK_MS <= latest_ms
 
     def should_wait_for_instance(self, now_ms: float, pending: PendingRequest, worker: WorkerRecord) -> bool:
-        """Had the call better wait for an instance than start one? Only gossip can tell."""
+        """Return whether to wait for a busy or loading instance rather than start one at the worker.
+
+        Retries never wait, and no request waits unless the gossip of enough peers is recent.
+        """
         state, function, request = self.state, pending.function, pending.request
         if state.gossip is None or pending.attempts:
             return False
@@ -123,7 +139,10 @@
         )
 
     def may_start_instance(self, now_ms: float, pending: PendingRequest, worker: WorkerRecord) -> bool:
-        """May the call go there, if that starts an instance? Freezes and restarts may forbid it."""
+        """Return whether the request may go to the worker even if that starts an instance there.
+
+        A change freeze or the recovery after a restart may forbid new instances.
+        """
         constraints = self.state.constraints
         if constraints is None or not constraints.limits_loading:
             return True
@@ -139,7 +158,7 @@
     def preempted_by(
         self, now_ms: float, pending: PendingRequest, worker: WorkerRecord | None
     ) -> PendingRequest | None:
-        """The request of lower priority that gives way to one that would be late, if that may go."""
+        """Return a request of lower priority to preempt so that this one is in time, or None."""
         state, requests = self.state, self.state.requests
         if state.constraints is None or not state.constraints.overload_level(now_ms):
             return None
@@ -154,7 +173,10 @@
         return other
 
     def final_answer(self, now_ms: float, pending: PendingRequest) -> RejectRequest | FailRequest:
-        """The answer where there is no further attempt: rejected where that is harmless, else failed."""
+        """Return the final answer of a request that gets no further attempt.
+
+        A request is rejected if it was not executed or may be repeated safely; otherwise it fails.
+        """
         request_class = pending.request_class
         is_harmless = request_class.idempotency is Idempotency.IDEMPOTENT or (
             request_class.idempotency is Idempotency.WITH_KEY
--- a/cedarthread/routing/attempt_tracker.py
+++ b/cedarthread/routing/attempt_tracker.py
@@ -1,7 +1,7 @@
-"""Records of attempts: what starts and ends of them changes in the tables and estimators of a router.
+"""Attempt tracking: updates the tables and estimators of a router when an attempt starts and ends.
 
-Bookkeeping only: which attempt starts is decided before, what follows on its end afterwards. All times are ms
-of the clock that is handed in.
+Bookkeeping only: the policies decide which attempt starts and how to react to its end. All times are ms of
+the steady clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -16,19 +16,24 @@
     from cedarthread.routing.feedback import OutcomeFeedback
     from cedarthread.routing.router_state import RouterState
 
-AFFINITY_GAIN = 0.03  # share by which an attempt moves affinity: up on its worker, down on the others
-# The worker has answered, and with it its zone.
+AFFINITY_GAIN = 0.03  # fraction of affinity that an attempt moves from the other workers to its own
+# Outcomes that prove that the worker, and so its zone, is reachable.
 RESPONSES = (Outcome.OK, Outcome.OVERLOADED, Outcome.ERROR, Outcome.NOT_LOADED)
 
 
 class AttemptTracker:
-    """Keeps account of the attempts of one router."""
+    """The bookkeeping of one router's attempts; it owns no state but writes ``state``.
+
+    Args:
+        state: The router's state.
+        feedback: Learns from each outcome.
+    """
 
     def __init__(self, state: RouterState, feedback: OutcomeFeedback) -> None:
         self.state, self.feedback = state, feedback
 
     def on_started(self, now_ms: float, pending: PendingRequest, worker: WorkerRecord) -> Attempt:
-        """The request goes to the worker now."""
+        """Record that an attempt of the request starts at the worker now, and return the attempt."""
         state, function, request = self.state, pending.function, pending.request
         worker_id, service_times = worker.endpoint.worker_id, state.service_times
         is_cold = not function.has_seen_instance(now_ms, worker_id, state.settings.keep_alive_ms)
@@ -58,7 +63,7 @@
         return attempt
 
     def on_ended(self, now_ms: float, event: AttemptEnded) -> PendingRequest | None:
-        """Take in an outcome; returns its request, where that has no final answer yet."""
+        """Record an outcome and return its request; None: the request is closed or the attempt is unknown."""
         state, outcome = self.state, event.outcome
         pending, attempt = state.requests.end_attempt(event)
         if attempt is None:
@@ -66,7 +71,7 @@
         if not attempt.is_cold:
             state.overload.on_attempt_ended(now_ms, event.worker_id, outcome is Outcome.OK)
         attempt.may_have_executed = outcome not in NOT_EXECUTED
-        if event.is_local:  # nobody has had it
+        if event.is_local:  # no worker received the attempt
             state.retry_budget.earn(attempt.retry_cost)
         attempt_id = (event.request_id, event.attempt_index)
         is_response = outcome in RESPONSES
@@ -81,7 +86,7 @@
         return pending
 
     def on_stream_started(self, now_ms: float, event: StreamStarted) -> None:
-        """The worker has begun to answer."""
+        """Record that the worker has started to respond, so the worker and its zone are reachable."""
         state = self.state
         if (worker := state.workers.by_id.get(event.worker_id)) is not None:
             worker.last_response_at_ms = now_ms
--- a/cedarthread/routing/collaborators.py
+++ b/cedarthread/routing/collaborators.py
@@ -1,4 +1,4 @@
-"""What the router needs of the components beside it, as protocols that ``gossip/`` and ``node/`` implement.
+"""Protocols of the components that the router uses; ``gossip/`` and ``node/`` implement them.
 
 All times are ms of the router's steady clock.
 """
@@ -30,7 +30,7 @@
 class RoutingConstraints(Protocol):
     """Constraints of contracts, change freezes and restart recovery (``node/constraints.py``).
 
-    The router asks and decides; the constraints never act on their own.
+    The router calls the constraints and decides; they never act on their own.
     """
 
     limits_loading: bool  # whether a change freeze or the recovery limits new instances
@@ -61,8 +61,8 @@
     ) -> bool:
         """Return whether the request may start a first instance at the worker.
 
-        The router asks last, because True may consume one exception of the change freeze and one load of
-        the recovery's pacing.
+        The router calls this after all other checks, because True may consume one exception of the change
+        freeze and one load of the recovery's pacing.
         """
 
     def home_workers(
--- a/cedarthread/routing/estimators.py
+++ b/cedarthread/routing/estimators.py
@@ -1,7 +1,7 @@
-"""What one router estimates of calls: how long they take, how many come, and of which class and tenant.
+"""Estimators of one router: service times, call rates by class and tenant, and load that workers report.
 
-Each estimator is fed by the router's own calls alone and decides nothing. All times are ms of the clock that
-is handed in; rates are per ms.
+The estimators learn from the router's own calls alone and decide nothing. All times are ms of the steady
+clock that the caller passes in; rates are per ms.
 """
 
 from __future__ import annotations
@@ -24,41 +24,43 @@
     from cedarthread.model.settings import RequestClass, RouterSettings
     from cedarthread.routing.worker_table import WorkerTable
 
-RATE_WINDOW_MS = 5000.0  # ms, time constant of rates: some windows of rule 4, well under a warm-up
-INITIAL_SERVICE_DIVISOR = 4.0  # before any answer, service is taken to need the objective divided by this
-MAX_LOAD_MEMORY_MS = 12000.0  # ms in which what answers show of a worker fades, at most
-RESPONSES_PER_MEMORY = 4.0  # between least and most, the time that so many own calls to one worker take
-REPORT_PRIOR_COUNT = 0.01  # weight of "workers report nothing": nearly none once one has reported
-REPORTED_LOAD_WEIGHT = 0.05  # part of a request in flight that each one that a worker reports weighs
-MIN_QUOTA_FRACTION = 0.01  # a tenant's quota counts as this at least
+RATE_WINDOW_MS = (
+    5000.0  # time constant of rates: several windows of rule 4, and much shorter than a slow start
+)
+INITIAL_SERVICE_DIVISOR = 4.0  # the objective over this is the service time assumed before the first response
+MAX_LOAD_MEMORY_MS = 12000.0  # longest time constant of a worker's load observations
+RESPONSES_PER_MEMORY = 4.0  # own calls to one worker that the time constant should span, within its bounds
+REPORT_PRIOR_COUNT = 0.01  # weight of the prior 0: negligible after the first report
+REPORTED_LOAD_WEIGHT = 0.05  # weight of one reported request in flight, relative to an own one
+MIN_QUOTA_FRACTION = 0.01  # lower bound of a tenant's quota
 
 
 class ServiceTimeEstimator:
-    """How long warm calls take, by function, class and hinted work, and how much longer cold ones do."""
+    """The service times of warm calls by function, class and hinted work, and the extra time of cold ones."""
 
     def __init__(self, settings: RouterSettings) -> None:
         self.classes: tuple[RequestClass, ...] = ()
         self.by_class: list[Ewma] = []
-        self.per_work: list[Ewma] = []  # ms for each unit of the work that a request hints
-        self.cold_start_ms = Ewma()  # beyond the time of a warm call
+        self.per_work: list[Ewma] = []  # ms per unit of the work hint of a request
+        self.cold_start_ms = Ewma()  # in addition to the service time of a warm call
         self.update_settings(settings)
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """Classes are only added to: what was learned of the old ones stays."""
+        """Add estimators for new classes; classes are only appended, so earlier estimates remain."""
         added = range(len(self.classes), len(settings.classes))
         self.by_class += [Ewma() for _ in added]
         self.per_work += [Ewma() for _ in added]
         self.classes = settings.classes
 
     def class_ms(self, class_index: int) -> float:
-        """Rule 4 counts the mean work of a class; its usual service time stands for it."""
+        """Return the mean service time of a class, which rule 4 (slow start) counts as the work of a call."""
         return (
             self.by_class[class_index].mean
             or self.classes[class_index].latency_objective_ms / INITIAL_SERVICE_DIVISOR
         )
 
     def expected_ms(self, pending: PendingRequest) -> float:
-        """Service time of a warm call, by the hint, else function, else class, else the objective."""
+        """Return the service time of a warm call by the work hint, else by function, class or objective."""
         request = pending.request
         if request.work is not None and self.per_work[request.class_index].count:
             return request.work * self.per_work[request.class_index].mean
@@ -67,12 +69,12 @@
         return self.class_ms(request.class_index)
 
     def expected_cold_start_ms(self, pending: PendingRequest) -> float:
-        """What a call takes beyond that where it begins an instance: as seen, as hinted, or the objective."""
+        """Return the extra time of a cold call: the observed or hinted load time, else the objective."""
         hinted_ms = pending.request.load_time_ms
         return self.cold_start_ms.mean or hinted_ms or pending.request_class.latency_objective_ms
 
     def on_warm_response(self, pending: PendingRequest, latency_ms: float) -> None:
-        """A warm instance has answered."""
+        """Record the latency of a response from a warm instance."""
         request = pending.request
         pending.function.service_ms.add(latency_ms)
         self.by_class[request.class_index].add(latency_ms)
@@ -80,34 +82,40 @@
             self.per_work[request.class_index].add(latency_ms / request.work)
 
     def on_cold_response(self, pending: PendingRequest, latency_ms: float) -> None:
-        """An instance has answered that had to be started for the call."""
+        """Record the latency of a response from an instance that was started for the call."""
         self.cold_start_ms.add(max(0.0, latency_ms - self.expected_ms(pending)))
 
 
 class TrafficEstimator:
-    """Rates of own calls, and what hangs on how rare those to one worker are."""
+    """The rates of the router's own calls, and the time constants that follow from how rare they are."""
 
     def __init__(self, settings: RouterSettings) -> None:
         self.recent_calls = DecayingCounter(RATE_WINDOW_MS)
         self.popularity = Popularity()
         self.first_call_at_ms = math.inf
-        self.request_value = Ewma()  # priority weight of requests for each ms of their work
+        self.request_value = Ewma()  # priority weight of a request per ms of its work
         self.calls_per_ms = 0.0
-        self.load_memory_ms = MIN_LOAD_MEMORY_MS  # ms in which what a worker showed fades
-        self.call_rarity = 1.0  # how many times longer that is than with calls enough, 1 and up
-        self.reported_in_flight = DecayingMean(RATE_WINDOW_MS)  # of others, at any worker
+        self.load_memory_ms = MIN_LOAD_MEMORY_MS  # time constant of load observations of a worker
+        self.call_rarity = (
+            1.0  # load_memory_ms over its minimum, 1 to 3; high when a worker gets few own calls
+        )
+        self.reported_in_flight = DecayingMean(RATE_WINDOW_MS)  # of other routers, over all workers
         self.usual_reported_in_flight = 0.0
         self.by_tenant = [DecayingCounter(RATE_WINDOW_MS) for _ in settings.tenants]
         self.admitted_by_class: list[DecayingCounter] = []  # first attempts that were not shed
         self.update_settings(settings)
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """Classes are only added to."""
+        """Add a counter for each new class; classes are only ever appended."""
         added = range(len(self.admitted_by_class), len(settings.classes))
         self.admitted_by_class += [DecayingCounter(RATE_WINDOW_MS) for _ in added]
 
     def on_call(self, now_ms: float, function: FunctionRecord, worker_count: int) -> None:
-        """A call came: own calls a ms, right after the start too, and how rare those to one worker are."""
+        """Count a call and update the call rate and the call rarity.
+
+        The rate is divided by the fraction of the window since the first call, so that it is right soon after
+        the start.
+        """
         self.popularity.on_call(now_ms, function.recent_calls, self.calls_per_ms)
         self.recent_calls.add(now_ms, 1.0)
         self.first_call_at_ms = min(self.first_call_at_ms, now_ms)
@@ -119,7 +127,7 @@
         self.usual_reported_in_flight = self.reported_in_flight.read(now_ms, REPORT_PRIOR_COUNT)
 
     def on_tenant_call(self, now_ms: float, request: RequestArrived, settings: RouterSettings) -> float:
-        """The part of all calls that are its tenant's, over the tenant's quota; 1.0 where there is none."""
+        """Count a tenant's call; return its fraction of all calls over its quota, or 1.0 without a tenant."""
         tenant_index = request.tenant_index
         if tenant_index is None or tenant_index >= len(self.by_tenant):
             return 1.0
@@ -130,28 +138,28 @@
         return fraction / max(settings.tenants[tenant_index].quota_fraction, MIN_QUOTA_FRACTION)
 
     def on_load_report(self, now_ms: float, in_flight_of_others: float) -> None:
-        """A worker reported what it has in flight."""
+        """Record the requests of other routers that a worker reported in flight."""
         self.reported_in_flight.add(now_ms, in_flight_of_others, RATE_WINDOW_MS)
 
     def on_admitted(self, now_ms: float, class_index: int) -> None:
-        """A call of the class was not shed, and is no client's retry."""
+        """Count a call of the class that was not shed and is not a client's retry."""
         self.admitted_by_class[class_index].add(now_ms, 1.0)
 
     def worker_share(
         self, now_ms: float, capacity: float, service_times: ServiceTimeEstimator, workers: WorkerTable
     ) -> float:
-        """The work, ms for each ms, that this router sends a worker with this part of its capacity."""
-        # Counted anew by what calls need now: what the first guess made of them may be several times that.
+        """Return the work (ms per ms) that this router sends to a worker with this capacity (0 to 1)."""
+        # Multiplied by the current service times, because the initial guess may be several times too high.
         demand = sum(
             admitted.read(now_ms) * service_times.class_ms(class_index)
             for class_index, admitted in enumerate(self.admitted_by_class)
         )
-        # Where others have left, the demand for each that is ready is more than one can carry.
+        # The recent peak, because after workers leave, the demand per remaining one exceeds its capacity.
         ready = max(1.0, workers.ready_count, workers.ready_peak.read(now_ms))
         return capacity * demand / RATE_WINDOW_MS / ready
 
     def reported_excess(self, now_ms: float, worker: WorkerRecord) -> float:
-        """What requests of others there weigh beyond the usual; 0 where nothing is reported."""
+        """Return the weighted excess of reported requests at the worker over the mean; 0 without reports."""
         usual = self.usual_reported_in_flight
         excess = worker.reported_in_flight.read(now_ms, EXCESS_LOAD_PRIOR_COUNT, usual) - usual
         return REPORTED_LOAD_WEIGHT * self.call_rarity * excess
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -1,6 +1,6 @@
-"""What the outcome of an attempt tells of its worker and its function: it feeds records and estimators.
+"""Outcome feedback: updates worker and function records and estimators from the outcomes of attempts.
 
-All times are ms of the clock that is handed in.
+All times are ms of the steady clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -25,26 +25,28 @@
     from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
     from cedarthread.routing.router_state import RouterState
 
-REPORT_MEMORY_FRACTION = 0.25  # of the load memory, in which a load report fades: it changes with every call
-CONCURRENCY_WEIGHT = 0.25  # part of a request out that each request of others weighs: a worker has some cores
-REJECTION_MEMORY_MS = 3000.0  # ms in which it fades that a worker rejected a class or tenant
-REJECTION_GAIN = 0.5  # part of the way that one answer moves the rejections of a class or tenant...
-REJECTION_PENALTY = 2.0  # ...towards this, where it was a rejection, in units of placement cost; else to 0
+REPORT_MEMORY_FRACTION = (
+    0.25  # of load_memory_ms: a load report expires sooner, because it changes with every call
+)
+CONCURRENCY_WEIGHT = 0.25  # weight of another router's request in flight: a worker has several cores
+REJECTION_MEMORY_MS = 3000.0  # time constant of a worker's rejections of a class and tenant
+REJECTION_GAIN = 0.5  # gain by which one response moves the rejections of a class and tenant...
+REJECTION_PENALTY = 2.0  # ...towards this placement cost if it was a rejection, else towards 0
 
-MIN_PRELOAD_BACKOFF_MS = 1.0  # ms after a preload that failed, where nothing is known of how long loads take
-PRELOAD_BACKOFF_JITTER = 0.5, 1.0  # parts of the backoff between which the delay is drawn
+MIN_PRELOAD_BACKOFF_MS = 1.0  # backoff after a failed preload if no load time is known
+PRELOAD_BACKOFF_JITTER = 0.5, 1.0  # fractions of the backoff between which the delay is drawn
 
 
 class OutcomeFeedback:
-    """Learns from attempts that have ended, and ejects workers that fail."""
+    """The learning of one router from attempts and preloads that ended; ejects workers that fail."""
 
     def __init__(self, state: RouterState) -> None:
         self.state = state
-        self.in_flight_column = -1  # of a load report: requests in flight; -1: not reported
+        self.in_flight_column = -1  # index of the requests in flight in a load report; -1: not reported
         self.update_settings(state.settings)
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """What follows from the settings alone."""
+        """Find the column of the requests in flight in load reports."""
         columns = settings.load_report_columns
         self.in_flight_column = columns.index("inflight") if "inflight" in columns else -1
 
@@ -56,14 +58,17 @@
         max_ejected_fraction: float = MAX_EJECTED_FRACTION,
         gain: float = FAILURE_GAIN,
     ) -> None:
-        """One observation of a worker, 0 healthy to 1 failed, that may eject it or end its ejection."""
+        """Add an observation of a worker, 0 healthy to 1 failed; it may eject the worker or readmit it."""
         workers = self.state.workers.by_id.values()
         if outlier_detection.observe(worker, workers, failure, max_ejected_fraction, gain):
             outlier_detection.eject(worker, now_ms, self.state.traffic.call_rarity, self.state.rng)
             self.state.log(now_ms, "worker_ejected", worker_id=worker.endpoint.worker_id)
 
     def observe_silence(self, now_ms: float, attempt: Attempt) -> bool:
-        """Whether nothing came from the worker since the attempt began; overdue, that is a symptom."""
+        """Return whether the worker has not responded at all since the attempt started.
+
+        If the attempt is also overdue, the silence counts once as a failure of the worker.
+        """
         worker = self.state.workers.by_id.get(attempt.endpoint.worker_id)
         if worker is None:
             return True
@@ -75,7 +80,10 @@
         return is_silent
 
     def learn_worker(self, now_ms: float, event: AttemptEnded, attempt: Attempt) -> None:
-        """What one outcome tells of its worker."""
+        """Update the worker's record from one outcome.
+
+        Right after a stall of the process the event is stale, so load and outlier scores are not updated.
+        """
         worker = self.state.workers.by_id.get(event.worker_id)
         if worker is None:
             return
@@ -133,7 +141,7 @@
     def _learn_load_report(
         self, now_ms: float, worker: WorkerRecord, load_report: tuple[float | None, ...]
     ) -> None:
-        """Requests of others there: most of its load where routers are many and each sends it little."""
+        """Record the requests of other routers at the worker, most of its load in a fleet of many routers."""
         reported = self._reported_in_flight(load_report)
         if reported is not None:
             others = max(0.0, reported - worker.in_flight)
@@ -147,7 +155,7 @@
         return None
 
     def reported_load(self, event: AttemptEnded) -> tuple[float, float] | None:
-        """The calls that a worker reports in flight, and how many of them are this router's."""
+        """Return the calls that a worker reports in flight, and how many of them this router sent."""
         worker = self.state.workers.by_id.get(event.worker_id)
         reported = self._reported_in_flight(event.load_report)
         return None if worker is None or reported is None else (reported, float(worker.in_flight))
@@ -155,7 +163,7 @@
     def learn_function(
         self, now_ms: float, event: AttemptEnded, attempt: Attempt, pending: PendingRequest
     ) -> None:
-        """What one outcome tells of the function: where its instances run, and how long it takes."""
+        """Update the function's instances and service times from one outcome."""
         function, worker_id = pending.function, event.worker_id
         if event.outcome is not Outcome.OK:
             if event.outcome is Outcome.NOT_LOADED or event.start_kind is StartKind.LOAD_FAILED:
@@ -172,14 +180,14 @@
         function.last_sent_at_ms.setdefault(worker_id, attempt.started_at_ms)
 
     def _confirm_suspect_errors(self, now_ms: float, pending: PendingRequest) -> None:
-        """Another worker has served the request: the errors before were their workers', not the client's."""
+        """Count suspect errors against their workers, because another worker has served the same request."""
         for attempt in pending.attempts:
             worker = self.state.workers.by_id.get(attempt.endpoint.worker_id)
             if attempt.has_suspect_error and worker is not None:
                 self.observe_health(now_ms, worker, 1.0, gain=MAX_FAILURE_GAIN)
 
     def learn_preload(self, now_ms: float, event: PreloadEnded) -> bool:
-        """How a preload ended; false for one that nothing is known of."""
+        """Record how a preload ended; return False if no such preload is in flight."""
         state, worker_id = self.state, event.worker_id
         function = state.functions.by_id.get(event.function_id)
         if function is None or worker_id not in function.preloading_workers:
--- a/cedarthread/routing/function_table.py
+++ b/cedarthread/routing/function_table.py
@@ -1,4 +1,4 @@
-"""The functions that one router was called for lately, and the preloads it has under way for them."""
+"""The functions that one router was called for recently, and the preloads in flight for them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class FunctionTable:
-    """Records by function id, the least recently called first."""
+    """The function records of one router by function id, the least recently called first."""
 
     def __init__(self) -> None:
         self.by_id: dict[int, FunctionRecord] = {}
@@ -16,7 +16,7 @@
     def on_call(
         self, now_ms: float, function_id: int, concurrency: float, expiry_ms: float
     ) -> FunctionRecord:
-        """The record of a function that is called; a new one replaces those not called for ``expiry_ms``."""
+        """Return the record of a called function; a new one evicts records not called for ``expiry_ms``."""
         function = self.by_id.pop(function_id, None)
         if function is None:
             function = FunctionRecord(hash64(function_id))
@@ -34,17 +34,17 @@
             self.preloads_in_flight -= len(self.by_id.pop(oldest_id).preloading_workers)
 
     def forget_worker(self, worker_id: int) -> None:
-        """The worker restarted or left: no instance runs there and no preload comes back from it."""
+        """Drop all instances and preloads at a worker that restarted or left."""
         for function in self.by_id.values():
             function.forget_worker(worker_id)
             self.end_preload(function, worker_id)
 
     def start_preload(self, function: FunctionRecord, worker_id: int) -> None:
-        """A preload of the function was sent to the worker."""
+        """Record that a preload of the function was sent to the worker."""
         function.preloading_workers.add(worker_id)
         self.preloads_in_flight += 1
 
     def end_preload(self, function: FunctionRecord, worker_id: int) -> None:
-        """It has ended, if there was one."""
+        """Record that the preload of the function at the worker ended, if one was in flight."""
         self.preloads_in_flight -= worker_id in function.preloading_workers
         function.preloading_workers.discard(worker_id)
--- a/cedarthread/routing/instance_queue.py
+++ b/cedarthread/routing/instance_queue.py
@@ -1,8 +1,9 @@
-"""Whether a call had better wait for an instance that runs or loads than have one more loaded.
+"""The queue of one function: calls that wait for a busy or loading instance rather than start another load.
 
-A worker whose instances are all busy begins another load for each call that comes, and all loads draw on the
-one store. Where a router knows what all have in flight, it can tell that an instance will be free, or loaded,
-before a load begun now would end. Then the call waits in the router, for no longer than a part of a load.
+A worker with only busy instances starts another load for each call that arrives, and all loads use the same
+store. With gossip a router knows the requests that all routers have in flight, and so whether
+an instance becomes free, or finishes loading, before a new load would end. In that case the call waits in the
+router, at most for a fixed multiple of the load time.
 """
 
 from __future__ import annotations
@@ -13,34 +14,36 @@
 if TYPE_CHECKING:
     from cedarthread.model.instance_load import InstanceLoad
 
-MAX_AHEAD_FRACTION = 0.3  # part of a load's time that the calls ahead of one that waits may take
-MAX_BUSY_WAIT_FRACTION = 0.3  # part of a load's time that a call waits at most for a busy instance
-MAX_LOADING_WAIT_FRACTION = 2.0  # the same for an instance that loads: a load begun now would end later
-MAX_INSTANCES = 8  # instances of a function that one worker is taken to hold at most
+MAX_AHEAD_FRACTION = 0.3  # of the load time: longest total service time of the calls ahead
+MAX_BUSY_WAIT_FRACTION = 0.3  # of the load time: longest wait for a busy instance
+MAX_LOADING_WAIT_FRACTION = 2.0  # of the load time: longest wait for a loading instance
+MAX_INSTANCES = 8  # upper bound of the known instances of a function at one worker
 
 
 class WaitTimes(NamedTuple):
-    """What the decision to wait goes by, ms."""
+    """The durations, in ms, on which the decision to wait is based."""
 
-    waited_ms: float  # since the request came
-    service_ms: float  # that a warm call takes
-    load_ms: float  # that a load takes
+    waited_ms: float  # since the request arrived
+    service_ms: float  # of a warm call
+    load_ms: float  # of one load of an instance
 
 
 @dataclass(slots=True)
 class InstanceQueue:
-    """The calls of one function that wait in this router, and its instances that answers showed."""
+    """The calls of one function that wait in this router, and its known instances by worker."""
 
-    instances: dict[int, int] = field(default_factory=dict)  # by worker id
-    waiting_requests: dict[int, None] = field(default_factory=dict)  # ids, the first come first
+    instances: dict[int, int] = field(default_factory=dict)  # number by worker id, from own responses
+    waiting_requests: dict[int, None] = field(
+        default_factory=dict
+    )  # ids in the order in which they started to wait
 
     def on_response(self, worker_id: int, was_cold: bool) -> None:
-        """A call was served there, by an instance that it began to load or by one that ran."""
+        """Count the instance that served a call: a new one if the call was cold, else an existing one."""
         known = self.instances.get(worker_id, 0)
         self.instances[worker_id] = min(known + 1, MAX_INSTANCES) if was_cold else max(known, 1)
 
     def remove(self, request_id: int) -> None:
-        """A request waits no more."""
+        """Remove a request from the queue, if it waits."""
         self.waiting_requests.pop(request_id, None)
 
     def should_wait(
@@ -53,17 +56,22 @@
         concurrency: float,
         times: WaitTimes,
     ) -> bool:
-        """Whether a request that would go to a worker waits.
-
-        ``is_warm``: an instance is taken to run there. ``instances_by_worker``: what all routers have in
-        flight at workers that are not ejected. ``concurrency``: requests that an instance takes at a time.
+        """Return whether a request selected for a worker must wait, and update its place in the queue.
+
+        Args:
+            request_id: The request.
+            worker_id: The selected worker.
+            is_warm: Whether the router assumes that an instance runs at the worker.
+            instances_by_worker: Load by all routers at the workers that are not ejected.
+            concurrency: Requests that one instance serves at a time.
+            times: How long the request has waited, and how long calls and loads last.
         """
         at_worker = instances_by_worker.get(worker_id)
         instances = self.instances.get(worker_id, 0) if is_warm else 0
         if is_warm and at_worker is not None and at_worker.warm_age_ms is not None:
             instances = max(instances, 1)
         in_flight = at_worker.in_flight if at_worker is not None else 0
-        if not instances:  # it would be loaded there: does it load anywhere?
+        if not instances:  # a load would start here, so check whether one is in progress anywhere
             in_flight = max((other.in_flight for other in instances_by_worker.values()), default=0)
         is_instance_free = not in_flight or in_flight < instances * concurrency
         ahead_ms = (self._position(request_id) + 1) * times.service_ms / (max(1, instances) * concurrency)
@@ -79,7 +87,7 @@
         return True
 
     def _position(self, request_id: int) -> int:
-        """How many wait before the request, or would if it began to wait now."""
+        """Return the number of requests ahead of this one in the queue, or of all if it does not wait."""
         if request_id in self.waiting_requests:
             return list(self.waiting_requests).index(request_id)
         return len(self.waiting_requests)
--- a/cedarthread/routing/log_throttle.py
+++ b/cedarthread/routing/log_throttle.py
@@ -1,4 +1,4 @@
-"""Log lines of a router, each event at most once in an interval: a fault that hits every call logs once."""
+"""Log throttling: a router logs each event at most once per interval, so that no fault floods the log."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from cedarthread.logs import format_event
 from cedarthread.model.actions import LogMessage
 
-LOG_INTERVAL_MS = 5000.0  # ms between two log lines of one event
+LOG_INTERVAL_MS = 5000.0  # shortest time between two log lines of one event
 
 
 class LogThrottle:
-    """When each event was logged last."""
+    """The time of the last log line of each event."""
 
     def __init__(self) -> None:
         self.logged_at_ms: dict[str, float] = {}
 
     def line(self, now_ms: float, event: str, **fields: object) -> LogMessage | None:
-        """The line to log, or nothing where the event was logged a short time ago."""
+        """Return the line to log, or None if the event was logged less than the interval ago."""
         if now_ms - self.logged_at_ms.get(event, -math.inf) < LOG_INTERVAL_MS:
             return None
         self.logged_at_ms[event] = now_ms
--- a/cedarthread/routing/outlier_detection.py
+++ b/cedarthread/routing/outlier_detection.py
@@ -1,7 +1,8 @@
-"""Outlier detection: a score for each worker, 0 healthy to 1 failed, fed by failures and silence alike.
+"""Outlier detection: a score for each worker, 0 healthy to 1 failed, updated by failures and by silence.
 
-A circuit breaker (Nygard, Release It!, 2007) opens by the score: the worker is ejected, in Envoy's term.
-After a while it lets one half-open trial pass. All times are ms of the clock that is handed in.
+A circuit breaker (Nygard, Release It!, 2007) opens when the score is high: the worker is ejected, in Envoy's
+term. After the ejection time one half-open trial may be sent. The functions here write the outlier fields of
+``WorkerRecord``. All times are ms of the steady clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -17,35 +18,38 @@
 
     from cedarthread.model.events import AttemptEnded
 
-FAILURE_GAIN = 0.3  # two failures in a row eject, one does not, where a worker gets many own calls;
-MAX_FAILURE_GAIN = 0.6  # where it gets few, one does: the next is seconds away
-EJECTION_THRESHOLD = 0.5  # score that ejects a worker
-RECOVERY_THRESHOLD = EJECTION_THRESHOLD / 2  # score that ends its ejection
-MAX_EJECTED_FRACTION = 0.4  # of the workers; past it the cause is common to all
-MAX_SILENT_EJECTED_FRACTION = 0.8  # the same for silence: who answers nobody serves nobody
-MAX_EJECTION_MS = 12000.0  # ms until the half-open trial at most: they double at each relapse
-EJECTION_JITTER = 0.75, 1.25  # parts of an ejection's time between which it is drawn
-OVERDUE_MULTIPLE = 4.0  # times its expected time after which an attempt is overdue
+FAILURE_GAIN = 0.3  # for a worker with many own calls: two failures in a row eject it, one does not
+MAX_FAILURE_GAIN = 0.6  # for a worker with few own calls: one failure ejects it, the next is seconds away
+EJECTION_THRESHOLD = 0.5  # a worker with a higher score is ejected
+RECOVERY_THRESHOLD = EJECTION_THRESHOLD / 2  # the ejection ends below this score
+MAX_EJECTED_FRACTION = 0.4  # of the workers: if more fail, the cause is common to all
+MAX_SILENT_EJECTED_FRACTION = 0.8  # the same if workers do not respond at all: calls there cannot succeed
+MAX_EJECTION_MS = 12000.0  # longest time until the half-open trial; the time doubles at each relapse
+EJECTION_JITTER = 0.75, 1.25  # factors of the ejection time between which it is drawn
+OVERDUE_MULTIPLE = 4.0  # an attempt is overdue after this multiple of its expected time
 
 _FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.TIMEOUT)
 
 
 class FailureWeight(NamedTuple):
-    """How much one failure speaks against its worker."""
+    """The effect of one failure on the outlier score of its worker."""
 
-    max_ejected_fraction: float  # it ejects no more workers than this part of them
-    gain: float  # part of the way that it moves the score towards 1
+    max_ejected_fraction: float  # largest fraction of ejected workers up to which the failure may eject one
+    gain: float  # fraction of the distance to 1 by which the score rises
 
 
 def is_available(worker: WorkerRecord, now_ms: float, is_idempotent: bool) -> bool:
-    """Not ejected, or half-open with no trial in flight and an idempotent request."""
+    """Return whether the worker is not ejected, or half-open and free for a trial by this request.
+
+    Only an idempotent request may be a trial, and only one trial is in flight at a time.
+    """
     return not worker.is_ejected or (
         now_ms >= worker.ejected_until_ms and not worker.has_trial_in_flight and is_idempotent
     )
 
 
 def reset(worker: WorkerRecord) -> None:
-    """A worker that starts anew has done no harm yet."""
+    """Reset the score and the ejection of a worker that restarted."""
     worker.outlier_score, worker.is_ejected, worker.ejection_ms = 0.0, False, BASE_EJECTION_MS
 
 
@@ -56,9 +60,14 @@
     max_ejected_fraction: float,
     gain: float,
 ) -> bool:
-    """Take in one observation, 0 healthy to 1 failed; true where it ejects the worker.
-
-    ``workers``: all of them, read only where the worker may be ejected.
+    """Add one observation to the worker's score and return whether it ejects the worker.
+
+    Args:
+        worker: The observed worker.
+        workers: All workers; read only if the worker may be ejected.
+        failure: 0 healthy to 1 failed.
+        max_ejected_fraction: Fraction of all workers that may be ejected.
+        gain: Weight of the observation, 0 to 1.
     """
     worker.outlier_score += gain * (failure - worker.outlier_score)
     if not worker.is_ejected and worker.outlier_score > EJECTION_THRESHOLD:
@@ -74,9 +83,10 @@
 
 
 def eject(worker: WorkerRecord, now_ms: float, call_rarity: float, rng: random.Random) -> None:
-    """Set until when the worker is left alone. ``call_rarity``: how rare own calls to one worker are, 1 up.
+    """Set the time of the first half-open trial of an ejected worker.
 
-    The fleet's trials of one failed worker would grow with its routers: each tries as it would call.
+    The ejection time grows with ``call_rarity`` (1 and up, higher if own calls to one worker are rare), so
+    that the trials that a failed worker receives do not grow with the number of routers in the fleet.
     """
     ejection_ms = min(worker.ejection_ms * call_rarity, MAX_EJECTION_MS)
     worker.ejected_until_ms = now_ms + ejection_ms * rng.uniform(*EJECTION_JITTER)
@@ -86,32 +96,35 @@
 def failure_weight(
     worker: WorkerRecord, now_ms: float, event: AttemptEnded, attempt: Attempt, call_rarity: float
 ) -> FailureWeight | None:
-    """How much an attempt that ended in a failure speaks against its worker; None: not at all.
+    """Return the effect of a failed attempt on its worker's outlier score; None: no effect.
 
-    Marks what else the end shows: a broken connection, a worker that is down, a suspect error.
+    The function also records a broken connection, an unreachable worker and a suspect error.
     """
     outcome = event.outcome
     if outcome not in _FAILURES or event.is_local or _is_excused(event, attempt):
         return None
     if outcome is Outcome.ERROR and not (attempt.is_function_known or attempt.is_trial):
         attempt.has_suspect_error = True
-        return None  # that may be the client's doing, unless another worker serves it
+        return None  # the client may have caused it, unless another worker serves the request
     if outcome is Outcome.CONNECT_FAILED and event.is_unreachable:
-        worker.unreachable_at_ms = (
-            now_ms  # a broken connection shows no more than itself: some break on any day
-        )
+        # Set only here, because a broken connection is no sign of a restart: some break every day.
+        worker.unreachable_at_ms = now_ms
     elif outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
         if worker.connection_broken_at_ms == now_ms:
-            return None  # all that was in flight on one connection ends at once
+            return None  # all attempts on one connection fail at once and count as one failure
         worker.connection_broken_at_ms = now_ms
-    gain = FAILURE_GAIN  # time-outs and resets have other causes too
+    gain = FAILURE_GAIN  # timeouts and resets may have other causes, so call rarity does not raise the gain
     if outcome is Outcome.ERROR or event.is_unreachable:
         gain = min(gain * call_rarity, MAX_FAILURE_GAIN)
     return FailureWeight(MAX_SILENT_EJECTED_FRACTION if event.is_unreachable else MAX_EJECTED_FRACTION, gain)
 
 
 def _is_excused(event: AttemptEnded, attempt: Attempt) -> bool:
-    """A load that failed, silence that counts already, or a client with little time."""
+    """Return whether the failure does not count against the worker.
+
+    Excused are a failed load of the instance, a timeout that ``observe_silence`` has counted, and a timeout
+    of a client that set a short deadline.
+    """
     if event.start_kind is StartKind.LOAD_FAILED:
         return True
     is_short = attempt.is_overdue or event.latency_ms < OVERDUE_MULTIPLE * attempt.expected_ms
--- a/cedarthread/routing/overload.py
+++ b/cedarthread/routing/overload.py
@@ -1,8 +1,9 @@
-"""How overloaded the workers are, from own calls alone, by Little's law (Little, 1961).
+"""The overload estimator: how overloaded the workers are, from the router's own calls (Little's law, 1961).
 
-What own calls take is what is in flight over what is answered a ms. That tells of an overload as it grows;
-the times of answers tell of it a second late, and for a second after it. Calls that wait for a cold start say
-nothing of an overload: they take no core, and where workers are new all of them wait.
+The time that calls take is the number in flight over the completions per ms. This shows an overload as it
+grows, whereas response times show it a second late and for a second after its end. Calls that wait for a cold
+start are left out: they use no core, and at new workers all calls wait. All times are ms of the steady clock
+that the caller passes in.
 """
 
 from __future__ import annotations
@@ -15,16 +16,16 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-OVERLOAD_START = 0.25  # calls' least time over the latency objective where an overload begins...
-OVERLOAD_SPAN = 0.2  # ...and how much more it takes until all calls had better be shed
-CHANCE_DEVIATIONS = 1.0  # standard deviations by which calls in flight may be more than usual by chance
-TYPICAL_WORKER_FRACTION = 0.75  # of the workers must show it: some are slow or silent on any day
-RATE_WINDOW_MS = 2000.0  # ms in which calls and answers fade from their counts
-MIN_RATE_PER_MS = 1e-6  # of answers: where none came, what is in flight takes very long
+OVERLOAD_START = 0.25  # an overload starts when calls take this fraction of the latency objective...
+OVERLOAD_SPAN = 0.2  # ...and all calls are shed when they take this much more of it
+CHANCE_DEVIATIONS = 1.0  # standard deviations of calls in flight that count as chance
+TYPICAL_WORKER_FRACTION = 0.75  # the least loaded of the workers: the others may be slow or silent on any day
+RATE_WINDOW_MS = 2000.0  # time constant of the counts of calls and completions
+MIN_RATE_PER_MS = 1e-6  # lower bound of completions, so that none of them means a very long time
 
 
 class OverloadEstimator:
-    """The calls of one router that are in flight and wait for no cold start, and their answers."""
+    """The arrivals, completions and calls in flight of one router, without calls in a cold start."""
 
     def __init__(self) -> None:
         self.arrivals = DecayingCounter(RATE_WINDOW_MS)
@@ -34,17 +35,17 @@
         self.total_in_flight = 0
 
     def on_call(self, now_ms: float) -> None:
-        """A call came."""
+        """Count a call that arrived."""
         self.first_call_at_ms = min(self.first_call_at_ms, now_ms)
         self.arrivals.add(now_ms, 1.0)
 
     def on_attempt_started(self, worker_id: int) -> None:
-        """An attempt was sent that waits for no cold start."""
+        """Count an attempt that was sent and does not wait for a cold start."""
         self.in_flight[worker_id] = self.in_flight.get(worker_id, 0) + 1
         self.total_in_flight += 1
 
     def on_attempt_ended(self, now_ms: float, worker_id: int, is_success: bool) -> None:
-        """Such an attempt has ended."""
+        """Remove an attempt that ``on_attempt_started`` counted, and count its completion if it succeeded."""
         self.total_in_flight -= 1
         self.in_flight[worker_id] -= 1
         if not self.in_flight[worker_id]:
@@ -53,8 +54,8 @@
             self.completions.add(now_ms, 1.0)
 
     def queueing_ms(self, now_ms: float, in_flight: float) -> float:
-        """The ms that so many calls in flight would take, less what chance may add to their number."""
-        # Before the start, all that came counts as answered.
+        """Return the ms that this many calls in flight take to complete, less a margin for chance."""
+        # For the part of the window before the first call, completions are assumed to equal arrivals.
         unseen_fraction = math.exp(min(0.0, self.first_call_at_ms - now_ms) / RATE_WINDOW_MS)
         seen_fraction = max(1.0 - unseen_fraction, 1.0 / RATE_WINDOW_MS)
         arrivals_per_ms = self.arrivals.read(now_ms) / RATE_WINDOW_MS / seen_fraction
@@ -65,13 +66,13 @@
         return beyond_chance / max(completions_per_ms, MIN_RATE_PER_MS)
 
     def utilization(self, now_ms: float, objective_ms: float) -> float:
-        """What calls must wait over what begins an overload of calls with this latency objective."""
+        """Return the time that calls take over the time at which an overload starts for this objective."""
         return self.queueing_ms(now_ms, self.total_in_flight) / (OVERLOAD_START * objective_ms)
 
     def shed_probability(self, now_ms: float, objective_ms: float, worker_ids: Iterable[int]) -> float:
-        """0 where calls with this latency objective meet no overload, 1 and up where all had better be shed.
+        """Return the fraction of calls with this latency objective to shed: 0 without overload, may exceed 1.
 
-        ``worker_ids``: workers that are not ejected; read only where there may be an overload.
+        ``worker_ids`` are the workers that are not ejected; they are read only if there may be an overload.
         """
         if self.queueing_ms(now_ms, self.total_in_flight) <= OVERLOAD_START * objective_ms:
             return 0.0
--- a/cedarthread/routing/preload_budget.py
+++ b/cedarthread/routing/preload_budget.py
@@ -1,6 +1,7 @@
-"""How many preloads one router may request: its part of what the fleet may load at once, and rule 5's ration.
+"""The preload budget of one router: its part of the fleet's concurrent preloads, and the limit of rule 5.
 
-All times are ms of the clock that is handed in.
+Rule 5 of the deployment allows a number of preloads per window, plus a fraction of the requests in the
+window. All times are ms of the steady clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -11,29 +12,36 @@
 if TYPE_CHECKING:
     from cedarthread.model.settings import RuleParameters
 
-PRELOADS_PER_WORKER = 0.5  # preloads in flight at most by all routers, for each worker there is
+PRELOADS_PER_WORKER = 0.5  # preloads that all routers together may have in flight, per worker
 
 
 class PreloadBudget:
-    """The requests and preloads of one router in the window of rule 5; what has left it is dropped."""
+    """The times of one router's requests and preloads in the window of rule 5."""
 
     def __init__(self) -> None:
         self.request_times = deque[float]()
         self.preload_times = deque[float]()
 
     def on_request(self, now_ms: float, rules: RuleParameters) -> None:
-        """A request came: it earns preloads while the window lasts."""
+        """Record a request, which earns a fraction of a preload while it is in the window."""
         self.request_times.append(now_ms)
         _drop_expired(now_ms, rules, self.request_times)
 
     def on_preload(self, now_ms: float) -> None:
-        """A preload is requested."""
+        """Record a preload that is requested now."""
         self.preload_times.append(now_ms)
 
     def may_preload(
         self, now_ms: float, rules: RuleParameters, in_flight: int, workers_per_router: float
     ) -> bool:
-        """Whether one more preload may be requested now; ``in_flight``: own ones under way."""
+        """Return whether one more preload may be requested now.
+
+        Args:
+            now_ms: The steady clock.
+            rules: The parameters of rule 5.
+            in_flight: Preloads of this router that have not ended.
+            workers_per_router: Listed workers over routers alive.
+        """
         if in_flight >= max(1.0, PRELOADS_PER_WORKER * workers_per_router):
             return False
         if rules.preload_window_ms <= 0:
--- a/cedarthread/routing/preloading.py
+++ b/cedarthread/routing/preloading.py
@@ -1,6 +1,7 @@
-"""Preloading: whether to ask a worker to load a function, where a call to a cold worker would be rejected.
+"""Preloading: whether to have a worker load a function, if workers reject calls of functions not loaded.
 
-All times are ms of the clock that is handed in.
+All times are ms of the steady clock that the caller passes in. The policy writes the preload fields of
+``FunctionRecord`` by ``FunctionTable``, and the preload budget.
 """
 
 from __future__ import annotations
@@ -18,13 +19,19 @@
 
 
 class PreloadPolicy:
-    """Requests preloads, within the router's part of what the fleet may load at once and rule 5's ration."""
+    """The preload policy of one router; it requests preloads within the preload budget.
+
+    Args:
+        state: The router's state.
+        selector: Selects a warm worker while a preload is in flight.
+        admission: Decides whether a new instance may start at a worker.
+    """
 
     def __init__(self, state: RouterState, selector: WorkerSelector, admission: AdmissionPolicy) -> None:
         self.state, self.selector, self.admission = state, selector, admission
 
     def on_request(self, now_ms: float) -> None:
-        """A request came: it earns preloads while the window of rule 5 lasts."""
+        """Credit a new request to the preload budget, if rule 5 limits preloads."""
         settings = self.state.settings
         if settings.rules.preload_window_ms > 0 and settings.allows_preloading:
             self.state.preload_budget.on_request(now_ms, settings.rules)
@@ -32,7 +39,10 @@
     def warm_worker(
         self, now_ms: float, pending: PendingRequest, chosen: WorkerRecord
     ) -> WorkerRecord | None:
-        """Where to send now: a cold choice is asked to load, and a warm worker serves meanwhile, if any."""
+        """Return the worker to send to now; None: none is warm.
+
+        If the selected worker is cold, request a preload there and return the cheapest warm worker instead.
+        """
         state, function, worker_id = self.state, pending.function, chosen.endpoint.worker_id
         settings = state.settings
         if settings.when_not_loaded is not NotLoadedBehavior.REJECT or not settings.allows_preloading:
@@ -51,7 +61,7 @@
         return self.selector.cheapest_warm(now_ms, pending)
 
     def may_preload(self, now_ms: float) -> bool:
-        """Under this router's part of what the fleet may load at once, and inside the ration of rule 5."""
+        """Return whether the preload budget permits one more preload now."""
         state = self.state
         in_flight = state.functions.preloads_in_flight
         workers_per_router = len(state.workers.by_id) / state.live_router_count
--- a/cedarthread/routing/rendezvous.py
+++ b/cedarthread/routing/rendezvous.py
@@ -1,4 +1,4 @@
-"""Weighted rendezvous hashing (Thaler and Ravishankar, 1998): an order that all routers agree on."""
+"""Weighted rendezvous hashing (Thaler and Ravishankar, 1998): the same worker order at all routers."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
     from cedarthread.routing.records import WorkerRecord
 
 _MASK = 2**64 - 1
-_GOLDEN_GAMMA = 0x9E3779B97F4A7C15  # with the two multipliers: the constants of SplitMix64
+_GOLDEN_GAMMA = 0x9E3779B97F4A7C15  # this and the two multipliers are the constants of SplitMix64
 _MULTIPLIER_1, _MULTIPLIER_2 = 0xBF58476D1CE4E5B9, 0x94D049BB133111EB
-_FLOAT_BITS = 53  # of a double's mantissa: the hash's upper ones make a number above 0, up to 1
+_FLOAT_BITS = 53  # mantissa bits of a double: the upper hash bits become a number above 0 and up to 1
 
 
 def hash64(value: int) -> int:
-    """A fixed 64-bit hash, the same at every router, after SplitMix64 (Steele, Lea and Flood, 2014)."""
+    """Return a fixed 64-bit hash, the same at every router, by SplitMix64 (Steele, Lea and Flood, 2014)."""
     mixed = ((value + _GOLDEN_GAMMA) * _MULTIPLIER_1) & _MASK
     mixed = ((mixed ^ (mixed >> 27)) * _MULTIPLIER_2) & _MASK
     return mixed ^ (mixed >> 31)
 
 
 def rendezvous_score(function_hash: int, worker_hash: int, weight: float) -> float:
-    """Where a worker stands in a function's order, least first: twice the weight, twice as often first."""
+    """Return the sort key of a worker for a function; with twice the weight it is first twice as often."""
     mixed = ((function_hash ^ worker_hash) * _MULTIPLIER_2) & _MASK
     mixed = ((mixed ^ (mixed >> 29)) * _MULTIPLIER_1) & _MASK
     return -math.log(((mixed >> (64 - _FLOAT_BITS)) + 1) / 2**_FLOAT_BITS) / weight
@@ -33,7 +33,7 @@
 def placement_order(
     function_hash: int, workers: Iterable[WorkerRecord], is_weighted: bool
 ) -> list[WorkerRecord]:
-    """All workers in the function's order. ``is_weighted``: by the weights that the endpoint list gives."""
+    """Return all workers in the function's order, weighted by the endpoint list if ``is_weighted``."""
 
     def score(worker: WorkerRecord) -> float:
         weight = worker.endpoint.weight if is_weighted and worker.endpoint.weight else 1.0
--- a/cedarthread/routing/request_table.py
+++ b/cedarthread/routing/request_table.py
@@ -1,4 +1,4 @@
-"""The requests of one router that have no final answer yet, and attempts that outlive theirs."""
+"""The requests of one router without a final answer, and the attempts in flight of closed requests."""
 
 from __future__ import annotations
 
@@ -11,36 +11,40 @@
     from cedarthread.model.events import AttemptEnded
     from cedarthread.routing.records import Attempt, PendingRequest
 
-QUEUE_CHECK_MS = 50.0  # ms between two looks at the queue
+QUEUE_CHECK_MS = 50.0  # interval between checks of the queue
 
 
 class RequestTable:
-    """Pending requests by id; those of them that wait in the router; attempts whose request is closed."""
+    """The pending and queued requests of one router by id, and the orphaned attempts of closed requests."""
 
     def __init__(self) -> None:
         self.pending: dict[int, PendingRequest] = {}
-        self.queued: dict[int, PendingRequest] = {}  # in the order in which they began to wait
+        self.queued: dict[int, PendingRequest] = {}  # in the order in which they were queued
         self.orphaned: dict[tuple[int, int], Attempt] = {}  # in flight, by request id and attempt index
         self.check_queue_at_ms = math.inf
 
     def enqueue(self, now_ms: float, pending: PendingRequest, timers: TimerSchedule) -> None:
-        """Let a request wait in the router, to be looked at again in a while."""
+        """Queue a request in the router until the next check of the queue."""
         if self.check_queue_at_ms == math.inf:
             self.check_queue_at_ms = now_ms + QUEUE_CHECK_MS
             timers.schedule(self.check_queue_at_ms)
         self.queued[pending.request.request_id] = pending
 
     def is_queue_check_due(self, now_ms: float) -> bool:
-        """Whether the queue is to be looked at now; the next look is scheduled by what waits then."""
+        """Return whether a queue check is due; the next ``enqueue`` schedules the next check."""
         if now_ms < self.check_queue_at_ms - ROUNDING_MS:
             return False
         self.check_queue_at_ms = math.inf
         return True
 
     def end_attempt(self, event: AttemptEnded) -> tuple[PendingRequest | None, Attempt | None]:
-        """The request and attempt that ended; None: the request is closed, the attempt is not known."""
+        """Mark an attempt as ended and return its request and record.
+
+        The request is None if it is closed, the attempt is None if it is unknown or has ended before. A bare
+        tuple, because this runs for each attempt.
+        """
         pending = self.pending.get(event.request_id)
-        if pending is None:  # closed before; the outcome still tells of its worker
+        if pending is None:  # closed, but the outcome still updates the worker
             attempt = self.orphaned.pop((event.request_id, event.attempt_index), None)
         elif event.attempt_index < len(pending.attempts):
             attempt = pending.attempts[event.attempt_index]
@@ -52,7 +56,7 @@
         return pending, attempt
 
     def close(self, pending: PendingRequest) -> None:
-        """The request has its final answer; its attempts in flight are still waited for."""
+        """Remove a request that has its final answer; its attempts in flight become orphaned."""
         request_id = pending.request.request_id
         self.pending.pop(request_id, None)
         self.queued.pop(request_id, None)
--- a/cedarthread/routing/retries.py
+++ b/cedarthread/routing/retries.py
@@ -1,7 +1,7 @@
-"""Retries and hedging: when a request gets a further attempt, and what that costs of the retry budget.
+"""Retries and hedging: when a request gets another attempt, and how much retry budget that attempt costs.
 
-A retry budget (Finagle's, as in *The Tail at Scale*, Dean and Barroso, 2013, for hedged requests) bounds what
-retries add to the load of a fleet in trouble. All times are ms of the clock that is handed in.
+A retry budget (as in Finagle; for hedged requests see *The Tail at Scale*, Dean and Barroso, 2013) bounds the
+load that retries add to a fleet with faults. All times are ms of the steady clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -18,23 +18,28 @@
     from cedarthread.routing.records import Attempt, PendingRequest
     from cedarthread.routing.router_state import RouterState
 
-HEDGE_AFTER_MULTIPLE = 2.5  # times its expected time after which a hedged request is sent, where allowed
-STALL_THRESHOLD_MS = 100.0  # ms that a timer may come late before the router takes itself for stalled
-MIN_REMAINING_MS = 20.0  # ms before the client's deadline after which no attempt is worth its start
+HEDGE_AFTER_MULTIPLE = 2.5  # multiple of its expected time after which an attempt is hedged
+STALL_THRESHOLD_MS = 100.0  # a timer that fires later than this shows that the process stalled
+MIN_REMAINING_MS = 20.0  # with less time before the deadline no retry starts
 
 
 class RetryPolicy:
-    """Decides on further attempts of requests that have had one."""
+    """The retry policy of one router: decides on further attempts and cancels attempts.
+
+    Args:
+        state: The router's state.
+        feedback: Counts silence of a worker as a failure.
+    """
 
     def __init__(self, state: RouterState, feedback: OutcomeFeedback) -> None:
         self.state, self.feedback = state, feedback
 
     def has_remaining_attempts(self, pending: PendingRequest) -> bool:
-        """Whether the deployment's limit permits one more attempt."""
+        """Return whether the limit of attempts per request permits one more."""
         return len(pending.attempts) < self.state.settings.limits.max_attempts
 
     def may_attempt(self, now_ms: float, pending: PendingRequest) -> bool:
-        """Rule 2: may the request be sent at all, after what it went through."""
+        """Return whether rule 2 (idempotency) permits another attempt after those that may have executed."""
         executed = pending.possibly_executed()
         idempotency = pending.request_class.idempotency
         if not executed or idempotency is Idempotency.IDEMPOTENT:
@@ -43,9 +48,10 @@
         return idempotency is Idempotency.WITH_KEY and now_ms < window_end_ms - MIN_REMAINING_MS
 
     def should_retry(self, now_ms: float, pending: PendingRequest, outcome: Outcome) -> bool:
-        """An attempt failed and none is in flight: whether to send another, within the retry budget.
+        """Return whether to retry a request with no attempt in flight, and spend the retry budget for that.
 
-        Retries after what is proved harmless and cheap are free.
+        A retry after a failed connect or a function that was not loaded is free, because that attempt cost
+        the workers nothing.
         """
         cost = 0.0 if outcome in (Outcome.CONNECT_FAILED, Outcome.NOT_LOADED) else 1.0
         is_too_late = pending.request.deadline_ms - now_ms <= MIN_REMAINING_MS
@@ -55,16 +61,16 @@
         return True
 
     def should_hedge(self, now_ms: float, pending: PendingRequest, attempt_index: int) -> bool:
-        """An attempt is in flight for long: whether to send another beside it.
+        """Return whether to hedge an attempt that has been in flight for long, and spend the retry budget.
 
-        Silence is a symptom of its worker; an idempotent request gets another attempt in time, here or, where
-        attempts can be cancelled, once this one has ended.
+        Silence since the attempt started counts as a failure of its worker. If the worker is ejected or
+        removed and attempts can be cancelled, cancel the attempt instead: its end then starts a retry.
         """
         attempt, state = pending.attempts[attempt_index], self.state
         if not attempt.is_in_flight or pending.is_streaming:
             return False
         request_id = pending.request.request_id
-        if now_ms == state.stalled_at_ms:  # what came meanwhile is read first
+        if now_ms == state.stalled_at_ms:  # responses that arrived during the stall are handled first
             state.timers.schedule(now_ms + STALL_THRESHOLD_MS, request_id, attempt_index)
             return False
         is_silent = self.feedback.observe_silence(now_ms, attempt)
@@ -87,7 +93,7 @@
         return False
 
     def _can_follow(self, pending: PendingRequest, attempt_index: int) -> bool:
-        """Whether another attempt may take the place of this one, which no other has taken before."""
+        """Return whether another attempt may replace this one, which was neither hedged nor cancelled yet."""
         return (
             self.state.retry_budget.tokens >= 1.0
             and self.has_remaining_attempts(pending)
@@ -101,12 +107,12 @@
         )
 
     def follow_up_ms(self, expected_ms: float) -> float:
-        """How long after its start an attempt is looked at."""
+        """Return how long after its start an attempt is checked for hedging."""
         hedges = self.state.settings.limits.allows_hedging
         return (HEDGE_AFTER_MULTIPLE if hedges else OVERDUE_MULTIPLE) * expected_ms
 
     def recall_from_unreachable_zones(self, now_ms: float) -> None:
-        """Zones that have fallen silent: what may be repeated elsewhere is cancelled there."""
+        """Cancel attempts in zones found unreachable, if the requests may be repeated in any zone."""
         state = self.state
         if now_ms == state.stalled_at_ms or not (zones := state.zones.find_unreachable(now_ms)):
             return
@@ -137,7 +143,7 @@
             self.state.actions.append(CancelAttempt(pending.request.request_id, attempt_index))
 
     def cancel_attempts(self, pending: PendingRequest, excluded_index: int | None = None) -> None:
-        """Cancel the attempts in flight, but for one that is kept."""
+        """Cancel all attempts of a request in flight except the one with ``excluded_index``."""
         if not self.state.settings.limits.can_cancel:
             return
         for attempt_index, attempt in enumerate(pending.attempts):
--- a/cedarthread/routing/router.py
+++ b/cedarthread/routing/router.py
@@ -1,9 +1,9 @@
-"""The router: it takes the events of one node and returns what is to be done, in order.
+"""The router: handles the events of one node and returns the actions for its host to carry out, in order.
 
-Pure: time and seed come from outside. An event goes to one handler here; what there is to choose is chosen by
-a policy: ``selection`` (which worker), ``admission`` (shed, wait, reject), ``retries`` (a further attempt),
-``preloading``. What they know is in ``router_state``. Events and actions are described in
-``cedarthread/model/``: read those first.
+Events and actions are defined in ``cedarthread/model/``; read those modules first. The router does no I/O;
+its host passes in the time, and a seed at the start. Each event has one handler here. The policies decide:
+``selection`` (which worker), ``admission`` (shed, queue, reject, preempt), ``retries`` (another attempt) and
+``preloading``. Their common state is in ``router_state``.
 """
 
 from __future__ import annotations
@@ -36,15 +36,21 @@
     from cedarthread.model.settings import RouterSettings
     from cedarthread.routing.records import PendingRequest, WorkerRecord
 
-DEQUEUED_PER_RESPONSE = 2  # an instance is free: two leave for it, or it would idle until the next call there
+DEQUEUED_PER_RESPONSE = (
+    2  # queued calls sent after a response: with one, the instance would idle until the next arrives
+)
 
 
 class Router:
-    """The decisions of one router.
+    """One router: its state, its policies and a handler for each kind of event.
+
+    The host and the node's components use ``handle``, ``update_settings``, ``state`` (see ``RouterState``),
+    ``feedback.reported_load``, and the records by id: ``workers``, ``functions``, ``pending_requests``,
+    ``queued_requests``, ``orphaned_attempts``.
 
-    Its surface for the components beside it and the host: ``handle``, ``update_settings``, ``state`` (see
-    ``RouterState``), ``feedback.reported_load``; and, for short, the records by id: ``workers``,
-    ``functions``, ``pending_requests``, ``queued_requests``, ``orphaned_attempts``.
+    Args:
+        settings: The settings of this router.
+        seed: Seed of its random generator; the same seed and events give the same actions.
     """
 
     def __init__(self, settings: RouterSettings, seed: int) -> None:
@@ -71,14 +77,15 @@
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event and return what is to be done, in order."""
+        """Handle one event and return the actions to carry out, in order."""
         state = self.state
         state.event_at_ms, state.actions = now_ms, []
         if now_ms > state.timers.armed_at_ms + STALL_THRESHOLD_MS:
-            state.stalled_at_ms = (
-                now_ms  # no turn when one was due: what comes now is old, judge nobody by it
-            )
-        # Messages of peers go to the components beside the router; health checks are not asked for.
+            # The armed timer is overdue, so the process stalled. Events at this time are stale; outlier
+            # detection skips them.
+            state.stalled_at_ms = now_ms
+        # Peer messages and health checks have no handler: the node's components handle the former, and the
+        # router requests none of the latter.
         if (handler := self.handlers.get(type(event))) is not None:
             handler(now_ms, event)
         if (timer := state.timers.rearm(now_ms)) is not None:
@@ -86,7 +93,7 @@
         return state.actions
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """New settings whose classes only add to the old ones: pending requests keep theirs."""
+        """Apply new settings, which may append classes; a pending request stays in its class."""
         for part in (self.state, self.feedback, self.selector, self.admission):
             part.update_settings(settings)
 
@@ -113,7 +120,7 @@
         if self.admission.should_shed(now_ms, pending, quota_use):
             self._reject_or_fail(now_ms, pending)
             return
-        if not request.is_client_retry:  # a client's retries earn nothing: they could drain what others need
+        if not request.is_client_retry:  # its retries would use up the retry budget of others
             state.retry_budget.earn()
             state.traffic.on_admitted(now_ms, request.class_index)
         self._dispatch(now_ms, pending)
@@ -136,7 +143,7 @@
 
     def _on_stream_started(self, now_ms: float, event: StreamStarted) -> None:
         pending = self.pending_requests.get(event.request_id)
-        if pending is not None and not pending.is_streaming:  # else: its cancellation came too late
+        if pending is not None and not pending.is_streaming:  # otherwise this stream was cancelled too late
             pending.is_streaming = True
             self.retries.cancel_attempts(pending, excluded_index=event.attempt_index)
         self.tracker.on_stream_started(now_ms, event)
@@ -165,7 +172,7 @@
     # Requests, from their arrival to their final answer.
 
     def _dispatch(self, now_ms: float, pending: PendingRequest) -> None:
-        """Send the request to the worker that is chosen, or queue it, or end it."""
+        """Send the request to the selected worker, queue it, or give its final answer."""
         state = self.state
         self.queued_requests.pop(pending.request.request_id, None)
         if not (self.retries.has_remaining_attempts(pending) and self.retries.may_attempt(now_ms, pending)):
@@ -206,7 +213,7 @@
         self._complete(pending)
 
     def _complete(self, pending: PendingRequest) -> None:
-        """The request has its final answer."""
+        """Close a request that has its final answer and, unless it streams, cancel its attempts."""
         self.state.requests.close(pending)
         if not pending.is_streaming:
             self.retries.cancel_attempts(pending)
--- a/cedarthread/routing/router_state.py
+++ b/cedarthread/routing/router_state.py
@@ -1,7 +1,7 @@
-"""The state of one router, shared by its policies: each table and estimator is a class of its own.
+"""The state of one router, which its policies share; each table and estimator is a class of its own.
 
-Policies (``selection``, ``admission``, ``retries``, ``preloading``) read it, and write it by the methods of
-the tables. The components beside the router set ``gossip``, ``constraints`` and ``live_router_count``.
+The policies (``selection``, ``admission``, ``retries``, ``preloading``) read the state and write it by the
+methods of the tables. The node's components set ``gossip``, ``constraints`` and ``live_router_count``.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class RouterState:
-    """Everything that one router knows. ``stalled_at_ms``: when its timer last came too late to judge by."""
+    """The tables, estimators and settings of one router, and the actions of the event being handled."""
 
     settings: RouterSettings
     rng: random.Random
@@ -42,7 +42,7 @@
     traffic: TrafficEstimator
     overload: OverloadEstimator
     zones: ZoneReachability
-    live_router_count: int  # routers of the fleet that are alive, as far as that is known
+    live_router_count: int  # routers of the fleet that count as alive
     functions: FunctionTable = field(default_factory=FunctionTable)
     requests: RequestTable = field(default_factory=RequestTable)
     timers: TimerSchedule = field(default_factory=TimerSchedule)
@@ -51,14 +51,14 @@
     logs: LogThrottle = field(default_factory=LogThrottle)
     preload_budget: PreloadBudget = field(default_factory=PreloadBudget)
     gossip: PeerLoad | None = None
-    constraints: RoutingConstraints | None = None  # of contracts, change freezes and restarts of the fleet
-    event_at_ms: float = 0.0  # when the last event came
-    stalled_at_ms: float = -math.inf
-    actions: list[Action] = field(default_factory=list)  # of the event that is being handled
+    constraints: RoutingConstraints | None = None  # contracts, change freezes, restart recovery
+    event_at_ms: float = 0.0  # time of the last event
+    stalled_at_ms: float = -math.inf  # time of the last event that found the timer overdue
+    actions: list[Action] = field(default_factory=list)  # actions of the event being handled
 
     @staticmethod
     def create(settings: RouterSettings, seed: int) -> RouterState:
-        """The state of a router that has just started."""
+        """Return the state of a router that has just started."""
         rng = random.Random(seed)
         zones = ZoneReachability(settings.zone)
         return RouterState(
@@ -73,14 +73,14 @@
         )
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """New settings, whose classes only add to the old ones."""
+        """Apply new settings, which may append classes."""
         self.settings = settings
         self.workers.update_settings(settings)
         self.service_times.update_settings(settings)
         self.traffic.update_settings(settings)
 
     def record_request(self, now_ms: float, request: RequestArrived) -> PendingRequest:
-        """A request came: it is pending, its function known, and the rates count it."""
+        """Add a new request to the tables and the call rates, and return its record."""
         settings = self.settings
         expiry_ms = 2 * max(settings.keep_alive_ms, self.traffic.popularity.window_ms)
         concurrency = max(request.concurrency or 1.0, 1.0)
@@ -94,12 +94,12 @@
         return pending
 
     def log(self, now_ms: float, event: str, **fields: object) -> None:
-        """A log line, unless one of the event came a short time ago."""
+        """Append a log line, unless the event was logged a short time ago."""
         if (line := self.logs.line(now_ms, event, **fields)) is not None:
             self.actions.append(line)
 
     def forget_instances(self, worker_id: int) -> None:
-        """The worker restarted or left: no instance of any function runs there."""
+        """Drop all instances at a worker that restarted or left."""
         if self.gossip is not None:
             self.gossip.forget_worker(worker_id)
         self.functions.forget_worker(worker_id)
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -1,9 +1,9 @@
 """Worker selection: the eligible worker with the least placement cost, ties at random.
 
 Candidates are the workers with affinity to the function, its home workers by weighted rendezvous hashing, and
-a few more behind them. The cost is a sum, in units of affinity (0 cold to 1 warm): what the worker lacks in
-affinity, its load, its outlier score, its rejections, crossing zones, and a penalty for its place.
-All times are ms of the clock that is handed in.
+a few workers after them. The cost is a sum in units of affinity (0 cold to 1 warm): 1 less the affinity, plus
+load, outlier score, rejections, crossing zones, and a penalty for the place in the order of candidates.
+All times are ms of the steady clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -27,38 +27,45 @@
     from cedarthread.routing.router_state import RouterState
 
 # Home workers.
-MAX_HOMES_PER_WORKER_SHARE = 10.0  # homes of a function for each worker that its part of the calls fills
-MIN_CALLS_PER_HOME = 14.0  # calls of the fleet that each home gets while an instance may idle: loads are dear
-IDLE_MEMORY_WEIGHT = 10.0  # a price of idle memory makes homes fewer: by half at 0.1
-SPARE_WORKERS = 2  # workers after the homes that are looked at too
-HOME_JITTER = 0.1  # cost by which a router prefers one of several homes: no more than affinity lacks
-HOME_AFFINITY = 0.9  # affinity that homes of a function with several have at least: others' calls go there
+MAX_HOMES_PER_WORKER_SHARE = 10.0  # home_count() is at most this, times workers, times the function's calls
+MIN_CALLS_PER_HOME = 14.0  # fleet calls per home in the keep-alive time: loading is expensive
+IDLE_MEMORY_WEIGHT = 10.0  # effect of the price of idle memory: a price of 0.1 halves the homes
+SPARE_WORKERS = 2  # candidates after the homes
+HOME_JITTER = 0.1  # largest cost difference between homes by jitter: at most 1 - HOME_AFFINITY
+HOME_AFFINITY = (
+    0.9  # least affinity assumed where other routers send calls: several homes, gossiped instances
+)
 
 # Placement cost.
-CROSS_ZONE_WEIGHT = 6.5  # cost of another zone for each whole point that crossing there costs: 0.3 at 0.046
-PLACEMENT_STEP = 0.25  # cost of each place behind the homes: one request in flight, by LOAD_PER_AFFINITY
-PEER_LOAD_WEIGHT = 0.3  # part of a request in flight that each one of other routers weighs, by gossip
-LOAD_PER_AFFINITY = 4.0  # requests in flight, in instances, that weigh as much as a step from warm to cold
-TRIAL_BONUS = 0.5  # cost by which a half-open trial is cheaper than the worker would be, were it healthy
-TIE = 1e-9  # costs that differ by no more are equal
-WEIGHTED = (WeightMeaning.NOMINAL, WeightMeaning.APPROXIMATE)  # a worker of twice the weight is home as often
+CROSS_ZONE_WEIGHT = 6.5  # cost of another zone per point of the cross-zone price: 0.3 at 0.046
+PLACEMENT_STEP = 0.25  # cost of each place after the homes: one request in flight
+PEER_LOAD_WEIGHT = 0.3  # weight of another router's request in flight, by gossip
+LOAD_PER_AFFINITY = 4.0  # requests in flight per instance that cost as much as a cold instance
+TRIAL_BONUS = 0.5  # deducted from the cost of a half-open trial, below that of a healthy worker
+TIE = 1e-9  # costs that differ by no more count as equal
+WEIGHTED = (WeightMeaning.NOMINAL, WeightMeaning.APPROXIMATE)  # weights that scale how often a worker is home
 
 
 @dataclass(slots=True)
 class _Search:
-    """What one selection asks of each worker."""
+    """The inputs of one selection that are the same for each candidate."""
 
     now_ms: float
     pending: PendingRequest
     work_ms: float
     is_idempotent: bool
-    tried: set[int]  # ids of workers that had an attempt
-    constraints: RoutingConstraints | None  # where they hold
+    tried: set[int]  # ids of workers that had an attempt of the request
+    constraints: RoutingConstraints | None  # None: nothing limits loading now
     has_spare_instance: bool
 
 
 class WorkerSelector:
-    """Chooses workers. ``retries`` calls back what is lost in a zone that turns out to be unreachable."""
+    """The worker selection of one router.
+
+    Args:
+        state: The router's state.
+        retries: Cancels attempts in zones found unreachable.
+    """
 
     def __init__(self, state: RouterState, retries: RetryPolicy) -> None:
         self.state, self.retries = state, retries
@@ -66,13 +73,13 @@
         self.update_settings(state.settings)
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """What follows from the settings alone."""
+        """Compute the number of homes and the cross-zone penalty from prices in the new settings."""
         prices = settings.prices
         self.homes_per_worker = MAX_HOMES_PER_WORKER_SHARE / (1.0 + IDLE_MEMORY_WEIGHT * prices.idle_memory)
         self.cross_zone_penalty = CROSS_ZONE_WEIGHT * prices.cross_zone
 
     def select(self, now_ms: float, pending: PendingRequest) -> WorkerRecord | None:
-        """The worker for the next attempt: one not tried and not ejected, else a tried one, else any."""
+        """Return the worker for the next attempt: an untried one, else a tried one, else an ejected one."""
         state, function, function_id = self.state, pending.function, pending.request.function_id
         constraints = state.constraints
         if constraints is not None and not constraints.limits_loading:
@@ -106,13 +113,15 @@
             if not self._can_take(search, worker, may_be_repeated, may_be_ejected):
                 continue
             cost = self.cost(now_ms, pending.function, worker, pending.class_and_tenant) + placement_penalty
-            if worker.is_ejected and not may_be_ejected:  # half-open: by cost alone it would stay out
+            if (
+                worker.is_ejected and not may_be_ejected
+            ):  # a half-open trial, which the outlier score would prevent
                 cost -= worker.outlier_score + TRIAL_BONUS
             if cost < least_cost - TIE:
                 least_cost, ties, cheapest = cost, 1, worker
             elif cost <= least_cost + TIE:
                 ties += 1
-                if rng.random() * ties < 1.0:  # each of the ties is as likely
+                if rng.random() * ties < 1.0:  # reservoir sampling: all ties are equally likely
                     cheapest = worker
             if placement_penalty > SPARE_WORKERS * PLACEMENT_STEP and least_cost < math.inf:
                 break
@@ -121,7 +130,7 @@
     def _can_take(
         self, search: _Search, worker: WorkerRecord, may_be_repeated: bool, may_be_ejected: bool
     ) -> bool:
-        """Whether the worker may get the call in this pass."""
+        """Return whether the worker may receive the call in this pass."""
         now_ms, pending = search.now_ms, search.pending
         if search.constraints is not None:
             keep_alive_ms = self.state.settings.keep_alive_ms
@@ -140,13 +149,13 @@
             now_ms, worker, search.work_ms
         )
 
-    # Which workers there are to choose from.
+    # Candidates.
 
     def _candidates(self, now_ms: float, pending: PendingRequest) -> Iterator[tuple[WorkerRecord, float]]:
-        """Workers with affinity, then the function's homes, then the others, with the penalty of their place.
+        """Yield workers with affinity, then the homes, then all others, each with its placement penalty.
 
-        Routers that share nothing agree on the homes, by rendezvous hashing; their number follows the
-        function's part of the calls, which every router's own traffic shows.
+        Routers agree on the homes without communication, by rendezvous hashing. The number of homes follows
+        the function's fraction of the calls, which each router estimates from its own traffic.
         """
         state, function = self.state, pending.function
         workers, keep_alive_ms = state.workers.by_id, state.settings.keep_alive_ms
@@ -176,19 +185,19 @@
                 yield worker, 0.0
 
     def home_count(self, now_ms: float, function: FunctionRecord) -> int:
-        """How many workers are home to a function, 1 and up."""
+        """Return the number of home workers of a function, at least 1."""
         state = self.state
         fraction = state.traffic.popularity.call_fraction(now_ms, function.recent_calls)
-        if state.gossip is not None:  # who knows where others have instances need not guess where they would
+        if state.gossip is not None:  # which reports instances, so that fewer homes must be guessed
             fraction *= 1.0 - state.gossip.peer_coverage(now_ms)
         fleet_calls_per_ms = state.traffic.calls_per_ms * state.live_router_count
         max_retained = fleet_calls_per_ms * state.settings.keep_alive_ms / MIN_CALLS_PER_HOME
         return 1 + int(fraction * min(self.homes_per_worker * len(state.workers.by_id), max_retained))
 
-    # Which of them may have the call.
+    # Eligibility.
 
     def is_eligible(self, pending: PendingRequest, worker: WorkerRecord) -> bool:
-        """Rules 2 and 3: may this request go to this worker."""
+        """Return whether rules 2 (idempotency) and 3 (draining) permit the request at the worker."""
         endpoint, scope = worker.endpoint, pending.request_class.deduplication_scope
         if endpoint.state is not EndpointState.READY:
             return False
@@ -200,14 +209,14 @@
         return all(other.cell == endpoint.cell for other in executed_at)
 
     def _can_reach(self, now_ms: float, worker: WorkerRecord, is_idempotent: bool) -> bool:
-        """A call into an unreachable zone is lost with its time; where all are silent, that tells nothing."""
+        """Return whether the worker's zone is reachable or due for a trial, or no zone is reachable."""
         zones = self.state.zones
         if not zones.unreachable or self.state.workers.is_every_zone_unreachable:
             return True
         return zones.may_send(now_ms, worker.endpoint.zone, is_idempotent)
 
     def fits_slow_start(self, now_ms: float, worker: WorkerRecord, work_ms: float) -> bool:
-        """Slow start: whether this router may send a worker that started lately one more call."""
+        """Return whether a worker in slow start may get one more call from this router."""
         state = self.state
         rules = state.settings.rules
         if (capacity := worker.available_capacity(now_ms, rules)) >= 1.0:
@@ -222,16 +231,16 @@
             work_ms=work_ms,
         )
 
-    # What they cost.
+    # Cost.
 
     def cost(
         self, now_ms: float, function: FunctionRecord, worker: WorkerRecord, class_and_tenant: ClassAndTenant
     ) -> float:
-        """The placement cost, without the penalty for the place."""
+        """Return the cost of a call at the worker, without the placement penalty."""
         state, worker_id = self.state, worker.endpoint.worker_id
         in_flight = worker.in_flight + PEER_LOAD_WEIGHT * worker.peers_in_flight
         if (instance := function.gossiped_instances.get(worker_id)) is not None:
-            in_flight += instance.in_flight  # these take its very lanes
+            in_flight += instance.in_flight  # they use the concurrency of this function's instances
         load = (
             in_flight / function.concurrency
             + worker.read_excess_load(now_ms)
@@ -242,10 +251,10 @@
         penalty += self.cross_zone_penalty if worker.endpoint.zone != state.settings.zone else 0.0
         return 1.0 - function.affinity.get(worker_id, 0.0) + load / LOAD_PER_AFFINITY + penalty
 
-    # Which of them run the function.
+    # Workers with an instance.
 
     def has_spare_instance(self, now_ms: float, pending: PendingRequest, is_idempotent: bool) -> bool:
-        """Does an instance with room run at any worker where the call may go?"""
+        """Return whether any eligible worker has an instance of the function with capacity left."""
         workers, function = self.state.workers.by_id, pending.function
         keep_alive_ms = self.state.settings.keep_alive_ms
         max_in_flight = function.concurrency * LOAD_PER_AFFINITY
@@ -260,7 +269,7 @@
         )
 
     def cheapest_warm(self, now_ms: float, pending: PendingRequest) -> WorkerRecord | None:
-        """The cheapest worker with affinity to the function that may take the call at once."""
+        """Return the cheapest worker with affinity to the function that may receive the call now."""
         function, workers = pending.function, self.state.workers.by_id
         keep_alive_ms = self.state.settings.keep_alive_ms
         work_ms = self.state.service_times.class_ms(pending.request.class_index)
--- a/cedarthread/routing/slow_start.py
+++ b/cedarthread/routing/slow_start.py
@@ -1,6 +1,7 @@
-"""Slow start: how much a worker that started lately may be sent (Envoy's term), by its least capacity.
+"""Slow start (Envoy's term): the work that may be sent to a worker that started recently.
 
-Pure; all times are ms of the clock that is handed in, work is ms of service time.
+The functions have no state except the sends of ``WorkerRecord``. All times are ms of the steady clock that
+the caller passes in; work is ms of service time.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 
     from cedarthread.model.settings import RuleParameters
 
-BUDGET_FRACTION = 0.6  # part of a cold worker's budget that all routers together may use
+BUDGET_FRACTION = 0.6  # of a cold worker's capacity: all routers together send no more
 
 
 def available_capacity(rules: RuleParameters, age_ms: float) -> float:
-    """The part of its capacity that a worker has at least, so many ms after its start."""
+    """Return the least fraction of its capacity that a worker of this age has."""
     if age_ms >= rules.slow_start_ms:
         return 1.0
     least = rules.slow_start_min_capacity
@@ -32,12 +33,19 @@
     work_per_ms: float,
     work_ms: float,
 ) -> bool:
-    """Whether ``work_ms`` more fit a cold worker's budget over rule 4's window, after what was sent there.
+    """Return whether one more call fits this router's budget for a cold worker in the window of rule 4.
 
-    ``sends``: time and work of each send, of which those before the window are dropped. ``work_per_ms``: the
-    work a ms that this router would send it, times the part of its capacity that it has. It follows own
-    demand, so that all routers' parts sum to the fleet's. Where the budget is less than one request, that
-    part of the routers, by ``jitter`` (0 to 1), may send one: more of them as the worker warms up.
+    The budget follows the router's own demand, so that the budgets of all routers sum to that of the fleet.
+    If the budget is less than one call, only routers whose jitter is below that fraction may send one; their
+    number grows as the worker warms up.
+
+    Args:
+        rules: The parameters of rule 4.
+        now_ms: The steady clock.
+        sends: Time and work of each earlier send; those before the window are dropped.
+        jitter: The router's random number for the worker, 0 to 1.
+        work_per_ms: The demand per ready worker times the worker's fraction of its capacity.
+        work_ms: The work of the call.
     """
     while sends and sends[0][0] <= now_ms - rules.collapse_window_ms:
         sends.popleft()
@@ -48,7 +56,7 @@
 
 
 def on_attempt_ended(sends: deque[tuple[float, float]], started_at_ms: float, *, was_sent: bool) -> None:
-    """An attempt that began then has ended; one that was never sent takes no part of the budget."""
+    """Return the budget of an attempt that ended without being sent."""
     if was_sent:
         return
     for send in sends:
--- a/cedarthread/routing/timers.py
+++ b/cedarthread/routing/timers.py
@@ -1,7 +1,7 @@
-"""The due times of one router, kept in one heap behind the one timer that the host fires.
+"""The timer schedule of one router: a heap of due times, behind the single timer that the host fires.
 
-Pure: it returns the action that arms the timer and never reads a clock. All times are ms of the clock that is
-handed in.
+The schedule reads no clock and arms the timer by an action that it returns. All times are ms of the steady
+clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-NO_REQUEST = -1  # stands for the request where a due time belongs to none
-MIN_DELAY_MS = 1.0  # a timer is never armed for less: what is overdue waits for the next ms
-ROUNDING_MS = 0.5  # the host rounds due times: one that is this near counts as reached
-TOKENS = 2**31  # tokens wrap below this: the node's own timer has a token above
+NO_REQUEST = -1  # the request id of a due time that belongs to no request
+MIN_DELAY_MS = 1.0  # shortest delay of the timer, also for an overdue entry
+ROUNDING_MS = 0.5  # the host rounds due times, so one this near counts as due
+TOKENS = 2**31  # tokens wrap below this; the node's own timer uses a token above
 
 
 class DueTime(NamedTuple):
-    """One entry of the heap. The serial number keeps entries of one time in the order of their scheduling."""
+    """One entry of the heap; the serial number orders entries of the same time as they were scheduled."""
 
     at_ms: float
     serial: int
@@ -31,33 +31,33 @@
 
 
 class TimerSchedule:
-    """Due times, and the timer that is armed for the first of them."""
+    """The due times of one router, and the timer armed for the first of them."""
 
     def __init__(self) -> None:
         self.entries: list[DueTime] = []
         self.serial = 0
-        self.token = 0  # of the timer that is armed: one that fires with another token is obsolete
+        self.token = 0  # of the armed timer; a timer with another token is obsolete
         self.armed_at_ms = math.inf
 
     def schedule(self, at_ms: float, request_id: int = NO_REQUEST, attempt_index: int = 0) -> None:
-        """Be woken then, to look at an attempt of a request where one is named."""
+        """Add a due time, for the given attempt if a request is named."""
         self.serial += 1
         heapq.heappush(self.entries, DueTime(at_ms, self.serial, request_id, attempt_index))
 
     def pop_due(self, now_ms: float) -> Iterator[DueTime]:
-        """Entries that are due, first due first; one that is scheduled meanwhile counts too."""
+        """Yield due entries in order, including those scheduled during the iteration."""
         while self.entries and self.entries[0].at_ms <= now_ms + ROUNDING_MS:
             yield heapq.heappop(self.entries)
 
     def on_fired(self, token: int) -> bool:
-        """The host's timer fired; false for one that was replaced by an earlier one."""
+        """Record that the host's timer fired; return False if an earlier one has replaced that timer."""
         if token != self.token:
             return False
         self.armed_at_ms = math.inf
         return True
 
     def rearm(self, now_ms: float) -> SetTimer | None:
-        """The action that arms the timer, where something is due before the time it is armed for."""
+        """Return the action that arms the timer for an earlier time; None: no change is needed."""
         if not self.entries:
             return None
         due_ms = max(self.entries[0].at_ms, now_ms + MIN_DELAY_MS)
--- a/cedarthread/routing/worker_table.py
+++ b/cedarthread/routing/worker_table.py
@@ -1,7 +1,7 @@
-"""The workers of one router: the endpoint list, applied update by update to one record for each worker.
+"""The worker table of one router: applies updates of the endpoint list to one record for each worker.
 
-Bookkeeping only: which worker a request goes to is chosen in ``selection.py``. All times are ms of the clock
-that is handed in.
+Bookkeeping only; ``selection.py`` selects the worker of a request. All times are ms of the steady clock that
+the caller passes in.
 """
 
 from __future__ import annotations
@@ -24,23 +24,31 @@
 
 
 class WorkerTable:
-    """Records by worker id, in the order in which the workers were first listed."""
+    """The worker records of one router by id, in the order in which the workers were first listed.
+
+    Args:
+        settings: The settings of the router.
+        zones: Reachability of the zones; workers in unreachable zones are not ready.
+        rng: The router's random generator, for the jitter of each worker.
+    """
 
     def __init__(self, settings: RouterSettings, zones: ZoneReachability, rng: random.Random) -> None:
         self.zones, self.rng = zones, rng
         self.by_id: dict[int, WorkerRecord] = {}
-        self.placement_epoch = 0  # counts up with every worker that comes or goes: orders of placement follow
-        self.ready_count = 0  # workers that this router can send to
-        self.ready_peak = WindowedMaximum()  # workers that were ready lately
+        self.placement_epoch = (
+            0  # rises with each added or removed worker; placement orders are then recomputed
+        )
+        self.ready_count = 0  # READY workers in reachable zones, or all READY ones if no zone is reachable
+        self.ready_peak = WindowedMaximum()  # recent peak of ready_count
         self.is_every_zone_unreachable = True
         self.update_settings(settings)
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """Workers that left are remembered for as long as those that take their place start slowly."""
+        """Set the time constant of the ready peak to the slow start, during which replacements are cold."""
         self.ready_peak.time_constant_ms = max(1.0, settings.rules.slow_start_ms)
 
     def apply(self, now_ms: float, update: EndpointUpdate) -> list[int]:
-        """Apply an update; returns ids of workers that lost their instances, by a restart or for good."""
+        """Apply an update and return the ids of workers without instances, because they restarted or left."""
         if update.kind is not EndpointUpdateKind.DELTA:
             self._mark_unlisted_removed(update)
         without_instances: list[int] = []
@@ -78,7 +86,7 @@
         self.placement_epoch += 1
 
     def count_ready(self, now_ms: float) -> None:
-        """Count the workers that can be sent to: those of a zone out of reach take no calls."""
+        """Count the ready workers in reachable zones, or in all zones if none is reachable."""
         ready = [w for w in self.by_id.values() if w.endpoint.state is EndpointState.READY]
         reachable = sum(worker.endpoint.zone not in self.zones.unreachable for worker in ready)
         before, self.ready_count = self.ready_count, reachable or len(ready)
@@ -86,15 +94,15 @@
         self.ready_peak.on_change(now_ms, before, self.ready_count)
 
     def not_ejected_ids(self) -> Iterator[int]:
-        """Ids of the workers that outlier detection has not set aside."""
+        """Return the ids of the workers that are not ejected."""
         return (worker_id for worker_id, worker in self.by_id.items() if not worker.is_ejected)
 
     def snapshot(self) -> EndpointUpdate:
-        """All workers as they are listed now."""
+        """Return all workers as they are listed now, as an update."""
         endpoints = tuple(worker.endpoint for worker in self.by_id.values())
         return EndpointUpdate(EndpointUpdateKind.CACHED, 0, endpoints)
 
     def skipped_count(self) -> int:
-        """Listed workers that calls now pass by: ejected, or not ready."""
+        """Return the number of listed workers that get no calls, because they are ejected or not ready."""
         listed = [w for w in self.by_id.values() if w.endpoint.state is not EndpointState.REMOVED]
         return sum(w.is_ejected or w.endpoint.state is not EndpointState.READY for w in listed)
--- a/cedarthread/routing/zone_reachability.py
+++ b/cedarthread/routing/zone_reachability.py
@@ -1,9 +1,10 @@
-"""Which zones can be reached, by the silence of all calls to them together.
+"""Zone reachability: detects unreachable zones by the silence of all calls to a zone together.
 
-One of many routers calls each worker every few seconds: the silence of one worker shows only after a time
-that a whole outage of a zone may last, that of a zone shows sooner. How surprising it is follows the phi
-accrual failure detector (Hayashibara et al., 2004): each call in flight adds its age, since the zone was last
-heard, in units of what calls take usually. All times are ms of the clock that is handed in.
+A router in a large fleet calls each worker only every few seconds. The silence of a single worker is noticed
+after a time as long as a zone's whole outage; the silence of a zone is noticed sooner. The surprise of a
+silence follows the phi accrual failure detector (Hayashibara et al., 2004): each call in flight adds its age
+since the last response from the zone, in units of the usual time of a call. All times are ms of the steady
+clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -18,17 +19,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-UNREACHABLE_SURPRISE = (
-    6.0  # surprise by which a zone is unreachable: chance alone brings it once in 400 times
-)
-MAX_WORKER_SURPRISE = 3.0  # most that one worker adds: its silence is its own
-MIN_SHARED_SURPRISE = 1.0  # least that each of several zones adds that are silent together
-CONNECT_FAILURE_SURPRISE = 3.0  # what a connection adds that did not come up
-DEVIATIONS = 1.0  # deviations over the mean: calls that begin a cold start make a long tail
-MIN_EXPECTED_MS = 100.0  # ms that a call is taken to need at least: less may be a pause of this process
-MIN_RESPONSES = 10  # answers before which nothing is judged
-BASE_TRIAL_DELAY_MS, MAX_TRIAL_DELAY_MS = 1000.0, 8000.0  # ms until a trial, doubled at each relapse
-MAX_LOST_ATTEMPTS = 64  # attempts without an answer that are remembered after they have ended
+UNREACHABLE_SURPRISE = 6.0  # a zone with more is unreachable; by chance that happens once in 400 times
+MAX_WORKER_SURPRISE = 3.0  # bound for one worker, because the fault may be its own
+MIN_SHARED_SURPRISE = 1.0  # bound below which a zone does not count among zones silent together
+CONNECT_FAILURE_SURPRISE = 3.0  # surprise of a failed connect
+DEVIATIONS = 1.0  # mean deviations added to the usual time: cold starts make a long tail
+MIN_EXPECTED_MS = 100.0  # lower bound of the expected time: shorter silence may be a pause of this process
+MIN_RESPONSES = 10  # responses needed before any zone counts as unreachable
+BASE_TRIAL_DELAY_MS, MAX_TRIAL_DELAY_MS = 1000.0, 8000.0  # time until a trial, doubled after each lost trial
+MAX_LOST_ATTEMPTS = 64  # ended attempts without a response that still count
 
 AttemptId = tuple[int, int]  # request id and attempt index
 
@@ -38,20 +37,24 @@
     worker_id: int
     zone: int
     started_at_ms: float
-    expected_ms: float  # that it would take were its instance warm
+    expected_ms: float  # with a warm instance
     ended_at_ms: float = math.inf
     has_connect_failed: bool = False
 
 
 @dataclass(slots=True)
 class _UnreachableZone:
-    trial_at_ms: float  # from when a trial may go there
+    trial_at_ms: float  # a trial may be sent from then on
     trial_delay_ms: float = BASE_TRIAL_DELAY_MS
-    trial_attempt: AttemptId | None = None  # the attempt that tries whether the zone answers
+    trial_attempt: AttemptId | None = None  # the trial in flight; None: no trial
 
 
 class ZoneReachability:
-    """The zones that one router sends to, and its attempts there. ``own_zone``: the router's own."""
+    """The reachability of each zone for one router, and the router's attempts there.
+
+    Args:
+        own_zone: The zone of the router.
+    """
 
     def __init__(self, own_zone: int) -> None:
         self.own_zone = own_zone
@@ -59,13 +62,21 @@
         self.lost_attempts: deque[_TrackedAttempt] = deque(maxlen=MAX_LOST_ATTEMPTS)
         self.last_response_at_ms: dict[int, float] = {}
         self.unreachable: dict[int, _UnreachableZone] = {}
-        self.mean_ratio = Ewma()  # of times of answers over the expected ones...
-        self.ratio_deviation = Ewma()  # ...and how far they are off it
+        self.mean_ratio = Ewma()  # of response times over expected times...
+        self.ratio_deviation = Ewma()  # ...and the absolute deviation from the mean
 
     def on_attempt_started(
         self, now_ms: float, attempt: AttemptId, worker_id: int, zone: int, expected_ms: float
     ) -> None:
-        """An attempt was sent; ``expected_ms``: what such a call takes."""
+        """Record an attempt that was sent; if the zone is due for a trial, the attempt is that trial.
+
+        Args:
+            now_ms: The steady clock.
+            attempt: The attempt.
+            worker_id: Its worker.
+            zone: The zone of the worker.
+            expected_ms: The expected time with a warm instance.
+        """
         self.in_flight[attempt] = _TrackedAttempt(worker_id, zone, now_ms, max(expected_ms, MIN_EXPECTED_MS))
         self.last_response_at_ms.setdefault(zone, now_ms)
         outage = self.unreachable.get(zone)
@@ -73,7 +84,7 @@
             outage.trial_attempt = attempt
 
     def on_response(self, now_ms: float, zone: int) -> bool:
-        """Something came from there; true where the zone was unreachable."""
+        """Record a response from the zone; return whether the zone was unreachable."""
         self.last_response_at_ms[zone] = now_ms
         return self.unreachable.pop(zone, None) is not None
 
@@ -85,7 +96,7 @@
         latency_ms: float,
         has_connect_failed: bool,
     ) -> bool:
-        """An attempt has ended; true where its zone was unreachable and has answered."""
+        """Record the end of an attempt; return whether its zone was unreachable and has now responded."""
         ended = self.in_flight.pop(attempt, None)
         if ended is None:
             return False
@@ -102,13 +113,16 @@
         return False
 
     def on_worker_restarted(self, zone: int) -> None:
-        """The endpoint list tells of a restart there: what was lost before says nothing of its workers."""
+        """Drop the lost attempts of a zone with a restarted worker and make the zone reachable."""
         self.unreachable.pop(zone, None)
         others = (lost for lost in self.lost_attempts if lost.zone != zone)
         self.lost_attempts = deque(others, MAX_LOST_ATTEMPTS)
 
     def may_send(self, now_ms: float, zone: int, is_idempotent: bool) -> bool:
-        """May a call go there: the zone answers, or this one may try, an idempotent one first."""
+        """Return whether a call may be sent to the zone: it is reachable, or this call may be a trial.
+
+        Idempotent calls may be trials earlier than others.
+        """
         outage = self.unreachable.get(zone)
         if outage is None:
             return True
@@ -116,12 +130,14 @@
         return outage.trial_attempt is None and now_ms >= trial_at_ms
 
     def find_unreachable(self, now_ms: float) -> list[int]:
-        """Zones that are newly unreachable, one by itself, or several but the own one together; and those
-        where the call that was to try it has been silent too.
+        """Return the zones found unreachable now, including those with a lost trial.
+
+        One zone is unreachable by its own silence; several zones other than the router's own are unreachable
+        if their surprises suffice together.
         """
         if self.mean_ratio.count < MIN_RESPONSES:
             return []
-        # At least 1, or quick answers would undo ``MIN_EXPECTED_MS``.
+        # At least 1, because fast responses would otherwise cancel ``MIN_EXPECTED_MS``.
         tolerance = max(1.0, self.mean_ratio.mean + DEVIATIONS * self.ratio_deviation.mean)
         found: list[int] = []
         for zone, outage in self.unreachable.items():
@@ -151,7 +167,7 @@
         return self._surprise(now_ms, [self.in_flight[attempt]], tolerance) >= MAX_WORKER_SURPRISE
 
     def _zone_surprise(self, now_ms: float, zone: int, tolerance: float) -> float:
-        """How surprising it is that nothing came from a zone; 0 until that has lasted."""
+        """Return the surprise of a zone's silence; 0 until the silence exceeds the usual time of a call."""
         responded_at_ms = self.last_response_at_ms[zone]
         if now_ms - responded_at_ms < MIN_EXPECTED_MS * tolerance:
             return 0.0
@@ -173,7 +189,7 @@
         tolerance: float,
         responded_at_ms: float = -math.inf,
     ) -> float:
-        """The sum over workers of the silence of their attempts, in units of their expected times."""
+        """Return the surprise of attempts without a response, summed over workers and bounded for each."""
         by_worker: dict[int, float] = {}
         for attempt in attempts:
             if attempt.has_connect_failed:
@@ -186,6 +202,6 @@
 
     @staticmethod
     def _back_off(outage: _UnreachableZone, now_ms: float) -> None:
-        """The trial was lost: the next one comes later."""
+        """Schedule the next trial, later, because the last one was lost."""
         outage.trial_delay_ms = min(2 * outage.trial_delay_ms, MAX_TRIAL_DELAY_MS)
         outage.trial_at_ms, outage.trial_attempt = now_ms + outage.trial_delay_ms, None
