--- a/cedarthread/routing/admission.py
+++ b/cedarthread/routing/admission.py
@@ -39,7 +39,8 @@
     """
 
     def __init__(self, state: RouterState, selector: WorkerSelector) -> None:
-        self.state, self.selector = state, selector
+        self.state = state
+        self.selector = selector
         self.mean_objective_ms = 0.0
         self.update_settings(state.settings)
 
@@ -58,7 +59,8 @@
             pending: The new request.
             quota_use: The tenant's fraction of the calls over its quota; 1.0 without a quota.
         """
-        state, request_class = self.state, pending.request_class
+        state = self.state
+        request_class = pending.request_class
         remaining_ms = pending.request.deadline_ms - now_ms
         expected_ms = state.service_times.expected_ms(pending)
         if remaining_ms < MIN_REMAINING_FRACTION * expected_ms:
@@ -81,8 +83,8 @@
         if by_contract is not None:
             probability = by_contract * retry_factor
         else:
-            least, most = QUOTA_FACTORS
-            quota_factor = min(max(quota_use, least), most) ** 2
+            min_factor, max_factor = QUOTA_FACTORS
+            quota_factor = min(max(quota_use, min_factor), max_factor) ** 2
             probability = overload * retry_factor * quota_factor * math.sqrt(mean_value / value)
         probability = min(MAX_SHED_PROBABILITY, probability)
         state.log(now_ms, "load_shed", probability=round(probability, 2))
@@ -95,7 +97,7 @@
         state = self.state
         if state.constraints is None:
             return None
-        objective_ms = min(one.latency_objective_ms for one in state.settings.classes)
+        objective_ms = min(request_class.latency_objective_ms for request_class in state.settings.classes)
         overload = state.overload.shed_probability(now_ms, objective_ms, state.workers.not_ejected_ids())
         utilization = state.overload.utilization(now_ms, objective_ms)
         return state.constraints.shed_probability(now_ms, pending, value, utilization, overload)
@@ -105,7 +107,8 @@
     def may_queue(self, now_ms: float, pending: PendingRequest) -> bool:
         """Return whether a request that cannot be sent now may wait until the next check of the queue."""
         # A request that was never sent is rejected early, so that its client has time to try elsewhere.
-        arrived_at_ms, deadline_ms = pending.arrived_at_ms, pending.request.deadline_ms
+        arrived_at_ms = pending.arrived_at_ms
+        deadline_ms = pending.request.deadline_ms
         if pending.possibly_executed():
             latest_ms = deadline_ms - MIN_REMAINING_MS
         else:
@@ -117,12 +120,15 @@
 
         Retries never wait, and no request waits unless the gossip of enough peers is recent.
         """
-        state, function, request = self.state, pending.function, pending.request
+        state = self.state
+        function = pending.function
+        request = pending.request
         if state.gossip is None or pending.attempts:
             return False
         if state.gossip.peer_coverage(now_ms) < MIN_PEER_COVERAGE:
             return False
-        worker_id, workers = worker.endpoint.worker_id, state.workers.by_id
+        worker_id = worker.endpoint.worker_id
+        workers = state.workers.by_id
         is_warm = function.read_affinity(now_ms, worker_id, state.settings.keep_alive_ms) > 0.0
         instances = {
             other_id: instance
@@ -159,7 +165,8 @@
         self, now_ms: float, pending: PendingRequest, worker: WorkerRecord | None
     ) -> PendingRequest | None:
         """Return a request of lower priority to preempt so that this one is in time, or None."""
-        state, requests = self.state, self.state.requests
+        state = self.state
+        requests = self.state.requests
         if state.constraints is None or not state.constraints.overload_level(now_ms):
             return None
         expected_ms = state.service_times.expected_ms(pending)
@@ -184,7 +191,8 @@
         )
         if not is_harmless and pending.possibly_executed():
             return FailRequest(pending.request.request_id)
-        state, limits = self.state, self.state.settings.limits
+        state = self.state
+        limits = self.state.settings.limits
         constraints = state.constraints
         retry_after_range = (
             RETRY_AFTER_RANGE if constraints is None else constraints.retry_after_range(now_ms)
--- a/cedarthread/routing/attempt_tracker.py
+++ b/cedarthread/routing/attempt_tracker.py
@@ -30,12 +30,16 @@
     """
 
     def __init__(self, state: RouterState, feedback: OutcomeFeedback) -> None:
-        self.state, self.feedback = state, feedback
+        self.state = state
+        self.feedback = feedback
 
     def on_started(self, now_ms: float, pending: PendingRequest, worker: WorkerRecord) -> Attempt:
         """Record that an attempt of the request starts at the worker now, and return the attempt."""
-        state, function, request = self.state, pending.function, pending.request
-        worker_id, service_times = worker.endpoint.worker_id, state.service_times
+        state = self.state
+        function = pending.function
+        request = pending.request
+        worker_id = worker.endpoint.worker_id
+        service_times = state.service_times
         is_cold = not function.has_seen_instance(now_ms, worker_id, state.settings.keep_alive_ms)
         warm_ms = service_times.expected_ms(pending)
         attempt = Attempt(
@@ -64,7 +68,8 @@
 
     def on_ended(self, now_ms: float, event: AttemptEnded) -> PendingRequest | None:
         """Record an outcome and return its request; None: the request is closed or the attempt is unknown."""
-        state, outcome = self.state, event.outcome
+        state = self.state
+        outcome = event.outcome
         pending, attempt = state.requests.end_attempt(event)
         if attempt is None:
             return None
--- a/cedarthread/routing/estimators.py
+++ b/cedarthread/routing/estimators.py
@@ -12,7 +12,7 @@
 from cedarthread.routing.popularity import Popularity
 from cedarthread.routing.records import (
     EXCESS_LOAD_PRIOR_COUNT,
-    MIN_LOAD_MEMORY_MS,
+    MIN_LOAD_TIME_CONSTANT_MS,
     FunctionRecord,
     PendingRequest,
     WorkerRecord,
@@ -28,8 +28,10 @@
     5000.0  # time constant of rates: several windows of rule 4, and much shorter than a slow start
 )
 INITIAL_SERVICE_DIVISOR = 4.0  # the objective over this is the service time assumed before the first response
-MAX_LOAD_MEMORY_MS = 12000.0  # longest time constant of a worker's load observations
-RESPONSES_PER_MEMORY = 4.0  # own calls to one worker that the time constant should span, within its bounds
+MAX_LOAD_TIME_CONSTANT_MS = 12000.0  # longest time constant of a worker's load observations
+RESPONSES_PER_TIME_CONSTANT = (
+    4.0  # own calls to one worker that the time constant should span, within its bounds
+)
 REPORT_PRIOR_COUNT = 0.01  # weight of the prior 0: negligible after the first report
 REPORTED_LOAD_WEIGHT = 0.05  # weight of one reported request in flight, relative to an own one
 MIN_QUOTA_FRACTION = 0.01  # lower bound of a tenant's quota
@@ -95,12 +97,14 @@
         self.first_call_at_ms = math.inf
         self.request_value = Ewma()  # priority weight of a request per ms of its work
         self.calls_per_ms = 0.0
-        self.load_memory_ms = MIN_LOAD_MEMORY_MS  # time constant of load observations of a worker
+        self.load_time_constant_ms = (
+            MIN_LOAD_TIME_CONSTANT_MS  # time constant of load observations of a worker
+        )
         self.call_rarity = (
-            1.0  # load_memory_ms over its minimum, 1 to 3; high when a worker gets few own calls
+            1.0  # load_time_constant_ms over its minimum, 1 to 3; high when a worker gets few own calls
         )
         self.reported_in_flight = DecayingMean(RATE_WINDOW_MS)  # of other routers, over all workers
-        self.usual_reported_in_flight = 0.0
+        self.mean_reported_in_flight = 0.0
         self.by_tenant = [DecayingCounter(RATE_WINDOW_MS) for _ in settings.tenants]
         self.admitted_by_class: list[DecayingCounter] = []  # first attempts that were not shed
         self.update_settings(settings)
@@ -121,10 +125,10 @@
         self.first_call_at_ms = min(self.first_call_at_ms, now_ms)
         known_fraction = 1.0 - math.exp(-max(1.0, now_ms - self.first_call_at_ms) / RATE_WINDOW_MS)
         self.calls_per_ms = self.recent_calls.read(now_ms) / RATE_WINDOW_MS / known_fraction
-        wanted_ms = RESPONSES_PER_MEMORY * worker_count / self.calls_per_ms
-        self.load_memory_ms = min(max(wanted_ms, MIN_LOAD_MEMORY_MS), MAX_LOAD_MEMORY_MS)
-        self.call_rarity = self.load_memory_ms / MIN_LOAD_MEMORY_MS
-        self.usual_reported_in_flight = self.reported_in_flight.read(now_ms, REPORT_PRIOR_COUNT)
+        wanted_ms = RESPONSES_PER_TIME_CONSTANT * worker_count / self.calls_per_ms
+        self.load_time_constant_ms = min(max(wanted_ms, MIN_LOAD_TIME_CONSTANT_MS), MAX_LOAD_TIME_CONSTANT_MS)
+        self.call_rarity = self.load_time_constant_ms / MIN_LOAD_TIME_CONSTANT_MS
+        self.mean_reported_in_flight = self.reported_in_flight.read(now_ms, REPORT_PRIOR_COUNT)
 
     def on_tenant_call(self, now_ms: float, request: RequestArrived, settings: RouterSettings) -> float:
         """Count a tenant's call; return its fraction of all calls over its quota, or 1.0 without a tenant."""
@@ -160,6 +164,6 @@
 
     def reported_excess(self, now_ms: float, worker: WorkerRecord) -> float:
         """Return the weighted excess of reported requests at the worker over the mean; 0 without reports."""
-        usual = self.usual_reported_in_flight
+        usual = self.mean_reported_in_flight
         excess = worker.reported_in_flight.read(now_ms, EXCESS_LOAD_PRIOR_COUNT, usual) - usual
         return REPORTED_LOAD_WEIGHT * self.call_rarity * excess
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -25,11 +25,11 @@
     from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
     from cedarthread.routing.router_state import RouterState
 
-REPORT_MEMORY_FRACTION = (
-    0.25  # of load_memory_ms: a load report expires sooner, because it changes with every call
+REPORT_TIME_CONSTANT_FRACTION = (
+    0.25  # of load_time_constant_ms: a load report expires sooner, because it changes with every call
 )
 CONCURRENCY_WEIGHT = 0.25  # weight of another router's request in flight: a worker has several cores
-REJECTION_MEMORY_MS = 3000.0  # time constant of a worker's rejections of a class and tenant
+REJECTION_TIME_CONSTANT_MS = 3000.0  # time constant of a worker's rejections of a class and tenant
 REJECTION_GAIN = 0.5  # gain by which one response moves the rejections of a class and tenant...
 REJECTION_PENALTY = 2.0  # ...towards this placement cost if it was a rejection, else towards 0
 
@@ -112,20 +112,20 @@
         if not attempt.is_cold:
             others = CONCURRENCY_WEIGHT * max(0, (event.reported_concurrency or 0) - 1)
             excess = max(event.latency_ms / max(attempt.expected_ms, 1.0) - 1.0, others)
-            worker.excess_load.add(now_ms, excess, self.state.traffic.load_memory_ms)
+            worker.excess_load.add(now_ms, excess, self.state.traffic.load_time_constant_ms)
         if attempt.is_trial:
             worker.outlier_score = min(worker.outlier_score, RECOVERY_THRESHOLD)
         self.observe_health(now_ms, worker, 0.0)
 
     def _learn_overloaded(self, now_ms: float, worker: WorkerRecord, attempt: Attempt) -> None:
         rejections = worker.rejections.setdefault(
-            attempt.class_and_tenant, DecayingCounter(REJECTION_MEMORY_MS)
+            attempt.class_and_tenant, DecayingCounter(REJECTION_TIME_CONSTANT_MS)
         )
         rejections.move_towards(now_ms, REJECTION_GAIN, REJECTION_PENALTY)
         request_class = self.state.settings.classes[attempt.class_and_tenant[0]]
         objective = max(request_class.latency_objective_ms, 1.0) / max(attempt.expected_ms, 1.0)
         excess = max(worker.read_excess_load(now_ms), objective)
-        worker.excess_load.add(now_ms, excess, self.state.traffic.load_memory_ms)
+        worker.excess_load.add(now_ms, excess, self.state.traffic.load_time_constant_ms)
 
     def _learn_failure(
         self, now_ms: float, worker: WorkerRecord, event: AttemptEnded, attempt: Attempt
@@ -146,7 +146,9 @@
         if reported is not None:
             others = max(0.0, reported - worker.in_flight)
             traffic = self.state.traffic
-            worker.reported_in_flight.add(now_ms, others, REPORT_MEMORY_FRACTION * traffic.load_memory_ms)
+            worker.reported_in_flight.add(
+                now_ms, others, REPORT_TIME_CONSTANT_FRACTION * traffic.load_time_constant_ms
+            )
             traffic.on_load_report(now_ms, others)
 
     def _reported_in_flight(self, load_report: tuple[float | None, ...]) -> float | None:
@@ -164,7 +166,8 @@
         self, now_ms: float, event: AttemptEnded, attempt: Attempt, pending: PendingRequest
     ) -> None:
         """Update the function's instances and service times from one outcome."""
-        function, worker_id = pending.function, event.worker_id
+        function = pending.function
+        worker_id = event.worker_id
         if event.outcome is not Outcome.OK:
             if event.outcome is Outcome.NOT_LOADED or event.start_kind is StartKind.LOAD_FAILED:
                 function.forget_instance(worker_id)
@@ -188,7 +191,8 @@
 
     def learn_preload(self, now_ms: float, event: PreloadEnded) -> bool:
         """Record how a preload ended; return False if no such preload is in flight."""
-        state, worker_id = self.state, event.worker_id
+        state = self.state
+        worker_id = event.worker_id
         function = state.functions.by_id.get(event.function_id)
         if function is None or worker_id not in function.preloading_workers:
             return False
--- a/cedarthread/routing/instance_queue.py
+++ b/cedarthread/routing/instance_queue.py
@@ -39,8 +39,8 @@
 
     def on_response(self, worker_id: int, was_cold: bool) -> None:
         """Count the instance that served a call: a new one if the call was cold, else an existing one."""
-        known = self.instances.get(worker_id, 0)
-        self.instances[worker_id] = min(known + 1, MAX_INSTANCES) if was_cold else max(known, 1)
+        known_count = self.instances.get(worker_id, 0)
+        self.instances[worker_id] = min(known_count + 1, MAX_INSTANCES) if was_cold else max(known_count, 1)
 
     def remove(self, request_id: int) -> None:
         """Remove a request from the queue, if it waits."""
--- a/cedarthread/routing/outlier_detection.py
+++ b/cedarthread/routing/outlier_detection.py
@@ -50,7 +50,9 @@
 
 def reset(worker: WorkerRecord) -> None:
     """Reset the score and the ejection of a worker that restarted."""
-    worker.outlier_score, worker.is_ejected, worker.ejection_ms = 0.0, False, BASE_EJECTION_MS
+    worker.outlier_score = 0.0
+    worker.is_ejected = False
+    worker.ejection_ms = BASE_EJECTION_MS
 
 
 def observe(
@@ -72,12 +74,13 @@
     worker.outlier_score += gain * (failure - worker.outlier_score)
     if not worker.is_ejected and worker.outlier_score > EJECTION_THRESHOLD:
         all_workers = list(workers)
-        ejected_then = 1 + sum(other.is_ejected for other in all_workers)
-        if ejected_then <= max(1.0, max_ejected_fraction * len(all_workers)):
+        ejected_count = 1 + sum(other.is_ejected for other in all_workers)
+        if ejected_count <= max(1.0, max_ejected_fraction * len(all_workers)):
             worker.is_ejected = True
             return True
     elif worker.is_ejected and worker.outlier_score < RECOVERY_THRESHOLD:
-        worker.is_ejected, worker.has_trial_in_flight = False, False
+        worker.is_ejected = False
+        worker.has_trial_in_flight = False
         worker.ejection_ms = max(BASE_EJECTION_MS, worker.ejection_ms / 2)
     return False
 
--- a/cedarthread/routing/popularity.py
+++ b/cedarthread/routing/popularity.py
@@ -12,7 +12,8 @@
 from cedarthread.statistics import DecayingCounter
 
 CALLS_IN_WINDOW = 80.0  # own calls that the window should contain, within its bounds
-MIN_WINDOW_MS, MAX_WINDOW_MS = 5000.0, 30_000.0
+MIN_WINDOW_MS = 5000.0
+MAX_WINDOW_MS = 30_000.0
 MIN_CALL_COUNT = (
     40.0  # lower bound of the window's calls: calls not yet seen are assumed to be of other functions
 )
@@ -30,7 +31,8 @@
         self.window_ms = MIN_WINDOW_MS
         if calls_per_ms > 0.0:
             self.window_ms = min(max(CALLS_IN_WINDOW / calls_per_ms, MIN_WINDOW_MS), MAX_WINDOW_MS)
-        self.all_calls.time_constant_ms = calls.time_constant_ms = self.window_ms
+        self.all_calls.time_constant_ms = self.window_ms
+        calls.time_constant_ms = self.window_ms
         self.all_calls.add(now_ms, 1.0)
         calls.add(now_ms, 1.0)
 
--- a/cedarthread/routing/preloading.py
+++ b/cedarthread/routing/preloading.py
@@ -28,7 +28,9 @@
     """
 
     def __init__(self, state: RouterState, selector: WorkerSelector, admission: AdmissionPolicy) -> None:
-        self.state, self.selector, self.admission = state, selector, admission
+        self.state = state
+        self.selector = selector
+        self.admission = admission
 
     def on_request(self, now_ms: float) -> None:
         """Credit a new request to the preload budget, if rule 5 limits preloads."""
@@ -43,7 +45,9 @@
 
         If the selected worker is cold, request a preload there and return the cheapest warm worker instead.
         """
-        state, function, worker_id = self.state, pending.function, chosen.endpoint.worker_id
+        state = self.state
+        function = pending.function
+        worker_id = chosen.endpoint.worker_id
         settings = state.settings
         if settings.when_not_loaded is not NotLoadedBehavior.REJECT or not settings.allows_preloading:
             return chosen
--- a/cedarthread/routing/records.py
+++ b/cedarthread/routing/records.py
@@ -25,7 +25,7 @@
     from cedarthread.model.instance_load import InstanceLoad
     from cedarthread.model.settings import RequestClass, RuleParameters
 
-MIN_LOAD_MEMORY_MS = 4000.0  # shortest time constant of a worker's load observations
+MIN_LOAD_TIME_CONSTANT_MS = 4000.0  # shortest time constant of a worker's load observations
 EXCESS_LOAD_PRIOR_COUNT = 0.5  # weight of the prior, in responses: a single response counts for two thirds
 BASE_EJECTION_MS = 1500.0  # ms until the first half-open trial of an ejected worker
 MIN_AFFINITY = 0.01  # an affinity below this is dropped
@@ -69,9 +69,9 @@
     last_response_at_ms: float = -math.inf
     unreachable_at_ms: float = -math.inf  # last failed connect; the worker may have restarted since
     connection_broken_at_ms: float = -math.inf  # attempts that fail with one connection count as one failure
-    excess_load: DecayingMean = field(default_factory=lambda: DecayingMean(MIN_LOAD_MEMORY_MS))
+    excess_load: DecayingMean = field(default_factory=lambda: DecayingMean(MIN_LOAD_TIME_CONSTANT_MS))
     reported_in_flight: DecayingMean = field(  # requests of other routers, by load reports
-        default_factory=lambda: DecayingMean(MIN_LOAD_MEMORY_MS)
+        default_factory=lambda: DecayingMean(MIN_LOAD_TIME_CONSTANT_MS)
     )
     rejections: dict[ClassAndTenant, DecayingCounter] = field(default_factory=dict)
 
@@ -183,7 +183,7 @@
 
     def possibly_executed(self) -> list[Attempt]:
         """Return the attempts that may have executed the request."""
-        return [a for a in self.attempts if a.is_in_flight or a.may_have_executed]
+        return [attempt for attempt in self.attempts if attempt.is_in_flight or attempt.may_have_executed]
 
     def has_attempt_in_flight(self) -> bool:
         """Return whether any attempt is in flight."""
--- a/cedarthread/routing/rendezvous.py
+++ b/cedarthread/routing/rendezvous.py
@@ -12,7 +12,8 @@
 
 _MASK = 2**64 - 1
 _GOLDEN_GAMMA = 0x9E3779B97F4A7C15  # this and the two multipliers are the constants of SplitMix64
-_MULTIPLIER_1, _MULTIPLIER_2 = 0xBF58476D1CE4E5B9, 0x94D049BB133111EB
+_MULTIPLIER_1 = 0xBF58476D1CE4E5B9
+_MULTIPLIER_2 = 0x94D049BB133111EB
 _FLOAT_BITS = 53  # mantissa bits of a double: the upper hash bits become a number above 0 and up to 1
 
 
--- a/cedarthread/routing/retries.py
+++ b/cedarthread/routing/retries.py
@@ -32,7 +32,8 @@
     """
 
     def __init__(self, state: RouterState, feedback: OutcomeFeedback) -> None:
-        self.state, self.feedback = state, feedback
+        self.state = state
+        self.feedback = feedback
 
     def has_remaining_attempts(self, pending: PendingRequest) -> bool:
         """Return whether the limit of attempts per request permits one more."""
@@ -66,7 +67,8 @@
         Silence since the attempt started counts as a failure of its worker. If the worker is ejected or
         removed and attempts can be cancelled, cancel the attempt instead: its end then starts a retry.
         """
-        attempt, state = pending.attempts[attempt_index], self.state
+        attempt = pending.attempts[attempt_index]
+        state = self.state
         if not attempt.is_in_flight or pending.is_streaming:
             return False
         request_id = pending.request.request_id
--- a/cedarthread/routing/router.py
+++ b/cedarthread/routing/router.py
@@ -54,7 +54,8 @@
     """
 
     def __init__(self, settings: RouterSettings, seed: int) -> None:
-        self.state = state = RouterState.create(settings, seed)
+        state = RouterState.create(settings, seed)
+        self.state = state
         self.feedback = OutcomeFeedback(state)
         self.tracker = AttemptTracker(state, self.feedback)
         self.retries = RetryPolicy(state, self.feedback)
@@ -79,7 +80,8 @@
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Handle one event and return the actions to carry out, in order."""
         state = self.state
-        state.event_at_ms, state.actions = now_ms, []
+        state.event_at_ms = now_ms
+        state.actions = []
         if now_ms > state.timers.armed_at_ms + STALL_THRESHOLD_MS:
             # The armed timer is overdue, so the process stalled. Events at this time are stale; outlier
             # detection skips them.
@@ -94,13 +96,14 @@
 
     def update_settings(self, settings: RouterSettings) -> None:
         """Apply new settings, which may append classes; a pending request stays in its class."""
-        for part in (self.state, self.feedback, self.selector, self.admission):
-            part.update_settings(settings)
+        for component in (self.state, self.feedback, self.selector, self.admission):
+            component.update_settings(settings)
 
     # Events.
 
     def _on_endpoint_update(self, now_ms: float, update: EndpointUpdate) -> None:
-        state, polling = self.state, self.state.polling
+        state = self.state
+        polling = self.state.polling
         if update.kind is EndpointUpdateKind.FAILED:
             max_delay_ms = state.settings.rules.max_poll_delay_ms
             state.timers.schedule(polling.on_failure(now_ms, max_delay_ms, state.rng))
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -54,7 +54,7 @@
     pending: PendingRequest
     work_ms: float
     is_idempotent: bool
-    tried: set[int]  # ids of workers that had an attempt of the request
+    attempted_ids: set[int]  # ids of workers that had an attempt of the request
     constraints: RoutingConstraints | None  # None: nothing limits loading now
     has_spare_instance: bool
 
@@ -68,8 +68,10 @@
     """
 
     def __init__(self, state: RouterState, retries: RetryPolicy) -> None:
-        self.state, self.retries = state, retries
-        self.homes_per_worker, self.cross_zone_penalty = 0.0, 0.0
+        self.state = state
+        self.retries = retries
+        self.homes_per_worker = 0.0
+        self.cross_zone_penalty = 0.0
         self.update_settings(state.settings)
 
     def update_settings(self, settings: RouterSettings) -> None:
@@ -80,7 +82,9 @@
 
     def select(self, now_ms: float, pending: PendingRequest) -> WorkerRecord | None:
         """Return the worker for the next attempt: an untried one, else a tried one, else an ejected one."""
-        state, function, function_id = self.state, pending.function, pending.request.function_id
+        state = self.state
+        function = pending.function
+        function_id = pending.request.function_id
         constraints = state.constraints
         if constraints is not None and not constraints.limits_loading:
             constraints = None
@@ -106,8 +110,11 @@
         return None
 
     def _cheapest(self, search: _Search, may_be_repeated: bool, may_be_ejected: bool) -> WorkerRecord | None:
-        now_ms, pending, rng = search.now_ms, search.pending, self.state.rng
-        least_cost, ties = math.inf, 0
+        now_ms = search.now_ms
+        pending = search.pending
+        rng = self.state.rng
+        min_cost = math.inf
+        ties = 0
         cheapest: WorkerRecord | None = None
         for worker, placement_penalty in self._candidates(now_ms, pending):
             if not self._can_take(search, worker, may_be_repeated, may_be_ejected):
@@ -117,13 +124,15 @@
                 worker.is_ejected and not may_be_ejected
             ):  # a half-open trial, which the outlier score would prevent
                 cost -= worker.outlier_score + TRIAL_BONUS
-            if cost < least_cost - TIE:
-                least_cost, ties, cheapest = cost, 1, worker
-            elif cost <= least_cost + TIE:
+            if cost < min_cost - TIE:
+                min_cost = cost
+                ties = 1
+                cheapest = worker
+            elif cost <= min_cost + TIE:
                 ties += 1
                 if rng.random() * ties < 1.0:  # reservoir sampling: all ties are equally likely
                     cheapest = worker
-            if placement_penalty > SPARE_WORKERS * PLACEMENT_STEP and least_cost < math.inf:
+            if placement_penalty > SPARE_WORKERS * PLACEMENT_STEP and min_cost < math.inf:
                 break
         return cheapest
 
@@ -131,7 +140,8 @@
         self, search: _Search, worker: WorkerRecord, may_be_repeated: bool, may_be_ejected: bool
     ) -> bool:
         """Return whether the worker may receive the call in this pass."""
-        now_ms, pending = search.now_ms, search.pending
+        now_ms = search.now_ms
+        pending = search.pending
         if search.constraints is not None:
             keep_alive_ms = self.state.settings.keep_alive_ms
             has_instance = pending.function.has_instance(now_ms, worker.endpoint.worker_id, keep_alive_ms)
@@ -141,33 +151,35 @@
                 return False
         if not self.is_eligible(pending, worker):
             return False
-        if not may_be_repeated and worker.endpoint.worker_id in search.tried:
+        if not may_be_repeated and worker.endpoint.worker_id in search.attempted_ids:
             return False
         if not (may_be_ejected or is_available(worker, now_ms, search.is_idempotent)):
             return False
-        return self._can_reach(now_ms, worker, search.is_idempotent) and self.fits_slow_start(
+        return self._is_zone_usable(now_ms, worker, search.is_idempotent) and self.fits_slow_start(
             now_ms, worker, search.work_ms
         )
 
-    # Candidates.
-
     def _candidates(self, now_ms: float, pending: PendingRequest) -> Iterator[tuple[WorkerRecord, float]]:
         """Yield workers with affinity, then the homes, then all others, each with its placement penalty.
 
         Routers agree on the homes without communication, by rendezvous hashing. The number of homes follows
         the function's fraction of the calls, which each router estimates from its own traffic.
         """
-        state, function = self.state, pending.function
-        workers, keep_alive_ms = state.workers.by_id, state.settings.keep_alive_ms
+        state = self.state
+        function = pending.function
+        workers = state.workers.by_id
+        keep_alive_ms = state.settings.keep_alive_ms
         if function.placement_epoch != state.workers.placement_epoch:
             function.placement_epoch = state.workers.placement_epoch
             function.placement_order = placement_order(
                 function.hash, workers.values(), state.settings.weight_meaning in WEIGHTED
             )
         order: Sequence[WorkerRecord] = function.placement_order
-        homes = self.home_count(now_ms, function)
+        home_count = self.home_count(now_ms, function)
         if state.constraints is not None and state.constraints.limits_loading:
-            order, homes = state.constraints.home_workers(now_ms, pending.request.function_id, order, homes)
+            order, home_count = state.constraints.home_workers(
+                now_ms, pending.request.function_id, order, home_count
+            )
         for worker_id in list(function.affinity):
             if function.read_affinity(now_ms, worker_id, keep_alive_ms) > 0.0 and worker_id in workers:
                 yield workers[worker_id], 0.0
@@ -176,9 +188,9 @@
             if worker.endpoint.state is not EndpointState.READY:
                 continue
             place += 1
-            if place > homes:
-                yield worker, min(place - homes, SPARE_WORKERS + 1) * PLACEMENT_STEP
-            elif homes > 1:
+            if place > home_count:
+                yield worker, min(place - home_count, SPARE_WORKERS + 1) * PLACEMENT_STEP
+            elif home_count > 1:
                 affinity = function.affinity.get(worker.endpoint.worker_id, 0.0)
                 yield worker, HOME_JITTER * (worker.jitter - 1.0) - max(0.0, HOME_AFFINITY - affinity)
             else:
@@ -194,11 +206,10 @@
         max_retained = fleet_calls_per_ms * state.settings.keep_alive_ms / MIN_CALLS_PER_HOME
         return 1 + int(fraction * min(self.homes_per_worker * len(state.workers.by_id), max_retained))
 
-    # Eligibility.
-
     def is_eligible(self, pending: PendingRequest, worker: WorkerRecord) -> bool:
         """Return whether rules 2 (idempotency) and 3 (draining) permit the request at the worker."""
-        endpoint, scope = worker.endpoint, pending.request_class.deduplication_scope
+        endpoint = worker.endpoint
+        scope = pending.request_class.deduplication_scope
         if endpoint.state is not EndpointState.READY:
             return False
         if pending.request_class.idempotency is not Idempotency.WITH_KEY or scope is DeduplicationScope.ALL:
@@ -208,7 +219,7 @@
             return all(other.zone == endpoint.zone for other in executed_at)
         return all(other.cell == endpoint.cell for other in executed_at)
 
-    def _can_reach(self, now_ms: float, worker: WorkerRecord, is_idempotent: bool) -> bool:
+    def _is_zone_usable(self, now_ms: float, worker: WorkerRecord, is_idempotent: bool) -> bool:
         """Return whether the worker's zone is reachable or due for a trial, or no zone is reachable."""
         zones = self.state.zones
         if not zones.unreachable or self.state.workers.is_every_zone_unreachable:
@@ -231,13 +242,12 @@
             work_ms=work_ms,
         )
 
-    # Cost.
-
     def cost(
         self, now_ms: float, function: FunctionRecord, worker: WorkerRecord, class_and_tenant: ClassAndTenant
     ) -> float:
         """Return the cost of a call at the worker, without the placement penalty."""
-        state, worker_id = self.state, worker.endpoint.worker_id
+        state = self.state
+        worker_id = worker.endpoint.worker_id
         in_flight = worker.in_flight + PEER_LOAD_WEIGHT * worker.peers_in_flight
         if (instance := function.gossiped_instances.get(worker_id)) is not None:
             in_flight += instance.in_flight  # they use the concurrency of this function's instances
@@ -251,34 +261,38 @@
         penalty += self.cross_zone_penalty if worker.endpoint.zone != state.settings.zone else 0.0
         return 1.0 - function.affinity.get(worker_id, 0.0) + load / LOAD_PER_AFFINITY + penalty
 
-    # Workers with an instance.
-
     def has_spare_instance(self, now_ms: float, pending: PendingRequest, is_idempotent: bool) -> bool:
         """Return whether any eligible worker has an instance of the function with capacity left."""
-        workers, function = self.state.workers.by_id, pending.function
+        function = pending.function
         keep_alive_ms = self.state.settings.keep_alive_ms
         max_in_flight = function.concurrency * LOAD_PER_AFFINITY
-        near = (workers[worker_id] for worker_id in function.affinity if worker_id in workers)
         return any(
             self.is_eligible(pending, worker)
             and is_available(worker, now_ms, is_idempotent)
-            and self._can_reach(now_ms, worker, is_idempotent)
+            and self._is_zone_usable(now_ms, worker, is_idempotent)
             and function.has_instance(now_ms, worker.endpoint.worker_id, keep_alive_ms)
             and worker.in_flight + worker.peers_in_flight < max_in_flight
-            for worker in near
+            for worker in self._workers_with_affinity(function)
         )
 
     def cheapest_warm(self, now_ms: float, pending: PendingRequest) -> WorkerRecord | None:
         """Return the cheapest worker with affinity to the function that may receive the call now."""
-        function, workers = pending.function, self.state.workers.by_id
+        function = pending.function
+        class_and_tenant = pending.class_and_tenant
         keep_alive_ms = self.state.settings.keep_alive_ms
         work_ms = self.state.service_times.class_ms(pending.request.class_index)
-        near = [workers[worker_id] for worker_id in list(function.affinity) if worker_id in workers]
-        allowed = [w for w in near if self.is_eligible(pending, w) and is_available(w, now_ms, True)]
         warm = [
             worker
-            for worker in allowed
-            if function.read_affinity(now_ms, worker.endpoint.worker_id, keep_alive_ms) > 0
+            for worker in self._workers_with_affinity(function)
+            if self.is_eligible(pending, worker)
+            and is_available(worker, now_ms, True)
+            and function.read_affinity(now_ms, worker.endpoint.worker_id, keep_alive_ms) > 0
             and self.fits_slow_start(now_ms, worker, work_ms)
         ]
-        return min(warm, key=lambda w: self.cost(now_ms, function, w, pending.class_and_tenant), default=None)
+        return min(
+            warm, key=lambda worker: self.cost(now_ms, function, worker, class_and_tenant), default=None
+        )
+
+    def _workers_with_affinity(self, function: FunctionRecord) -> list[WorkerRecord]:
+        workers = self.state.workers.by_id
+        return [workers[worker_id] for worker_id in function.affinity if worker_id in workers]
--- a/cedarthread/routing/slow_start.py
+++ b/cedarthread/routing/slow_start.py
@@ -20,8 +20,8 @@
     """Return the least fraction of its capacity that a worker of this age has."""
     if age_ms >= rules.slow_start_ms:
         return 1.0
-    least = rules.slow_start_min_capacity
-    return least + (1 - least) * max(0.0, age_ms) / rules.slow_start_ms
+    min_capacity = rules.slow_start_min_capacity
+    return min_capacity + (1 - min_capacity) * max(0.0, age_ms) / rules.slow_start_ms
 
 
 def fits_budget(
--- a/cedarthread/routing/timers.py
+++ b/cedarthread/routing/timers.py
@@ -63,5 +63,6 @@
         due_ms = max(self.entries[0].at_ms, now_ms + MIN_DELAY_MS)
         if due_ms >= self.armed_at_ms:
             return None
-        self.token, self.armed_at_ms = (self.token + 1) % TOKENS, due_ms
+        self.token = (self.token + 1) % TOKENS
+        self.armed_at_ms = due_ms
         return SetTimer(due_ms, self.token)
--- a/cedarthread/routing/worker_table.py
+++ b/cedarthread/routing/worker_table.py
@@ -33,7 +33,8 @@
     """
 
     def __init__(self, settings: RouterSettings, zones: ZoneReachability, rng: random.Random) -> None:
-        self.zones, self.rng = zones, rng
+        self.zones = zones
+        self.rng = rng
         self.by_id: dict[int, WorkerRecord] = {}
         self.placement_epoch = (
             0  # rises with each added or removed worker; placement orders are then recomputed
@@ -87,9 +88,10 @@
 
     def count_ready(self, now_ms: float) -> None:
         """Count the ready workers in reachable zones, or in all zones if none is reachable."""
-        ready = [w for w in self.by_id.values() if w.endpoint.state is EndpointState.READY]
+        ready = [worker for worker in self.by_id.values() if worker.endpoint.state is EndpointState.READY]
         reachable = sum(worker.endpoint.zone not in self.zones.unreachable for worker in ready)
-        before, self.ready_count = self.ready_count, reachable or len(ready)
+        before = self.ready_count
+        self.ready_count = reachable or len(ready)
         self.is_every_zone_unreachable = not reachable
         self.ready_peak.on_change(now_ms, before, self.ready_count)
 
@@ -104,5 +106,7 @@
 
     def skipped_count(self) -> int:
         """Return the number of listed workers that get no calls, because they are ejected or not ready."""
-        listed = [w for w in self.by_id.values() if w.endpoint.state is not EndpointState.REMOVED]
-        return sum(w.is_ejected or w.endpoint.state is not EndpointState.READY for w in listed)
+        listed = [
+            worker for worker in self.by_id.values() if worker.endpoint.state is not EndpointState.REMOVED
+        ]
+        return sum(worker.is_ejected or worker.endpoint.state is not EndpointState.READY for worker in listed)
--- a/cedarthread/routing/zone_reachability.py
+++ b/cedarthread/routing/zone_reachability.py
@@ -26,7 +26,8 @@
 DEVIATIONS = 1.0  # mean deviations added to the usual time: cold starts make a long tail
 MIN_EXPECTED_MS = 100.0  # lower bound of the expected time: shorter silence may be a pause of this process
 MIN_RESPONSES = 10  # responses needed before any zone counts as unreachable
-BASE_TRIAL_DELAY_MS, MAX_TRIAL_DELAY_MS = 1000.0, 8000.0  # time until a trial, doubled after each lost trial
+BASE_TRIAL_DELAY_MS = 1000.0  # time until a trial, doubled after each lost trial
+MAX_TRIAL_DELAY_MS = 8000.0
 MAX_LOST_ATTEMPTS = 64  # ended attempts without a response that still count
 
 AttemptId = tuple[int, int]  # request id and attempt index
@@ -105,7 +106,8 @@
             self.mean_ratio.add(ratio)
             self.ratio_deviation.add(abs(ratio - self.mean_ratio.mean))
             return self.on_response(now_ms, ended.zone)
-        ended.ended_at_ms, ended.has_connect_failed = now_ms, has_connect_failed
+        ended.ended_at_ms = now_ms
+        ended.has_connect_failed = has_connect_failed
         self.lost_attempts.append(ended)
         outage = self.unreachable.get(ended.zone)
         if outage is not None and outage.trial_attempt == attempt:
@@ -139,13 +141,13 @@
             return []
         # At least 1, because fast responses would otherwise cancel ``MIN_EXPECTED_MS``.
         tolerance = max(1.0, self.mean_ratio.mean + DEVIATIONS * self.ratio_deviation.mean)
-        found: list[int] = []
+        newly_unreachable: list[int] = []
         for zone, outage in self.unreachable.items():
             if outage.trial_attempt is not None and self._is_trial_lost(
                 now_ms, outage.trial_attempt, tolerance
             ):
                 self._back_off(outage, now_ms)
-                found.append(zone)
+                newly_unreachable.append(zone)
         surprises = {
             zone: self._zone_surprise(now_ms, zone, tolerance)
             for zone in self.last_response_at_ms
@@ -156,12 +158,12 @@
             for zone, surprise in surprises.items()
             if zone != self.own_zone and surprise >= MIN_SHARED_SURPRISE
         }
-        are_together_silent = sum(other_zones.values()) >= UNREACHABLE_SURPRISE
+        are_others_silent = sum(other_zones.values()) >= UNREACHABLE_SURPRISE
         for zone, surprise in surprises.items():
-            if surprise >= UNREACHABLE_SURPRISE or (are_together_silent and zone in other_zones):
-                found.append(zone)
+            if surprise >= UNREACHABLE_SURPRISE or (are_others_silent and zone in other_zones):
+                newly_unreachable.append(zone)
                 self.unreachable[zone] = _UnreachableZone(now_ms + BASE_TRIAL_DELAY_MS)
-        return found
+        return newly_unreachable
 
     def _is_trial_lost(self, now_ms: float, attempt: AttemptId, tolerance: float) -> bool:
         return self._surprise(now_ms, [self.in_flight[attempt]], tolerance) >= MAX_WORKER_SURPRISE
@@ -172,12 +174,14 @@
         if now_ms - responded_at_ms < MIN_EXPECTED_MS * tolerance:
             return 0.0
         attempts = [
-            one
-            for one in (*self.in_flight.values(), *self.lost_attempts)
-            if one.zone == zone and one.ended_at_ms > responded_at_ms
+            attempt
+            for attempt in (*self.in_flight.values(), *self.lost_attempts)
+            if attempt.zone == zone and attempt.ended_at_ms > responded_at_ms
         ]
-        silent_since_ms = min((max(one.started_at_ms, responded_at_ms) for one in attempts), default=now_ms)
-        expected_ms = sum(one.expected_ms for one in attempts) / max(1, len(attempts))
+        silent_since_ms = min(
+            (max(attempt.started_at_ms, responded_at_ms) for attempt in attempts), default=now_ms
+        )
+        expected_ms = sum(attempt.expected_ms for attempt in attempts) / max(1, len(attempts))
         if now_ms - silent_since_ms < expected_ms * tolerance:
             return 0.0
         return self._surprise(now_ms, attempts, tolerance, responded_at_ms)
@@ -204,4 +208,5 @@
     def _back_off(outage: _UnreachableZone, now_ms: float) -> None:
         """Schedule the next trial, later, because the last one was lost."""
         outage.trial_delay_ms = min(2 * outage.trial_delay_ms, MAX_TRIAL_DELAY_MS)
-        outage.trial_at_ms, outage.trial_attempt = now_ms + outage.trial_delay_ms, None
+        outage.trial_at_ms = now_ms + outage.trial_delay_ms
+        outage.trial_attempt = None
--- a/tests/unit/routing/test_router.py
+++ b/tests/unit/routing/test_router.py
@@ -417,7 +417,7 @@
     assert record.rejections[(1, None)].read(drive.now_ms) == pytest.approx(1.0)
     assert (0, None) not in record.rejections
     assert record.outlier_score == 0.0
-    drive.now_ms += 10 * feedback.REJECTION_MEMORY_MS
+    drive.now_ms += 10 * feedback.REJECTION_TIME_CONSTANT_MS
     assert record.rejections[(1, None)].read(drive.now_ms) < 0.01
 
 
@@ -773,7 +773,7 @@
             drive.send_request(after_ms=every)
             drive.end_attempt(drive.last_request_id, sends(drive.actions)[-1], after_ms=0.0)
         record = records.WorkerRecord(worker(99), 0, 0.0)
-        record.excess_load.add(drive.now_ms, 4.0, drive.router.state.traffic.load_memory_ms)
+        record.excess_load.add(drive.now_ms, 4.0, drive.router.state.traffic.load_time_constant_ms)
         left[workers] = record.read_excess_load(drive.now_ms + 8000.0) / record.read_excess_load(drive.now_ms)
     assert left[2] == left[12] < 0.35 < 0.7 < left[40]
 
--- a/tests/unit/routing/test_tables.py
+++ b/tests/unit/routing/test_tables.py
@@ -232,7 +232,7 @@
         seldom.on_call(10.0 * number, FunctionRecord(1), 500)
     assert often.calls_per_ms == seldom.calls_per_ms == pytest.approx(0.1, rel=0.1)
     assert often.call_rarity == 1.0
-    assert seldom.load_memory_ms == estimators.MAX_LOAD_MEMORY_MS
+    assert seldom.load_time_constant_ms == estimators.MAX_LOAD_TIME_CONSTANT_MS
     assert seldom.call_rarity == 3.0
 
 
