--- a/cedarthread/node/constraints.py
+++ b/cedarthread/node/constraints.py
@@ -42,6 +42,7 @@
         now_ms: float,
         pending: PendingRequest,
         worker: WorkerRecord,
+        *,
         is_loaded: bool,
         has_alternative: bool,
     ) -> bool:
@@ -64,7 +65,7 @@
         )
 
     def may_load(
-        self, now_ms: float, pending: PendingRequest, worker: WorkerRecord, has_alternative: bool
+        self, now_ms: float, pending: PendingRequest, worker: WorkerRecord, *, has_alternative: bool
     ) -> bool:
         """May the request start a first instance at the worker? Asked last, just before: a yes may consume
         one of the freeze's exceptions and one load of the recovery's pace.
--- a/cedarthread/routing/admission.py
+++ b/cedarthread/routing/admission.py
@@ -141,7 +141,12 @@
             state.service_times.expected_cold_start_ms(pending),
         )
         return function.instance_queue.should_wait(
-            request.request_id, worker_id, is_warm, instances, concurrency=function.concurrency, times=times
+            request.request_id,
+            worker_id,
+            instances,
+            is_warm=is_warm,
+            concurrency=function.concurrency,
+            times=times,
         )
 
     def may_start_instance(self, now_ms: float, pending: PendingRequest, worker: WorkerRecord) -> bool:
@@ -156,8 +161,8 @@
         if pending.function.has_instance(now_ms, worker.endpoint.worker_id, keep_alive_ms):
             return True
         is_idempotent = pending.request_class.idempotency is Idempotency.IDEMPOTENT
-        has_spare_instance = self.selector.has_spare_instance(now_ms, pending, is_idempotent)
-        return constraints.may_load(now_ms, pending, worker, has_spare_instance)
+        has_spare_instance = self.selector.has_spare_instance(now_ms, pending, is_idempotent=is_idempotent)
+        return constraints.may_load(now_ms, pending, worker, has_alternative=has_spare_instance)
 
     # Requests that end here.
 
--- a/cedarthread/routing/attempt_tracker.py
+++ b/cedarthread/routing/attempt_tracker.py
@@ -74,7 +74,7 @@
         if attempt is None:
             return None
         if not attempt.is_cold:
-            state.overload.on_attempt_ended(now_ms, event.worker_id, outcome is Outcome.OK)
+            state.overload.on_attempt_ended(now_ms, event.worker_id, is_success=outcome is Outcome.OK)
         attempt.may_have_executed = outcome not in NOT_EXECUTED
         if event.is_local:  # no worker received the attempt
             state.retry_budget.earn(attempt.retry_cost)
@@ -82,7 +82,11 @@
         is_response = outcome in RESPONSES
         has_connect_failed = outcome is Outcome.CONNECT_FAILED and event.is_unreachable
         if state.zones.on_attempt_ended(
-            now_ms, attempt_id, is_response, event.latency_ms, has_connect_failed
+            now_ms,
+            attempt_id,
+            event.latency_ms,
+            is_response=is_response,
+            has_connect_failed=has_connect_failed,
         ):
             state.workers.count_ready(now_ms)
         self.feedback.learn_worker(now_ms, event, attempt)
--- a/cedarthread/routing/collaborators.py
+++ b/cedarthread/routing/collaborators.py
@@ -43,6 +43,7 @@
         now_ms: float,
         pending: PendingRequest,
         worker: WorkerRecord,
+        *,
         is_loaded: bool,
         has_alternative: bool,
     ) -> bool:
@@ -57,7 +58,7 @@
         """
 
     def may_load(
-        self, now_ms: float, pending: PendingRequest, worker: WorkerRecord, has_alternative: bool
+        self, now_ms: float, pending: PendingRequest, worker: WorkerRecord, *, has_alternative: bool
     ) -> bool:
         """Return whether the request may start a first instance at the worker.
 
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -173,7 +173,7 @@
                 function.forget_instance(worker_id)
             return
         function.instance_seen_at_ms[worker_id] = now_ms
-        function.instance_queue.on_response(worker_id, event.start_kind is StartKind.COLD)
+        function.instance_queue.on_response(worker_id, was_cold=event.start_kind is StartKind.COLD)
         self._confirm_suspect_errors(now_ms, pending)
         if event.start_kind in (StartKind.COLD, StartKind.PENDING):
             self.state.service_times.on_cold_response(pending, event.latency_ms)
--- a/cedarthread/routing/instance_queue.py
+++ b/cedarthread/routing/instance_queue.py
@@ -37,7 +37,7 @@
         default_factory=dict
     )  # ids in the order in which they started to wait
 
-    def on_response(self, worker_id: int, was_cold: bool) -> None:
+    def on_response(self, worker_id: int, *, was_cold: bool) -> None:
         """Count the instance that served a call: a new one if the call was cold, else an existing one."""
         known_count = self.instances.get(worker_id, 0)
         self.instances[worker_id] = min(known_count + 1, MAX_INSTANCES) if was_cold else max(known_count, 1)
@@ -50,9 +50,9 @@
         self,
         request_id: int,
         worker_id: int,
-        is_warm: bool,
         instances_by_worker: dict[int, InstanceLoad],
         *,
+        is_warm: bool,
         concurrency: float,
         times: WaitTimes,
     ) -> bool:
@@ -61,8 +61,8 @@
         Args:
             request_id: The request.
             worker_id: The selected worker.
-            is_warm: Whether the router assumes that an instance runs at the worker.
             instances_by_worker: Load by all routers at the workers that are not ejected.
+            is_warm: Whether the router assumes that an instance runs at the worker.
             concurrency: Requests that one instance serves at a time.
             times: How long the request has waited, and how long calls and loads last.
         """
--- a/cedarthread/routing/outlier_detection.py
+++ b/cedarthread/routing/outlier_detection.py
@@ -38,7 +38,7 @@
     gain: float  # fraction of the distance to 1 by which the score rises
 
 
-def is_available(worker: WorkerRecord, now_ms: float, is_idempotent: bool) -> bool:
+def is_available(worker: WorkerRecord, now_ms: float, *, is_idempotent: bool) -> bool:
     """Return whether the worker is not ejected, or half-open and free for a trial by this request.
 
     Only an idempotent request may be a trial, and only one trial is in flight at a time.
--- a/cedarthread/routing/overload.py
+++ b/cedarthread/routing/overload.py
@@ -44,7 +44,7 @@
         self.in_flight[worker_id] = self.in_flight.get(worker_id, 0) + 1
         self.total_in_flight += 1
 
-    def on_attempt_ended(self, now_ms: float, worker_id: int, is_success: bool) -> None:
+    def on_attempt_ended(self, now_ms: float, worker_id: int, *, is_success: bool) -> None:
         """Remove an attempt that ``on_attempt_started`` counted, and count its completion if it succeeded."""
         self.total_in_flight -= 1
         self.in_flight[worker_id] -= 1
--- a/cedarthread/routing/rendezvous.py
+++ b/cedarthread/routing/rendezvous.py
@@ -32,7 +32,7 @@
 
 
 def placement_order(
-    function_hash: int, workers: Iterable[WorkerRecord], is_weighted: bool
+    function_hash: int, workers: Iterable[WorkerRecord], *, is_weighted: bool
 ) -> list[WorkerRecord]:
     """Return all workers in the function's order, weighted by the endpoint list if ``is_weighted``."""
 
--- a/cedarthread/routing/retries.py
+++ b/cedarthread/routing/retries.py
@@ -83,7 +83,7 @@
         ):
             return False
         if self._can_follow(pending, attempt_index):
-            if self._is_hedge_due(now_ms, attempt, is_silent):
+            if self._is_hedge_due(now_ms, attempt, is_silent=is_silent):
                 pending.last_cancelled_attempt = attempt_index
                 return self.may_attempt(now_ms, pending) and state.retry_budget.spend(1.0)
             worker = state.workers.by_id.get(attempt.endpoint.worker_id)
@@ -102,7 +102,7 @@
             and pending.last_cancelled_attempt < attempt_index
         )
 
-    def _is_hedge_due(self, now_ms: float, attempt: Attempt, is_silent: bool) -> bool:
+    def _is_hedge_due(self, now_ms: float, attempt: Attempt, *, is_silent: bool) -> bool:
         age_ms = now_ms - attempt.started_at_ms
         return self.state.settings.limits.allows_hedging and (
             is_silent or age_ms >= HEDGE_AFTER_MULTIPLE * attempt.expected_ms
--- a/cedarthread/routing/router.py
+++ b/cedarthread/routing/router.py
@@ -168,7 +168,7 @@
             if pending is not None and self.retries.should_hedge(now_ms, pending, due.attempt_index):
                 self._dispatch(now_ms, pending)
         if state.polling.is_due(now_ms):
-            state.actions.append(SubscribeEndpoints(True))
+            state.actions.append(SubscribeEndpoints(is_enabled=True))
         if state.requests.is_queue_check_due(now_ms):
             self._drain_queue(now_ms)
 
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -57,6 +57,8 @@
     attempted_ids: set[int]  # ids of workers that had an attempt of the request
     constraints: RoutingConstraints | None  # None: nothing limits loading now
     has_spare_instance: bool
+    may_be_repeated: bool = False  # whether a worker that had an attempt may be selected
+    may_be_ejected: bool = False
 
 
 class WorkerSelector:
@@ -101,15 +103,17 @@
             is_idempotent,
             {attempt.endpoint.worker_id for attempt in pending.attempts},
             constraints,
-            constraints is not None and self.has_spare_instance(now_ms, pending, is_idempotent),
+            constraints is not None and self.has_spare_instance(now_ms, pending, is_idempotent=is_idempotent),
         )
         self.retries.recall_from_unreachable_zones(now_ms)
         for may_be_repeated, may_be_ejected in ((False, False), (True, False), (True, True)):
-            if (worker := self._cheapest(search, may_be_repeated, may_be_ejected)) is not None:
+            search.may_be_repeated = may_be_repeated
+            search.may_be_ejected = may_be_ejected
+            if (worker := self._cheapest(search)) is not None:
                 return worker
         return None
 
-    def _cheapest(self, search: _Search, may_be_repeated: bool, may_be_ejected: bool) -> WorkerRecord | None:
+    def _cheapest(self, search: _Search) -> WorkerRecord | None:
         now_ms = search.now_ms
         pending = search.pending
         rng = self.state.rng
@@ -117,11 +121,11 @@
         ties = 0
         cheapest: WorkerRecord | None = None
         for worker, placement_penalty in self._candidates(now_ms, pending):
-            if not self._can_take(search, worker, may_be_repeated, may_be_ejected):
+            if not self._can_take(search, worker):
                 continue
             cost = self.cost(now_ms, pending.function, worker, pending.class_and_tenant) + placement_penalty
             if (
-                worker.is_ejected and not may_be_ejected
+                worker.is_ejected and not search.may_be_ejected
             ):  # a half-open trial, which the outlier score would prevent
                 cost -= worker.outlier_score + TRIAL_BONUS
             if cost < min_cost - TIE:
@@ -136,9 +140,7 @@
                 break
         return cheapest
 
-    def _can_take(
-        self, search: _Search, worker: WorkerRecord, may_be_repeated: bool, may_be_ejected: bool
-    ) -> bool:
+    def _can_take(self, search: _Search, worker: WorkerRecord) -> bool:
         """Return whether the worker may receive the call in this pass."""
         now_ms = search.now_ms
         pending = search.pending
@@ -146,18 +148,18 @@
             keep_alive_ms = self.state.settings.keep_alive_ms
             has_instance = pending.function.has_instance(now_ms, worker.endpoint.worker_id, keep_alive_ms)
             if not search.constraints.may_route(
-                now_ms, pending, worker, has_instance, search.has_spare_instance
+                now_ms, pending, worker, is_loaded=has_instance, has_alternative=search.has_spare_instance
             ):
                 return False
         if not self.is_eligible(pending, worker):
             return False
-        if not may_be_repeated and worker.endpoint.worker_id in search.attempted_ids:
+        if not search.may_be_repeated and worker.endpoint.worker_id in search.attempted_ids:
             return False
-        if not (may_be_ejected or is_available(worker, now_ms, search.is_idempotent)):
+        if not (search.may_be_ejected or is_available(worker, now_ms, is_idempotent=search.is_idempotent)):
             return False
-        return self._is_zone_usable(now_ms, worker, search.is_idempotent) and self.fits_slow_start(
-            now_ms, worker, search.work_ms
-        )
+        return self._is_zone_usable(
+            now_ms, worker, is_idempotent=search.is_idempotent
+        ) and self.fits_slow_start(now_ms, worker, search.work_ms)
 
     def _candidates(self, now_ms: float, pending: PendingRequest) -> Iterator[tuple[WorkerRecord, float]]:
         """Yield workers with affinity, then the homes, then all others, each with its placement penalty.
@@ -172,7 +174,7 @@
         if function.placement_epoch != state.workers.placement_epoch:
             function.placement_epoch = state.workers.placement_epoch
             function.placement_order = placement_order(
-                function.hash, workers.values(), state.settings.weight_meaning in WEIGHTED
+                function.hash, workers.values(), is_weighted=state.settings.weight_meaning in WEIGHTED
             )
         order: Sequence[WorkerRecord] = function.placement_order
         home_count = self.home_count(now_ms, function)
@@ -219,12 +221,12 @@
             return all(other.zone == endpoint.zone for other in executed_at)
         return all(other.cell == endpoint.cell for other in executed_at)
 
-    def _is_zone_usable(self, now_ms: float, worker: WorkerRecord, is_idempotent: bool) -> bool:
+    def _is_zone_usable(self, now_ms: float, worker: WorkerRecord, *, is_idempotent: bool) -> bool:
         """Return whether the worker's zone is reachable or due for a trial, or no zone is reachable."""
         zones = self.state.zones
         if not zones.unreachable or self.state.workers.is_every_zone_unreachable:
             return True
-        return zones.may_send(now_ms, worker.endpoint.zone, is_idempotent)
+        return zones.may_send(now_ms, worker.endpoint.zone, is_idempotent=is_idempotent)
 
     def fits_slow_start(self, now_ms: float, worker: WorkerRecord, work_ms: float) -> bool:
         """Return whether a worker in slow start may get one more call from this router."""
@@ -261,15 +263,15 @@
         penalty += self.cross_zone_penalty if worker.endpoint.zone != state.settings.zone else 0.0
         return 1.0 - function.affinity.get(worker_id, 0.0) + load / LOAD_PER_AFFINITY + penalty
 
-    def has_spare_instance(self, now_ms: float, pending: PendingRequest, is_idempotent: bool) -> bool:
+    def has_spare_instance(self, now_ms: float, pending: PendingRequest, *, is_idempotent: bool) -> bool:
         """Return whether any eligible worker has an instance of the function with capacity left."""
         function = pending.function
         keep_alive_ms = self.state.settings.keep_alive_ms
         max_in_flight = function.concurrency * LOAD_PER_AFFINITY
         return any(
             self.is_eligible(pending, worker)
-            and is_available(worker, now_ms, is_idempotent)
-            and self._is_zone_usable(now_ms, worker, is_idempotent)
+            and is_available(worker, now_ms, is_idempotent=is_idempotent)
+            and self._is_zone_usable(now_ms, worker, is_idempotent=is_idempotent)
             and function.has_instance(now_ms, worker.endpoint.worker_id, keep_alive_ms)
             and worker.in_flight + worker.peers_in_flight < max_in_flight
             for worker in self._workers_with_affinity(function)
@@ -285,7 +287,7 @@
             worker
             for worker in self._workers_with_affinity(function)
             if self.is_eligible(pending, worker)
-            and is_available(worker, now_ms, True)
+            and is_available(worker, now_ms, is_idempotent=True)
             and function.read_affinity(now_ms, worker.endpoint.worker_id, keep_alive_ms) > 0
             and self.fits_slow_start(now_ms, worker, work_ms)
         ]
--- a/cedarthread/routing/zone_reachability.py
+++ b/cedarthread/routing/zone_reachability.py
@@ -93,8 +93,9 @@
         self,
         now_ms: float,
         attempt: AttemptId,
-        is_response: bool,
         latency_ms: float,
+        *,
+        is_response: bool,
         has_connect_failed: bool,
     ) -> bool:
         """Record the end of an attempt; return whether its zone was unreachable and has now responded."""
@@ -120,7 +121,7 @@
         others = (lost for lost in self.lost_attempts if lost.zone != zone)
         self.lost_attempts = deque(others, MAX_LOST_ATTEMPTS)
 
-    def may_send(self, now_ms: float, zone: int, is_idempotent: bool) -> bool:
+    def may_send(self, now_ms: float, zone: int, *, is_idempotent: bool) -> bool:
         """Return whether a call may be sent to the zone: it is reachable, or this call may be a trial.
 
         Idempotent calls may be trials earlier than others.
--- a/cedarthread/testing/cluster/injected_defects.py
+++ b/cedarthread/testing/cluster/injected_defects.py
@@ -69,8 +69,8 @@
     """A change freeze is not asked about routing and loads."""
     from cedarthread.node import constraints
 
-    constraints.FleetConstraints.may_route = lambda *arguments: True  # type: ignore[method-assign]
-    constraints.FleetConstraints.may_load = lambda *arguments: True  # type: ignore[method-assign]
+    constraints.FleetConstraints.may_route = lambda *arguments, **named: True  # type: ignore[method-assign]
+    constraints.FleetConstraints.may_load = lambda *arguments, **named: True  # type: ignore[method-assign]
 
 
 def exception_budget_per_router() -> None:
--- a/tests/simulation/test_priority_fleet.py
+++ b/tests/simulation/test_priority_fleet.py
@@ -247,7 +247,7 @@
             return worker_id
         freed_worker_id = victim.worker_id
         self.in_flight[freed_worker_id].remove(victim)
-        self.overload.on_attempt_ended(now_ms, freed_worker_id, False)
+        self.overload.on_attempt_ended(now_ms, freed_worker_id, is_success=False)
         self.fleet.cancel(now_ms, victim)
         return freed_worker_id
 
@@ -295,7 +295,7 @@
     def on_completed(self, now_ms: float, call: SimulatedCall) -> None:
         assert call.worker_id is not None
         self.in_flight[call.worker_id].remove(call)
-        self.overload.on_attempt_ended(now_ms, call.worker_id, True)
+        self.overload.on_attempt_ended(now_ms, call.worker_id, is_success=True)
         call.answered_at_ms = now_ms
         self.component.on_notification(
             now_ms, AttemptCompleted(call.worker_id, 0, call.tenant_index, call.work_ms, Outcome.OK, True)
--- a/tests/unit/routing/test_records.py
+++ b/tests/unit/routing/test_records.py
@@ -37,16 +37,16 @@
     outlier_detection.eject(outlier, 1000.0, 1.0, random.Random(1))
     assert 1000.0 + 0.75 * BASE_EJECTION_MS <= outlier.ejected_until_ms <= 1000.0 + 1.25 * BASE_EJECTION_MS
     late = outlier.ejected_until_ms
-    assert not outlier_detection.is_available(outlier, late - 1.0, True)
-    assert not outlier_detection.is_available(outlier, late, False)
-    assert outlier_detection.is_available(outlier, late, True)
+    assert not outlier_detection.is_available(outlier, late - 1.0, is_idempotent=True)
+    assert not outlier_detection.is_available(outlier, late, is_idempotent=False)
+    assert outlier_detection.is_available(outlier, late, is_idempotent=True)
     outlier.has_trial_in_flight = True
-    assert not outlier_detection.is_available(outlier, late, True)
+    assert not outlier_detection.is_available(outlier, late, is_idempotent=True)
     for _ in range(3):
         outlier_detection.observe(
             outlier, [outlier], 0.0, outlier_detection.MAX_EJECTED_FRACTION, outlier_detection.FAILURE_GAIN
         )
-    assert outlier_detection.is_available(outlier, 0.0, False)
+    assert outlier_detection.is_available(outlier, 0.0, is_idempotent=False)
     assert not outlier.has_trial_in_flight
 
 
--- a/tests/unit/routing/test_tables.py
+++ b/tests/unit/routing/test_tables.py
@@ -274,6 +274,10 @@
 
 def test_placement_orders_agree_and_follow_weights_only_where_they_are_known() -> None:
     workers = list(table(*range(40)).by_id.values())
-    order = placement_order(77, workers, False)
-    assert order == placement_order(77, reversed(workers), False) != placement_order(78, workers, False)
-    assert order == placement_order(77, workers, True), "all of weight 1"
+    order = placement_order(77, workers, is_weighted=False)
+    assert (
+        order
+        == placement_order(77, reversed(workers), is_weighted=False)
+        != placement_order(78, workers, is_weighted=False)
+    )
+    assert order == placement_order(77, workers, is_weighted=True), "all of weight 1"
