--- a/tests/unit/routing/test_policies.py
+++ b/tests/unit/routing/test_policies.py
@@ -1,4 +1,4 @@
-"""The policies of a router, each alone over a state made by hand."""
+"""The policies of a router, each alone with a state that the test sets up."""
 
 from __future__ import annotations
 
@@ -25,12 +25,16 @@
 if TYPE_CHECKING:
     from cedarthread.routing.records import PendingRequest
 
-IDEMPOTENT, NOT_IDEMPOTENT, WITH_KEY, WITH_KEY_IN_ZONE, WITH_KEY_IN_CELL = range(5)  # of CLASSES
+IDEMPOTENT = 0  # class indexes in CLASSES
+NOT_IDEMPOTENT = 1
+WITH_KEY = 2
+WITH_KEY_IN_ZONE = 3
+WITH_KEY_IN_CELL = 4
 HEDGING = dataclasses.replace(LIMITS, allows_hedging=True)
 
 
 class Policies:
-    """A state with three workers of two zones and three cells, and the policies over it."""
+    """A router state with three workers of two zones and three cells, and the policies that share it."""
 
     def __init__(self, **changes: Any) -> None:
         self.state = RouterState.create(settings(**changes), 1)
@@ -40,7 +44,7 @@
         self.selector = WorkerSelector(self.state, self.retries)
         self.admission = AdmissionPolicy(self.state, self.selector)
         self.preloads = PreloadPolicy(self.state, self.selector, self.admission)
-        listed = tuple(worker(n, zone=n % 2, cell=n) for n in (1, 2, 3))
+        listed = tuple(worker(worker_id, zone=worker_id % 2, cell=worker_id) for worker_id in (1, 2, 3))
         self.state.workers.apply(0.0, EndpointUpdate(EndpointUpdateKind.CACHED, 1, listed))
 
     def request(self, class_index: int = IDEMPOTENT, now_ms: float = 0.0, **extra: Any) -> PendingRequest:
@@ -52,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    ("class_index", "now_ms", "may"),
+    ("class_index", "now_ms", "is_permitted"),
     [
         (IDEMPOTENT, 2900.0, True),
         (NOT_IDEMPOTENT, 1.0, False),
@@ -61,15 +65,16 @@
     ],
 )
 def test_rule_2_bounds_attempts_after_one_that_may_have_executed(
-    class_index: int, now_ms: float, may: bool
+    class_index: int, now_ms: float, is_permitted: bool
 ) -> None:
     policies = Policies()
     pending = policies.request(class_index)
-    assert policies.retries.may_attempt(now_ms, pending), "nothing has been sent"
+    assert policies.retries.may_attempt(now_ms, pending), "no attempt has started"
     policies.attempt(pending, 1)
-    assert policies.retries.may_attempt(now_ms, pending) is may
-    pending.attempts[0].is_in_flight = pending.attempts[0].may_have_executed = False
-    assert policies.retries.may_attempt(now_ms, pending), "it is proved not to have executed"
+    assert policies.retries.may_attempt(now_ms, pending) is is_permitted
+    pending.attempts[0].is_in_flight = False
+    pending.attempts[0].may_have_executed = False
+    assert policies.retries.may_attempt(now_ms, pending), "the attempt is proved not to have executed"
 
 
 @pytest.mark.parametrize(
@@ -81,12 +86,13 @@
         (Outcome.NOT_LOADED, 0.0),
     ],
 )
-def test_a_retry_is_paid_for_unless_the_failure_was_cheap(outcome: Outcome, cost: float) -> None:
+def test_a_retry_spends_retry_budget_unless_the_failure_was_cheap(outcome: Outcome, cost: float) -> None:
     policies = Policies()
-    pending, budget = policies.request(), policies.state.retry_budget
-    before = budget.tokens
+    pending = policies.request()
+    budget = policies.state.retry_budget
+    initial_tokens = budget.tokens
     assert policies.retries.should_retry(0.0, pending, outcome)
-    assert budget.tokens == before - cost
+    assert budget.tokens == initial_tokens - cost
     assert pending.next_attempt_cost == cost
     budget.tokens = 0.5
     assert policies.retries.should_retry(0.0, pending, outcome) is (cost == 0.0)
@@ -94,18 +100,19 @@
     assert not policies.retries.should_retry(0.0, pending, Outcome.NOT_SENT)
 
 
-@pytest.mark.parametrize(("limits", "hedges"), [(HEDGING, True), (LIMITS, False)])
-def test_a_slow_attempt_is_hedged_once_where_that_is_allowed(limits: Any, hedges: bool) -> None:
+@pytest.mark.parametrize(("limits", "is_hedged"), [(HEDGING, True), (LIMITS, False)])
+def test_a_slow_attempt_is_hedged_once_where_that_is_allowed(limits: Any, is_hedged: bool) -> None:
     policies = Policies(limits=limits)
-    pending, state = policies.request(), policies.state
-    pending.function.instance_seen_at_ms[1] = 0.0  # warm: no cold start is waited for
+    pending = policies.request()
+    state = policies.state
+    pending.function.instance_seen_at_ms[1] = 0.0  # a warm worker, so no cold start is expected
     policies.attempt(pending, 1)
-    state.workers.by_id[1].last_response_at_ms = 1.0  # it is slow, not silent
+    state.workers.by_id[1].last_response_at_ms = 1.0  # the worker is slow, not silent
     slow_at_ms = HEDGE_AFTER_MULTIPLE * pending.attempts[0].expected_ms
-    before = state.retry_budget.tokens
+    initial_tokens = state.retry_budget.tokens
     assert not policies.retries.should_hedge(slow_at_ms - 1.0, pending, 0)
-    assert policies.retries.should_hedge(slow_at_ms, pending, 0) is hedges
-    assert state.retry_budget.tokens == before - hedges
+    assert policies.retries.should_hedge(slow_at_ms, pending, 0) is is_hedged
+    assert state.retry_budget.tokens == initial_tokens - is_hedged
     assert not policies.retries.should_hedge(slow_at_ms, pending, 0)
     assert not state.actions
 
@@ -124,35 +131,40 @@
     ("class_index", "eligible"),
     [(IDEMPOTENT, [1, 2, 3]), (WITH_KEY, [1, 2, 3]), (WITH_KEY_IN_ZONE, [1, 3]), (WITH_KEY_IN_CELL, [1])],
 )
-def test_rule_2_keeps_retries_to_the_workers_that_deduplicate(class_index: int, eligible: list[int]) -> None:
+def test_rule_2_limits_retries_to_the_workers_that_deduplicate(class_index: int, eligible: list[int]) -> None:
     policies = Policies()
     pending = policies.request(class_index)
     policies.attempt(pending, 1)
     workers = policies.state.workers.by_id
-    assert [n for n in workers if policies.selector.is_eligible(pending, workers[n])] == eligible
+    is_eligible = policies.selector.is_eligible
+    assert [worker_id for worker_id in workers if is_eligible(pending, workers[worker_id])] == eligible
     workers[1].endpoint = dataclasses.replace(workers[1].endpoint, state=EndpointState.DRAINING)
     assert not policies.selector.is_eligible(pending, workers[1])
 
 
-def test_an_untried_worker_comes_first_then_a_tried_one_then_an_ejected_one() -> None:
+def test_a_worker_without_an_attempt_is_preferred_then_one_with_an_attempt_then_an_ejected_one() -> None:
     policies = Policies()
-    pending, workers = policies.request(), policies.state.workers.by_id
+    pending = policies.request()
+    workers = policies.state.workers.by_id
     for worker_id in (1, 2):
         policies.attempt(pending, worker_id)
-    chosen = policies.selector.select(1.0, pending)
-    assert chosen is workers[3]
+    assert policies.selector.select(1.0, pending) is workers[3]
     for record in (workers[2], workers[3]):
-        record.is_ejected, record.ejected_until_ms = True, 100.0
+        record.is_ejected = True
+        record.ejected_until_ms = 100.0
     assert policies.selector.select(1.0, pending) is workers[1]
-    workers[1].is_ejected, workers[1].ejected_until_ms = True, 100.0
+    workers[1].is_ejected = True
+    workers[1].ejected_until_ms = 100.0
     assert policies.selector.select(1.0, pending) in workers.values()
 
 
 def test_affinity_load_and_zones_make_up_the_cost() -> None:
     policies = Policies()
-    pending, workers, cost = policies.request(), policies.state.workers.by_id, policies.selector.cost
-    costs = [cost(0.0, pending.function, workers[n], (0, None)) for n in (1, 2)]
-    assert costs[0] == pytest.approx(costs[1] + policies.selector.cross_zone_penalty), "zone 0 is its own"
+    pending = policies.request()
+    workers = policies.state.workers.by_id
+    cost = policies.selector.cost
+    costs = [cost(0.0, pending.function, workers[worker_id], (0, None)) for worker_id in (1, 2)]
+    assert costs[0] == pytest.approx(costs[1] + policies.selector.cross_zone_penalty), "the own zone is 0"
     pending.function.affinity[2] = 1.0
     assert cost(0.0, pending.function, workers[2], (0, None)) == pytest.approx(0.0)
     workers[2].in_flight = 2
@@ -160,7 +172,7 @@
 
 
 @pytest.mark.parametrize(
-    ("class_index", "executed", "answer"),
+    ("class_index", "may_have_executed", "final_answer"),
     [
         (IDEMPOTENT, True, RejectRequest),
         (NOT_IDEMPOTENT, True, FailRequest),
@@ -169,17 +181,17 @@
         (WITH_KEY_IN_ZONE, True, FailRequest),
     ],
 )
-def test_what_may_have_executed_is_rejected_only_where_a_repeat_is_harmless(
-    class_index: int, executed: bool, answer: type
+def test_a_request_that_may_have_executed_is_rejected_only_if_a_repeat_is_harmless(
+    class_index: int, may_have_executed: bool, final_answer: type
 ) -> None:
     policies = Policies()
     pending = policies.request(class_index)
-    if executed:
+    if may_have_executed:
         policies.attempt(pending, 1)
-    assert type(policies.admission.final_answer(1.0, pending)) is answer
+    assert type(policies.admission.final_answer(1.0, pending)) is final_answer
 
 
-def test_what_was_not_sent_waits_for_a_part_of_its_time_only() -> None:
+def test_a_request_without_an_attempt_waits_for_a_fraction_of_its_time_only() -> None:
     policies = Policies()
     pending = policies.request()
     latest_ms = MAX_QUEUED_FRACTION * 3000.0 - QUEUE_CHECK_MS
@@ -189,7 +201,7 @@
     assert policies.admission.may_queue(3000.0 - MIN_REMAINING_MS - QUEUE_CHECK_MS, pending)
 
 
-def test_a_request_without_the_time_for_it_is_shed() -> None:
+def test_a_request_with_too_little_time_left_is_shed() -> None:
     policies = Policies()
     pending = policies.request()
     policies.state.service_times.by_class[IDEMPOTENT].add(4000.0)
@@ -197,23 +209,24 @@
     assert not policies.admission.should_shed(999.0, pending, 1.0)
 
 
-def test_a_cold_choice_is_preloaded_once_and_after_a_failure_with_backoff() -> None:
+def test_a_selected_cold_worker_is_preloaded_once_and_after_a_failure_with_backoff() -> None:
     policies = Policies(when_not_loaded=NotLoadedBehavior.REJECT)
-    pending, state = policies.request(), policies.state
-    chosen = state.workers.by_id[2]
+    pending = policies.request()
+    state = policies.state
+    selected = state.workers.by_id[2]
     for _ in range(2):
-        assert policies.preloads.warm_worker(0.0, pending, chosen) is None, "none is warm"
+        assert policies.preloads.warm_worker(0.0, pending, selected) is None, "no worker is warm"
     assert state.actions == [PreloadFunction(2, 7, 1)]
     assert state.functions.preloads_in_flight == 1
     assert policies.feedback.learn_preload(50.0, PreloadEnded(2, 7, Outcome.TIMEOUT, 0, 50.0))
     assert pending.function.preload_not_before_ms > 50.0
-    assert policies.preloads.warm_worker(50.0, pending, chosen) is None
+    assert policies.preloads.warm_worker(50.0, pending, selected) is None
     assert len(state.actions) == 1
-    assert policies.preloads.warm_worker(60.0, pending, chosen) is None
+    assert policies.preloads.warm_worker(60.0, pending, selected) is None
     assert len(state.actions) == 2
     assert policies.feedback.learn_preload(90.0, PreloadEnded(2, 7, Outcome.OK, 1, 30.0))
-    assert policies.preloads.warm_worker(90.0, pending, chosen) is chosen
-    assert policies.preloads.warm_worker(90.0, pending, state.workers.by_id[3]) is chosen, "meanwhile"
+    assert policies.preloads.warm_worker(90.0, pending, selected) is selected
+    assert policies.preloads.warm_worker(90.0, pending, state.workers.by_id[3]) is selected, "the warm worker"
     assert not policies.feedback.learn_preload(99.0, PreloadEnded(1, 7, Outcome.OK, 1, 30.0)), (
-        "none was asked"
+        "no such preload is in flight"
     )
--- a/tests/unit/routing/test_policy_size.py
+++ b/tests/unit/routing/test_policy_size.py
@@ -39,8 +39,8 @@
 def test_each_policy_module_is_named_once() -> None:
     assert len(set(POLICY)) == len(POLICY)
     assert ROUTER in POLICY
-    chosen = {"admission.py", "preloading.py", "retries.py", "router.py", "selection.py"}
-    assert chosen <= {path.name for path in POLICY if path.parent == ROUTER.parent}
+    required = {"admission.py", "preloading.py", "retries.py", "router.py", "selection.py"}
+    assert required <= {path.name for path in POLICY if path.parent == ROUTER.parent}
 
 
 def test_the_docstring_names_the_interface_first() -> None:
--- a/tests/unit/routing/test_records.py
+++ b/tests/unit/routing/test_records.py
@@ -1,4 +1,4 @@
-"""The records, the health score and the ration of orders, each by itself."""
+"""The records of a router, outlier detection and the preload budget, each alone."""
 
 from __future__ import annotations
 
@@ -10,96 +10,100 @@
 from cedarthread.model.events import AttemptEnded
 from cedarthread.model.outcomes import Outcome, StartKind
 from cedarthread.routing import outlier_detection
+from cedarthread.routing.outlier_detection import (
+    FAILURE_GAIN,
+    MAX_EJECTED_FRACTION,
+    MAX_EJECTION_MS,
+    MAX_SILENT_EJECTED_FRACTION,
+)
 from cedarthread.routing.preload_budget import PreloadBudget
 from cedarthread.routing.records import BASE_EJECTION_MS, Attempt, FunctionRecord, WorkerRecord
 from tests.helpers import RULES, worker
 
+HEALTHY = 0.0
+FAILED = 1.0
+EXPECTED_MS = 10.0
+
 
-def record(number: int = 1) -> WorkerRecord:
-    return WorkerRecord(worker(number), 0, 0.5)
+def record(worker_id: int = 1) -> WorkerRecord:
+    return WorkerRecord(worker(worker_id), 0, 0.5)
 
 
-def fail(
-    outlier: WorkerRecord,
-    times: int,
-    others: list[WorkerRecord],
-    cap: float = outlier_detection.MAX_EJECTED_FRACTION,
-) -> list[bool]:
+def observe(observed: WorkerRecord, workers: list[WorkerRecord], failure: float, *, count: int) -> list[bool]:
+    """Add this many equal observations; return which of them ejected the worker."""
     return [
-        outlier_detection.observe(outlier, others, 1.0, cap, outlier_detection.FAILURE_GAIN)
-        for _ in range(times)
+        outlier_detection.observe(observed, workers, failure, MAX_EJECTED_FRACTION, FAILURE_GAIN)
+        for _ in range(count)
     ]
 
 
 def test_an_ejection_lets_one_idempotent_trial_pass_and_ends() -> None:
     outlier = record()
-    assert fail(outlier, 3, [outlier]) == [False, True, False]
+    assert observe(outlier, [outlier], FAILED, count=3) == [False, True, False]
     outlier_detection.eject(outlier, 1000.0, 1.0, random.Random(1))
     assert 1000.0 + 0.75 * BASE_EJECTION_MS <= outlier.ejected_until_ms <= 1000.0 + 1.25 * BASE_EJECTION_MS
-    late = outlier.ejected_until_ms
-    assert not outlier_detection.is_available(outlier, late - 1.0, is_idempotent=True)
-    assert not outlier_detection.is_available(outlier, late, is_idempotent=False)
-    assert outlier_detection.is_available(outlier, late, is_idempotent=True)
+    trial_ms = outlier.ejected_until_ms
+    assert not outlier_detection.is_available(outlier, trial_ms - 1.0, is_idempotent=True)
+    assert not outlier_detection.is_available(outlier, trial_ms, is_idempotent=False)
+    assert outlier_detection.is_available(outlier, trial_ms, is_idempotent=True)
     outlier.has_trial_in_flight = True
-    assert not outlier_detection.is_available(outlier, late, is_idempotent=True)
-    for _ in range(3):
-        outlier_detection.observe(
-            outlier, [outlier], 0.0, outlier_detection.MAX_EJECTED_FRACTION, outlier_detection.FAILURE_GAIN
-        )
+    assert not outlier_detection.is_available(outlier, trial_ms, is_idempotent=True)
+    observe(outlier, [outlier], HEALTHY, count=3)
     assert outlier_detection.is_available(outlier, 0.0, is_idempotent=False)
     assert not outlier.has_trial_in_flight
 
 
 def test_ejections_are_limited_and_relapses_wait_longer_up_to_a_maximum() -> None:
-    fleet = [record(n) for n in range(10)]
-    assert sum(any(fail(outlier, 4, fleet)) for outlier in fleet) == 4
-    spans = []
+    fleet = [record(worker_id) for worker_id in range(10)]
+    assert sum(any(observe(outlier, fleet, FAILED, count=4)) for outlier in fleet) == 4
+    outlier = fleet[0]
+    ejection_times_ms = []
     for _ in range(6):
-        spans.append(fleet[0].ejection_ms)
-        outlier_detection.eject(fleet[0], 0.0, 1.0, random.Random(1))
-    assert spans == [
-        BASE_EJECTION_MS,
-        2 * BASE_EJECTION_MS,
-        4 * BASE_EJECTION_MS,
-        *[outlier_detection.MAX_EJECTION_MS] * 3,
-    ]
-    outlier_detection.reset(fleet[0])
-    assert (fleet[0].outlier_score, fleet[0].is_ejected, fleet[0].ejection_ms) == (
-        0.0,
-        False,
-        BASE_EJECTION_MS,
-    )
+        ejection_times_ms.append(outlier.ejection_ms)
+        outlier_detection.eject(outlier, 0.0, 1.0, random.Random(1))
+    doubled = [BASE_EJECTION_MS, 2 * BASE_EJECTION_MS, 4 * BASE_EJECTION_MS]
+    assert ejection_times_ms == [*doubled, *[MAX_EJECTION_MS] * 3]
+    outlier_detection.reset(outlier)
+    assert outlier.outlier_score == 0.0
+    assert outlier.is_ejected is False
+    assert outlier.ejection_ms == BASE_EJECTION_MS
 
 
 @pytest.mark.parametrize(
-    ("outcome", "unreached", "known", "took", "cap"),
+    ("outcome", "is_unreachable", "is_function_known", "latency_ms", "max_ejected_fraction"),
     [
-        (Outcome.ERROR, False, True, 1.0, outlier_detection.MAX_EJECTED_FRACTION),
+        (Outcome.ERROR, False, True, 1.0, MAX_EJECTED_FRACTION),
         (Outcome.ERROR, False, False, 1.0, None),
-        (Outcome.CONNECT_FAILED, True, True, 1.0, outlier_detection.MAX_SILENT_EJECTED_FRACTION),
+        (Outcome.CONNECT_FAILED, True, True, 1.0, MAX_SILENT_EJECTED_FRACTION),
         (Outcome.TIMEOUT, False, True, 39.0, None),
-        (Outcome.TIMEOUT, False, True, 41.0, outlier_detection.MAX_EJECTED_FRACTION),
+        (Outcome.TIMEOUT, False, True, 41.0, MAX_EJECTED_FRACTION),
         (Outcome.OK, False, True, 1.0, None),
     ],
 )
 def test_the_weight_of_a_failure(
-    outcome: Outcome, unreached: bool, known: bool, took: float, cap: float | None
+    outcome: Outcome,
+    is_unreachable: bool,
+    is_function_known: bool,
+    latency_ms: float,
+    max_ejected_fraction: float | None,
 ) -> None:
-    outlier, attempt = record(), Attempt(worker(1), 0.0, 10.0, (0, None), False, False, known)
-    note = StartKind.WARM
-    event = AttemptEnded(1, 0, 1, outcome, took, True, note, 0, (), is_unreachable=unreached)
-    blamed = outlier_detection.failure_weight(outlier, 5.0, event, attempt, 3.0)
-    assert (blamed and blamed[0]) == cap
-    assert attempt.has_suspect_error == (outcome is Outcome.ERROR and not known)
-    assert (outlier.unreachable_at_ms == 5.0) == unreached
+    outlier = record()
+    attempt = Attempt(worker(1), 0.0, EXPECTED_MS, (0, None), False, False, is_function_known)
+    event = AttemptEnded(
+        1, 0, 1, outcome, latency_ms, True, StartKind.WARM, 0, (), is_unreachable=is_unreachable
+    )
+    weight = outlier_detection.failure_weight(outlier, 5.0, event, attempt, 3.0)
+    assert (weight and weight.max_ejected_fraction) == max_ejected_fraction
+    assert attempt.has_suspect_error == (outcome is Outcome.ERROR and not is_function_known)
+    assert (outlier.unreachable_at_ms == 5.0) == is_unreachable
 
 
 def test_preloads_are_earned_by_requests_of_the_window_and_bounded_by_the_workers() -> None:
     rules = replace(RULES, preload_allowance=1, preload_share=0.5, preload_window_ms=100.0)
     budget = PreloadBudget()
     budget.on_preload(0.0)
-    for at in (0.0, 10.0):
-        budget.on_request(at, rules)
+    for now_ms in (0.0, 10.0):
+        budget.on_request(now_ms, rules)
     assert budget.may_preload(50.0, rules, 0, 8.0)
     budget.on_preload(50.0)
     assert not budget.may_preload(60.0, rules, 0, 8.0)
@@ -108,15 +112,15 @@
     assert not budget.may_preload(300.0, rules, 4, 8.0)
 
 
-def test_a_worker_is_forgotten_in_every_record_of_a_function() -> None:
+def test_a_worker_is_dropped_from_every_record_of_a_function() -> None:
     function = FunctionRecord(1)
-    for kept in (
+    for by_worker in (
         function.affinity,
         function.last_sent_at_ms,
         function.instance_seen_at_ms,
         function.instance_queue.instances,
     ):
-        kept.update({1: 1, 2: 1})
+        by_worker.update({1: 1, 2: 1})
     function.forget_worker(1)
     assert function.instance_queue.instances == {2: 1}
     assert [2] == list(function.affinity) == list(function.instance_seen_at_ms)
