--- a/cedarthread/model/endpoints.py
+++ b/cedarthread/model/endpoints.py
@@ -15,7 +15,7 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an update of the endpoint list contains."""
+    """The content of an update of the endpoint list."""
 
     DELTA = "delta"  # changed entries only
     SNAPSHOT = "full"  # all workers; one that is absent has been removed
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One worker on the endpoint list.
+    """A worker on the endpoint list.
 
     Workers of one ``cell`` may deduplicate each other's requests (see ``DeduplicationScope``).
     """
--- a/cedarthread/model/settings.py
+++ b/cedarthread/model/settings.py
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterSettings:
-    """All settings of one router."""
+    """The settings of one router."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
--- a/cedarthread/node/constraints.py
+++ b/cedarthread/node/constraints.py
@@ -11,6 +11,7 @@
 from cedarthread.change_freeze.placement_changes import PlacementChange
 from cedarthread.model.endpoints import EndpointState
 from cedarthread.node.preemption_view import preemption_candidates, preemption_claim
+from cedarthread.routing.collaborators import HomeWorkers
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -86,17 +87,17 @@
 
     def home_workers(
         self, now_ms: float, function_id: int, workers: Sequence[WorkerRecord], home_count: int
-    ) -> tuple[Sequence[WorkerRecord], int]:
+    ) -> HomeWorkers:
         """The function's workers in placement order, and how many are its homes, as a freeze has it."""
         if not self.gate.is_active:
-            return workers, home_count
+            return HomeWorkers(workers, home_count)
         ready = {
             worker.endpoint.worker_id: worker
             for worker in workers
             if worker.endpoint.state is EndpointState.READY
         }
         worker_ids, home_count = self.gate.home_workers(now_ms, function_id, list(ready), home_count)
-        return [ready[worker_id] for worker_id in worker_ids], home_count
+        return HomeWorkers([ready[worker_id] for worker_id in worker_ids], home_count)
 
     def retry_after_range(self, now_ms: float) -> tuple[float, float]:
         """Between which fractions of the longest Retry-After that of a rejected request is drawn."""
--- a/cedarthread/routing/attempt_tracker.py
+++ b/cedarthread/routing/attempt_tracker.py
@@ -10,6 +10,7 @@
 
 from cedarthread.model.outcomes import NOT_EXECUTED, Outcome
 from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
+from cedarthread.routing.slow_start import SlowStartSend
 
 if TYPE_CHECKING:
     from cedarthread.model.events import AttemptEnded, StreamStarted
@@ -58,7 +59,8 @@
         worker.in_flight += 1
         worker.has_trial_in_flight = worker.has_trial_in_flight or worker.is_ejected
         if worker.available_capacity(now_ms, state.settings.rules) < 1.0:
-            worker.slow_start_sends.append((now_ms, service_times.class_ms(request.class_index)))
+            work_ms = service_times.class_ms(request.class_index)
+            worker.slow_start_sends.append(SlowStartSend(now_ms, work_ms))
         if not is_cold:
             state.overload.on_attempt_started(worker_id)
         function.on_sent(now_ms, worker_id, AFFINITY_GAIN)
--- a/cedarthread/routing/collaborators.py
+++ b/cedarthread/routing/collaborators.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -14,6 +14,13 @@
     from cedarthread.routing.records import PendingRequest, WorkerRecord
 
 
+class HomeWorkers(NamedTuple):
+    """The workers of a function in placement order, and how many of them are homes."""
+
+    workers: Sequence[WorkerRecord]
+    home_count: int
+
+
 class PeerLoad(Protocol):
     """Load and warm instances as the other routers report them (``gossip/load_gossip.py``)."""
 
@@ -68,7 +75,7 @@
 
     def home_workers(
         self, now_ms: float, function_id: int, workers: Sequence[WorkerRecord], home_count: int
-    ) -> tuple[Sequence[WorkerRecord], int]:
+    ) -> HomeWorkers:
         """Return the workers in placement order and the number of homes, adjusted for a change freeze."""
 
     def retry_after_range(self, now_ms: float) -> tuple[float, float]:
--- a/cedarthread/routing/discovery_polling.py
+++ b/cedarthread/routing/discovery_polling.py
@@ -1,4 +1,4 @@
-"""When a router subscribes to the endpoint list: at its first update, and after a failure with backoff."""
+"""The subscription of a router to the endpoint list, with a backoff after failures."""
 
 from __future__ import annotations
 
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -122,7 +122,8 @@
             attempt.class_and_tenant, DecayingCounter(REJECTION_TIME_CONSTANT_MS)
         )
         rejections.move_towards(now_ms, REJECTION_GAIN, REJECTION_PENALTY)
-        request_class = self.state.settings.classes[attempt.class_and_tenant[0]]
+        class_index, _ = attempt.class_and_tenant
+        request_class = self.state.settings.classes[class_index]
         objective = max(request_class.latency_objective_ms, 1.0) / max(attempt.expected_ms, 1.0)
         excess = max(worker.read_excess_load(now_ms), objective)
         worker.excess_load.add(now_ms, excess, self.state.traffic.load_time_constant_ms)
--- a/cedarthread/routing/records.py
+++ b/cedarthread/routing/records.py
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a request, and the router's expectations when it started."""
+    """An attempt of a request, and the router's expectations when it started."""
 
     endpoint: Endpoint
     started_at_ms: float
@@ -53,14 +53,14 @@
 
 @dataclass(slots=True)
 class WorkerRecord:
-    """One worker: its entry in the endpoint list, and its load and health from own calls and gossip."""
+    """The record of one worker: its entry in the endpoint list, its load and its health."""
 
     endpoint: Endpoint
     hash: int
     jitter: float  # random, 0 to 1: which routers may use a cold worker, and prefer which of several homes
     in_flight: int = 0
     peers_in_flight: float = 0.0  # attempts of other routers at the worker, by gossip
-    slow_start_sends: deque[tuple[float, float]] = field(default_factory=deque)  # time and work of each, ms
+    slow_start_sends: deque[slow_start.SlowStartSend] = field(default_factory=deque)
     outlier_score: float = 0.0  # 0 healthy to 1 failed
     is_ejected: bool = False
     ejected_until_ms: float = 0.0  # a half-open trial may be sent from then on
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True)
 class FunctionRecord:
-    """One function: its calls, service time and instances, by own calls and gossip; dicts by worker id."""
+    """The record of one function: calls, service time and instances; dicts are by worker id."""
 
     hash: int
     concurrency: float = 1.0  # requests that one instance serves at a time
--- a/cedarthread/routing/router.py
+++ b/cedarthread/routing/router.py
@@ -42,7 +42,7 @@
 
 
 class Router:
-    """One router: its state, its policies and a handler for each kind of event.
+    """The router of one node: its state, its policies and a handler for each kind of event.
 
     The host and the node's components use ``handle``, ``update_settings``, ``state`` (see ``RouterState``),
     ``feedback.reported_load``, and the records by id: ``workers``, ``functions``, ``pending_requests``,
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -27,14 +27,12 @@
     from cedarthread.routing.router_state import RouterState
 
 # Home workers.
-MAX_HOMES_PER_WORKER_SHARE = 10.0  # home_count() is at most this, times workers, times the function's calls
-MIN_CALLS_PER_HOME = 14.0  # fleet calls per home in the keep-alive time: loading is expensive
+MAX_HOMES_PER_WORKER_SHARE = 10.0  # times the call fraction: with 1/10 of the calls, all workers are homes
+MIN_CALLS_PER_HOME = 14.0  # of the fleet in the keep-alive time, because loading is expensive
 IDLE_MEMORY_WEIGHT = 10.0  # effect of the price of idle memory: a price of 0.1 halves the homes
 SPARE_WORKERS = 2  # candidates after the homes
 HOME_JITTER = 0.1  # largest cost difference between homes by jitter: at most 1 - HOME_AFFINITY
-HOME_AFFINITY = (
-    0.9  # least affinity assumed where other routers send calls: several homes, gossiped instances
-)
+HOME_AFFINITY = 0.9  # least affinity assumed at several homes and at gossiped instances: others call there
 
 # Placement cost.
 CROSS_ZONE_WEIGHT = 6.5  # cost of another zone per point of the cross-zone price: 0.3 at 0.046
@@ -48,7 +46,7 @@
 
 @dataclass(slots=True)
 class _Search:
-    """The inputs of one selection that are the same for each candidate."""
+    """The inputs of one selection; the last two fields are set for each pass over the candidates."""
 
     now_ms: float
     pending: PendingRequest
@@ -57,8 +55,8 @@
     attempted_ids: set[int]  # ids of workers that had an attempt of the request
     constraints: RoutingConstraints | None  # None: nothing limits loading now
     has_spare_instance: bool
-    may_be_repeated: bool = False  # whether a worker that had an attempt may be selected
-    may_be_ejected: bool = False
+    may_be_repeated: bool = False  # a worker that had an attempt may be selected
+    may_be_ejected: bool = False  # an ejected worker may be selected without a trial being due
 
 
 class WorkerSelector:
@@ -83,7 +81,11 @@
         self.cross_zone_penalty = CROSS_ZONE_WEIGHT * prices.cross_zone
 
     def select(self, now_ms: float, pending: PendingRequest) -> WorkerRecord | None:
-        """Return the worker for the next attempt: an untried one, else a tried one, else an ejected one."""
+        """Return the worker for the next attempt, in three passes; None: no worker is eligible.
+
+        The first pass considers workers without an attempt of the request, the second also those with one,
+        the third also ejected ones.
+        """
         state = self.state
         function = pending.function
         function_id = pending.request.function_id
@@ -124,9 +126,7 @@
             if not self._can_take(search, worker):
                 continue
             cost = self.cost(now_ms, pending.function, worker, pending.class_and_tenant) + placement_penalty
-            if (
-                worker.is_ejected and not search.may_be_ejected
-            ):  # a half-open trial, which the outlier score would prevent
+            if worker.is_ejected and not search.may_be_ejected:  # a trial, which its score would prevent
                 cost -= worker.outlier_score + TRIAL_BONUS
             if cost < min_cost - TIE:
                 min_cost = cost
--- a/cedarthread/routing/slow_start.py
+++ b/cedarthread/routing/slow_start.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
     from collections import deque
@@ -16,6 +16,13 @@
 BUDGET_FRACTION = 0.6  # of a cold worker's capacity: all routers together send no more
 
 
+class SlowStartSend(NamedTuple):
+    """A call that this router sent to a worker during its slow start."""
+
+    at_ms: float
+    work_ms: float
+
+
 def available_capacity(rules: RuleParameters, age_ms: float) -> float:
     """Return the least fraction of its capacity that a worker of this age has."""
     if age_ms >= rules.slow_start_ms:
@@ -27,7 +34,7 @@
 def fits_budget(
     rules: RuleParameters,
     now_ms: float,
-    sends: deque[tuple[float, float]],
+    sends: deque[SlowStartSend],
     *,
     jitter: float,
     work_per_ms: float,
@@ -36,30 +43,30 @@
     """Return whether one more call fits this router's budget for a cold worker in the window of rule 4.
 
     The budget follows the router's own demand, so that the budgets of all routers sum to that of the fleet.
-    If the budget is less than one call, only routers whose jitter is below that fraction may send one; their
+    If the budget is less than one call, only routers with a jitter below that fraction may send one; their
     number grows as the worker warms up.
 
     Args:
         rules: The parameters of rule 4.
         now_ms: The steady clock.
-        sends: Time and work of each earlier send; those before the window are dropped.
+        sends: The earlier sends; those before the window are dropped.
         jitter: The router's random number for the worker, 0 to 1.
         work_per_ms: The demand per ready worker times the worker's fraction of its capacity.
         work_ms: The work of the call.
     """
-    while sends and sends[0][0] <= now_ms - rules.collapse_window_ms:
+    while sends and sends[0].at_ms <= now_ms - rules.collapse_window_ms:
         sends.popleft()
     budget_ms = BUDGET_FRACTION * rules.collapse_multiple * work_per_ms * rules.collapse_window_ms
     if not sends and budget_ms < work_ms:
         return jitter < budget_ms / work_ms
-    return sum(sent_ms for _, sent_ms in sends) + work_ms <= budget_ms
+    return sum(send.work_ms for send in sends) + work_ms <= budget_ms
 
 
-def on_attempt_ended(sends: deque[tuple[float, float]], started_at_ms: float, *, was_sent: bool) -> None:
+def on_attempt_ended(sends: deque[SlowStartSend], started_at_ms: float, *, was_sent: bool) -> None:
     """Return the budget of an attempt that ended without being sent."""
     if was_sent:
         return
     for send in sends:
-        if send[0] == started_at_ms:
+        if send.at_ms == started_at_ms:
             sends.remove(send)
             return
--- a/cedarthread/routing/timers.py
+++ b/cedarthread/routing/timers.py
@@ -22,7 +22,7 @@
 
 
 class DueTime(NamedTuple):
-    """One entry of the heap; the serial number orders entries of the same time as they were scheduled."""
+    """An entry of the heap; the serial number orders entries of the same time as they were scheduled."""
 
     at_ms: float
     serial: int
