--- a/cedarthread/routing/estimators.py
+++ b/cedarthread/routing/estimators.py
@@ -24,21 +24,21 @@
     from cedarthread.model.settings import RequestClass, RouterSettings
     from cedarthread.routing.worker_table import WorkerTable
 
-RATE_WINDOW_MS = (
-    5000.0  # time constant of rates: several windows of rule 4, and much shorter than a slow start
-)
+RATE_WINDOW_MS = 5000.0  # time constant of rates: several windows of rule 4, and well below a slow start
 INITIAL_SERVICE_DIVISOR = 4.0  # the objective over this is the service time assumed before the first response
 MAX_LOAD_TIME_CONSTANT_MS = 12000.0  # longest time constant of a worker's load observations
-RESPONSES_PER_TIME_CONSTANT = (
-    4.0  # own calls to one worker that the time constant should span, within its bounds
-)
+RESPONSES_PER_TIME_CONSTANT = 4.0  # own calls to one worker that the time constant spans, within its bounds
 REPORT_PRIOR_COUNT = 0.01  # weight of the prior 0: negligible after the first report
 REPORTED_LOAD_WEIGHT = 0.05  # weight of one reported request in flight, relative to an own one
 MIN_QUOTA_FRACTION = 0.01  # lower bound of a tenant's quota
 
 
 class ServiceTimeEstimator:
-    """The service times of warm calls by function, class and hinted work, and the extra time of cold ones."""
+    """The service times of warm calls by function, class and hinted work, and the extra time of cold ones.
+
+    Args:
+        settings: The settings of the router, for the classes and their latency objectives.
+    """
 
     def __init__(self, settings: RouterSettings) -> None:
         self.classes: tuple[RequestClass, ...] = ()
@@ -89,7 +89,11 @@
 
 
 class TrafficEstimator:
-    """The rates of the router's own calls, and the time constants that follow from how rare they are."""
+    """The rates of the router's own calls, and the time constants that follow from how rare they are.
+
+    Args:
+        settings: The settings of the router, for the tenants and classes.
+    """
 
     def __init__(self, settings: RouterSettings) -> None:
         self.recent_calls = DecayingCounter(RATE_WINDOW_MS)
@@ -97,12 +101,8 @@
         self.first_call_at_ms = math.inf
         self.request_value = Ewma()  # priority weight of a request per ms of its work
         self.calls_per_ms = 0.0
-        self.load_time_constant_ms = (
-            MIN_LOAD_TIME_CONSTANT_MS  # time constant of load observations of a worker
-        )
-        self.call_rarity = (
-            1.0  # load_time_constant_ms over its minimum, 1 to 3; high when a worker gets few own calls
-        )
+        self.load_time_constant_ms = MIN_LOAD_TIME_CONSTANT_MS  # of a worker's load observations
+        self.call_rarity = 1.0  # load_time_constant_ms over its minimum, 1 to 3; 3: own calls are rare
         self.reported_in_flight = DecayingMean(RATE_WINDOW_MS)  # of other routers, over all workers
         self.mean_reported_in_flight = 0.0
         self.by_tenant = [DecayingCounter(RATE_WINDOW_MS) for _ in settings.tenants]
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -25,9 +25,7 @@
     from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
     from cedarthread.routing.router_state import RouterState
 
-REPORT_TIME_CONSTANT_FRACTION = (
-    0.25  # of load_time_constant_ms: a load report expires sooner, because it changes with every call
-)
+REPORT_TIME_CONSTANT_FRACTION = 0.25  # of load_time_constant_ms, because reports change with every call
 CONCURRENCY_WEIGHT = 0.25  # weight of another router's request in flight: a worker has several cores
 REJECTION_TIME_CONSTANT_MS = 3000.0  # time constant of a worker's rejections of a class and tenant
 REJECTION_GAIN = 0.5  # gain by which one response moves the rejections of a class and tenant...
@@ -38,7 +36,11 @@
 
 
 class OutcomeFeedback:
-    """The learning of one router from attempts and preloads that ended; ejects workers that fail."""
+    """The learning of one router from attempts and preloads that ended; ejects workers that fail.
+
+    Args:
+        state: The router's state.
+    """
 
     def __init__(self, state: RouterState) -> None:
         self.state = state
@@ -107,6 +109,7 @@
     def _learn_success(
         self, now_ms: float, worker: WorkerRecord, event: AttemptEnded, attempt: Attempt
     ) -> None:
+        """Record a response: the load that its latency and reported concurrency show, and good health."""
         if (rejections := worker.rejections.get(attempt.class_and_tenant)) is not None:
             rejections.move_towards(now_ms, REJECTION_GAIN, 0.0)
         if not attempt.is_cold:
@@ -118,6 +121,7 @@
         self.observe_health(now_ms, worker, 0.0)
 
     def _learn_overloaded(self, now_ms: float, worker: WorkerRecord, attempt: Attempt) -> None:
+        """Record a rejection: of the class and tenant, and a load of at least one latency objective."""
         rejections = worker.rejections.setdefault(
             attempt.class_and_tenant, DecayingCounter(REJECTION_TIME_CONSTANT_MS)
         )
@@ -131,6 +135,7 @@
     def _learn_failure(
         self, now_ms: float, worker: WorkerRecord, event: AttemptEnded, attempt: Attempt
     ) -> None:
+        """Add a failure to the outlier score; a failed half-open trial ejects the worker for longer."""
         call_rarity = self.state.traffic.call_rarity
         weight = outlier_detection.failure_weight(worker, now_ms, event, attempt, call_rarity)
         if weight is None:
@@ -153,6 +158,7 @@
             traffic.on_load_report(now_ms, others)
 
     def _reported_in_flight(self, load_report: tuple[float | None, ...]) -> float | None:
+        """Return the requests in flight by a load report; None: not reported."""
         if 0 <= self.in_flight_column < len(load_report):
             return load_report[self.in_flight_column]
         return None
--- a/cedarthread/routing/function_table.py
+++ b/cedarthread/routing/function_table.py
@@ -27,6 +27,7 @@
         return function
 
     def _drop_expired(self, now_ms: float, expiry_ms: float) -> None:
+        """Drop the functions that were not called for ``expiry_ms``, with their preloads in flight."""
         while self.by_id:
             oldest_id = next(iter(self.by_id))
             if now_ms - self.by_id[oldest_id].last_used_at_ms < expiry_ms:
--- a/cedarthread/routing/instance_queue.py
+++ b/cedarthread/routing/instance_queue.py
@@ -1,9 +1,9 @@
 """The queue of one function: calls that wait for a busy or loading instance rather than start another load.
 
 A worker with only busy instances starts another load for each call that arrives, and all loads use the same
-store. With gossip a router knows the requests that all routers have in flight, and so whether
-an instance becomes free, or finishes loading, before a new load would end. In that case the call waits in the
-router, at most for a fixed multiple of the load time.
+store. With gossip a router knows the requests that all routers have in flight, and so whether an instance
+becomes free, or finishes loading, before a new load would end. In that case the call waits in the router, at
+most for a fixed multiple of the load time.
 """
 
 from __future__ import annotations
@@ -33,9 +33,7 @@
     """The calls of one function that wait in this router, and its known instances by worker."""
 
     instances: dict[int, int] = field(default_factory=dict)  # number by worker id, from own responses
-    waiting_requests: dict[int, None] = field(
-        default_factory=dict
-    )  # ids in the order in which they started to wait
+    waiting_requests: dict[int, None] = field(default_factory=dict)  # request ids, the first to wait first
 
     def on_response(self, worker_id: int, *, was_cold: bool) -> None:
         """Count the instance that served a call: a new one if the call was cold, else an existing one."""
--- a/cedarthread/routing/popularity.py
+++ b/cedarthread/routing/popularity.py
@@ -14,9 +14,7 @@
 CALLS_IN_WINDOW = 80.0  # own calls that the window should contain, within its bounds
 MIN_WINDOW_MS = 5000.0
 MAX_WINDOW_MS = 30_000.0
-MIN_CALL_COUNT = (
-    40.0  # lower bound of the window's calls: calls not yet seen are assumed to be of other functions
-)
+MIN_CALL_COUNT = 40.0  # lower bound of the window's calls; calls not yet seen count as other functions'
 
 
 class Popularity:
--- a/cedarthread/routing/preload_budget.py
+++ b/cedarthread/routing/preload_budget.py
@@ -53,5 +53,6 @@
 
 
 def _drop_expired(now_ms: float, rules: RuleParameters, times: deque[float]) -> None:
+    """Drop the times that have left the window of rule 5."""
     while times and times[0] <= now_ms - rules.preload_window_ms:
         times.popleft()
--- a/cedarthread/routing/retries.py
+++ b/cedarthread/routing/retries.py
@@ -103,6 +103,7 @@
         )
 
     def _is_hedge_due(self, now_ms: float, attempt: Attempt, *, is_silent: bool) -> bool:
+        """Return whether hedging is allowed and the attempt is slow or its worker silent."""
         age_ms = now_ms - attempt.started_at_ms
         return self.state.settings.limits.allows_hedging and (
             is_silent or age_ms >= HEDGE_AFTER_MULTIPLE * attempt.expected_ms
@@ -132,6 +133,7 @@
                 self._recall(pending, len(pending.attempts) - 1)
 
     def _can_repeat_anywhere(self, now_ms: float, pending: PendingRequest) -> bool:
+        """Return whether rule 2 permits another attempt now, at any worker."""
         request_class = pending.request_class
         is_free = (
             request_class.idempotency is Idempotency.IDEMPOTENT
@@ -140,6 +142,7 @@
         return is_free and self.may_attempt(now_ms, pending)
 
     def _recall(self, pending: PendingRequest, attempt_index: int) -> None:
+        """Cancel an attempt so that its end starts a retry elsewhere, unless that has been done."""
         if self.state.settings.limits.can_cancel and pending.last_cancelled_attempt < attempt_index:
             pending.last_cancelled_attempt = attempt_index
             self.state.actions.append(CancelAttempt(pending.request.request_id, attempt_index))
--- a/cedarthread/routing/router.py
+++ b/cedarthread/routing/router.py
@@ -36,9 +36,7 @@
     from cedarthread.model.settings import RouterSettings
     from cedarthread.routing.records import PendingRequest, WorkerRecord
 
-DEQUEUED_PER_RESPONSE = (
-    2  # queued calls sent after a response: with one, the instance would idle until the next arrives
-)
+DEQUEUED_PER_RESPONSE = 2  # with one, the free instance would idle until its next call arrives
 
 
 class Router:
@@ -102,6 +100,7 @@
     # Events.
 
     def _on_endpoint_update(self, now_ms: float, update: EndpointUpdate) -> None:
+        """Apply an update of the endpoint list and dispatch the queue, or back off after a failed poll."""
         state = self.state
         polling = self.state.polling
         if update.kind is EndpointUpdateKind.FAILED:
@@ -116,6 +115,7 @@
         self._drain_queue(now_ms)
 
     def _on_request(self, now_ms: float, request: RequestArrived) -> None:
+        """Shed or dispatch a new request."""
         state = self.state
         self.preloads.on_request(now_ms)
         pending = state.record_request(now_ms, request)
@@ -129,6 +129,7 @@
         self._dispatch(now_ms, pending)
 
     def _on_attempt_ended(self, now_ms: float, event: AttemptEnded) -> None:
+        """Complete, retry or reject the request, then dispatch calls that wait for an instance."""
         pending = self.tracker.on_ended(now_ms, event)
         if pending is None:
             return
@@ -145,6 +146,7 @@
             self._dispatch(now_ms, self.queued_requests[request_id])
 
     def _on_stream_started(self, now_ms: float, event: StreamStarted) -> None:
+        """Make the first stream of a request its response and cancel the other attempts."""
         pending = self.pending_requests.get(event.request_id)
         if pending is not None and not pending.is_streaming:  # otherwise this stream was cancelled too late
             pending.is_streaming = True
@@ -152,14 +154,17 @@
         self.tracker.on_stream_started(now_ms, event)
 
     def _on_client_disconnected(self, now_ms: float, event: ClientDisconnected) -> None:
+        """Close the request without a final answer."""
         if (pending := self.pending_requests.get(event.request_id)) is not None:
             self._complete(pending)
 
     def _on_preload_ended(self, now_ms: float, event: PreloadEnded) -> None:
+        """Dispatch the queue after the end of an own preload."""
         if self.feedback.learn_preload(now_ms, event):
             self._drain_queue(now_ms)
 
     def _on_timer(self, now_ms: float, event: TimerFired) -> None:
+        """Check the attempts that are due for hedging, the subscription and the queue."""
         state = self.state
         if not state.timers.on_fired(event.token):
             return
@@ -201,10 +206,12 @@
         state.requests.enqueue(now_ms, pending, state.timers)
 
     def _drain_queue(self, now_ms: float) -> None:
+        """Dispatch each queued request; one that still cannot be sent is queued again or rejected."""
         for pending in list(self.queued_requests.values()):
             self._dispatch(now_ms, pending)
 
     def _start_attempt(self, now_ms: float, pending: PendingRequest, worker: WorkerRecord) -> None:
+        """Start an attempt at the worker and schedule its check for hedging."""
         attempt = self.tracker.on_started(now_ms, pending, worker)
         request_id = pending.request.request_id
         self.state.actions.append(StartAttempt(request_id, worker.endpoint.worker_id))
@@ -212,6 +219,7 @@
         self.state.timers.schedule(follow_up_at_ms, request_id, len(pending.attempts) - 1)
 
     def _reject_or_fail(self, now_ms: float, pending: PendingRequest) -> None:
+        """Give the final answer of a request that gets no further attempt."""
         self.state.actions.append(self.admission.final_answer(now_ms, pending))
         self._complete(pending)
 
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -116,9 +116,9 @@
         return None
 
     def _cheapest(self, search: _Search) -> WorkerRecord | None:
+        """Return the candidate of least cost that may receive the call in this pass, ties at random."""
         now_ms = search.now_ms
         pending = search.pending
-        rng = self.state.rng
         min_cost = math.inf
         ties = 0
         cheapest: WorkerRecord | None = None
@@ -134,7 +134,7 @@
                 cheapest = worker
             elif cost <= min_cost + TIE:
                 ties += 1
-                if rng.random() * ties < 1.0:  # reservoir sampling: all ties are equally likely
+                if self.state.rng.random() * ties < 1.0:  # reservoir sampling: all ties are equally likely
                     cheapest = worker
             if placement_penalty > SPARE_WORKERS * PLACEMENT_STEP and min_cost < math.inf:
                 break
--- a/cedarthread/routing/worker_table.py
+++ b/cedarthread/routing/worker_table.py
@@ -36,9 +36,7 @@
         self.zones = zones
         self.rng = rng
         self.by_id: dict[int, WorkerRecord] = {}
-        self.placement_epoch = (
-            0  # rises with each added or removed worker; placement orders are then recomputed
-        )
+        self.placement_epoch = 0  # rises with each added or removed worker, which changes placement orders
         self.ready_count = 0  # READY workers in reachable zones, or all READY ones if no zone is reachable
         self.ready_peak = WindowedMaximum()  # recent peak of ready_count
         self.is_every_zone_unreachable = True
@@ -77,6 +75,7 @@
         return without_instances
 
     def _mark_unlisted_removed(self, update: EndpointUpdate) -> None:
+        """Mark the workers that a complete list lacks; each is dropped once nothing is in flight there."""
         listed = {endpoint.worker_id for endpoint in update.endpoints}
         for worker_id, worker in self.by_id.items():
             if worker_id not in listed:
--- a/cedarthread/routing/zone_reachability.py
+++ b/cedarthread/routing/zone_reachability.py
@@ -28,13 +28,15 @@
 MIN_RESPONSES = 10  # responses needed before any zone counts as unreachable
 BASE_TRIAL_DELAY_MS = 1000.0  # time until a trial, doubled after each lost trial
 MAX_TRIAL_DELAY_MS = 8000.0
-MAX_LOST_ATTEMPTS = 64  # ended attempts without a response that still count
+MAX_LOST_ATTEMPTS = 64  # ended attempts without a response that count
 
 AttemptId = tuple[int, int]  # request id and attempt index
 
 
 @dataclass(slots=True)
 class _TrackedAttempt:
+    """An attempt in flight, or one that ended without a response."""
+
     worker_id: int
     zone: int
     started_at_ms: float
@@ -45,6 +47,8 @@
 
 @dataclass(slots=True)
 class _UnreachableZone:
+    """An unreachable zone and its trials."""
+
     trial_at_ms: float  # a trial may be sent from then on
     trial_delay_ms: float = BASE_TRIAL_DELAY_MS
     trial_attempt: AttemptId | None = None  # the trial in flight; None: no trial
@@ -167,6 +171,7 @@
         return newly_unreachable
 
     def _is_trial_lost(self, now_ms: float, attempt: AttemptId, tolerance: float) -> bool:
+        """Return whether the trial in flight has been silent for too long."""
         return self._surprise(now_ms, [self.in_flight[attempt]], tolerance) >= MAX_WORKER_SURPRISE
 
     def _zone_surprise(self, now_ms: float, zone: int, tolerance: float) -> float:
