--- a/cedarthread/routing/estimators.py
+++ b/cedarthread/routing/estimators.py
@@ -1,7 +1,7 @@
 """Estimators of one router: service times, call rates by class and tenant, and load that workers report.
 
-The estimators learn from the router's own calls alone and decide nothing. All times are ms of the steady
-clock that the caller passes in; rates are per ms.
+The estimators learn from the router's own calls and the load reports of workers, and decide nothing. All
+times are ms of the steady clock that the caller passes in; rates are per ms.
 """
 
 from __future__ import annotations
--- a/cedarthread/routing/records.py
+++ b/cedarthread/routing/records.py
@@ -138,7 +138,7 @@
     def on_gossip(
         self, now_ms: float, instances: dict[int, InstanceLoad], workers: Container[int], affinity: float
     ) -> None:
-        """Store gossiped instances; raise the affinity where one ran after the last own attempt.
+        """Store gossiped instances; raise affinity to workers where one ran after the last own attempt.
 
         Args:
             now_ms: The steady clock.
--- a/cedarthread/routing/slow_start.py
+++ b/cedarthread/routing/slow_start.py
@@ -13,7 +13,7 @@
 
     from cedarthread.model.settings import RuleParameters
 
-BUDGET_FRACTION = 0.6  # of a cold worker's capacity: all routers together send no more
+BUDGET_FRACTION = 0.6  # of the work at which a cold worker collapses: all routers together send no more
 
 
 class SlowStartSend(NamedTuple):
@@ -51,7 +51,7 @@
         now_ms: The steady clock.
         sends: The earlier sends; those before the window are dropped.
         jitter: The router's random number for the worker, 0 to 1.
-        work_per_ms: The demand per ready worker times the worker's fraction of its capacity.
+        work_per_ms: This router's work per ready worker and ms, times the worker's fraction of its capacity.
         work_ms: The work of the call.
     """
     while sends and sends[0].at_ms <= now_ms - rules.collapse_window_ms:
@@ -63,7 +63,7 @@
 
 
 def on_attempt_ended(sends: deque[SlowStartSend], started_at_ms: float, *, was_sent: bool) -> None:
-    """Return the budget of an attempt that ended without being sent."""
+    """Restore the budget of an attempt that ended without being sent, by dropping its send."""
     if was_sent:
         return
     for send in sends:
--- a/cedarthread/routing/zone_reachability.py
+++ b/cedarthread/routing/zone_reachability.py
@@ -22,7 +22,7 @@
 UNREACHABLE_SURPRISE = 6.0  # a zone with more is unreachable; by chance that happens once in 400 times
 MAX_WORKER_SURPRISE = 3.0  # bound for one worker, because the fault may be its own
 MIN_SHARED_SURPRISE = 1.0  # bound below which a zone does not count among zones silent together
-CONNECT_FAILURE_SURPRISE = 3.0  # surprise of a failed connect
+CONNECT_FAILURE_SURPRISE = 3.0  # that one failed connect adds
 DEVIATIONS = 1.0  # mean deviations added to the usual time: cold starts make a long tail
 MIN_EXPECTED_MS = 100.0  # lower bound of the expected time: shorter silence may be a pause of this process
 MIN_RESPONSES = 10  # responses needed before any zone counts as unreachable
