--- a/cedarthread/replication/codec.py
+++ b/cedarthread/replication/codec.py
@@ -4,41 +4,78 @@
     SYNC_RESPONSE    nonce u64, root digest u64, incarnation u64, flags u8 (1: voter), age step u16 ms,
                      first router u16, remembered generation u64 (the greatest store generation that the
                      requester had reported to the responder), unix_ms f64; then a byte a router from the
-                     first on: 6 bits of age in steps (63: unknown), 64: read as a voter, 128: holds this root
+                     first on: 6 bits of age in steps (63: unknown), 64: read as a voter, 128: has this root
     SUMMARY_REQUEST  nonce u64; then the sum of each of 32 buckets, 48 bits
     SUMMARY          nonce u64, root digest u64, incarnation u64, buckets u32 (a bit each), part u8,
                      parts u8; then refs of key hash u32 and the low 32 bits of the entry's digest
     FETCH_REQUEST    items of key hash u32, digest low bits u32, fragments u16 (a bit each)
     FRAGMENT         digest u64, bytes of the entry u16, fragment number u8; then data
 
-Each datagram begins with the message type u8 and the kind u8. An entry's bucket is the low 5 bits of its key
-hash.
+The first byte of each datagram is the message type u8, the second the kind u8. An entry's bucket is the low 5
+bits of its key hash. The module has no state.
 """
 
 from __future__ import annotations
 
-import math
 import struct
-from dataclasses import dataclass
-from typing import TYPE_CHECKING, NamedTuple
+from enum import IntEnum
+from typing import TYPE_CHECKING
 
 from cedarthread.components.datagram_fields import MAX_DATAGRAM_BYTES, MalformedDatagram
 from cedarthread.components.messages import MessageType
 from cedarthread.model.actions import SendToPeer
 from cedarthread.replication.entry import MAX_ENTRY_BYTES
+from cedarthread.replication.messages import (
+    AGES_PER_RESPONSE,
+    ALL_FRAGMENTS,
+    BUCKET_COUNT,
+    EntryFragment,
+    EntryRef,
+    FetchItem,
+    FetchRequest,
+    Message,
+    Summary,
+    SummaryRequest,
+    SyncRequest,
+    SyncResponse,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-HEADER_BYTES = 2  # type of message, kind
-AGES_PER_RESPONSE = 208  # routers that one response gives ages for: what fits one datagram
-BUCKET_COUNT = 32
+__all__ = [
+    "ALL_FRAGMENTS",
+    "BUCKET_COUNT",
+    "EntryFragment",
+    "EntryRef",
+    "FetchItem",
+    "FetchRequest",
+    "Message",
+    "MessageKind",
+    "Summary",
+    "SummaryRequest",
+    "SyncRequest",
+    "SyncResponse",
+    "decode",
+    "encode",
+    "encode_to",
+    "split_into_fragments",
+]
+
+
+class MessageKind(IntEnum):
+    """The second byte of a replication datagram."""
+
+    SYNC_REQUEST = 1
+    SYNC_RESPONSE = 2
+    SUMMARY_REQUEST = 3
+    SUMMARY = 4
+    FETCH_REQUEST = 5
+    FRAGMENT = 6
+
+
+HEADER_BYTES = 2  # message type, kind
 BUCKET_SUM_BYTES = 6
-BUCKET_SUM_MODULUS = 2**48  # bucket sums are truncated to this on the wire
-DIGEST_LOW_MODULUS = 2**32  # a ref carries these low bits of a digest
-AGE_UNKNOWN = 63  # in place of an age in steps
-VOTER_FLAG, HOLDS_ROOT_FLAG = 64, 128  # beside the age
-SYNC_REQUEST, SYNC_RESPONSE, SUMMARY_REQUEST, SUMMARY, FETCH_REQUEST, FRAGMENT = range(1, 7)
 _SYNC_REQUEST = struct.Struct("<BBQQQHQ")
 _SYNC_RESPONSE = struct.Struct("<BBQQQBHHQd")
 _SUMMARY_REQUEST = struct.Struct("<BBQ")
@@ -46,125 +83,33 @@
 _ENTRY_REF = struct.Struct("<II")
 _FETCH_ITEM = struct.Struct("<IIH")
 _FRAGMENT = struct.Struct("<BBQHB")
-_FETCH_HEADER_BYTES = HEADER_BYTES
 MAX_REFS_PER_SUMMARY = (MAX_DATAGRAM_BYTES - _SUMMARY.size) // _ENTRY_REF.size
-MAX_ITEMS_PER_FETCH = (MAX_DATAGRAM_BYTES - _FETCH_HEADER_BYTES) // _FETCH_ITEM.size
+MAX_ITEMS_PER_FETCH = (MAX_DATAGRAM_BYTES - HEADER_BYTES) // _FETCH_ITEM.size
 FRAGMENT_BYTES = MAX_DATAGRAM_BYTES - _FRAGMENT.size  # of an entry's data in one fragment
-ALL_FRAGMENTS = 0xFFFF
-
-
-class EntryRef(NamedTuple):
-    """A short name of one version of an entry."""
-
-    key_hash: int
-    digest_low: int
-
-    @property
-    def bucket(self) -> int:
-        """Which bucket the entry is summed in."""
-        return self.key_hash % BUCKET_COUNT
-
-
-class FetchItem(NamedTuple):
-    """Fragments that are wanted of one entry, a bit for each."""
-
-    key_hash: int
-    digest_low: int
-    fragment_bits: int
-
-
-@dataclass(frozen=True, slots=True)
-class SyncRequest:
-    """Asks a peer for its root digest and for how recently it has read each router from ``first_router``
-    on.
-    """
-
-    nonce: int
-    root_digest: int
-    incarnation: int
-    first_router: int
-    store_generation: int = 0
-
-
-@dataclass(frozen=True, slots=True)
-class SyncResponse:
-    """The responder's root digest, and a byte of age and flags for each router from ``first_router`` on."""
-
-    nonce: int
-    root_digest: int
-    incarnation: int
-    is_voter: bool
-    age_step_ms: int
-    first_router: int
-    ages: bytes
-    remembered_generation: int = 0
-    unix_ms: float = math.nan  # the responder's wall clock; NaN: not known
-
-
-@dataclass(frozen=True, slots=True)
-class SummaryRequest:
-    """Bucket sums that the requester has reached so far; the peer lists the buckets in which it differs."""
-
-    nonce: int
-    bucket_sums: tuple[int, ...]  # 48 bits each
-
-
-@dataclass(frozen=True, slots=True)
-class Summary:
-    """Refs of all entries in some buckets, or one part of a bucket that does not fit one datagram."""
-
-    nonce: int
-    root_digest: int
-    incarnation: int
-    bucket_bits: int
-    part_index: int
-    part_count: int
-    refs: tuple[EntryRef, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class FetchRequest:
-    """Asks a peer for fragments of entries."""
-
-    items: tuple[FetchItem, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class EntryFragment:
-    """One fragment of an entry's canonical bytes."""
-
-    digest: int
-    entry_bytes: int
-    fragment_index: int
-    data: bytes
-
-
-Message = SyncRequest | SyncResponse | SummaryRequest | Summary | FetchRequest | EntryFragment
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a datagram."""
+    """Return the bytes of a datagram."""
     if isinstance(message, SyncRequest):
         return _encode_sync_request(message)
     if isinstance(message, SyncResponse):
         return _encode_sync_response(message)
     if isinstance(message, SummaryRequest):
-        header = _SUMMARY_REQUEST.pack(MessageType.REPLICATION, SUMMARY_REQUEST, message.nonce)
+        header = _SUMMARY_REQUEST.pack(MessageType.REPLICATION, MessageKind.SUMMARY_REQUEST, message.nonce)
         sums = (bucket_sum.to_bytes(BUCKET_SUM_BYTES, "little") for bucket_sum in message.bucket_sums)
         return header + b"".join(sums)
     if isinstance(message, Summary):
         return _encode_summary(message)
     if isinstance(message, FetchRequest):
-        header = bytes((MessageType.REPLICATION, FETCH_REQUEST))
+        header = bytes((MessageType.REPLICATION, MessageKind.FETCH_REQUEST))
         return header + b"".join(_FETCH_ITEM.pack(*item) for item in message.items)
-    kinds = MessageType.REPLICATION, FRAGMENT
-    return _FRAGMENT.pack(*kinds, message.digest, message.entry_bytes, message.fragment_index) + message.data
+    return _encode_fragment(message)
 
 
 def _encode_sync_request(request: SyncRequest) -> bytes:
     return _SYNC_REQUEST.pack(
         MessageType.REPLICATION,
-        SYNC_REQUEST,
+        MessageKind.SYNC_REQUEST,
         request.nonce,
         request.root_digest,
         request.incarnation,
@@ -176,7 +121,7 @@
 def _encode_sync_response(response: SyncResponse) -> bytes:
     header = _SYNC_RESPONSE.pack(
         MessageType.REPLICATION,
-        SYNC_RESPONSE,
+        MessageKind.SYNC_RESPONSE,
         response.nonce,
         response.root_digest,
         response.incarnation,
@@ -192,7 +137,7 @@
 def _encode_summary(summary: Summary) -> bytes:
     header = _SUMMARY.pack(
         MessageType.REPLICATION,
-        SUMMARY,
+        MessageKind.SUMMARY,
         summary.nonce,
         summary.root_digest,
         summary.incarnation,
@@ -203,13 +148,24 @@
     return header + b"".join(_ENTRY_REF.pack(*ref) for ref in summary.refs)
 
 
+def _encode_fragment(fragment: EntryFragment) -> bytes:
+    header = _FRAGMENT.pack(
+        MessageType.REPLICATION,
+        MessageKind.FRAGMENT,
+        fragment.digest,
+        fragment.entry_bytes,
+        fragment.fragment_index,
+    )
+    return header + fragment.data
+
+
 def encode_to(message: Message, peer_index: int) -> SendToPeer:
-    """A datagram for one peer."""
+    """Encode a message for one peer."""
     return SendToPeer(encode(message), peer_index)
 
 
 def split_into_fragments(data: bytes, digest: int, wanted_bits: int = ALL_FRAGMENTS) -> list[EntryFragment]:
-    """Those fragments of an entry's canonical bytes whose bits are set."""
+    """Split an entry's canonical bytes; return the fragments with a bit set in ``wanted_bits``."""
     chunks = [data[offset : offset + FRAGMENT_BYTES] for offset in range(0, len(data), FRAGMENT_BYTES)]
     return [
         EntryFragment(digest, len(data), index, chunk)
@@ -219,7 +175,7 @@
 
 
 def decode(data: bytes) -> Message | MalformedDatagram:
-    """The message in a datagram. Never raises, whatever the bytes are."""
+    """Decode a datagram. Malformed bytes give a ``MalformedDatagram``; no bytes cause an exception."""
     if (
         not HEADER_BYTES <= len(data) <= MAX_DATAGRAM_BYTES
         or data[0] != MessageType.REPLICATION
@@ -278,9 +234,9 @@
 
 
 def _decode_fetch_request(data: bytes) -> FetchRequest | None:
-    if (len(data) - _FETCH_HEADER_BYTES) % _FETCH_ITEM.size:
+    if (len(data) - HEADER_BYTES) % _FETCH_ITEM.size:
         return None
-    return FetchRequest(tuple(map(FetchItem._make, _FETCH_ITEM.iter_unpack(data[_FETCH_HEADER_BYTES:]))))
+    return FetchRequest(tuple(map(FetchItem._make, _FETCH_ITEM.iter_unpack(data[HEADER_BYTES:]))))
 
 
 def _decode_fragment(data: bytes) -> EntryFragment | None:
@@ -298,10 +254,10 @@
 
 
 _DECODERS: dict[int, Callable[[bytes], Message | None]] = {
-    SYNC_REQUEST: _decode_sync_request,
-    SYNC_RESPONSE: _decode_sync_response,
-    SUMMARY_REQUEST: _decode_summary_request,
-    SUMMARY: _decode_summary,
-    FETCH_REQUEST: _decode_fetch_request,
-    FRAGMENT: _decode_fragment,
+    MessageKind.SYNC_REQUEST: _decode_sync_request,
+    MessageKind.SYNC_RESPONSE: _decode_sync_response,
+    MessageKind.SUMMARY_REQUEST: _decode_summary_request,
+    MessageKind.SUMMARY: _decode_summary,
+    MessageKind.FETCH_REQUEST: _decode_fetch_request,
+    MessageKind.FRAGMENT: _decode_fragment,
 }
--- a/cedarthread/testing/fuzzing/injected_defects.py
+++ b/cedarthread/testing/fuzzing/injected_defects.py
@@ -158,7 +158,7 @@
 
 def _write_all_lines(self: WorkerConnection, transport: asyncio.Transport, *, is_holding: bool) -> None:
     while (line := self.lines.next_line()) is not None:
-        if line.request is not None and not self._may_leave(line.request):
+        if line.request is not None and not self._may_write(line.request):
             self.withdraw_and_end(line.request)
             continue
         line.data = line.data or self.workers.encode_attempt(cast("Attempt", line.request))
@@ -197,10 +197,11 @@
     self: endpoint_list.EndpointList,
     version: int,
     records: list[endpoint_list.EndpointRecord],
-    is_complete: bool,
+    *,
+    is_snapshot: bool,
 ) -> Any:
     self.version = min(self.version, version - 1)
-    return _apply_update(self, version, records, is_complete)
+    return _apply_update(self, version, records, is_snapshot=is_snapshot)
 
 
 _apply_update = endpoint_list.EndpointList.apply_update
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -187,7 +187,8 @@
                 talk.on_first_attempt()
                 talk.on_attempt_sent(1 + (step + call) % 4, FUNCTION + 977 * call)
             if step > 2:
-                talk.on_attempt_ended(now_ms, 1 + step % 4, FUNCTION, (True, False, None)[step % 3])
+                is_loaded = (True, False, None)[step % 3]
+                talk.on_attempt_ended(now_ms, 1 + step % 4, FUNCTION, is_loaded=is_loaded)
             for tell in talk.collect_due_datagrams(now_ms):
                 said.append((f"exchange {step} of {number} for {tell.peer_index}", tell.data))
                 other = two if talk is one else one
@@ -441,7 +442,9 @@
         "busy": return_form.Busy(9, 750.0, 12),
         "busy naming nobody": return_form.Busy(9, 1e9),
         "tell nothing": return_form.Response(9, 0, 1, None, 0.0),
-        "tell rates": return_form.Response(9, 0, 1, 0.5, 12300.0, tuple(places[:3]), (1.25, 0.5)),
+        "tell rates": return_form.Response(
+            9, 0, 1, 0.5, 12300.0, tuple(places[:3]), return_form.BaselineRates(1.25, 0.5)
+        ),
     }
     for number, group in enumerate(groups):
         messages[f"part {number}"] = return_form.Response(9, number, len(groups), 1.0, 1e9, tuple(group))
@@ -680,8 +683,8 @@
         Sample("request health", client_side.pack_health_check(), message),
         *(Sample(f"response {name}", encode_answer(70_000, one), message) for name, one in answers.items()),
         Sample("response no", encode_error(3, "BadRequest", {"reason": "x" * 40}), message),
-        Sample("response ready", encode_health(3, True), message),
-        Sample("response not ready", encode_health(2**32, False), message),
+        Sample("response ready", encode_health(3, is_ready=True), message),
+        Sample("response not ready", encode_health(2**32, is_ready=False), message),
         *(Sample(f"number {number}", msgpack.pack_uint(number), message) for number in numbers),
         Sample("text", msgpack.pack_str("\u00e9" * 30), message),
         Sample("bytes", msgpack.pack_bin(bytes(300)), message),
@@ -1286,7 +1289,7 @@
     news: list[Json] = []
     roster = EndpointList(found.settings)
     for number, told in found.initial_endpoints:
-        news.append(plain(roster.apply_update(number, list(told), True)))
+        news.append(plain(roster.apply_update(number, list(told), is_snapshot=True)))
     return [plain(found), news]
 
 
@@ -1369,7 +1372,7 @@
     """What stands warm, as a router keeps it."""
     made = _recovery(0.0)
     for number in range(5):
-        made.warm_state.record_local(100.0 * number, 1 + number % 3, FUNCTION + number, number != 3)
+        made.warm_state.record_local(100.0 * number, 1 + number % 3, FUNCTION + number, is_warm=number != 3)
     image: bytes | None = made.snapshot(900.0)
     if image is None:
         raise ValueError("no wall clock")
@@ -1392,7 +1395,7 @@
     for number, kind in enumerate(KINDS):
         for step in range(number + 1):
             made.pacer.record_unpaced(1000.0 * step, kind)
-    made.warm_state.record_local(29_000.0, 2, FUNCTION, True)
+    made.warm_state.record_local(29_000.0, 2, FUNCTION, is_warm=True)
     image: bytes | None = made.snapshot(30_000.0)
     if image is None:
         raise ValueError("no wall clock")
