--- a/cedarthread/model/endpoints.py
+++ b/cedarthread/model/endpoints.py
@@ -15,7 +15,7 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an update of the endpoint list contains."""
+    """The content of an update of the endpoint list."""
 
     DELTA = "delta"  # changed entries only
     SNAPSHOT = "full"  # all workers; one that is absent has been removed
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One worker on the endpoint list.
+    """A worker on the endpoint list.
 
-    Workers of one ``cell`` may drop each other's repeats (see ``DeduplicationScope``).
+    Workers of one ``cell`` may deduplicate each other's requests (see ``DeduplicationScope``).
     """
 
     worker_id: int
@@ -36,12 +36,12 @@
     cell: int
     state: EndpointState
     weight: float | None
-    started_at_ms: float | None  # on the router's clock; None: long ago
+    started_at_ms: float | None  # on the router's steady clock; None: long ago
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """An update of the endpoint list; ``version`` only grows."""
+    """An update of the endpoint list; ``version`` never decreases."""
 
     kind: EndpointUpdateKind
     version: int
--- a/cedarthread/node/constraints.py
+++ b/cedarthread/node/constraints.py
@@ -12,6 +12,7 @@
 from cedarthread.change_freeze.placement_changes import PlacementChange, PlacementChangeKind
 from cedarthread.model.endpoints import EndpointState
 from cedarthread.node.preemption_view import preemption_candidates, preemption_claim
+from cedarthread.routing.collaborators import HomeWorkers
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -51,6 +52,7 @@
         now_ms: float,
         pending: PendingRequest,
         worker: WorkerRecord,
+        *,
         is_loaded: bool,
         has_alternative: bool,
     ) -> bool:
@@ -80,7 +82,7 @@
         )
 
     def may_load(
-        self, now_ms: float, pending: PendingRequest, worker: WorkerRecord, has_alternative: bool
+        self, now_ms: float, pending: PendingRequest, worker: WorkerRecord, *, has_alternative: bool
     ) -> bool:
         """Return whether the request may start a first instance at the worker.
 
@@ -104,20 +106,20 @@
 
     def home_workers(
         self, now_ms: float, function_id: int, workers: Sequence[WorkerRecord], home_count: int
-    ) -> tuple[Sequence[WorkerRecord], int]:
+    ) -> HomeWorkers:
         """Return the workers in placement order and the number of homes, adjusted for a change freeze.
 
         During a change freeze the result contains the ready workers only.
         """
         if not self.gate.is_active:
-            return workers, home_count
+            return HomeWorkers(workers, home_count)
         ready = {
             worker.endpoint.worker_id: worker
             for worker in workers
             if worker.endpoint.state is EndpointState.READY
         }
         worker_ids, home_count = self.gate.home_workers(now_ms, function_id, list(ready), home_count)
-        return [ready[worker_id] for worker_id in worker_ids], home_count
+        return HomeWorkers([ready[worker_id] for worker_id in worker_ids], home_count)
 
     def retry_after_range(self, now_ms: float) -> tuple[float, float]:
         """Return the fractions of the longest Retry-After between which that of a rejection is drawn."""
--- a/cedarthread/routing/attempt_tracker.py
+++ b/cedarthread/routing/attempt_tracker.py
@@ -1,7 +1,7 @@
-"""Records of attempts: what starts and ends of them changes in the tables and estimators of a router.
+"""Attempt tracking: updates the tables and estimators of a router when an attempt starts and ends.
 
-Bookkeeping only: which attempt starts is decided before, what follows on its end afterwards. All times are ms
-of the clock that is handed in.
+Bookkeeping only: the policies decide which attempt starts and how to react to its end. All times are ms of
+the steady clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -10,27 +10,37 @@
 
 from cedarthread.model.outcomes import NOT_EXECUTED, Outcome
 from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
+from cedarthread.routing.slow_start import SlowStartSend
 
 if TYPE_CHECKING:
     from cedarthread.model.events import AttemptEnded, StreamStarted
     from cedarthread.routing.feedback import OutcomeFeedback
     from cedarthread.routing.router_state import RouterState
 
-AFFINITY_GAIN = 0.03  # share by which an attempt moves affinity: up on its worker, down on the others
-# The worker has answered, and with it its zone.
+AFFINITY_GAIN = 0.03  # fraction of affinity that an attempt moves from the other workers to its own
+# Outcomes that prove that the worker, and so its zone, is reachable.
 RESPONSES = (Outcome.OK, Outcome.OVERLOADED, Outcome.ERROR, Outcome.NOT_LOADED)
 
 
 class AttemptTracker:
-    """Keeps account of the attempts of one router."""
+    """The bookkeeping of one router's attempts; it owns no state but writes ``state``.
+
+    Args:
+        state: The router's state.
+        feedback: Learns from each outcome.
+    """
 
     def __init__(self, state: RouterState, feedback: OutcomeFeedback) -> None:
-        self.state, self.feedback = state, feedback
+        self.state = state
+        self.feedback = feedback
 
     def on_started(self, now_ms: float, pending: PendingRequest, worker: WorkerRecord) -> Attempt:
-        """The request goes to the worker now."""
-        state, function, request = self.state, pending.function, pending.request
-        worker_id, service_times = worker.endpoint.worker_id, state.service_times
+        """Record that an attempt of the request starts at the worker now, and return the attempt."""
+        state = self.state
+        function = pending.function
+        request = pending.request
+        worker_id = worker.endpoint.worker_id
+        service_times = state.service_times
         is_cold = not function.has_seen_instance(now_ms, worker_id, state.settings.keep_alive_ms)
         warm_ms = service_times.expected_ms(pending)
         attempt = Attempt(
@@ -49,7 +59,8 @@
         worker.in_flight += 1
         worker.has_trial_in_flight = worker.has_trial_in_flight or worker.is_ejected
         if worker.available_capacity(now_ms, state.settings.rules) < 1.0:
-            worker.slow_start_sends.append((now_ms, service_times.class_ms(request.class_index)))
+            work_ms = service_times.class_ms(request.class_index)
+            worker.slow_start_sends.append(SlowStartSend(now_ms, work_ms))
         if not is_cold:
             state.overload.on_attempt_started(worker_id)
         function.on_sent(now_ms, worker_id, AFFINITY_GAIN)
@@ -58,21 +69,26 @@
         return attempt
 
     def on_ended(self, now_ms: float, event: AttemptEnded) -> PendingRequest | None:
-        """Take in an outcome; returns its request, where that has no final answer yet."""
-        state, outcome = self.state, event.outcome
+        """Record an outcome and return its request; None: the request is closed or the attempt is unknown."""
+        state = self.state
+        outcome = event.outcome
         pending, attempt = state.requests.end_attempt(event)
         if attempt is None:
             return None
         if not attempt.is_cold:
-            state.overload.on_attempt_ended(now_ms, event.worker_id, outcome is Outcome.OK)
+            state.overload.on_attempt_ended(now_ms, event.worker_id, is_success=outcome is Outcome.OK)
         attempt.may_have_executed = outcome not in NOT_EXECUTED
-        if event.is_local:  # nobody has had it
+        if event.is_local:  # no worker received the attempt
             state.retry_budget.earn(attempt.retry_cost)
         attempt_id = (event.request_id, event.attempt_index)
         is_response = outcome in RESPONSES
         has_connect_failed = outcome is Outcome.CONNECT_FAILED and event.is_unreachable
         if state.zones.on_attempt_ended(
-            now_ms, attempt_id, is_response, event.latency_ms, has_connect_failed
+            now_ms,
+            attempt_id,
+            event.latency_ms,
+            is_response=is_response,
+            has_connect_failed=has_connect_failed,
         ):
             state.workers.count_ready(now_ms)
         self.feedback.learn_worker(now_ms, event, attempt)
@@ -81,7 +97,7 @@
         return pending
 
     def on_stream_started(self, now_ms: float, event: StreamStarted) -> None:
-        """The worker has begun to answer."""
+        """Record that the worker has started to respond, so the worker and its zone are reachable."""
         state = self.state
         if (worker := state.workers.by_id.get(event.worker_id)) is not None:
             worker.last_response_at_ms = now_ms
--- a/cedarthread/routing/collaborators.py
+++ b/cedarthread/routing/collaborators.py
@@ -1,11 +1,11 @@
-"""What the router needs of the components beside it, as protocols that ``gossip/`` and ``node/`` implement.
+"""Protocols of the components that the router uses; ``gossip/`` and ``node/`` implement them.
 
 All times are ms of the router's steady clock.
 """
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -14,6 +14,13 @@
     from cedarthread.routing.records import PendingRequest, WorkerRecord
 
 
+class HomeWorkers(NamedTuple):
+    """The workers of a function in placement order, and how many of them are homes."""
+
+    workers: Sequence[WorkerRecord]
+    home_count: int
+
+
 class PeerLoad(Protocol):
     """Load and warm instances as the other routers report them (``gossip/load_gossip.py``)."""
 
@@ -30,7 +37,7 @@
 class RoutingConstraints(Protocol):
     """Constraints of contracts, change freezes and restart recovery (``node/constraints.py``).
 
-    The router asks and decides; the constraints never act on their own.
+    The router calls the constraints and decides; they never act on their own.
     """
 
     limits_loading: bool  # whether a change freeze or the recovery limits new instances
@@ -43,6 +50,7 @@
         now_ms: float,
         pending: PendingRequest,
         worker: WorkerRecord,
+        *,
         is_loaded: bool,
         has_alternative: bool,
     ) -> bool:
@@ -57,17 +65,17 @@
         """
 
     def may_load(
-        self, now_ms: float, pending: PendingRequest, worker: WorkerRecord, has_alternative: bool
+        self, now_ms: float, pending: PendingRequest, worker: WorkerRecord, *, has_alternative: bool
     ) -> bool:
         """Return whether the request may start a first instance at the worker.
 
-        The router asks last, because True may consume one exception of the change freeze and one load of
-        the recovery's pacing.
+        The router calls this after all other checks, because True may consume one exception of the change
+        freeze and one load of the recovery's pacing.
         """
 
     def home_workers(
         self, now_ms: float, function_id: int, workers: Sequence[WorkerRecord], home_count: int
-    ) -> tuple[Sequence[WorkerRecord], int]:
+    ) -> HomeWorkers:
         """Return the workers in placement order and the number of homes, adjusted for a change freeze."""
 
     def retry_after_range(self, now_ms: float) -> tuple[float, float]:
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -1,6 +1,6 @@
-"""What the outcome of an attempt tells of its worker and its function: it feeds records and estimators.
+"""Outcome feedback: updates worker and function records and estimators from the outcomes of attempts.
 
-All times are ms of the clock that is handed in.
+All times are ms of the steady clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -25,26 +25,30 @@
     from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
     from cedarthread.routing.router_state import RouterState
 
-REPORT_MEMORY_FRACTION = 0.25  # of the load memory, in which a load report fades: it changes with every call
-CONCURRENCY_WEIGHT = 0.25  # part of a request out that each request of others weighs: a worker has some cores
-REJECTION_MEMORY_MS = 3000.0  # ms in which it fades that a worker rejected a class or tenant
-REJECTION_GAIN = 0.5  # part of the way that one answer moves the rejections of a class or tenant...
-REJECTION_PENALTY = 2.0  # ...towards this, where it was a rejection, in units of placement cost; else to 0
+REPORT_TIME_CONSTANT_FRACTION = 0.25  # of load_time_constant_ms, because reports change with every call
+CONCURRENCY_WEIGHT = 0.25  # weight of another router's request in flight: a worker has several cores
+REJECTION_TIME_CONSTANT_MS = 3000.0  # time constant of a worker's rejections of a class and tenant
+REJECTION_GAIN = 0.5  # gain by which one response moves the rejections of a class and tenant...
+REJECTION_PENALTY = 2.0  # ...towards this placement cost if it was a rejection, else towards 0
 
-MIN_PRELOAD_BACKOFF_MS = 1.0  # ms after a preload that failed, where nothing is known of how long loads take
-PRELOAD_BACKOFF_JITTER = 0.5, 1.0  # parts of the backoff between which the delay is drawn
+MIN_PRELOAD_BACKOFF_MS = 1.0  # backoff after a failed preload if no load time is known
+PRELOAD_BACKOFF_JITTER = 0.5, 1.0  # fractions of the backoff between which the delay is drawn
 
 
 class OutcomeFeedback:
-    """Learns from attempts that have ended, and ejects workers that fail."""
+    """The learning of one router from attempts and preloads that ended; ejects workers that fail.
+
+    Args:
+        state: The router's state.
+    """
 
     def __init__(self, state: RouterState) -> None:
         self.state = state
-        self.in_flight_column = -1  # of a load report: requests in flight; -1: not reported
+        self.in_flight_column = -1  # index of the requests in flight in a load report; -1: not reported
         self.update_settings(state.settings)
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """What follows from the settings alone."""
+        """Find the column of the requests in flight in load reports."""
         columns = settings.load_report_columns
         self.in_flight_column = columns.index("inflight") if "inflight" in columns else -1
 
@@ -56,14 +60,17 @@
         max_ejected_fraction: float = MAX_EJECTED_FRACTION,
         gain: float = FAILURE_GAIN,
     ) -> None:
-        """One observation of a worker, 0 healthy to 1 failed, that may eject it or end its ejection."""
+        """Add an observation of a worker, 0 healthy to 1 failed; it may eject the worker or readmit it."""
         workers = self.state.workers.by_id.values()
         if outlier_detection.observe(worker, workers, failure, max_ejected_fraction, gain):
             outlier_detection.eject(worker, now_ms, self.state.traffic.call_rarity, self.state.rng)
             self.state.log(now_ms, "worker_ejected", worker_id=worker.endpoint.worker_id)
 
     def observe_silence(self, now_ms: float, attempt: Attempt) -> bool:
-        """Whether nothing came from the worker since the attempt began; overdue, that is a symptom."""
+        """Return whether the worker has not responded at all since the attempt started.
+
+        If the attempt is also overdue, the silence counts once as a failure of the worker.
+        """
         worker = self.state.workers.by_id.get(attempt.endpoint.worker_id)
         if worker is None:
             return True
@@ -75,7 +82,10 @@
         return is_silent
 
     def learn_worker(self, now_ms: float, event: AttemptEnded, attempt: Attempt) -> None:
-        """What one outcome tells of its worker."""
+        """Update the worker's record from one outcome.
+
+        Right after a stall of the process the event is stale, so load and outlier scores are not updated.
+        """
         worker = self.state.workers.by_id.get(event.worker_id)
         if worker is None:
             return
@@ -99,29 +109,33 @@
     def _learn_success(
         self, now_ms: float, worker: WorkerRecord, event: AttemptEnded, attempt: Attempt
     ) -> None:
+        """Record a response: the load that its latency and reported concurrency show, and good health."""
         if (rejections := worker.rejections.get(attempt.class_and_tenant)) is not None:
             rejections.move_towards(now_ms, REJECTION_GAIN, 0.0)
         if not attempt.is_cold:
             others = CONCURRENCY_WEIGHT * max(0, (event.reported_concurrency or 0) - 1)
             excess = max(event.latency_ms / max(attempt.expected_ms, 1.0) - 1.0, others)
-            worker.excess_load.add(now_ms, excess, self.state.traffic.load_memory_ms)
+            worker.excess_load.add(now_ms, excess, self.state.traffic.load_time_constant_ms)
         if attempt.is_trial:
             worker.outlier_score = min(worker.outlier_score, RECOVERY_THRESHOLD)
         self.observe_health(now_ms, worker, 0.0)
 
     def _learn_overloaded(self, now_ms: float, worker: WorkerRecord, attempt: Attempt) -> None:
+        """Record a rejection: of the class and tenant, and a load of at least one latency objective."""
         rejections = worker.rejections.setdefault(
-            attempt.class_and_tenant, DecayingCounter(REJECTION_MEMORY_MS)
+            attempt.class_and_tenant, DecayingCounter(REJECTION_TIME_CONSTANT_MS)
         )
         rejections.move_towards(now_ms, REJECTION_GAIN, REJECTION_PENALTY)
-        request_class = self.state.settings.classes[attempt.class_and_tenant[0]]
+        class_index, _ = attempt.class_and_tenant
+        request_class = self.state.settings.classes[class_index]
         objective = max(request_class.latency_objective_ms, 1.0) / max(attempt.expected_ms, 1.0)
         excess = max(worker.read_excess_load(now_ms), objective)
-        worker.excess_load.add(now_ms, excess, self.state.traffic.load_memory_ms)
+        worker.excess_load.add(now_ms, excess, self.state.traffic.load_time_constant_ms)
 
     def _learn_failure(
         self, now_ms: float, worker: WorkerRecord, event: AttemptEnded, attempt: Attempt
     ) -> None:
+        """Add a failure to the outlier score; a failed half-open trial ejects the worker for longer."""
         call_rarity = self.state.traffic.call_rarity
         weight = outlier_detection.failure_weight(worker, now_ms, event, attempt, call_rarity)
         if weight is None:
@@ -133,21 +147,24 @@
     def _learn_load_report(
         self, now_ms: float, worker: WorkerRecord, load_report: tuple[float | None, ...]
     ) -> None:
-        """Requests of others there: most of its load where routers are many and each sends it little."""
+        """Record the requests of other routers at the worker, most of its load in a fleet of many routers."""
         reported = self._reported_in_flight(load_report)
         if reported is not None:
             others = max(0.0, reported - worker.in_flight)
             traffic = self.state.traffic
-            worker.reported_in_flight.add(now_ms, others, REPORT_MEMORY_FRACTION * traffic.load_memory_ms)
+            worker.reported_in_flight.add(
+                now_ms, others, REPORT_TIME_CONSTANT_FRACTION * traffic.load_time_constant_ms
+            )
             traffic.on_load_report(now_ms, others)
 
     def _reported_in_flight(self, load_report: tuple[float | None, ...]) -> float | None:
+        """Return the requests in flight by a load report; None: not reported."""
         if 0 <= self.in_flight_column < len(load_report):
             return load_report[self.in_flight_column]
         return None
 
     def reported_load(self, event: AttemptEnded) -> tuple[float, float] | None:
-        """The calls that a worker reports in flight, and how many of them are this router's."""
+        """Return the calls that a worker reports in flight, and how many of them this router sent."""
         worker = self.state.workers.by_id.get(event.worker_id)
         reported = self._reported_in_flight(event.load_report)
         return None if worker is None or reported is None else (reported, float(worker.in_flight))
@@ -155,14 +172,15 @@
     def learn_function(
         self, now_ms: float, event: AttemptEnded, attempt: Attempt, pending: PendingRequest
     ) -> None:
-        """What one outcome tells of the function: where its instances run, and how long it takes."""
-        function, worker_id = pending.function, event.worker_id
+        """Update the function's instances and service times from one outcome."""
+        function = pending.function
+        worker_id = event.worker_id
         if event.outcome is not Outcome.OK:
             if event.outcome is Outcome.NOT_LOADED or event.start_kind is StartKind.LOAD_FAILED:
                 function.forget_instance(worker_id)
             return
         function.instance_seen_at_ms[worker_id] = now_ms
-        function.instance_queue.on_response(worker_id, event.start_kind is StartKind.COLD)
+        function.instance_queue.on_response(worker_id, was_cold=event.start_kind is StartKind.COLD)
         self._confirm_suspect_errors(now_ms, pending)
         if event.start_kind in (StartKind.COLD, StartKind.PENDING):
             self.state.service_times.on_cold_response(pending, event.latency_ms)
@@ -172,15 +190,16 @@
         function.last_sent_at_ms.setdefault(worker_id, attempt.started_at_ms)
 
     def _confirm_suspect_errors(self, now_ms: float, pending: PendingRequest) -> None:
-        """Another worker has served the request: the errors before were their workers', not the client's."""
+        """Count suspect errors against their workers, because another worker has served the same request."""
         for attempt in pending.attempts:
             worker = self.state.workers.by_id.get(attempt.endpoint.worker_id)
             if attempt.has_suspect_error and worker is not None:
                 self.observe_health(now_ms, worker, 1.0, gain=MAX_FAILURE_GAIN)
 
     def learn_preload(self, now_ms: float, event: PreloadEnded) -> bool:
-        """How a preload ended; false for one that nothing is known of."""
-        state, worker_id = self.state, event.worker_id
+        """Record how a preload ended; return False if no such preload is in flight."""
+        state = self.state
+        worker_id = event.worker_id
         function = state.functions.by_id.get(event.function_id)
         if function is None or worker_id not in function.preloading_workers:
             return False
--- a/cedarthread/routing/router.py
+++ b/cedarthread/routing/router.py
@@ -1,9 +1,9 @@
-"""The router: it takes the events of one node and returns what is to be done, in order.
+"""The router: handles the events of one node and returns the actions for its host to carry out, in order.
 
-Pure: time and seed come from outside. An event goes to one handler here; what there is to choose is chosen by
-a policy: ``selection`` (which worker), ``admission`` (shed, wait, reject), ``retries`` (a further attempt),
-``preloading``. What they know is in ``router_state``. Events and actions are described in
-``cedarthread/model/``: read those first.
+Events and actions are defined in ``cedarthread/model/``; read those modules first. The router does no I/O;
+its host passes in the time, and a seed at the start. Each event has one handler here. The policies decide:
+``selection`` (which worker), ``admission`` (shed, queue, reject, preempt), ``retries`` (another attempt) and
+``preloading``. Their common state is in ``router_state``.
 """
 
 from __future__ import annotations
@@ -36,19 +36,24 @@
     from cedarthread.model.settings import RouterSettings
     from cedarthread.routing.records import PendingRequest, WorkerRecord
 
-DEQUEUED_PER_RESPONSE = 2  # an instance is free: two leave for it, or it would idle until the next call there
+DEQUEUED_PER_RESPONSE = 2  # with one, the free instance would idle until its next call arrives
 
 
 class Router:
-    """The decisions of one router.
+    """The router of one node: its state, its policies and a handler for each kind of event.
 
-    Its surface for the components beside it and the host: ``handle``, ``update_settings``, ``state`` (see
-    ``RouterState``), ``feedback.reported_load``; and, for short, the records by id: ``workers``,
-    ``functions``, ``pending_requests``, ``queued_requests``, ``orphaned_attempts``.
+    The host and the node's components use ``handle``, ``update_settings``, ``state`` (see ``RouterState``),
+    ``feedback.reported_load``, and the records by id: ``workers``, ``functions``, ``pending_requests``,
+    ``queued_requests``, ``orphaned_attempts``.
+
+    Args:
+        settings: The settings of this router.
+        seed: Seed of its random generator; the same seed and events give the same actions.
     """
 
     def __init__(self, settings: RouterSettings, seed: int) -> None:
-        self.state = state = RouterState.create(settings, seed)
+        state = RouterState.create(settings, seed)
+        self.state = state
         self.feedback = OutcomeFeedback(state)
         self.tracker = AttemptTracker(state, self.feedback)
         self.retries = RetryPolicy(state, self.feedback)
@@ -71,13 +76,16 @@
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event and return what is to be done, in order."""
+        """Handle one event and return the actions to carry out, in order."""
         state = self.state
-        state.event_at_ms, state.actions = now_ms, []
+        state.event_at_ms = now_ms
+        state.actions = []
         if now_ms > state.timers.armed_at_ms + STALL_THRESHOLD_MS:
-            # No turn when one was due: what comes now is old, judge nobody by it.
+            # The armed timer is overdue, so the process stalled. Events at this time are stale; outlier
+            # detection skips them.
             state.stalled_at_ms = now_ms
-        # Messages of peers go to the components beside the router; health checks are not asked for.
+        # Peer messages and health checks have no handler: the node's components handle the former, and the
+        # router requests none of the latter.
         if (handler := self.handlers.get(type(event))) is not None:
             handler(now_ms, event)
         if (timer := state.timers.rearm(now_ms)) is not None:
@@ -85,14 +93,16 @@
         return state.actions
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """New settings whose classes only add to the old ones: pending requests keep theirs."""
-        for part in (self.state, self.feedback, self.selector, self.admission):
-            part.update_settings(settings)
+        """Apply new settings, which may append classes; a pending request stays in its class."""
+        for component in (self.state, self.feedback, self.selector, self.admission):
+            component.update_settings(settings)
 
     # Events.
 
     def _on_endpoint_update(self, now_ms: float, update: EndpointUpdate) -> None:
-        state, polling = self.state, self.state.polling
+        """Apply an update of the endpoint list and dispatch the queue, or back off after a failed poll."""
+        state = self.state
+        polling = self.state.polling
         if update.kind is EndpointUpdateKind.FAILED:
             max_delay_ms = state.settings.rules.max_poll_delay_ms
             state.timers.schedule(polling.on_failure(now_ms, max_delay_ms, state.rng))
@@ -105,6 +115,7 @@
         self._drain_queue(now_ms)
 
     def _on_request(self, now_ms: float, request: RequestArrived) -> None:
+        """Shed or dispatch a new request."""
         state = self.state
         self.preloads.on_request(now_ms)
         pending = state.record_request(now_ms, request)
@@ -112,12 +123,13 @@
         if self.admission.should_shed(now_ms, pending, quota_use):
             self._reject_or_fail(now_ms, pending)
             return
-        if not request.is_client_retry:  # a client's retries earn nothing: they could drain what others need
+        if not request.is_client_retry:  # its retries would use up the retry budget of others
             state.retry_budget.earn()
             state.traffic.on_admitted(now_ms, request.class_index)
         self._dispatch(now_ms, pending)
 
     def _on_attempt_ended(self, now_ms: float, event: AttemptEnded) -> None:
+        """Complete, retry or reject the request, then dispatch calls that wait for an instance."""
         pending = self.tracker.on_ended(now_ms, event)
         if pending is None:
             return
@@ -134,21 +146,25 @@
             self._dispatch(now_ms, self.queued_requests[request_id])
 
     def _on_stream_started(self, now_ms: float, event: StreamStarted) -> None:
+        """Make the first stream of a request its response and cancel the other attempts."""
         pending = self.pending_requests.get(event.request_id)
-        if pending is not None and not pending.is_streaming:  # else: its cancellation came too late
+        if pending is not None and not pending.is_streaming:  # otherwise this stream was cancelled too late
             pending.is_streaming = True
             self.retries.cancel_attempts(pending, excluded_index=event.attempt_index)
         self.tracker.on_stream_started(now_ms, event)
 
     def _on_client_disconnected(self, now_ms: float, event: ClientDisconnected) -> None:
+        """Close the request without a final answer."""
         if (pending := self.pending_requests.get(event.request_id)) is not None:
             self._complete(pending)
 
     def _on_preload_ended(self, now_ms: float, event: PreloadEnded) -> None:
+        """Dispatch the queue after the end of an own preload."""
         if self.feedback.learn_preload(now_ms, event):
             self._drain_queue(now_ms)
 
     def _on_timer(self, now_ms: float, event: TimerFired) -> None:
+        """Check the attempts that are due for hedging, the subscription and the queue."""
         state = self.state
         if not state.timers.on_fired(event.token):
             return
@@ -157,14 +173,14 @@
             if pending is not None and self.retries.should_hedge(now_ms, pending, due.attempt_index):
                 self._dispatch(now_ms, pending)
         if state.polling.is_due(now_ms):
-            state.actions.append(SubscribeEndpoints(True))
+            state.actions.append(SubscribeEndpoints(is_enabled=True))
         if state.requests.is_queue_check_due(now_ms):
             self._drain_queue(now_ms)
 
     # Requests, from their arrival to their final answer.
 
     def _dispatch(self, now_ms: float, pending: PendingRequest) -> None:
-        """Send the request to the worker that is chosen, or queue it, or end it."""
+        """Send the request to the selected worker, queue it, or give its final answer."""
         state = self.state
         self.queued_requests.pop(pending.request.request_id, None)
         if not (self.retries.has_remaining_attempts(pending) and self.retries.may_attempt(now_ms, pending)):
@@ -190,10 +206,12 @@
         state.requests.enqueue(now_ms, pending, state.timers)
 
     def _drain_queue(self, now_ms: float) -> None:
+        """Dispatch each queued request; one that still cannot be sent is queued again or rejected."""
         for pending in list(self.queued_requests.values()):
             self._dispatch(now_ms, pending)
 
     def _start_attempt(self, now_ms: float, pending: PendingRequest, worker: WorkerRecord) -> None:
+        """Start an attempt at the worker and schedule its check for hedging."""
         attempt = self.tracker.on_started(now_ms, pending, worker)
         request_id = pending.request.request_id
         self.state.actions.append(StartAttempt(request_id, worker.endpoint.worker_id))
@@ -201,11 +219,12 @@
         self.state.timers.schedule(follow_up_at_ms, request_id, len(pending.attempts) - 1)
 
     def _reject_or_fail(self, now_ms: float, pending: PendingRequest) -> None:
+        """Give the final answer of a request that gets no further attempt."""
         self.state.actions.append(self.admission.final_answer(now_ms, pending))
         self._complete(pending)
 
     def _complete(self, pending: PendingRequest) -> None:
-        """The request has its final answer."""
+        """Close a request that has its final answer and, unless it streams, cancel its attempts."""
         self.state.requests.close(pending)
         if not pending.is_streaming:
             self.retries.cancel_attempts(pending)
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -1,9 +1,9 @@
 """Worker selection: the eligible worker with the least placement cost, ties at random.
 
 Candidates are the workers with affinity to the function, its home workers by weighted rendezvous hashing, and
-a few more behind them. The cost is a sum, in units of affinity (0 cold to 1 warm): what the worker lacks in
-affinity, its load, its outlier score, its rejections, crossing zones, and a penalty for its place.
-All times are ms of the clock that is handed in.
+a few workers after them. The cost is a sum in units of affinity (0 cold to 1 warm): 1 less the affinity, plus
+load, outlier score, rejections, crossing zones, and a penalty for the place in the order of candidates.
+All times are ms of the steady clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -27,53 +27,68 @@
     from cedarthread.routing.router_state import RouterState
 
 # Home workers.
-MAX_HOMES_PER_WORKER_SHARE = 10.0  # homes of a function for each worker that its part of the calls fills
-MIN_CALLS_PER_HOME = 14.0  # calls of the fleet that each home gets while an instance may idle: loads are dear
-IDLE_MEMORY_WEIGHT = 10.0  # a price of idle memory makes homes fewer: by half at 0.1
-SPARE_WORKERS = 2  # workers after the homes that are looked at too
-HOME_JITTER = 0.1  # cost by which a router prefers one of several homes: no more than affinity lacks
-HOME_AFFINITY = 0.9  # affinity that homes of a function with several have at least: others' calls go there
+MAX_HOMES_PER_WORKER_SHARE = 10.0  # times the call fraction: with 1/10 of the calls, all workers are homes
+MIN_CALLS_PER_HOME = 14.0  # of the fleet in the keep-alive time, because loading is expensive
+IDLE_MEMORY_WEIGHT = 10.0  # effect of the price of idle memory: a price of 0.1 halves the homes
+SPARE_WORKERS = 2  # candidates after the homes
+HOME_JITTER = 0.1  # largest cost difference between homes by jitter: at most 1 - HOME_AFFINITY
+HOME_AFFINITY = 0.9  # least affinity assumed at several homes and at gossiped instances: others call there
 
 # Placement cost.
-CROSS_ZONE_WEIGHT = 6.5  # cost of another zone for each whole point that crossing there costs: 0.3 at 0.046
-PLACEMENT_STEP = 0.25  # cost of each place behind the homes: one request in flight, by LOAD_PER_AFFINITY
-PEER_LOAD_WEIGHT = 0.3  # part of a request in flight that each one of other routers weighs, by gossip
-LOAD_PER_AFFINITY = 4.0  # requests in flight, in instances, that weigh as much as a step from warm to cold
-TRIAL_BONUS = 0.5  # cost by which a half-open trial is cheaper than the worker would be, were it healthy
-TIE = 1e-9  # costs that differ by no more are equal
-WEIGHTED = (WeightMeaning.NOMINAL, WeightMeaning.APPROXIMATE)  # a worker of twice the weight is home as often
+CROSS_ZONE_WEIGHT = 6.5  # cost of another zone per point of the cross-zone price: 0.3 at 0.046
+PLACEMENT_STEP = 0.25  # cost of each place after the homes: one request in flight
+PEER_LOAD_WEIGHT = 0.3  # weight of another router's request in flight, by gossip
+LOAD_PER_AFFINITY = 4.0  # requests in flight per instance that cost as much as a cold instance
+TRIAL_BONUS = 0.5  # deducted from the cost of a half-open trial, below that of a healthy worker
+TIE = 1e-9  # costs that differ by no more count as equal
+WEIGHTED = (WeightMeaning.NOMINAL, WeightMeaning.APPROXIMATE)  # weights that scale how often a worker is home
 
 
 @dataclass(slots=True)
 class _Search:
-    """What one selection asks of each worker."""
+    """The inputs of one selection; the last two fields are set for each pass over the candidates."""
 
     now_ms: float
     pending: PendingRequest
     work_ms: float
     is_idempotent: bool
-    tried: set[int]  # ids of workers that had an attempt
-    constraints: RoutingConstraints | None  # where they hold
+    attempted_ids: set[int]  # ids of workers that had an attempt of the request
+    constraints: RoutingConstraints | None  # None: nothing limits loading now
     has_spare_instance: bool
+    may_be_repeated: bool = False  # a worker that had an attempt may be selected
+    may_be_ejected: bool = False  # an ejected worker may be selected without a trial being due
 
 
 class WorkerSelector:
-    """Chooses workers. ``retries`` calls back what is lost in a zone that turns out to be unreachable."""
+    """The worker selection of one router.
+
+    Args:
+        state: The router's state.
+        retries: Cancels attempts in zones found unreachable.
+    """
 
     def __init__(self, state: RouterState, retries: RetryPolicy) -> None:
-        self.state, self.retries = state, retries
-        self.homes_per_worker, self.cross_zone_penalty = 0.0, 0.0
+        self.state = state
+        self.retries = retries
+        self.homes_per_worker = 0.0
+        self.cross_zone_penalty = 0.0
         self.update_settings(state.settings)
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """What follows from the settings alone."""
+        """Compute the number of homes and the cross-zone penalty from prices in the new settings."""
         prices = settings.prices
         self.homes_per_worker = MAX_HOMES_PER_WORKER_SHARE / (1.0 + IDLE_MEMORY_WEIGHT * prices.idle_memory)
         self.cross_zone_penalty = CROSS_ZONE_WEIGHT * prices.cross_zone
 
     def select(self, now_ms: float, pending: PendingRequest) -> WorkerRecord | None:
-        """The worker for the next attempt: one not tried and not ejected, else a tried one, else any."""
-        state, function, function_id = self.state, pending.function, pending.request.function_id
+        """Return the worker for the next attempt, in three passes; None: no worker is eligible.
+
+        The first pass considers workers without an attempt of the request, the second also those with one,
+        the third also ejected ones.
+        """
+        state = self.state
+        function = pending.function
+        function_id = pending.request.function_id
         constraints = state.constraints
         if constraints is not None and not constraints.limits_loading:
             constraints = None
@@ -90,75 +105,83 @@
             is_idempotent,
             {attempt.endpoint.worker_id for attempt in pending.attempts},
             constraints,
-            constraints is not None and self.has_spare_instance(now_ms, pending, is_idempotent),
+            constraints is not None and self.has_spare_instance(now_ms, pending, is_idempotent=is_idempotent),
         )
         self.retries.recall_from_unreachable_zones(now_ms)
         for may_be_repeated, may_be_ejected in ((False, False), (True, False), (True, True)):
-            if (worker := self._cheapest(search, may_be_repeated, may_be_ejected)) is not None:
+            search.may_be_repeated = may_be_repeated
+            search.may_be_ejected = may_be_ejected
+            if (worker := self._cheapest(search)) is not None:
                 return worker
         return None
 
-    def _cheapest(self, search: _Search, may_be_repeated: bool, may_be_ejected: bool) -> WorkerRecord | None:
-        now_ms, pending, rng = search.now_ms, search.pending, self.state.rng
-        least_cost, ties = math.inf, 0
+    def _cheapest(self, search: _Search) -> WorkerRecord | None:
+        """Return the candidate of least cost that may receive the call in this pass, ties at random."""
+        now_ms = search.now_ms
+        pending = search.pending
+        min_cost = math.inf
+        ties = 0
         cheapest: WorkerRecord | None = None
         for worker, placement_penalty in self._candidates(now_ms, pending):
-            if not self._can_take(search, worker, may_be_repeated, may_be_ejected):
+            if not self._can_take(search, worker):
                 continue
             cost = self.cost(now_ms, pending.function, worker, pending.class_and_tenant) + placement_penalty
-            if worker.is_ejected and not may_be_ejected:  # half-open: by cost alone it would stay out
+            if worker.is_ejected and not search.may_be_ejected:  # a trial, which its score would prevent
                 cost -= worker.outlier_score + TRIAL_BONUS
-            if cost < least_cost - TIE:
-                least_cost, ties, cheapest = cost, 1, worker
-            elif cost <= least_cost + TIE:
+            if cost < min_cost - TIE:
+                min_cost = cost
+                ties = 1
+                cheapest = worker
+            elif cost <= min_cost + TIE:
                 ties += 1
-                if rng.random() * ties < 1.0:  # each of the ties is as likely
+                if self.state.rng.random() * ties < 1.0:  # reservoir sampling: all ties are equally likely
                     cheapest = worker
-            if placement_penalty > SPARE_WORKERS * PLACEMENT_STEP and least_cost < math.inf:
+            if placement_penalty > SPARE_WORKERS * PLACEMENT_STEP and min_cost < math.inf:
                 break
         return cheapest
 
-    def _can_take(
-        self, search: _Search, worker: WorkerRecord, may_be_repeated: bool, may_be_ejected: bool
-    ) -> bool:
-        """Whether the worker may get the call in this pass."""
-        now_ms, pending = search.now_ms, search.pending
+    def _can_take(self, search: _Search, worker: WorkerRecord) -> bool:
+        """Return whether the worker may receive the call in this pass."""
+        now_ms = search.now_ms
+        pending = search.pending
         if search.constraints is not None:
             keep_alive_ms = self.state.settings.keep_alive_ms
             has_instance = pending.function.has_instance(now_ms, worker.endpoint.worker_id, keep_alive_ms)
             if not search.constraints.may_route(
-                now_ms, pending, worker, has_instance, search.has_spare_instance
+                now_ms, pending, worker, is_loaded=has_instance, has_alternative=search.has_spare_instance
             ):
                 return False
         if not self.is_eligible(pending, worker):
             return False
-        if not may_be_repeated and worker.endpoint.worker_id in search.tried:
+        if not search.may_be_repeated and worker.endpoint.worker_id in search.attempted_ids:
             return False
-        if not (may_be_ejected or is_available(worker, now_ms, search.is_idempotent)):
+        if not (search.may_be_ejected or is_available(worker, now_ms, is_idempotent=search.is_idempotent)):
             return False
-        return self._can_reach(now_ms, worker, search.is_idempotent) and self.fits_slow_start(
-            now_ms, worker, search.work_ms
-        )
-
-    # Which workers there are to choose from.
+        return self._is_zone_usable(
+            now_ms, worker, is_idempotent=search.is_idempotent
+        ) and self.fits_slow_start(now_ms, worker, search.work_ms)
 
     def _candidates(self, now_ms: float, pending: PendingRequest) -> Iterator[tuple[WorkerRecord, float]]:
-        """Workers with affinity, then the function's homes, then the others, with the penalty of their place.
+        """Yield workers with affinity, then the homes, then all others, each with its placement penalty.
 
-        Routers that share nothing agree on the homes, by rendezvous hashing; their number follows the
-        function's part of the calls, which every router's own traffic shows.
+        Routers agree on the homes without communication, by rendezvous hashing. The number of homes follows
+        the function's fraction of the calls, which each router estimates from its own traffic.
         """
-        state, function = self.state, pending.function
-        workers, keep_alive_ms = state.workers.by_id, state.settings.keep_alive_ms
+        state = self.state
+        function = pending.function
+        workers = state.workers.by_id
+        keep_alive_ms = state.settings.keep_alive_ms
         if function.placement_epoch != state.workers.placement_epoch:
             function.placement_epoch = state.workers.placement_epoch
             function.placement_order = placement_order(
-                function.hash, workers.values(), state.settings.weight_meaning in WEIGHTED
+                function.hash, workers.values(), is_weighted=state.settings.weight_meaning in WEIGHTED
             )
         order: Sequence[WorkerRecord] = function.placement_order
-        homes = self.home_count(now_ms, function)
+        home_count = self.home_count(now_ms, function)
         if state.constraints is not None and state.constraints.limits_loading:
-            order, homes = state.constraints.home_workers(now_ms, pending.request.function_id, order, homes)
+            order, home_count = state.constraints.home_workers(
+                now_ms, pending.request.function_id, order, home_count
+            )
         for worker_id in list(function.affinity):
             if function.read_affinity(now_ms, worker_id, keep_alive_ms) > 0.0 and worker_id in workers:
                 yield workers[worker_id], 0.0
@@ -167,29 +190,28 @@
             if worker.endpoint.state is not EndpointState.READY:
                 continue
             place += 1
-            if place > homes:
-                yield worker, min(place - homes, SPARE_WORKERS + 1) * PLACEMENT_STEP
-            elif homes > 1:
+            if place > home_count:
+                yield worker, min(place - home_count, SPARE_WORKERS + 1) * PLACEMENT_STEP
+            elif home_count > 1:
                 affinity = function.affinity.get(worker.endpoint.worker_id, 0.0)
                 yield worker, HOME_JITTER * (worker.jitter - 1.0) - max(0.0, HOME_AFFINITY - affinity)
             else:
                 yield worker, 0.0
 
     def home_count(self, now_ms: float, function: FunctionRecord) -> int:
-        """How many workers are home to a function, 1 and up."""
+        """Return the number of home workers of a function, at least 1."""
         state = self.state
         fraction = state.traffic.popularity.call_fraction(now_ms, function.recent_calls)
-        if state.gossip is not None:  # who knows where others have instances need not guess where they would
+        if state.gossip is not None:  # which reports instances, so that fewer homes must be guessed
             fraction *= 1.0 - state.gossip.peer_coverage(now_ms)
         fleet_calls_per_ms = state.traffic.calls_per_ms * state.live_router_count
         max_retained = fleet_calls_per_ms * state.settings.keep_alive_ms / MIN_CALLS_PER_HOME
         return 1 + int(fraction * min(self.homes_per_worker * len(state.workers.by_id), max_retained))
 
-    # Which of them may have the call.
-
     def is_eligible(self, pending: PendingRequest, worker: WorkerRecord) -> bool:
-        """Rules 2 and 3: may this request go to this worker."""
-        endpoint, scope = worker.endpoint, pending.request_class.deduplication_scope
+        """Return whether rules 2 (idempotency) and 3 (draining) permit the request at the worker."""
+        endpoint = worker.endpoint
+        scope = pending.request_class.deduplication_scope
         if endpoint.state is not EndpointState.READY:
             return False
         if pending.request_class.idempotency is not Idempotency.WITH_KEY or scope is DeduplicationScope.ALL:
@@ -199,15 +221,15 @@
             return all(other.zone == endpoint.zone for other in executed_at)
         return all(other.cell == endpoint.cell for other in executed_at)
 
-    def _can_reach(self, now_ms: float, worker: WorkerRecord, is_idempotent: bool) -> bool:
-        """A call into an unreachable zone is lost with its time; where all are silent, that tells nothing."""
+    def _is_zone_usable(self, now_ms: float, worker: WorkerRecord, *, is_idempotent: bool) -> bool:
+        """Return whether the worker's zone is reachable or due for a trial, or no zone is reachable."""
         zones = self.state.zones
         if not zones.unreachable or self.state.workers.is_every_zone_unreachable:
             return True
-        return zones.may_send(now_ms, worker.endpoint.zone, is_idempotent)
+        return zones.may_send(now_ms, worker.endpoint.zone, is_idempotent=is_idempotent)
 
     def fits_slow_start(self, now_ms: float, worker: WorkerRecord, work_ms: float) -> bool:
-        """Slow start: whether this router may send a worker that started lately one more call."""
+        """Return whether a worker in slow start may get one more call from this router."""
         state = self.state
         rules = state.settings.rules
         if (capacity := worker.available_capacity(now_ms, rules)) >= 1.0:
@@ -222,16 +244,15 @@
             work_ms=work_ms,
         )
 
-    # What they cost.
-
     def cost(
         self, now_ms: float, function: FunctionRecord, worker: WorkerRecord, class_and_tenant: ClassAndTenant
     ) -> float:
-        """The placement cost, without the penalty for the place."""
-        state, worker_id = self.state, worker.endpoint.worker_id
+        """Return the cost of a call at the worker, without the placement penalty."""
+        state = self.state
+        worker_id = worker.endpoint.worker_id
         in_flight = worker.in_flight + PEER_LOAD_WEIGHT * worker.peers_in_flight
         if (instance := function.gossiped_instances.get(worker_id)) is not None:
-            in_flight += instance.in_flight  # these take its very lanes
+            in_flight += instance.in_flight  # they use the concurrency of this function's instances
         load = (
             in_flight / function.concurrency
             + worker.read_excess_load(now_ms)
@@ -242,34 +263,38 @@
         penalty += self.cross_zone_penalty if worker.endpoint.zone != state.settings.zone else 0.0
         return 1.0 - function.affinity.get(worker_id, 0.0) + load / LOAD_PER_AFFINITY + penalty
 
-    # Which of them run the function.
-
-    def has_spare_instance(self, now_ms: float, pending: PendingRequest, is_idempotent: bool) -> bool:
-        """Does an instance with room run at any worker where the call may go?"""
-        workers, function = self.state.workers.by_id, pending.function
+    def has_spare_instance(self, now_ms: float, pending: PendingRequest, *, is_idempotent: bool) -> bool:
+        """Return whether any eligible worker has an instance of the function with capacity left."""
+        function = pending.function
         keep_alive_ms = self.state.settings.keep_alive_ms
         max_in_flight = function.concurrency * LOAD_PER_AFFINITY
-        near = (workers[worker_id] for worker_id in function.affinity if worker_id in workers)
         return any(
             self.is_eligible(pending, worker)
-            and is_available(worker, now_ms, is_idempotent)
-            and self._can_reach(now_ms, worker, is_idempotent)
+            and is_available(worker, now_ms, is_idempotent=is_idempotent)
+            and self._is_zone_usable(now_ms, worker, is_idempotent=is_idempotent)
             and function.has_instance(now_ms, worker.endpoint.worker_id, keep_alive_ms)
             and worker.in_flight + worker.peers_in_flight < max_in_flight
-            for worker in near
+            for worker in self._workers_with_affinity(function)
         )
 
     def cheapest_warm(self, now_ms: float, pending: PendingRequest) -> WorkerRecord | None:
-        """The cheapest worker with affinity to the function that may take the call at once."""
-        function, workers = pending.function, self.state.workers.by_id
+        """Return the cheapest worker with affinity to the function that may receive the call now."""
+        function = pending.function
+        class_and_tenant = pending.class_and_tenant
         keep_alive_ms = self.state.settings.keep_alive_ms
         work_ms = self.state.service_times.class_ms(pending.request.class_index)
-        near = [workers[worker_id] for worker_id in list(function.affinity) if worker_id in workers]
-        allowed = [w for w in near if self.is_eligible(pending, w) and is_available(w, now_ms, True)]
         warm = [
             worker
-            for worker in allowed
-            if function.read_affinity(now_ms, worker.endpoint.worker_id, keep_alive_ms) > 0
+            for worker in self._workers_with_affinity(function)
+            if self.is_eligible(pending, worker)
+            and is_available(worker, now_ms, is_idempotent=True)
+            and function.read_affinity(now_ms, worker.endpoint.worker_id, keep_alive_ms) > 0
             and self.fits_slow_start(now_ms, worker, work_ms)
         ]
-        return min(warm, key=lambda w: self.cost(now_ms, function, w, pending.class_and_tenant), default=None)
+        return min(
+            warm, key=lambda worker: self.cost(now_ms, function, worker, class_and_tenant), default=None
+        )
+
+    def _workers_with_affinity(self, function: FunctionRecord) -> list[WorkerRecord]:
+        workers = self.state.workers.by_id
+        return [workers[worker_id] for worker_id in function.affinity if worker_id in workers]
