--- a/cedarthread/protocols/worker/connection.py
+++ b/cedarthread/protocols/worker/connection.py
@@ -23,13 +23,14 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ABANDONED_IDS = 512  # per connection; with more, it accepts no requests and closes once it is empty
+MAX_ABANDONED_IDS = 512  # per connection; with more, it accepts no requests and the next sweep closes it
 
 
 class WorkerConnection(BufferedConnection):
     """One connection to a worker. It owns the requests in flight on it and the lines queued for it."""
 
-    # Writing pauses whenever the transport's buffer is not empty, so the written bytes are always known.
+    # asyncio pauses writing above this limit. With 0, each line is passed on only after the line before was
+    # written, so the written bytes are always known.
     high_water = 0
 
     def __init__(self, pool: ConnectionPool[WorkerConnection]) -> None:
@@ -39,9 +40,11 @@
         self.pool = pool
         self.lines = LineQueue(self.dispatcher.count_attempt_written, self.workers.on_first_byte)
         self.in_flight: dict[str, WorkerRequest] = {}  # by message id
-        self.abandoned_ids: set[str] = set()  # responses with these ids are ignored
+        self.abandoned_ids: set[str] = set()  # never used again: a late response must not end another request
         self.is_retired = False  # it accepts no more requests
-        self.connect_timeout: asyncio.Timeout | None = None  # of the connect; None once it is established
+        self.connect_timeout: asyncio.Timeout | None = (
+            None  # of the connect; disabled once the connection is established
+        )
         self.is_unreachable = False  # the connect failed because of the worker or the network
         self.is_local_failure = False  # the connect failed because this host lacks a descriptor or port
         self.last_used_at = self._loop.time()
@@ -117,7 +120,7 @@
             super().abort()
             return
         if self.connect_timeout is not None and not self.connect_timeout.expired():
-            # Otherwise the timeout could expire later in this iteration, while a call is being written.
+            # Disable the timeout, which could expire later in this iteration while a call is being written.
             self.connect_timeout.reschedule(None)
         self.lines.on_connected()
         self._withdraw_overdue()
--- a/cedarthread/routing/admission.py
+++ b/cedarthread/routing/admission.py
@@ -25,9 +25,9 @@
 MIN_VALUE = 1e-6  # lower bound of a request's value, so that a class of weight 0 causes no division by zero
 QUOTA_FACTORS = 0.5, 2.0  # bounds of a tenant's use over its quota, before it is squared
 MIN_REMAINING_FRACTION = 0.5  # of its expected time: a request with less time left is shed
-MAX_QUEUED_FRACTION = 0.5  # of its time: a request that was never sent waits no longer
+MAX_QUEUED_FRACTION = 0.5  # of its time; a request that cannot have been executed is queued no longer
 MIN_PEER_COVERAGE = 0.5  # requests wait only if the gossip of this fraction of the other routers is recent
-RETRY_AFTER_RANGE = 0.05, 0.15  # fractions of the longest Retry-After between which a rejection's is drawn
+RETRY_AFTER_RANGE = 0.05, 0.15  # range of a random Retry-After, as fractions of the longest one
 
 
 class AdmissionPolicy:
@@ -52,12 +52,14 @@
     # New requests.
 
     def should_shed(self, now_ms: float, pending: PendingRequest, quota_use: float) -> bool:
-        """Return whether to reject a new request early, by its value per ms of work and its tenant's quota.
+        """Return whether to reject a new request early; draws at random and logs ``load_shed``.
+
+        The probability depends on the value per ms of work and on the tenant's quota, or on its contract.
 
         Args:
             now_ms: The steady clock.
             pending: The new request.
-            quota_use: The tenant's fraction of the calls over its quota; 1.0 without a quota.
+            quota_use: The tenant's fraction of all calls, divided by its quota; 1.0 without a quota.
         """
         state = self.state
         request_class = pending.request_class
@@ -169,7 +171,7 @@
     def preempted_by(
         self, now_ms: float, pending: PendingRequest, worker: WorkerRecord | None
     ) -> PendingRequest | None:
-        """Return a request of lower priority to preempt so that this one is in time, or None."""
+        """Choose and log a request of lower priority that the caller must preempt for this one, or None."""
         state = self.state
         requests = self.state.requests
         if state.constraints is None or not state.constraints.overload_level(now_ms):
--- a/cedarthread/routing/retries.py
+++ b/cedarthread/routing/retries.py
@@ -51,6 +51,8 @@
     def should_retry(self, now_ms: float, pending: PendingRequest, outcome: Outcome) -> bool:
         """Return whether to retry a request with no attempt in flight, and spend the retry budget for that.
 
+        The caller checks ``may_attempt``. NOT_SENT is never retried, because the call had no time left or its client disconnected.
+
         A retry after a failed connect or a function that was not loaded is free, because that attempt cost
         the workers nothing.
         """
@@ -64,15 +66,15 @@
     def should_hedge(self, now_ms: float, pending: PendingRequest, attempt_index: int) -> bool:
         """Return whether to hedge an attempt that has been in flight for long, and spend the retry budget.
 
-        Silence since the attempt started counts as a failure of its worker. If the worker is ejected or
-        removed and attempts can be cancelled, cancel the attempt instead: its end then starts a retry.
+        Silence since the attempt started counts as a failure of its worker. If no hedge is due, the worker is
+        ejected or removed, and attempts can be cancelled, cancel the attempt: its end then starts a retry.
         """
         attempt = pending.attempts[attempt_index]
         state = self.state
         if not attempt.is_in_flight or pending.is_streaming:
             return False
         request_id = pending.request.request_id
-        if now_ms == state.stalled_at_ms:  # responses that arrived during the stall are handled first
+        if now_ms == state.stalled_at_ms:  # this turn follows a stall: handle responses from before it first
             state.timers.schedule(now_ms + STALL_THRESHOLD_MS, request_id, attempt_index)
             return False
         is_silent = self.feedback.observe_silence(now_ms, attempt)
@@ -110,7 +112,7 @@
         )
 
     def follow_up_ms(self, expected_ms: float) -> float:
-        """Return how long after its start an attempt is checked for hedging."""
+        """Return how long after its start an attempt is checked by ``should_hedge``."""
         hedges = self.state.settings.limits.allows_hedging
         return (HEDGE_AFTER_MULTIPLE if hedges else OVERDUE_MULTIPLE) * expected_ms
 
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -1,9 +1,9 @@
 """Worker selection: the eligible worker with the least placement cost, ties at random.
 
 Candidates are the workers with affinity to the function, its home workers by weighted rendezvous hashing, and
-a few workers after them. The cost is a sum in units of affinity (0 cold to 1 warm): 1 less the affinity, plus
-load, outlier score, rejections, crossing zones, and a penalty for the place in the order of candidates.
-All times are ms of the steady clock that the caller passes in.
+the next eligible workers in that order (``SPARE_WORKERS``). The cost is a sum in units of affinity (0 cold to
+1 warm): 1 less the affinity, plus load, outlier score, rejections, crossing zones, and a penalty for the
+place in the order of candidates. All times are ms of the steady clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
     from cedarthread.routing.router_state import RouterState
 
 # Home workers.
-MAX_HOMES_PER_WORKER_SHARE = 10.0  # times the call fraction: with 1/10 of the calls, all workers are homes
-MIN_CALLS_PER_HOME = 14.0  # of the fleet in the keep-alive time, because loading is expensive
+MAX_HOMES_PER_WORKER_SHARE = 10.0  # a function with 1/10 of the calls has all workers as homes
+MIN_CALLS_PER_HOME = 14.0  # calls by the fleet in a keep-alive time, because loading is expensive
 IDLE_MEMORY_WEIGHT = 10.0  # effect of the price of idle memory: a price of 0.1 halves the homes
 SPARE_WORKERS = 2  # candidates after the homes
-HOME_JITTER = 0.1  # largest cost difference between homes by jitter: at most 1 - HOME_AFFINITY
+HOME_JITTER = 0.1  # largest cost difference between homes by jitter; must not exceed 1 - HOME_AFFINITY
 HOME_AFFINITY = 0.9  # least affinity assumed at several homes and at gossiped instances: others call there
 
 # Placement cost.
@@ -39,7 +39,7 @@
 PLACEMENT_STEP = 0.25  # cost of each place after the homes: one request in flight
 PEER_LOAD_WEIGHT = 0.3  # weight of another router's request in flight, by gossip
 LOAD_PER_AFFINITY = 4.0  # requests in flight per instance that cost as much as a cold instance
-TRIAL_BONUS = 0.5  # deducted from the cost of a half-open trial, below that of a healthy worker
+TRIAL_BONUS = 0.5  # deducted from the cost of a half-open trial, so that it is preferred
 TIE = 1e-9  # costs that differ by no more count as equal
 WEIGHTED = (WeightMeaning.NOMINAL, WeightMeaning.APPROXIMATE)  # weights that scale how often a worker is home
 
@@ -209,7 +209,7 @@
         return 1 + int(fraction * min(self.homes_per_worker * len(state.workers.by_id), max_retained))
 
     def is_eligible(self, pending: PendingRequest, worker: WorkerRecord) -> bool:
-        """Return whether rules 2 (idempotency) and 3 (draining) permit the request at the worker."""
+        """Return whether the worker is ready and the deduplication scope of the request permits it."""
         endpoint = worker.endpoint
         scope = pending.request_class.deduplication_scope
         if endpoint.state is not EndpointState.READY:
@@ -264,7 +264,7 @@
         return 1.0 - function.affinity.get(worker_id, 0.0) + load / LOAD_PER_AFFINITY + penalty
 
     def has_spare_instance(self, now_ms: float, pending: PendingRequest, *, is_idempotent: bool) -> bool:
-        """Return whether any eligible worker has an instance of the function with capacity left."""
+        """Return whether an eligible worker has an instance with under 4 requests per concurrency unit."""
         function = pending.function
         keep_alive_ms = self.state.settings.keep_alive_ms
         max_in_flight = function.concurrency * LOAD_PER_AFFINITY
@@ -278,7 +278,7 @@
         )
 
     def cheapest_warm(self, now_ms: float, pending: PendingRequest) -> WorkerRecord | None:
-        """Return the cheapest worker with affinity to the function that may receive the call now."""
+        """Return the cheapest eligible warm worker, without regard to zones and constraints."""
         function = pending.function
         class_and_tenant = pending.class_and_tenant
         keep_alive_ms = self.state.settings.keep_alive_ms
--- a/cedarthread/routing/zone_reachability.py
+++ b/cedarthread/routing/zone_reachability.py
@@ -1,10 +1,10 @@
 """Zone reachability: detects unreachable zones by the silence of all calls to a zone together.
 
-A router in a large fleet calls each worker only every few seconds. The silence of a single worker is noticed
-after a time as long as a zone's whole outage; the silence of a zone is noticed sooner. The surprise of a
-silence follows the phi accrual failure detector (Hayashibara et al., 2004): each call in flight adds its age
-since the last response from the zone, in units of the usual time of a call. All times are ms of the steady
-clock that the caller passes in.
+A router in a large fleet calls each worker only every few seconds, so the silence of one worker may be
+noticed only when the outage of its zone is over. The calls to a zone together show it sooner. The surprise of
+a silence follows the phi accrual failure detector (Hayashibara et al., 2004): each call in flight adds its
+age since the last response from the zone, in units of the usual time of a call. All times are ms of the
+steady clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-UNREACHABLE_SURPRISE = 6.0  # a zone with more is unreachable; by chance that happens once in 400 times
+UNREACHABLE_SURPRISE = 6.0  # limit of a reachable zone; exceeded by chance once in 400 (natural logarithm)
 MAX_WORKER_SURPRISE = 3.0  # bound for one worker, because the fault may be its own
 MIN_SHARED_SURPRISE = 1.0  # bound below which a zone does not count among zones silent together
 CONNECT_FAILURE_SURPRISE = 3.0  # that one failed connect adds
@@ -128,7 +128,7 @@
     def may_send(self, now_ms: float, zone: int, *, is_idempotent: bool) -> bool:
         """Return whether a call may be sent to the zone: it is reachable, or this call may be a trial.
 
-        Idempotent calls may be trials earlier than others.
+        An idempotent call may be a trial at once when one is due, any other ``MAX_TRIAL_DELAY_MS`` later.
         """
         outage = self.unreachable.get(zone)
         if outage is None:
@@ -137,14 +137,14 @@
         return outage.trial_attempt is None and now_ms >= trial_at_ms
 
     def find_unreachable(self, now_ms: float) -> list[int]:
-        """Return the zones found unreachable now, including those with a lost trial.
+        """Mark zones as unreachable, and return them with the zones in which a trial was lost by silence.
 
         One zone is unreachable by its own silence; several zones other than the router's own are unreachable
         if their surprises suffice together.
         """
         if self.mean_ratio.count < MIN_RESPONSES:
             return []
-        # At least 1, because fast responses would otherwise cancel ``MIN_EXPECTED_MS``.
+        # At least 1, because a tolerance below 1 would undercut ``MIN_EXPECTED_MS``.
         tolerance = max(1.0, self.mean_ratio.mean + DEVIATIONS * self.ratio_deviation.mean)
         newly_unreachable: list[int] = []
         for zone, outage in self.unreachable.items():
