--- a/cedarthread/protocols/worker/connection.py
+++ b/cedarthread/protocols/worker/connection.py
@@ -42,9 +42,7 @@
         self.in_flight: dict[str, WorkerRequest] = {}  # by message id
         self.abandoned_ids: set[str] = set()  # never used again: a late response must not end another request
         self.is_retired = False  # it accepts no more requests
-        self.connect_timeout: asyncio.Timeout | None = (
-            None  # of the connect; disabled once the connection is established
-        )
+        self.connect_timeout: asyncio.Timeout | None = None  # disabled once connected
         self.is_unreachable = False  # the connect failed because of the worker or the network
         self.is_local_failure = False  # the connect failed because this host lacks a descriptor or port
         self.last_used_at = self._loop.time()
--- a/cedarthread/routing/retries.py
+++ b/cedarthread/routing/retries.py
@@ -51,7 +51,8 @@
     def should_retry(self, now_ms: float, pending: PendingRequest, outcome: Outcome) -> bool:
         """Return whether to retry a request with no attempt in flight, and spend the retry budget for that.
 
-        The caller checks ``may_attempt``. NOT_SENT is never retried, because the call had no time left or its client disconnected.
+        The caller checks ``may_attempt``. NOT_SENT is never retried, because the call had no time left or its
+        client disconnected.
 
         A retry after a failed connect or a function that was not loaded is free, because that attempt cost
         the workers nothing.
