--- a/cedarthread/testing/fuzzing/__init__.py
+++ b/cedarthread/testing/fuzzing/__init__.py
@@ -1,1 +1,1 @@
-"""Fuzzing: targets, the call machine on virtual time, model checking, injected defects."""
+"""Fuzz targets, the call machine on virtual time, model checking and injected defects."""
--- a/cedarthread/testing/fuzzing/call_machine.py
+++ b/cedarthread/testing/fuzzing/call_machine.py
@@ -1,7 +1,8 @@
 """The call machine: a complete router and all its peers on a virtual clock, driven by a script.
 
-An input is a script: each byte is a choice of what happens next. The checker judges by what clients and
-workers saw; at the end, all that the run took must have been given back.
+An input is a script: each byte selects the next step. The invariant checker evaluates the messages that
+clients and workers received. At the end of a run, the router must have released every resource that the run
+acquired.
 """
 
 from __future__ import annotations
@@ -29,22 +30,28 @@
     import random
 
 MAX_SCRIPT_BYTES = 400
-PIPELINED_ROUNDS = 4  # requests behind each other on a connection have their time one after another
+PIPELINED_ROUNDS = 4  # because the router serves the pipelined requests of a connection one after another
 PIPELINED_ROUND_MS = 3000.0
-COLLECT_ROUNDS = 400  # during a shutdown the invoke server closes the connection after each response
+COLLECT_ROUNDS = 400  # because a stopping invoke server closes the connection after each response
 COLLECT_ROUND_MS = 50.0
-RETENTION_S = 125.0  # the longest time that an answer is stored
-RECLAIM_S = 20.0  # after the last sweep, for timers of connections that were closed
+RETENTION_S = 125.0  # longer than any answer is stored
+RECLAIM_S = 20.0  # after the last sweep, until the timers of closed connections have expired
 
 
 class CallMachine:
-    """One run of a script."""
+    """One run of a script: the router under test, its workers and its clients.
+
+    Args:
+        loop: The virtual loop that the run owns.
+        choices: The script, from which the machine reads its mode first.
+    """
 
     def __init__(self, loop: VirtualLoop, choices: FuzzedDataProvider) -> None:
         self.choices = choices
         mode = choices.consume_byte()
         stall_ms = float(choices.consume_byte() % 4) * 100.0 * bool(mode & Mode.STALLS)
-        self.router = router = RouterUnderTest(loop, mode, stall_ms)
+        router = RouterUnderTest(loop, mode, stall_ms)
+        self.router = router
         self.checker = router.checker
         self.workers = [
             MemoryWorker(number, loop, router.checker, router.called_functions)
@@ -63,7 +70,7 @@
         return self.workers[port - 1].connect()  # a worker's port is its number
 
     async def run(self) -> None:
-        """Play the script up to its end or the first violation, then end the run."""
+        """Run the script until its end or the first violation, then finish the run."""
         while self.choices.has_more() and not self.checker.violations:
             waiting = self.actions[self.choices.pick(STEPS)]()
             if waiting is not None:
@@ -72,8 +79,9 @@
             await self.finish()
 
     async def finish(self) -> None:
-        """Let every deadline pass, close all connections, and check what remains."""
-        router, clients = self.router, self.client_steps.clients
+        """Let every deadline pass, close all connections, and check that no resource is left over."""
+        router = self.router
+        clients = self.client_steps.clients
         for client in clients:
             client.transport.peer_accept(None)
         await router.advance(MAX_DEADLINE_MS + 500.0)
@@ -105,7 +113,11 @@
 
 
 def run_script(data: bytes) -> CallMachine:
-    """Play a script; the machine as it is at the end. A violation or a failed callback is a ``Finding``."""
+    """Run a script and return the machine in its final state.
+
+    Raises:
+        Finding: The checker reports a violation, or a callback raised an exception.
+    """
     machines: list[CallMachine] = []
 
     async def work(loop: VirtualLoop) -> None:
@@ -160,9 +172,9 @@
     test_runs = 150
 
     def generate(self, rng: random.Random) -> bytes:
-        """A script: all steps at random, or one theme."""
+        """Return a script of random steps, or of the steps of one theme."""
         return generate_script(rng)
 
     def check(self, data: bytes) -> None:
-        """Play it."""
+        """Run the script."""
         run_script(data[:MAX_SCRIPT_BYTES])
--- a/cedarthread/testing/fuzzing/cli.py
+++ b/cedarthread/testing/fuzzing/cli.py
@@ -48,17 +48,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-EXIT_OK, EXIT_FINDING, EXIT_USAGE = 0, 1, 2
+EXIT_OK = 0
+EXIT_FINDING = 1
+EXIT_USAGE = 2
 RUNS_PER_REPORT = 5000
-MAX_INPUT_BYTES = 100_000  # of a guided run
-INPUT_TIMEOUT_S = 60  # likewise, for one input
+MAX_INPUT_BYTES = 100_000  # size of an input of a guided run
+INPUT_TIMEOUT_S = 60  # time for one input of a guided run
 PACKAGE = "cedarthread.testing.fuzzing"
 
 Options = dict[str, Any]
 
 
 def main(argv: list[str]) -> int:
-    """Run one command; the exit code: 0 all held, 1 a finding, 2 bad usage."""
+    """Run one command and return the exit code: 0 for success, 1 for a finding, 2 for bad usage."""
     options = docopt(__doc__, ["fuzz", *argv])
     try:
         for name, command in _COMMANDS.items():
@@ -83,7 +85,8 @@
 def _list(options: Options) -> int:
     folder = Path(options["--corpus"])
     for name, target in targets.targets_by_name().items():
-        inputs, findings = len(corpus.inputs(name, folder)), len(corpus.findings(name, folder))
+        inputs = len(corpus.inputs(name, folder))
+        findings = len(corpus.findings(name, folder))
         about = (type(target).__doc__ or "").splitlines()[0]
         print(f"target  {name:14} {inputs:4} inputs, {findings:2} of them findings  {about}")
     for model in MODELS:
@@ -95,8 +98,10 @@
 
 def _run(options: Options) -> int:
     ((name, target),) = _chosen_targets(options).items()
-    max_runs, max_seconds = int(options["--runs"]), float(options["--seconds"])
-    seed, folder = int(options["--seed"]), Path(options["--corpus"])
+    max_runs = int(options["--runs"])
+    max_seconds = float(options["--seconds"])
+    seed = int(options["--seed"])
+    folder = Path(options["--corpus"])
     if options["--plain"]:
         return _run_plain(name, target, max_runs, max_seconds, seed, folder)
     return _run_guided(name, target, max_runs, max_seconds, seed, folder)
@@ -129,8 +134,10 @@
 
 
 def _run_plain(name: str, target: Target, max_runs: int, max_seconds: float, seed: int, folder: Path) -> int:
-    rng, known = random.Random(seed), [data for _, data in corpus.inputs(name, folder)]
-    started, runs = time.monotonic(), 0
+    rng = random.Random(seed)
+    known = [data for _, data in corpus.inputs(name, folder)]
+    started = time.monotonic()
+    runs = 0
     while runs < max_runs and time.monotonic() - started < max_seconds:
         data = target.next_input(rng, known)
         runs += 1
--- a/cedarthread/testing/fuzzing/config_targets.py
+++ b/cedarthread/testing/fuzzing/config_targets.py
@@ -1,4 +1,4 @@
-"""The parsers of configuration files: what they accept can be served."""
+"""Fuzz targets of the configuration parsers; a router must be able to serve with accepted settings."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
     from cedarthread.model.settings import RouterSettings
 
-MAX_CLASSES = 8  # that are exercised
+MAX_CLASSES = 8  # number of request classes that are exercised
 
 
 def exercise_settings(settings: RouterSettings) -> None:
-    """Settings that were accepted must serve: a request of each class, and timers at finite times."""
+    """Serve a request of each class with accepted settings, and check that all times are finite."""
     router = Router(settings, 1)
     workers = tuple(Endpoint(number, 0, 0, 0, EndpointState.READY, None, None) for number in (1, 2))
     actions = router.handle(1000.0, EndpointUpdate(EndpointUpdateKind.CACHED, 1, workers))
@@ -53,14 +53,14 @@
 
 
 class JsonTarget(Target):
-    """Inputs that are one JSON document."""
+    """A target with one JSON document as its input."""
 
     def base_document(self, rng: random.Random) -> Any:
-        """The parsed document that generation starts from."""
+        """Return the parsed document that ``generate`` changes."""
         raise NotImplementedError
 
     def generate(self, rng: random.Random) -> bytes:
-        """The base document, with no change or a few."""
+        """Return the base document with no change, one or two."""
         tree = self.base_document(rng)
         for _ in range(rng.choice((0, 1, 1, 2))):
             tree = mutate_tree(
@@ -69,7 +69,7 @@
         return json.dumps(tree).encode()
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Mostly the parsed document."""
+        """Return the document with a change of its parsed value, of its bytes, or with deep nesting."""
         if rng.random() < 0.1:
             return b'{"a":' * 3000 + data if rng.random() < 0.5 else b"[" * 90_000
         if rng.random() < 0.7:
@@ -92,7 +92,7 @@
     byte_budget = Budget(4 * 2**20, 400)
 
     def base_document(self, rng: random.Random) -> Any:
-        """A complete configuration."""
+        """Return a complete configuration."""
         entry = {
             "name": "s-00000001",
             "address": "10.0.0.1:5050",
@@ -114,7 +114,7 @@
         }
 
     def generate(self, rng: random.Random) -> bytes:
-        """Mostly changed settings: most numbers are there."""
+        """Return a configuration, in most cases with a change in its settings, where most numbers are."""
         if rng.random() < 0.4:
             return super().generate(rng)
         tree = self.base_document(rng)
@@ -132,7 +132,7 @@
         return json.dumps(tree).encode()
 
     def check(self, data: bytes) -> None:
-        """Accepted, or rejected by ``ConfigError`` alone; what is accepted can be served."""
+        """Check that the parser rejects with ``ConfigError`` only, and that accepted settings can serve."""
         try:
             parsed = config.decode(data, {})
         except config.ConfigError as error:
@@ -156,7 +156,7 @@
     line_budget = Budget(60_000, 800)
 
     def generate(self, rng: random.Random) -> bytes:
-        """The file as it is shipped, with numbers and ids at the edges."""
+        """Return a file like the shipped one, with edge values of numbers, addresses and SPIFFE IDs."""
         connections = rng.choice(
             ("128", "1", "0", "-1", "inf", "nan", "1e308", "9" * 30, '"x"', "[]", "true")
         )
@@ -169,13 +169,13 @@
         return ("[invoke]\n" + "\n".join(lines)).encode()
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Bytes, or tables that are nested too deep."""
+        """Return the file with changed bytes, or a file with nested tables or arrays."""
         if rng.random() < 0.1:
             return b"a = " + rng.choice((b"[", b"{a=", b"[{a=")) * rng.choice((50, 3000))
         return mutate_bytes(data, rng)
 
     def check(self, data: bytes) -> None:
-        """Accepted, or rejected by ``ValueError`` alone."""
+        """Check that the parser rejects with ``ValueError`` only, and that accepted numbers are bounded."""
         try:
             parsed = invoke_config.parse(data, Path("deploy/invoke.toml"))
         except ValueError as error:
--- a/cedarthread/testing/fuzzing/corpus.py
+++ b/cedarthread/testing/fuzzing/corpus.py
@@ -1,4 +1,8 @@
-"""The corpus: inputs in files, one folder for each target, findings apart; and how an input is minimised."""
+"""The corpus, and the minimising of an input.
+
+The corpus stores each input in a file, in one folder for each target. A target's findings are in its
+subfolder ``findings``.
+"""
 
 from __future__ import annotations
 
@@ -10,30 +14,30 @@
     from collections.abc import Callable
 
 DEFAULT_FOLDER = Path("corpus")
-NAME_DIGITS = 12  # hexadecimal, of the SHA-256 of the bytes
-MAX_TRIALS = 4000  # of minimising
+NAME_DIGITS = 12  # length of a file name: leading hexadecimal digits of the SHA-256 of the input
+MAX_TRIALS = 4000  # number of inputs that one minimising may check
 
 
 class CorpusInput(NamedTuple):
-    """An input, by its path below the corpus."""
+    """An input of the corpus; the name is the path of its file below the corpus folder."""
 
     name: str
     data: bytes
 
 
 def inputs(target: str, folder: Path = DEFAULT_FOLDER) -> list[CorpusInput]:
-    """All inputs of a target, findings too, in the order of their names."""
+    """Return all inputs of a target, its findings included, sorted by path."""
     paths = sorted(path for path in (folder / target).rglob("*") if path.is_file())
     return [CorpusInput(str(path.relative_to(folder)), path.read_bytes()) for path in paths]
 
 
 def findings(target: str, folder: Path = DEFAULT_FOLDER) -> list[CorpusInput]:
-    """The findings of a target alone."""
+    """Return the findings of a target."""
     return [found for found in inputs(target, folder) if "/findings/" in found.name]
 
 
 def save_input(target: str, data: bytes, folder: Path = DEFAULT_FOLDER) -> Path:
-    """Write an input under a name that follows from its bytes; the path."""
+    """Write an input to a file that is named by the digest of the input, and return its path."""
     path = folder / target / hashlib.sha256(data).hexdigest()[:NAME_DIGITS]
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(data)
@@ -41,14 +45,15 @@
 
 
 def minimise(data: bytes, still_fails: Callable[[bytes], bool], max_trials: int = MAX_TRIALS) -> bytes:
-    """The input without bytes that are not needed for ``still_fails``, and others zeroed.
+    """Return the input without the bytes that ``still_fails`` does not need, and with other bytes zeroed.
 
-    It drops ever smaller pieces, as delta debugging does (Zeller and Hildebrandt 2002).
+    The function removes smaller and smaller pieces, as delta debugging does (Zeller and Hildebrandt 2002).
     """
     trials = 0
     size = max(1, len(data) // 2)
     while size and trials < max_trials:
-        position, size_before = 0, len(data)
+        position = 0
+        size_before = len(data)
         while position < len(data) and trials < max_trials:
             trials += 1
             shorter = data[:position] + data[position + size :]
--- a/cedarthread/testing/fuzzing/coverage_report.py
+++ b/cedarthread/testing/fuzzing/coverage_report.py
@@ -1,6 +1,6 @@
-"""Coverage of one target by its corpus and generated inputs.
+"""Coverage that one target's corpus and generated inputs reach.
 
-It has a process of its own, for measuring begins before the program is imported.
+The report runs in a separate process because the measurement must start before the program is imported.
 
     python -m cedarthread.testing.fuzzing.coverage_report TARGET CORPUS
 """
@@ -14,18 +14,19 @@
 
 import coverage
 
-RUNS_FACTOR = 4  # times as many generated inputs as in the tests
+RUNS_FACTOR = 4  # the report generates this many times the tests' number of inputs
 
 
 def main(name: str, folder: str) -> None:
-    """Print a line for each module of the target."""
+    """Print one line of coverage for each module of the target."""
     measured = coverage.Coverage(branch=True, data_file=None, include=["*/cedarthread/*"], messages=False)
     measured.start()
     from cedarthread.testing.fuzzing import corpus, targets
     from cedarthread.testing.fuzzing.target import verdict
 
     target = targets.targets_by_name()[name]
-    known, rng = [data for _, data in corpus.inputs(name, Path(folder))], random.Random(1)
+    known = [data for _, data in corpus.inputs(name, Path(folder))]
+    rng = random.Random(1)
     for data in known:
         verdict(target, data)
     for _ in range(RUNS_FACTOR * target.test_runs):
@@ -33,7 +34,8 @@
     measured.stop()
     for module in target.modules:
         analysis: Any = measured._analyze(sys.modules[module].__file__ or "")
-        lines, branches = analysis.numbers.pc_statements, _branch_percentage(analysis.numbers)
+        lines = analysis.numbers.pc_statements
+        branches = _branch_percentage(analysis.numbers)
         missing = analysis.missing_formatted() or "none"
         print(
             f"{name:14} {lines:6.1f}% {branches:8.1f}%  {module.removeprefix('cedarthread.')}: {missing}",
--- a/cedarthread/testing/fuzzing/cuts.py
+++ b/cedarthread/testing/fuzzing/cuts.py
@@ -1,4 +1,7 @@
-"""Where inputs are cut: a prefix must never pass for the whole."""
+"""Selection of the positions at which a target truncates an input.
+
+A parser must never accept a truncated input as complete.
+"""
 
 from __future__ import annotations
 
@@ -9,5 +12,5 @@
 
 
 def sample_cuts(rng: random.Random, data: bytes, max_cuts: int = 12) -> list[int]:
-    """Positions to cut at: all of a short input, some of a long one."""
+    """Return sorted positions to truncate at: every position of a short input, a sample of a long one."""
     return list(range(len(data))) if len(data) <= max_cuts else sorted(rng.sample(range(len(data)), max_cuts))
--- a/cedarthread/testing/fuzzing/deferred_target.py
+++ b/cedarthread/testing/fuzzing/deferred_target.py
@@ -1,4 +1,4 @@
-"""The store of deferred calls under generated steps, against a model of what it must hold."""
+"""The fuzz target of the store of deferred calls, which is compared with a model after each step."""
 
 from __future__ import annotations
 
@@ -19,12 +19,14 @@
     max_calls=6, max_bytes=4000, retention_s=60.0, retry_retention_s=5.0, reserve_bytes=500
 )
 MAX_ANSWER_BYTES = 2500
-OVERSHOOT_BYTES = 3000  # beyond the limit: one answer may be larger than what was reserved for it
+OVERSHOOT_BYTES = 3000  # allowed above the limit, because a result may be larger than its reservation
 PAST_RETENTION_S = 1000.0
 
 
 @dataclass(slots=True)
 class _ModelCall:
+    """A call that the store must have, with its expected size, expiry and notifications."""
+
     entry: DeferredCall
     owner: str
     key: str | None
@@ -44,15 +46,20 @@
 
 
 class _DeferredCallsRun:
-    """The store and its model, after some steps."""
+    """The store and its model, on which the steps of one input act.
+
+    Args:
+        choices: The input.
+    """
 
     def __init__(self, choices: FuzzedDataProvider) -> None:
-        self.choices, self.now_s = choices, 0.0
+        self.choices = choices
+        self.now_s = 0.0
         self.calls: list[_ModelCall] = []
         self.store = DeferredCalls(LIMITS, lambda: self.now_s)
 
     def step(self) -> None:
-        """Do what the input chooses, then let the store and the model expire calls."""
+        """Apply the step that the input selects, then evict expired calls from the store and the model."""
         choices = self.choices
         owner = choices.pick(OWNERS)
         match choices.consume_byte() % 6:
@@ -64,7 +71,7 @@
                 call = choices.pick(self.calls)
                 self.calls.remove(call)
                 self.store.remove(call.entry)
-                self.store.remove(call.entry)  # a second time counts for nothing
+                self.store.remove(call.entry)  # a repeated removal must have no effect
             case 4:
                 self.now_s += choices.pick((0.5, 4.0, 30.0, 61.0))
             case _:
@@ -76,7 +83,7 @@
         store = self.store
         key = self.choices.pick((None, "k0", "k1", "k2"))
         if key is not None and store.find_by_key(owner, key) is not None:
-            return  # as the invoke server, which looks first
+            return  # the invoke server looks the key up before it adds a call, too
         retention_s = self.choices.pick((LIMITS.retention_s, LIMITS.retry_retention_s))
         entry = store.add(owner, key, ("0", "f", b""), retention_s)
         has_bytes = store.reserved_bytes <= LIMITS.max_bytes
@@ -106,8 +113,9 @@
         require(found is not None or not is_known, "a key is forgotten before its call")
 
     def check(self) -> None:
-        """The store and the model agree."""
-        store, calls = self.store, self.calls
+        """Check that the store and the model agree."""
+        store = self.store
+        calls = self.calls
         reserved = sum(call.reserved_bytes() for call in calls)
         require(store.reserved_bytes == reserved, f"{store.reserved_bytes} bytes counted, {reserved} held")
         count = len(store)
@@ -121,7 +129,7 @@
             require(call.wake_count <= 1, "woken twice")
 
     def finish(self) -> None:
-        """Complete all calls, let all answers expire, and check that nothing remains."""
+        """Complete all calls, let all results expire, and check that the store is empty."""
         self.now_s += PAST_RETENTION_S
         for call in self.calls:
             if call.answered_at_s is None:
@@ -140,11 +148,11 @@
     line_budget = Budget(60_000, 3000)
 
     def generate(self, rng: random.Random) -> bytes:
-        """A script."""
+        """Return random bytes, which select the steps."""
         return rng.randbytes(rng.choice((12, 50, 120)))
 
     def check(self, data: bytes) -> None:
-        """The model and the store agree after every step."""
+        """Check that the model and the store agree after every step."""
         choices = FuzzedDataProvider(data)
         run = _DeferredCallsRun(choices)
         while choices.has_more():
--- a/cedarthread/testing/fuzzing/discovery_target.py
+++ b/cedarthread/testing/fuzzing/discovery_target.py
@@ -1,4 +1,4 @@
-"""The discovery client: replies lost, late, old, repeated, foreign and truncated."""
+"""The fuzz target of the discovery client, with lost, late, old, repeated, foreign and truncated replies."""
 
 from __future__ import annotations
 
@@ -24,18 +24,20 @@
 if TYPE_CHECKING:
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 
-TRUNCATED = 0x0200  # the flag TC
-REPLIED_QUERIES = 3  # the latest, of which one is replied to
+TRUNCATED = 0x0200  # the DNS flag TC
+REPLIED_QUERIES = 3  # a reply answers one of this many latest queries
 
 
 class _Update(NamedTuple):
-    """A list that the client passed on."""
+    """An endpoint list that the client passed on."""
 
     serial: int
     records: list[EndpointRecord]
 
 
 class _RecordingDatagramTransport(asyncio.DatagramTransport):
+    """A transport that records the queries of the client."""
+
     def __init__(self) -> None:
         super().__init__()
         self.sent: list[bytes] = []
@@ -52,14 +54,18 @@
 
 
 class _ObservedReplies:
-    """Which queries were replied to with which list, and what the client passed on."""
+    """The queries that were answered with each list, and the lists that the client passed on.
+
+    Args:
+        updates: Receives each list that the client passes on.
+    """
 
     def __init__(self, updates: list[_Update]) -> None:
         self.updates = updates
         self._queries: defaultdict[tuple[int, frozenset[EndpointRecord]], set[int]] = defaultdict(set)
 
     def on_reply(self, datagram: bytes) -> None:
-        """A datagram is delivered to the client."""
+        """Record a datagram that is delivered to the client."""
         reply = dns.parse(datagram)
         if isinstance(reply, dns.Reply) and reply.serial is not None:
             records = endpoints_from_reply(reply)
@@ -67,7 +73,7 @@
                 self._queries[reply.serial, frozenset(records)].add(reply.query_id)
 
     def on_update(self, serial: int, records: list[EndpointRecord]) -> None:
-        """The client passes a list on."""
+        """Check that enough queries confirmed a list that the client passes on."""
         count = len(self._queries[serial, frozenset(records)])
         require(count >= CONFIRMING_QUERIES, f"serial {serial} was taken from {count} queries")
         self.updates.append(_Update(serial, records))
@@ -82,11 +88,14 @@
     byte_budget = Budget(4 * 2**20, 2000)
 
     def generate(self, rng: random.Random) -> bytes:
-        """A script."""
+        """Return random bytes, which select the replies."""
         return rng.randbytes(rng.choice((10, 40, 80)))
 
     def check(self, data: bytes) -> None:
-        """A list is passed on once complete replies to two recent queries had it, never twice in a row."""
+        """Check that the client passes a list on after two complete replies, and never twice in a row.
+
+        The replies must answer two different recent queries.
+        """
         updates: list[_Update] = []
 
         async def work(loop: VirtualLoop) -> None:
@@ -109,14 +118,17 @@
         client._random = cast("Any", random.Random(1))
         transport = _RecordingDatagramTransport()
         client.connection_made(transport)
-        serial, earlier = 0, list[bytes]()
+        serial = 0
+        earlier = list[bytes]()
         while choices.has_more():
             query_ids = transport.query_ids()
             rng = random.Random(choices.consume_uint16())
             reply = generate_reply(rng, rng.randrange(4))
             serial += choices.consume_byte() % 3
-            reply.query_id, reply.serial = rng.choice(query_ids[-REPLIED_QUERIES:]), serial
-            data, count = pack_reply(reply), len(updates)
+            reply.query_id = rng.choice(query_ids[-REPLIED_QUERIES:])
+            reply.serial = serial
+            data = pack_reply(reply)
+            count = len(updates)
             match choices.consume_byte() % 8:
                 case 0:
                     deliver(data[: choices.consume_byte()])
--- a/cedarthread/testing/fuzzing/dns_target.py
+++ b/cedarthread/testing/fuzzing/dns_target.py
@@ -1,4 +1,4 @@
-"""The parser of DNS replies, and replies as a server writes them (RFC 1035, RFC 2782)."""
+"""The fuzz target of the DNS parser, and a writer of DNS replies (RFC 1035, RFC 2782)."""
 
 from __future__ import annotations
 
@@ -19,24 +19,30 @@
     from collections.abc import Sequence
 
 HEADER_BYTES = 12
-AUTHORITATIVE_ANSWER = 0x8400  # the flags QR and AA
+AUTHORITATIVE_ANSWER = 0x8400  # the DNS flags QR and AA
 POINTER = 0xC000  # the two high bits of a compression pointer
-MAX_POINTER_TARGET = 0x3FFF  # the 14 others
+MAX_POINTER_TARGET = 0x3FFF  # the other 14 bits of a compression pointer
 MAX_NAME_CHARACTERS = 253
-MAX_TEXT_BYTES = 255  # of one string of a TXT record
-CLASS_IN, TTL_S = 1, 5
+MAX_TEXT_BYTES = 255  # length of one string of a TXT record
+CLASS_IN = 1
+TTL_S = 5
 UNKNOWN_TYPE = 99
 
 
 class _ReplyWriter:
-    """Writes records, with names compressed where they stood before."""
+    """A writer of one reply, which compresses names that the reply already contains.
+
+    Args:
+        query_id: The ID of the answered query.
+        flags: The flags of the header.
+    """
 
     def __init__(self, query_id: int, flags: int) -> None:
         self.data = bytearray(struct.pack(">6H", query_id, flags, 0, 0, 0, 0))
         self._offset_by_name: dict[str, int] = {}
 
     def name(self, text: str) -> None:
-        """Write a name."""
+        """Append a name."""
         while text:
             if text in self._offset_by_name:
                 self.data.extend(struct.pack(">H", POINTER | self._offset_by_name[text]))
@@ -48,7 +54,7 @@
         self.data.append(0)
 
     def record(self, owner: str, record_type: int, data: bytes, target: str | None = None) -> None:
-        """Write a record; its data may end in a name."""
+        """Append a record; ``target`` is a name at the end of the record's data."""
         self.name(owner)
         self.data.extend(struct.pack(">HHIH", record_type, CLASS_IN, TTL_S, 0))
         start = len(self.data)
@@ -59,7 +65,7 @@
 
 
 def pack_reply(reply: dns.Reply, names: Sequence[str] = (), *, flags: int = AUTHORITATIVE_ANSWER) -> bytes:
-    """A reply as a server writes it."""
+    """Return the bytes of a reply, as a server writes it."""
     writer = _ReplyWriter(reply.query_id, flags)
     for service in reply.srv_records:
         data = struct.pack(">3H", service.priority, service.weight, service.port)
@@ -78,7 +84,7 @@
 
 
 def generate_reply(rng: random.Random, workers: int) -> dns.Reply:
-    """A reply with so many workers, some of their values at the edges."""
+    """Return a reply with this many workers, some with edge values."""
     reply = dns.Reply(rng.randrange(2**16), rng.choice((0, 1, 7, 2**31, 2**32 - 1)))
     for number in range(workers):
         target = f"s-{rng.choice((number, number, 1)):08x}.room-{rng.choice('ab')}.hosts"
@@ -95,9 +101,9 @@
 
 
 def _generate_pointer_chain(rng: random.Random) -> bytes:
-    """A reply whose names lead through many compression pointers."""
+    """Return a reply with names that lead through a long chain of compression pointers."""
     hops = rng.choice((3, 300, 2000))
-    # The chain begins at byte 23, after a root name and a record's head.
+    # The chain begins at byte 23: after the header, a root name and the head of a record.
     chain = b"".join(struct.pack(">H", POINTER | (21 + 2 * hop if hop else 12)) for hop in range(hops))
     last = struct.pack(">H", POINTER | 21 + 2 * hops)
     records = (last + struct.pack(">HHIH", UNKNOWN_TYPE, 1, 1, 0)) * rng.choice((1, 400))
@@ -113,19 +119,19 @@
     line_budget = Budget(20_000, 120)
 
     def generate(self, rng: random.Random) -> bytes:
-        """An answer with some workers, or one made of pointers."""
+        """Return a reply with several workers, or one with a chain of pointers."""
         if rng.random() < 0.15:
             return _generate_pointer_chain(rng)
         data = bytearray(pack_reply(generate_reply(rng, rng.choice((0, 1, 3, 60)))))
         pointers = [at for at in range(HEADER_BYTES, len(data) - 1) if data[at] >= POINTER >> 8]
-        if pointers and rng.random() < 0.2:  # one leads to itself, or to what comes after it
+        if pointers and rng.random() < 0.2:  # the pointer leads to itself or forwards, which DNS forbids
             at = rng.choice(pointers)
             target = min(MAX_POINTER_TARGET, at + rng.choice((0, 0, 2, 12)))
             struct.pack_into(">H", data, at, POINTER | target)
         return bytes(data)
 
     def check(self, data: bytes) -> None:
-        """What is read is read the same again when it is written, and all names are ones that DNS allows."""
+        """Check that ``pack_reply`` reproduces a parsed reply, and that the names in a reply are bounded."""
         reply = dns.parse(data)
         if isinstance(reply, dns.UnusableReply):
             return
--- a/cedarthread/testing/fuzzing/endpoint_list_target.py
+++ b/cedarthread/testing/fuzzing/endpoint_list_target.py
@@ -1,4 +1,4 @@
-"""The endpoint list under updates that are late, repeated, out of order and contradictory."""
+"""The fuzz target of the endpoint list, with late, repeated, reordered and contradictory updates."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class _Follower:
-    """A reader that applies one event after another."""
+    """A reader that derives the workers' states from the events of the endpoint list."""
 
     def __init__(self) -> None:
         self.state_by_worker: dict[int, EndpointState] = {}
 
     def apply(self, event: EndpointUpdate) -> None:
-        """Apply an event: a change, or a complete list."""
+        """Apply an event, which is a delta or a complete list."""
         if event.kind is not EndpointUpdateKind.DELTA:
             self.state_by_worker.clear()
         for endpoint in event.endpoints:
@@ -33,13 +33,13 @@
 
 
 class _Model:
-    """What the list must hold, by name."""
+    """A model of the endpoint list: the records that the list must have, by name."""
 
     def __init__(self) -> None:
         self.records: dict[str, EndpointRecord] = {}
 
     def apply(self, records: Iterable[EndpointRecord], *, is_complete: bool) -> None:
-        """Apply an update that counts."""
+        """Apply an update that the list accepted."""
         if is_complete:
             self.records = {}
         for record in records:
@@ -55,16 +55,19 @@
     modules = ("cedarthread.protocols.discovery.endpoint_list",)
 
     def generate(self, rng: random.Random) -> bytes:
-        """A script."""
+        """Return random bytes, which select the updates."""
         return rng.randbytes(rng.choice((10, 40, 90)))
 
     def check(self, data: bytes) -> None:
-        """A reader that applies the events one after another has the list that was published last."""
+        """Check that the list, a reader of its events and the model agree after every accepted update."""
         choices = FuzzedDataProvider(data)
         endpoint_list = EndpointList(settings_from_object(drawn_settings.settings()))
-        follower, model, version = _Follower(), _Model(), -1
+        follower = _Follower()
+        model = _Model()
+        version = -1
         while choices.has_more():
-            number, is_complete = choices.consume_byte() % 20, bool(choices.consume_byte() & 3)
+            number = choices.consume_byte() % 20
+            is_complete = bool(choices.consume_byte() & 3)
             records = [self._record(choices) for _ in range(choices.consume_byte() % 5)]
             event = endpoint_list.apply_update(number, records, is_snapshot=is_complete)
             require((event is None) == (number <= version), f"news {number} after {version}")
@@ -87,9 +90,7 @@
         name = choices.pick(("s-00000001", "s-00000002", "t-00000001", "other", "s-0000000a"))
         state = choices.pick(tuple(EndpointState))
         zone = choices.pick(("room-a", "room-b", "nowhere"))
-        port, cell, started_at_ms = (
-            choices.consume_byte(),
-            choices.consume_byte() % 3,
-            float(choices.consume_byte()),
-        )
+        port = choices.consume_byte()
+        cell = choices.consume_byte() % 3
+        started_at_ms = float(choices.consume_byte())
         return EndpointRecord(name, "10.0.0.1", port, zone, "std", cell, state, 1.0, started_at_ms)
--- a/cedarthread/testing/fuzzing/endpoint_publisher.py
+++ b/cedarthread/testing/fuzzing/endpoint_publisher.py
@@ -1,4 +1,4 @@
-"""The discovery side of the call machine: which workers are listed, and the updates that the router gets."""
+"""The discovery service of the call machine: the listed workers, and the updates sent to the router."""
 
 from __future__ import annotations
 
@@ -15,44 +15,51 @@
 
 
 class EndpointPublisher:
-    """Publishes the list of workers, and tells the checker what a router that reads it must know."""
+    """A publisher of the endpoint list, which notifies the checker of each state that the router learns.
+
+    Args:
+        router: The router that receives the updates.
+        workers: The workers; the first version of the list has all of them.
+    """
 
     def __init__(self, router: RouterUnderTest, workers: Sequence[MemoryWorker]) -> None:
-        self.router, self.workers = router, workers
+        self.router = router
+        self.workers = workers
         self.listed: dict[int, EndpointRecord] = {}
-        self.published: list[list[EndpointRecord]] = []  # by version, from 1
+        self.published: list[list[EndpointRecord]] = []  # the list of each version, from version 1
         for worker in workers:
             self.list_worker(worker, EndpointState.READY)
         self.publish()
 
     @property
     def version(self) -> int:
-        """The version of the list that was published last."""
+        """Return the version of the list that was published last."""
         return len(self.published)
 
     def list_worker(self, worker: MemoryWorker, state: EndpointState) -> None:
-        """List a worker from the next version on."""
-        zone, cell = f"room-{'ab'[worker.number % 2]}", worker.number // 2
+        """List a worker with this state from the next version on."""
+        zone = f"room-{'ab'[worker.number % 2]}"
+        cell = worker.number // 2
         weight = 1.0
         self.listed[worker.number] = EndpointRecord(
             worker.name, "10.0.0.1", worker.number, zone, "std", cell, state, weight, worker.started_at_ms
         )
 
     def unlist_worker(self, worker: MemoryWorker) -> None:
-        """Leave a worker out from the next version on."""
+        """Remove a worker from the list from the next version on."""
         self.listed.pop(worker.number, None)
 
     def publish(self) -> None:
-        """Publish the list as it is now, and deliver it."""
+        """Publish the present list as a new version, and deliver it to the router."""
         self.published.append(list(self.listed.values()))
         self._deliver(self.version, self.published[-1])
 
     def redeliver(self, versions_back: int) -> None:
-        """Deliver an earlier version again, which must count for nothing."""
+        """Deliver an earlier version again, which the router must ignore."""
         self._deliver(self.version - versions_back, self.published[-1 - versions_back])
 
     def fail(self) -> None:
-        """Tell the router that discovery failed."""
+        """Notify the router that discovery has failed."""
         self.router.dispatcher.endpoints_changed(EndpointUpdate(EndpointUpdateKind.FAILED, self.version))
 
     def _deliver(self, version: int, records: list[EndpointRecord]) -> None:
@@ -65,7 +72,8 @@
             router.dispatcher.endpoints_changed(event)
 
     def _notify_checker(self, records: list[EndpointRecord]) -> None:
-        checker, now_ms = self.router.checker, self.router.now_ms()
+        checker = self.router.checker
+        now_ms = self.router.now_ms()
         for record in records:
             zone = self.router.raw_settings["localities"].index(record.zone)
             checker.on_worker_state(now_ms, record.port, record.state.value, zone, record.cell)
--- a/cedarthread/testing/fuzzing/finding.py
+++ b/cedarthread/testing/fuzzing/finding.py
@@ -1,13 +1,13 @@
-"""The verdict of a check."""
+"""The exception that reports a fault of the program, and the assertion that raises it."""
 
 from __future__ import annotations
 
 
-class Finding(Exception):  # noqa: N818 -- what a target found, by the name that its reports use
-    """The program did on an input what it must not do."""
+class Finding(Exception):  # noqa: N818 -- reports and the corpus call it a finding
+    """A fault that the program showed on one input; the message names the broken rule."""
 
 
 def require(holds: bool, what: str) -> None:
-    """Raise ``Finding`` unless it holds."""
+    """Raise ``Finding`` with the message unless the condition is true."""
     if not holds:
         raise Finding(what)
--- a/cedarthread/testing/fuzzing/guided.py
+++ b/cedarthread/testing/fuzzing/guided.py
@@ -1,9 +1,9 @@
-"""A coverage-guided run of one target, by atheris. It has a process of its own, which the library ends.
+"""A coverage-guided run of one target with atheris, in a separate process because atheris ends its process.
 
     python -m cedarthread.testing.fuzzing.guided TARGET FOLDER [libFuzzer options]
 
-Inputs that reach new code are written into the folder; one that shows a finding ends the run with exit
-code 77, as libFuzzer's own findings do.
+An input that reaches new code is written to the folder. An input that shows a finding ends the run with exit
+code 77, which libFuzzer uses for its own findings too.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
     from cedarthread.testing.fuzzing.target import verdict
 
 FINDING_EXIT_CODE = 77
-LIBRARY_SHARE = 0.4  # of mutations by libFuzzer itself
-GENERATED_SHARE = 0.1  # of the others: a new input in place of a mutation
+LIBRARY_SHARE = 0.4  # share of the mutations that libFuzzer makes
+GENERATED_SHARE = 0.1  # share of the other mutations that a newly generated input replaces
 
 
 def main(name: str, options: list[str]) -> None:
-    """Fuzz a target until the options end it."""
+    """Fuzz a target until a limit in the libFuzzer options ends the run."""
     target = targets.targets_by_name()[name]
 
     def check(data: bytes) -> None:
--- a/cedarthread/testing/fuzzing/http_reply.py
+++ b/cedarthread/testing/fuzzing/http_reply.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 responses as a caller of the invoke API reads them."""
+"""A parser of HTTP/1.1 responses, as a caller of the invoke API needs it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Reply(NamedTuple):
-    """A response; names of its fields in lower case."""
+    """A response, with the names of its header fields in lower case."""
 
     status: int
     fields: dict[str, str]
@@ -19,14 +19,18 @@
 
 
 class ParsedReply(NamedTuple):
-    """A response, and the number of bytes that it took."""
+    """A response, and the position of its end in the data."""
 
     reply: Reply
     end: int
 
 
 def read_reply(data: bytes) -> ParsedReply | None:
-    """The response at the start of the data; None while it is not complete, ``Finding`` where it is none."""
+    """Return the response at the start of the data, or None while it is incomplete.
+
+    Raises:
+        Finding: The data does not begin with an HTTP/1.1 status line.
+    """
     if b"\r\n\r\n" not in data:
         return None
     head, _, rest = data.partition(b"\r\n\r\n")
@@ -35,7 +39,8 @@
         raise Finding(f"a response begins with {head[:40]!r}")
     pairs = [line.partition(": ") for line in head.decode("latin-1").split("\r\n")[1:]]
     fields = {name.lower(): value for name, _, value in pairs}
-    status, length = int(status_line[1]), int(fields.get("content-length", "0"))
+    status = int(status_line[1])
+    length = int(fields.get("content-length", "0"))
     if len(rest) < length:
         return None
     return ParsedReply(Reply(status, fields, rest[:length]), len(head) + 4 + length)
--- a/cedarthread/testing/fuzzing/http_target.py
+++ b/cedarthread/testing/fuzzing/http_target.py
@@ -1,4 +1,4 @@
-"""The parser of HTTP request heads, and requests of the invoke API."""
+"""The fuzz target of the HTTP parser, and a generator of requests of the invoke API."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def generate_request(rng: random.Random) -> bytes:
-    """One request of the invoke API."""
+    """Return a request of the invoke API, valid or nearly valid."""
     body = rng.randbytes(rng.choice((0, 0, 3, 300)))
     class_name = rng.choice(("check", "revise", "confirm", "none", "a%2e"))
     target = rng.choice(
@@ -61,11 +61,11 @@
     line_budget = Budget(20_000, 800)
 
     def generate(self, rng: random.Random) -> bytes:
-        """A request, with a body of the length that it says or a byte less."""
+        """Return a request with a body of the declared length or one byte less."""
         return generate_request(rng)
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Lines added, dropped or changed; mostly the blank line stays."""
+        """Return the request with a line added, removed or changed, or with changed bytes."""
         head, blank, body = data.partition(b"\r\n\r\n")
         if rng.random() < 0.4 or not blank:
             return mutate_bytes(data, rng)
@@ -83,7 +83,7 @@
         return b"\r\n".join(lines) + blank + body
 
     def check(self, data: bytes) -> None:
-        """Nothing is accepted that two parsers could read in two ways."""
+        """Check that the parser accepts no head that another parser could interpret differently."""
         parsed = http.parse_head(memoryview(data), MAX_BODY_BYTES)
         if not isinstance(parsed, http.RequestHead):
             return
--- a/cedarthread/testing/fuzzing/identity_targets.py
+++ b/cedarthread/testing/fuzzing/identity_targets.py
@@ -1,4 +1,7 @@
-"""SPIFFE IDs and certificates, against a second implementation of the standards SPIFFE-ID and X.509-SVID."""
+"""Fuzz targets of SPIFFE IDs and certificates.
+
+The targets compare the program with a second implementation of the standards SPIFFE-ID and X.509-SVID.
+"""
 
 from __future__ import annotations
 
@@ -19,16 +22,17 @@
 if TYPE_CHECKING:
     import random
 
-# Ed25519 signs the same bytes the same way each time.
+# The key type is Ed25519 because its signatures are deterministic, so that an input is reproducible.
 SIGNING_KEY = ed25519.Ed25519PrivateKey.from_private_bytes(b"fuzz" * 8)
-MAX_ID_BYTES, MAX_DOMAIN_CHARACTERS = 2048, 255
+MAX_ID_BYTES = 2048
+MAX_DOMAIN_CHARACTERS = 255
 VALID_FROM = datetime.datetime(2026, 1, 1, tzinfo=datetime.UTC)
 DOMAIN_CHARACTERS = set(string.ascii_lowercase + string.digits + ".-_")
 SEGMENT_CHARACTERS = set(string.ascii_letters + string.digits + ".-_")
 
 
 def is_valid_spiffe_id(text: str) -> bool:
-    """Whether it is a workload's SPIFFE ID: written from the document, character by character."""
+    """Return whether a text is a workload's SPIFFE ID, independently of the program's own parser."""
     if len(text.encode(errors="surrogatepass")) > MAX_ID_BYTES or not text.startswith("spiffe://"):
         return False
     domain, *segments = text[len("spiffe://") :].split("/")
@@ -89,11 +93,11 @@
     modules = ("cedarthread.protocols.invoke.spiffe",)
 
     def generate(self, rng: random.Random) -> bytes:
-        """An ID, valid or nearly."""
+        """Return a valid or nearly valid SPIFFE ID."""
         return rng.choice(EXAMPLE_IDS).encode()
 
     def check(self, data: bytes) -> None:
-        """Valid exactly where the second implementation says so; a pattern allows nothing outside it."""
+        """Check the parser against ``is_valid_spiffe_id``, and that a pattern allows only its own IDs."""
         text = data.decode("utf-8", "replace")
         domain = spiffe.parse_trust_domain(text)
         require((domain is not None) == is_valid_spiffe_id(text), f"{text[:80]!r} is taken for {domain}")
@@ -116,7 +120,7 @@
     test_runs = 150
 
     def generate(self, rng: random.Random) -> bytes:
-        """A certificate with names, uses and constraints of many kinds."""
+        """Return a certificate with various names, key usages and constraints."""
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "fuzz")])
         builder = (
             x509.CertificateBuilder()
@@ -161,7 +165,7 @@
         )
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """A tag or a byte changed; mostly lengths stay right."""
+        """Return the certificate with one changed tag, which preserves lengths, or with changed bytes."""
         if data and rng.random() < 0.7:
             at = rng.randrange(len(data))
             tag = rng.choice((0x80, 0x82, 0x84, 0x86, 0xA0, 0xA3, 0xA5, 0x30, 0x0C, data[at] ^ 1))
@@ -169,7 +173,7 @@
         return mutate_bytes(data, rng)
 
     def check(self, data: bytes) -> None:
-        """Accepted only where the leaf has one valid SPIFFE ID, and its key signs no certificates."""
+        """Check that an accepted leaf has one valid SPIFFE ID and a key that cannot sign certificates."""
         identity = spiffe.parse_identity(data)
         if isinstance(identity, spiffe.Rejected):
             require(bool(identity.reason), "rejected without words")
--- a/cedarthread/testing/fuzzing/injected_defects.py
+++ b/cedarthread/testing/fuzzing/injected_defects.py
@@ -1,7 +1,7 @@
-"""Injected defects: each is patched into the running program, and a target must find it within so many runs.
+"""Injected defects, each of which a fuzz target must find within a number of runs.
 
-They stand for the mistakes that fuzzing is there for; among them are the defects that fuzzing found and that
-have since been repaired. One that is not found fails ``prove``.
+A defect is patched into the running program. The defects represent the mistakes that fuzzing must find. Some
+of them are defects that fuzzing found and that have since been repaired.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Defect:
-    """One defect: what is patched by what, which target must find it, and within how many runs."""
+    """A defect: its patches, the target that must find it, and the number of runs within which it must."""
 
     name: str
     target: str
@@ -64,7 +64,7 @@
 
     @contextmanager
     def injected(self) -> Iterator[None]:
-        """The program with the defect in it."""
+        """Patch the defect into the program until the context ends."""
         patches = [mock.patch.object(owner, name, replacement) for owner, name, replacement in self.patches]
         for patch in patches:
             patch.start()
@@ -75,7 +75,7 @@
                 patch.stop()
 
 
-# What the defective program does instead. The first are the functions as they are.
+# Replacements of the program's functions. The replacements call some of the original functions.
 
 _send_answer = PlatformCalls._send_answer
 _release = CallTable.release
@@ -109,7 +109,8 @@
 
 
 def _set_second_timer(self: CallDeadlines, at: float) -> None:
-    self._wakeup_at_ms, self._wakeup_timer = at, self._context.call_at(at, self.on_timer)
+    self._wakeup_at_ms = at
+    self._wakeup_timer = self._context.call_at(at, self.on_timer)
     self._context.call_at(at + 1e9, self.on_timer)
 
 
@@ -248,7 +249,8 @@
 
 
 def _abandon_calls_and_close(self: PlatformConnection) -> None:
-    calls, self.calls.open = self.calls.open, {}
+    calls = self.calls.open
+    self.calls.open = {}
     for call in calls.values():
         self.server.dispatcher.abandon_call(call)
     self.lingering_close()
@@ -287,7 +289,7 @@
     Defect("body-bytes-kept", "calls", 20, ((CallTable, "release", _keep_body_bytes),)),
     Defect("names-kept", "calls", 20, ((CallTable, "release", _keep_call_id),)),
     Defect("timer-leak", "calls", 20, ((CallDeadlines, "_set_wakeup", _set_second_timer),)),
-    # The guard of all sending would hold these back too: it is out as well.
+    # SendGuard would refuse these attempts too, so the defect disables it as well.
     Defect(
         "unsafe-sent-again",
         "calls",
@@ -331,7 +333,8 @@
     Defect(
         "cancel-not-told", "calls", 6000, ((WorkerConnections, "_finish_cancel", _cancel_as_not_executed),)
     ),
-    # Only a line behind a partly written one could be misjudged, and none is handed over behind one any more.
+    # Only the progress of a line behind a partly written line can be wrong. The program does not write such
+    # lines, so the defect writes them too.
     Defect(
         "half-written-unseen",
         "calls",
@@ -342,7 +345,7 @@
         ),
     ),
     Defect("repeat-refused-at-end", "calls", 6000, ((InvokeCalls, "has_executed_call", _return_false),)),
-    # The check before bytes leave would hold back what is not withdrawn, so both guards are out.
+    # The check before a write would refuse an attempt that is not withdrawn, so the defect disables both.
     Defect(
         "unsent-not-withdrawn",
         "calls",
@@ -400,9 +403,10 @@
 
 
 def runs_until_found(defect: Defect, target: Target, seed: int = SEED) -> tuple[int, str] | None:
-    """With the defect injected: the run that finds it, and its verdict; None where none of its runs does."""
-    rng, corpus = random.Random(f"{seed} {defect.name}"), list[bytes]()
-    is_metered = defect.target == "dns"  # a loop shows by the lines that it runs
+    """Return the first run that finds an injected defect, and its verdict, or None if no run finds it."""
+    rng = random.Random(f"{seed} {defect.name}")
+    corpus = list[bytes]()
+    is_metered = defect.target == "dns"  # an endless loop exceeds the budget of lines
     with defect.injected():
         for number in range(1, defect.runs + 1):
             data = target.next_input(rng, corpus)
@@ -414,8 +418,15 @@
 
 
 def prove(report: Callable[[str], None], names: set[str] | None = None, seed: int = SEED) -> list[str]:
-    """Inject each defect in turn; the names of those that were not found. ``report`` gets a line for each."""
-    missed, known = [], targets.targets_by_name()
+    """Inject each defect in turn, and return the names of those that no run finds.
+
+    Args:
+        report: Receives one line for each defect.
+        names: The defects to inject; None for all.
+        seed: The seed of the generated inputs.
+    """
+    missed = []
+    known = targets.targets_by_name()
     for defect in DEFECTS:
         if names is not None and defect.name not in names:
             continue
--- a/cedarthread/testing/fuzzing/invoke_caller.py
+++ b/cedarthread/testing/fuzzing/invoke_caller.py
@@ -1,4 +1,4 @@
-"""A caller of the invoke API in memory: synchronous, deferred and keyed calls, and their collection."""
+"""A caller of the invoke API in memory, which sends calls of all kinds and collects their results."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 RESULT_BY_STATUS = {200: "served", 503: "refused", 502: "failed", 504: "failed"}
 CALL_TIMEOUT_MS = 3000
 NO_DEADLINE_MS = 1e9
-MAX_PIPELINED = 3  # requests in a row on one connection
+MAX_PIPELINED = 3  # number of unanswered requests on one connection
 
 
 class RequestKind(Enum):
-    """What a request asks for; the value is how findings name it."""
+    """The kind of a request; findings print the value."""
 
     SYNC = "sync"
     DEFERRED = "deferred"
     COLLECT = "collect"
     DELETE = "delete"
-    LAST_COLLECT = "last"  # when the call's time is up: it must have its answer
+    LAST_COLLECT = "last"  # a collect after the call's deadline, so that a result must be stored
 
 
 class PendingRequest(NamedTuple):
-    """A request that waits for its response, and the call that it is about."""
+    """A request without a response, and the key of its call."""
 
     kind: RequestKind
     call_key: str
 
 
 class KeyedPost(NamedTuple):
-    """A POST that was sent under an idempotency key."""
+    """A POST that was sent with an idempotency key, so that the caller can repeat it."""
 
     call_key: str
     function: str
@@ -46,39 +46,47 @@
 
 
 class FinalAnswer(NamedTuple):
-    """The answer that a call got."""
+    """The final response to a call."""
 
     status: int
     body: bytes
 
 
 class InvokeCaller:
-    """One identity on one connection; it sends one request at a time or a few in a row."""
+    """A caller with one identity and one connection at a time, which may pipeline requests.
+
+    Args:
+        router: The router that the caller connects to.
+        identity: The SPIFFE ID of the caller.
+    """
 
     def __init__(self, router: RouterUnderTest, identity: str) -> None:
-        self.router, self.checker, self.identity = router, router.checker, identity
-        self.deferred_calls: dict[str, str] = {}  # by the name in their URL: the call's key
+        self.router = router
+        self.checker = router.checker
+        self.identity = identity
+        self.deferred_calls: dict[str, str] = {}  # the calls' keys by the call ID in their URL
         self.posts_by_key: dict[str, KeyedPost] = {}
         self.final_answers: dict[str, FinalAnswer] = {}  # by the call's key
-        self.pending_requests: list[PendingRequest] = []  # on this connection, in order
+        self.pending_requests: list[PendingRequest] = []  # of this connection, oldest first
         self._connect()
 
     def _connect(self) -> None:
         self.transport = MemoryTransport(self.router.loop)
         self.transport.on_bytes = self.on_bytes
         self.transport.on_close = self.on_close
-        self.is_connected, self.buffer = True, b""
+        self.is_connected = True
+        self.buffer = b""
         self.transport.connect(self.router.connect_invoke(self.identity))
 
     def on_close(self) -> None:
-        """The connection went: whatever has no response yet is abandoned."""
+        """Abandon the calls without a response, because the connection is closed."""
         self.is_connected = False
         for request in self.pending_requests:
             self._abandon(request.call_key)
         self.pending_requests.clear()
 
     def act(self, choices: FuzzedDataProvider) -> None:
-        """Do one thing that the input chooses."""
+        """Perform the action that the script selects."""
         if not self.is_connected:
             self._connect()
         if len(self.pending_requests) >= MAX_PIPELINED:
@@ -106,14 +114,21 @@
                 self.transport.peer_reset()
 
     def post(self, choices: FuzzedDataProvider, idempotency_key: str | None, *, is_deferred: bool) -> None:
-        """Send a new call."""
-        router, class_index = self.router, choices.consume_byte() % 5
+        """Send a new call.
+
+        Args:
+            choices: The script, which selects the class and the function.
+            idempotency_key: The call's key; None lets a class that needs one use a new key.
+            is_deferred: Whether the caller requests a deferred response.
+        """
+        router = self.router
+        class_index = choices.consume_byte() % 5
         if router.class_needs_key(class_index) and idempotency_key is None:
             idempotency_key = f"k{len(self.posts_by_key)}"
         post = KeyedPost(router.next_call_key(), choices.pick(FUNCTIONS), class_index)
         router.called_functions.add(post.function)
-        # A stored answer waits for its caller, so only a call that ends with its connection has a deadline.
-        # One behind another on a connection is read after it, and its time begins then.
+        # A keyed or deferred call has no deadline here, because the router stores its result for the caller.
+        # A pipelined call has none either, because the router reads it after the response to the one before.
         has_deadline = idempotency_key is None and not is_deferred and not self.pending_requests
         timeout_ms = CALL_TIMEOUT_MS if has_deadline else NO_DEADLINE_MS
         self.checker.on_call_submitted(
@@ -132,25 +147,25 @@
         self.send_request(kind, post.call_key, _request("POST", path, fields) + post.call_key)
 
     def retry_post(self, choices: FuzzedDataProvider) -> None:
-        """Send the same POST under the same key, while its call is pending or its answer stored."""
-        if not self.posts_by_key or self.pending_requests:  # behind another it would be read only after that
+        """Send a POST again with the same key, while its call is pending or its result is stored."""
+        if not self.posts_by_key or self.pending_requests:  # a pipelined one would be read too late
             return
         key = choices.pick(list(self.posts_by_key))
         known = self.router.invoke.calls.deferred_calls.find_by_key(self.identity, key)
         if known is None or isinstance(known.result, CallRejected):
-            return  # it would be a new call, whose attempts could not be told from the first one's
+            return  # because the POST would start a second call with the body that identifies the first
         self._send_post(self.posts_by_key[key], key, is_deferred=bool(choices.consume_byte() & 1))
 
     def send_request(self, kind: RequestKind, call_key: str, text: str) -> None:
-        """Send a request."""
-        if not self.is_connected:  # rejected at the connection limit: nobody reads it
+        """Send a request and record that it awaits a response."""
+        if not self.is_connected:  # the router closed it because of its connection limit
             self._abandon(call_key)
             return
         self.pending_requests.append(PendingRequest(kind, call_key))
         self.transport.peer_send(text.encode())
 
     def on_bytes(self, data: bytes) -> None:
-        """Read responses."""
+        """Receive responses, in the order of their requests."""
         self.buffer += data
         while (parsed := read_reply(self.buffer)) is not None:
             self.buffer = self.buffer[parsed.end :]
@@ -159,7 +174,7 @@
             self.on_reply(self.pending_requests.pop(0), parsed.reply)
 
     def on_reply(self, request: PendingRequest, reply: Reply) -> None:
-        """Judge one response to the oldest request."""
+        """Check one response against the oldest request without a response."""
         kind, call_key = request
         if reply.status == 202 and kind is RequestKind.LAST_COLLECT:
             raise Finding(f"{call_key} is pending, though its time is up")
@@ -168,7 +183,7 @@
         elif reply.status in RESULT_BY_STATUS and kind is not RequestKind.DELETE:
             self._on_final_answer(call_key, reply)
         elif reply.status == 404 and kind in (RequestKind.COLLECT, RequestKind.LAST_COLLECT):
-            self._abandon(call_key)  # its time was up, or it was deleted
+            self._abandon(call_key)  # its result has expired or was deleted
         elif not (reply.status == 204 and kind is RequestKind.DELETE) and reply.status != 404:
             raise Finding(f"{kind.value} of {call_key} got {reply.status}: {reply.body[:80]!r}")
 
@@ -185,7 +200,11 @@
             raise Finding(f"two different final answers for {call_key}: {tuple(earlier)} and {tuple(answer)}")
 
     def collect(self) -> None:
-        """At the end, when every call's time is up: collect one deferred call, which must have its answer."""
+        """Collect one deferred call after every deadline has passed, when its result must be available.
+
+        Raises:
+            Finding: A request has had no response.
+        """
         if self.is_connected and self.pending_requests:
             kind, call_key = self.pending_requests[0]
             raise Finding(f"{(kind.value, call_key)} has had no response")
--- a/cedarthread/testing/fuzzing/invoke_target.py
+++ b/cedarthread/testing/fuzzing/invoke_target.py
@@ -1,4 +1,4 @@
-"""A complete connection of the invoke API."""
+"""The fuzz target of a complete connection of the invoke API."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     import random
 
-PAST_RETENTION_S = 400  # longer than any answer is stored
+PAST_RETENTION_S = 400  # longer than any result is stored
 
 
 class InvokeTarget(StreamTarget):
@@ -39,11 +39,11 @@
     )
 
     def generate(self, rng: random.Random) -> bytes:
-        """Some requests in a row."""
+        """Return several pipelined requests."""
         return rng.randbytes(1) + b"".join(generate_request(rng) for _ in range(rng.choice((1, 2, 5))))
 
     def mutate_stream(self, data: bytes, rng: random.Random) -> bytes:
-        """A field put in, a request doubled, or bytes."""
+        """Return the stream with an inserted header field or with changed bytes."""
         ends = [at for at in range(len(data)) if data.startswith(b"\r\n", at)]
         if ends and rng.random() < 0.4:
             at = rng.choice(ends)
@@ -51,7 +51,7 @@
         return mutate_bytes(data, rng)
 
     async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> Any:
-        """The responses' statuses in order."""
+        """Return the statuses of the responses in order."""
         dispatcher, flusher, _ = dispatcher_with_echo(loop)
         unused = Path("nowhere")
         allowed = ("spiffe://gaz.example/*",)
@@ -59,11 +59,13 @@
         server = InvokeServer(dispatcher, config, flusher, loop.time)
         connection = InvokeConnection(server)
         connection.peer = Identity("spiffe://gaz.example/a", "gaz.example", math.inf)
-        transport, out = MemoryTransport(loop), bytearray()
+        transport = MemoryTransport(loop)
+        out = bytearray()
         transport.on_bytes = out.extend
         transport.connect(connection)
         await feed(transport, data, seed)
-        statuses, rest = [], bytes(out)
+        statuses = []
+        rest = bytes(out)
         while (parsed := read_reply(rest)) is not None:
             status = parsed.reply.status
             require(100 <= status < 600, f"status {status}")
@@ -76,4 +78,6 @@
         server.sweep(loop.time())
         stored = server.calls.deferred_calls
         require(stored.reserved_bytes == 0 and len(stored) == 0, "an answer is kept past its time")
-        return [status for status in statuses if status != 100]  # a 100 Continue depends on the cut
+        return [
+            status for status in statuses if status != 100
+        ]  # whether 100 Continue is sent depends on the split
--- a/cedarthread/testing/fuzzing/model_checking.py
+++ b/cedarthread/testing/fuzzing/model_checking.py
@@ -1,7 +1,7 @@
-"""Model checking: every order of a small model's events is played, with the invariant checker on every path.
+"""Model checking: runs every order of a small model's events, with the invariant checker on every path.
 
-A state is reached by a path of events, and is built anew by playing that path. Two paths to one state count
-once: the search goes on from the first one alone.
+A path is a sequence of events. The search reconstructs a state by running its path from the start. If two
+paths lead to the same state, the search continues from the first one only.
 """
 
 from __future__ import annotations
@@ -18,13 +18,14 @@
 
 MAX_STATES = 100_000
 STATES_PER_REPORT = 500
-DRAIN_EVERY = 3  # paths of a multiple of this length are played to the end, and those that end anyway
+# Paths with a multiple of this length run to the end, as do paths after which no event is possible.
+DRAIN_EVERY = 3
 
 Path = tuple[EventChoice, ...]
 
 
 class Counterexample(NamedTuple):
-    """A path that broke a rule."""
+    """A path on which a rule was violated."""
 
     violation: str
     path: Path
@@ -32,15 +33,15 @@
 
 @dataclass(slots=True)
 class Exploration:
-    """What exploring one model came to."""
+    """The result of exploring one model."""
 
     model: SmallModel
     state_count: int = 0
-    path_count: int = 0  # paths that were played to the end
+    path_count: int = 0  # number of paths that were run to the end
     counterexample: Counterexample | None = None
 
     def verdict(self) -> str | None:
-        """What is wrong; None where nothing is."""
+        """Return the violation or the unexpected number of states, or None if the model is correct."""
         if self.counterexample is not None:
             violation, path = self.counterexample
             return f"{violation} after {tuple((event.value, subject) for event, subject in path)}"
@@ -53,12 +54,18 @@
     """The state at the end of a path."""
 
     digest: bytes
-    choices: list[EventChoice]  # what may happen there
-    violation: str | None  # the first on the path
+    choices: list[EventChoice]  # the events that are possible in this state
+    violation: str | None  # the first violation on the path
 
 
 def run_path(model: SmallModel, path: Path, *, runs_to_end: bool = False) -> PathEnd:
-    """Play a path; ``runs_to_end``: then let all time pass, and check that nothing remains."""
+    """Run a path of events from the start of a model.
+
+    Args:
+        model: The model.
+        path: The events in their order.
+        runs_to_end: Whether to let all deadlines pass afterwards, and to check that no resource is left over.
+    """
     runs: list[ModelRun] = []
 
     async def work(loop: VirtualLoop) -> None:
@@ -79,8 +86,16 @@
     max_states: int = MAX_STATES,
     on_progress: Callable[[int], None] = lambda state_count: None,
 ) -> Exploration:
-    """Every state that the events of a model can bring about, breadth first, up to a counterexample."""
-    exploration, seen, queue = Exploration(model), set[bytes](), deque[Path]([()])
+    """Visit every reachable state of a model, breadth first, until the first counterexample.
+
+    Args:
+        model: The model.
+        max_states: The number of states after which the search ends.
+        on_progress: Receives the number of visited states from time to time.
+    """
+    exploration = Exploration(model)
+    seen = set[bytes]()
+    queue = deque[Path]([()])
     while queue and exploration.state_count < max_states and exploration.counterexample is None:
         path = queue.popleft()
         digest, choices, violation = run_path(model, path)
@@ -100,5 +115,5 @@
 
 
 def models_named(name: str | None) -> Iterator[SmallModel]:
-    """The models of that name, or all."""
+    """Return the models of that name, or all models if the name is None."""
     return (model for model in MODELS if name in (None, model.name))
--- a/cedarthread/testing/fuzzing/msgpack_target.py
+++ b/cedarthread/testing/fuzzing/msgpack_target.py
@@ -1,4 +1,4 @@
-"""The MessagePack parser against the reference library."""
+"""The fuzz target of the MessagePack parser, which is compared with the reference library."""
 
 from __future__ import annotations
 
@@ -25,11 +25,15 @@
 
 
 class _MapItems(list[Any]):
-    """A map as the reference library reads it: its items, also where a key comes twice."""
+    """The items of a map that the reference library read, including items with a repeated key."""
 
 
 def _expected(value: Any) -> Any:
-    """The value that this program's parser gives; ``ValueError`` says what it must reject."""
+    """Return the value that the program's parser must return for a value of the reference library.
+
+    Raises:
+        ValueError: The program's parser must reject the value.
+    """
     if isinstance(value, _MapItems):
         keys = [key for key, _ in value]
         if not all(isinstance(key, str) for key in keys) or len(set(keys)) < len(keys):
@@ -55,12 +59,12 @@
 
 
 def _max_items(value: Any) -> int:
-    """The most items of a list or map in a value."""
+    """Return the largest number of items of a list or map in a value."""
     return max([len(_items(value)), *map(_max_items, _items(value))])
 
 
 def _max_content_bytes(value: Any) -> int:
-    """The length of the longest string in a value, in UTF-8."""
+    """Return the length in bytes of the longest string in a value, encoded in UTF-8."""
     if isinstance(value, (str, bytes)):
         return len(value.encode() if isinstance(value, str) else value)
     return max(map(_max_content_bytes, _items(value)), default=0)
@@ -75,7 +79,7 @@
 
 
 def generate_value(rng: random.Random, depth: int) -> Any:
-    """A value of at most so many levels."""
+    """Return a random value of at most this nesting depth."""
     kind = rng.randrange(10 if depth else 7)
     if kind == 9:
         return {
@@ -104,7 +108,7 @@
     byte_budget = Budget(2**20, 400)
 
     def generate(self, rng: random.Random) -> bytes:
-        """A value, or a run of one type code."""
+        """Return an encoded value, or one repeated type code."""
         if rng.random() < 0.1:
             return bytes((rng.choice((0x81, 0x91, 0xDC, 0xDE, 0xC7, 0xC1)),)) * rng.choice((5, 300, 3000))
         value = generate_value(rng, rng.randint(0, MAX_GENERATED_DEPTH))
@@ -114,7 +118,7 @@
             return bytes(reference.packb([value is None]))
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Mostly the parsed value, so that lengths stay right."""
+        """Return the input with a change of its parsed value, which preserves lengths, or of its bytes."""
         if rng.random() < 0.6:
             try:
                 tree = reference.unpackb(data, raw=False, strict_map_key=False)
@@ -128,7 +132,7 @@
         return mutate_bytes(data, rng)
 
     def check(self, data: bytes) -> None:
-        """The same value as the reference's; any prefix is incomplete, and says how much is needed."""
+        """Check that the parser returns the reference's value, and that truncated inputs are incomplete."""
         parsed = msgpack.parse(memoryview(data))
         unpacker = reference.Unpacker(
             raw=False,
@@ -139,7 +143,8 @@
         )
         unpacker.feed(data)
         try:
-            expected, end = _expected(unpacker.unpack()), unpacker.tell()
+            expected = _expected(unpacker.unpack())
+            end = unpacker.tell()
         except (ValueError, TypeError, RecursionError, reference.OutOfData, reference.StackError):
             require(not isinstance(parsed, msgpack.ParsedValue), "took what is no value")
             return
--- a/cedarthread/testing/fuzzing/mutation.py
+++ b/cedarthread/testing/fuzzing/mutation.py
@@ -1,4 +1,4 @@
-"""Changes of inputs: of bytes without a grammar, and of parsed values at one place; values at the edges."""
+"""Mutations of inputs, as bytes or as parsed values, and edge values that mutations insert."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
     import random
     from collections.abc import Sequence
 
-# At the edges of every width that is read anywhere.
+# The limits of every integer width that a parser of the program reads.
 EDGE_NUMBERS = [
     0,
     1,
@@ -28,7 +28,7 @@
     2**32,
 ]
 EDGE_NUMBERS += [2**53, 2**63 - 1, 2**63, 2**64 - 1, 2**64, -(2**63)]
-# Some that float() takes and nobody means.
+# Texts of numbers; float() accepts some of them although a correct sender never writes them.
 EDGE_STRINGS = [
     "",
     "0",
@@ -46,18 +46,19 @@
 ]
 EDGE_STRINGS += ["٣", " 7", "+7", "1.5", "5e-324", "\x00", "é", "%2e", ".."]
 
-NOT_A_NUMBER, INFINITY = float("nan"), float("inf")
+NOT_A_NUMBER = float("nan")
+INFINITY = float("inf")
 EDGE_FLOATS = [NOT_A_NUMBER, INFINITY, -INFINITY, 1e308, -0.0, 5e-324, 0.5]
 DEEP_LIST: Any = []
 for _ in range(40):
     DEEP_LIST = [DEEP_LIST]
 
 
-DESCEND_SHARE = 0.85  # of changes below a list or map, rather than of it as a whole
+DESCEND_SHARE = 0.85  # share of the mutations that change an item of a list or map, not the whole
 
 
 def mutate_bytes(data: bytes, rng: random.Random) -> bytes:
-    """One change of bytes, without a grammar."""
+    """Return the bytes with one change that ignores their grammar."""
     raw = bytearray(data)
     start = rng.randrange(len(raw) + 1)
     end = min(len(raw), start + 1 + int(rng.expovariate(0.2)))
@@ -83,7 +84,15 @@
 
 
 def mutate_tree(value: Any, rng: random.Random, edges: Sequence[Any]) -> Any:
-    """A parsed value with one place changed; lengths and types are right again once it is encoded."""
+    """Return a parsed value with one place changed.
+
+    Encoding the result gives an input with correct lengths and types, which a change of bytes rarely does.
+
+    Args:
+        value: The parsed value, which is not modified.
+        rng: The source of random choices.
+        edges: The values that may replace a part of the parsed value.
+    """
     if isinstance(value, dict) and value and rng.random() < DESCEND_SHARE:
         key = rng.choice(list(value))
         changed = dict(value)
--- a/cedarthread/testing/fuzzing/platform_target.py
+++ b/cedarthread/testing/fuzzing/platform_target.py
@@ -1,4 +1,4 @@
-"""A platform client's complete connection."""
+"""The fuzz target of a platform client's complete connection."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def generate_message(rng: random.Random, number: int) -> Any:
-    """One message of the platform's protocol, valid or nearly."""
+    """Return a message of the platform's protocol, valid or nearly valid."""
     class_name = rng.choice(("check", "revise", "confirm", "none"))
     fields = {"txn": f"{number:016x}", "limit": "2000", "item": FUNCTION, "unique": f"u{number}"}
     if rng.random() < 0.5:
@@ -69,7 +69,7 @@
     )
 
     def generate(self, rng: random.Random) -> bytes:
-        """Some messages in a row, perhaps with the end cut off."""
+        """Return several messages, possibly truncated."""
         messages = [generate_message(rng, n + 1) for n in range(rng.choice((1, 2, 4, 10, 40)))]
         data = b"".join(self._pack(message) for message in messages)
         return rng.randbytes(1) + (data if rng.random() < 0.8 else data[: rng.randrange(len(data) + 1)])
@@ -81,7 +81,7 @@
             return b"\xc0"
 
     def mutate_stream(self, data: bytes, rng: random.Random) -> bytes:
-        """Complete messages repeated, changed or dropped, or bytes."""
+        """Return the stream with a message repeated, changed or removed, or with changed bytes."""
         if rng.random() < 0.5:
             return mutate_bytes(data, rng)
         unpacker = reference.Unpacker(raw=False, strict_map_key=False, read_size=1024, max_buffer_size=2**24)
@@ -105,10 +105,15 @@
         return b"".join(messages) + data[ends[-1] :]
 
     async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> Any:
-        """The numbers that were answered; none more often than it was requested."""
+        """Return the call numbers that were answered, and check that no number is answered too often.
+
+        The result is None if the answers depend on the time between the pieces of the stream, and True if the
+        connection is closing.
+        """
         dispatcher, flusher, _ = dispatcher_with_echo(loop)
         server = PlatformServer(dispatcher, 8, flusher, 2**20)
-        transport, output = MemoryTransport(loop), bytearray()
+        transport = MemoryTransport(loop)
+        output = bytearray()
         transport.on_bytes = output.extend
         connection = PlatformConnection(server)
         transport.connect(connection)
@@ -126,14 +131,14 @@
             answer_counts[message[1]] = answer_counts.get(message[1], 0) + 1
         require(unpacker.tell() == len(output), "bytes after the last answer")
         request_counts = self._request_counts(data)
-        # Whether an interrupt or a repeated number meets a pending call depends on the time between them.
+        # Whether a call is still pending at its interrupt or its repetition depends on the time between them.
         depends_on_time = b"interrupt" in data or any(count > 1 for count in request_counts.values())
         for number, count in answer_counts.items():
             requested = request_counts.get(number, 0)
             require(count <= requested, f"{count} answers to number {number}, asked {requested}")
         if depends_on_time:
             return None
-        # What a broken connection had answered by then depends on time; that it breaks does not.
+        # The answers before a connection closed depend on time, but whether the connection closes does not.
         return transport.is_closing() or sorted(map(repr, answer_counts))
 
     def _request_counts(self, data: bytes) -> dict[Any, int]:
--- a/cedarthread/testing/fuzzing/replay.py
+++ b/cedarthread/testing/fuzzing/replay.py
@@ -1,4 +1,4 @@
-"""Replay of the corpus and of generated inputs: what CI runs."""
+"""Replay of the corpus and of generated inputs, which CI runs."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     from collections.abc import Callable, Mapping
     from pathlib import Path
 
-SEED = 1  # of generated inputs
+SEED = 1  # seed of the generated inputs
 
 
 @dataclass(slots=True)
 class ReplayCounts:
-    """How much a replay ran, and what it found."""
+    """The numbers of inputs that a replay checked, and the number of findings."""
 
     corpus_inputs: int = 0
     generated_inputs: int = 0
@@ -28,9 +28,13 @@
 def replay(
     targets: Mapping[str, Target], folder: Path, report: Callable[[str], None], *, generates: bool
 ) -> ReplayCounts:
-    """Check each target's corpus, metered, and with ``generates`` its number of generated inputs.
+    """Check the corpus of each target under its resource budgets, and generated inputs without them.
 
-    ``report`` gets a line for each finding and each target.
+    Args:
+        targets: The targets by name.
+        folder: The corpus folder.
+        report: Receives one line for each finding and one for each target.
+        generates: Whether to check the target's ``test_runs`` generated inputs too.
     """
     counts = ReplayCounts()
     for name, target in targets.items():
@@ -40,7 +44,8 @@
             if (fault := verdict(target, data, metered=True)) is not None:
                 counts.findings += 1
                 report(f"{path}: {fault}")
-        rng, known = random.Random(SEED), [data for _, data in inputs]
+        rng = random.Random(SEED)
+        known = [data for _, data in inputs]
         for number in range(target.test_runs if generates else 0):
             counts.generated_inputs += 1
             if (fault := verdict(target, target.next_input(rng, known))) is not None:
--- a/cedarthread/testing/fuzzing/resource_meter.py
+++ b/cedarthread/testing/fuzzing/resource_meter.py
@@ -1,4 +1,4 @@
-"""Bounds on the work and the memory that one input may take."""
+"""Bounds on the lines of code and the memory that the program may use for one input."""
 
 from __future__ import annotations
 
@@ -13,28 +13,33 @@
     from types import FrameType
 
 PACKAGE = "cedarthread"
-UNMETERED = ".fuzz"  # in the names of modules whose lines do not count
+UNMETERED = ".fuzz"  # part of the names of the modules that are not counted
 
 
 class Budget(NamedTuple):
-    """A bound on what one input may take: so much, and so much a byte of the input."""
+    """A bound on a resource for one input: a base amount and an amount for each byte of the input."""
 
     base: int
     per_byte: int
 
     def limit(self, size: int) -> int:
-        """The bound for an input of ``size`` bytes."""
+        """Return the bound for an input of ``size`` bytes."""
         return self.base + self.per_byte * size
 
 
 class ResourceMeter:
-    """Counts the lines of this program that run, and the peak of the memory that they take.
+    """A meter that counts the executed lines of the program and the peak of allocated memory.
 
-    Lines are the same on every run and machine, so that a bound on them can stand in a test.
+    The count of lines is equal on every run and machine, so that a test can bound it.
+
+    Args:
+        max_lines: The most lines that the program may execute.
+        max_bytes: The most bytes that may be allocated at the same time.
     """
 
     def __init__(self, max_lines: int, max_bytes: int) -> None:
-        self.max_lines, self.max_bytes = max_lines, max_bytes
+        self.max_lines = max_lines
+        self.max_bytes = max_bytes
         self.line_count = 0
         self.peak_bytes = 0
 
@@ -49,7 +54,11 @@
         return self._line
 
     def measure(self, check: Callable[[bytes], None], data: bytes) -> None:
-        """Run a check under the meter; ``Finding`` where it takes more than it may."""
+        """Run a check under the meter.
+
+        Raises:
+            Finding: The check exceeds a bound.
+        """
         previous = sys.gettrace()
         tracemalloc.start()
         sys.settrace(self._trace)
--- a/cedarthread/testing/fuzzing/router_under_test.py
+++ b/cedarthread/testing/fuzzing/router_under_test.py
@@ -1,7 +1,7 @@
-"""A complete router on a virtual clock, with the checker that its peers report to.
+"""A complete router on a virtual clock, with the invariant checker that its peers report to.
 
-Dispatcher, router, platform and invoke servers and worker connections are the real ones. A byte of the input
-sets the mode: how loads are requested, whether workers can cancel, late timers and a small descriptor budget.
+Dispatcher, router, platform and invoke servers and worker connections are the production classes. The first
+byte of the script sets the mode: preloads, no cancellation, a stall, few descriptors, late timers.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 FUNCTIONS = ("00000000000000a1", "00000000000000b2", "00000000000000c3")
 MAX_DEADLINE_MS = 5000.0  # the longest deadline of any class that is drawn
-CLOCK_TOLERANCE_MS = 50.0  # beyond a rule's own time, for what waits in a socket
+CLOCK_TOLERANCE_MS = 50.0  # added to the time limit of each rule, for bytes that wait in a socket
 SWEEP_PERIOD_MS = 250.0  # as in the service
-MAX_TIMER_DELAY_S = 0.015  # by which a timer is late in the mode of late timers
+MAX_TIMER_DELAY_S = 0.015  # the most that a timer is late in the mode LATE_TIMERS
 TRUST_DOMAIN = "gaz.example"
 
 
 class Mode(IntFlag):
-    """Bits of the input's first byte."""
+    """Flags of a run: the bits of the first byte of the script."""
 
     PRELOADS_ON_MISS = 1
     NO_CANCEL = 2
@@ -47,7 +47,7 @@
 
 
 def call_guarantees(raw_settings: dict[str, Any], class_index: int) -> CallGuarantees:
-    """What a request class promises, from the settings as operators write them."""
+    """Return the guarantees of a request class, given the settings document that operators write."""
     request_class = raw_settings["classes"][class_index]
     return CallGuarantees(
         Idempotency(request_class["effect"]),
@@ -57,8 +57,9 @@
 
 
 def invariant_limits(raw_settings: dict[str, Any], stall_ms: float) -> InvariantLimits:
-    """The checker's limits; a stall of the whole process excuses ``stall_ms``."""
-    specifics, obligations = raw_settings["specifics"], raw_settings["obligations"]
+    """Return the checker's limits, with ``stall_ms`` added to its times for a stall of the process."""
+    specifics = raw_settings["specifics"]
+    obligations = raw_settings["obligations"]
     return InvariantLimits(
         max_attempts=raw_settings["limits"]["send-cap"],
         answer_slack_ms=obligations["answer-slack"] + CLOCK_TOLERANCE_MS + stall_ms,
@@ -70,14 +71,14 @@
 
 
 class MemoryPlatformConnection(PlatformConnection):
-    """A platform connection whose unread input waits in the memory transport instead of a socket."""
+    """A platform connection whose unread input is in the memory transport instead of a socket."""
 
     def has_unread_input(self) -> bool:
-        """Whether input waits."""
+        """Return whether the transport has unread input."""
         return self.transport is not None and bool(getattr(self.transport, "_in"))  # noqa: B009
 
     def read_available(self) -> bool:
-        """Read the waiting input, also while reading is paused."""
+        """Read the available input even while reading is paused; return False if the connection is broken."""
         if not super().read_available():
             return False
         if self.discard_budget is None and isinstance(self.transport, MemoryTransport):
@@ -86,10 +87,17 @@
 
 
 class RouterUnderTest:
-    """The router's components, joined as in the service."""
+    """The router's components, connected as in the service, with the checker and the virtual clock.
+
+    Args:
+        loop: The virtual loop.
+        mode: The flags of ``Mode``; the number is also the seed of the router's random choices.
+        stall_ms: The duration of a stall of the process, which the checker tolerates.
+    """
 
     def __init__(self, loop: VirtualLoop, mode: int, stall_ms: float) -> None:
-        self.loop, self.now_ms = loop, loop.unix_ms
+        self.loop = loop
+        self.now_ms = loop.unix_ms
         self.raw_settings = drawn_settings.settings(
             preloads_on_miss=bool(mode & Mode.PRELOADS_ON_MISS), supports_cancel=not mode & Mode.NO_CANCEL
         )
@@ -111,41 +119,42 @@
             loop.jitter = lambda: delays.random() * MAX_TIMER_DELAY_S
 
     def next_call_key(self) -> str:
-        """A key that no other call of the run has."""
+        """Return a key that is unique among the calls of the run."""
         self._call_count += 1
         return f"c{self._call_count}"
 
     def class_name(self, class_index: int) -> str:
-        """A request class's name."""
+        """Return the name of a request class."""
         return str(self.raw_settings["classes"][class_index]["name"])
 
     def class_needs_key(self, class_index: int) -> bool:
-        """Whether calls of the class carry an idempotency key."""
+        """Return whether calls of the class must have an idempotency key."""
         return bool(self.raw_settings["classes"][class_index]["effect"] == "dedup")
 
     def guarantees(self, class_index: int) -> CallGuarantees:
-        """What a request class promises."""
+        """Return the guarantees of a request class."""
         return call_guarantees(self.raw_settings, class_index)
 
     def connect_invoke(self, identity: str) -> InvokeConnection:
-        """A new connection of a caller whose certificate has been checked."""
+        """Return the protocol of a new invoke connection with an authenticated caller."""
         connection = InvokeConnection(self.invoke)
         connection.peer = Identity(identity, TRUST_DOMAIN, math.inf)
         return connection
 
     def begin_shutdown(self) -> None:
-        """What the service does on SIGTERM."""
-        self.platform.is_ready = self.invoke.is_ready = False
+        """Start the shutdown that the service starts on SIGTERM."""
+        self.platform.is_ready = False
+        self.invoke.is_ready = False
         self.dispatcher.complete_all_by(self.now_ms() + MAX_DEADLINE_MS + 200.0)
 
     def sweep(self) -> None:
-        """What the service does four times a second."""
+        """Run the periodic sweeps of the service."""
         self.platform.sweep(self.loop.time())
         self.worker_connections.sweep(self.loop.time())
         self.invoke.sweep(self.loop.time())
 
     async def advance(self, duration_ms: float) -> None:
-        """Let time pass, with sweeps."""
+        """Let time pass with periodic sweeps."""
         while duration_ms > 0:
             step_ms = min(duration_ms, SWEEP_PERIOD_MS)
             await asyncio.sleep(step_ms / 1000.0)
@@ -154,9 +163,12 @@
         await asyncio.sleep(0)
 
     def check_nothing_remains(self) -> None:
-        """Report to the checker all that the run took and has not given back."""
-        dispatcher, router, now_ms = self.dispatcher, self.dispatcher.router, self.now_ms()
-        calls, connections = dispatcher.calls, self.platform.connections
+        """Report to the checker every resource that the run acquired and has not released."""
+        dispatcher = self.dispatcher
+        router = self.dispatcher.router
+        now_ms = self.now_ms()
+        calls = dispatcher.calls
+        connections = self.platform.connections
         for what, remaining in (
             ("open calls", len(dispatcher.pending_calls)),
             ("names", len(calls.pending_ids)),
@@ -175,7 +187,7 @@
             ("client connections", len(connections) + len(self.platform.unproven_connections)),
         ):
             self.checker.check_remaining(now_ms, what, remaining)
-        # Two timers are expected: the dispatcher's, and the one that this run itself sleeps on.
+        # Two timers are expected: the dispatcher's timer and the timer of this run's own sleep.
         self.checker.check_remaining(now_ms, "timers", self.loop.timer_count(), 2)
         counts = dispatcher.result_counts
         ends = counts["served"] + counts["rejected"] + counts["failed"] + counts["abandoned"]
--- a/cedarthread/testing/fuzzing/script.py
+++ b/cedarthread/testing/fuzzing/script.py
@@ -1,6 +1,7 @@
-"""Scripts of the call machine: each byte chooses the next step, and a step reads further bytes.
+"""The script language of the call machine: one byte selects a step, and the step reads further bytes.
 
-The order and the weights of ``STEPS`` are part of the corpus: a changed entry changes what every file means.
+The corpus depends on the order and the weights of ``STEPS``: a change of one entry changes the meaning of
+every corpus file.
 """
 
 from __future__ import annotations
@@ -11,11 +12,12 @@
 if TYPE_CHECKING:
     import random
 
-WORKER_COUNT, CLIENT_COUNT = 4, 3
+WORKER_COUNT = 4
+CLIENT_COUNT = 3
 
 
 class Step(Enum):
-    """What happens next."""
+    """A step of a script; ``script_steps`` implements each."""
 
     CALL = "call"
     ANSWER = "answer"
@@ -51,7 +53,7 @@
 }
 STEPS: tuple[Step, ...] = tuple(step for step, weight in _WEIGHTS.items() for _ in range(weight))
 
-# Bytes that a step reads after its own; one for a step that is not here.
+# The number of bytes that a step reads after the byte that selects it; 1 for a step that is not listed.
 _INPUT_BYTES = {
     Step.CALL: 6,
     Step.ANSWER: 5,
@@ -63,20 +65,23 @@
 
 
 class ThemeStep(NamedTuple):
-    """A step that a theme repeats, and the first bytes of its input."""
+    """A step that a theme repeats, and the first bytes that the step reads."""
 
     step: Step
     prefix: bytes = b""
 
 
-_STOP_READING, _READ_MORE = 3, 4  # cases of a worker fault, see ``WorkerSteps.fault``
+# Cases of the step WORKER_FAULT, as ``WorkerSteps.fault`` numbers them.
+_STOP_READING = 3
+_READ_MORE = 4
 
 
 def _worker_fault(worker: int, case: int) -> ThemeStep:
     return ThemeStep(Step.WORKER_FAULT, bytes((worker, case)))
 
 
-# What a generated script is mostly about.
+# Sets of steps from which a generated script is drawn: slow workers under bursts; the invoke API during a
+# shutdown; changes of the endpoint list; slow workers with pauses, so that attempts expire unsent.
 THEMES: tuple[tuple[ThemeStep, ...], ...] = (
     (
         *(
@@ -110,15 +115,16 @@
 
 
 def burst_size(first_byte: int) -> int:
-    """Calls of a burst, from the first byte of its input."""
+    """Return the number of calls in a burst, given the first byte that the step reads."""
     return 2 + first_byte % 12
 
 
 def generate_script(rng: random.Random) -> bytes:
-    """A script of up to some hundred bytes: all steps at random, or one theme."""
+    """Return a script of random bytes, or of the steps of one theme, up to some hundred bytes long."""
     if rng.random() < 0.35:
         return rng.randbytes(rng.choice((20, 60, 120)))
-    theme, script = rng.choice(THEMES), rng.randbytes(2)
+    theme = rng.choice(THEMES)
+    script = rng.randbytes(2)
     for _ in range(rng.choice((4, 10, 20))):
         step, prefix = rng.choice(theme)
         rest = rng.randbytes(_INPUT_BYTES.get(step, 1))
--- a/cedarthread/testing/fuzzing/script_steps.py
+++ b/cedarthread/testing/fuzzing/script_steps.py
@@ -1,4 +1,7 @@
-"""What each step of a script does: steps of clients, of workers, of discovery and of the process itself."""
+"""The implementation of each step of a script: of clients, of workers, of discovery and of the process.
+
+A step reads its parameters from the script; their order is part of the corpus.
+"""
 
 from __future__ import annotations
 
@@ -21,32 +24,38 @@
 BURST_TIMEOUT_MS = 3000
 BURST_CLASSES = (0, 0, 2, 1)
 PAUSES_MS = (0.0, 1.0, 5.0, 12.0, 40.0, 60.0, 250.0, 600.0, 1500.0, 3000.0)
-CUT_UNIT_BYTES = 7  # a call's message is cut after a multiple of it
-LOOP_ITERATIONS = 4  # that let all callbacks run which follow from each other at once
+CUT_UNIT_BYTES = 7  # a call's message is split after a multiple of this length
+LOOP_ITERATIONS = 4  # enough to run callbacks that schedule one another without a delay
 MALFORMED_REQUESTS = (b"\xc1", b"\x94\x00\xff", b"\x91" * 40, b"\x00" * 90)
 
 StepAction = Callable[[], None] | Callable[[], Awaitable[None]]
 
 
 class ClientSteps:
-    """Steps of platform clients and of callers of the invoke API."""
+    """The steps of platform clients and of callers of the invoke API; the owner of both.
+
+    Args:
+        router: The router that the clients connect to.
+        choices: The script.
+    """
 
     def __init__(self, router: RouterUnderTest, choices: FuzzedDataProvider) -> None:
-        self.router, self.choices = router, choices
-        self.clients: list[MemoryClient] = []  # all that there ever were
+        self.router = router
+        self.choices = choices
+        self.clients: list[MemoryClient] = []  # every client of the run, also the disconnected ones
         self.invoke_callers: list[InvokeCaller] = []
         self._current_clients: dict[int, MemoryClient] = {}
 
     def call(self) -> None:
-        """A client calls, perhaps with the message cut in two."""
-        choices, router = self.choices, self.router
-        client, class_index = (
-            self._client(),
-            choices.consume_byte() % len(router.raw_settings["classes"]),
-        )
+        """Send a call from a client, possibly split into two pieces."""
+        choices = self.choices
+        router = self.router
+        client = self._client()
+        class_index = choices.consume_byte() % len(router.raw_settings["classes"])
         timeout_ms = choices.pick(CALL_TIMEOUTS_MS)
         function = choices.pick(FUNCTIONS)
-        key, fields = router.next_call_key(), {}
+        key = router.next_call_key()
+        fields = {}
         if router.class_needs_key(class_index):
             fields["unique"] = f"u{key}"
         if choices.consume_byte() & 1:
@@ -57,24 +66,25 @@
             client.transport.peer_send(part)
 
     def burst(self) -> None:
-        """Clients make many calls at once."""
+        """Send many calls from several clients at the same time."""
         for _ in range(burst_size(self.choices.consume_byte())):
             client = self._client()
             class_index = self.choices.pick(BURST_CLASSES)
-            key, function = self.router.next_call_key(), self.choices.pick(FUNCTIONS)
+            key = self.router.next_call_key()
+            function = self.choices.pick(FUNCTIONS)
             fields = {"unique": key} if class_index == 1 else {}
             data = self._encode_call(client, key, class_index, function, BURST_TIMEOUT_MS, fields)
             client.transport.peer_send(data)
 
     def interrupt(self) -> None:
-        """A client stops waiting, perhaps for a call that has its answer."""
+        """Interrupt a call of a client; the router may have answered it already."""
         client = self._client()
         if client.pending_calls:
             number = self.choices.pick(list(client.pending_calls))
             client.transport.peer_send(client.encode_interrupt(number))
 
     def fault(self) -> None:
-        """A client disconnects, stops writing, stops or resumes reading, or sends what is no request."""
+        """Make a client disconnect, stop writing, stop or resume reading, or send a malformed request."""
         client = self._client()
         match self.choices.consume_byte() % 5:
             case 0:
@@ -90,7 +100,7 @@
                 client.transport.peer_send(self.choices.pick(MALFORMED_REQUESTS))
 
     def invoke_caller(self) -> None:
-        """A caller of the invoke API acts."""
+        """Let a caller of the invoke API perform an action."""
         index = self.choices.consume_byte() % len(CALLER_IDENTITIES)
         while len(self.invoke_callers) <= index:
             identity = CALLER_IDENTITIES[len(self.invoke_callers)]
@@ -98,7 +108,7 @@
         self.invoke_callers[index].act(self.choices)
 
     def _client(self) -> MemoryClient:
-        """One of the clients, connected."""
+        """Return a connected client, which replaces a disconnected one of the same index."""
         index = self.choices.consume_byte() % CLIENT_COUNT
         client = self._current_clients.get(index)
         if client is None or not client.can_send():
@@ -124,13 +134,19 @@
 
 
 class WorkerSteps:
-    """Steps of workers."""
+    """The steps of workers.
+
+    Args:
+        workers: The workers.
+        choices: The script.
+    """
 
     def __init__(self, workers: list[MemoryWorker], choices: FuzzedDataProvider) -> None:
-        self.workers, self.choices = workers, choices
+        self.workers = workers
+        self.choices = choices
 
     def answer(self) -> None:
-        """A worker answers a request that it holds, once or twice."""
+        """Let a worker answer one of its unanswered requests, once or twice."""
         if (held := self._pick_unanswered_request()) is None:
             return
         op = self.choices.pick(("HIT", "HIT", "HIT", "NONE", "SHED", "FAULT", "LATE"))
@@ -144,7 +160,7 @@
         held.link.worker.answer(held, op, fields, twice=self.choices.consume_byte() % 4 == 3)
 
     def answer_all(self) -> None:
-        """The workers answer all that they hold."""
+        """Let all workers answer all their unanswered requests."""
         for worker in self.workers:
             for held in worker.unanswered_requests():
                 fields = {"pods": 1} if held.attempt is None else {"remark": "hit"}
@@ -152,7 +168,7 @@
                     worker.answer(held, "HIT", fields)
 
     def bad_answer(self) -> None:
-        """A worker sends what is no answer, or a part of one."""
+        """Let a worker send a malformed or incomplete answer."""
         if (held := self._pick_unanswered_request()) is None:
             return
         message_id = held.message_id.encode()
@@ -169,7 +185,7 @@
         held.link.transport.peer_send(self.choices.pick(lines))
 
     def fault(self) -> None:
-        """A worker breaks its connections, refuses or hangs new ones, reads slowly, or is well again."""
+        """Make a worker break its connections, refuse or hang new ones, read slowly, or recover."""
         worker = self.choices.pick(self.workers)
         match self.choices.consume_byte() % 8:
             case 0:
@@ -181,7 +197,7 @@
                 worker.hangs_connections = True
             case 3:
                 worker.window_bytes = self.choices.consume_byte() * 2
-                for link in worker.links:  # it takes a part of the line at which it stops
+                for link in worker.links:  # so that the worker stops reading within a line
                     link.transport.peer_window_bytes = worker.window_bytes
             case 4:
                 more_bytes = self.choices.consume_byte()
@@ -190,7 +206,8 @@
             case 5 if worker.links:
                 self.choices.pick(worker.links).transport.peer_reset()
             case _:
-                worker.refuses_connections = worker.hangs_connections = False
+                worker.refuses_connections = False
+                worker.hangs_connections = False
                 worker.resume_reading()
 
     def _pick_unanswered_request(self) -> UnansweredRequest | None:
@@ -199,13 +216,19 @@
 
 
 class DiscoverySteps:
-    """Steps of the endpoint list."""
+    """The steps of discovery.
+
+    Args:
+        publisher: The publisher of the endpoint list.
+        choices: The script.
+    """
 
     def __init__(self, publisher: EndpointPublisher, choices: FuzzedDataProvider) -> None:
-        self.publisher, self.choices = publisher, choices
+        self.publisher = publisher
+        self.choices = choices
 
     def change_list(self) -> None:
-        """The list changes, and is delivered now, late, twice or out of order."""
+        """Change the endpoint list, publish it, deliver an earlier version again, or report a failure."""
         publisher = self.publisher
         worker = self.choices.pick(publisher.workers)
         match self.choices.consume_byte() % 6:
@@ -229,29 +252,37 @@
 
 
 class ProcessSteps:
-    """Steps of time and of the router's process."""
+    """The steps of time and of the router's process.
+
+    Args:
+        router: The router.
+        choices: The script.
+        stall_ms: The duration of the run's one stall; 0 for none.
+    """
 
     def __init__(self, router: RouterUnderTest, choices: FuzzedDataProvider, stall_ms: float) -> None:
-        self.router, self.choices, self.stall_ms = router, choices, stall_ms
+        self.router = router
+        self.choices = choices
+        self.stall_ms = stall_ms
         self._is_shutting_down = False
 
     async def pause(self) -> None:
-        """Time passes."""
+        """Let time pass."""
         await self.router.advance(self.choices.pick(PAUSES_MS))
 
     async def run_ready(self) -> None:
-        """All that is ready runs."""
+        """Run the callbacks that are ready, without letting time pass."""
         for _ in range(LOOP_ITERATIONS):
             await asyncio.sleep(0)
 
     def stall(self) -> None:
-        """The process stands still, once, for the time that the input's head chose."""
+        """Stall the process, at most once, for the time that the head of the script selects."""
         if self.stall_ms:
             self.router.loop.skip(self.stall_ms / 1000.0)
             self.stall_ms = 0.0
 
     def shut_down(self) -> None:
-        """SIGTERM, once, in the second half of the script."""
+        """Shut the router down as on SIGTERM, at most once and only in the second half of the script."""
         if not self._is_shutting_down and self.choices.position > len(self.choices.data) // 2:
             self._is_shutting_down = True
             self.router.begin_shutdown()
@@ -260,7 +291,7 @@
 def step_actions(
     clients: ClientSteps, workers: WorkerSteps, discovery: DiscoverySteps, process: ProcessSteps
 ) -> dict[Step, StepAction]:
-    """What each step does."""
+    """Return the action of each step; the caller awaits an action that returns an awaitable."""
     return {
         Step.CALL: clients.call,
         Step.ANSWER: workers.answer,
--- a/cedarthread/testing/fuzzing/settings.py
+++ b/cedarthread/testing/fuzzing/settings.py
@@ -1,4 +1,4 @@
-"""Settings for fuzzing, in the platform's form."""
+"""Settings for fuzzing, as the document that the platform writes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,12 @@
 
 
 def settings(*, preloads_on_miss: bool = False, supports_cancel: bool = True) -> dict[str, Any]:
-    """A copy. ``preloads_on_miss``: workers without an instance answer NONE, and the router preloads."""
+    """Return a new copy of the settings document.
+
+    Args:
+        preloads_on_miss: Whether a worker without an instance answers NONE, after which the router preloads.
+        supports_cancel: Whether workers accept the cancellation of an attempt.
+    """
     document = copy.deepcopy(BASE)
     document["limits"]["cancel"] = supports_cancel
     if preloads_on_miss:
--- a/cedarthread/testing/fuzzing/simulator_target.py
+++ b/cedarthread/testing/fuzzing/simulator_target.py
@@ -1,4 +1,4 @@
-"""The simulator's frames, answered by the host of many instances."""
+"""The fuzz target of the simulator's frames, which the host of many instances answers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     import random
 
-HEADER_BYTES = 16  # length, time and number of records
+HEADER_BYTES = 16  # frame length, time and number of records
 
 
 class SimulatorTarget(Target):
@@ -40,7 +40,7 @@
     byte_budget = Budget(4 * 2**20, 400)
 
     def generate(self, rng: random.Random) -> bytes:
-        """A frame with a start, a list of workers, and events of all kinds."""
+        """Return a frame with a start, a list of workers, and events of all kinds."""
         settings = json.dumps(drawn_settings.settings(preloads_on_miss=rng.random() < 0.3)).encode()
         records = [b"\x0d" + struct.pack("<I", 3), b"\x01" + struct.pack("<QI", 7, len(settings)) + settings]
         workers = [
@@ -54,8 +54,10 @@
         return self.frame(rng.choice((0.0, 1000.0, 1e308)), len(records), b"".join(records))
 
     def _event(self, rng: random.Random) -> bytes:
-        number, time_ms = rng.choice((0, 1, 2, 2**32 - 1)), rng.choice((*EDGE_FLOATS, 100.0, 1e6))
-        class_index, key = rng.choice((0, 1, 2, 9)), rng.choice((5, 2**40 - 1, 2**64 - 1))
+        number = rng.choice((0, 1, 2, 2**32 - 1))
+        time_ms = rng.choice((*EDGE_FLOATS, 100.0, 1e6))
+        class_index = rng.choice((0, 1, 2, 9))
+        key = rng.choice((5, 2**40 - 1, 2**64 - 1))
         outcome = rng.choice((200, 502, 429, 408, 521, 520, 444, 409, 204, 7))
         small = rng.choice((0.0, 1.0, NOT_A_NUMBER, INFINITY))
         return rng.choice(
@@ -76,19 +78,20 @@
         )
 
     def frame(self, now_ms: float, count: int, body: bytes) -> bytes:
-        """A frame with its header."""
+        """Return a frame with its header."""
         return struct.pack("<IdI", HEADER_BYTES + len(body), now_ms, count) + body
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Bytes; mostly the frame's own length stays right."""
+        """Return the frame with changed bytes, in most cases with a corrected frame length."""
         changed = mutate_bytes(data, rng)
         if rng.random() < 0.85 and len(changed) >= HEADER_BYTES:
             changed = struct.pack("<I", len(changed)) + changed[4:]
         return changed
 
     def check(self, data: bytes) -> None:
-        """Answered with a complete frame, or rejected by ``SimulatorProtocolError`` alone."""
-        host, source = simulator_host.SimulatorHost(), io.BytesIO(data)
+        """Check that the host replies with complete frames, or rejects with ``SimulatorProtocolError``."""
+        host = simulator_host.SimulatorHost()
+        source = io.BytesIO(data)
         try:
             while (frame := simulator_host.read_frame(source)) is not None:
                 reply = host.handle_frame(frame)
--- a/cedarthread/testing/fuzzing/small_models.py
+++ b/cedarthread/testing/fuzzing/small_models.py
@@ -1,6 +1,6 @@
-"""Small models of a router's surroundings: a few calls and workers, and events that happen in any order.
+"""Small models of a router's environment: a few calls and workers, and events that occur in any order.
 
-Dispatcher and router are the real ones, on a virtual clock; workers do only what an event says.
+Dispatcher and router are the production classes on a virtual clock. A worker acts only when an event occurs.
 """
 
 from __future__ import annotations
@@ -34,29 +34,29 @@
     from cedarthread.testing.fuzzing.virtual_loop import VirtualLoop
 
 FUNCTION_ID = 7
-LOOP_ITERATIONS = 4  # that let all callbacks run which follow from an event at once
-INTERNAL_DEADLINE_SHARE = 0.9  # of a client's timeout, by which the dispatcher must answer
-WAIT_S = 0.6  # of the event WAIT
-SHUTDOWN_MS = 700.0  # from the event SHUTDOWN until all calls must have their answer
-LOAD_MS = 50.0  # that a preload took
+LOOP_ITERATIONS = 4  # enough to run every callback that an event schedules without a delay
+INTERNAL_DEADLINE_SHARE = 0.9  # share of a client's timeout within which the dispatcher must answer
+WAIT_S = 0.6  # duration of the event WAIT
+SHUTDOWN_MS = 700.0  # from the event SHUTDOWN until every call must be answered
+LOAD_MS = 50.0  # reported duration of a preload
 
 
 class Event(Enum):
-    """What may happen; the value is how counterexamples name it."""
+    """An event of a model; counterexamples print the value."""
 
-    CALL = "call"  # the next call of the model is submitted
-    SERVED = "hit"  # a worker answers an attempt, as with the next four
+    CALL = "call"  # a client submits the next call of the model
+    SERVED = "hit"  # an attempt ends with this outcome; the same for the next four
     OVERLOADED = "full"
     FAILED = "fault"
     RESET = "reset"
     NOT_LOADED = "miss"
-    LATE_ANSWER = "late"  # to a cancelled attempt: it must count for nothing
+    LATE_ANSWER = "late"  # a worker answers a cancelled attempt, which the router must ignore
     PRELOADED = "loaded"
     PRELOAD_REJECTED = "unloaded"
-    CRASH = "death"  # of a worker
+    CRASH = "death"  # a worker crashes and is unreachable from then on
     DRAIN = "drain"
     READY = "ready"
-    ABANDON = "leave"  # a client goes
+    ABANDON = "leave"  # a client disconnects
     SHUTDOWN = "end"
     WAIT = "wait"
 
@@ -70,25 +70,25 @@
 
 
 class EventChoice(NamedTuple):
-    """An event, and the place of the call, attempt or worker that it is about among those that it may be."""
+    """An event and its subject: the index of a call, attempt or worker among the candidates for the event."""
 
     event: Event
     subject: int
 
     def __str__(self) -> str:
-        """The choice, as counterexamples have it."""
+        """Return the choice as counterexamples print it."""
         return str((self.event.value, self.subject))
 
 
 @dataclass(frozen=True, slots=True)
 class SmallModel:
-    """A model, and the number of states that it has."""
+    """A model: its calls, workers and events, and the known number of its states."""
 
     name: str
-    calls: tuple[int, ...]  # by class
+    calls: tuple[int, ...]  # the class index of each call
     workers: int
-    events: tuple[Event, ...]  # each happens once at most; one may be listed more than once
-    expected_states: int  # another number is a finding
+    events: tuple[Event, ...]  # each entry occurs at most once; an event may have several entries
+    expected_states: int  # exploring reports any other number as a fault
     preloads_on_miss: bool = False
     call_timeout_ms: float = 2000.0
 
@@ -130,13 +130,21 @@
 
 
 class ScriptedTransport:
-    """A worker transport: an attempt reaches its worker at once and stays until an event ends it."""
+    """A worker transport: an attempt reaches its worker at once and stays in flight until an event ends it.
+
+    Args:
+        dispatcher: The dispatcher that is notified when an attempt ends.
+        checker: The checker that records the attempts and preloads.
+        loop: The virtual loop that provides the clock.
+    """
 
     def __init__(self, dispatcher: Dispatcher, checker: InvariantChecker, loop: VirtualLoop) -> None:
-        self.dispatcher, self.checker, self.now_ms = dispatcher, checker, loop.unix_ms
+        self.dispatcher = dispatcher
+        self.checker = checker
+        self.now_ms = loop.unix_ms
         self.in_flight: dict[Attempt, AttemptRecord] = {}
         self.cancelled: list[Attempt] = []
-        self.preloads: list[tuple[int, int]] = []  # worker and function, the oldest first
+        self.preloads: list[tuple[int, int]] = []  # worker and function, oldest first
         self.crashed_workers: set[int] = set()
 
     def send(self, attempt: Attempt) -> None:
@@ -151,10 +159,10 @@
         )
 
     def refresh_progress(self, attempt: Attempt) -> None:
-        """Progress never changes here."""
+        """Do nothing because an attempt's progress never changes after ``send``."""
 
     def withdraw_unsent(self, attempt: Attempt) -> None:
-        """Every attempt is sent at once."""
+        """Do nothing because ``send`` sends every attempt at once."""
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt."""
@@ -164,7 +172,7 @@
         self.dispatcher.attempt_ended(attempt, AttemptResult(Outcome.CANCELLED))
 
     def end(self, attempt: Attempt, outcome: Outcome, body: bytes = b"") -> None:
-        """A worker's answer, or the end of its connection."""
+        """End an attempt with the worker's answer or with the loss of its connection."""
         is_not_executed = outcome in (Outcome.OVERLOADED, Outcome.NOT_LOADED)
         self.checker.on_attempt_ended(self.in_flight.pop(attempt), not is_not_executed)
         self.dispatcher.attempt_ended(attempt, AttemptResult(outcome, body))
@@ -175,17 +183,18 @@
         self.preloads.append((worker_id, function_id))
 
     def unload(self, worker_id: int, function_id: int) -> None:
-        """No worker here has instances."""
+        """Do nothing because the model has no instances."""
 
     def close_idle_connections(self, worker_id: int) -> None:
-        """There are no connections."""
+        """Do nothing because the model has no connections."""
 
 
 class ModelRun:
-    """A model after some events."""
+    """One run of a model, in the state after the events that were applied to it."""
 
     def __init__(self, model: SmallModel, loop: VirtualLoop) -> None:
-        self.model, self.loop = model, loop
+        self.model = model
+        self.loop = loop
         self.raw_settings = drawn_settings.settings(preloads_on_miss=model.preloads_on_miss)
         self.checker = InvariantChecker(invariant_limits(self.raw_settings, 0.0))
         self.dispatcher = Dispatcher(settings_from_object(self.raw_settings), 3, clock=loop.unix_ms)
@@ -210,7 +219,7 @@
         self.dispatcher.endpoints_changed(EndpointUpdate(kind, self.list_version, endpoints))
 
     def enabled_choices(self) -> list[EventChoice]:
-        """What can happen next."""
+        """Return the events that are possible in this state, with each of their subjects."""
         choices: list[EventChoice] = []
         if len(self.calls) < len(self.model.calls):
             choices.append(EventChoice(Event.CALL, len(self.calls)))
@@ -233,7 +242,7 @@
         return 1
 
     async def apply(self, choice: EventChoice) -> None:
-        """Let an event happen, and all that follows from it at once."""
+        """Apply an event, and run every callback that it schedules without a delay."""
         if choice.event is Event.CALL:
             self._submit_call(choice.subject)
         else:
@@ -243,7 +252,9 @@
             await asyncio.sleep(0)
 
     def _submit_call(self, number: int) -> None:
-        class_index, call_id, now_ms = self.model.calls[number], f"c{number}", self.loop.unix_ms()
+        class_index = self.model.calls[number]
+        call_id = f"c{number}"
+        now_ms = self.loop.unix_ms()
         timeout_ms = self.model.call_timeout_ms
         guarantees = call_guarantees(self.raw_settings, class_index)
         self.checker.on_call_submitted(now_ms, call_id, guarantees, now_ms + timeout_ms)
@@ -259,7 +270,8 @@
         self.dispatcher.submit(call)
 
     async def _apply_event(self, event: Event, subject: int) -> None:
-        transport, dispatcher = self.transport, self.dispatcher
+        transport = self.transport
+        dispatcher = self.dispatcher
         match event:
             case Event.SERVED:
                 attempt = list(transport.in_flight)[subject]
@@ -301,7 +313,7 @@
                 self.transport.end(attempt, Outcome.RESET)
 
     async def run_to_end(self) -> None:
-        """Let all time pass, and check that nothing remains."""
+        """Let every deadline pass, end what is in flight, and check that no resource is left over."""
         await asyncio.sleep(self.model.call_timeout_ms / 1000.0 + 0.2)
         self.checker.check_all_answered(self.loop.unix_ms())
         for attempt in list(self.transport.in_flight):
@@ -312,7 +324,9 @@
         self._check_nothing_remains()
 
     def _check_nothing_remains(self) -> None:
-        dispatcher, router, now_ms = self.dispatcher, self.dispatcher.router, self.loop.unix_ms()
+        dispatcher = self.dispatcher
+        router = self.dispatcher.router
+        now_ms = self.loop.unix_ms()
         calls = dispatcher.calls
         open_calls = len(dispatcher.pending_calls) + len(calls.pending_ids) + len(calls.completing)
         requests = len(router.pending_requests) + len(router.queued_requests) + len(router.orphaned_attempts)
@@ -324,8 +338,9 @@
         self.checker.check_remaining(now_ms, "loads in the decisions", loads)
 
     def digest(self) -> bytes:
-        """The state: dispatcher, router, what is in flight and what may still happen."""
-        transport, dispatcher = self.transport, self.dispatcher
+        """Return a digest of the dispatcher, the router, what is in flight and the remaining events."""
+        transport = self.transport
+        dispatcher = self.dispatcher
         return state_digest(
             dispatcher.router.state,
             dispatcher.pending_calls,
--- a/cedarthread/testing/fuzzing/state_digest.py
+++ b/cedarthread/testing/fuzzing/state_digest.py
@@ -1,4 +1,4 @@
-"""A digest of a router's state: alike for states that behave alike."""
+"""A digest of a router's state, which is equal for states with equal behaviour."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from cedarthread.routing.overload import OverloadEstimator
 from cedarthread.routing.zone_reachability import ZoneReachability
 
-MAX_DEPTH = 12  # of nested values, past which they are taken for equal
-DIGITS = 6  # to which floats are compared
+MAX_DEPTH = 12  # nesting depth beyond which values count as equal
+DIGITS = 6  # decimal places to which floats are compared
 DIGEST_BYTES = 12
 
-# Fields that tell no two states apart: counters, logs, callbacks, references back, and settings.
+# Fields that do not distinguish states: counters, logs, callbacks, back references and settings.
 SKIPPED_FIELDS = {"token", "serial", "actions", "settings", "logs", "call", "on_result"}
-# Counts that follow from the attempts in flight.
+# Counts that the attempts in flight determine.
 SKIPPED_FIELDS_BY_CLASS: dict[type, set[str]] = {
     OverloadEstimator: {"in_flight"},
     ZoneReachability: {"in_flight"},
@@ -27,14 +27,14 @@
 
 
 def state_digest(*parts: Any) -> bytes:
-    """A digest of some values."""
+    """Return a digest of the values."""
     return hashlib.blake2b(
         repr([canonical(part) for part in parts]).encode(), digest_size=DIGEST_BYTES
     ).digest()
 
 
 def canonical(value: Any, depth: int = 0) -> Any:
-    """A value as nested tuples, without object identities and skipped fields."""
+    """Return a value as nested tuples, without object identities and skipped fields."""
     if depth > MAX_DEPTH:
         return "deep"
     if isinstance(value, random.Random):
--- a/cedarthread/testing/fuzzing/stream_target.py
+++ b/cedarthread/testing/fuzzing/stream_target.py
@@ -1,4 +1,7 @@
-"""What targets that are connections share: the same comes out however the bytes are cut."""
+"""The base class of targets with a stream as their input, and their shared helpers.
+
+A connection must produce the same output however the input stream is split into pieces.
+"""
 
 from __future__ import annotations
 
@@ -21,10 +24,17 @@
 
 
 class EchoTransport:
-    """A worker transport that serves each call with its own body, in the loop's next iteration."""
+    """A worker transport that answers each call with the call's own body in the loop's next iteration.
+
+    Args:
+        dispatcher: The dispatcher that is notified when an attempt ends.
+        loop: The loop.
+    """
 
     def __init__(self, dispatcher: Dispatcher, loop: VirtualLoop) -> None:
-        self.dispatcher, self.loop, self.sent_count = dispatcher, loop, 0
+        self.dispatcher = dispatcher
+        self.loop = loop
+        self.sent_count = 0
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt."""
@@ -35,27 +45,27 @@
         )
 
     def refresh_progress(self, attempt: Attempt) -> None:
-        """Progress never changes here."""
+        """Do nothing because an attempt's progress never changes after ``send``."""
 
     def withdraw_unsent(self, attempt: Attempt) -> None:
-        """Every attempt is sent at once."""
+        """Do nothing because ``send`` sends every attempt at once."""
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt."""
         self.dispatcher.attempt_ended(attempt, AttemptResult(Outcome.CANCELLED))
 
     def preload(self, worker_id: int, function_id: int, instances: int) -> None:
-        """Not used here."""
+        """Ignore the request."""
 
     def unload(self, worker_id: int, function_id: int) -> None:
-        """Not used here."""
+        """Ignore the request."""
 
     def close_idle_connections(self, worker_id: int) -> None:
-        """Not used here."""
+        """Ignore the request."""
 
 
 def dispatcher_with_echo(loop: VirtualLoop) -> tuple[Dispatcher, Flusher, EchoTransport]:
-    """A dispatcher whose calls are all served."""
+    """Return a dispatcher with two workers that answer every call, its flusher and its transport."""
     dispatcher = Dispatcher(settings_from_object(drawn_settings.settings()), 1, clock=loop.unix_ms)
     flusher = Flusher()
     dispatcher.flush_output = flusher.flush_all
@@ -67,10 +77,12 @@
 
 
 def cut_into_pieces(data: bytes, seed: int) -> list[bytes]:
-    """The data in pieces whose lengths follow from the seed; seed 0 leaves it in one."""
+    """Return the data in pieces of lengths that the seed determines; seed 0 gives one piece."""
     if seed == 0:
         return [data]
-    rng, pieces, position = random.Random(seed), [], 0
+    rng = random.Random(seed)
+    pieces = []
+    position = 0
     while position < len(data):
         size = rng.choice((1, 2, 7, 40, 1000))
         pieces.append(data[position : position + size])
@@ -79,7 +91,7 @@
 
 
 async def feed(transport: MemoryTransport, data: bytes, seed: int) -> None:
-    """Send data in pieces, with the loop running between them, and let all answers come."""
+    """Send data in pieces, run the loop between them, and wait until all answers have arrived."""
     for piece in cut_into_pieces(data, seed):
         transport.peer_send(piece)
         await asyncio.sleep(0)
@@ -88,18 +100,27 @@
 
 
 class StreamTarget(Target):
-    """A connection. The input's first byte says how the rest is cut; the same comes out however it is."""
+    """A target that feeds the input to a connection in one piece and in several, and compares the outputs.
+
+    The first byte of the input is the seed of the split; the rest is the stream.
+    """
 
     line_budget = Budget(200_000, 3000)
     byte_budget = Budget(4 * 2**20, 400)
     test_runs = 150
 
     async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> Any:
-        """What comes out, in a form that can be compared."""
+        """Feed a stream to a new connection and return its output in a comparable form.
+
+        Args:
+            loop: The virtual loop.
+            data: The stream.
+            seed: The seed of the split; 0 for one piece.
+        """
         raise NotImplementedError
 
     def check(self, data: bytes) -> None:
-        """The same comes out in one piece and cut."""
+        """Check that the output is equal for the stream in one piece and in several."""
         outputs: list[Any] = []
         for seed in (0, 1 + data[0] if data else 1):
 
@@ -112,11 +133,11 @@
         require(outputs[0] == outputs[1], f"whole {str(outputs[0])[:150]}, cut {str(outputs[1])[:150]}")
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Mostly the stream; now and then how it is cut."""
+        """Return the input with a changed stream or, in some cases, with another split."""
         if not data or rng.random() < 0.1:
             return rng.randbytes(1) + data[1:]
         return data[:1] + self.mutate_stream(data[1:], rng)
 
     def mutate_stream(self, data: bytes, rng: random.Random) -> bytes:
-        """The stream, changed."""
+        """Return a mutation of the stream."""
         return mutate_bytes(data, rng)
--- a/cedarthread/testing/fuzzing/target.py
+++ b/cedarthread/testing/fuzzing/target.py
@@ -1,6 +1,6 @@
-"""What every target is: bytes in, a finding out, and ways to generate and to change an input.
+"""The base class of every fuzz target, and the function that runs one input through a target.
 
-An input is always bytes, so that a corpus file is an input and any change of one is an input too.
+An input is always bytes, so that each corpus file is an input, and each mutation of an input is an input too.
 """
 
 from __future__ import annotations
@@ -20,53 +20,62 @@
 
 
 class FuzzedDataProvider:
-    """Choices read from an input's bytes, like libFuzzer's class of this name; past the end, all zero."""
+    """A reader that turns an input's bytes into choices, like libFuzzer's class of this name.
+
+    Every byte past the end of the input reads as zero.
+    """
 
     def __init__(self, data: bytes) -> None:
         self.data = data
         self.position = 0
 
     def has_more(self) -> bool:
-        """Whether a byte is left."""
+        """Return whether the input has an unread byte."""
         return self.position < len(self.data)
 
     def consume_byte(self) -> int:
-        """The next byte, 0 past the end."""
+        """Return the next byte, or 0 past the end of the input."""
         self.position += 1
         return self.data[self.position - 1] if self.position <= len(self.data) else 0
 
     def pick(self, options: Sequence[T]) -> T:
-        """One of the options."""
+        """Return the option that the next byte selects."""
         return options[self.consume_byte() % len(options)]
 
     def consume_uint16(self) -> int:
-        """The next two bytes, the high one first."""
+        """Return the next two bytes as a number, in big-endian order."""
         return self.consume_byte() << 8 | self.consume_byte()
 
 
 class Target:
-    """One parser or machine under test. ``check`` raises ``Finding``, or lets an exception pass."""
+    """One parser or state machine under test.
+
+    ``check`` reports a fault by raising ``Finding``, or by letting the program's own exception pass.
+    """
 
     name = ""
-    modules: tuple[str, ...] = ()  # whose coverage counts
-    line_budget = Budget(20_000, 400)  # lines of the program that one input may run
-    byte_budget = Budget(2**20, 200)  # bytes of memory that one input may take at its peak
-    test_runs = 400  # generated inputs in the tests
+    modules: tuple[str, ...] = ()  # the modules that the coverage report lists
+    line_budget = Budget(20_000, 400)  # lines of the program that one input may execute
+    byte_budget = Budget(2**20, 200)  # peak bytes of memory that one input may allocate
+    test_runs = 400  # number of generated inputs that the tests check
 
     def generate(self, rng: random.Random) -> bytes:
-        """An input that the grammar allows, or nearly."""
+        """Return a generated input that is valid or nearly valid."""
         raise NotImplementedError
 
     def check(self, data: bytes) -> None:
-        """Check one input; whatever this raises is a finding."""
+        """Check one input; every exception that this method raises is a finding."""
         raise NotImplementedError
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """The input, changed."""
+        """Return a mutation of the input."""
         return mutate_bytes(data, rng)
 
     def next_input(self, rng: random.Random, corpus: Sequence[bytes]) -> bytes:
-        """The next input of a plain run: a generated one, or a mutation of one or of a corpus input."""
+        """Return the next input of an unguided run.
+
+        The input is a generated one, a mutation of a generated one, or a mutation of a corpus input.
+        """
         if not corpus or rng.random() < 0.5:
             data = self.generate(rng)
             return data if rng.random() < 0.6 else self.mutate(data, rng)
@@ -77,7 +86,7 @@
 
 
 class _LoggedFailures(logging.Handler):
-    """Records what the program logged with an exception."""
+    """A log handler that records the messages that the program logged with an exception."""
 
     def __init__(self) -> None:
         super().__init__(logging.ERROR)
@@ -89,9 +98,19 @@
 
 
 def verdict(target: Target, data: bytes, *, metered: bool = False) -> str | None:
-    """What is wrong with the program on this input; None where it did as it must."""
-    failures, logger = _LoggedFailures(), logging.getLogger(PACKAGE)
-    level, propagates = logger.level, logger.propagate
+    """Run one input through a target and return the fault that it shows, or None if it shows none.
+
+    An error that the program logs with an exception is a fault too.
+
+    Args:
+        target: The target that checks the input.
+        data: The input.
+        metered: Whether to enforce the target's budgets of executed lines and of memory.
+    """
+    failures = _LoggedFailures()
+    logger = logging.getLogger(PACKAGE)
+    level = logger.level
+    propagates = logger.propagate
     logger.addHandler(failures)
     logger.setLevel(logging.ERROR)
     logger.propagate = False
--- a/cedarthread/testing/fuzzing/targets.py
+++ b/cedarthread/testing/fuzzing/targets.py
@@ -1,4 +1,4 @@
-"""All targets, in one place. A new parser or machine joins by a line here."""
+"""The list of all fuzz targets. A new target is added to ``ALL_TARGETS``."""
 
 from __future__ import annotations
 
@@ -43,5 +43,5 @@
 
 
 def targets_by_name() -> dict[str, Target]:
-    """A target of each kind, by its name."""
+    """Return a new instance of every target, by the target's name."""
     return {target.name: target() for target in ALL_TARGETS}
--- a/cedarthread/testing/fuzzing/virtual_loop.py
+++ b/cedarthread/testing/fuzzing/virtual_loop.py
@@ -1,4 +1,7 @@
-"""An event loop whose time moves only when nothing is left to do, and connections made of memory."""
+"""An event loop on virtual time, and connections in memory.
+
+Time advances only when no callback is ready.
+"""
 
 from __future__ import annotations
 
@@ -8,22 +11,26 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
 
-START_TIME_S = 1_000_000.0  # s: loop time at the start, as a Unix time
+START_TIME_S = 1_000_000.0  # loop time at the start, which is also a Unix time
 
 
 class StuckError(Exception):
-    """Nothing is ready, no timer is set, and the run is not over."""
+    """The run cannot continue: no callback is ready and no timer is set."""
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """Runs callbacks at once and timers in the order of their times, each late by ``jitter`` seconds."""
+    """An event loop that advances its clock to the next timer instead of waiting.
+
+    ``jitter`` returns the delay of each timer in seconds. ``dial`` opens the connections of
+    ``create_connection``. ``failures`` lists the errors that reached the loop's exception handler.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self._now = START_TIME_S
-        self._selector = self  # BaseEventLoop asks it for events, with the time till the next timer
+        self._selector = self  # BaseEventLoop calls ``select`` with the time until the next timer
         self.jitter: Callable[[], float] = lambda: 0.0
-        self.failures: list[str] = []  # reported to the loop's exception handler
+        self.failures: list[str] = []
         self.dial: Callable[[Any, str, int], MemoryTransport] | None = None
         self.set_exception_handler(self._on_failure)
 
@@ -31,21 +38,25 @@
         self.failures.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     def time(self) -> float:
-        """Seconds."""
+        """Return the virtual time in seconds."""
         return self._now
 
     def unix_ms(self) -> float:
-        """The same clock in Unix ms, as the dispatcher reads it."""
+        """Return the virtual time in Unix milliseconds, the unit of the dispatcher's clock."""
         return self._now * 1000.0
 
-    def call_at(  # type: ignore[override]  # any callback
+    def call_at(  # type: ignore[override]  # the base class types its callback
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.TimerHandle:
-        """As asyncio's, but the timer may be late."""
+        """Set a timer that may expire late, by ``jitter``."""
         return super().call_at(when + self.jitter(), callback, *args, context=context)
 
     def select(self, timeout: float | None) -> list[Any]:
-        """Let time pass."""
+        """Advance the clock by the time until the next timer.
+
+        Raises:
+            StuckError: No timer is set.
+        """
         if timeout is None:
             raise StuckError("nothing is left to do")
         self._now += max(0.0, timeout)
@@ -58,21 +69,25 @@
         pass
 
     def skip(self, seconds: float) -> None:
-        """Let time pass in which nothing runs, as in a process that is stopped."""
+        """Advance the clock without running a callback, as if the process were stopped."""
         self._now += seconds
 
     def timer_count(self) -> int:
-        """Timers that are set and not cancelled."""
+        """Return the number of timers that are set and not cancelled."""
         scheduled: list[asyncio.TimerHandle] = getattr(self, "_scheduled")  # noqa: B009
         return sum(not handle.cancelled() for handle in scheduled)
 
     async def create_connection(
         self, protocol_factory: Any, host: Any = None, port: Any = None, **_: Any
     ) -> Any:
-        """A connection in memory, as ``dial`` says; OSError where it refuses."""
+        """Open a connection in memory with ``dial``.
+
+        Raises:
+            OSError: The peer refuses or resets the connection.
+        """
         assert self.dial is not None
         transport = self.dial(protocol_factory, str(host), int(port))
-        while transport.never_connects:  # nobody answers: the caller's own time limit ends this
+        while transport.never_connects:  # until the caller's own timeout cancels this
             await asyncio.sleep(1.0)
         await asyncio.sleep(0)
         if transport.is_closing():
@@ -82,7 +97,7 @@
 
 
 def run_virtual(work: Callable[[VirtualLoop], Coroutine[Any, Any, None]]) -> VirtualLoop:
-    """Run one coroutine to its end in virtual time; the loop, closed, for its figures."""
+    """Run one coroutine to its end in virtual time, and return the closed loop with its failures."""
     loop = VirtualLoop()
     try:
         loop.run_until_complete(work(loop))
@@ -95,17 +110,18 @@
 
 
 class Write(NamedTuple):
-    """Bytes that the program handed to a transport: from which byte of the stream on, and when (Unix ms)."""
+    """One write of the program to a transport: the position in the stream and the time in Unix ms."""
 
     first_byte: int
     at_ms: float
 
 
 class MemoryTransport(asyncio.Transport):
-    """The program's end of a connection. The peer accepts ``peer_window_bytes`` bytes, None for any number.
+    """The program's end of a connection in memory, with methods that act as the peer (``peer_*``).
 
-    Accepted bytes reach ``on_bytes`` at once; others stay in the write buffer, as with a real socket whose
-    peer has stopped reading. ``peer_send``, ``peer_accept`` and ``peer_reset`` are what the peer does.
+    The peer accepts ``peer_window_bytes`` further bytes, or any number if the window is None. Accepted bytes
+    are passed to ``on_bytes`` at once. Other bytes stay in the write buffer, as with a socket whose peer has
+    stopped reading. ``on_close`` is called when either end has closed the connection.
     """
 
     def __init__(self, loop: VirtualLoop) -> None:
@@ -122,34 +138,37 @@
         self._write_buffer = bytearray()
         self._in: list[bytes] = []
         self._high_water_bytes = 64 * 1024
-        self._is_writing_paused = self._is_reading_paused = self._is_closing = self._is_lost = False
+        self._is_writing_paused = False
+        self._is_reading_paused = False
+        self._is_closing = False
+        self._is_lost = False
         self._is_peer_eof = False
 
     def connect(self, protocol: Any) -> None:
-        """The connection is up."""
+        """Attach the program's protocol and notify it that the connection is open."""
         self.protocol = protocol
         protocol.connection_made(self)
 
-    # The peer's side.
+    # Actions of the peer.
 
     def peer_send(self, data: bytes) -> None:
-        """The peer sends bytes."""
+        """Send bytes from the peer to the program."""
         if data and not self._is_closing:
             self._in.append(data)
             self.deliver()
 
     def peer_send_eof(self) -> None:
-        """The peer writes no more."""
+        """Close the peer's end for writing."""
         self._is_peer_eof = True
         self.deliver()
 
     def peer_reset(self) -> None:
-        """The peer resets the connection: what it had not taken is lost."""
+        """Reset the connection from the peer; bytes that the peer has not accepted are lost."""
         self._write_buffer.clear()
         self._end(ConnectionResetError("reset by peer"))
 
     def peer_accept(self, more_bytes: int | None) -> None:
-        """The peer accepts so many more bytes; None: all from now on."""
+        """Accept this many further bytes at the peer, or all bytes from now on if None."""
         self.peer_window_bytes = (
             more_bytes
             if more_bytes is None or self.peer_window_bytes is None
@@ -158,7 +177,11 @@
         self._flush()
 
     def deliver(self, *, paused: bool = False) -> None:
-        """The program reads what the peer has sent; ``paused``: also while it has paused reading."""
+        """Pass the bytes that the peer has sent to the program's protocol.
+
+        Args:
+            paused: Whether to pass them even while the program has paused reading.
+        """
         while self._in and (paused or not self._is_reading_paused) and not self._is_closing:
             data = self._in.pop(0)
             buffer = self.protocol.get_buffer(-1)
@@ -182,10 +205,10 @@
             if not self.protocol.eof_received():
                 self.close()
 
-    # What protocols use.
+    # The asyncio.Transport interface, which protocols use.
 
     def write(self, data: Any) -> None:
-        """Write; what the peer does not accept is buffered."""
+        """Write bytes; those that the peer does not accept are buffered."""
         if self._is_lost or self.sent_eof:
             return
         self.writes.append(Write(self._written_bytes, self.loop.unix_ms()))
@@ -215,44 +238,44 @@
             self._end(None)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """As asyncio's."""
+        """Set the buffered size in bytes above which the protocol must pause writing."""
         self._high_water_bytes = 64 * 1024 if high is None else high
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the peer has not accepted yet."""
+        """Return the number of bytes that the peer has not accepted yet."""
         return len(self._write_buffer)
 
     def pause_reading(self) -> None:
-        """Read no more for now."""
+        """Pause reading."""
         self._is_reading_paused = True
 
     def resume_reading(self) -> None:
-        """Read again."""
+        """Resume reading in the next iteration of the loop."""
         if self._is_reading_paused and not self._is_closing:
             self._is_reading_paused = False
             self.loop.call_soon(self.deliver)
 
     def is_closing(self) -> bool:
-        """Whether it is closed, or about to be."""
+        """Return whether the transport is closed or closing."""
         return self._is_closing
 
     def can_write_eof(self) -> bool:
-        """Yes."""
+        """Return True."""
         return True
 
     def write_eof(self) -> None:
-        """No more will be written."""
+        """Close the program's end for writing."""
         self.sent_eof = True
 
     def close(self) -> None:
-        """Close once all is written."""
+        """Close the connection once the peer has accepted all buffered bytes."""
         if not self._is_closing:
             self._is_closing = True
             if not self._write_buffer:
                 self._end(None)
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once; buffered bytes are lost."""
         self._write_buffer.clear()
         self._end(None)
 
@@ -265,5 +288,5 @@
                 self.loop.call_soon(self.protocol.connection_lost, error)
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Nothing is known here."""
+        """Return the default because a connection in memory has no such information."""
         return default
--- a/cedarthread/testing/fuzzing/worker_lines_target.py
+++ b/cedarthread/testing/fuzzing/worker_lines_target.py
@@ -1,4 +1,4 @@
-"""The lines that a worker sends."""
+"""The fuzz target of the lines that a worker sends."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class _Ending(NamedTuple):
-    """How a request ended."""
+    """The end of a request."""
 
     message_id: str
     outcome: str
@@ -38,56 +38,59 @@
 
 
 class _RecordingTransport:
-    """Records what a worker's connection tells the owner of its pool."""
+    """A pool owner and dispatcher that records the notifications of a worker connection."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.settings = settings_from_object(drawn_settings.settings())
-        self.flusher, self.dispatcher = Flusher(), self
+        self.flusher = Flusher()
+        self.dispatcher = self
         self.clock = loop.unix_ms
         self.endings: list[_Ending] = []
-        self.bad_numbers: list[str] = []  # reported later: the connection catches every exception
+        self.bad_numbers: list[
+            str
+        ] = []  # reported at the end, because the connection catches every exception
 
     def _check_number(self, what: str, value: float, limit: float) -> None:
-        if not abs(value) <= limit:  # also where it is not a number
+        if not abs(value) <= limit:  # true for NaN too
             self.bad_numbers.append(f"{what} of {value}")
 
     def may_start_attempt(self, attempt: Attempt) -> bool:
-        """The client is still there."""
+        """Return True because no client disconnects."""
         return True
 
     def may_send(self) -> bool:
-        """Nothing is held back."""
+        """Return True because sending is never suspended."""
         return True
 
     def may_preload(self, worker_id: int) -> bool:
-        """The worker is ready."""
+        """Return True because the worker is ready."""
         return True
 
     def on_first_byte(self, request: Attempt | PendingPreload) -> None:
-        """Its line begins to leave."""
+        """Ignore that the first byte of a request's line is written."""
 
     def count_attempt_written(self, attempt: Attempt) -> None:
-        """Its line is written."""
+        """Ignore that an attempt's line is written."""
 
     def on_call_response(self, attempt: Attempt, ending: AttemptResult) -> None:
-        """An answer."""
+        """Record the answer to an attempt and check the numbers in it."""
         for value in ending.load_report:
             self._check_number("a report", value or 0.0, 1e308)
         self._check_number("a crowd", ending.reported_concurrency or 0, 2**31)
         self.endings.append(_Ending(attempt.call.call_id, ending.outcome.value, ending.body))
 
     def on_connection_broken(self, request: Attempt | PendingPreload, *, is_unreachable: bool) -> None:
-        """The connection went."""
+        """Record that a request ended with its connection."""
         message_id = request.call.call_id if isinstance(request, Attempt) else request.message_id
         self.endings.append(_Ending(message_id, "broke"))
 
     def on_preload_response(self, preload: PendingPreload, message: dict[str, Any]) -> None:
-        """A preload's end."""
+        """Record the answer to a preload request and process it as the owner does."""
         PreloadRequests(cast("Any", self)).on_response(preload, parse_preload_response(message))
         self.endings.append(_Ending(preload.message_id, "order"))
 
     def preload_ended(self, event: PreloadEnded) -> None:
-        """What the dispatcher is told of it."""
+        """Check the number of instances that a preload reports to the dispatcher."""
         self._check_number("copies", event.instances, 2**31)
 
 
@@ -106,7 +109,7 @@
     message_ids = ("a1", "a2", "a3", "load-1")
 
     def generate(self, rng: random.Random) -> bytes:
-        """Some lines: valid answers, numbers at the edges, foreign ids."""
+        """Return several lines: valid answers, edge values, unknown message IDs."""
         lines = []
         for _ in range(rng.choice((1, 2, 5))):
             fields: Any = {
@@ -121,7 +124,8 @@
                 7,
                 "inflight:" + "9" * 400,
             )
-            fields["report"], fields["pods"] = rng.choice(report), rng.choice((1, -1, 2**64, "x", 1e308))
+            fields["report"] = rng.choice(report)
+            fields["pods"] = rng.choice((1, -1, 2**64, "x", 1e308))
             op = rng.choice(("HIT", "HIT", "NONE", "SHED", "FAULT", "LATE", "PONG", "WHAT", ["HIT"], None))
             message = {"op": op, "id": rng.choice((*self.message_ids, "b", 1)), "fields": fields}
             body = base64.b64encode(rng.randbytes(rng.choice((0, 5, 300)))).decode()
@@ -135,7 +139,10 @@
         return rng.randbytes(1) + b"\n".join(lines) + b"\n"
 
     async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> Any:
-        """How each of the four ended: once, and with a body that a line has."""
+        """Return the end of each of the four requests, after checking that each ended exactly once.
+
+        A served attempt must have the body of one of the lines.
+        """
         owner = _RecordingTransport(loop)
         record = EndpointRecord("s-1", "h", 1, "room-a", "std", 0, EndpointState.READY, 1.0, 0.0)
         connection = WorkerConnection(WorkerConnectionPool(cast("Any", owner), record))
