--- a/cedarthread/testing/fuzzing/cli.py
+++ b/cedarthread/testing/fuzzing/cli.py
@@ -73,13 +73,13 @@
 
 
 def _chosen_targets(options: Options) -> dict[str, Target]:
-    known = targets.targets_by_name()
+    targets_by_name = targets.targets_by_name()
     name = options["TARGET"]
     if name is None:
-        return known
-    if name not in known:
-        raise KeyError(f"no target {name!r}; there are {', '.join(known)}")
-    return {name: known[name]}
+        return targets_by_name
+    if name not in targets_by_name:
+        raise KeyError(f"no target {name!r}; there are {', '.join(targets_by_name)}")
+    return {name: targets_by_name[name]}
 
 
 def _list(options: Options) -> int:
@@ -135,11 +135,11 @@
 
 def _run_plain(name: str, target: Target, max_runs: int, max_seconds: float, seed: int, folder: Path) -> int:
     rng = random.Random(seed)
-    known = [data for _, data in corpus.inputs(name, folder)]
+    corpus_inputs = [data for _, data in corpus.inputs(name, folder)]
     started = time.monotonic()
     runs = 0
     while runs < max_runs and time.monotonic() - started < max_seconds:
-        data = target.next_input(rng, known)
+        data = target.next_input(rng, corpus_inputs)
         runs += 1
         if verdict(target, data) is not None:
             return _save_finding(name, target, data, folder)
@@ -182,16 +182,16 @@
         )
     failures = 0
     for model in models:
-        found = explore(model, on_progress=lambda states: print(f"{states} states", file=sys.stderr))
-        fault = found.verdict()
+        exploration = explore(model, on_progress=lambda states: print(f"{states} states", file=sys.stderr))
+        fault = exploration.verdict()
         failures += fault is not None
-        counts = f"{found.state_count:6} states, {found.path_count:6} let run out"
+        counts = f"{exploration.state_count:6} states, {exploration.path_count:6} let run out"
         print(f"{model.name:12} {counts}: {fault or 'ok'}")
     print(f"fuzz explore: {'FAILED' if failures else 'ok'}, {len(models)} worlds")
     return EXIT_FINDING if failures else EXIT_OK
 
 
-def _planted(options: Options) -> int:
+def _inject_defects(options: Options) -> int:
     names = {options["DEFECT"]} if options["DEFECT"] else None
     seed = injected_defects.SEED if options["--seed"] == "1" else int(options["--seed"])
     missed = injected_defects.prove(print, names, seed)
@@ -220,6 +220,6 @@
     "replay": _replay,
     "minimise": _minimise,
     "explore": _explore,
-    "planted": _planted,
+    "planted": _inject_defects,
     "coverage": _coverage,
 }
--- a/cedarthread/testing/fuzzing/corpus.py
+++ b/cedarthread/testing/fuzzing/corpus.py
@@ -33,7 +33,7 @@
 
 def findings(target: str, folder: Path = DEFAULT_FOLDER) -> list[CorpusInput]:
     """Return the findings of a target."""
-    return [found for found in inputs(target, folder) if "/findings/" in found.name]
+    return [corpus_input for corpus_input in inputs(target, folder) if "/findings/" in corpus_input.name]
 
 
 def save_input(target: str, data: bytes, folder: Path = DEFAULT_FOLDER) -> Path:
--- a/cedarthread/testing/fuzzing/coverage_report.py
+++ b/cedarthread/testing/fuzzing/coverage_report.py
@@ -25,12 +25,12 @@
     from cedarthread.testing.fuzzing.target import verdict
 
     target = targets.targets_by_name()[name]
-    known = [data for _, data in corpus.inputs(name, Path(folder))]
+    corpus_inputs = [data for _, data in corpus.inputs(name, Path(folder))]
     rng = random.Random(1)
-    for data in known:
+    for data in corpus_inputs:
         verdict(target, data)
     for _ in range(RUNS_FACTOR * target.test_runs):
-        verdict(target, target.next_input(rng, known))
+        verdict(target, target.next_input(rng, corpus_inputs))
     measured.stop()
     for module in target.modules:
         analysis: Any = measured._analyze(sys.modules[module].__file__ or "")
--- a/cedarthread/testing/fuzzing/deferred_target.py
+++ b/cedarthread/testing/fuzzing/deferred_target.py
@@ -87,8 +87,8 @@
         retention_s = self.choices.pick((LIMITS.retention_s, LIMITS.retry_retention_s))
         entry = store.add(owner, key, ("0", "f", b""), retention_s)
         has_bytes = store.reserved_bytes <= LIMITS.max_bytes
-        has_room = len(self.calls) < LIMITS.max_calls and has_bytes
-        require(entry is None or has_room, "taken past the bounds")
+        is_within_limits = len(self.calls) < LIMITS.max_calls and has_bytes
+        require(entry is None or is_within_limits, "taken past the bounds")
         if entry is not None:
             call = _ModelCall(entry, owner, key, retention_s)
             self.calls.append(call)
@@ -106,11 +106,11 @@
         require(call.entry.result is result and not call.entry.waiters, "the answer is not there")
 
     def _find_by_key(self, owner: str, key: str) -> None:
-        found = self.store.find_by_key(owner, key)
-        is_own = found is None or (found.owner, found.idempotency_key) == (owner, key)
+        stored = self.store.find_by_key(owner, key)
+        is_own = stored is None or (stored.owner, stored.idempotency_key) == (owner, key)
         require(is_own, "a key leads to another's call")
         is_known = any((call.owner, call.key) == (owner, key) for call in self.calls)
-        require(found is not None or not is_known, "a key is forgotten before its call")
+        require(stored is not None or not is_known, "a key is forgotten before its call")
 
     def check(self) -> None:
         """Check that the store and the model agree."""
--- a/cedarthread/testing/fuzzing/dns_target.py
+++ b/cedarthread/testing/fuzzing/dns_target.py
@@ -123,11 +123,13 @@
         if rng.random() < 0.15:
             return _generate_pointer_chain(rng)
         data = bytearray(pack_reply(generate_reply(rng, rng.choice((0, 1, 3, 60)))))
-        pointers = [at for at in range(HEADER_BYTES, len(data) - 1) if data[at] >= POINTER >> 8]
+        pointers = [
+            position for position in range(HEADER_BYTES, len(data) - 1) if data[position] >= POINTER >> 8
+        ]
         if pointers and rng.random() < 0.2:  # the pointer leads to itself or forwards, which DNS forbids
-            at = rng.choice(pointers)
-            target = min(MAX_POINTER_TARGET, at + rng.choice((0, 0, 2, 12)))
-            struct.pack_into(">H", data, at, POINTER | target)
+            position = rng.choice(pointers)
+            target = min(MAX_POINTER_TARGET, position + rng.choice((0, 0, 2, 12)))
+            struct.pack_into(">H", data, position, POINTER | target)
         return bytes(data)
 
     def check(self, data: bytes) -> None:
--- a/cedarthread/testing/fuzzing/http_target.py
+++ b/cedarthread/testing/fuzzing/http_target.py
@@ -70,16 +70,16 @@
         if rng.random() < 0.4 or not blank:
             return mutate_bytes(data, rng)
         lines = head.split(b"\r\n")
-        at = rng.randrange(len(lines))
+        position = rng.randrange(len(lines))
         match rng.randrange(4):
             case 0:
-                lines.insert(at, lines[rng.randrange(len(lines))])
+                lines.insert(position, lines[rng.randrange(len(lines))])
             case 1 if len(lines) > 1:
-                del lines[at]
+                del lines[position]
             case 2:
-                lines.insert(max(1, at), rng.choice(EDGE_HEADERS))
+                lines.insert(max(1, position), rng.choice(EDGE_HEADERS))
             case _:
-                lines[at] = mutate_bytes(lines[at], rng)
+                lines[position] = mutate_bytes(lines[position], rng)
         return b"\r\n".join(lines) + blank + body
 
     def check(self, data: bytes) -> None:
@@ -98,9 +98,11 @@
         require(
             0 <= parsed.content_length <= MAX_BODY_BYTES, f"a body of {parsed.content_length} bytes passed"
         )
-        for at in sample_cuts(random.Random(len(head)), head):
+        for position in sample_cuts(random.Random(len(head)), head):
             require(
-                not isinstance(http.parse_head(memoryview(head)[:at], MAX_BODY_BYTES), http.RequestHead),
-                f"cut at {at} it is whole",
+                not isinstance(
+                    http.parse_head(memoryview(head)[:position], MAX_BODY_BYTES), http.RequestHead
+                ),
+                f"cut at {position} it is whole",
             )
         parsed.preferences()
--- a/cedarthread/testing/fuzzing/identity_targets.py
+++ b/cedarthread/testing/fuzzing/identity_targets.py
@@ -167,9 +167,9 @@
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
         """Return the certificate with one changed tag, which preserves lengths, or with changed bytes."""
         if data and rng.random() < 0.7:
-            at = rng.randrange(len(data))
-            tag = rng.choice((0x80, 0x82, 0x84, 0x86, 0xA0, 0xA3, 0xA5, 0x30, 0x0C, data[at] ^ 1))
-            return data[:at] + bytes((tag,)) + data[at + 1 :]
+            position = rng.randrange(len(data))
+            tag = rng.choice((0x80, 0x82, 0x84, 0x86, 0xA0, 0xA3, 0xA5, 0x30, 0x0C, data[position] ^ 1))
+            return data[:position] + bytes((tag,)) + data[position + 1 :]
         return mutate_bytes(data, rng)
 
     def check(self, data: bytes) -> None:
--- a/cedarthread/testing/fuzzing/injected_defects.py
+++ b/cedarthread/testing/fuzzing/injected_defects.py
@@ -91,12 +91,12 @@
         _send_answer(self, number, answer)
 
 
-def _keep_call_id(self: CallTable, call: Call) -> None:
+def _retain_call_id(self: CallTable, call: Call) -> None:
     _release(self, call)
     self.pending_ids.add(call.call_id)
 
 
-def _keep_body_bytes(self: CallTable, call: Call) -> None:
+def _retain_body_bytes(self: CallTable, call: Call) -> None:
     _release(self, call)
     self.pending_body_bytes += len(call.body)
 
@@ -108,16 +108,16 @@
         self._context.workers().send(Attempt(call, 1, action.worker_id, self._context.clock()))
 
 
-def _set_second_timer(self: CallDeadlines, at: float) -> None:
-    self._wakeup_at_ms = at
-    self._wakeup_timer = self._context.call_at(at, self.on_timer)
-    self._context.call_at(at + 1e9, self.on_timer)
+def _set_extra_timer(self: CallDeadlines, at_ms: float) -> None:
+    self._wakeup_at_ms = at_ms
+    self._wakeup_timer = self._context.call_at(at_ms, self.on_timer)
+    self._context.call_at(at_ms + 1e9, self.on_timer)
 
 
-def _take_slice_unlimited(data: memoryview, at: int, count: int) -> memoryview:
-    if at + count > len(data):
-        raise msgpack._IncompleteError(at + count)
-    return data[at : at + count]
+def _take_slice_unlimited(data: memoryview, offset: int, count: int) -> memoryview:
+    if offset + count > len(data):
+        raise msgpack._IncompleteError(offset + count)
+    return data[offset : offset + count]
 
 
 _is_eligible = WorkerSelector.is_eligible
@@ -181,17 +181,17 @@
     return _parse_content_length(fields, max_bytes)
 
 
-def _parse_name_unbounded(data: bytes, at: int) -> tuple[str, int]:
+def _parse_name_unbounded(data: bytes, offset: int) -> tuple[str, int]:
     labels: list[str] = []
     end = -1
-    while (size := data[at]) != 0:
+    while (size := data[offset]) != 0:
         if size >= 0xC0:
-            end = at + 2 if end < 0 else end
-            at = (size & 0x3F) << 8 | data[at + 1]
+            end = offset + 2 if end < 0 else end
+            offset = (size & 0x3F) << 8 | data[offset + 1]
             continue
-        labels.append(data[at + 1 : at + 1 + size].decode("ascii").lower())
-        at += 1 + size
-    return ".".join(labels), at + 1 if end < 0 else end
+        labels.append(data[offset + 1 : offset + 1 + size].decode("ascii").lower())
+        offset += 1 + size
+    return ".".join(labels), offset + 1 if end < 0 else end
 
 
 def _apply_stale_update(
@@ -263,7 +263,9 @@
         self.preloads.finish(request, outcome)
 
 
-def _cancel_as_not_executed(self: WorkerConnections, attempt: Attempt, connection: Any, is_told: Any) -> None:
+def _cancel_as_not_executed(
+    self: WorkerConnections, attempt: Attempt, connection: Any, cancel_line: Any
+) -> None:
     self.dispatcher.attempt_ended(attempt, AttemptResult(Outcome.CANCELLED))
 
 
@@ -286,9 +288,9 @@
 DEFECTS = (
     Defect("second-answer", "calls", 300, ((PlatformCalls, "_send_answer", _send_failure_twice),)),
     Defect("two-attempts-out", "calls", 300, ((ActionExecutor, "_start_attempt", _start_attempt_twice),)),
-    Defect("body-bytes-kept", "calls", 20, ((CallTable, "release", _keep_body_bytes),)),
-    Defect("names-kept", "calls", 20, ((CallTable, "release", _keep_call_id),)),
-    Defect("timer-leak", "calls", 20, ((CallDeadlines, "_set_wakeup", _set_second_timer),)),
+    Defect("body-bytes-kept", "calls", 20, ((CallTable, "release", _retain_body_bytes),)),
+    Defect("names-kept", "calls", 20, ((CallTable, "release", _retain_call_id),)),
+    Defect("timer-leak", "calls", 20, ((CallDeadlines, "_set_wakeup", _set_extra_timer),)),
     # SendGuard would refuse these attempts too, so the defect disables it as well.
     Defect(
         "unsafe-sent-again",
@@ -426,11 +428,11 @@
         seed: The seed of the generated inputs.
     """
     missed = []
-    known = targets.targets_by_name()
+    targets_by_name = targets.targets_by_name()
     for defect in DEFECTS:
         if names is not None and defect.name not in names:
             continue
-        found = runs_until_found(defect, known[defect.target], seed)
+        found = runs_until_found(defect, targets_by_name[defect.target], seed)
         if found is None:
             missed.append(defect.name)
             report(f"{defect.name:24} {defect.target:12} NOT FOUND in {defect.runs} runs")
--- a/cedarthread/testing/fuzzing/invoke_target.py
+++ b/cedarthread/testing/fuzzing/invoke_target.py
@@ -44,10 +44,10 @@
 
     def mutate_stream(self, data: bytes, rng: random.Random) -> bytes:
         """Return the stream with an inserted header field or with changed bytes."""
-        ends = [at for at in range(len(data)) if data.startswith(b"\r\n", at)]
-        if ends and rng.random() < 0.4:
-            at = rng.choice(ends)
-            return data[:at] + b"\r\n" + rng.choice(EDGE_HEADERS) + data[at:]
+        line_ends = [position for position in range(len(data)) if data.startswith(b"\r\n", position)]
+        if line_ends and rng.random() < 0.4:
+            position = rng.choice(line_ends)
+            return data[:position] + b"\r\n" + rng.choice(EDGE_HEADERS) + data[position:]
         return mutate_bytes(data, rng)
 
     async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> Any:
@@ -60,12 +60,12 @@
         connection = InvokeConnection(server)
         connection.peer = Identity("spiffe://gaz.example/a", "gaz.example", math.inf)
         transport = MemoryTransport(loop)
-        out = bytearray()
-        transport.on_bytes = out.extend
+        output = bytearray()
+        transport.on_bytes = output.extend
         transport.connect(connection)
         await feed(transport, data, seed)
         statuses = []
-        rest = bytes(out)
+        rest = bytes(output)
         while (parsed := read_reply(rest)) is not None:
             status = parsed.reply.status
             require(100 <= status < 600, f"status {status}")
--- a/cedarthread/testing/fuzzing/memory_peers.py
+++ b/cedarthread/testing/fuzzing/memory_peers.py
@@ -66,9 +66,9 @@
     def on_close(self) -> None:
         """Cancel the unanswered requests, because either end has closed the connection."""
         self.is_open = False
-        for held in self.unanswered_requests:
-            if held.attempt is not None:
-                self.worker.checker.on_attempt_ended(held.attempt, True)
+        for request in self.unanswered_requests:
+            if request.attempt is not None:
+                self.worker.checker.on_attempt_ended(request.attempt, True)
         self.unanswered_requests.clear()
         self.worker.links.remove(self)
 
@@ -131,7 +131,7 @@
             key = base64.b64decode(message["body"]).decode()
             if message["fields"]["thing"] not in self.called_functions:
                 raise Finding(f"function {message['fields']['thing']} was never asked for")
-            if any(held.message_id == message_id for held in link.unanswered_requests):
+            if any(request.message_id == message_id for request in link.unanswered_requests):
                 raise Finding(f"two calls named {message_id} are open on one connection")
             attempt = self.checker.on_attempt_started(
                 now_ms, key, self.number, first_byte_at_ms, handed_over_at_ms
@@ -140,10 +140,10 @@
                 UnansweredRequest(message_id, key, link, attempt, message["fields"]["thing"])
             )
         elif op == "CANCEL":
-            for held in list(link.unanswered_requests):
-                if held.message_id == message_id and held.attempt is not None:
-                    link.unanswered_requests.remove(held)
-                    self.checker.on_attempt_ended(held.attempt, True)
+            for request in list(link.unanswered_requests):
+                if request.message_id == message_id and request.attempt is not None:
+                    link.unanswered_requests.remove(request)
+                    self.checker.on_attempt_ended(request.attempt, True)
         elif op == "LOAD":
             self.checker.on_preload(now_ms, self.number, message["fields"]["pods"], first_byte_at_ms)
             link.unanswered_requests.append(
@@ -154,23 +154,23 @@
 
     def unanswered_requests(self) -> list[UnansweredRequest]:
         """Return the unanswered requests, oldest first on each connection."""
-        return [held for link in self.links for held in link.unanswered_requests]
+        return [request for link in self.links for request in link.unanswered_requests]
 
     def answer(
-        self, held: UnansweredRequest, op: str, fields: dict[str, Any], *, twice: bool = False
+        self, request: UnansweredRequest, op: str, fields: dict[str, Any], *, twice: bool = False
     ) -> None:
         """Send the answer to a call or a preload request as one line, or as the same line twice."""
-        message: dict[str, Any] = {"op": op, "id": held.message_id, "fields": fields}
-        if op == "HIT" and held.attempt is not None:
-            body = f"{held.call_key}@{self.number}".encode()
-            self.checker.on_body_produced(held.call_key, body)
+        message: dict[str, Any] = {"op": op, "id": request.message_id, "fields": fields}
+        if op == "HIT" and request.attempt is not None:
+            body = f"{request.call_key}@{self.number}".encode()
+            self.checker.on_body_produced(request.call_key, body)
             message["body"] = base64.b64encode(body).decode()
-        held.link.unanswered_requests.remove(held)
-        if held.attempt is not None:
-            self.checker.on_attempt_ended(held.attempt, op not in NOT_EXECUTED_RESPONSES)
-        held.link.transport.peer_send(json.dumps(message).encode() + b"\n")
+        request.link.unanswered_requests.remove(request)
+        if request.attempt is not None:
+            self.checker.on_attempt_ended(request.attempt, op not in NOT_EXECUTED_RESPONSES)
+        request.link.transport.peer_send(json.dumps(message).encode() + b"\n")
         if twice:
-            held.link.transport.peer_send(json.dumps(message).encode() + b"\n")
+            request.link.transport.peer_send(json.dumps(message).encode() + b"\n")
 
     def reset_connections(self) -> None:
         """Reset all connections of the worker."""
@@ -251,8 +251,8 @@
             self.is_reading_paused or not self.is_open
         ):  # the router closes a connection beyond its limit at once
             self.checker.on_call_abandoned(now_ms, key)
-        every = {"txn": f"{int(key[1:]):016x}", "limit": str(timeout_ms), "item": function} | fields
-        return bytes(msgpack.packb([0, self.last_number, class_name, [every, key.encode()]]))
+        all_fields = {"txn": f"{int(key[1:]):016x}", "limit": str(timeout_ms), "item": function} | fields
+        return bytes(msgpack.packb([0, self.last_number, class_name, [all_fields, key.encode()]]))
 
     def encode_interrupt(self, number: int) -> bytes:
         """Record that the client interrupts a call, and return the interrupt message."""
--- a/cedarthread/testing/fuzzing/msgpack_target.py
+++ b/cedarthread/testing/fuzzing/msgpack_target.py
@@ -164,11 +164,11 @@
         require(not is_within_limits or is_too_long, f"a value within the limits is refused: {parsed}")
 
     def _check_prefixes(self, data: bytes) -> None:
-        for at in sample_cuts(random.Random(len(data)), data):
-            prefix = msgpack.parse(memoryview(data)[:at])
-            require(isinstance(prefix, msgpack.Incomplete), f"cut at {at} it is not short: {prefix}")
+        for position in sample_cuts(random.Random(len(data)), data):
+            prefix = msgpack.parse(memoryview(data)[:position])
+            require(isinstance(prefix, msgpack.Incomplete), f"cut at {position} it is not short: {prefix}")
             if isinstance(prefix, msgpack.Incomplete):
                 require(
-                    at < prefix.needed_bytes <= len(data),
-                    f"cut at {at} it says it needs {prefix.needed_bytes} of {len(data)}",
+                    position < prefix.needed_bytes <= len(data),
+                    f"cut at {position} it says it needs {prefix.needed_bytes} of {len(data)}",
                 )
--- a/cedarthread/testing/fuzzing/platform_target.py
+++ b/cedarthread/testing/fuzzing/platform_target.py
@@ -70,7 +70,7 @@
 
     def generate(self, rng: random.Random) -> bytes:
         """Return several messages, possibly truncated."""
-        messages = [generate_message(rng, n + 1) for n in range(rng.choice((1, 2, 4, 10, 40)))]
+        messages = [generate_message(rng, index + 1) for index in range(rng.choice((1, 2, 4, 10, 40)))]
         data = b"".join(self._pack(message) for message in messages)
         return rng.randbytes(1) + (data if rng.random() < 0.8 else data[: rng.randrange(len(data) + 1)])
 
@@ -98,8 +98,8 @@
             return mutate_bytes(data, rng)
         chosen = rng.randrange(len(messages))
         position = rng.randrange(len(messages))
-        copy = messages[chosen] if rng.random() < 0.7 else mutate_bytes(messages[chosen], rng)
-        messages.insert(position, copy)
+        inserted = messages[chosen] if rng.random() < 0.7 else mutate_bytes(messages[chosen], rng)
+        messages.insert(position, inserted)
         if rng.random() < 0.4:
             del messages[chosen]
         return b"".join(messages) + data[ends[-1] :]
--- a/cedarthread/testing/fuzzing/replay.py
+++ b/cedarthread/testing/fuzzing/replay.py
@@ -45,10 +45,10 @@
                 counts.findings += 1
                 report(f"{path}: {fault}")
         rng = random.Random(SEED)
-        known = [data for _, data in inputs]
+        corpus_inputs = [data for _, data in inputs]
         for number in range(target.test_runs if generates else 0):
             counts.generated_inputs += 1
-            if (fault := verdict(target, target.next_input(rng, known))) is not None:
+            if (fault := verdict(target, target.next_input(rng, corpus_inputs))) is not None:
                 counts.findings += 1
                 report(f"{name}, drawn run {number}: {fault}")
         report(f"{name}: {len(inputs)} inputs" + (f", {target.test_runs} drawn runs" if generates else ""))
--- a/cedarthread/testing/fuzzing/router_under_test.py
+++ b/cedarthread/testing/fuzzing/router_under_test.py
@@ -75,7 +75,7 @@
 
     def has_unread_input(self) -> bool:
         """Return whether the transport has unread input."""
-        return self.transport is not None and bool(getattr(self.transport, "_in"))  # noqa: B009
+        return self.transport is not None and bool(getattr(self.transport, "_unread_input"))  # noqa: B009
 
     def read_available(self) -> bool:
         """Read the available input even while reading is paused; return False if the connection is broken."""
@@ -169,7 +169,7 @@
         now_ms = self.now_ms()
         calls = dispatcher.calls
         connections = self.platform.connections
-        for what, remaining in (
+        for resource, remaining in (
             ("open calls", len(dispatcher.pending_calls)),
             ("names", len(calls.pending_ids)),
             ("bytes of bodies", abs(calls.pending_body_bytes)),
@@ -186,7 +186,7 @@
             ("kept answers", len(self.invoke.calls.deferred_calls)),
             ("client connections", len(connections) + len(self.platform.unproven_connections)),
         ):
-            self.checker.check_remaining(now_ms, what, remaining)
+            self.checker.check_remaining(now_ms, resource, remaining)
         # Two timers are expected: the dispatcher's timer and the timer of this run's own sleep.
         self.checker.check_remaining(now_ms, "timers", self.loop.timer_count(), 2)
         counts = dispatcher.result_counts
--- a/cedarthread/testing/fuzzing/script_steps.py
+++ b/cedarthread/testing/fuzzing/script_steps.py
@@ -147,31 +147,31 @@
 
     def answer(self) -> None:
         """Let a worker answer one of its unanswered requests, once or twice."""
-        if (held := self._pick_unanswered_request()) is None:
+        if (request := self._pick_unanswered_request()) is None:
             return
         op = self.choices.pick(("HIT", "HIT", "HIT", "NONE", "SHED", "FAULT", "LATE"))
-        if held.attempt is None:
+        if request.attempt is None:
             op = {"NONE": "FAULT", "LATE": "SHED"}.get(op, op)
             fields: dict[str, Any] = {"pods": 1 if op == "HIT" else 0}
         else:
             remark = self.choices.pick(("hit", "spawn", "pending", "spawn_failed", "odd"))
             depth = self.choices.consume_byte() % 9
             fields = {"remark": remark, "depth": depth, "report": "inflight:1;x1:0"}
-        held.link.worker.answer(held, op, fields, twice=self.choices.consume_byte() % 4 == 3)
+        request.link.worker.answer(request, op, fields, twice=self.choices.consume_byte() % 4 == 3)
 
     def answer_all(self) -> None:
         """Let all workers answer all their unanswered requests."""
         for worker in self.workers:
-            for held in worker.unanswered_requests():
-                fields = {"pods": 1} if held.attempt is None else {"remark": "hit"}
-                if held.link.is_open:
-                    worker.answer(held, "HIT", fields)
+            for request in worker.unanswered_requests():
+                fields = {"pods": 1} if request.attempt is None else {"remark": "hit"}
+                if request.link.is_open:
+                    worker.answer(request, "HIT", fields)
 
     def bad_answer(self) -> None:
         """Let a worker send a malformed or incomplete answer."""
-        if (held := self._pick_unanswered_request()) is None:
+        if (request := self._pick_unanswered_request()) is None:
             return
-        message_id = held.message_id.encode()
+        message_id = request.message_id.encode()
         lines = (
             b'{"op":"HIT","id":"%s","fields":{},"body":"%%%%"}\n' % message_id,
             b'{"op":"HIT","id":"%s"}\n' % message_id,
@@ -182,7 +182,7 @@
             b'{"op":["HIT"],"id":"%s","fields":[]}\n' % message_id,
             b'{"id":7}\n',
         )
-        held.link.transport.peer_send(self.choices.pick(lines))
+        request.link.transport.peer_send(self.choices.pick(lines))
 
     def fault(self) -> None:
         """Make a worker break its connections, refuse or hang new ones, read slowly, or recover."""
@@ -211,8 +211,8 @@
                 worker.resume_reading()
 
     def _pick_unanswered_request(self) -> UnansweredRequest | None:
-        every = [held for worker in self.workers for held in worker.unanswered_requests()]
-        return self.choices.pick(every) if every else None
+        requests = [request for worker in self.workers for request in worker.unanswered_requests()]
+        return self.choices.pick(requests) if requests else None
 
 
 class DiscoverySteps:
--- a/cedarthread/testing/fuzzing/state_digest.py
+++ b/cedarthread/testing/fuzzing/state_digest.py
@@ -26,10 +26,10 @@
 }
 
 
-def state_digest(*parts: Any) -> bytes:
+def state_digest(*values: Any) -> bytes:
     """Return a digest of the values."""
     return hashlib.blake2b(
-        repr([canonical(part) for part in parts]).encode(), digest_size=DIGEST_BYTES
+        repr([canonical(value) for value in values]).encode(), digest_size=DIGEST_BYTES
     ).digest()
 
 
@@ -49,6 +49,9 @@
         return tuple(sorted(map(repr, value)))
     if isinstance(value, (list, tuple, deque)):
         return tuple(canonical(item, depth + 1) for item in value)
-    names = [f.name for f in fields(value)] if is_dataclass(value) else list(getattr(value, "__dict__", {}))
+    if is_dataclass(value):
+        names = [field.name for field in fields(value)]
+    else:
+        names = list(getattr(value, "__dict__", {}))
     skipped = SKIPPED_FIELDS | SKIPPED_FIELDS_BY_CLASS.get(type(value), set())
     return tuple((name, canonical(getattr(value, name), depth + 1)) for name in names if name not in skipped)
--- a/cedarthread/testing/fuzzing/stream_target.py
+++ b/cedarthread/testing/fuzzing/stream_target.py
@@ -76,24 +76,24 @@
     return dispatcher, flusher, echo
 
 
-def cut_into_pieces(data: bytes, seed: int) -> list[bytes]:
+def split_stream(data: bytes, seed: int) -> list[bytes]:
     """Return the data in pieces of lengths that the seed determines; seed 0 gives one piece."""
     if seed == 0:
         return [data]
     rng = random.Random(seed)
-    pieces = []
+    fragments = []
     position = 0
     while position < len(data):
         size = rng.choice((1, 2, 7, 40, 1000))
-        pieces.append(data[position : position + size])
+        fragments.append(data[position : position + size])
         position += size
-    return pieces
+    return fragments
 
 
 async def feed(transport: MemoryTransport, data: bytes, seed: int) -> None:
     """Send data in pieces, run the loop between them, and wait until all answers have arrived."""
-    for piece in cut_into_pieces(data, seed):
-        transport.peer_send(piece)
+    for fragment in split_stream(data, seed):
+        transport.peer_send(fragment)
         await asyncio.sleep(0)
     for _ in range(40):
         await asyncio.sleep(0.01)
--- a/cedarthread/testing/fuzzing/target.py
+++ b/cedarthread/testing/fuzzing/target.py
@@ -16,7 +16,7 @@
     import random
     from collections.abc import Sequence
 
-T = TypeVar("T")
+OptionT = TypeVar("OptionT")
 
 
 class FuzzedDataProvider:
@@ -38,7 +38,7 @@
         self.position += 1
         return self.data[self.position - 1] if self.position <= len(self.data) else 0
 
-    def pick(self, options: Sequence[T]) -> T:
+    def pick(self, options: Sequence[OptionT]) -> OptionT:
         """Return the option that the next byte selects."""
         return options[self.consume_byte() % len(options)]
 
--- a/cedarthread/testing/fuzzing/virtual_loop.py
+++ b/cedarthread/testing/fuzzing/virtual_loop.py
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._now = START_TIME_S
+        self._now_s = START_TIME_S
         self._selector = self  # BaseEventLoop calls ``select`` with the time until the next timer
         self.jitter: Callable[[], float] = lambda: 0.0
         self.failures: list[str] = []
@@ -39,11 +39,11 @@
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._now
+        return self._now_s
 
     def unix_ms(self) -> float:
         """Return the virtual time in Unix milliseconds, the unit of the dispatcher's clock."""
-        return self._now * 1000.0
+        return self._now_s * 1000.0
 
     def call_at(  # type: ignore[override]  # the base class types its callback
         self, when: float, callback: Any, *args: Any, context: Any = None
@@ -59,7 +59,7 @@
         """
         if timeout is None:
             raise StuckError("nothing is left to do")
-        self._now += max(0.0, timeout)
+        self._now_s += max(0.0, timeout)
         return []
 
     def _process_events(self, events: Any) -> None:
@@ -70,7 +70,7 @@
 
     def skip(self, seconds: float) -> None:
         """Advance the clock without running a callback, as if the process were stopped."""
-        self._now += seconds
+        self._now_s += seconds
 
     def timer_count(self) -> int:
         """Return the number of timers that are set and not cancelled."""
@@ -136,7 +136,7 @@
         self.writes = [Write(0, 0.0)]
         self._written_bytes = 0
         self._write_buffer = bytearray()
-        self._in: list[bytes] = []
+        self._unread_input: list[bytes] = []
         self._high_water_bytes = 64 * 1024
         self._is_writing_paused = False
         self._is_reading_paused = False
@@ -154,7 +154,7 @@
     def peer_send(self, data: bytes) -> None:
         """Send bytes from the peer to the program."""
         if data and not self._is_closing:
-            self._in.append(data)
+            self._unread_input.append(data)
             self.deliver()
 
     def peer_send_eof(self) -> None:
@@ -182,22 +182,22 @@
         Args:
             paused: Whether to pass them even while the program has paused reading.
         """
-        while self._in and (paused or not self._is_reading_paused) and not self._is_closing:
-            data = self._in.pop(0)
+        while self._unread_input and (paused or not self._is_reading_paused) and not self._is_closing:
+            data = self._unread_input.pop(0)
             buffer = self.protocol.get_buffer(-1)
             if not len(buffer) and paused:
-                self._in.insert(0, data)
+                self._unread_input.insert(0, data)
                 return
             if not len(buffer):
                 raise AssertionError("get_buffer() returned an empty buffer")
             count = min(len(buffer), len(data))
             buffer[:count] = data[:count]
             if count < len(data):
-                self._in.insert(0, data[count:])
+                self._unread_input.insert(0, data[count:])
             self.protocol.buffer_updated(count)
         if (
             self._is_peer_eof
-            and not self._in
+            and not self._unread_input
             and (paused or not self._is_reading_paused)
             and not self._is_closing
         ):
--- a/cedarthread/testing/fuzzing/worker_lines_target.py
+++ b/cedarthread/testing/fuzzing/worker_lines_target.py
@@ -50,9 +50,9 @@
             str
         ] = []  # reported at the end, because the connection catches every exception
 
-    def _check_number(self, what: str, value: float, limit: float) -> None:
+    def _check_number(self, label: str, value: float, limit: float) -> None:
         if not abs(value) <= limit:  # true for NaN too
-            self.bad_numbers.append(f"{what} of {value}")
+            self.bad_numbers.append(f"{label} of {value}")
 
     def may_start_attempt(self, attempt: Attempt) -> bool:
         """Return True because no client disconnects."""
