--- a/cedarthread/testing/fuzzing/call_machine.py
+++ b/cedarthread/testing/fuzzing/call_machine.py
@@ -10,25 +10,23 @@
 import asyncio
 from typing import TYPE_CHECKING, Any
 
+from cedarthread.testing.fuzzing.client_steps import ClientSteps
 from cedarthread.testing.fuzzing.endpoint_publisher import EndpointPublisher
 from cedarthread.testing.fuzzing.finding import Finding
-from cedarthread.testing.fuzzing.memory_peers import MemoryWorker
+from cedarthread.testing.fuzzing.memory_worker import MemoryWorker
 from cedarthread.testing.fuzzing.resource_meter import Budget
 from cedarthread.testing.fuzzing.router_under_test import MAX_DEADLINE_MS, Mode, RouterUnderTest
 from cedarthread.testing.fuzzing.script import STEPS, WORKER_COUNT, generate_script
-from cedarthread.testing.fuzzing.script_steps import (
-    ClientSteps,
-    DiscoverySteps,
-    ProcessSteps,
-    WorkerSteps,
-    step_actions,
-)
+from cedarthread.testing.fuzzing.script_steps import DiscoverySteps, ProcessSteps, step_actions
 from cedarthread.testing.fuzzing.target import FuzzedDataProvider, Target
-from cedarthread.testing.fuzzing.virtual_loop import MemoryTransport, VirtualLoop, run_virtual
+from cedarthread.testing.fuzzing.virtual_loop import VirtualLoop, run_virtual
+from cedarthread.testing.fuzzing.worker_steps import WorkerSteps
 
 if TYPE_CHECKING:
     import random
 
+    from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
+
 MAX_SCRIPT_BYTES = 400
 PIPELINED_ROUNDS = 4  # because the router serves the pipelined requests of a connection one after another
 PIPELINED_ROUND_MS = 3000.0
--- a/cedarthread/testing/fuzzing/cli.py
+++ b/cedarthread/testing/fuzzing/cli.py
@@ -115,7 +115,8 @@
         command += [f"-runs={max_runs}", f"-max_total_time={int(max_seconds)}", f"-seed={seed}"]
         command += [f"-max_len={MAX_INPUT_BYTES}", f"-timeout={INPUT_TIMEOUT_S}"]
         command += ["-reduce_inputs=1", f"-artifact_prefix={scratch}/"]
-        process = subprocess.run(command, env=os.environ | {"CEDARTHREAD_FINDING": str(finding)})
+        environment = os.environ | {"CEDARTHREAD_FINDING": str(finding)}
+        process = subprocess.run(command, env=environment, check=False)
         if process.returncode == 0:
             print(f"fuzz run {name}: ok")
             return EXIT_OK
@@ -207,7 +208,7 @@
     print(f"{'target':14} {'lines':>7} {'branches':>9}  module: lines not reached", flush=True)
     for name in _chosen_targets(options):
         command = [sys.executable, "-W", "ignore", "-m", f"{PACKAGE}.coverage_report", name]
-        exit_code = subprocess.run([*command, options["--corpus"]]).returncode
+        exit_code = subprocess.run([*command, options["--corpus"]], check=False).returncode
         if exit_code != 0:
             print(f"fuzz coverage: FAILED, {name} ended with {exit_code}")
             return EXIT_FINDING
--- a/cedarthread/testing/fuzzing/config_targets.py
+++ b/cedarthread/testing/fuzzing/config_targets.py
@@ -46,7 +46,9 @@
         actions = actions + router.handle(1001.0, RequestArrived(index, 7, index, 1001.0 + deadline_ms))
         for action in actions:
             if isinstance(action, StartAttempt) and action.request_id == index:
-                router.handle(1002.0, AttemptEnded(index, 0, action.worker_id, Outcome.ERROR, 1.0, False))
+                router.handle(
+                    1002.0, AttemptEnded(index, 0, action.worker_id, Outcome.ERROR, 1.0, is_final=False)
+                )
     for action in actions:
         if isinstance(action, SetTimer):
             require(math.isfinite(action.at_ms), f"a timer at {action.at_ms}")
--- a/cedarthread/testing/fuzzing/discovery_target.py
+++ b/cedarthread/testing/fuzzing/discovery_target.py
@@ -79,6 +79,76 @@
         self.updates.append(_Update(serial, records))
 
 
+class _DiscoveryRun:
+    """A discovery client that receives the replies that one input selects.
+
+    Args:
+        choices: The input.
+        updates: Receives each list that the client passes on.
+    """
+
+    def __init__(self, choices: FuzzedDataProvider, updates: list[_Update]) -> None:
+        self.choices = choices
+        self.updates = updates
+        self.observed = _ObservedReplies(updates)
+        self.client = DiscoveryClient(self.observed.on_update)
+        self.client._random = cast("Any", random.Random(1))
+        self.transport = _RecordingDatagramTransport()
+        self.client.connection_made(self.transport)
+        self.serial = 0
+        self.delivered: list[bytes] = []  # complete replies, for a repeated delivery
+
+    async def run(self) -> None:
+        """Deliver replies until the end of the input, then stop the client."""
+        while self.choices.has_more():
+            self._deliver_next()
+            await asyncio.sleep(self.choices.consume_byte() / 100)
+        self.client.stop()
+
+    def _deliver_next(self) -> None:
+        choices = self.choices
+        query_ids = self.transport.query_ids()
+        rng = random.Random(choices.consume_uint16())
+        reply = generate_reply(rng, rng.randrange(4))
+        self.serial += choices.consume_byte() % 3
+        reply.query_id = rng.choice(query_ids[-REPLIED_QUERIES:])
+        reply.serial = self.serial
+        data = pack_reply(reply)
+        match choices.consume_byte() % 8:
+            case 0:
+                self._deliver(data[: choices.consume_byte()])
+            case 1:
+                self._deliver_truncated(reply)
+            case 2:
+                foreign_id = (reply.query_id + 1 + choices.consume_byte()) % 2**16
+                is_recent = foreign_id in query_ids[-MAX_OUTSTANDING_QUERIES:]
+                self._deliver_foreign(struct.pack(">H", foreign_id) + data[2:], is_recent=is_recent)
+            case 3 if self.delivered:
+                self._deliver(choices.pick(self.delivered))
+            case 4:
+                self.client.error_received(OSError(111, "refused"))
+            case 5:
+                self._deliver(mutate_bytes(data, rng))
+            case _:
+                self._deliver(data)
+                self.delivered.append(data)
+
+    def _deliver(self, datagram: bytes) -> None:
+        self.observed.on_reply(datagram)
+        self.client.datagram_received(datagram, None)
+
+    def _deliver_truncated(self, reply: dns.Reply) -> None:
+        count = len(self.updates)
+        self._deliver(pack_reply(reply, flags=AUTHORITATIVE_ANSWER | TRUNCATED))
+        require(len(self.updates) == count, "a truncated reply was taken")
+
+    def _deliver_foreign(self, datagram: bytes, *, is_recent: bool) -> None:
+        count = len(self.updates)
+        self._deliver(datagram)
+        is_unchanged = len(self.updates) == count
+        require(is_recent or is_unchanged, "a reply to nothing that was asked was taken")
+
+
 class DiscoveryTarget(Target):
     """The discovery client, with replies lost, late, old, repeated, foreign and truncated."""
 
@@ -99,58 +169,13 @@
         updates: list[_Update] = []
 
         async def work(loop: VirtualLoop) -> None:
-            await self._play(loop, FuzzedDataProvider(data), updates)
+            run = _DiscoveryRun(FuzzedDataProvider(data), updates)
+            await run.run()
+            has_stopped = run.transport.is_closed and loop.timer_count() == 0
+            require(has_stopped, "it asks on after its end")
 
         failures = run_virtual(work).failures
         require(not failures, failures[0] if failures else "")
         for earlier, later in itertools.pairwise(updates):
             is_same = earlier.serial == later.serial and set(earlier.records) == set(later.records)
             require(not is_same, f"serial {later.serial} was told twice")
-
-    async def _play(self, loop: VirtualLoop, choices: FuzzedDataProvider, updates: list[_Update]) -> None:
-        observed = _ObservedReplies(updates)
-        client = DiscoveryClient(observed.on_update)
-
-        def deliver(datagram: bytes) -> None:
-            observed.on_reply(datagram)
-            client.datagram_received(datagram, None)
-
-        client._random = cast("Any", random.Random(1))
-        transport = _RecordingDatagramTransport()
-        client.connection_made(transport)
-        serial = 0
-        earlier = list[bytes]()
-        while choices.has_more():
-            query_ids = transport.query_ids()
-            rng = random.Random(choices.consume_uint16())
-            reply = generate_reply(rng, rng.randrange(4))
-            serial += choices.consume_byte() % 3
-            reply.query_id = rng.choice(query_ids[-REPLIED_QUERIES:])
-            reply.serial = serial
-            data = pack_reply(reply)
-            count = len(updates)
-            match choices.consume_byte() % 8:
-                case 0:
-                    deliver(data[: choices.consume_byte()])
-                case 1:
-                    truncated = pack_reply(reply, flags=AUTHORITATIVE_ANSWER | TRUNCATED)
-                    deliver(truncated)
-                    require(len(updates) == count, "a truncated reply was taken")
-                case 2:
-                    foreign_id = (reply.query_id + 1 + choices.consume_byte()) % 2**16
-                    deliver(struct.pack(">H", foreign_id) + data[2:])
-                    is_recent = foreign_id in query_ids[-MAX_OUTSTANDING_QUERIES:]
-                    unchanged = len(updates) == count
-                    require(is_recent or unchanged, "a reply to nothing that was asked was taken")
-                case 3 if earlier:
-                    deliver(choices.pick(earlier))
-                case 4:
-                    client.error_received(OSError(111, "refused"))
-                case 5:
-                    deliver(mutate_bytes(data, rng))
-                case _:
-                    deliver(data)
-                    earlier.append(data)
-            await asyncio.sleep(choices.consume_byte() / 100)
-        client.stop()
-        require(transport.is_closed and loop.timer_count() == 0, "it asks on after its end")
--- a/cedarthread/testing/fuzzing/dns_target.py
+++ b/cedarthread/testing/fuzzing/dns_target.py
@@ -16,7 +16,6 @@
 
 if TYPE_CHECKING:
     import random
-    from collections.abc import Sequence
 
 HEADER_BYTES = 12
 AUTHORITATIVE_ANSWER = 0x8400  # the DNS flags QR and AA
@@ -64,7 +63,7 @@
         struct.pack_into(">H", self.data, start - 2, len(self.data) - start)
 
 
-def pack_reply(reply: dns.Reply, names: Sequence[str] = (), *, flags: int = AUTHORITATIVE_ANSWER) -> bytes:
+def pack_reply(reply: dns.Reply, *, flags: int = AUTHORITATIVE_ANSWER) -> bytes:
     """Return the bytes of a reply, as a server writes it."""
     writer = _ReplyWriter(reply.query_id, flags)
     for service in reply.srv_records:
--- a/cedarthread/testing/fuzzing/endpoint_publisher.py
+++ b/cedarthread/testing/fuzzing/endpoint_publisher.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from cedarthread.testing.fuzzing.memory_peers import MemoryWorker
+    from cedarthread.testing.fuzzing.memory_worker import MemoryWorker
     from cedarthread.testing.fuzzing.router_under_test import RouterUnderTest
 
 
--- a/cedarthread/testing/fuzzing/finding.py
+++ b/cedarthread/testing/fuzzing/finding.py
@@ -7,7 +7,7 @@
     """A fault that the program showed on one input; the message names the broken rule."""
 
 
-def require(condition: bool, message: str) -> None:
-    """Raise ``Finding`` with the message unless the condition is true."""
+def require(condition: object, message: str) -> None:
+    """Raise ``Finding`` with the message unless the condition is truthy."""
     if not condition:
         raise Finding(message)
--- a/cedarthread/testing/fuzzing/invoke_caller.py
+++ b/cedarthread/testing/fuzzing/invoke_caller.py
@@ -8,8 +8,8 @@
 from cedarthread.dispatch.calls import CallRejected
 from cedarthread.testing.fuzzing.finding import Finding
 from cedarthread.testing.fuzzing.http_reply import Reply, read_reply
+from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
 from cedarthread.testing.fuzzing.router_under_test import FUNCTIONS, RouterUnderTest
-from cedarthread.testing.fuzzing.virtual_loop import MemoryTransport
 
 if TYPE_CHECKING:
     from cedarthread.testing.fuzzing.target import FuzzedDataProvider
@@ -71,9 +71,7 @@
         self._connect()
 
     def _connect(self) -> None:
-        self.transport = MemoryTransport(self.router.loop)
-        self.transport.on_bytes = self.on_bytes
-        self.transport.on_close = self.on_close
+        self.transport = MemoryTransport(self.router.loop, self.on_bytes, self.on_close)
         self.is_connected = True
         self.buffer = b""
         self.transport.connect(self.router.connect_invoke(self.identity))
--- a/cedarthread/testing/fuzzing/invoke_target.py
+++ b/cedarthread/testing/fuzzing/invoke_target.py
@@ -14,13 +14,15 @@
 from cedarthread.testing.fuzzing.finding import require
 from cedarthread.testing.fuzzing.http_reply import read_reply
 from cedarthread.testing.fuzzing.http_target import EDGE_HEADERS, generate_request
+from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
 from cedarthread.testing.fuzzing.mutation import mutate_bytes
 from cedarthread.testing.fuzzing.stream_target import StreamTarget, dispatcher_with_echo, feed
-from cedarthread.testing.fuzzing.virtual_loop import MemoryTransport, VirtualLoop
 
 if TYPE_CHECKING:
     import random
 
+    from cedarthread.testing.fuzzing.virtual_loop import VirtualLoop
+
 PAST_RETENTION_S = 400  # longer than any result is stored
 
 
@@ -52,16 +54,15 @@
 
     async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> Any:
         """Return the statuses of the responses in order."""
-        dispatcher, flusher, _ = dispatcher_with_echo(loop)
+        dispatcher, flusher = dispatcher_with_echo(loop)
         unused = Path("nowhere")
         allowed = ("spiffe://gaz.example/*",)
         config = InvokeConfig(unused, "", 0, "gaz.example", unused, unused, unused, allowed, 8)
         server = InvokeServer(dispatcher, config, flusher, loop.time)
         connection = InvokeConnection(server)
         connection.peer = Identity("spiffe://gaz.example/a", "gaz.example", math.inf)
-        transport = MemoryTransport(loop)
         output = bytearray()
-        transport.on_bytes = output.extend
+        transport = MemoryTransport(loop, output.extend)
         transport.connect(connection)
         await feed(transport, data, seed)
         statuses = []
--- a/cedarthread/testing/fuzzing/model_checking.py
+++ b/cedarthread/testing/fuzzing/model_checking.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
-from cedarthread.testing.fuzzing.small_models import MODELS, EventChoice, ModelRun, SmallModel
+from cedarthread.testing.fuzzing.model_run import ModelRun
+from cedarthread.testing.fuzzing.small_models import MODELS, EventChoice, SmallModel
 from cedarthread.testing.fuzzing.virtual_loop import VirtualLoop, run_virtual
 
 if TYPE_CHECKING:
--- a/cedarthread/testing/fuzzing/platform_target.py
+++ b/cedarthread/testing/fuzzing/platform_target.py
@@ -10,14 +10,16 @@
 from cedarthread.protocols.platform.connection import MAX_MESSAGE_BYTES, PlatformConnection
 from cedarthread.protocols.platform.server import PlatformServer
 from cedarthread.testing.fuzzing.finding import require
+from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
 from cedarthread.testing.fuzzing.msgpack_target import generate_value
 from cedarthread.testing.fuzzing.mutation import EDGE_STRINGS, mutate_bytes
 from cedarthread.testing.fuzzing.stream_target import StreamTarget, dispatcher_with_echo, feed
-from cedarthread.testing.fuzzing.virtual_loop import MemoryTransport, VirtualLoop
 
 if TYPE_CHECKING:
     import random
 
+    from cedarthread.testing.fuzzing.virtual_loop import VirtualLoop
+
 FUNCTION = "00000000000000a1"
 
 
@@ -110,11 +112,10 @@
         The result is None if the answers depend on the time between the pieces of the stream, and True if the
         connection is closing.
         """
-        dispatcher, flusher, _ = dispatcher_with_echo(loop)
+        dispatcher, flusher = dispatcher_with_echo(loop)
         server = PlatformServer(dispatcher, 8, flusher, 2**20)
-        transport = MemoryTransport(loop)
         output = bytearray()
-        transport.on_bytes = output.extend
+        transport = MemoryTransport(loop, output.extend)
         connection = PlatformConnection(server)
         transport.connect(connection)
         await feed(transport, data, seed)
--- a/cedarthread/testing/fuzzing/router_under_test.py
+++ b/cedarthread/testing/fuzzing/router_under_test.py
@@ -11,7 +11,7 @@
 import random
 from enum import IntFlag
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from cedarthread.dispatch.dispatcher import Dispatcher
 from cedarthread.protocols.discovery.endpoint_list import EndpointList
@@ -24,10 +24,13 @@
 from cedarthread.protocols.worker.connections import WorkerConnections
 from cedarthread.settings_parser import settings_from_object
 from cedarthread.testing.fuzzing import settings as drawn_settings
-from cedarthread.testing.fuzzing.virtual_loop import MemoryTransport, VirtualLoop
+from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
 from cedarthread.testing.invariants import CallGuarantees, Idempotency, InvariantChecker, InvariantLimits
 from cedarthread.transport.flusher import Flusher
 
+if TYPE_CHECKING:
+    from cedarthread.testing.fuzzing.virtual_loop import VirtualLoop
+
 FUNCTIONS = ("00000000000000a1", "00000000000000b2", "00000000000000c3")
 MAX_DEADLINE_MS = 5000.0  # the longest deadline of any class that is drawn
 CLOCK_TOLERANCE_MS = 50.0  # added to the time limit of each rule, for bytes that wait in a socket
--- a/cedarthread/testing/fuzzing/script.py
+++ b/cedarthread/testing/fuzzing/script.py
@@ -17,7 +17,7 @@
 
 
 class Step(Enum):
-    """A step of a script; ``script_steps`` implements each."""
+    """A step of a script; ``script_steps.step_actions`` maps it to its action."""
 
     CALL = "call"
     ANSWER = "answer"
@@ -71,7 +71,7 @@
     prefix: bytes = b""
 
 
-# Cases of the step WORKER_FAULT, as ``WorkerSteps.fault`` numbers them.
+# Cases of the step WORKER_FAULT, as ``worker_steps.WorkerSteps.fault`` numbers them.
 _STOP_READING = 3
 _READ_MORE = 4
 
--- a/cedarthread/testing/fuzzing/simulator_target.py
+++ b/cedarthread/testing/fuzzing/simulator_target.py
@@ -49,8 +49,7 @@
         ]
         records.append(b"\x0c" + struct.pack("<II", 1, len(workers)) + b"".join(workers))
         records.append(b"\x02" + struct.pack("<BQI", rng.choice((1, 2, 3, 4)), 1, 1))
-        for _ in range(rng.randrange(8)):
-            records.append(self._event(rng))
+        records.extend(self._event(rng) for _ in range(rng.randrange(8)))
         return self.frame(rng.choice((0.0, 1000.0, 1e308)), len(records), b"".join(records))
 
     def _event(self, rng: random.Random) -> bytes:
--- a/cedarthread/testing/fuzzing/stream_target.py
+++ b/cedarthread/testing/fuzzing/stream_target.py
@@ -7,7 +7,7 @@
 
 import asyncio
 import random
-from typing import Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from cedarthread.dispatch.calls import Attempt, AttemptResult, Progress
 from cedarthread.dispatch.dispatcher import Dispatcher
@@ -19,9 +19,12 @@
 from cedarthread.testing.fuzzing.mutation import mutate_bytes
 from cedarthread.testing.fuzzing.resource_meter import Budget
 from cedarthread.testing.fuzzing.target import Target
-from cedarthread.testing.fuzzing.virtual_loop import MemoryTransport, VirtualLoop, run_virtual
+from cedarthread.testing.fuzzing.virtual_loop import VirtualLoop, run_virtual
 from cedarthread.transport.flusher import Flusher
 
+if TYPE_CHECKING:
+    from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
+
 
 class EchoTransport:
     """A worker transport that answers each call with the call's own body in the loop's next iteration.
@@ -34,11 +37,9 @@
     def __init__(self, dispatcher: Dispatcher, loop: VirtualLoop) -> None:
         self.dispatcher = dispatcher
         self.loop = loop
-        self.sent_count = 0
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt."""
-        self.sent_count += 1
         attempt.progress = Progress.WRITTEN
         self.loop.call_soon(
             self.dispatcher.attempt_ended, attempt, AttemptResult(Outcome.OK, attempt.call.body)
@@ -64,16 +65,22 @@
         """Ignore the request."""
 
 
-def dispatcher_with_echo(loop: VirtualLoop) -> tuple[Dispatcher, Flusher, EchoTransport]:
-    """Return a dispatcher with two workers that answer every call, its flusher and its transport."""
+class EchoDispatcher(NamedTuple):
+    """A dispatcher with workers that answer every call, and the flusher of its output."""
+
+    dispatcher: Dispatcher
+    flusher: Flusher
+
+
+def dispatcher_with_echo(loop: VirtualLoop) -> EchoDispatcher:
+    """Return a dispatcher with two workers that answer every call with the call's own body."""
     dispatcher = Dispatcher(settings_from_object(drawn_settings.settings()), 1, clock=loop.unix_ms)
     flusher = Flusher()
     dispatcher.flush_output = flusher.flush_all
-    echo = EchoTransport(dispatcher, loop)
-    dispatcher.connect_workers(echo)
+    dispatcher.connect_workers(EchoTransport(dispatcher, loop))
     endpoints = tuple(Endpoint(number, 0, 0, 0, EndpointState.READY, None, None) for number in (1, 2))
     dispatcher.endpoints_changed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, endpoints))
-    return dispatcher, flusher, echo
+    return EchoDispatcher(dispatcher, flusher)
 
 
 def split_stream(data: bytes, seed: int) -> list[bytes]:
--- a/cedarthread/testing/fuzzing/virtual_loop.py
+++ b/cedarthread/testing/fuzzing/virtual_loop.py
@@ -1,12 +1,9 @@
-"""An event loop on virtual time, and connections in memory.
-
-Time advances only when no callback is ready.
-"""
+"""An event loop on virtual time, which advances only when no callback is ready."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any, Protocol
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -18,6 +15,19 @@
     """The run cannot continue: no callback is ready and no timer is set."""
 
 
+class DialedTransport(Protocol):
+    """The program's end of a connection that ``VirtualLoop.dial`` opens."""
+
+    never_connects: bool
+    protocol: Any
+
+    def connect(self, protocol: Any) -> None:
+        """Attach the program's protocol and notify it that the connection is open."""
+
+    def is_closing(self) -> bool:
+        """Return whether the transport is closed or closing."""
+
+
 class VirtualLoop(asyncio.BaseEventLoop):
     """An event loop that advances its clock to the next timer instead of waiting.
 
@@ -31,7 +41,7 @@
         self._selector = self  # BaseEventLoop calls ``select`` with the time until the next timer
         self.jitter: Callable[[], float] = lambda: 0.0
         self.failures: list[str] = []
-        self.dial: Callable[[Any, str, int], MemoryTransport] | None = None
+        self.dial: Callable[[Any, str, int], DialedTransport] | None = None
         self.set_exception_handler(self._on_failure)
 
     def _on_failure(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
@@ -107,186 +117,3 @@
             task.cancel()
         loop.run_until_complete(asyncio.sleep(0))
         loop.close()
-
-
-class Write(NamedTuple):
-    """One write of the program to a transport: the position in the stream and the time in Unix ms."""
-
-    first_byte: int
-    at_ms: float
-
-
-class MemoryTransport(asyncio.Transport):
-    """The program's end of a connection in memory, with methods that act as the peer (``peer_*``).
-
-    The peer accepts ``peer_window_bytes`` further bytes, or any number if the window is None. Accepted bytes
-    are passed to ``on_bytes`` at once. Other bytes stay in the write buffer, as with a socket whose peer has
-    stopped reading. ``on_close`` is called when either end has closed the connection.
-    """
-
-    def __init__(self, loop: VirtualLoop) -> None:
-        super().__init__()
-        self.loop = loop
-        self.protocol: Any = None
-        self.peer_window_bytes: int | None = None
-        self.never_connects = False
-        self.on_bytes: Callable[[bytes], None] = lambda data: None
-        self.on_close: Callable[[], None] = lambda: None
-        self.sent_eof = False
-        self.writes = [Write(0, 0.0)]
-        self._written_bytes = 0
-        self._write_buffer = bytearray()
-        self._unread_input: list[bytes] = []
-        self._high_water_bytes = 64 * 1024
-        self._is_writing_paused = False
-        self._is_reading_paused = False
-        self._is_closing = False
-        self._is_lost = False
-        self._is_peer_eof = False
-
-    def connect(self, protocol: Any) -> None:
-        """Attach the program's protocol and notify it that the connection is open."""
-        self.protocol = protocol
-        protocol.connection_made(self)
-
-    # Actions of the peer.
-
-    def peer_send(self, data: bytes) -> None:
-        """Send bytes from the peer to the program."""
-        if data and not self._is_closing:
-            self._unread_input.append(data)
-            self.deliver()
-
-    def peer_send_eof(self) -> None:
-        """Close the peer's end for writing."""
-        self._is_peer_eof = True
-        self.deliver()
-
-    def peer_reset(self) -> None:
-        """Reset the connection from the peer; bytes that the peer has not accepted are lost."""
-        self._write_buffer.clear()
-        self._end(ConnectionResetError("reset by peer"))
-
-    def peer_accept(self, more_bytes: int | None) -> None:
-        """Accept this many further bytes at the peer, or all bytes from now on if None."""
-        self.peer_window_bytes = (
-            more_bytes
-            if more_bytes is None or self.peer_window_bytes is None
-            else self.peer_window_bytes + more_bytes
-        )
-        self._flush()
-
-    def deliver(self, *, paused: bool = False) -> None:
-        """Pass the bytes that the peer has sent to the program's protocol.
-
-        Args:
-            paused: Whether to pass them even while the program has paused reading.
-        """
-        while self._unread_input and (paused or not self._is_reading_paused) and not self._is_closing:
-            data = self._unread_input.pop(0)
-            buffer = self.protocol.get_buffer(-1)
-            if not len(buffer) and paused:
-                self._unread_input.insert(0, data)
-                return
-            if not len(buffer):
-                raise AssertionError("get_buffer() returned an empty buffer")
-            count = min(len(buffer), len(data))
-            buffer[:count] = data[:count]
-            if count < len(data):
-                self._unread_input.insert(0, data[count:])
-            self.protocol.buffer_updated(count)
-        if (
-            self._is_peer_eof
-            and not self._unread_input
-            and (paused or not self._is_reading_paused)
-            and not self._is_closing
-        ):
-            self._is_peer_eof = False
-            if not self.protocol.eof_received():
-                self.close()
-
-    # The asyncio.Transport interface, which protocols use.
-
-    def write(self, data: Any) -> None:
-        """Write bytes; those that the peer does not accept are buffered."""
-        if self._is_lost or self.sent_eof:
-            return
-        self.writes.append(Write(self._written_bytes, self.loop.unix_ms()))
-        self._written_bytes += len(data)
-        self._write_buffer += data
-        self._flush()
-        if len(self._write_buffer) > self._high_water_bytes and not self._is_writing_paused:
-            self._is_writing_paused = True
-            self.protocol.pause_writing()
-
-    def _flush(self) -> None:
-        count = (
-            len(self._write_buffer)
-            if self.peer_window_bytes is None
-            else min(self.peer_window_bytes, len(self._write_buffer))
-        )
-        if self.peer_window_bytes is not None:
-            self.peer_window_bytes -= count
-        data = bytes(self._write_buffer[:count])
-        del self._write_buffer[:count]
-        if data:
-            self.on_bytes(data)
-        if len(self._write_buffer) <= self._high_water_bytes // 4 and self._is_writing_paused:
-            self._is_writing_paused = False
-            self.protocol.resume_writing()
-        if not self._write_buffer and self._is_closing and not self._is_lost:
-            self._end(None)
-
-    def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Set the buffered size in bytes above which the protocol must pause writing."""
-        self._high_water_bytes = 64 * 1024 if high is None else high
-
-    def get_write_buffer_size(self) -> int:
-        """Return the number of bytes that the peer has not accepted yet."""
-        return len(self._write_buffer)
-
-    def pause_reading(self) -> None:
-        """Pause reading."""
-        self._is_reading_paused = True
-
-    def resume_reading(self) -> None:
-        """Resume reading in the next iteration of the loop."""
-        if self._is_reading_paused and not self._is_closing:
-            self._is_reading_paused = False
-            self.loop.call_soon(self.deliver)
-
-    def is_closing(self) -> bool:
-        """Return whether the transport is closed or closing."""
-        return self._is_closing
-
-    def can_write_eof(self) -> bool:
-        """Return True."""
-        return True
-
-    def write_eof(self) -> None:
-        """Close the program's end for writing."""
-        self.sent_eof = True
-
-    def close(self) -> None:
-        """Close the connection once the peer has accepted all buffered bytes."""
-        if not self._is_closing:
-            self._is_closing = True
-            if not self._write_buffer:
-                self._end(None)
-
-    def abort(self) -> None:
-        """Close the connection at once; buffered bytes are lost."""
-        self._write_buffer.clear()
-        self._end(None)
-
-    def _end(self, error: Exception | None) -> None:
-        self._is_closing = True
-        if not self._is_lost:
-            self._is_lost = True
-            self.on_close()
-            if self.protocol is not None:
-                self.loop.call_soon(self.protocol.connection_lost, error)
-
-    def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Return the default because a connection in memory has no such information."""
-        return default
--- a/cedarthread/testing/fuzzing/worker_lines_target.py
+++ b/cedarthread/testing/fuzzing/worker_lines_target.py
@@ -18,15 +18,16 @@
 from cedarthread.settings_parser import settings_from_object
 from cedarthread.testing.fuzzing import settings as drawn_settings
 from cedarthread.testing.fuzzing.finding import require
+from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
 from cedarthread.testing.fuzzing.mutation import EDGE_STRINGS
 from cedarthread.testing.fuzzing.stream_target import StreamTarget, feed
-from cedarthread.testing.fuzzing.virtual_loop import MemoryTransport, VirtualLoop
 from cedarthread.transport.flusher import Flusher
 
 if TYPE_CHECKING:
     import random
 
     from cedarthread.model.events import PreloadEnded
+    from cedarthread.testing.fuzzing.virtual_loop import VirtualLoop
 
 
 class _Ending(NamedTuple):
