--- a/cedarthread/testing/fuzzing/call_machine.py
+++ b/cedarthread/testing/fuzzing/call_machine.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from cedarthread.testing.fuzzing.client_steps import ClientSteps
 from cedarthread.testing.fuzzing.endpoint_publisher import EndpointPublisher
@@ -28,16 +28,16 @@
     from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
 
 MAX_SCRIPT_BYTES = 400
-PIPELINED_ROUNDS = 4  # because the router serves the pipelined requests of a connection one after another
+PIPELINED_ROUNDS = 4  # several, because the router serves pipelined requests one after another
 PIPELINED_ROUND_MS = 3000.0
-COLLECT_ROUNDS = 400  # because a stopping invoke server closes the connection after each response
+COLLECT_ROUNDS = 400  # many, because a stopping invoke server closes the connection after each response
 COLLECT_ROUND_MS = 50.0
 RETENTION_S = 125.0  # longer than any answer is stored
 RECLAIM_S = 20.0  # after the last sweep, until the timers of closed connections have expired
 
 
 class CallMachine:
-    """One run of a script: the router under test, its workers and its clients.
+    """A run of a script: the router under test, its workers and its clients.
 
     Args:
         loop: The virtual loop that the run owns.
@@ -64,7 +64,7 @@
             ProcessSteps(router, choices, stall_ms),
         )
 
-    def _dial(self, factory: Any, host: str, port: int) -> MemoryTransport:
+    def _dial(self, factory: object, host: str, port: int) -> MemoryTransport:
         return self.workers[port - 1].connect()  # a worker's port is its number
 
     async def run(self) -> None:
--- a/cedarthread/testing/fuzzing/config_targets.py
+++ b/cedarthread/testing/fuzzing/config_targets.py
@@ -57,7 +57,7 @@
 class JsonTarget(Target):
     """A target with one JSON document as its input."""
 
-    def base_document(self, rng: random.Random) -> Any:
+    def base_document(self, rng: random.Random) -> object:
         """Return the parsed document that ``generate`` changes."""
         raise NotImplementedError
 
@@ -93,7 +93,7 @@
     line_budget = Budget(60_000, 400)
     byte_budget = Budget(4 * 2**20, 400)
 
-    def base_document(self, rng: random.Random) -> Any:
+    def base_document(self, rng: random.Random) -> dict[str, Any]:
         """Return a complete configuration."""
         entry = {
             "name": "s-00000001",
@@ -116,7 +116,7 @@
         }
 
     def generate(self, rng: random.Random) -> bytes:
-        """Return a configuration, in most cases with a change in its settings, where most numbers are."""
+        """Return a configuration, in most cases with a change in its settings, which have most numbers."""
         if rng.random() < 0.4:
             return super().generate(rng)
         tree = self.base_document(rng)
--- a/cedarthread/testing/fuzzing/coverage_report.py
+++ b/cedarthread/testing/fuzzing/coverage_report.py
@@ -35,7 +35,7 @@
     for module in target.modules:
         analysis: Any = measured._analyze(sys.modules[module].__file__ or "")
         lines = analysis.numbers.pc_statements
-        branches = _branch_percentage(analysis.numbers)
+        branches = _percentage(analysis.numbers.n_executed_branches, analysis.numbers.n_branches)
         missing = analysis.missing_formatted() or "none"
         print(
             f"{name:14} {lines:6.1f}% {branches:8.1f}%  {module.removeprefix('cedarthread.')}: {missing}",
@@ -43,10 +43,8 @@
         )
 
 
-def _branch_percentage(numbers: Any) -> float:
-    if not numbers.n_branches:
-        return 100.0
-    return float(100.0 * numbers.n_executed_branches / numbers.n_branches)
+def _percentage(executed: int, total: int) -> float:
+    return 100.0 * executed / total if total else 100.0
 
 
 if __name__ == "__main__":
--- a/cedarthread/testing/fuzzing/defective_calls.py
+++ b/cedarthread/testing/fuzzing/defective_calls.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import TYPE_CHECKING, Any, cast
+from typing import TYPE_CHECKING, cast
 from unittest import mock
 
 from cedarthread.dispatch.actions import ActionExecutor
@@ -22,12 +22,14 @@
 
 if TYPE_CHECKING:
     import asyncio
+    from collections.abc import Callable
 
     from cedarthread.dispatch.deadlines import CallDeadlines
     from cedarthread.model.actions import StartAttempt
     from cedarthread.protocols.platform.connection import PlatformConnection
     from cedarthread.protocols.worker.connection import WorkerConnection
     from cedarthread.protocols.worker.connections import WorkerConnections
+    from cedarthread.protocols.worker.requests import WorkerRequest
     from cedarthread.routing.records import PendingRequest, WorkerRecord
     from cedarthread.routing.retries import RetryPolicy
 
@@ -73,7 +75,7 @@
 
 
 def allow_any_worker(self: WorkerSelector, request: PendingRequest, worker: WorkerRecord) -> bool:
-    """Return True: every worker is eligible, whatever its state."""
+    """Return True, so that a worker is eligible in every state."""
     return True
 
 
@@ -103,7 +105,7 @@
 
 
 def retry_always(self: RetryPolicy, now_ms: float, request: PendingRequest) -> bool:
-    """Return True: every request may be attempted again."""
+    """Return True, so that every request may be attempted again."""
     return True
 
 
@@ -137,7 +139,12 @@
     self.lingering_close()
 
 
-def end_without_removal(self: WorkerConnections, request: Any, result: Any, outcome: Outcome) -> None:
+def end_without_removal(
+    self: WorkerConnections,
+    request: WorkerRequest,
+    result: Callable[[Attempt], AttemptResult],
+    outcome: Outcome,
+) -> None:
     """End a request without removing it from the requests in flight."""
     if isinstance(request, Attempt):
         self.dispatcher.attempt_ended(request, result(request))
@@ -146,7 +153,7 @@
 
 
 def cancel_as_not_executed(
-    self: WorkerConnections, attempt: Attempt, connection: Any, cancel_line: Any
+    self: WorkerConnections, attempt: Attempt, connection: object, cancel_line: object
 ) -> None:
     """Report a cancelled attempt as not executed."""
     self.dispatcher.attempt_ended(attempt, AttemptResult(Outcome.CANCELLED))
--- a/cedarthread/testing/fuzzing/defective_parsers.py
+++ b/cedarthread/testing/fuzzing/defective_parsers.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, SupportsFloat
 
 from cryptography import x509
 
@@ -19,6 +19,7 @@
 
 if TYPE_CHECKING:
     from cedarthread.dispatch import deferred
+    from cedarthread.model.endpoints import EndpointUpdate
     from cedarthread.protocols.discovery import client as discovery
 
 _parse_content_length = http._parse_content_length
@@ -59,7 +60,7 @@
     records: list[endpoint_list.EndpointRecord],
     *,
     is_snapshot: bool,
-) -> Any:
+) -> EndpointUpdate | None:
     """Apply an update of the endpoint list even if it is older than the list."""
     self.version = min(self.version, version - 1)
     return _apply_update(self, version, records, is_snapshot=is_snapshot)
@@ -79,7 +80,7 @@
     return _parse_call_response(message, columns) or AttemptResult(Outcome.OK, b"spoilt")
 
 
-def number_unchecked(value: Any, minimum: float = 0.0) -> float:
+def number_unchecked(value: SupportsFloat | str, minimum: float = 0.0) -> float:
     """Return a number without checking its range."""
     return float(value)
 
@@ -90,14 +91,14 @@
     return domain if text.startswith("spiffe://") and slash and spiffe._DOMAIN.match(domain) else None
 
 
-def take_first_uri(leaf: Any) -> Any:
+def take_first_uri(leaf: x509.Certificate) -> spiffe.Identity:
     """Return the identity of the first URI of a certificate without any further check."""
     names = leaf.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
     uri = names.get_values_for_type(x509.UniformResourceIdentifier)[0]
     return spiffe.Identity(uri, spiffe.parse_trust_domain(uri) or "", 0.0)
 
 
-def find_of_any_owner(self: deferred.DeferredCalls, owner: str, call_id: str) -> Any:
+def find_of_any_owner(self: deferred.DeferredCalls, owner: str, call_id: str) -> deferred.DeferredCall | None:
     """Return a deferred call without checking its owner."""
     return self._calls_by_id.get(call_id)
 
--- a/cedarthread/testing/fuzzing/deferred_target.py
+++ b/cedarthread/testing/fuzzing/deferred_target.py
@@ -83,7 +83,7 @@
         store = self.store
         key = self.choices.pick((None, "k0", "k1", "k2"))
         if key is not None and store.find_by_key(owner, key) is not None:
-            return  # the invoke server looks the key up before it adds a call, too
+            return  # the invoke server does not add a call under a known key either
         retention_s = self.choices.pick((LIMITS.retention_s, LIMITS.retry_retention_s))
         entry = store.add(owner, key, ("0", "f", b""), retention_s)
         has_bytes = store.reserved_bytes <= LIMITS.max_bytes
--- a/cedarthread/testing/fuzzing/discovery_target.py
+++ b/cedarthread/testing/fuzzing/discovery_target.py
@@ -43,7 +43,7 @@
         self.sent: list[bytes] = []
         self.is_closed = False
 
-    def sendto(self, data: Any, addr: Any = None) -> None:
+    def sendto(self, data: bytes | bytearray | memoryview, addr: object = None) -> None:
         self.sent.append(bytes(data))
 
     def close(self) -> None:
--- a/cedarthread/testing/fuzzing/invoke_caller.py
+++ b/cedarthread/testing/fuzzing/invoke_caller.py
@@ -27,7 +27,7 @@
     DEFERRED = "deferred"
     COLLECT = "collect"
     DELETE = "delete"
-    LAST_COLLECT = "last"  # a collect after the call's deadline, so that a result must be stored
+    LAST_COLLECT = "last"  # a collect after the call's deadline, when the call must not be pending
 
 
 class PendingRequest(NamedTuple):
@@ -116,7 +116,7 @@
 
         Args:
             choices: The script, which selects the class and the function.
-            idempotency_key: The call's key; None lets a class that needs one use a new key.
+            idempotency_key: The call's key; None for a new key if the class requires one, else for no key.
             is_deferred: Whether the caller requests a deferred response.
         """
         router = self.router
--- a/cedarthread/testing/fuzzing/invoke_target.py
+++ b/cedarthread/testing/fuzzing/invoke_target.py
@@ -5,7 +5,7 @@
 import asyncio
 import math
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from cedarthread.protocols.invoke.config import InvokeConfig
 from cedarthread.protocols.invoke.connection import InvokeConnection
@@ -52,7 +52,7 @@
             return data[:position] + b"\r\n" + rng.choice(EDGE_HEADERS) + data[position:]
         return mutate_bytes(data, rng)
 
-    async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> Any:
+    async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> object:
         """Return the statuses of the responses in order."""
         dispatcher, flusher = dispatcher_with_echo(loop)
         unused = Path("nowhere")
@@ -79,6 +79,5 @@
         server.sweep(loop.time())
         stored = server.calls.deferred_calls
         require(stored.reserved_bytes == 0 and len(stored) == 0, "an answer is kept past its time")
-        return [
-            status for status in statuses if status != 100
-        ]  # whether 100 Continue is sent depends on the split
+        # Whether the server sends 100 Continue depends on the split.
+        return [status for status in statuses if status != 100]
--- a/cedarthread/testing/fuzzing/memory_client.py
+++ b/cedarthread/testing/fuzzing/memory_client.py
@@ -77,9 +77,8 @@
         now_ms = self.loop.unix_ms()
         self.pending_calls[self.last_number] = key
         self.checker.on_call_submitted(now_ms, key, guarantees, now_ms + timeout_ms)
-        if (
-            self.is_reading_paused or not self.is_open
-        ):  # the router closes a connection beyond its limit at once
+        # The router closes a connection beyond its limit at once.
+        if self.is_reading_paused or not self.is_open:
             self.checker.on_call_abandoned(now_ms, key)
         all_fields = {"txn": f"{int(key[1:]):016x}", "limit": str(timeout_ms), "item": function} | fields
         return bytes(msgpack.packb([0, self.last_number, class_name, [all_fields, key.encode()]]))
--- a/cedarthread/testing/fuzzing/memory_transport.py
+++ b/cedarthread/testing/fuzzing/memory_transport.py
@@ -12,7 +12,7 @@
 
 
 class Write(NamedTuple):
-    """One write of the program to a transport: the position in the stream and the time in Unix ms."""
+    """A write of the program to a transport: the position in the stream and the time in Unix ms."""
 
     first_byte: int
     at_ms: float
@@ -55,7 +55,7 @@
         self._is_lost = False
         self._is_peer_eof = False
 
-    def connect(self, protocol: Any) -> None:
+    def connect(self, protocol: asyncio.BufferedProtocol) -> None:
         """Attach the program's protocol and notify it that the connection is open."""
         self.protocol = protocol
         protocol.connection_made(self)
@@ -118,7 +118,7 @@
 
     # The asyncio.Transport interface, which protocols use.
 
-    def write(self, data: Any) -> None:
+    def write(self, data: bytes | bytearray | memoryview) -> None:
         """Write bytes; those that the peer does not accept are buffered."""
         if self._is_lost or self.sent_eof:
             return
@@ -198,6 +198,6 @@
             if self.protocol is not None:
                 self.loop.call_soon(self.protocol.connection_lost, error)
 
-    def get_extra_info(self, name: str, default: Any = None) -> Any:
+    def get_extra_info(self, name: str, default: object = None) -> object:
         """Return the default because a connection in memory has no such information."""
         return default
--- a/cedarthread/testing/fuzzing/model_run.py
+++ b/cedarthread/testing/fuzzing/model_run.py
@@ -37,7 +37,7 @@
 
 
 class ModelRun:
-    """One run of a model, in the state after the events that were applied to it."""
+    """A run of a model, in the state after the events that were applied to it."""
 
     def __init__(self, model: SmallModel, loop: VirtualLoop) -> None:
         self.model = model
--- a/cedarthread/testing/fuzzing/msgpack_target.py
+++ b/cedarthread/testing/fuzzing/msgpack_target.py
@@ -28,7 +28,7 @@
     """The items of a map that the reference library read, including items with a repeated key."""
 
 
-def _expected(value: Any) -> Any:
+def _expected(value: object) -> object:
     """Return the value that the program's parser must return for a value of the reference library.
 
     Raises:
@@ -46,31 +46,31 @@
     return value
 
 
-def _items(value: Any) -> list[Any]:
+def _items(value: object) -> list[object]:
     if isinstance(value, dict):
         return list(value.values())
     return value if isinstance(value, list) else []
 
 
-def _depth(value: Any) -> int:
+def _depth(value: object) -> int:
     if not isinstance(value, (dict, list)):
         return 0
     return 1 + max(map(_depth, _items(value)), default=0)
 
 
-def _max_items(value: Any) -> int:
+def _max_items(value: object) -> int:
     """Return the largest number of items of a list or map in a value."""
     return max([len(_items(value)), *map(_max_items, _items(value))])
 
 
-def _max_content_bytes(value: Any) -> int:
+def _max_content_bytes(value: object) -> int:
     """Return the length in bytes of the longest string in a value, encoded in UTF-8."""
     if isinstance(value, (str, bytes)):
         return len(value.encode() if isinstance(value, str) else value)
     return max(map(_max_content_bytes, _items(value)), default=0)
 
 
-def _without_views(value: Any) -> Any:
+def _without_views(value: object) -> object:
     if isinstance(value, dict):
         return {key: _without_views(item) for key, item in value.items()}
     if isinstance(value, list):
@@ -78,7 +78,7 @@
     return bytes(value) if isinstance(value, memoryview) else value
 
 
-def generate_value(rng: random.Random, depth: int) -> Any:
+def generate_value(rng: random.Random, depth: int) -> object:
     """Return a random value of at most this nesting depth."""
     kind = rng.randrange(10 if depth else 7)
     if kind == 9:
--- a/cedarthread/testing/fuzzing/mutation.py
+++ b/cedarthread/testing/fuzzing/mutation.py
@@ -83,7 +83,7 @@
     return bytes(raw)
 
 
-def mutate_tree(value: Any, rng: random.Random, edges: Sequence[Any]) -> Any:
+def mutate_tree(value: object, rng: random.Random, edges: Sequence[object]) -> object:
     """Return a parsed value with one place changed.
 
     Encoding the result gives an input with correct lengths and types, which a change of bytes rarely does.
--- a/cedarthread/testing/fuzzing/platform_target.py
+++ b/cedarthread/testing/fuzzing/platform_target.py
@@ -23,7 +23,7 @@
 FUNCTION = "00000000000000a1"
 
 
-def generate_message(rng: random.Random, number: int) -> Any:
+def generate_message(rng: random.Random, number: int) -> object:
     """Return a message of the platform's protocol, valid or nearly valid."""
     class_name = rng.choice(("check", "revise", "confirm", "none"))
     fields = {"txn": f"{number:016x}", "limit": "2000", "item": FUNCTION, "unique": f"u{number}"}
@@ -76,7 +76,7 @@
         data = b"".join(self._pack(message) for message in messages)
         return rng.randbytes(1) + (data if rng.random() < 0.8 else data[: rng.randrange(len(data) + 1)])
 
-    def _pack(self, message: Any) -> bytes:
+    def _pack(self, message: object) -> bytes:
         try:
             return bytes(reference.packb(message))
         except (OverflowError, UnicodeEncodeError, ValueError):
@@ -106,7 +106,7 @@
             del messages[chosen]
         return b"".join(messages) + data[ends[-1] :]
 
-    async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> Any:
+    async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> object:
         """Return the call numbers that were answered, and check that no number is answered too often.
 
         The result is None if the answers depend on the time between the pieces of the stream, and True if the
--- a/cedarthread/testing/fuzzing/resource_meter.py
+++ b/cedarthread/testing/fuzzing/resource_meter.py
@@ -4,7 +4,7 @@
 
 import sys
 import tracemalloc
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.testing.fuzzing.finding import Finding
 
@@ -12,6 +12,8 @@
     from collections.abc import Callable
     from types import FrameType
 
+    from _typeshed import TraceFunction
+
 PACKAGE = "cedarthread"
 UNMETERED = ".fuzz"  # part of the names of the modules that are not counted
 
@@ -43,11 +45,11 @@
         self.line_count = 0
         self.peak_bytes = 0
 
-    def _trace(self, frame: FrameType, event: str, arg: Any) -> Callable[..., Any] | None:
+    def _trace(self, frame: FrameType, event: str, arg: object) -> TraceFunction | None:
         module = str(frame.f_globals.get("__name__", ""))
         return self._line if module.startswith(PACKAGE) and UNMETERED not in module else None
 
-    def _line(self, frame: FrameType, event: str, arg: Any) -> Callable[..., Any]:
+    def _line(self, frame: FrameType, event: str, arg: object) -> TraceFunction:
         self.line_count += event == "line"
         if self.line_count > self.max_lines:
             raise Finding(f"more than {self.max_lines} lines of work for one input")
--- a/cedarthread/testing/fuzzing/state_digest.py
+++ b/cedarthread/testing/fuzzing/state_digest.py
@@ -8,7 +8,6 @@
 from collections import deque
 from dataclasses import fields, is_dataclass
 from enum import Enum
-from typing import Any
 
 from cedarthread.routing.overload import OverloadEstimator
 from cedarthread.routing.zone_reachability import ZoneReachability
@@ -26,14 +25,14 @@
 }
 
 
-def state_digest(*values: Any) -> bytes:
+def state_digest(*values: object) -> bytes:
     """Return a digest of the values."""
     return hashlib.blake2b(
         repr([canonical(value) for value in values]).encode(), digest_size=DIGEST_BYTES
     ).digest()
 
 
-def canonical(value: Any, depth: int = 0) -> Any:
+def canonical(value: object, depth: int = 0) -> object:
     """Return a value as nested tuples, without object identities and skipped fields."""
     if depth > MAX_DEPTH:
         return "deep"
--- a/cedarthread/testing/fuzzing/stream_target.py
+++ b/cedarthread/testing/fuzzing/stream_target.py
@@ -7,7 +7,7 @@
 
 import asyncio
 import random
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.dispatch.calls import Attempt, AttemptResult, Progress
 from cedarthread.dispatch.dispatcher import Dispatcher
@@ -116,7 +116,7 @@
     byte_budget = Budget(4 * 2**20, 400)
     test_runs = 150
 
-    async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> Any:
+    async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> object:
         """Feed a stream to a new connection and return its output in a comparable form.
 
         Args:
@@ -128,7 +128,7 @@
 
     def check(self, data: bytes) -> None:
         """Check that the output is equal for the stream in one piece and in several."""
-        outputs: list[Any] = []
+        outputs: list[object] = []
         for seed in (0, 1 + data[0] if data else 1):
 
             async def work(loop: VirtualLoop, seed: int = seed) -> None:
--- a/cedarthread/testing/fuzzing/target.py
+++ b/cedarthread/testing/fuzzing/target.py
@@ -48,7 +48,7 @@
 
 
 class Target:
-    """One parser or state machine under test.
+    """A parser or state machine under test.
 
     ``check`` reports a fault by raising ``Finding``, or by letting the program's own exception pass.
     """
--- a/cedarthread/testing/fuzzing/virtual_loop.py
+++ b/cedarthread/testing/fuzzing/virtual_loop.py
@@ -7,6 +7,7 @@
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
+    from contextvars import Context
 
 START_TIME_S = 1_000_000.0  # loop time at the start, which is also a Unix time
 
@@ -19,9 +20,8 @@
     """The program's end of a connection that ``VirtualLoop.dial`` opens."""
 
     never_connects: bool
-    protocol: Any
 
-    def connect(self, protocol: Any) -> None:
+    def connect(self, protocol: asyncio.BufferedProtocol) -> None:
         """Attach the program's protocol and notify it that the connection is open."""
 
     def is_closing(self) -> bool:
@@ -41,7 +41,7 @@
         self._selector = self  # BaseEventLoop calls ``select`` with the time until the next timer
         self.jitter: Callable[[], float] = lambda: 0.0
         self.failures: list[str] = []
-        self.dial: Callable[[Any, str, int], DialedTransport] | None = None
+        self.dial: Callable[[object, str, int], DialedTransport] | None = None
         self.set_exception_handler(self._on_failure)
 
     def _on_failure(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
@@ -55,8 +55,8 @@
         """Return the virtual time in Unix milliseconds, the unit of the dispatcher's clock."""
         return self._now_s * 1000.0
 
-    def call_at(  # type: ignore[override]  # the base class types its callback
-        self, when: float, callback: Any, *args: Any, context: Any = None
+    def call_at(
+        self, when: float, callback: Callable[..., object], *args: object, context: Context | None = None
     ) -> asyncio.TimerHandle:
         """Set a timer that may expire late, by ``jitter``."""
         return super().call_at(when + self.jitter(), callback, *args, context=context)
@@ -72,7 +72,7 @@
         self._now_s += max(0.0, timeout)
         return []
 
-    def _process_events(self, events: Any) -> None:
+    def _process_events(self, events: object) -> None:
         pass
 
     def _write_to_self(self) -> None:
@@ -87,23 +87,24 @@
         scheduled: list[asyncio.TimerHandle] = getattr(self, "_scheduled")  # noqa: B009
         return sum(not handle.cancelled() for handle in scheduled)
 
-    async def create_connection(
-        self, protocol_factory: Any, host: Any = None, port: Any = None, **_: Any
-    ) -> Any:
+    async def create_connection(  # type: ignore[override]  # only the parameters that the program passes
+        self, protocol_factory: Callable[[], asyncio.BufferedProtocol], host: str, port: int, **_: object
+    ) -> tuple[DialedTransport, asyncio.BufferedProtocol]:
         """Open a connection in memory with ``dial``.
 
         Raises:
             OSError: The peer refuses or resets the connection.
         """
         assert self.dial is not None
-        transport = self.dial(protocol_factory, str(host), int(port))
+        transport = self.dial(protocol_factory, host, port)
         while transport.never_connects:  # until the caller's own timeout cancels this
             await asyncio.sleep(1.0)
         await asyncio.sleep(0)
         if transport.is_closing():
             raise ConnectionResetError(104, "reset while it came up")
-        transport.connect(protocol_factory())
-        return transport, transport.protocol
+        protocol = protocol_factory()
+        transport.connect(protocol)
+        return transport, protocol
 
 
 def run_virtual(work: Callable[[VirtualLoop], Coroutine[Any, Any, None]]) -> VirtualLoop:
--- a/cedarthread/testing/fuzzing/worker_lines_target.py
+++ b/cedarthread/testing/fuzzing/worker_lines_target.py
@@ -47,12 +47,11 @@
         self.dispatcher = self
         self.clock = loop.unix_ms
         self.endings: list[_Ending] = []
-        self.bad_numbers: list[
-            str
-        ] = []  # reported at the end, because the connection catches every exception
+        # ``serve`` checks this list at the end, because the connection catches every exception.
+        self.bad_numbers: list[str] = []
 
     def _check_number(self, label: str, value: float, limit: float) -> None:
-        if not abs(value) <= limit:  # true for NaN too
+        if not abs(value) <= limit:  # the comparison is false for NaN, so NaN is reported too
             self.bad_numbers.append(f"{label} of {value}")
 
     def may_start_attempt(self, attempt: Attempt) -> bool:
@@ -139,7 +138,7 @@
             lines.append(rng.choice((deep, b'{"op":' + deep + b"]" * len(deep) + b',"id":"a1"}')))
         return rng.randbytes(1) + b"\n".join(lines) + b"\n"
 
-    async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> Any:
+    async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> object:
         """Return the end of each of the four requests, after checking that each ended exactly once.
 
         A served attempt must have the body of one of the lines.
