--- a/cedarthread/testing/fuzzing/cli.py
+++ b/cedarthread/testing/fuzzing/cli.py
@@ -34,6 +34,7 @@
 import sys
 import tempfile
 import time
+from dataclasses import dataclass
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
@@ -96,57 +97,73 @@
     return EXIT_OK
 
 
+@dataclass(frozen=True, slots=True)
+class _Run:
+    """The target, limits, seed and corpus folder of a search for findings."""
+
+    name: str
+    target: Target
+    max_runs: int
+    max_seconds: float
+    seed: int
+    folder: Path
+
+
 def _run(options: Options) -> int:
     ((name, target),) = _chosen_targets(options).items()
-    max_runs = int(options["--runs"])
-    max_seconds = float(options["--seconds"])
-    seed = int(options["--seed"])
-    folder = Path(options["--corpus"])
-    if options["--plain"]:
-        return _run_plain(name, target, max_runs, max_seconds, seed, folder)
-    return _run_guided(name, target, max_runs, max_seconds, seed, folder)
+    run = _Run(
+        name,
+        target,
+        max_runs=int(options["--runs"]),
+        max_seconds=float(options["--seconds"]),
+        seed=int(options["--seed"]),
+        folder=Path(options["--corpus"]),
+    )
+    return _run_plain(run) if options["--plain"] else _run_guided(run)
 
 
-def _run_guided(name: str, target: Target, max_runs: int, max_seconds: float, seed: int, folder: Path) -> int:
-    (folder / name).mkdir(parents=True, exist_ok=True)
+def _run_guided(run: _Run) -> int:
+    corpus_folder = run.folder / run.name
+    corpus_folder.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory() as scratch:
         finding = Path(scratch) / "finding"
-        command = [sys.executable, "-m", f"{PACKAGE}.guided", name, str(folder / name)]
-        command += [f"-runs={max_runs}", f"-max_total_time={int(max_seconds)}", f"-seed={seed}"]
+        command = [sys.executable, "-m", f"{PACKAGE}.guided", run.name, str(corpus_folder)]
+        command += [f"-runs={run.max_runs}", f"-max_total_time={int(run.max_seconds)}", f"-seed={run.seed}"]
         command += [f"-max_len={MAX_INPUT_BYTES}", f"-timeout={INPUT_TIMEOUT_S}"]
         command += ["-reduce_inputs=1", f"-artifact_prefix={scratch}/"]
         environment = os.environ | {"CEDARTHREAD_FINDING": str(finding)}
         process = subprocess.run(command, env=environment, check=False)
         if process.returncode == 0:
-            print(f"fuzz run {name}: ok")
+            print(f"fuzz run {run.name}: ok")
             return EXIT_OK
         artifacts = sorted(path for path in Path(scratch).iterdir() if path.is_file())
         if not artifacts:
-            print(f"fuzz run {name}: FAILED, the run itself ended with {process.returncode}")
+            print(f"fuzz run {run.name}: FAILED, the run itself ended with {process.returncode}")
             return EXIT_FINDING
-        return _save_finding(name, target, artifacts[0].read_bytes(), folder)
+        return _save_finding(run, artifacts[0].read_bytes())
 
 
-def _save_finding(name: str, target: Target, data: bytes, folder: Path) -> int:
-    fault = verdict(target, data, metered=True)
-    path = corpus.save_input(f"{name}/findings", data, folder)
-    print(f"fuzz run {name}: FAILED, {path}: {fault or 'not seen again'}")
+def _save_finding(run: _Run, data: bytes) -> int:
+    fault = verdict(run.target, data, metered=True)
+    path = corpus.save_input(f"{run.name}/findings", data, run.folder)
+    print(f"fuzz run {run.name}: FAILED, {path}: {fault or 'not seen again'}")
     return EXIT_FINDING
 
 
-def _run_plain(name: str, target: Target, max_runs: int, max_seconds: float, seed: int, folder: Path) -> int:
-    rng = random.Random(seed)
-    corpus_inputs = [data for _, data in corpus.inputs(name, folder)]
-    started = time.monotonic()
-    runs = 0
-    while runs < max_runs and time.monotonic() - started < max_seconds:
-        data = target.next_input(rng, corpus_inputs)
-        runs += 1
-        if verdict(target, data) is not None:
-            return _save_finding(name, target, data, folder)
-        if runs % RUNS_PER_REPORT == 0:
-            print(f"{runs} runs", file=sys.stderr)
-    print(f"fuzz run {name}: ok, {runs} runs, {runs / (time.monotonic() - started):.0f} a second")
+def _run_plain(run: _Run) -> int:
+    rng = random.Random(run.seed)
+    corpus_inputs = [data for _, data in corpus.inputs(run.name, run.folder)]
+    started_at_s = time.monotonic()
+    run_count = 0
+    while run_count < run.max_runs and time.monotonic() - started_at_s < run.max_seconds:
+        data = run.target.next_input(rng, corpus_inputs)
+        run_count += 1
+        if verdict(run.target, data) is not None:
+            return _save_finding(run, data)
+        if run_count % RUNS_PER_REPORT == 0:
+            print(f"{run_count} runs", file=sys.stderr)
+    rate = run_count / (time.monotonic() - started_at_s)
+    print(f"fuzz run {run.name}: ok, {run_count} runs, {rate:.0f} a second")
     return EXIT_OK
 
 
--- a/cedarthread/testing/fuzzing/client_steps.py
+++ b/cedarthread/testing/fuzzing/client_steps.py
@@ -54,8 +54,8 @@
             fields["second"] = "1"
         data = self._encode_call(client, key, class_index, function, timeout_ms, fields)
         cut = CUT_UNIT_BYTES * (choices.consume_byte() % 8)
-        for part in (data[:cut], data[cut:]):
-            client.transport.peer_send(part)
+        for fragment in (data[:cut], data[cut:]):
+            client.transport.peer_send(fragment)
 
     def burst(self) -> None:
         """Send many calls from several clients at the same time."""
@@ -100,7 +100,7 @@
         self.invoke_callers[index].act(self.choices)
 
     def _client(self) -> MemoryClient:
-        """Return a connected client, which replaces a disconnected one of the same index."""
+        """Return the client that the script selects, after replacing one that cannot send any more."""
         index = self.choices.consume_byte() % CLIENT_COUNT
         client = self._current_clients.get(index)
         if client is None or not client.can_send():
--- a/cedarthread/testing/fuzzing/http_target.py
+++ b/cedarthread/testing/fuzzing/http_target.py
@@ -14,27 +14,28 @@
 from cedarthread.testing.fuzzing.target import Target
 
 MAX_BODY_BYTES = 16 * 1024
-EDGE_HEADERS = [b"Content-Length: 1", b"content-length:1", b"Content-Length: +1", b"Content-Length: 1_0"]
-EDGE_HEADERS += [
+EDGE_HEADERS = [
+    b"Content-Length: 1",
+    b"content-length:1",
+    b"Content-Length: +1",
+    b"Content-Length: 1_0",
     b"Content-Length: \xd9\xa3",
     b"Transfer-Encoding: chunked",
     b"Transfer-Encoding : chunked",
     b" folded: x",
-]
-EDGE_HEADERS += [
     b"Connection: close",
     b"Expect: 100-continue",
     b"Prefer: respond-async, wait=5",
     b"Host: b",
     b": x",
-]
-EDGE_HEADERS += [
     b"Idempotency-Key: k1",
     b"Call-Lanes: nan",
     b"Call-Lanes: 1e999",
     b"Call-Timeout-Ms: 99999999999",
+    b"Content-Length: " + b"9" * 5000,
+    b"X: " + b"y" * 9000,
+    b"Call-Memory-Mb: -0",
 ]
-EDGE_HEADERS += [b"Content-Length: " + b"9" * 5000, b"X: " + b"y" * 9000, b"Call-Memory-Mb: -0"]
 
 
 def generate_request(rng: random.Random) -> bytes:
--- a/cedarthread/testing/fuzzing/identity_targets.py
+++ b/cedarthread/testing/fuzzing/identity_targets.py
@@ -53,32 +53,22 @@
     "spiffe://gaz.example",
     "spiffe://gaz.example/",
     "spiffe://Gaz.example/a",
-]
-EXAMPLE_IDS += [
     "spiffe://gaz.example/a/../b",
     "spiffe://gaz.example/a//b",
     "spiffe://gaz.example/a%2fb",
     "http://gaz.example/a",
-]
-EXAMPLE_IDS += [
     "spiffe://u@gaz.example/a",
     "spiffe://gaz.example:1/a",
     "spiffe://gaz.example/a?q",
     "spiffe://gaz.example/a#f",
-]
-EXAMPLE_IDS += [
     "spiffe://gaz.example/a\n",
     "SPIFFE://gaz.example/a",
     "spiffe://" + "d" * 256 + "/a",
     "spiffe:///a",
-]
-EXAMPLE_IDS += [
     "spiffe://gaz.example/" + "a" * 2100,
     "spiffe://gaz.example/desk/*",
     "spiffe://gaz.example/é",
     "",
-]
-EXAMPLE_IDS += [
     "spiffe://gaz.example/.",
     "spiffe://gaz.example/...",
     "spiffe://gaz.example/desk",
--- a/cedarthread/testing/fuzzing/invoke_caller.py
+++ b/cedarthread/testing/fuzzing/invoke_caller.py
@@ -37,8 +37,8 @@
     call_key: str
 
 
-class KeyedPost(NamedTuple):
-    """A POST that was sent with an idempotency key, so that the caller can repeat it."""
+class CallPost(NamedTuple):
+    """The call of a POST, from which the caller can send the same POST again."""
 
     call_key: str
     function: str
@@ -65,7 +65,7 @@
         self.checker = router.checker
         self.identity = identity
         self.deferred_calls: dict[str, str] = {}  # the calls' keys by the call ID in their URL
-        self.posts_by_key: dict[str, KeyedPost] = {}
+        self.posts_by_key: dict[str, CallPost] = {}
         self.final_answers: dict[str, FinalAnswer] = {}  # by the call's key
         self.pending_requests: list[PendingRequest] = []  # of this connection, oldest first
         self._connect()
@@ -123,7 +123,7 @@
         class_index = choices.consume_byte() % 5
         if router.class_needs_key(class_index) and idempotency_key is None:
             idempotency_key = f"k{len(self.posts_by_key)}"
-        post = KeyedPost(router.next_call_key(), choices.pick(FUNCTIONS), class_index)
+        post = CallPost(router.next_call_key(), choices.pick(FUNCTIONS), class_index)
         router.called_functions.add(post.function)
         # A keyed or deferred call has no deadline here, because the router stores its result for the caller.
         # A pipelined call has none either, because the router reads it after the response to the one before.
@@ -136,7 +136,7 @@
             self.posts_by_key[idempotency_key] = post
         self._send_post(post, idempotency_key, is_deferred=is_deferred)
 
-    def _send_post(self, post: KeyedPost, idempotency_key: str | None, *, is_deferred: bool) -> None:
+    def _send_post(self, post: CallPost, idempotency_key: str | None, *, is_deferred: bool) -> None:
         path = f"/v1/functions/{post.function}/{self.router.class_name(post.class_index)}"
         fields = f"Call-Timeout-Ms: {CALL_TIMEOUT_MS}\r\nContent-Length: {len(post.call_key)}\r\n"
         fields += "Prefer: respond-async\r\n" if is_deferred else ""
@@ -146,12 +146,13 @@
 
     def retry_post(self, choices: FuzzedDataProvider) -> None:
         """Send a POST again with the same key, while its call is pending or its result is stored."""
-        if not self.posts_by_key or self.pending_requests:  # a pipelined one would be read too late
+        # The router would read a pipelined POST later, when the state that is checked below may have changed.
+        if not self.posts_by_key or self.pending_requests:
             return
         key = choices.pick(list(self.posts_by_key))
-        known = self.router.invoke.calls.deferred_calls.find_by_key(self.identity, key)
-        if known is None or isinstance(known.result, CallRejected):
-            return  # because the POST would start a second call with the body that identifies the first
+        stored = self.router.invoke.calls.deferred_calls.find_by_key(self.identity, key)
+        if stored is None or isinstance(stored.result, CallRejected):
+            return  # the POST would start a new call with the same body, which identifies a call here
         self._send_post(self.posts_by_key[key], key, is_deferred=bool(choices.consume_byte() & 1))
 
     def send_request(self, kind: RequestKind, call_key: str, text: str) -> None:
--- a/cedarthread/testing/fuzzing/model_run.py
+++ b/cedarthread/testing/fuzzing/model_run.py
@@ -37,7 +37,12 @@
 
 
 class ModelRun:
-    """A run of a model, in the state after the events that were applied to it."""
+    """A run of a model, in the state after the events that were applied to it.
+
+    Args:
+        model: The model.
+        loop: The virtual loop that the run owns.
+    """
 
     def __init__(self, model: SmallModel, loop: VirtualLoop) -> None:
         self.model = model
--- a/cedarthread/testing/fuzzing/mutation.py
+++ b/cedarthread/testing/fuzzing/mutation.py
@@ -26,8 +26,13 @@
     2**31,
     2**32 - 1,
     2**32,
+    2**53,
+    2**63 - 1,
+    2**63,
+    2**64 - 1,
+    2**64,
+    -(2**63),
 ]
-EDGE_NUMBERS += [2**53, 2**63 - 1, 2**63, 2**64 - 1, 2**64, -(2**63)]
 # Texts of numbers; float() accepts some of them although a correct sender never writes them.
 EDGE_STRINGS = [
     "",
@@ -43,8 +48,16 @@
     "1_0",
     "9" * 20,
     "9" * 5000,
+    "٣",
+    " 7",
+    "+7",
+    "1.5",
+    "5e-324",
+    "\x00",
+    "é",
+    "%2e",
+    "..",
 ]
-EDGE_STRINGS += ["٣", " 7", "+7", "1.5", "5e-324", "\x00", "é", "%2e", ".."]
 
 NOT_A_NUMBER = float("nan")
 INFINITY = float("inf")
--- a/cedarthread/testing/fuzzing/settings.py
+++ b/cedarthread/testing/fuzzing/settings.py
@@ -7,16 +7,38 @@
 
 from cedarthread.testing.fakes.settings import SETTINGS
 
+# The order of keys and classes is part of the corpus, because mutations select keys by their position.
 CLASSES: list[dict[str, Any]] = [
     {"name": "check", "goal-time": 1200, "deadline": 5000, "effect": "retryable", "value": 2},
-    {"name": "revise", "goal-time": 800, "deadline": 5000, "effect": "dedup", "group": "zone"},
+    {
+        "name": "revise",
+        "goal-time": 800,
+        "deadline": 5000,
+        "effect": "dedup",
+        "group": "zone",
+        "repeat-window": 1500,
+        "value": 5,
+    },
     {"name": "confirm", "goal-time": 1500, "deadline": 5000, "effect": "fragile", "value": 5},
-    {"name": "amend", "goal-time": 800, "deadline": 4000, "effect": "dedup", "group": "all"},
-    {"name": "settle", "goal-time": 800, "deadline": 4000, "effect": "dedup", "group": "cell"},
+    {
+        "name": "amend",
+        "goal-time": 800,
+        "deadline": 4000,
+        "effect": "dedup",
+        "group": "all",
+        "repeat-window": 1500,
+        "value": 3,
+    },
+    {
+        "name": "settle",
+        "goal-time": 800,
+        "deadline": 4000,
+        "effect": "dedup",
+        "group": "cell",
+        "repeat-window": 1500,
+        "value": 3,
+    },
 ]
-CLASSES[1] |= {"repeat-window": 1500, "value": 5}
-CLASSES[3] |= {"repeat-window": 1500, "value": 3}
-CLASSES[4] |= {"repeat-window": 1500, "value": 3}
 BASE: dict[str, Any] = SETTINGS | {
     "classes": CLASSES,
     "limits": SETTINGS["limits"] | {"streams-per-conn": 8},
