--- a/cedarthread/testing/fuzzing/call_machine.py
+++ b/cedarthread/testing/fuzzing/call_machine.py
@@ -1,50 +1,55 @@
 """The call machine: a complete router and all its peers on a virtual clock, driven by a script.
 
-An input is a script: each byte is a choice of what happens next. The checker judges by what clients and
-workers saw; at the end, all that the run took must have been given back.
+An input is a script: each byte selects the next step. The invariant checker evaluates the messages that
+clients and workers received. At the end of a run, the router must have released every resource that the run
+acquired.
 """
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
+from cedarthread.testing.fuzzing.client_steps import ClientSteps
 from cedarthread.testing.fuzzing.endpoint_publisher import EndpointPublisher
 from cedarthread.testing.fuzzing.finding import Finding
-from cedarthread.testing.fuzzing.memory_peers import MemoryWorker
+from cedarthread.testing.fuzzing.memory_worker import MemoryWorker
 from cedarthread.testing.fuzzing.resource_meter import Budget
 from cedarthread.testing.fuzzing.router_under_test import MAX_DEADLINE_MS, Mode, RouterUnderTest
 from cedarthread.testing.fuzzing.script import STEPS, WORKER_COUNT, generate_script
-from cedarthread.testing.fuzzing.script_steps import (
-    ClientSteps,
-    DiscoverySteps,
-    ProcessSteps,
-    WorkerSteps,
-    step_actions,
-)
+from cedarthread.testing.fuzzing.script_steps import DiscoverySteps, ProcessSteps, step_actions
 from cedarthread.testing.fuzzing.target import FuzzedDataProvider, Target
-from cedarthread.testing.fuzzing.virtual_loop import MemoryTransport, VirtualLoop, run_virtual
+from cedarthread.testing.fuzzing.virtual_loop import VirtualLoop, run_virtual
+from cedarthread.testing.fuzzing.worker_steps import WorkerSteps
 
 if TYPE_CHECKING:
     import random
 
+    from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
+
 MAX_SCRIPT_BYTES = 400
-PIPELINED_ROUNDS = 4  # requests behind each other on a connection have their time one after another
+PIPELINED_ROUNDS = 4  # several, because the router serves pipelined requests one after another
 PIPELINED_ROUND_MS = 3000.0
-COLLECT_ROUNDS = 400  # during a shutdown the invoke server closes the connection after each response
+COLLECT_ROUNDS = 400  # many, because a stopping invoke server closes the connection after each response
 COLLECT_ROUND_MS = 50.0
-RETENTION_S = 125.0  # the longest time that an answer is stored
-RECLAIM_S = 20.0  # after the last sweep, for timers of connections that were closed
+RETENTION_S = 125.0  # longer than any answer is stored
+RECLAIM_S = 20.0  # after the last sweep, until the timers of closed connections have expired
 
 
 class CallMachine:
-    """One run of a script."""
+    """A run of a script: the router under test, its workers and its clients.
+
+    Args:
+        loop: The virtual loop that the run owns.
+        choices: The script, from which the machine reads its mode first.
+    """
 
     def __init__(self, loop: VirtualLoop, choices: FuzzedDataProvider) -> None:
         self.choices = choices
         mode = choices.consume_byte()
         stall_ms = float(choices.consume_byte() % 4) * 100.0 * bool(mode & Mode.STALLS)
-        self.router = router = RouterUnderTest(loop, mode, stall_ms)
+        router = RouterUnderTest(loop, mode, stall_ms)
+        self.router = router
         self.checker = router.checker
         self.workers = [
             MemoryWorker(number, loop, router.checker, router.called_functions)
@@ -59,11 +64,11 @@
             ProcessSteps(router, choices, stall_ms),
         )
 
-    def _dial(self, factory: Any, host: str, port: int) -> MemoryTransport:
+    def _dial(self, factory: object, host: str, port: int) -> MemoryTransport:
         return self.workers[port - 1].connect()  # a worker's port is its number
 
     async def run(self) -> None:
-        """Play the script up to its end or the first violation, then end the run."""
+        """Run the script until its end or the first violation, then finish the run."""
         while self.choices.has_more() and not self.checker.violations:
             waiting = self.actions[self.choices.pick(STEPS)]()
             if waiting is not None:
@@ -72,8 +77,9 @@
             await self.finish()
 
     async def finish(self) -> None:
-        """Let every deadline pass, close all connections, and check what remains."""
-        router, clients = self.router, self.client_steps.clients
+        """Let every deadline pass, close all connections, and check that no resource is left over."""
+        router = self.router
+        clients = self.client_steps.clients
         for client in clients:
             client.transport.peer_accept(None)
         await router.advance(MAX_DEADLINE_MS + 500.0)
@@ -105,7 +111,11 @@
 
 
 def run_script(data: bytes) -> CallMachine:
-    """Play a script; the machine as it is at the end. A violation or a failed callback is a ``Finding``."""
+    """Run a script and return the machine in its final state.
+
+    Raises:
+        Finding: The checker reports a violation, or a callback raised an exception.
+    """
     machines: list[CallMachine] = []
 
     async def work(loop: VirtualLoop) -> None:
@@ -160,9 +170,9 @@
     test_runs = 150
 
     def generate(self, rng: random.Random) -> bytes:
-        """A script: all steps at random, or one theme."""
+        """Return a script of random steps, or of the steps of one theme."""
         return generate_script(rng)
 
     def check(self, data: bytes) -> None:
-        """Play it."""
+        """Run the script."""
         run_script(data[:MAX_SCRIPT_BYTES])
--- a/cedarthread/testing/fuzzing/cli.py
+++ b/cedarthread/testing/fuzzing/cli.py
@@ -34,6 +34,7 @@
 import sys
 import tempfile
 import time
+from dataclasses import dataclass
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
@@ -48,17 +49,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-EXIT_OK, EXIT_FINDING, EXIT_USAGE = 0, 1, 2
+EXIT_OK = 0
+EXIT_FINDING = 1
+EXIT_USAGE = 2
 RUNS_PER_REPORT = 5000
-MAX_INPUT_BYTES = 100_000  # of a guided run
-INPUT_TIMEOUT_S = 60  # likewise, for one input
+MAX_INPUT_BYTES = 100_000  # size of an input of a guided run
+INPUT_TIMEOUT_S = 60  # time for one input of a guided run
 PACKAGE = "cedarthread.testing.fuzzing"
 
 Options = dict[str, Any]
 
 
 def main(argv: list[str]) -> int:
-    """Run one command; the exit code: 0 all held, 1 a finding, 2 bad usage."""
+    """Run one command and return the exit code: 0 for success, 1 for a finding, 2 for bad usage."""
     options = docopt(__doc__, ["fuzz", *argv])
     try:
         for name, command in _COMMANDS.items():
@@ -71,19 +74,20 @@
 
 
 def _chosen_targets(options: Options) -> dict[str, Target]:
-    known = targets.targets_by_name()
+    targets_by_name = targets.targets_by_name()
     name = options["TARGET"]
     if name is None:
-        return known
-    if name not in known:
-        raise KeyError(f"no target {name!r}; there are {', '.join(known)}")
-    return {name: known[name]}
+        return targets_by_name
+    if name not in targets_by_name:
+        raise KeyError(f"no target {name!r}; there are {', '.join(targets_by_name)}")
+    return {name: targets_by_name[name]}
 
 
 def _list(options: Options) -> int:
     folder = Path(options["--corpus"])
     for name, target in targets.targets_by_name().items():
-        inputs, findings = len(corpus.inputs(name, folder)), len(corpus.findings(name, folder))
+        inputs = len(corpus.inputs(name, folder))
+        findings = len(corpus.findings(name, folder))
         about = (type(target).__doc__ or "").splitlines()[0]
         print(f"target  {name:14} {inputs:4} inputs, {findings:2} of them findings  {about}")
     for model in MODELS:
@@ -93,52 +97,73 @@
     return EXIT_OK
 
 
+@dataclass(frozen=True, slots=True)
+class _Run:
+    """The target, limits, seed and corpus folder of a search for findings."""
+
+    name: str
+    target: Target
+    max_runs: int
+    max_seconds: float
+    seed: int
+    folder: Path
+
+
 def _run(options: Options) -> int:
     ((name, target),) = _chosen_targets(options).items()
-    max_runs, max_seconds = int(options["--runs"]), float(options["--seconds"])
-    seed, folder = int(options["--seed"]), Path(options["--corpus"])
-    if options["--plain"]:
-        return _run_plain(name, target, max_runs, max_seconds, seed, folder)
-    return _run_guided(name, target, max_runs, max_seconds, seed, folder)
+    run = _Run(
+        name,
+        target,
+        max_runs=int(options["--runs"]),
+        max_seconds=float(options["--seconds"]),
+        seed=int(options["--seed"]),
+        folder=Path(options["--corpus"]),
+    )
+    return _run_plain(run) if options["--plain"] else _run_guided(run)
 
 
-def _run_guided(name: str, target: Target, max_runs: int, max_seconds: float, seed: int, folder: Path) -> int:
-    (folder / name).mkdir(parents=True, exist_ok=True)
+def _run_guided(run: _Run) -> int:
+    corpus_folder = run.folder / run.name
+    corpus_folder.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory() as scratch:
         finding = Path(scratch) / "finding"
-        command = [sys.executable, "-m", f"{PACKAGE}.guided", name, str(folder / name)]
-        command += [f"-runs={max_runs}", f"-max_total_time={int(max_seconds)}", f"-seed={seed}"]
+        command = [sys.executable, "-m", f"{PACKAGE}.guided", run.name, str(corpus_folder)]
+        command += [f"-runs={run.max_runs}", f"-max_total_time={int(run.max_seconds)}", f"-seed={run.seed}"]
         command += [f"-max_len={MAX_INPUT_BYTES}", f"-timeout={INPUT_TIMEOUT_S}"]
         command += ["-reduce_inputs=1", f"-artifact_prefix={scratch}/"]
-        process = subprocess.run(command, env=os.environ | {"CEDARTHREAD_FINDING": str(finding)})
+        environment = os.environ | {"CEDARTHREAD_FINDING": str(finding)}
+        process = subprocess.run(command, env=environment, check=False)
         if process.returncode == 0:
-            print(f"fuzz run {name}: ok")
+            print(f"fuzz run {run.name}: ok")
             return EXIT_OK
         artifacts = sorted(path for path in Path(scratch).iterdir() if path.is_file())
         if not artifacts:
-            print(f"fuzz run {name}: FAILED, the run itself ended with {process.returncode}")
+            print(f"fuzz run {run.name}: FAILED, the run itself ended with {process.returncode}")
             return EXIT_FINDING
-        return _save_finding(name, target, artifacts[0].read_bytes(), folder)
+        return _save_finding(run, artifacts[0].read_bytes())
 
 
-def _save_finding(name: str, target: Target, data: bytes, folder: Path) -> int:
-    fault = verdict(target, data, metered=True)
-    path = corpus.save_input(f"{name}/findings", data, folder)
-    print(f"fuzz run {name}: FAILED, {path}: {fault or 'not seen again'}")
+def _save_finding(run: _Run, data: bytes) -> int:
+    fault = verdict(run.target, data, metered=True)
+    path = corpus.save_input(f"{run.name}/findings", data, run.folder)
+    print(f"fuzz run {run.name}: FAILED, {path}: {fault or 'not seen again'}")
     return EXIT_FINDING
 
 
-def _run_plain(name: str, target: Target, max_runs: int, max_seconds: float, seed: int, folder: Path) -> int:
-    rng, known = random.Random(seed), [data for _, data in corpus.inputs(name, folder)]
-    started, runs = time.monotonic(), 0
-    while runs < max_runs and time.monotonic() - started < max_seconds:
-        data = target.next_input(rng, known)
-        runs += 1
-        if verdict(target, data) is not None:
-            return _save_finding(name, target, data, folder)
-        if runs % RUNS_PER_REPORT == 0:
-            print(f"{runs} runs", file=sys.stderr)
-    print(f"fuzz run {name}: ok, {runs} runs, {runs / (time.monotonic() - started):.0f} a second")
+def _run_plain(run: _Run) -> int:
+    rng = random.Random(run.seed)
+    corpus_inputs = [data for _, data in corpus.inputs(run.name, run.folder)]
+    started_at_s = time.monotonic()
+    run_count = 0
+    while run_count < run.max_runs and time.monotonic() - started_at_s < run.max_seconds:
+        data = run.target.next_input(rng, corpus_inputs)
+        run_count += 1
+        if verdict(run.target, data) is not None:
+            return _save_finding(run, data)
+        if run_count % RUNS_PER_REPORT == 0:
+            print(f"{run_count} runs", file=sys.stderr)
+    rate = run_count / (time.monotonic() - started_at_s)
+    print(f"fuzz run {run.name}: ok, {run_count} runs, {rate:.0f} a second")
     return EXIT_OK
 
 
@@ -175,16 +200,16 @@
         )
     failures = 0
     for model in models:
-        found = explore(model, on_progress=lambda states: print(f"{states} states", file=sys.stderr))
-        fault = found.verdict()
+        exploration = explore(model, on_progress=lambda states: print(f"{states} states", file=sys.stderr))
+        fault = exploration.verdict()
         failures += fault is not None
-        counts = f"{found.state_count:6} states, {found.path_count:6} let run out"
+        counts = f"{exploration.state_count:6} states, {exploration.path_count:6} let run out"
         print(f"{model.name:12} {counts}: {fault or 'ok'}")
     print(f"fuzz explore: {'FAILED' if failures else 'ok'}, {len(models)} worlds")
     return EXIT_FINDING if failures else EXIT_OK
 
 
-def _planted(options: Options) -> int:
+def _inject_defects(options: Options) -> int:
     names = {options["DEFECT"]} if options["DEFECT"] else None
     seed = injected_defects.SEED if options["--seed"] == "1" else int(options["--seed"])
     missed = injected_defects.prove(print, names, seed)
@@ -200,7 +225,7 @@
     print(f"{'target':14} {'lines':>7} {'branches':>9}  module: lines not reached", flush=True)
     for name in _chosen_targets(options):
         command = [sys.executable, "-W", "ignore", "-m", f"{PACKAGE}.coverage_report", name]
-        exit_code = subprocess.run([*command, options["--corpus"]]).returncode
+        exit_code = subprocess.run([*command, options["--corpus"]], check=False).returncode
         if exit_code != 0:
             print(f"fuzz coverage: FAILED, {name} ended with {exit_code}")
             return EXIT_FINDING
@@ -213,6 +238,6 @@
     "replay": _replay,
     "minimise": _minimise,
     "explore": _explore,
-    "planted": _planted,
+    "planted": _inject_defects,
     "coverage": _coverage,
 }
--- a/cedarthread/testing/fuzzing/discovery_target.py
+++ b/cedarthread/testing/fuzzing/discovery_target.py
@@ -1,4 +1,4 @@
-"""The discovery client: replies lost, late, old, repeated, foreign and truncated."""
+"""The fuzz target of the discovery client, with lost, late, old, repeated, foreign and truncated replies."""
 
 from __future__ import annotations
 
@@ -24,24 +24,26 @@
 if TYPE_CHECKING:
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 
-TRUNCATED = 0x0200  # the flag TC
-REPLIED_QUERIES = 3  # the latest, of which one is replied to
+TRUNCATED = 0x0200  # the DNS flag TC
+REPLIED_QUERIES = 3  # a reply answers one of this many latest queries
 
 
 class _Update(NamedTuple):
-    """A list that the client passed on."""
+    """An endpoint list that the client passed on."""
 
     serial: int
     records: list[EndpointRecord]
 
 
 class _RecordingDatagramTransport(asyncio.DatagramTransport):
+    """A transport that records the queries of the client."""
+
     def __init__(self) -> None:
         super().__init__()
         self.sent: list[bytes] = []
         self.is_closed = False
 
-    def sendto(self, data: Any, addr: Any = None) -> None:
+    def sendto(self, data: bytes | bytearray | memoryview, addr: object = None) -> None:
         self.sent.append(bytes(data))
 
     def close(self) -> None:
@@ -52,14 +54,18 @@
 
 
 class _ObservedReplies:
-    """Which queries were replied to with which list, and what the client passed on."""
+    """The queries that were answered with each list, and the lists that the client passed on.
+
+    Args:
+        updates: Receives each list that the client passes on.
+    """
 
     def __init__(self, updates: list[_Update]) -> None:
         self.updates = updates
         self._queries: defaultdict[tuple[int, frozenset[EndpointRecord]], set[int]] = defaultdict(set)
 
     def on_reply(self, datagram: bytes) -> None:
-        """A datagram is delivered to the client."""
+        """Record a datagram that is delivered to the client."""
         reply = dns.parse(datagram)
         if isinstance(reply, dns.Reply) and reply.serial is not None:
             records = endpoints_from_reply(reply)
@@ -67,12 +73,82 @@
                 self._queries[reply.serial, frozenset(records)].add(reply.query_id)
 
     def on_update(self, serial: int, records: list[EndpointRecord]) -> None:
-        """The client passes a list on."""
+        """Check that enough queries confirmed a list that the client passes on."""
         count = len(self._queries[serial, frozenset(records)])
         require(count >= CONFIRMING_QUERIES, f"serial {serial} was taken from {count} queries")
         self.updates.append(_Update(serial, records))
 
 
+class _DiscoveryRun:
+    """A discovery client that receives the replies that one input selects.
+
+    Args:
+        choices: The input.
+        updates: Receives each list that the client passes on.
+    """
+
+    def __init__(self, choices: FuzzedDataProvider, updates: list[_Update]) -> None:
+        self.choices = choices
+        self.updates = updates
+        self.observed = _ObservedReplies(updates)
+        self.client = DiscoveryClient(self.observed.on_update)
+        self.client._random = cast("Any", random.Random(1))
+        self.transport = _RecordingDatagramTransport()
+        self.client.connection_made(self.transport)
+        self.serial = 0
+        self.delivered: list[bytes] = []  # complete replies, for a repeated delivery
+
+    async def run(self) -> None:
+        """Deliver replies until the end of the input, then stop the client."""
+        while self.choices.has_more():
+            self._deliver_next()
+            await asyncio.sleep(self.choices.consume_byte() / 100)
+        self.client.stop()
+
+    def _deliver_next(self) -> None:
+        choices = self.choices
+        query_ids = self.transport.query_ids()
+        rng = random.Random(choices.consume_uint16())
+        reply = generate_reply(rng, rng.randrange(4))
+        self.serial += choices.consume_byte() % 3
+        reply.query_id = rng.choice(query_ids[-REPLIED_QUERIES:])
+        reply.serial = self.serial
+        data = pack_reply(reply)
+        match choices.consume_byte() % 8:
+            case 0:
+                self._deliver(data[: choices.consume_byte()])
+            case 1:
+                self._deliver_truncated(reply)
+            case 2:
+                foreign_id = (reply.query_id + 1 + choices.consume_byte()) % 2**16
+                is_recent = foreign_id in query_ids[-MAX_OUTSTANDING_QUERIES:]
+                self._deliver_foreign(struct.pack(">H", foreign_id) + data[2:], is_recent=is_recent)
+            case 3 if self.delivered:
+                self._deliver(choices.pick(self.delivered))
+            case 4:
+                self.client.error_received(OSError(111, "refused"))
+            case 5:
+                self._deliver(mutate_bytes(data, rng))
+            case _:
+                self._deliver(data)
+                self.delivered.append(data)
+
+    def _deliver(self, datagram: bytes) -> None:
+        self.observed.on_reply(datagram)
+        self.client.datagram_received(datagram, None)
+
+    def _deliver_truncated(self, reply: dns.Reply) -> None:
+        count = len(self.updates)
+        self._deliver(pack_reply(reply, flags=AUTHORITATIVE_ANSWER | TRUNCATED))
+        require(len(self.updates) == count, "a truncated reply was taken")
+
+    def _deliver_foreign(self, datagram: bytes, *, is_recent: bool) -> None:
+        count = len(self.updates)
+        self._deliver(datagram)
+        is_unchanged = len(self.updates) == count
+        require(is_recent or is_unchanged, "a reply to nothing that was asked was taken")
+
+
 class DiscoveryTarget(Target):
     """The discovery client, with replies lost, late, old, repeated, foreign and truncated."""
 
@@ -82,63 +158,24 @@
     byte_budget = Budget(4 * 2**20, 2000)
 
     def generate(self, rng: random.Random) -> bytes:
-        """A script."""
+        """Return random bytes, which select the replies."""
         return rng.randbytes(rng.choice((10, 40, 80)))
 
     def check(self, data: bytes) -> None:
-        """A list is passed on once complete replies to two recent queries had it, never twice in a row."""
+        """Check that the client passes a list on after two complete replies, and never twice in a row.
+
+        The replies must answer two different recent queries.
+        """
         updates: list[_Update] = []
 
         async def work(loop: VirtualLoop) -> None:
-            await self._play(loop, FuzzedDataProvider(data), updates)
+            run = _DiscoveryRun(FuzzedDataProvider(data), updates)
+            await run.run()
+            has_stopped = run.transport.is_closed and loop.timer_count() == 0
+            require(has_stopped, "it asks on after its end")
 
         failures = run_virtual(work).failures
         require(not failures, failures[0] if failures else "")
         for earlier, later in itertools.pairwise(updates):
             is_same = earlier.serial == later.serial and set(earlier.records) == set(later.records)
             require(not is_same, f"serial {later.serial} was told twice")
-
-    async def _play(self, loop: VirtualLoop, choices: FuzzedDataProvider, updates: list[_Update]) -> None:
-        observed = _ObservedReplies(updates)
-        client = DiscoveryClient(observed.on_update)
-
-        def deliver(datagram: bytes) -> None:
-            observed.on_reply(datagram)
-            client.datagram_received(datagram, None)
-
-        client._random = cast("Any", random.Random(1))
-        transport = _RecordingDatagramTransport()
-        client.connection_made(transport)
-        serial, earlier = 0, list[bytes]()
-        while choices.has_more():
-            query_ids = transport.query_ids()
-            rng = random.Random(choices.consume_uint16())
-            reply = generate_reply(rng, rng.randrange(4))
-            serial += choices.consume_byte() % 3
-            reply.query_id, reply.serial = rng.choice(query_ids[-REPLIED_QUERIES:]), serial
-            data, count = pack_reply(reply), len(updates)
-            match choices.consume_byte() % 8:
-                case 0:
-                    deliver(data[: choices.consume_byte()])
-                case 1:
-                    truncated = pack_reply(reply, flags=AUTHORITATIVE_ANSWER | TRUNCATED)
-                    deliver(truncated)
-                    require(len(updates) == count, "a truncated reply was taken")
-                case 2:
-                    foreign_id = (reply.query_id + 1 + choices.consume_byte()) % 2**16
-                    deliver(struct.pack(">H", foreign_id) + data[2:])
-                    is_recent = foreign_id in query_ids[-MAX_OUTSTANDING_QUERIES:]
-                    unchanged = len(updates) == count
-                    require(is_recent or unchanged, "a reply to nothing that was asked was taken")
-                case 3 if earlier:
-                    deliver(choices.pick(earlier))
-                case 4:
-                    client.error_received(OSError(111, "refused"))
-                case 5:
-                    deliver(mutate_bytes(data, rng))
-                case _:
-                    deliver(data)
-                    earlier.append(data)
-            await asyncio.sleep(choices.consume_byte() / 100)
-        client.stop()
-        require(transport.is_closed and loop.timer_count() == 0, "it asks on after its end")
--- a/cedarthread/testing/fuzzing/http_target.py
+++ b/cedarthread/testing/fuzzing/http_target.py
@@ -1,4 +1,4 @@
-"""The parser of HTTP request heads, and requests of the invoke API."""
+"""The fuzz target of the HTTP parser, and a generator of requests of the invoke API."""
 
 from __future__ import annotations
 
@@ -14,31 +14,32 @@
 from cedarthread.testing.fuzzing.target import Target
 
 MAX_BODY_BYTES = 16 * 1024
-EDGE_HEADERS = [b"Content-Length: 1", b"content-length:1", b"Content-Length: +1", b"Content-Length: 1_0"]
-EDGE_HEADERS += [
+EDGE_HEADERS = [
+    b"Content-Length: 1",
+    b"content-length:1",
+    b"Content-Length: +1",
+    b"Content-Length: 1_0",
     b"Content-Length: \xd9\xa3",
     b"Transfer-Encoding: chunked",
     b"Transfer-Encoding : chunked",
     b" folded: x",
-]
-EDGE_HEADERS += [
     b"Connection: close",
     b"Expect: 100-continue",
     b"Prefer: respond-async, wait=5",
     b"Host: b",
     b": x",
-]
-EDGE_HEADERS += [
     b"Idempotency-Key: k1",
     b"Call-Lanes: nan",
     b"Call-Lanes: 1e999",
     b"Call-Timeout-Ms: 99999999999",
+    b"Content-Length: " + b"9" * 5000,
+    b"X: " + b"y" * 9000,
+    b"Call-Memory-Mb: -0",
 ]
-EDGE_HEADERS += [b"Content-Length: " + b"9" * 5000, b"X: " + b"y" * 9000, b"Call-Memory-Mb: -0"]
 
 
 def generate_request(rng: random.Random) -> bytes:
-    """One request of the invoke API."""
+    """Return a request of the invoke API, valid or nearly valid."""
     body = rng.randbytes(rng.choice((0, 0, 3, 300)))
     class_name = rng.choice(("check", "revise", "confirm", "none", "a%2e"))
     target = rng.choice(
@@ -61,29 +62,29 @@
     line_budget = Budget(20_000, 800)
 
     def generate(self, rng: random.Random) -> bytes:
-        """A request, with a body of the length that it says or a byte less."""
+        """Return a request with a body of the declared length or one byte less."""
         return generate_request(rng)
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Lines added, dropped or changed; mostly the blank line stays."""
+        """Return the request with a line added, removed or changed, or with changed bytes."""
         head, blank, body = data.partition(b"\r\n\r\n")
         if rng.random() < 0.4 or not blank:
             return mutate_bytes(data, rng)
         lines = head.split(b"\r\n")
-        at = rng.randrange(len(lines))
+        position = rng.randrange(len(lines))
         match rng.randrange(4):
             case 0:
-                lines.insert(at, lines[rng.randrange(len(lines))])
+                lines.insert(position, lines[rng.randrange(len(lines))])
             case 1 if len(lines) > 1:
-                del lines[at]
+                del lines[position]
             case 2:
-                lines.insert(max(1, at), rng.choice(EDGE_HEADERS))
+                lines.insert(max(1, position), rng.choice(EDGE_HEADERS))
             case _:
-                lines[at] = mutate_bytes(lines[at], rng)
+                lines[position] = mutate_bytes(lines[position], rng)
         return b"\r\n".join(lines) + blank + body
 
     def check(self, data: bytes) -> None:
-        """Nothing is accepted that two parsers could read in two ways."""
+        """Check that the parser accepts no head that another parser could interpret differently."""
         parsed = http.parse_head(memoryview(data), MAX_BODY_BYTES)
         if not isinstance(parsed, http.RequestHead):
             return
@@ -98,9 +99,11 @@
         require(
             0 <= parsed.content_length <= MAX_BODY_BYTES, f"a body of {parsed.content_length} bytes passed"
         )
-        for at in sample_cuts(random.Random(len(head)), head):
+        for position in sample_cuts(random.Random(len(head)), head):
             require(
-                not isinstance(http.parse_head(memoryview(head)[:at], MAX_BODY_BYTES), http.RequestHead),
-                f"cut at {at} it is whole",
+                not isinstance(
+                    http.parse_head(memoryview(head)[:position], MAX_BODY_BYTES), http.RequestHead
+                ),
+                f"cut at {position} it is whole",
             )
         parsed.preferences()
