--- a/tests/golden_log_lines.py
+++ b/tests/golden_log_lines.py
@@ -1,8 +1,9 @@
-"""Log lines in the wording they had when the golden files were written.
+"""The wording that the router's log lines had when the golden files were written.
 
-``tests/golden/fleet.json`` holds a digest of all actions of a small fleet, log lines among them. Since then
-lines are events with fields. Each is put back into its old sentence here, from its fields alone, so that the
-digest still holds every action, its order, and every value that a line tells. An unknown event raises.
+``tests/golden/fleet.json`` has a digest of all actions of a small fleet, and log lines are among the actions.
+Since then log lines have become events with fields. This module rebuilds each old sentence from the fields of
+its event alone, so that the digest still covers every action, the order of the actions, and every value in a
+log line.
 """
 
 from __future__ import annotations
@@ -16,31 +17,33 @@
 
 Fields: TypeAlias = dict[str, str]
 
+# A field of a logfmt line: its name, and its value with or without quotes.
 _FIELD = re.compile(r' ([a-z_]+)=("(?:[^"\\]|\\.)*"|[^\s"=\\]+)')
+# Old words for values of fields; other values have not changed.
 _STATES = {"pending": "due", "in_force": "in force", "lifted": "broken open"}
 _PHASES = {"peer_query": "asking", "in_service": "in service"}
 _CAUSES = {"timeout": "time"}
 
 
 def _window_declared(fields: Fields) -> str:
-    line = "freeze: window {window} by {author} ({reason}): {start} to {end}".format(**fields)
-    since = fields.get("late_in_force_from")
-    return (
-        line
-        if since is None
-        else f"{line}; too late to begin then: it is in force everywhere from {since} on"
-    )
+    sentence = "freeze: window {window} by {author} ({reason}): {start} to {end}".format_map(fields)
+    in_force_from = fields.get("late_in_force_from")
+    if in_force_from is None:
+        return sentence
+    return f"{sentence}; too late to begin then: it is in force everywhere from {in_force_from} on"
 
 
 def _phase_changed(fields: Fields) -> str:
-    phase, cause = fields["phase"], fields["cause"]
+    phase = _PHASES.get(fields["phase"], fields["phase"])
+    cause = _CAUSES.get(fields["cause"], fields["cause"])
     return (
-        f"return: {_PHASES.get(phase, phase)}, by {_CAUSES.get(cause, cause)}, {fields['after_ms']} ms"
+        f"return: {phase}, by {cause}, {fields['after_ms']} ms"
         f" after it came back; {fields['known_instances']} places known,"
         f" {fields['warm_fraction']} of calls found a copy"
     )
 
 
+# The old sentence of each event, from its fields.
 _SENTENCES: dict[str, Callable[[Fields], str]] = {
     "change_freeze_hold_ended": lambda fields: "freeze: no more frozen for what may be missed",
     "change_freeze_window_declared": _window_declared,
@@ -65,10 +68,15 @@
 
 
 def old_sentence(line: str) -> str:
-    """The line as it was worded then. Raises where the line is not logfmt, or its event is not known here."""
-    event, _, rest = line.partition(" ")
-    found = _FIELD.findall(f" {rest}" if rest else "")
-    if rest and "".join(f" {name}={value}" for name, value in found) != f" {rest}":
+    """Return the old wording of a log line.
+
+    Raises:
+        ValueError: The line is not logfmt.
+        KeyError: The event has no old wording here.
+    """
+    event, _, field_text = line.partition(" ")
+    found = _FIELD.findall(f" {field_text}" if field_text else "")
+    if field_text and "".join(f" {name}={value}" for name, value in found) != f" {field_text}":
         raise ValueError(f"no logfmt: {line!r}")
     fields = {name: json.loads(value) if value.startswith('"') else value for name, value in found}
     return _SENTENCES[event](fields)
