--- a/tests/contracts/test_golden.py
+++ b/tests/contracts/test_golden.py
@@ -1,4 +1,4 @@
-"""All that goes over a wire or onto a disk, against files that the code before its renaming wrote."""
+"""Wires and stored values against the golden files, which an earlier version of the router has written."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import json
 import sqlite3
 import threading
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 import pytest
 
@@ -19,210 +19,248 @@
 from cedarthread.persistence import recovered_image
 from cedarthread.persistence.sqlite_store import SqliteBackend
 from cedarthread.persistence.store import LoadResult, StoreFault
-from cedarthread.persistence.store_thread import StoreHost, StoreThread, open_store
-from cedarthread.replication import entry as entries
-from tests import golden_samples as golden
+from cedarthread.persistence.store_thread import StoreHost, open_store
+from cedarthread.replication import entry as entry_codec
+from tests.golden_builders.sample import WALL_CLOCK_MS
+from tests.golden_builders.store_folders import MODES, read_folder, write_folder
+from tests.golden_builders.stored_values import rewrite_values, store_values
+from tests.golden_samples import (
+    BUILDERS,
+    GOLDEN_FOLDER,
+    STORE_FOLDERS,
+    file_text,
+    golden_bytes,
+    golden_path,
+    main,
+)
 from tests.helpers import settings, worker
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from cedarthread.model.settings import Limits
-    from tests.golden_samples import Json, Sample
+    from tests.golden_builders.sample import Json, Sample
 
-LONG = 10.0  # s that anything here may take
+STORE_TIMEOUT_S = 10.0
 
 
 @functools.cache
-def content(name: str) -> dict[str, Json]:
-    loaded: dict[str, Json] = json.loads((golden.FOLDER / f"{name}.json").read_text())
-    return loaded
+def golden_file(name: str) -> dict[str, Json]:
+    content: dict[str, Json] = json.loads(golden_path(name).read_text())
+    return content
 
 
-def part(told: Json, key: str) -> Json:
-    assert isinstance(told, dict)
-    return told[key]
+def golden_record(name: str, sample_name: str) -> dict[str, Json]:
+    record = golden_file(name)[sample_name]
+    assert isinstance(record, dict)
+    return record
 
 
 @functools.cache
-def made(name: str) -> dict[str, Sample]:
-    return {sample.name: sample for sample in golden.BUILDERS[name]()}
+def built_samples(name: str) -> dict[str, Sample]:
+    return {sample.name: sample for sample in BUILDERS[name]()}
 
 
-EVERY: list[tuple[str, str]] = [(name, sample) for name in golden.BUILDERS for sample in content(name)]
+GOLDEN_SAMPLES: list[tuple[str, str]] = [
+    (name, sample_name) for name in BUILDERS for sample_name in golden_file(name)
+]
 
 
 def test_each_file_has_its_builder_and_each_builder_its_file() -> None:
-    files = {path.name for path in golden.FOLDER.iterdir()}
-    assert files == {f"{name}.json" for name in (*golden.BUILDERS, golden.FOLDERS)}
+    file_names = {path.name for path in GOLDEN_FOLDER.iterdir()}
+    assert file_names == {f"{name}.json" for name in (*BUILDERS, STORE_FOLDERS)}
 
 
-@pytest.mark.parametrize("name", golden.BUILDERS)
+@pytest.mark.parametrize("name", BUILDERS)
 def test_a_file_is_made_again_byte_for_byte(name: str) -> None:
-    assert golden.file_text(name).encode() == (golden.FOLDER / f"{name}.json").read_bytes()
+    assert file_text(name).encode() == golden_path(name).read_bytes()
 
 
-@pytest.mark.parametrize(("name", "sample"), EVERY)
-def test_a_sample_is_made_again_byte_for_byte(name: str, sample: str) -> None:
-    told = content(name)[sample]
-    assert isinstance(told, dict)
-    assert sample in made(name)
-    assert made(name)[sample].data == golden.kept(told)
+@pytest.mark.parametrize(("name", "sample_name"), GOLDEN_SAMPLES)
+def test_a_sample_is_made_again_byte_for_byte(name: str, sample_name: str) -> None:
+    record = golden_record(name, sample_name)
+    assert sample_name in built_samples(name)
+    assert built_samples(name)[sample_name].data == golden_bytes(record)
 
 
-@pytest.mark.parametrize(("name", "sample"), EVERY)
-def test_kept_bytes_are_read_as_they_were_and_written_the_same(name: str, sample: str) -> None:
-    told = content(name)[sample]
-    assert isinstance(told, dict)
-    raw, one = golden.kept(told), made(name)[sample]
-    assert (one.reads is not None) is ("read" in told)
-    if one.reads is not None:
-        assert one.reads(raw) == told["read"]
-    if one.again is not None:
-        assert one.again(raw) == raw
+@pytest.mark.parametrize(("name", "sample_name"), GOLDEN_SAMPLES)
+def test_kept_bytes_are_read_as_they_were_and_written_the_same(name: str, sample_name: str) -> None:
+    record = golden_record(name, sample_name)
+    data = golden_bytes(record)
+    sample = built_samples(name)[sample_name]
+    assert (sample.read is not None) is ("read" in record)
+    if sample.read is not None:
+        assert sample.read(data) == record["read"]
+    if sample.rewrite is not None:
+        assert sample.rewrite(data) == data
 
 
 # The store's folder.
 
 
-def unpacked(mode: str, folder: Path) -> Path:
-    """A copy of the folder as it was kept."""
-    files = part(content(golden.FOLDERS)[mode], "files")
+def golden_folder(mode: str) -> dict[str, Json]:
+    """Return what the golden file has for the folder that was written in this mode."""
+    return golden_record(STORE_FOLDERS, mode)
+
+
+def unpack_folder(mode: str, folder: Path) -> Path:
+    """Write the files of a golden folder to this folder, and return the folder."""
+    files = golden_folder(mode)["files"]
     assert isinstance(files, dict)
-    for name, raw in files.items():
-        assert isinstance(raw, str)
-        (folder / name).write_bytes(base64.b64decode(raw))
+    for name, encoded in files.items():
+        assert isinstance(encoded, str)
+        (folder / name).write_bytes(base64.b64decode(encoded))
     return folder
 
 
-def values_of(mode: str) -> dict[str, bytes]:
-    values = part(content(golden.FOLDERS)[mode], "values")
+def golden_values(mode: str) -> dict[str, bytes]:
+    values = golden_folder(mode)["values"]
     assert isinstance(values, dict)
     return {key: bytes.fromhex(value) for key, value in values.items() if isinstance(value, str)}
 
 
-def rows(folder: Path) -> tuple[list[str], list[object], list[object]]:
-    """Names of the files, and schema and rows of the one that counts, without the store's own code."""
-    names = sorted(path.name for path in folder.iterdir())
-    connection = sqlite3.connect(folder / next(name for name in names if name.endswith(".db")))
+class DatabaseContent(NamedTuple):
+    """The names of a folder's files, and the schema and the rows of its database."""
+
+    file_names: list[str]
+    schema: list[object]
+    rows: list[object]
+
+
+def read_database(folder: Path) -> DatabaseContent:
+    """Read the folder's database without the code of the store."""
+    file_names = sorted(path.name for path in folder.iterdir())
+    connection = sqlite3.connect(folder / next(name for name in file_names if name.endswith(".db")))
     try:
         schema: list[object] = connection.execute(
             "SELECT name, sql FROM sqlite_schema ORDER BY name"
         ).fetchall()
-        told: list[object] = connection.execute("SELECT key, generation, value, sum FROM rows").fetchall()
-        told += connection.execute("SELECT id, generation, total, sum FROM head").fetchall()
+        rows: list[object] = connection.execute("SELECT key, generation, value, sum FROM rows").fetchall()
+        rows += connection.execute("SELECT id, generation, total, sum FROM head").fetchall()
     finally:
         connection.close()
-    return names, schema, told
+    return DatabaseContent(file_names, schema, rows)
+
+
+def load_store(folder: Path) -> LoadResult:
+    """Open the store in this folder in the mode "each" and close it again; return what it has read."""
+    store = SqliteBackend(folder, "each")
+    loaded = store.open()
+    store.close()
+    return loaded
 
 
 def test_each_mode_is_kept() -> None:
-    assert list(content(golden.FOLDERS)) == list(golden.MODES)
-    for mode in golden.MODES:
-        assert values_of(mode) == golden.store_values()
+    assert list(golden_file(STORE_FOLDERS)) == list(MODES)
+    for mode in MODES:
+        assert golden_values(mode) == store_values()
 
 
-@pytest.mark.parametrize("mode", golden.MODES)
+@pytest.mark.parametrize("mode", MODES)
 def test_a_kept_folder_is_read_and_goes_on(mode: str, tmp_path: Path) -> None:
-    folder, sync, told = unpacked(mode, tmp_path), golden.MODES[mode].sync, content(golden.FOLDERS)[mode]
-    assert part(told, "whole") is True
+    folder = unpack_folder(mode, tmp_path)
+    sync = MODES[mode].sync
+    assert golden_folder(mode)["whole"] is True
+
     for _ in range(2):
-        values, generation, whole = golden.read_folder(folder, sync)
-        assert values == values_of(mode)
-        assert generation == part(told, "generation")
-        assert whole
-    assert golden.values_again(values) == values
+        content = read_folder(folder, sync)
+        assert content.values == golden_values(mode)
+        assert content.generation == golden_folder(mode)["generation"]
+        assert content.is_intact
+    assert rewrite_values(content.values) == content.values
+
     store = SqliteBackend(folder, sync)
     store.open()
     assert store.commit([("warm", b"new"), ("life", None)]) is None
     store.close()
-    after, later, whole = golden.read_folder(folder, sync)
-    assert whole
-    assert later == generation + 1
-    assert after == {key: value for key, value in values.items() if key != "life"} | {"warm": b"new"}
+
+    after_commit = read_folder(folder, sync)
+    assert after_commit.is_intact
+    assert after_commit.generation == content.generation + 1
+    unchanged = {key: value for key, value in content.values.items() if key != "life"}
+    assert after_commit.values == unchanged | {"warm": b"new"}
 
 
-@pytest.mark.parametrize("mode", golden.MODES)
+@pytest.mark.parametrize("mode", MODES)
 def test_a_new_folder_has_the_rows_of_the_kept_one(mode: str, tmp_path: Path) -> None:
-    (old := tmp_path / "old").mkdir()
-    (new := tmp_path / "new").mkdir()
-    files = golden.write_folder(new, golden.MODES[mode])
-    assert sorted(files) == sorted(path.name for path in unpacked(mode, old).iterdir())
-    assert rows(new) == rows(old)
+    old = tmp_path / "old"
+    old.mkdir()
+    new = tmp_path / "new"
+    new.mkdir()
+    files = write_folder(new, MODES[mode])
+    assert sorted(files) == sorted(path.name for path in unpack_folder(mode, old).iterdir())
+    assert read_database(new) == read_database(old)
 
 
-@pytest.mark.parametrize("mode", golden.MODES)
+@pytest.mark.parametrize("mode", MODES)
 def test_a_kept_folder_is_read_on_the_stores_thread(mode: str, tmp_path: Path) -> None:
-    woken, found = threading.Event(), list[LoadResult]()
-    store: StoreThread = open_store(
-        unpacked(mode, tmp_path),
-        golden.MODES[mode].sync,
-        host=StoreHost(
-            clock=lambda: 0.0,
-            wake=woken.set,
-            on_opened=found.append,
-            log=lambda line: None,
-        ),
+    callback_due = threading.Event()
+    results: list[LoadResult] = []
+    host = StoreHost(
+        clock=lambda: 0.0,
+        wake=callback_due.set,
+        on_opened=results.append,
+        log=lambda line: None,
     )
-    assert woken.wait(LONG)
+    store = open_store(unpack_folder(mode, tmp_path), MODES[mode].sync, host=host)
+    assert callback_due.wait(STORE_TIMEOUT_S)
     store.run_callbacks()
     store.close()
-    assert [dict(one.values) for one in found] == [values_of(mode)]
-    assert found[0].fault is None
+    assert [dict(result.values) for result in results] == [golden_values(mode)]
+    assert results[0].fault is None
 
 
 def test_the_torn_folder_lacks_its_content_until_its_journal_is_played_back(tmp_path: Path) -> None:
-    folder = unpacked("group, torn", tmp_path)
+    folder = unpack_folder("group, torn", tmp_path)
     (folder / "state-1.db-journal").unlink()
     store = SqliteBackend(folder, "group")
     loaded = store.open()
     store.close()
     assert loaded.fault is StoreFault.CORRUPTED
-    assert dict(loaded.values) != values_of("group, torn")
+    assert dict(loaded.values) != golden_values("group, torn")
 
 
 def test_a_damaged_byte_in_a_kept_folder_shows(tmp_path: Path) -> None:
-    folder = unpacked("each", tmp_path)
-    raw = bytearray((folder / "state-1.db").read_bytes())
-    raw[raw.index(b"best-effort")] ^= 1
-    (folder / "state-1.db").write_bytes(raw)
-    store = SqliteBackend(folder, "each")
-    loaded = store.open()
-    store.close()
+    folder = unpack_folder("each", tmp_path)
+    database = bytearray((folder / "state-1.db").read_bytes())
+    database[database.index(b"best-effort")] ^= 1
+    (folder / "state-1.db").write_bytes(database)
+    loaded = load_store(folder)
     assert loaded.fault is StoreFault.CORRUPTED
-    assert 0 < len(loaded.values) < len(values_of("each"))
-    assert dict(loaded.values).items() <= values_of("each").items()
+    assert 0 < len(loaded.values) < len(golden_values("each"))
+    assert dict(loaded.values).items() <= golden_values("each").items()
 
 
 def test_a_router_believes_a_kept_folder_and_puts_the_same_again(tmp_path: Path) -> None:
-    """Old data in the hands of a whole router: entries, seat, counts and what stands warm."""
-    store = SqliteBackend(unpacked("each", tmp_path), "each")
-    loaded = store.open()
-    store.close()
-    alone: Limits = dataclasses.replace(settings().limits, allows_gossip=False)
-    router = RoutingNode(settings(router_count=1, limits=alone), 3, 4)
-    ready = tuple(worker(n, started=100.0 * n) for n in range(1, 4))
+    """A whole router restores its entries, quota balances and warm state from a golden folder."""
+    loaded = load_store(unpack_folder("each", tmp_path))
+    limits = dataclasses.replace(settings().limits, allows_gossip=False)
+    router = RoutingNode(settings(router_count=1, limits=limits), 3, 4)
+    ready = tuple(worker(number, started=100.0 * number) for number in range(1, 4))
     router.handle(0.0, EndpointUpdate(EndpointUpdateKind.CACHED, 1, ready))
-    file: fleet_config.FleetConfig = fleet_config.parse_fleet_config(b'[disk]\nfolder = "kept"\n')
-    router.apply_fleet_config(0.0, file, lambda: golden.WALL + 2000.0)
-    sharing = router.fleet_components
-    assert sharing is not None
-    assert sharing.persister is not None
-    sharing.persister.on_store_opened(10.0, loaded, recovered_image.decode_image(loaded.values))
-    assert sharing.store.store_generation == part(content(golden.FOLDERS)["each"], "generation")
-    own: dict[str, bytes] = dict(recovered_image.encode_entry(entry) for entry in sharing.store.snapshot())
-    kept = {key: raw for key, raw in values_of("each").items() if key.startswith("entry/")}
-    assert own == kept
+    config = fleet_config.parse_fleet_config(b'[disk]\nfolder = "kept"\n')
+    router.apply_fleet_config(0.0, config, lambda: WALL_CLOCK_MS + 2000.0)
+    components = router.fleet_components
+    assert components is not None
+    assert components.persister is not None
+
+    image = recovered_image.decode_image(loaded.values)
+    components.persister.on_store_opened(10.0, loaded, image)
+
+    assert components.store.store_generation == golden_folder("each")["generation"]
+    restored = dict(recovered_image.encode_entry(entry) for entry in components.store.snapshot())
+    golden = {key: value for key, value in golden_values("each").items() if key.startswith("entry/")}
+    assert restored == golden
     for kind in EntryKind:
-        for one in sharing.store.entries(kind):
-            assert recovered_image.encode_entry(one.entry)[1] == kept[f"entry/{kind.value}/{one.entry.name}"]
-            assert entries.decode(entries.encode(one.entry)) == one.entry
-    assert sharing.escrow.snapshot() == values_of("each")["grants"]
-    assert len(sharing.recovery.warm_state.digest(10.0)) == 5
+        for stored in components.store.entries(kind):
+            entry = stored.entry
+            assert recovered_image.encode_entry(entry)[1] == golden[f"entry/{kind.value}/{entry.name}"]
+            assert entry_codec.decode(entry_codec.encode(entry)) == entry
+    assert components.escrow.snapshot() == golden_values("each")["grants"]
+    assert len(components.recovery.warm_state.digest(10.0)) == 5
 
 
 def test_what_is_kept_is_not_written_over(capsys: pytest.CaptureFixture[str]) -> None:
-    before = {path.name: path.read_bytes() for path in golden.FOLDER.iterdir()}
-    assert golden.main(["--write"]) == 1
+    before = {path.name: path.read_bytes() for path in GOLDEN_FOLDER.iterdir()}
+    assert main(["--write"]) == 1
     assert "not written over" in capsys.readouterr().err
-    assert {path.name: path.read_bytes() for path in golden.FOLDER.iterdir()} == before
+    assert {path.name: path.read_bytes() for path in GOLDEN_FOLDER.iterdir()} == before
