--- a/tests/golden_builders/fleet.py
+++ b/tests/golden_builders/fleet.py
@@ -80,8 +80,8 @@
 
     def __init__(self, count: int) -> None:
         self.now_ms = 1000.0
-        self.datagrams: list[bytes] = []
-        self.records: list[bytes] = []
+        self.datagrams: list[bytes] = []  # Every datagram of any router, in order.
+        self.records: list[bytes] = []  # Every action of any router, in order.
         self._queued_datagrams: list[QueuedDatagram] = []
         self._timers: list[QueuedTimer] = []
         limits = dataclasses.replace(settings().limits, allows_gossip=True)
@@ -140,7 +140,15 @@
         router_index = step // 2 % len(self.routers)
         function_id = FUNCTION_ID + step % 10
         request = RequestArrived(
-            step + 1, function_id, 0, self.now_ms + 1000.0, step // 2 % 2, 1.0, 128.0, 300.0, 20.0
+            request_id=step + 1,
+            function_id=function_id,
+            class_index=0,
+            deadline_ms=self.now_ms + 1000.0,
+            tenant_index=step // 2 % 2,
+            concurrency=1.0,
+            memory=128.0,
+            load_time_ms=300.0,
+            work=20.0,
         )
         record_count = len(self.records)
         self._handle(router_index, request)
@@ -148,7 +156,16 @@
             if record[ACTION_OFFSET] == START_ATTEMPT_CODE:
                 request_id, worker_id = struct.unpack_from("<II", record, ACTION_OFFSET + 1)
                 start_kind = StartKind.COLD if step < 20 else StartKind.WARM
-                ended = AttemptEnded(request_id, 0, worker_id, Outcome.OK, 20.0, True, start_kind, 0)
+                ended = AttemptEnded(
+                    request_id=request_id,
+                    attempt_index=0,
+                    worker_id=worker_id,
+                    outcome=Outcome.OK,
+                    latency_ms=20.0,
+                    is_final=True,
+                    start_kind=start_kind,
+                    reported_concurrency=0,
+                )
                 self._handle(router_index, ended)
 
 
