--- a/cedarthread/testing/cluster/__init__.py
+++ b/cedarthread/testing/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Many processes of the program on loopback, injected network faults, and an evaluation of what happened."""
+"""Runs many processes of the program on loopback under injected faults, and evaluates the recorded facts."""
--- a/cedarthread/testing/cluster/arrivals.py
+++ b/cedarthread/testing/cluster/arrivals.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One call."""
+    """One call, before any router has received it."""
 
     call_id: str
     at_ms: float
@@ -23,7 +23,7 @@
 
 
 def generate_arrivals(scenario: Scenario) -> list[Arrival]:
-    """Poisson arrivals at routers taken evenly, of functions by Zipf's law."""
+    """Return Poisson arrivals, spread evenly over routers, of functions with popularity by Zipf's law."""
     rng = random.Random(scenario.seed)
     exponent = scenario.popularity_exponent
     weights = [1.0 / (rank + 1) ** exponent for rank in range(scenario.function_count)]
@@ -49,7 +49,7 @@
 
 
 def _burst_factor(scenario: Scenario, now_ms: float) -> float:
-    """How many times the usual calls come."""
+    """Return the factor of the call rate at a time; 1 outside bursts."""
     return max(
         (
             fault.amount
@@ -61,7 +61,7 @@
 
 
 def _hot_share(scenario: Scenario, now_ms: float, router: int) -> float | None:
-    """The share of a router's calls that are of the hot function; None where none is hot."""
+    """Return the share of a router's calls that go to the hot function; None where no fault makes one hot."""
     for fault in scenario.faults:
         is_hot = fault.kind is FaultKind.HOT_FUNCTION and fault.is_active(now_ms / 1000.0)
         if is_hot and fault.subjects.includes(SubjectKind.ROUTER, router):
--- a/cedarthread/testing/cluster/endpoint_timeline.py
+++ b/cedarthread/testing/cluster/endpoint_timeline.py
@@ -1,4 +1,4 @@
-"""Which workers each router's discovery server lists when: by the scenario alone, alike in each process."""
+"""The endpoint list of each router's discovery server over time, computed from the scenario alone."""
 
 from __future__ import annotations
 
@@ -10,18 +10,23 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-LISTING_DELAY_S = 0.05  # after its restart until a worker is listed with its new start
+LISTING_DELAY_S = 0.05  # Time from a worker's restart until the lists have its new start time.
 
 
 class VersionedList(NamedTuple):
-    """A list of workers; the version grows at each change of any router's list."""
+    """A list of workers; the version increases with each change of any router's list."""
 
     version: int
     workers: tuple[ListedWorker, ...]
 
 
 class EndpointListTimeline:
-    """The lists of one scenario."""
+    """The endpoint lists of one scenario, which each process computes alike.
+
+    Args:
+        scenario: The scenario.
+        worker_ports: The workers' ports by worker number.
+    """
 
     def __init__(self, scenario: Scenario, worker_ports: Sequence[int]) -> None:
         self.scenario, self.worker_ports = scenario, worker_ports
@@ -39,7 +44,7 @@
         self._cache: dict[tuple[int, frozenset[int], frozenset[int]], tuple[ListedWorker, ...]] = {}
 
     def list_at(self, now_ms: float, router: int) -> VersionedList:
-        """What a router is to see at a time."""
+        """Return the endpoint list of a router's discovery server at a time."""
         now_s, workers = now_ms / 1000.0, range(self.scenario.worker_count)
         version = 1 + sum(at <= now_s for at in self.change_times_s)
         hidden = self._affected(self.hide_faults, now_s, router)
@@ -52,7 +57,7 @@
         return VersionedList(version, self._cache[key])
 
     def states_at(self, now_ms: float, router: int) -> dict[int, str]:
-        """The state of each worker in that list, by its number; one that it lacks is gone."""
+        """Return the state of each worker for a router at a time: ``gone`` if the list lacks the worker."""
         now_s = now_ms / 1000.0
         hidden = self._affected(self.hide_faults, now_s, router)
         draining = self._affected(self.drain_faults, now_s, router)
--- a/cedarthread/testing/cluster/evaluation.py
+++ b/cedarthread/testing/cluster/evaluation.py
@@ -1,4 +1,4 @@
-"""Evaluation of a run: the recordings of all processes, put together in order of time, and what they show."""
+"""Evaluation of a run: merges the recordings of all processes in order of time and computes the result."""
 
 from __future__ import annotations
 
@@ -37,10 +37,14 @@
     exit_codes: Mapping[int, int],
     router_starts: Sequence[RouterStarted] = (),
 ) -> Result:
-    """The result of a run.
-
-    ``cpu_s``: that all routers used while it was measured; ``exit_codes``: those of routers that did not end
-    as they were told to; ``router_starts``: those after the first.
+    """Return the result of a run.
+
+    Args:
+        scenario: The scenario of the run.
+        recordings: The recordings of all fake processes, the workers' first.
+        cpu_s: CPU time of all routers after the warm-up.
+        exit_codes: Exit codes by router number, of routers that ended otherwise than the run made them end.
+        router_starts: Starts of routers after the first start of each.
     """
     merged, workers = merge_recordings(recordings), _worker_availability(scenario)
     start_ms, end_ms = 1000.0 * scenario.warm_up_s, 1000.0 * scenario.end_s
@@ -91,7 +95,7 @@
 def _replay_policies(
     scenario: Scenario, arrivals: list[Arrival], workers: Mapping[int, WorkerAvailability]
 ) -> dict[str, LoadBalanceMetrics]:
-    """The load balance of each policy with the same arrivals."""
+    """Return the load balance of each policy for the same arrivals."""
     start_ms, end_ms = 1000.0 * scenario.warm_up_s, 1000.0 * scenario.end_s
     return {
         policy: measure(
--- a/cedarthread/testing/cluster/fact_reader.py
+++ b/cedarthread/testing/cluster/fact_reader.py
@@ -1,4 +1,4 @@
-"""Reads the facts of a run in order of time: feeds the invariant checker and counts answers."""
+"""Reader of a run's facts in order of time: feeds the invariant checker and counts answers."""
 
 from __future__ import annotations
 
@@ -39,13 +39,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
 
-ANSWER_SLACK_MS = 250.0  # past the deadline, on a machine that hundreds of processes share
-HARNESS_SLACK_MS = 60.0  # by which a fake may read late what was sent in time
-# After it happened, a change counts as told, whether a reply arrived or not (PROTOCOL, figures).
+ANSWER_SLACK_MS = 250.0  # Tolerance after the deadline, because hundreds of processes share the machine.
+HARNESS_SLACK_MS = 60.0  # Maximum delay of a fake in reading bytes that a router sent in time.
+# A change of the list counts as known to a router this long after the change, even if no reply with the
+# change arrived (PROTOCOL, figures).
 NOTICE_LIMIT_MS = 7000.0
-# The same where nothing keeps the router from asking but its own process, which may be stopped (PROTOCOL).
+# The same limit where no fault between router and discovery hampers queries. The router's process may still
+# be paused (PROTOCOL).
 PROMPT_NOTICE_MS = 1500.0
-RESUME_S = 0.3  # after a stop, in which a process asks discovery
+RESUME_S = 0.3  # Time from the end of a pause until the process has queried discovery.
 HAMPERING_FAULTS = (
     FaultKind.LOSE,
     FaultKind.DELAY,
@@ -58,19 +60,20 @@
     FaultKind.SILENCE_DISCOVERY,
     FaultKind.CORRUPT_DISCOVERY,
 )
-READ_ORDER_SLACK_MS = 25.0  # by which a process may read later than another what was sent earlier
+# Maximum time by which a fake process may read earlier bytes after another fake process has read later bytes.
+READ_ORDER_SLACK_MS = 25.0
 MAX_LATENCY_US = 60_000_000
-LATENCY_DIGITS = 3  # significant figures of the latency histogram
+LATENCY_DIGITS = 3  # Significant digits of the latency histogram.
 CLASS_GUARANTEES = {
     "check": CallGuarantees(Idempotency.IDEMPOTENT),
     "confirm": CallGuarantees(Idempotency.NOT_IDEMPOTENT),
 }
 CLASS_VALUE = {"check": 2.0, "confirm": 3.0}
-UNANSWERED_REMARKS = ("shed", "spawn_failed", "lost")  # of attempts for which no body was produced
+UNANSWERED_REMARKS = ("shed", "spawn_failed", "lost")  # Remarks of attempts that produced no body.
 
 
 class _Notice(NamedTuple):
-    """When a change of a router's list counts as told, if no reply has told it."""
+    """A change of a router's list, and the time at which it counts as known if no reply has contained it."""
 
     at_ms: float
     router: int
@@ -84,7 +87,11 @@
 
 
 class FactReader:
-    """What the facts of one run come to."""
+    """The reader of one run's facts; owns the invariant checker, the counts of answers and the latencies.
+
+    Args:
+        scenario: The scenario of the run.
+    """
 
     def __init__(self, scenario: Scenario) -> None:
         self.network = Network(scenario.faults, scenario.seed)
@@ -102,16 +109,16 @@
         )
         self.checker = InvariantChecker(limits)
         self.list_timeline = EndpointListTimeline(scenario, [0] * scenario.worker_count)
-        self._told_as_of_ms = [-math.inf] * scenario.router_count  # by router: the time of its latest list
+        self._told_as_of_ms = [-math.inf] * scenario.router_count  # Time of the latest list, by router.
         self.scenario = scenario
         self._pending_notices = self._notices()
         self.answers: Counter[str] = Counter()
         self.answers_by_tenant: defaultdict[str, Counter[str]] = defaultdict(Counter)
         self.served: list[ServedValue] = []
         self.latency_us = HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
-        self._attempts: defaultdict[str, list[_WorkerAttempt]] = defaultdict(list)  # by call
-        self._submitted: dict[str, CallSubmitted] = {}
-        self._cancelled_at_ms: dict[tuple[str, int], float] = {}  # by call and worker, the last time
+        self._attempts: defaultdict[str, list[_WorkerAttempt]] = defaultdict(list)  # By call id.
+        self._submitted: dict[str, CallSubmitted] = {}  # By call id.
+        self._cancelled_at_ms: dict[tuple[str, int], float] = {}  # Latest, by call id and worker.
         for router in range(scenario.router_count):
             self._tell(-math.inf, 0.0, router)
         self._handlers: dict[type, Callable[[Any], None]] = {
@@ -128,7 +135,7 @@
         }
 
     def read(self, facts: Iterable[Fact]) -> None:
-        """Read all facts, in order of time."""
+        """Read all facts, which must be in order of time."""
         for fact in facts:
             self._notice_changes(fact.at_ms)
             self._handlers[type(fact)](fact)
@@ -159,23 +166,23 @@
         self._end_attempts(fact.call_id, fact.worker, may_have_executed=True)
 
     def _tell(self, at_ms: float, as_of_ms: float, router: int) -> None:
-        """A router is told the list of a time."""
+        """Report the list of a time to the invariant checker as known to a router."""
         self._told_as_of_ms[router] = as_of_ms
         for worker, state in self.list_timeline.states_at(as_of_ms, router).items():
             self.checker.on_worker_state(at_ms, worker + 1, state, router=router)
 
     def _notice_changes(self, now_ms: float) -> None:
-        """Changes count as told some time after they happened: soon where a router could ask."""
+        """Report to the invariant checker the changes that count as known by now."""
         while self._pending_notices and self._pending_notices[0].at_ms <= now_ms:
             notice = self._pending_notices.pop(0)
             if self._told_as_of_ms[notice.router] >= notice.changed_at_ms:
-                continue  # it knows of this, and perhaps of later changes
+                continue  # The router's latest list contains this change and perhaps later ones.
             for worker, state in self.list_timeline.states_at(notice.changed_at_ms, notice.router).items():
                 if state != "ready":
                     self.checker.on_worker_state(notice.at_ms, worker + 1, state, router=notice.router)
 
     def _notices(self) -> list[_Notice]:
-        """When each change counts as told to each router at the latest, in order of time."""
+        """Return, in order of time, when each change counts as known to each router at the latest."""
         return sorted(
             _Notice(changed_at_ms + self._notice_limit_ms(router, changed_at_ms), router, changed_at_ms)
             for changed_at_ms in (1000.0 * at_s for at_s in self.list_timeline.change_times_s)
@@ -183,7 +190,11 @@
         )
 
     def _notice_limit_ms(self, router: int, changed_at_ms: float) -> float:
-        """The longer limit where something stood between the router and discovery, or it was started anew."""
+        """Return the time after which a router counts as knowing a change.
+
+        This is ``NOTICE_LIMIT_MS`` if a fault hampered queries to discovery or the router was restarted, else
+        ``PROMPT_NOTICE_MS``.
+        """
         since_s, until_s = changed_at_ms / 1000.0, (changed_at_ms + PROMPT_NOTICE_MS) / 1000.0
         resumed_s = [
             fault.end_s + RESUME_S
@@ -193,7 +204,7 @@
             and fault.start_s < until_s
             and fault.end_s > since_s
         ]
-        until_s = max((until_s, *resumed_s))  # it can ask only once it goes on
+        until_s = max((until_s, *resumed_s))  # A paused router can query only after it resumes.
         is_hampered = any(
             fault.start_s < until_s
             and fault.end_s > since_s - PROMPT_NOTICE_MS / 1000.0
@@ -207,7 +218,7 @@
         return NOTICE_LIMIT_MS if is_hampered else PROMPT_NOTICE_MS
 
     def latency_ms(self, percentiles: Sequence[float]) -> dict[str, float]:
-        """The latency of served calls, by the name of the percentile."""
+        """Return the latency of served calls by the name of the percentile."""
         return {
             f"p{percentile:g}": self.latency_us.get_value_at_percentile(percentile) / 1000.0
             for percentile in percentiles
@@ -243,7 +254,7 @@
             self.checker.on_attempt_ended(record, True)
 
     def _may_miss_cancellation(self, now_ms: float, router: Subject, worker: int) -> bool:
-        """Whether a router may have cancelled an attempt and could not tell the worker so."""
+        """Return whether a worker may have missed a router's cancellation because of a fault."""
         is_faulty = any(
             fault.is_active(now_ms / 1000.0) and fault.subjects.includes(SubjectKind.WORKER, worker)
             for fault in self.worker_faults
--- a/cedarthread/testing/cluster/facts.py
+++ b/cedarthread/testing/cluster/facts.py
@@ -1,4 +1,7 @@
-"""What happened to calls, as the fakes around the routers saw it. Times are ms from the start of traffic."""
+"""Facts about calls and endpoint lists, as the fakes around the routers record them.
+
+Times are ms from the start of traffic.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 
 class CallSubmitted(NamedTuple):
-    """A client sent a call; its deadline is a time."""
+    """The submission of a call by a client; ``deadline_ms`` is a time."""
 
     at_ms: float
     call_id: str
@@ -16,21 +19,21 @@
 
 
 class NoRouterAvailable(NamedTuple):
-    """A client had no router to send a call to."""
+    """The failure of a client to submit a call, because no router was connected."""
 
     at_ms: float
     call_id: str
 
 
 class CallAbandoned(NamedTuple):
-    """A client waits for a call no more."""
+    """The end of a client's wait for a call without an answer."""
 
     at_ms: float
     call_id: str
 
 
 class CallAnswered(NamedTuple):
-    """A client got an answer: served, refused or failed."""
+    """The arrival of an answer at a client; ``result`` is served, refused or failed."""
 
     at_ms: float
     call_id: str
@@ -39,17 +42,17 @@
 
 
 class AttemptSent(NamedTuple):
-    """A router handed an attempt to the network; ``at_ms``: when it can be at the worker."""
+    """The sending of an attempt by a router; ``at_ms`` is the earliest time of its arrival at the worker."""
 
     at_ms: float
     call_id: str
     worker: int
     sent_at_ms: float
-    time_limit_ms: float = 0.0  # that the router passed on; 0: not recorded
+    time_limit_ms: float = 0.0  # Time limit that the router sent to the worker; 0 if not recorded.
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt left its worker, or was lost there."""
+    """The end of an attempt at its worker, by an answer or by a loss."""
 
     at_ms: float
     call_id: str
@@ -58,7 +61,7 @@
 
 
 class AttemptCancelled(NamedTuple):
-    """A router said that it waits for an attempt no more."""
+    """The cancellation of an attempt by a router."""
 
     at_ms: float
     call_id: str
@@ -66,21 +69,21 @@
 
 
 class ClientLeft(NamedTuple):
-    """A client closed the connection on which it had sent a call."""
+    """The close of the connection on which a client had sent a pending call."""
 
     at_ms: float
     call_id: str
 
 
 class ListSent(NamedTuple):
-    """A discovery server sent a reply with the list of that time to a router: it counts as told."""
+    """The sending of a reply by a discovery server; the router counts as knowing the list of that time."""
 
     at_ms: float
     router: int
 
 
 class RouterStarted(NamedTuple):
-    """A process of a router was started: it knows the list of its configuration alone."""
+    """The start of a router's process, which knows only the endpoint list of its configuration."""
 
     at_ms: float
     router: int
@@ -101,5 +104,5 @@
 
 
 def router_of(call_id: str) -> int:
-    """The router that a call was sent to: its id begins with the number, as four hexadecimal digits."""
+    """Return the router that a call was sent to: the first four hexadecimal digits of the call id."""
     return int(call_id[:4], 16)
--- a/cedarthread/testing/cluster/failing_sockets.py
+++ b/cedarthread/testing/cluster/failing_sockets.py
@@ -1,6 +1,7 @@
-"""Sockets whose system calls fail now and then, as Linux documents for each of them.
+"""Sockets with system calls that fail at random, with the errors that Linux documents for each call.
 
-A control file holds the share of calls that fail; a process maps it. Reads and writes may also be short.
+A control file contains the share of calls that fail; the process maps the file. Reads and writes may also
+be short.
 """
 
 from __future__ import annotations
@@ -16,20 +17,25 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-SYSTEM_CALLS_CONTROL = struct.Struct("<d")  # the share of the calls that fail
+SYSTEM_CALLS_CONTROL = struct.Struct("<d")  # Share of the calls that fail.
 
 ACCEPT_ERRNOS = (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO)
 CONNECT_ERRNOS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ENOBUFS)
 STREAM_ERRNOS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET)
 DATAGRAM_ERRNOS = (errno.ENOBUFS, errno.ENETUNREACH, errno.EPERM, errno.ECONNREFUSED)
 SOCKET_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-BROKEN_STREAM_SHARE = 0.1  # of the failing calls on a stream: the others are short
+BROKEN_STREAM_SHARE = 0.1  # Share of the failing calls on a stream that raise; the others are short.
 SHORT_READ_BYTES = 7
-FILENO_POSITION = 3  # of the constructor's arguments: a socket made with one is not new
+FILENO_POSITION = 3  # Position of ``fileno`` in the constructor; a socket from a descriptor is not new.
 
 
 class FailureControl:
-    """Whether a call fails now."""
+    """The mapped control file and the random numbers that decide which calls fail.
+
+    Args:
+        control: The control file, which must exist.
+        seed: The seed of the random numbers.
+    """
 
     def __init__(self, control: Path, seed: int) -> None:
         with control.open("rb") as file:
@@ -42,20 +48,20 @@
         return share > 0.0 and self.rng.random() < share
 
     def error(self, errnos: tuple[int, ...]) -> OSError:
-        """One of these errors."""
+        """Return one of these errors, drawn at random."""
         number = self.rng.choice(errnos)
         return OSError(number, os.strerror(number))
 
     def check(self, errnos: tuple[int, ...]) -> None:
-        """Raise one of these errors, if the call fails."""
+        """Raise one of these errors if the call fails."""
         if self.fails():
             raise self.error(errnos)
 
 
 class FailingSocket(socket.socket):
-    """A socket whose calls fail as ``control`` says."""
+    """A socket that fails at random, as ``control`` decides."""
 
-    control: FailureControl  # set by ``install``
+    control: FailureControl  # Set by ``install`` for the class.
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         is_new = named.get("fileno") is None and len(arguments) <= FILENO_POSITION
@@ -64,17 +70,17 @@
         super().__init__(*arguments, **named)
 
     def accept(self) -> Any:
-        """Accept a connection."""
+        """Accept a connection, or raise an error."""
         self.control.check(ACCEPT_ERRNOS)
         return super().accept()
 
     def connect(self, address: Any) -> None:
-        """Connect."""
+        """Connect, or raise an error."""
         self.control.check(CONNECT_ERRNOS)
         super().connect(address)
 
     def send(self, data: Any, flags: int = 0) -> int:
-        """Send all of the data, half of it, or none."""
+        """Send all of the data or half of it, or raise an error."""
         if not self.control.fails():
             return super().send(data, flags)
         if self.type == socket.SOCK_DGRAM:
@@ -85,7 +91,7 @@
             return super().send(view[: 1 + len(view) // 2], flags)
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
-        """Receive what is there, a few bytes of it, or an error."""
+        """Receive available bytes or only a few of them, or raise an error."""
         if self.type != socket.SOCK_STREAM or not self.control.fails():
             return super().recv_into(buffer, nbytes, flags)
         if self.control.rng.random() < BROKEN_STREAM_SHARE:
@@ -95,6 +101,6 @@
 
 
 def install(control: Path, seed: int) -> None:
-    """Have all sockets of this process that are made from now on fail as the control file says."""
+    """Make every new socket of this process fail as the control file says."""
     FailingSocket.control = FailureControl(control, seed)
     socket.socket = FailingSocket  # type: ignore[misc]
--- a/cedarthread/testing/cluster/fake_clients.py
+++ b/cedarthread/testing/cluster/fake_clients.py
@@ -1,4 +1,4 @@
-"""The process of clients, peer relays and discovery servers of some routers."""
+"""The fake process that runs the clients, peer relays and discovery servers of some routers."""
 
 from __future__ import annotations
 
@@ -31,11 +31,12 @@
     from collections.abc import Callable
 
 ZONE = "room-a"
-CALLS_PER_YIELD = 32  # overdue calls that are sent before the loop runs once
-ABANDON_BEFORE_RESUME_S = 0.02  # so that no answer of a resumed router counts
+CALLS_PER_YIELD = 32  # Overdue calls that are sent in one iteration of the event loop.
+ABANDON_BEFORE_RESUME_S = 0.02  # Calls are abandoned this long before a paused router resumes and can answer.
 CONNECT_TRIES, CONNECT_RETRY_S = 20, 0.1
-MOVED_SERVER_LINGERS_S = 0.3  # after a move, until the server at the old address falls silent
-CROSSING_CLOSE_MS = 60.0  # a request that was sent so late before its connection ended has crossed the close
+MOVED_SERVER_LINGERS_S = 0.3  # Time from a move until the server at the old address falls silent.
+# A request that was sent at most this long before its connection ended may have crossed the router's close.
+CROSSING_CLOSE_MS = 60.0
 DISCOVERY_FAULTS = (
     FaultKind.SILENCE_DISCOVERY,
     FaultKind.CORRUPT_DISCOVERY,
@@ -44,7 +45,14 @@
 
 
 class FakeClientProcess(FakeProcess):
-    """Clients, relays and discovery servers of each router whose number is this process's, modulo all."""
+    """The fake process of some routers' clients, peer relays and discovery servers.
+
+    The numbers of the routers are ``number - 1`` and every ``client_process_count``-th number after it.
+
+    Args:
+        plan: The plan of the run.
+        number: The process number, from 1.
+    """
 
     def __init__(self, plan: ClusterPlan, number: int) -> None:
         super().__init__(plan, number)
@@ -58,7 +66,7 @@
         self.relays = PeerRelays(self)
 
     async def start(self) -> None:
-        """Listen at the sockets of the plan that are of this process."""
+        """Start the relays and discovery servers at the inherited sockets of this process's routers."""
         for router in self.routers:
             await self.relays.start(router)
             discovery_server = FakeDiscoveryServer(
@@ -75,7 +83,7 @@
         return self.list_timeline.list_at(self.now_ms(), router)
 
     async def on_command(self, command: Command, arguments: dict[str, Any]) -> None:
-        """Connect clients, or do what every process does."""
+        """Connect clients, or carry out a command that every fake process has."""
         if command is Command.CONNECT:
             await asyncio.gather(
                 *(self.connect_client(router) for router in arguments["routers"] if router in self.routers)
@@ -85,19 +93,19 @@
     def on_moved_discovery_query(
         self, router: int, make_reply: Callable[[], bytes], send_reply: Callable[[bytes], None]
     ) -> None:
-        """A router asked the discovery server that serves after a move."""
+        """Reply to a query to a router's second discovery server, which replies only after a move."""
         if self._has_moved(router, margin_s=0.0):
             self._reply(router, make_reply, send_reply)
 
     def on_discovery_query(
         self, router: int, make_reply: Callable[[], bytes], send_reply: Callable[[bytes], None]
     ) -> None:
-        """A router asked its usual discovery server, which falls silent some time after a move."""
+        """Reply to a query to a router's first discovery server, which falls silent soon after a move."""
         if not self._has_moved(router, margin_s=MOVED_SERVER_LINGERS_S):
             self._reply(router, make_reply, send_reply)
 
     def _has_moved(self, router: int, margin_s: float) -> bool:
-        """Has discovery moved, so long ago at least, and not come back?"""
+        """Return whether a router's discovery server moved at least ``margin_s`` ago and is not back yet."""
         now_s = self.now_ms() / 1000.0
         return any(
             fault.start_s + margin_s <= now_s < fault.end_s
@@ -108,7 +116,7 @@
     def _reply(
         self, router: int, make_reply: Callable[[], bytes], send_reply: Callable[[bytes], None]
     ) -> None:
-        """Reply now, late, in part or not at all."""
+        """Send a reply as the active faults say: immediately, late, corrupted, twice or not at all."""
         now_ms = self.now_ms()
         if not self.is_recording_closed:
             self.recording.discovery_queries.append(DiscoveryQuery(now_ms, router))
@@ -130,7 +138,10 @@
             self.call_after(delay_ms, partial(send_reply, reply))
 
     async def connect_client(self, router: int) -> None:
-        """Connect the client of a router, unless that is gone again; its calls go to others then."""
+        """Connect the client of a router.
+
+        After ``CONNECT_TRIES`` failures the router counts as down, and the client sends its calls to others.
+        """
         for _ in range(CONNECT_TRIES):
             with contextlib.suppress(OSError):
                 await self._connect_client(router)
@@ -147,16 +158,17 @@
 
         client = FakeClient(on_answer, lambda: self._on_connection_lost(router, client))
         await self.loop.create_connection(lambda: client, "127.0.0.1", self.plan.router_ports[router])
-        client.send(pack_health_check())  # a connection has little time for its first message
+        client.send(pack_health_check())  # A router closes a connection that sends no first message soon.
         self.clients[router] = client
 
     def _on_connection_lost(self, router: int, client: FakeClient) -> None:
-        """The connection to a router has ended.
+        """Abandon the pending calls of a router after its connection has ended.
 
-        A router that was told to end owes the answers of all but those calls that crossed its close.
+        A router that is terminating must answer all calls except those that may have crossed its close. The
+        other pending calls are not abandoned, so that the evaluation finds them without an answer.
         """
         if self.clients.get(router) is not client:
-            return  # the client closed it, and has another one
+            return  # The client closed this connection itself and replaces it.
         if self._is_terminating(router):
             since_ms = self.now_ms() - CROSSING_CLOSE_MS
             recent = {
@@ -182,13 +194,13 @@
         )
 
     def abandon_calls(self, router: int) -> None:
-        """The client waits for nothing any more."""
+        """Record that the client of a router no longer waits for any of its pending calls."""
         for call_id in self.pending_calls[router].values():
             self.record(CallAbandoned(self.now_ms(), call_id))
         self.pending_calls[router].clear()
 
     async def _leave(self, router: int) -> None:
-        """Close the connection to a router under all its calls, and make another one."""
+        """Close the connection to a router while calls are pending, and open another one."""
         client = self.clients.pop(router, None)
         if client is None or client.transport is None:
             return
@@ -203,7 +215,7 @@
             self.record(CallAnswered(self.now_ms(), call_id, result, body))
 
     async def run_traffic(self) -> None:
-        """Send this process's calls of the schedule, each at its time whatever became of others."""
+        """Send this process's calls, each at its scheduled time, even if earlier calls are pending."""
         for number, arrival in enumerate(generate_arrivals(self.scenario)):
             if arrival.router not in self.routers:
                 continue
@@ -239,7 +251,7 @@
         self.call_after(delay_ms, lambda: client.send(data))
 
     def _choose_router(self, router: int) -> int | None:
-        """The router that takes a call: the client's own, or any other that is connected."""
+        """Return the router that a call is sent to: the client's own, else any other that is connected."""
         if self._is_connected(router):
             return router
         others = [other for other in self.clients if self._is_connected(other)]
@@ -250,7 +262,7 @@
         return client is not None and client.transport is not None
 
     async def run_fault(self, fault: Fault) -> None:
-        """Leave, or abandon the calls of a router that is paused, by the time that it resumes."""
+        """Close connections at ``LEAVE``; abandon the calls of a paused router shortly before it resumes."""
         if fault.kind is FaultKind.LEAVE:
             await self.wait_until(fault.start_s)
             subjects = range(fault.subjects.first, fault.subjects.last + 1)
@@ -266,7 +278,7 @@
 
 
 def corrupt(data: bytes, rng: random.Random) -> bytes:
-    """A reply cut short, or with a byte changed."""
+    """Return a copy of a reply that is truncated or has one byte changed."""
     position = rng.randrange(len(data))
     if rng.random() < 0.5:
         return data[:position]
--- a/cedarthread/testing/cluster/fake_process.py
+++ b/cedarthread/testing/cluster/fake_process.py
@@ -1,10 +1,10 @@
-"""Entry point of a process of fakes.
+"""Entry point of a fake process.
 
     python -m cedarthread.testing.cluster.fake_process FOLDER NUMBER
 
-FOLDER holds the plan. Number 0 runs all workers, each other one the clients, peer relays and discovery
-servers of some routers. Commands come as lines of JSON on the standard input, and each is answered by a line;
-the recording is written at the end.
+FOLDER contains the plan. Process 0 runs all workers; each other process runs the clients, peer relays and
+discovery servers of some routers. The process reads commands from the standard input, one line of JSON each,
+and writes a line of JSON when a command is done. A command has it write its recording to a file.
 """
 
 from __future__ import annotations
@@ -30,7 +30,9 @@
     plan = cast("ClusterPlan", pickle.loads((folder / "plan").read_bytes()))
     process = FakeClientProcess(plan, number) if number else FakeWorkerProcess(plan, number)
     await process.start()
-    gc.disable()  # a short life and a recording that only grows: its pauses would pass for the routers'
+    # Pauses for collection would be measured as latency of routers. The process ends soon, and its recording
+    # only grows, so there is little to collect.
+    gc.disable()
     lines = asyncio.StreamReader()
     await process.loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     _report(Command.START)
--- a/cedarthread/testing/cluster/fake_workers.py
+++ b/cedarthread/testing/cluster/fake_workers.py
@@ -1,4 +1,4 @@
-"""The process of all workers and the package store behind them."""
+"""The fake process that runs all workers and their package store."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from cedarthread.testing.cluster.plan import ClusterPlan
     from cedarthread.testing.fakes.worker_model import WorkerCall
 
-ROUTER_TO_WORKER_MS = 2.0  # the least time from a router to a worker
+ROUTER_TO_WORKER_MS = 2.0  # Minimum delay from a router to a worker.
 WORKER_FAULTS = (
     FaultKind.CRASH_WORKER,
     FaultKind.SLOW_WORKER,
@@ -27,7 +27,12 @@
 
 
 class FakeWorkerProcess(FakeProcess):
-    """All workers."""
+    """The fake process of all workers; the listener of their servers, which call its ``on_call_`` methods.
+
+    Args:
+        plan: The plan of the run.
+        number: The process number, 0.
+    """
 
     def __init__(self, plan: ClusterPlan, number: int) -> None:
         super().__init__(plan, number)
@@ -38,7 +43,7 @@
         ]
 
     async def start(self) -> None:
-        """Listen at the ports of the plan."""
+        """Start the workers' servers at the ports of the plan."""
         for server, port in zip(self.servers, self.plan.worker_ports, strict=True):
             server.port = port
             await server.start()
@@ -55,29 +60,29 @@
         return deliver
 
     def on_call_arrived(self, call: WorkerCall) -> None:
-        """An attempt came to a worker."""
+        """Record that an attempt arrived at a worker."""
         if not self.is_recording_closed:
             self.recording.worker_calls.append(call)
 
     def on_call_sent(self, call_id: str, worker: int, time_limit_ms: float) -> None:
-        """A router handed an attempt to the network."""
+        """Record that a router wrote an attempt to the network."""
         sent_at_ms = self.loop_iteration_ms()
         arrival_ms = sent_at_ms + ROUTER_TO_WORKER_MS
         self.record(AttemptSent(arrival_ms, call_id, worker, sent_at_ms, time_limit_ms))
 
     def on_call_ended(self, call: WorkerCall) -> None:
-        """An attempt left its worker, or was lost there."""
+        """Record that an attempt ended at its worker, with an answer or by a loss."""
         self.record(AttemptEnded(self.now_ms(), call.call_id, call.worker, call.remark))
 
     def on_call_cancelled(self, call_id: str, worker: int) -> None:
-        """A router said that it waits for an attempt no more."""
+        """Record that a router cancelled an attempt."""
         self.record(AttemptCancelled(self.loop_iteration_ms(), call_id, worker))
 
     def loop_iteration_ms(self) -> float:
-        """One time for all that is read in an iteration of the event loop.
+        """Return one time for all bytes that are read in an iteration of the event loop.
 
-        Connections are read in no order of when their bytes were sent: a cancellation must not seem to come
-        after the retry that followed it on another connection.
+        Within an iteration, the order of reading connections is not the order of sending. With a time for
+        each read, a cancellation could seem later than the retry that followed it on another connection.
         """
         if self._loop_iteration_ms is None:
             self._loop_iteration_ms = self.now_ms()
@@ -88,7 +93,7 @@
         self._loop_iteration_ms = None
 
     async def run_fault(self, fault: Fault) -> None:
-        """Crash, restart, slow down or silence workers."""
+        """Crash, restart, slow down or silence workers, or reset their connections."""
         if fault.kind not in WORKER_FAULTS:
             return
         servers = self.servers[fault.subjects.first : fault.subjects.last + 1]
@@ -114,7 +119,7 @@
                 server.is_silent = False
 
     def finish_recording(self) -> Recording:
-        """With what the servers and the models recorded themselves."""
+        """Return the recording, completed by the figures that the servers and the worker models recorded."""
         for server in self.servers:
             number = server.model.number
             self.recording.lags_ms += server.timer_lags_ms
--- a/cedarthread/testing/cluster/injected_defects.py
+++ b/cedarthread/testing/cluster/injected_defects.py
@@ -1,7 +1,8 @@
-"""Defects that a scenario injects into the routers, to see that the evaluation finds them.
+"""Defects that a scenario injects into the routers, to show that the evaluation finds them.
 
-A defect is a line of ``DEFECTS``: its name in scenario files, and a function as ``module:function`` that
-patches the program. It runs in a router's process before that serves, and imports what it patches itself.
+A defect is a line of ``DEFECTS``: its name in scenario files, and ``module:function``, a function that
+patches the program. The function runs in a router's process before the router serves, and imports the
+modules that it patches itself, so that other processes do not import them.
 """
 
 from __future__ import annotations
@@ -36,28 +37,28 @@
 
 
 def inject(name: str) -> None:
-    """Inject one into this process; an empty name: none."""
+    """Inject a defect into this process; an empty name injects none."""
     if name:
         module, _, function = DEFECTS[name].partition(":")
         getattr(import_module(module), function)()
 
 
 def popularity_by_chance() -> None:
-    """A function that was called twice by chance passes for popular."""
+    """Make a function that two calls happened to reach count as popular."""
     from cedarthread.routing import popularity
 
     popularity.CALLS_IN_WINDOW, popularity.MIN_CALL_COUNT = 1.0, 1.0
 
 
 def overreact_to_reports() -> None:
-    """All routers move their calls at each load report."""
+    """Make all routers move their calls at each load report."""
     from cedarthread.routing import estimators
 
     estimators.REPORTED_LOAD_WEIGHT = 2.0
 
 
 def retry_always() -> None:
-    """A call that may have been executed is retried, whatever its class, and the guard lets it pass."""
+    """Make routers retry calls of any class that may have been executed; disable the guard against that."""
     from cedarthread.dispatch import send_guard
     from cedarthread.routing import retries
 
@@ -66,7 +67,7 @@
 
 
 def bypass_admission_gate() -> None:
-    """A change freeze is not asked about routing and loads."""
+    """Make routing and loads ignore a change freeze."""
     from cedarthread.node import constraints
 
     constraints.FleetConstraints.may_route = lambda *arguments: True  # type: ignore[method-assign]
@@ -74,7 +75,7 @@
 
 
 def exception_budget_per_router() -> None:
-    """Each router may use a window's complete exception budget."""
+    """Let each router use a window's complete exception budget by itself."""
     from cedarthread.change_freeze import admission_gate
 
     def has_own_budget(self: admission_gate.AdmissionGate, now_ms: float, change: PlacementChange) -> bool:
@@ -88,21 +89,21 @@
 
 
 def follow_settings_in_window() -> None:
-    """New settings apply completely in a window, and move home workers."""
+    """Apply new settings completely in a window, so that home workers move."""
     from cedarthread.change_freeze import admission_gate
 
     admission_gate.AdmissionGate.admitted_settings = lambda self, now_ms, old, new: new  # type: ignore[method-assign]
 
 
 def revoke_at_once() -> None:
-    """A revocation is in effect as soon as it is received."""
+    """Make a revocation take effect as soon as it is received."""
     from cedarthread.change_freeze import window
 
     window._StoredVersion.is_effective = lambda self, reading: True  # type: ignore[method-assign]
 
 
 def trust_host_clock() -> None:
-    """The host's wall clock is trusted, whatever other routers have."""
+    """Trust the host's wall clock without regard to the clocks of other routers."""
     from cedarthread.change_freeze import wall_clock
 
     def follow_host(self: wall_clock.WallClock, now_ms: float, unix_ms: float, has_window: bool) -> None:
@@ -118,7 +119,7 @@
 
 
 def keep_unlisted_workers() -> None:
-    """A worker that the endpoint list has no more is sent calls as before."""
+    """Make routers send calls to a worker that the endpoint list no longer has."""
     from dataclasses import replace
 
     from cedarthread.routing import router
@@ -134,7 +135,7 @@
 
 
 def flood_peer_queries() -> None:
-    """Returning routers query all peers at once, over and over, and peers answer all queries."""
+    """Make a restarted router query all peers at once and repeatedly, and peers answer every query."""
     from cedarthread.recovery import pacing_limits, peer_query
     from cedarthread.statistics import TokenBucket
 
@@ -150,21 +151,21 @@
 
 
 def unlimited_recovery_loads() -> None:
-    """Recovery limits no loads."""
+    """Remove the limit on loads during recovery."""
     from cedarthread.recovery.component import RecoveryComponent
 
     RecoveryComponent.try_acquire_load = lambda self, now_ms, function_id: True  # type: ignore[method-assign]
 
 
 def trust_earlier_incarnations() -> None:
-    """An instance from before a worker's restart passes for a present one."""
+    """Make an instance from before a worker's restart count as present."""
     from cedarthread.recovery import warm_state
 
     warm_state.start_tag = lambda started_at_ms: 0
 
 
 def ignore_drains() -> None:
-    """A worker that is listed as draining passes for ready."""
+    """Make a worker that is listed as draining count as ready."""
     from dataclasses import replace
 
     from cedarthread.model.endpoints import EndpointState
@@ -180,28 +181,28 @@
 
 
 def poll_seldom() -> None:
-    """Discovery is asked every two seconds, and failed queries are not retried."""
+    """Query discovery only every two seconds, and do not retry failed queries."""
     from cedarthread.protocols.discovery.query_tracker import QueryTracker
 
     QueryTracker.next_query_at_s = lambda self: self.last_sent_at_s + 2.0  # type: ignore[method-assign]
 
 
 def send_after_stall() -> None:
-    """After a stall, what waited is sent before discovery has been asked."""
+    """Send queued requests after a stall before the endpoint list has been refreshed."""
     from cedarthread.lifecycle.freshness_gate import FreshnessGate
 
     FreshnessGate.is_open = lambda self: True  # type: ignore[method-assign]
 
 
 def count_time_from_reading() -> None:
-    """A client's time limit runs from when its request was read, however long that stood in the socket."""
+    """Start a client's time limit when its request is read, not when it arrived in the socket's buffer."""
     from cedarthread.dispatch.dispatcher import Dispatcher
 
     Dispatcher.arrival_ms = lambda self: self.context.clock()  # type: ignore[method-assign]
 
 
 def ignore_disconnected_clients() -> None:
-    """A call goes on though its client has closed the connection."""
+    """Continue a call after its client has closed the connection."""
     from cedarthread.dispatch.dispatcher import Dispatcher
 
     Dispatcher.abandon_call = lambda self, call: None  # type: ignore[method-assign]
--- a/cedarthread/testing/cluster/network.py
+++ b/cedarthread/testing/cluster/network.py
@@ -1,4 +1,4 @@
-"""What becomes of bytes between two parties: by the timeline of faults and a seed alone. Times are ms."""
+"""Faults on paths between two parties, decided by the timeline of faults and a seed alone. Times are ms."""
 
 from __future__ import annotations
 
@@ -11,12 +11,17 @@
     from collections.abc import Iterator, Sequence
 
 MAX_REORDER_DELAY_MS = 40.0
-MIN_RETRANSMIT_MS = 200.0  # the least time after which Linux sends a lost TCP segment again (TCP_RTO_MIN)
+MIN_RETRANSMIT_MS = 200.0  # Minimum time until Linux retransmits a lost TCP segment (TCP_RTO_MIN).
 STREAM_DISTURBANCES = {FaultKind.DELAY, FaultKind.PARTITION, FaultKind.STALL, FaultKind.LOSE}
 
 
 class Network:
-    """The paths of one run."""
+    """The network paths of one run, as one process or the evaluation sees them; owns the random numbers.
+
+    Args:
+        faults: The faults of the scenario; those of other kinds than ``NETWORK_FAULTS`` are skipped.
+        seed: The seed of the random numbers.
+    """
 
     def __init__(self, faults: Sequence[Fault], seed: int) -> None:
         self.rng = random.Random(seed)
@@ -32,15 +37,16 @@
                 yield fault
 
     def is_disturbed(self, now_ms: float, source: Subject, destination: Subject) -> bool:
-        """Whether bytes of a stream between the two may come late now. Draws no random number, so that an
-        evaluation changes no run.
+        """Return whether bytes of a stream between two parties may be late now.
+
+        No random number is drawn, so that an evaluation changes no run.
         """
         kinds = {fault.kind for fault in self._active_faults(now_ms, source, destination)}
         kinds |= {fault.kind for fault in self._active_faults(now_ms, destination, source)}
         return bool(kinds & STREAM_DISTURBANCES)
 
     def datagram_delays_ms(self, now_ms: float, source: Subject, destination: Subject) -> list[float]:
-        """After which delays a datagram arrives, one for each time that it does: none, one or two."""
+        """Return the delay of each copy of a datagram that arrives: an empty list if the datagram is lost."""
         delays = [0.0]
         for fault in self._active_faults(now_ms, source, destination):
             if fault.kind in (FaultKind.PARTITION, FaultKind.STALL) or (
@@ -56,8 +62,9 @@
         return delays
 
     def stream_delay_ms(self, now_ms: float, source: Subject, destination: Subject) -> float:
-        """After which delay bytes of a stream arrive; at the end of a partition or a stall, where there is
-        one: they are sent again.
+        """Return the delay of bytes on a stream.
+
+        In a partition or a stall the bytes arrive when the fault ends, because TCP retransmits them.
         """
         delay_ms = 0.0
         for fault in self._active_faults(now_ms, source, destination):
--- a/cedarthread/testing/cluster/peer_relays.py
+++ b/cedarthread/testing/cluster/peer_relays.py
@@ -1,4 +1,4 @@
-"""Relays between routers: every datagram passes one, which delays, doubles or drops it by the scenario."""
+"""Peer relays, which forward datagrams between routers, or delay, duplicate or drop them by the scenario."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _RelayProtocol(asyncio.DatagramProtocol):
-    """Stands for one router towards all others."""
+    """The receiving end of one router's relay: other routers send to it instead of to the router."""
 
     def __init__(self, relays: PeerRelays, number: int) -> None:
         self.relays, self.number = relays, number
@@ -25,7 +25,11 @@
 
 
 class PeerRelays:
-    """The relays that one process runs."""
+    """The peer relays of one fake process.
+
+    Args:
+        process: The fake process, which has the clock, the network and the recording.
+    """
 
     def __init__(self, process: FakeProcess) -> None:
         self.process = process
@@ -33,19 +37,20 @@
         self.router_by_address = {
             (router_host(number), relay.port): number for number, relay in enumerate(relays)
         }
-        # What one relay receives is sent on from the sender's relay: all processes share all sockets.
+        # A datagram is forwarded from the sender's relay, so that its source address names the sender.
+        # Therefore every process has the sockets of all relays.
         self.sockets = [socket.socket(fileno=relay.descriptor) for relay in relays]
         for relay_socket in self.sockets:
             relay_socket.setblocking(False)
 
     async def start(self, router: int) -> None:
-        """Stand for a router."""
+        """Start the relay of one router."""
         await self.process.loop.create_datagram_endpoint(
             lambda: _RelayProtocol(self, router), sock=self.sockets[router].dup()
         )
 
     def on_datagram(self, address: tuple[str, int], receiver: int, data: bytes) -> None:
-        """A router sent a datagram to another."""
+        """Record a datagram from one router to another, and forward it as the network's faults say."""
         process, now_ms = self.process, self.process.now_ms()
         sender = self.router_by_address.get((address[0], address[1]))
         if sender is None or sender == receiver or process.is_recording_closed:
@@ -63,5 +68,5 @@
         address = router_host(receiver), self.process.plan.peer_relays[receiver].port
         try:
             self.sockets[sender].sendto(data, address)
-        except OSError:  # a full buffer loses a datagram, as networks do
+        except OSError:  # A full send buffer counts as a loss of the network.
             self.process.recording.datagram_counts["dropped"] += 1
--- a/cedarthread/testing/cluster/plan.py
+++ b/cedarthread/testing/cluster/plan.py
@@ -1,4 +1,4 @@
-"""What all processes of a cluster run know before it begins."""
+"""The plan of a cluster run, which the harness writes before the start and every fake process reads."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 if TYPE_CHECKING:
     from cedarthread.testing.cluster.scenario import Scenario
 
-CALL_DEADLINE_MS = 3000.0  # of every call
+CALL_DEADLINE_MS = 3000.0  # Deadline of every call, from its submission.
 
 
 class InheritedSocket(NamedTuple):
-    """A UDP socket of loopback that a process gets from the harness."""
+    """A UDP socket of loopback that a fake process inherits from the harness."""
 
     descriptor: int
     port: int
@@ -20,17 +20,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterPlan:
-    """The scenario, and where everything listens: by the number of a router or a worker."""
+    """The scenario and the ports of all parties, as lists by router number or worker number."""
 
     scenario: Scenario
-    client_process_count: int  # processes for clients, peer relays and discovery servers
+    client_process_count: int  # Number of processes that run clients, peer relays and discovery servers.
     router_ports: list[int]
     worker_ports: list[int]
     peer_relays: list[InheritedSocket]
     discovery_servers: list[InheritedSocket]
-    moved_discovery_servers: list[InheritedSocket]  # where discovery is after a move
+    # Sockets of the discovery servers that serve after a move.
+    moved_discovery_servers: list[InheritedSocket]
 
 
 def router_host(number: int) -> str:
-    """The address of loopback from which a router sends to its peers."""
+    """Return the loopback address from which a router sends datagrams to its peers."""
     return f"127.3.{number >> 8}.{number & 255}"
--- a/cedarthread/testing/cluster/policy_replay.py
+++ b/cedarthread/testing/cluster/policy_replay.py
@@ -1,6 +1,6 @@
-"""The same arrivals on the same workers under other policies: random, by the router's own load, omniscient.
+"""Replay of a run's arrivals on the same workers under other policies, for comparison of load balance.
 
-They are what a run's load balance is compared with.
+The policies choose a worker at random, by the router's own load, or by the workers' true state (omniscient).
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from cedarthread.testing.cluster.scenario import Fault, FaultKind, Scenario, SubjectKind
 from cedarthread.testing.fakes.worker_model import PackageStore, WorkerCall, WorkerModel
 
-MAX_ATTEMPTS = 2  # one retry of a rejected call
-DRAIN_MS = 10_000.0  # after the last arrival, in which all calls end
-REPLAY_SEED = 0x5EED  # so that a replay's choices are not the arrivals' numbers
+MAX_ATTEMPTS = 2  # The first attempt and one retry of a rejected call.
+DRAIN_MS = 10_000.0  # Time after the last arrival in which all calls end.
+REPLAY_SEED = 0x5EED  # Makes the random numbers of a replay differ from those of the arrivals.
 
 Policy = Callable[["PolicyReplay", Arrival, list[int]], int]
 
 
 def worker_models(scenario: Scenario) -> list[WorkerModel]:
-    """The workers of a scenario, empty, at one package store."""
+    """Return the workers of a scenario, without instances, which share one package store."""
     store = PackageStore(scenario.load_ms, scenario.store_full_speed_loads, scenario.store_max_loads)
     return [
         WorkerModel(
@@ -33,15 +33,22 @@
 
 
 class _FaultEvent(NamedTuple):
-    """The beginning or the end of a fault at a worker."""
+    """The start or the end of a fault at a worker."""
 
     at_ms: float
-    order: int  # among those of one time
+    order: int  # Order of events with the same time.
     apply: Callable[[], None]
 
 
 class PolicyReplay:
-    """One replay. A policy gets a call and the numbers of the workers that are up, and gives one of them."""
+    """One replay; owns the worker models and the routers' counts of calls in flight.
+
+    A policy receives a call and the numbers of the workers that are up, and returns one of these numbers.
+
+    Args:
+        scenario: The scenario of the run.
+        policy: The name of the policy in ``POLICIES``.
+    """
 
     def __init__(self, scenario: Scenario, policy: str) -> None:
         self.scenario, self.rng = scenario, random.Random(scenario.seed ^ REPLAY_SEED)
@@ -53,7 +60,7 @@
         self.router_by_call: dict[str, int] = {}
 
     def run(self, arrivals: list[Arrival]) -> list[WorkerCall]:
-        """All attempts of the replay, by arrival."""
+        """Replay the arrivals, and return all attempts in the order in which they arrived at workers."""
         events: list[_FaultEvent] = []
         for fault in self.scenario.faults:
             for number in range(self.scenario.worker_count):
@@ -118,29 +125,29 @@
                 return
 
     def choose_random(self, arrival: Arrival, candidates: list[int]) -> int:
-        """Any worker."""
+        """Choose any worker at random."""
         return self.rng.choice(candidates)
 
     def choose_lowest_own_load(self, arrival: Arrival, candidates: list[int]) -> int:
-        """One of those with the fewest of the router's own calls in flight."""
+        """Choose at random among the workers with the fewest calls in flight from the router itself."""
         own = self.in_flight[arrival.router]
         fewest = min(own[number] for number in candidates)
         return self.rng.choice([number for number in candidates if own[number] == fewest])
 
     def choose_of_two(self, arrival: Arrival, candidates: list[int]) -> int:
-        """The one with fewer of the router's own calls, of two at random (power of two choices)."""
+        """Choose two workers at random, and of these the one with fewer calls from the router itself."""
         sample = self.rng.sample(candidates, min(2, len(candidates)))
         return min(sample, key=lambda number: self.in_flight[arrival.router][number])
 
     def choose_omniscient(self, arrival: Arrival, candidates: list[int]) -> int:
-        """The one at which the call would wait least, by the workers' true state."""
+        """Choose the worker with the lowest expected wait by the true state of all workers."""
         return min(
             candidates,
             key=lambda number: (self._expected_wait_ms(arrival, self.workers[number]), self.rng.random()),
         )
 
     def _expected_wait_ms(self, arrival: Arrival, worker: WorkerModel) -> float:
-        """About when a call would end there."""
+        """Return an estimate of the time from a call's arrival at a worker until the call is executed."""
         load_ms = self.scenario.load_ms
         queue_ms = worker.in_flight / worker.cores * self.scenario.mean_service_ms * worker.slowdown
         instances = worker.instances_by_function.get(arrival.function)
@@ -151,7 +158,7 @@
         return queue_ms + (0.0 if is_slot_free else load_ms / 2 if instances.loading else load_ms)
 
 
-POLICIES: dict[str, Policy] = {  # by the names that result files have
+POLICIES: dict[str, Policy] = {  # By name in result files.
     "random": PolicyReplay.choose_random,
     "own": PolicyReplay.choose_lowest_own_load,
     "two": PolicyReplay.choose_of_two,
--- a/cedarthread/testing/cluster/process_handle.py
+++ b/cedarthread/testing/cluster/process_handle.py
@@ -1,4 +1,4 @@
-"""One process of fakes, as the harness sees it."""
+"""The harness's handle of one fake process."""
 
 from __future__ import annotations
 
@@ -17,27 +17,34 @@
 
 
 class FakeProcessHandle:
-    """Starts a process, sends it commands and ends it."""
+    """A handle that starts one fake process, sends commands to it and kills it.
+
+    Args:
+        folder: The folder that contains the plan, and to which the process writes its recording.
+        number: The process number; 0 runs the workers.
+        descriptors: The sockets that the process inherits.
+    """
 
     def __init__(self, folder: Path, number: int, descriptors: list[int]) -> None:
         self.folder, self.number, self.descriptors = folder, number, descriptors
         self.process: asyncio.subprocess.Process | None = None
-        self._command_lock = asyncio.Lock()  # one command at a time: replies carry no number
+        self._command_lock = asyncio.Lock()  # One command at a time, because replies carry no command number.
 
     async def start(self) -> None:
-        """Start it, and wait until it listens."""
+        """Start the process, and return when it listens."""
         module = "cedarthread.testing.cluster.fake_process"
         self.process = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", module, str(self.folder), str(self.number)),
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             pass_fds=self.descriptors,
-            start_new_session=True,  # an interrupt of the terminal is for the harness, which then ends them
+            # An interrupt from the terminal reaches the harness alone, which ends them.
+            start_new_session=True,
         )
         await self._read_reply(Command.START)
 
     async def send_command(self, command: Command, **arguments: Any) -> None:
-        """Send a command, and wait until it is done."""
+        """Send a command, and return when the process has carried it out."""
         assert self.process is not None
         assert self.process.stdin is not None
         async with self._command_lock:
@@ -52,13 +59,13 @@
             raise OSError(f"fake process {self.number} failed at {command}: {line!r}")
 
     async def fetch_recording(self) -> Recording:
-        """What it recorded; it records nothing more."""
+        """Return the recording of the process, which records no more facts from then on."""
         path = self.folder / f"recording{self.number}"
         await self.send_command(Command.SAVE_RECORDING, path=str(path))
         return cast("Recording", pickle.loads(path.read_bytes()))
 
     async def kill(self) -> None:
-        """End it."""
+        """Kill the process, and wait until it has ended."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
--- a/cedarthread/testing/cluster/recordings.py
+++ b/cedarthread/testing/cluster/recordings.py
@@ -1,6 +1,6 @@
-"""What one process of fakes records, and the recordings of a run put together.
+"""The recording of one fake process, and the merged recording of a run.
 
-Times are ms from the start of traffic, by one clock that all processes of a machine share.
+Times are ms from the start of traffic, by the monotonic clock that all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
     from cedarthread.testing.cluster.facts import Fact
     from cedarthread.testing.fakes.worker_model import WorkerCall
 
-# Names of time series, as they stand in result files.
+# Names of time series in result files.
 LOADS, DISCOVERY_QUERIES, PLACEMENTS = "loads", "questions", "placements"
-CONNECTIONS_PREFIX = "connections:"  # and the worker's number
-PEER_DATAGRAMS_PREFIX = "peers:"  # and the first byte, the message type, in hexadecimal
+CONNECTIONS_PREFIX = "connections:"  # Followed by the worker's number.
+PEER_DATAGRAMS_PREFIX = "peers:"  # Followed by the message type (the first byte) in hexadecimal.
 
 
 class AcceptedConnection(NamedTuple):
-    """A connection that a worker accepted."""
+    """One connection that a worker accepted."""
 
     at_ms: float
     worker: int
 
 
 class Placement(NamedTuple):
-    """The first instance of a function at a worker began to load."""
+    """The start of the load of a function's first instance at a worker."""
 
     at_ms: float
     function: int
@@ -37,14 +37,14 @@
 
 
 class DiscoveryQuery(NamedTuple):
-    """A router asked its discovery server."""
+    """One query of a router to its discovery server."""
 
     at_ms: float
     router: int
 
 
 class PeerDatagram(NamedTuple):
-    """A datagram that a router sent to another."""
+    """One datagram that a router sent to another router."""
 
     at_ms: float
     sender: int
@@ -54,19 +54,19 @@
 
 @dataclass(slots=True)
 class Recording:
-    """What one process saw."""
+    """The facts and figures that one fake process recorded."""
 
     facts: list[Fact] = field(default_factory=list)
     worker_calls: list[WorkerCall] = field(default_factory=list)
-    lags_ms: list[float] = field(default_factory=list)  # by which the process itself was late
+    lags_ms: list[float] = field(default_factory=list)  # Delays of the fake process itself, not of routers.
     connections: list[AcceptedConnection] = field(default_factory=list)
     placements: list[Placement] = field(default_factory=list)
     discovery_queries: list[DiscoveryQuery] = field(default_factory=list)
     peer_datagrams: list[PeerDatagram] = field(default_factory=list)
-    datagram_counts: Counter[str] = field(default_factory=Counter)  # passed and dropped
+    datagram_counts: Counter[str] = field(default_factory=Counter)  # Keys: "passed" and "dropped".
 
     def time_series(self) -> dict[str, list[float]]:
-        """Times from the start of traffic, in order, by the name of the series."""
+        """Return the times of events after the start of traffic, in order, by the name of the series."""
         series: defaultdict[str, list[float]] = defaultdict(list)
         series[LOADS] = [call.arrived_at_ms for call in self.worker_calls if call.remark == "spawn"]
         series[DISCOVERY_QUERIES] = [query.at_ms for query in self.discovery_queries]
@@ -79,7 +79,7 @@
 
 
 def merge_recordings(recordings: Iterable[Recording]) -> Recording:
-    """All in one, but for the facts and the lags, which the evaluation reads by process."""
+    """Return all recordings as one, without facts and lags, which the evaluation reads by process."""
     merged = Recording()
     for recording in recordings:
         merged.worker_calls += recording.worker_calls
--- a/cedarthread/testing/cluster/report.py
+++ b/cedarthread/testing/cluster/report.py
@@ -1,4 +1,4 @@
-"""Charts of runs: work per core by worker over time, with the faults marked, as SVG."""
+"""Charts of runs: work per core of each worker over time, with the faults marked, as SVG."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def write_charts(folder: Path) -> int:
-    """Draw every result file in a folder; the exit code."""
+    """Draw a chart for every result file in a folder, and return the exit code."""
     try:
         from matplotlib.figure import Figure
     except ImportError as error:
--- a/cedarthread/testing/cluster/result.py
+++ b/cedarthread/testing/cluster/result.py
@@ -1,4 +1,4 @@
-"""What one cluster run showed, and its form in result files."""
+"""The result of one cluster run, and its form in result files."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     from cedarthread.testing.cluster.recordings import Placement
     from cedarthread.testing.load_balance import LoadBalanceMetrics
 
-MAX_LAG_MS = 60.0  # by which one call in a hundred may leave late: beyond it the run is void
+MAX_LAG_MS = 60.0  # Maximum 99th percentile of the harness's own delay; a run with a higher one is void.
 
 
 class DatagramCounts(NamedTuple):
-    """Datagrams between routers."""
+    """Numbers of datagrams between routers."""
 
     passed: int
     dropped: int
 
 
 class FaultSpan(NamedTuple):
-    """When a fault lasted."""
+    """The start and end of a fault."""
 
     kind: FaultKind
     start_s: float
@@ -32,42 +32,45 @@
 
 @dataclass(slots=True)
 class Result:
-    """What one run showed."""
+    """The figures, recorded events and violations of one run."""
 
     scenario_name: str
     seed: int
     load_balance: LoadBalanceMetrics
-    replayed: dict[str, LoadBalanceMetrics]  # of the same arrivals, by policy
-    answers: dict[str, int]  # by result
+    # Load balance of other policies for the same arrivals, by policy.
+    replayed: dict[str, LoadBalanceMetrics]
+    answers: dict[str, int]  # Numbers of calls by result.
     violations: list[str]
-    lag_ms: float  # by which the harness itself was late, the 99th percentile
-    cpu_ms_per_call: float  # of the routers
-    peer_bytes_per_second: float  # that one router sent to others
+    lag_ms: float  # 99th percentile of the harness's own delay, in the process where it is highest.
+    cpu_ms_per_call: float  # CPU time of the routers per call.
+    peer_bytes_per_second: float  # Bytes that a router sent to other routers, the mean of all.
     datagrams: DatagramCounts
-    work_per_core: list[list[float]] = field(default_factory=list)  # by worker and second, from the start
+    # By worker, then by second from the start of traffic.
+    work_per_core: list[list[float]] = field(default_factory=list)
     faults: list[FaultSpan] = field(default_factory=list)
-    latency_ms: dict[str, float] = field(default_factory=dict)  # of the served calls, by percentile
-    value_rates: list[float] = field(default_factory=list)  # per second, windows that begin every 250 ms
-    lags_ms: list[float] = field(default_factory=list)  # by process, the workers' first
-    peak_counts: dict[str, int] = field(default_factory=dict)  # within any 250 ms after warm-up, by series
+    latency_ms: dict[str, float] = field(default_factory=dict)  # Latency of served calls by percentile.
+    value_rates: list[float] = field(default_factory=list)  # Value served per second, a window every 250 ms.
+    # 99th percentile of the harness's own delay by fake process, the workers' first.
+    lags_ms: list[float] = field(default_factory=list)
+    peak_counts: dict[str, int] = field(default_factory=dict)  # Peak in 250 ms after warm-up, by time series.
     answers_by_tenant: dict[str, dict[str, int]] = field(default_factory=dict)
     time_series: dict[str, list[float]] = field(default_factory=dict)
     placements: list[Placement] = field(default_factory=list)
-    facts: list[Fact] = field(default_factory=list)  # in order of time
+    facts: list[Fact] = field(default_factory=list)  # In order of time.
     scenario: Scenario = field(default_factory=Scenario)
 
     @property
     def is_void(self) -> bool:
-        """Whether the harness itself was too late for the figures to count."""
+        """Whether the harness itself was so late that the figures do not count."""
         return self.lag_ms > MAX_LAG_MS
 
     @property
     def served_fraction(self) -> float:
-        """The share of the calls that were served."""
+        """Share of the calls that were served."""
         return self.answers.get("served", 0) / max(1, sum(self.answers.values()))
 
     def to_json(self) -> dict[str, Any]:
-        """The result under the keys that result files have."""
+        """Return the result under the keys of result files."""
         return {
             "scenario": self.scenario_name,
             "seed": self.seed,
--- a/cedarthread/testing/cluster/router_entry.py
+++ b/cedarthread/testing/cluster/router_entry.py
@@ -2,7 +2,7 @@
 
     python -m cedarthread.testing.cluster.router_entry CLOCK DISK CALLS DEFECT ARGUMENT...
 
-CLOCK, DISK and CALLS are control files as ``router_files.py`` writes them; DISK may be empty. DEFECT is a
+CLOCK, DISK and CALLS are control files that ``router_files.py`` writes; DISK may be empty. DEFECT is a
 name of ``injected_defects.py``, or empty. The arguments are those of ``python -m cedarthread``.
 """
 
@@ -24,11 +24,14 @@
 from cedarthread.testing.cluster.injected_defects import inject
 
 Clock = Callable[[], float]  # s
-CLOCK_CONTROL = struct.Struct("<ddd")  # offset in ms; rate; since when that holds, monotonic s
+CLOCK_CONTROL = struct.Struct("<ddd")  # Offset in ms, rate, time from which the rate applies in monotonic s.
 
 
 def faulty_clocks(control: mmap.mmap | bytearray, wall: Clock, steady: Clock) -> SimpleNamespace:
-    """Both clocks as the control file has them: an offset moves the wall clock, a rate both."""
+    """Return a ``time`` module with clocks that follow the control file.
+
+    The offset shifts the wall clock alone; the rate applies to both clocks.
+    """
 
     def gained_s() -> float:
         _, rate, since = CLOCK_CONTROL.unpack(control[:])
@@ -41,7 +44,7 @@
 
 
 def main() -> None:
-    """Install the faults that the first arguments name, then do what the program does."""
+    """Install the faults that the first four arguments name, then run ``cedarthread`` with the others."""
     with Path(sys.argv.pop(1)).open("rb") as file:
         control = mmap.mmap(file.fileno(), CLOCK_CONTROL.size, access=mmap.ACCESS_READ)
     if disk := sys.argv.pop(1):
--- a/cedarthread/testing/cluster/router_files.py
+++ b/cedarthread/testing/cluster/router_files.py
@@ -1,4 +1,4 @@
-"""The files that a router of a run is given: configuration, fleet config, and control files of its faults."""
+"""The files of one router of a run: configuration, fleet config, and the control files of its faults."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     from collections.abc import Sequence
     from pathlib import Path
 
-DISK_CONTROL = struct.Struct("<B7xd")  # the fault's place in DISK_FAULTS, and its amount
+DISK_CONTROL = struct.Struct("<B7xd")  # Index of the fault in DISK_FAULTS, amount of the fault.
 DISK_CONTROL_BYTES = 64
-SEED_STEP = 1_000_003  # so that the seeds of two runs' routers differ
-MEMORY_MB, SOCKETS = 192, 1024  # that a router may use
+SEED_STEP = 1_000_003  # Distance between the router seeds of two runs, so that no two routers share a seed.
+MEMORY_MB, SOCKETS = 192, 1024  # Limits in the configuration of a router.
 
 
 def router_settings(scenario: Scenario, number: int) -> dict[str, Any]:
-    """The settings that one router is given."""
+    """Return the settings of one router."""
     idempotent = {"name": "check", "goal-time": 1000, "deadline": 3000, "effect": "retryable", "value": 2}
     other = {"name": "confirm", "goal-time": 1000, "deadline": 3000, "effect": "fragile", "value": 3}
     limits = {"most-held": 1000, "max-retry-after": 2000, "peers": scenario.is_gossip_enabled}
@@ -48,7 +48,13 @@
 
 
 class RouterFiles:
-    """The files of one router, named for its number."""
+    """The paths of one router's files, which are named for the router's number, and the writer of the files.
+
+    Args:
+        scenario: The scenario of the run.
+        folder: The folder of the files.
+        number: The number of the router.
+    """
 
     def __init__(self, scenario: Scenario, folder: Path, number: int) -> None:
         self.scenario, self.number = scenario, number
@@ -69,7 +75,7 @@
         peers: Sequence[str],
         peer_address: str,
     ) -> None:
-        """All files as they are at the start."""
+        """Write all files with their content at the start of the run."""
         scenario, number = self.scenario, self.number
         self.discovery_port = discovery_port
         config: dict[str, Any] = {
@@ -92,44 +98,44 @@
             self.write_fleet_config(scenario.fleet_config, 0.0)
 
     def set_clock(self, offset_ms: float = 0.0, rate: float = 1.0) -> None:
-        """Shift the router's wall clock, or let its clocks run ``rate`` times as fast, from now on."""
+        """Shift the router's wall clock by an offset, or run its clocks ``rate`` times as fast."""
         _write_in_place(self.clock, CLOCK_CONTROL.pack(offset_ms, rate, time.monotonic()))
 
     def set_disk_fault(self, fault: str = DISK_FAULTS[0], amount: float = 0.0) -> None:
-        """What the router's disk does from now on."""
+        """Set the fault of the router's disk, one of ``DISK_FAULTS``, from now on."""
         control = DISK_CONTROL.pack(DISK_FAULTS.index(fault), amount)
         _write_in_place(self.disk, control.ljust(DISK_CONTROL_BYTES, b"\0"))
 
     def set_failing_system_calls(self, share: float = 0.0) -> None:
-        """What share of the router's system calls on sockets fails from now on."""
+        """Set the share of the router's system calls on sockets that fail from now on."""
         _write_in_place(self.system_calls, SYSTEM_CALLS_CONTROL.pack(share))
 
     def set_discovery_port(self, port: int) -> None:
-        """Where discovery is, from the next time that the configuration is loaded."""
+        """Set the port of the discovery server in the configuration, which the router reads on SIGHUP."""
         config = json.loads(self.config.read_text())
         self.config.write_text(json.dumps(config | {"dns": f"127.0.0.1:{port}"}))
 
     def write_fleet_config(self, text: str, start_unix_s: float) -> None:
-        """The operators' file; where routers have stores, with a ``[disk]`` section of this router's."""
+        """Write the fleet config; where routers have stores, add a ``[disk]`` section for this router."""
         if self.scenario.has_store:
             self.store.mkdir(exist_ok=True)
             text += f'\n[disk]\nfolder = "{self.store}"\n'
         self.fleet_config.write_text(resolve_times(text, start_unix_s))
 
     def change_settings(self, changes: str) -> None:
-        """Lay settings, as JSON, over those that the configuration has."""
+        """Merge settings, given as JSON, into the settings of the configuration."""
         config = json.loads(self.config.read_text())
         self.config.write_text(json.dumps(config | {"settings": config["settings"] | json.loads(changes)}))
 
 
 def _write_in_place(path: Path, data: bytes) -> None:
-    """Not by another file: a process maps this one."""
+    """Write to an existing file in place, because the router's process maps that very file."""
     with path.open("r+b" if path.exists() else "wb") as file:
         file.write(data)
 
 
 def resolve_times(text: str, start_unix_s: float) -> str:
-    """A fleet config with its times, written ``@12.5`` for s from the start of traffic, in RFC 3339."""
+    """Return a fleet config with times in RFC 3339 instead of ``@12.5`` (s from the start of traffic)."""
 
     def resolve(written: re.Match[str]) -> str:
         time_of_day = datetime.fromtimestamp(start_unix_s + float(written[1]), UTC)
--- a/cedarthread/testing/cluster/router_processes.py
+++ b/cedarthread/testing/cluster/router_processes.py
@@ -1,4 +1,4 @@
-"""The router processes of one run, and the faults that happen at them. Each is ended by its id at the end."""
+"""The router processes of one run and the faults at routers. ``stop_all`` stops each process by its id."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-READY_TIMEOUT_S = 60.0  # in which a router must serve
-READY_POLL_S = 0.05
-STOP_TIMEOUT_S = 10  # from SIGTERM until a router is killed
-LOG_TAIL_CHARACTERS = 300  # of the log, in the error for a router that ended
+READY_TIMEOUT_S = 60.0  # Maximum time from the start of a router until it accepts connections.
+READY_POLL_S = 0.05  # Interval between two connection attempts to a router that is starting.
+STOP_TIMEOUT_S = 10  # Time from SIGTERM to SIGKILL for a router that does not end.
+LOG_TAIL_CHARACTERS = 300  # Length of the end of the log in the error for a router that ended early.
 CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 CONTROL_FILE_FAULTS = (
     FaultKind.SHIFT_CLOCK,
@@ -32,7 +32,15 @@
 
 
 class RouterProcesses:
-    """Processes and their ports, each of which a socket of ours reserves that accepts nothing."""
+    """The router processes of one run, their files and their ports.
+
+    For each port, the instance owns a bound socket that does not listen, so that the port stays reserved
+    while the router's process is down.
+
+    Args:
+        scenario: The scenario of the run.
+        folder: The folder for the routers' files and the compiled modules.
+    """
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
         self.scenario = scenario
@@ -40,10 +48,10 @@
         self._reserved_sockets = [reserve_port() for _ in numbers]
         self.ports = [int(reserved.getsockname()[1]) for reserved in self._reserved_sockets]
         self.files = [RouterFiles(scenario, folder, number) for number in numbers]
-        self.start_unix_s = 0.0  # of traffic
-        self.processes: dict[int, subprocess.Popen[bytes]] = {}
-        self._ended_cpu_s: dict[int, float] = {}  # of a router's processes that were killed
-        # Modules are compiled once: hundreds of processes that each did it took a second of CPU apiece.
+        self.start_unix_s = 0.0  # Start of traffic; ``ClusterRun`` sets it.
+        self.processes: dict[int, subprocess.Popen[bytes]] = {}  # Latest process of each router.
+        self._ended_cpu_s: dict[int, float] = {}  # CPU time of a router's processes that were killed.
+        # The routers share one cache of compiled modules, because compiling costs a second of CPU a process.
         self._environment = {
             name: value for name, value in os.environ.items() if name != "PYTHONDONTWRITEBYTECODE"
         }
@@ -63,11 +71,11 @@
         peers: Sequence[str],
         peer_address: str,
     ) -> None:
-        """Write the files of one router."""
+        """Write the configuration and control files of one router."""
         self.files[number].write(self.ports[number], known_endpoints, discovery_port, peers, peer_address)
 
     def start(self, number: int) -> None:
-        """Start a router, beneath ``router_entry`` where a fault or an injected defect needs it."""
+        """Start a router's process; use ``router_entry`` if a fault or an injected defect requires it."""
         files, scenario = self.files[number], self.scenario
         module, arguments = "cedarthread", []
         if number in self.routers_with_control_files or scenario.injected_defect:
@@ -84,7 +92,12 @@
             )
 
     async def wait_until_ready(self, number: int) -> None:
-        """Until a router accepts connections; ``OSError`` with the end of its log where it ends instead."""
+        """Return when a router accepts connections.
+
+        Raises:
+            OSError: The process ended before; the message has the end of its log.
+            TimeoutError: The router did not accept connections within ``READY_TIMEOUT_S``.
+        """
         async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
                 if self.processes[number].poll() is not None:
@@ -96,28 +109,28 @@
                 await asyncio.sleep(READY_POLL_S)
 
     def read_log(self, number: int) -> str:
-        """What a router logged: warnings and worse."""
+        """Return the log of a router: warnings and errors of all its processes."""
         return self.files[number].log.read_text(errors="replace")
 
     def send_signal(self, number: int, which: signal.Signals) -> None:
-        """Send a signal to a router, where its process is still there."""
+        """Send a signal to a router's process, unless the process has ended."""
         if which is signal.SIGKILL:
             self._ended_cpu_s[number] = self.cpu_seconds(number)
         if self.processes[number].poll() is None:
             self.processes[number].send_signal(which)
 
     def cpu_seconds(self, number: int) -> float:
-        """CPU time that a router has used, in all its processes."""
+        """Return the CPU time in s that all processes of a router have used."""
         ended_s = self._ended_cpu_s.get(number, 0.0)
         try:
             stat = Path(f"/proc/{self.processes[number].pid}/stat").read_text()
         except OSError:
             return ended_s
-        fields = stat.rpartition(")")[2].split()  # from the third on, see proc(5)
-        return ended_s + (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND  # utime, stime
+        fields = stat.rpartition(")")[2].split()  # The first element is the third field of proc(5).
+        return ended_s + (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND  # Fields utime, stime.
 
     def begin_fault(self, fault: Fault, number: int) -> None:
-        """Begin a fault at one router."""
+        """Start a fault at one router."""
         match fault.kind:
             case FaultKind.KILL_ROUTER:
                 self.send_signal(number, signal.SIGKILL)
@@ -132,7 +145,7 @@
                 self._change_files(fault, number)
 
     def _change_files(self, fault: Fault, number: int) -> None:
-        """Begin a fault that a file tells of, with SIGHUP where the router has to be told to read it."""
+        """Start a fault by changing a file; send SIGHUP if the router reads the file only on that signal."""
         files = self.files[number]
         match fault.kind:
             case FaultKind.SYSTEM_CALLS:
@@ -154,7 +167,7 @@
                 self.send_signal(number, signal.SIGHUP)
 
     def end_fault(self, fault: Fault, number: int) -> None:
-        """End a fault at one router; changed files stay as they are."""
+        """End a fault at one router. A fleet config and reloaded settings stay in effect."""
         match fault.kind:
             case FaultKind.KILL_ROUTER | FaultKind.TERMINATE_ROUTER:
                 self.start(number)
@@ -171,7 +184,7 @@
                 self.files[number].set_disk_fault()
 
     def stop_all(self) -> dict[int, int]:
-        """End all routers; the exit code of each one's last process."""
+        """Stop all routers, and return the exit code of each router's latest process."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -189,7 +202,7 @@
 
 
 def reserve_port() -> socket.socket:
-    """A TCP port of loopback, reserved by a socket that accepts nothing."""
+    """Return a socket that reserves a free TCP port of loopback and does not listen."""
     reserved = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     reserved.bind(("127.0.0.1", 0))
--- a/cedarthread/testing/cluster/run.py
+++ b/cedarthread/testing/cluster/run.py
@@ -1,4 +1,4 @@
-"""One run: routers and fakes as processes, faults at routers by the timeline, the recordings at the end."""
+"""One cluster run: starts routers and fakes as processes, injects router faults, evaluates the recordings."""
 
 from __future__ import annotations
 
@@ -24,16 +24,22 @@
 
     from cedarthread.testing.cluster.result import Result
 
-FAILURE_WORDS = (" rule_violated ", "Traceback")  # in a router's log
-ROUTERS_PER_PROCESS = 50  # whose clients, relays and discovery servers one process runs
-START_LEAD_S = 0.2  # from the command until traffic starts, so that all processes have it
-LAST_RESPONSES_S = 0.3  # after the last deadline
-# STANDING: SIGKILL comes the longest deadline, counted as 3 s at most, and 0.7 s after SIGTERM.
+FAILURE_WORDS = (" rule_violated ", "Traceback")  # A line of a router's log with one of these is a violation.
+ROUTERS_PER_PROCESS = 50  # Maximum routers per fake process for clients, peer relays and discovery servers.
+# Time from the RUN command to the start of traffic, so that every process has received it.
+START_LEAD_S = 0.2
+LAST_RESPONSES_S = 0.3  # Wait after the last deadline, in which the last responses arrive.
+# STANDING: SIGKILL follows SIGTERM after the longest deadline, counted as 3 s at most, plus 0.7 s.
 SIGKILL_AFTER_SIGTERM_S = min(3.0, CALL_DEADLINE_MS / 1000.0) + 0.7
 
 
 class ClusterRun:
-    """One run of one scenario."""
+    """One run of one scenario; owns all processes and reserved sockets of the run.
+
+    Args:
+        scenario: The scenario to run.
+        folder: An existing folder for the files of all processes.
+    """
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
         self.scenario, self.folder = scenario, folder
@@ -64,13 +70,13 @@
                 *self.plan.moved_discovery_servers,
             )
         ]
-        self.fake_processes = [  # the workers' first
+        self.fake_processes = [  # Process 0 runs the workers.
             FakeProcessHandle(folder, number, shared if number else [])
             for number in range(1 + client_processes)
         ]
 
     async def run(self) -> Result:
-        """Start all processes, let the timeline pass, end them and evaluate."""
+        """Start all processes, wait until the timeline ends, stop all processes and return the evaluation."""
         scenario, numbers = self.scenario, range(self.scenario.router_count)
         try:
             await self.start()
@@ -92,7 +98,7 @@
         return result
 
     def _logged_failures(self) -> list[str]:
-        """What routers logged that must not be: violations that they counted themselves, and exceptions."""
+        """Return a violation for each line of a router's log that reports a broken rule or an exception."""
         return [
             f"log of router {number}: {line}"
             for number in range(self.scenario.router_count)
@@ -101,7 +107,7 @@
         ]
 
     async def start(self) -> None:
-        """Start all processes, until routers serve and clients are connected."""
+        """Start all processes; return when all routers accept connections and all clients are connected."""
         (self.folder / "plan").write_bytes(pickle.dumps(self.plan))
         await asyncio.gather(*(process.start() for process in self.fake_processes))
         calm = EndpointListTimeline(replace(self.scenario, faults=()), self.plan.worker_ports)
@@ -118,17 +124,17 @@
             self.routers.write_config(number, known_endpoints, discovery_port, peers, peer_address)
             self.routers.files[number].moved_discovery_port = self.plan.moved_discovery_servers[number].port
             self.routers.start(number)
-            if number == 0:  # it compiles the modules for all others
+            if number == 0:  # Router 0 compiles the modules for all routers.
                 await self.routers.wait_until_ready(number)
         await asyncio.gather(*map(self.routers.wait_until_ready, every))
         await self.command_all(Command.CONNECT, routers=list(every))
 
     async def command_all(self, command: Command, **arguments: Any) -> None:
-        """Send a command to all processes of fakes."""
+        """Send a command to all fake processes."""
         await asyncio.gather(*(process.send_command(command, **arguments) for process in self.fake_processes))
 
     async def end(self) -> dict[int, int]:
-        """End all processes; the exit codes of the routers."""
+        """Stop all processes, close the reserved sockets and return the exit codes by router number."""
         exit_codes = self.routers.stop_all()
         await asyncio.gather(*(process.kill() for process in self.fake_processes))
         for each in (
@@ -174,7 +180,7 @@
         self.router_starts += [RouterStarted(at_ms, number) for number in numbers]
 
     async def _reconnect_clients(self, numbers: range) -> None:
-        """Connect the client of each router as soon as that serves again."""
+        """Connect the client of each router as soon as the router accepts connections again."""
 
         async def reconnect(number: int) -> None:
             await self.routers.wait_until_ready(number)
@@ -185,7 +191,7 @@
 
 
 def _bind_udp() -> socket.socket:
-    """A UDP port of loopback."""
+    """Return a UDP socket that is bound to a free port of loopback."""
     bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     bound.bind(("127.0.0.1", 0))
     return bound
--- a/cedarthread/testing/cluster/scenario.py
+++ b/cedarthread/testing/cluster/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios of a cluster run: fleet, traffic and a timeline of faults. Times of faults are s from the start.
+"""Scenarios of a cluster run: fleet, traffic and a timeline of faults in s from the start of traffic.
 
 The values of the enums are the words of scenario files and of results.
 """
@@ -11,7 +11,7 @@
 
 
 class SubjectKind(StrEnum):
-    """What a fault or a path is about."""
+    """The kind of party that a fault or a network path affects."""
 
     ROUTER = "router"
     WORKER = "runner"
@@ -20,41 +20,45 @@
 
 
 class FaultKind(StrEnum):
-    """What goes wrong. ``amount`` and ``text`` are those of the fault."""
-
-    # Between subjects and peers, both ways unless ``is_one_way``.
-    LOSE = "loss"  # ``amount``: share of datagrams lost, of stream segments sent again
-    DELAY = "delay"  # ``amount``: ms
-    DUPLICATE = "double"  # ``amount``: share of datagrams
-    REORDER = "reorder"
-    PARTITION = "cut"
-    STALL = "stall"  # connections stay open, and no byte passes
-    # At routers.
-    KILL_ROUTER = "kill"  # and start it again at the end
-    PAUSE_ROUTER = "stop"
-    TERMINATE_ROUTER = "term"  # SIGTERM, SIGKILL by the page's arithmetic, and start it again at the end
-    MOVE_DISCOVERY = "move"  # to another address, by SIGHUP; the old one falls silent; back at the end
-    SYSTEM_CALLS = "syscalls"  # ``amount``: share of the system calls on sockets that fail
-    RESTART_ROUTER = "restart"  # at once
-    SHIFT_CLOCK = "clock"  # ``amount``: ms by which the wall clock is off
-    CLOCK_RATE = "rate"  # ``amount``: times as fast as time
-    DISK = "disk"  # ``text``: one of DISK_FAULTS, with its ``amount``
-    FLEET_CONFIG = "declare"  # ``text``: the operators' file from then on, and SIGHUP
-    RELOAD_SETTINGS = "retune"  # ``text``: JSON over the settings, and SIGHUP
-    HOT_FUNCTION = "hot"  # ``amount``: share of the calls there, all of one rare function
-    BURST = "burst"  # ``amount``: times as many calls
-    # At workers.
-    CRASH_WORKER = "die"  # and start it again, empty, at the end
-    SLOW_WORKER = "slow"  # ``amount``: times as slow
+    """The kind of a fault. ``amount`` and ``text`` below are fields of ``Fault``."""
+
+    # Faults between subjects and peers, in both directions unless ``is_one_way``.
+    # ``amount``: share of datagrams that are lost, and of writes to streams that are retransmitted.
+    LOSE = "loss"
+    DELAY = "delay"  # ``amount``: delay in ms.
+    DUPLICATE = "double"  # ``amount``: share of datagrams that arrive twice.
+    REORDER = "reorder"  # Datagrams are delayed at random, so that they overtake each other.
+    PARTITION = "cut"  # Datagrams are lost, and streams are delayed until the end.
+    STALL = "stall"  # Like a partition: connections stay open, and no byte passes.
+    # Faults at routers.
+    KILL_ROUTER = "kill"  # SIGKILL; the router is started again at the end.
+    PAUSE_ROUTER = "stop"  # SIGSTOP; SIGCONT at the end.
+    # SIGTERM, then SIGKILL after ``SIGKILL_AFTER_SIGTERM_S``; started again at the end.
+    TERMINATE_ROUTER = "term"
+    # Another server address, read on SIGHUP. The old server falls silent; back at the end.
+    MOVE_DISCOVERY = "move"
+    SYSTEM_CALLS = "syscalls"  # ``amount``: share of the system calls on sockets that fail.
+    RESTART_ROUTER = "restart"  # SIGKILL, and started again immediately.
+    SHIFT_CLOCK = "clock"  # ``amount``: offset of the wall clock in ms.
+    CLOCK_RATE = "rate"  # ``amount``: factor by which the clocks run faster than real time.
+    DISK = "disk"  # ``text``: one of DISK_FAULTS; ``amount``: the amount of that fault.
+    FLEET_CONFIG = "declare"  # ``text``: the new fleet config, read on SIGHUP.
+    # ``text``: settings as JSON that replace those of the same key, read on SIGHUP.
+    RELOAD_SETTINGS = "retune"
+    HOT_FUNCTION = "hot"  # ``amount``: share of the routers' calls that go to the least popular function.
+    BURST = "burst"  # ``amount``: factor of the call rate.
+    # Faults at workers.
+    CRASH_WORKER = "die"  # The worker is started again at the end, without instances.
+    SLOW_WORKER = "slow"  # ``amount``: factor of the service time.
     SILENCE_WORKER = "silent"
-    HIDE_WORKER = "hide"  # from the endpoint lists of the peers
-    DRAIN_WORKER = "drain"  # in the endpoint lists of the peers
-    RESET_CONNECTIONS = "reset"  # at once, all that stand
-    # At clients.
-    LEAVE = "leave"  # the connection is closed, and another one made
-    # At discovery servers.
+    HIDE_WORKER = "hide"  # The peers' endpoint lists lack the worker.
+    DRAIN_WORKER = "drain"  # The peers' endpoint lists have the worker as draining.
+    RESET_CONNECTIONS = "reset"  # All open connections are reset at the start of the fault.
+    # Faults at clients.
+    LEAVE = "leave"  # The client closes its connection and opens another one.
+    # Faults at discovery servers.
     SILENCE_DISCOVERY = "mute"
-    CORRUPT_DISCOVERY = "spoilt"  # ``amount``: share of the replies
+    CORRUPT_DISCOVERY = "spoilt"  # ``amount``: share of the replies that are corrupted.
 
 
 NETWORK_FAULTS = (
@@ -89,7 +93,7 @@
     FaultKind.SILENCE_DISCOVERY: SubjectKind.DISCOVERY,
     FaultKind.CORRUPT_DISCOVERY: SubjectKind.DISCOVERY,
 }
-# What a disk does, by the number in its control file, as persistence/fault_switch.py reads it.
+# Faults of a disk. The index is the number in the control file, which persistence/fault_switch.py reads.
 DISK_FAULTS = (
     "none",
     "unsynced",
@@ -114,20 +118,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Subjects:
-    """A range of one kind: ``router``, ``runner:3``, ``client:0-11``."""
+    """A range of parties of one kind: ``router``, ``runner:3`` or ``client:0-11`` in a scenario file."""
 
     kind: SubjectKind
     first: int
     last: int
 
     def includes(self, kind: SubjectKind, number: int) -> bool:
-        """Whether the range has this one."""
+        """Return whether the range includes a party."""
         return kind == self.kind and self.first <= number <= self.last
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault of the timeline."""
+    """One fault of the timeline, from ``start_s`` up to ``end_s``."""
 
     kind: FaultKind
     start_s: float
@@ -139,46 +143,46 @@
     text: str = ""
 
     def is_active(self, now_s: float) -> bool:
-        """Whether it lasts at a time."""
+        """Return whether the fault is active at a time in s from the start of traffic."""
         return self.start_s <= now_s < self.end_s
 
     def affects_peer(self, kind: SubjectKind, number: int) -> bool:
-        """Whether one is among its peers."""
+        """Return whether a party is among the fault's peers."""
         return self.peers is not None and self.peers.includes(kind, number)
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One run."""
+    """One scenario: the fleet, the traffic, its duration and the faults."""
 
     name: str = "quick"
     seed: int = 1
     router_count: int = 24
     worker_count: int = 12
     cores_per_worker: int = 2
-    instances_per_worker: int = 12  # that a worker has memory for
-    concurrency: int = 4  # calls that an instance serves at once
+    instances_per_worker: int = 12  # Number of instances that fit into a worker's memory.
+    concurrency: int = 4  # Concurrent calls per instance.
     function_count: int = 60
-    popularity_exponent: float = 0.8  # of the functions (Zipf's law)
-    calls_per_second: float = 300.0  # of all routers
-    mean_service_ms: float = 40.0  # of a core, for a call
-    load_ms: float = 400.0  # for one load alone
-    store_full_speed_loads: int = 16  # loads at once that the package store serves at full speed
-    store_max_loads: int = 120  # at once, past which it refuses
-    settle_s: float = 0.0  # that routers are up before the first call
-    warm_up_s: float = 4.0  # of traffic that is not measured
-    duration_s: float = 12.0  # of traffic that is measured
-    not_idempotent_share: float = 0.2  # of the calls
-    is_gossip_enabled: bool = True  # also all else that routers tell each other
+    popularity_exponent: float = 0.8  # Exponent of Zipf's law for the popularity of functions.
+    calls_per_second: float = 300.0  # Call rate of all clients together.
+    mean_service_ms: float = 40.0  # Mean CPU time of a call on one core.
+    load_ms: float = 400.0  # Time to load an instance while the package store serves no other load.
+    store_full_speed_loads: int = 16  # Concurrent loads that the package store serves at full speed.
+    store_max_loads: int = 120  # Concurrent loads beyond which the package store refuses.
+    settle_s: float = 0.0  # Time from when routers are ready until traffic starts.
+    warm_up_s: float = 4.0  # Traffic that is not measured.
+    duration_s: float = 12.0  # Traffic that is measured, after the warm-up.
+    not_idempotent_share: float = 0.2  # Share of the calls that are not idempotent.
+    is_gossip_enabled: bool = True  # False: routers send no datagrams of any kind to each other.
     has_load_reports: bool = True
-    injected_defect: str = ""  # that the routers run with, to see that it is found
-    fleet_config: str = ""  # the operators' file, given to ``fleet_config_routers`` alone
+    injected_defect: str = ""  # Name of the defect that the routers run with, to show that a check finds it.
+    fleet_config: str = ""  # The operators' file, which only ``fleet_config_routers`` have.
     fleet_config_routers: str = "router:0"
-    has_store: bool = False  # each router has a store in a folder of its own
-    tenants: str = ""  # names and shares of the calls: "hydro 0.5, steel 0.3"; the rest has none
+    has_store: bool = False  # True: each router has a store in a folder of its own.
+    tenants: str = ""  # Names and shares of the calls: "hydro 0.5, steel 0.3". Other calls have no tenant.
     faults: tuple[Fault, ...] = ()
 
     @property
     def end_s(self) -> float:
-        """When the last call is sent, s from the start."""
+        """Time of the last call, s from the start of traffic."""
         return self.warm_up_s + self.duration_s
--- a/cedarthread/testing/cluster/scenario_file.py
+++ b/cedarthread/testing/cluster/scenario_file.py
@@ -1,4 +1,4 @@
-"""Scenarios from TOML, checked. An error says where and what: ``fault 2: cut needs `to` ``."""
+"""Parser of scenario files (TOML). An error names the place and the mistake: ``fault 2: cut needs `to` ``."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     from collections.abc import Mapping
     from pathlib import Path
 
-FIELD_BY_KEY = {  # of the file
+FIELD_BY_KEY = {  # Fields of ``Scenario`` by key of the file.
     "name": "name",
     "seed": "seed",
     "routers": "router_count",
@@ -69,11 +69,15 @@
 
 
 class ScenarioError(CedarthreadError):
-    """A scenario that can't be run: where, and what is wrong."""
+    """An error of a scenario that cannot be run; the message names the place and the mistake."""
 
 
 def load_scenario(path: Path) -> Scenario:
-    """A scenario from its file; ``ScenarioError`` says what is wrong."""
+    """Return the scenario of a file.
+
+    Raises:
+        ScenarioError: The file is missing, malformed or describes no valid scenario.
+    """
     try:
         return parse_scenario(tomllib.loads(path.read_text()))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, ScenarioError) as error:
@@ -81,7 +85,11 @@
 
 
 def parse_scenario(document: Mapping[str, Any]) -> Scenario:
-    """A scenario from its parsed text."""
+    """Return the scenario of a parsed file.
+
+    Raises:
+        ScenarioError: The document describes no valid scenario.
+    """
     type_names = {field.name: str(field.type) for field in dataclasses.fields(Scenario)}
     values: dict[str, Any] = {}
     for key, value in document.items():
@@ -107,7 +115,7 @@
 
 
 def _check_value(key: str, value: Any, type_name: str) -> None:
-    is_bool = isinstance(value, bool)  # which Python takes for an int
+    is_bool = isinstance(value, bool)  # Checked apart, because bool is a subclass of int.
     if not isinstance(value, _TYPES[type_name]) or (is_bool and type_name != "bool"):
         raise ScenarioError(f"{key}: {value!r} is no {type_name}")
     if isinstance(value, (int, float)) and value < 0:
@@ -115,7 +123,7 @@
 
 
 def tenant_shares(scenario: Scenario) -> dict[str, float]:
-    """The tenants' shares of the calls."""
+    """Return each tenant's share of the calls by the tenant's name."""
     text = scenario.tenants
     try:
         pairs = map(str.split, filter(None, text.split(",")))
@@ -128,7 +136,7 @@
 
 
 def fleet_config_routers(scenario: Scenario) -> Subjects:
-    """The routers that have the operators' file."""
+    """Return the routers that have the fleet config."""
     return parse_subjects("declares", scenario.fleet_config_routers, scenario)
 
 
@@ -168,7 +176,7 @@
 
 
 def parse_subjects(where: str, text: Any, scenario: Scenario) -> Subjects:
-    """A range of routers, workers, clients or discovery servers, as files name them."""
+    """Return a range of routers, workers, clients or discovery servers from its form in scenario files."""
     match = _SUBJECTS.match(text) if isinstance(text, str) else None
     if match is None:
         raise ScenarioError(f"{where}: {text!r} is not like router, runner:3 or client:0-11")
--- a/cedarthread/testing/cluster/scenarios/__init__.py
+++ b/cedarthread/testing/cluster/scenarios/__init__.py
@@ -1,4 +1,4 @@
-"""Sets of scenarios, one a module: which runs, and what must hold in each. ``cedarthread drill`` runs one."""
+"""Sets of scenarios, one module each: the runs, and the checks of each run, for ``cedarthread drill``."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     from cedarthread.testing.cluster.result import Result
     from cedarthread.testing.cluster.scenario import Scenario
 
-SCENARIO_MODULES = {  # by the name on the command line
+SCENARIO_MODULES = {  # By the set's name on the command line.
     "faults": "cedarthread.testing.cluster.scenarios.faults",
     "freeze": "cedarthread.testing.cluster.scenarios.change_freeze",
     "spread": "cedarthread.testing.cluster.scenarios.load_spread",
@@ -20,26 +20,30 @@
 
 
 class ScenarioSet(Protocol):
-    """What the module of a set has."""
+    """The interface of the module of a set."""
 
-    HEAD: str  # of its Markdown table
-    RULE: str  # below the head
+    HEAD: str  # Head line of the Markdown table of results.
+    RULE: str  # Line between the head and the rows.
 
     def quick(self, seed: int, routers: int) -> Iterable[Scenario]:
-        """Short runs with several faults at once, for CI."""
+        """Return short runs with several faults at once, for CI."""
 
     def full(self, seed: int, routers: int) -> Iterable[Scenario]:
-        """Whole fleets, each hard case by itself."""
+        """Return runs of whole fleets, with each hard case by itself."""
 
     def failings(self, result: Result, earlier: Sequence[Result] = ()) -> list[str]:
-        """What a run shows that must not be, also beside the runs of the set before it."""
+        """Return the failed checks of a run, also of those that compare it with earlier runs of the set."""
 
     def row(self, result: Result) -> str:
-        """A run as a line of the table."""
+        """Return the line of a run in the table."""
 
 
 def load_scenario_set(name: str) -> ScenarioSet:
-    """A set by its name; ``ValueError`` where there is none."""
+    """Return a set by its name.
+
+    Raises:
+        ValueError: There is no set of this name.
+    """
     if name not in SCENARIO_MODULES:
         raise ValueError(f"{name}: no such drill; there are {', '.join(SCENARIO_MODULES)}")
     return cast("ScenarioSet", import_module(SCENARIO_MODULES[name]))
--- a/cedarthread/testing/cluster/scenarios/change_freeze.py
+++ b/cedarthread/testing/cluster/scenarios/change_freeze.py
@@ -1,7 +1,7 @@
-"""Change freeze: by the workers' records, no function is placed at a new worker while a window is in effect.
+"""Change freeze: no function is placed at a new worker while a window is in effect, by the workers' records.
 
-A window is in effect from its declaration plus the staleness bound B, or from its start if that is later, to
-its end; one that is revoked, to B after the revocation.
+A window is in effect from the later of its start and its declaration plus the staleness bound, until its end.
+A revoked window ends at the latest at the revocation plus the staleness bound.
 """
 
 from __future__ import annotations
@@ -23,28 +23,28 @@
     from cedarthread.testing.cluster.result import Result
 
 FLEET_CONFIG = "[sharing]\nperiod = 200\nclock-error = 100\n"
-# In the quick form. What may fail in 24 s: an eighth of the calls, to a hot function that may be placed at no
-# more workers, for 15.5 s (8%); what was placed on a quarter of the workers, for 2 s (2%); the calls of four
-# routers, for 7 s (5%).
+# Minimum share of the calls that are served. In the 24 s of the quick form these calls may fail: an eighth of
+# the calls for 15.5 s, because they are to a hot function that must not be placed at more workers (8%); the
+# calls to instances on a quarter of the workers, for 2 s (2%); the calls of four routers, for 7 s (5%).
 MIN_SERVED_FRACTION = 0.85
-RESTART_LISTING_MS = 500.0  # until a restart is listed and read: the design does not cover it
-MIN_VALUE_FRACTION = 0.98  # of the value per second of a day without a window
-VALUE_FROM_S, VALUE_TO_S = 18, 30  # in which that is compared
+RESTART_LISTING_MS = 500.0  # Time until routers know of a worker's restart; the design does not cover it.
+MIN_VALUE_FRACTION = 0.98  # Minimum share of the value per second of a run without a window.
+VALUE_FROM_S, VALUE_TO_S = 18, 30  # Time in which the value per second is compared.
 RATE_WINDOWS_PER_S = 4
-UNWINDOWED_MS = (16_000.0, 28_000.0)  # the time that a table shows of a run without a window
+UNWINDOWED_MS = (16_000.0, 28_000.0)  # Time that the table shows as the window of a run without a window.
 
-FaultText = dict[str, object]  # as in a scenario file
+FaultText = dict[str, object]  # A fault, as in scenario files.
 
 
 def window_config(start_s: float, end_s: float, allowance: int = 3, more: str = "") -> str:
-    """A fleet config with one window; times from the start of traffic."""
+    """Return a fleet config with one window; its times are s from the start of traffic."""
     times = f"start = @{start_s:g}\nend = @{end_s:g}\n"
     window = f'[[freeze]]\nid = "cycle"\n{times}allowance = {allowance}\n'
     return FLEET_CONFIG + window + 'author = "desk"\nreason = "cycle closes"\n' + more
 
 
 REVOCATION = '[[revoke]]\nfreeze = "cycle"\nauthor = "desk"\nreason = "closed early"\n'
-# Under which each function gets more home workers.
+# Settings with which each function has more home workers.
 LONGER_KEEP_ALIVE = '{"specifics": {"keep-alive": 30000, "order-limit": 10000}}'
 LOSSY_NETWORK: list[FaultText] = [
     {"kind": "loss", "who": "router", "to": "router", "figure": 0.2},
@@ -54,7 +54,7 @@
 
 
 def quick(seed: int, routers: int = 24) -> Iterator[Scenario]:
-    """One short run with several faults at once, for CI."""
+    """Return one short run with several faults at once, for CI."""
     last, half = routers - 1, routers // 2
     faults: list[FaultText] = [
         *LOSSY_NETWORK,
@@ -88,7 +88,7 @@
 
 
 def full(seed: int, routers: int = 200) -> Iterator[Scenario]:
-    """A calm day with and without a window, then each hard case by itself, with whole fleets."""
+    """Return a calm run without and one with a window, then each hard case by itself, with whole fleets."""
     base: dict[str, object] = {
         "seed": seed,
         "settle": 12.0,
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveWindow:
-    """When a window is in effect, from the start of traffic, and the changes that it allows."""
+    """The time in which a window is in effect, ms from the start of traffic, and its exception budget."""
 
     start_ms: float
     end_ms: float
@@ -148,7 +148,7 @@
 
 
 def staleness_bound_ms(scenario: Scenario) -> float:
-    """B, by the formula of the replicated store."""
+    """Return the staleness bound of a scenario by the formula of the replicated store."""
     sharing = _parse_fleet_config(scenario.fleet_config).sharing
     store = ReplicatedStore(
         *(0, scenario.router_count, 1, 1),
@@ -164,7 +164,7 @@
 
 
 def effective_window(scenario: Scenario) -> EffectiveWindow | None:
-    """The window of a run, from when to when it must hold at all; None where none was declared."""
+    """Return the window of a run with the time in which it must be in effect; None if none was declared."""
     bound_ms, window = staleness_bound_ms(scenario), None
     declarations = [fault for fault in scenario.faults if fault.kind is FaultKind.FLEET_CONFIG]
     for declaration in sorted(declarations, key=lambda fault: fault.start_s):
@@ -186,16 +186,17 @@
 
 
 def placement_changes_ms(scenario: Scenario, placements: Sequence[Placement]) -> list[float]:
-    """When functions were placed at workers where they had not been since the worker's last start.
+    """Return the times of each function's first placement at a worker since the worker's last start.
 
-    But for those that were there before a restart that the routers may not have heard of yet.
+    A function that was there before a restart does not count while routers may not know of the restart yet.
     """
     restarts = [
         _Restart(1000.0 * fault.end_s, fault.subjects)
         for fault in scenario.faults
         if fault.kind is FaultKind.CRASH_WORKER
     ]
-    known: set[tuple[int, int, int]] = set()  # function, worker, and how often that had been restarted
+    # Function, worker, incarnation of the worker (the number of its restarts).
+    known: set[tuple[int, int, int]] = set()
     changes_ms = []
     for at, function, worker in sorted(placements):
         restarted_at_ms = sorted(
@@ -214,14 +215,14 @@
 
 
 class WindowChanges(NamedTuple):
-    """Placement changes while a window was in effect."""
+    """Numbers of placement changes: made while a window was in effect, and allowed by the window."""
 
     made: int
     allowed: int
 
 
 def changes_in_window(scenario: Scenario, placements: Sequence[Placement]) -> WindowChanges:
-    """How many changes were made in the window, and how many it allowed."""
+    """Return the number of changes that were made in the window, and the number that the window allowed."""
     window = effective_window(scenario)
     if window is None:
         return WindowChanges(0, 0)
@@ -230,13 +231,13 @@
 
 
 def _value_rate(result: Result) -> float:
-    """The mean value served per second, in the time that is compared."""
+    """Return the mean value served per second in the time that is compared."""
     first, last = RATE_WINDOWS_PER_S * VALUE_FROM_S, RATE_WINDOWS_PER_S * VALUE_TO_S
     return fmean(result.value_rates[first:last] or [0.0])
 
 
 def failings(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
-    """What a run shows that must not be."""
+    """Return the failed checks of a run."""
     failings, changes = list(result.violations), changes_in_window(result.scenario, result.placements)
     if result.is_void:
         failings.append(f"void: the rig itself was {result.lag_ms:.0f} ms late")
@@ -252,7 +253,7 @@
 
 
 def row(result: Result) -> str:
-    """A run as a line of a Markdown table."""
+    """Return the line of a run in the Markdown table."""
     window = effective_window(result.scenario)
     changes_ms = placement_changes_ms(result.scenario, result.placements)
     start_ms, end_ms = (window.start_ms, window.end_ms) if window else UNWINDOWED_MS
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -1,7 +1,7 @@
-"""Random faults that overlap in time, drawn by a seed, with the operators' rules as the oracle.
+"""Random faults that overlap in time, drawn by a seed; the operators' rules are the oracle.
 
-The draw is a scenario as files have it: it is printed, and can be shortened by hand to the smallest set of
-faults that still fails (``cedarthread rig run FILE``).
+The draw is printed as a scenario file. An engineer can remove faults from the file by hand until the smallest
+set that still fails is left (``cedarthread rig run FILE``).
 """
 
 from __future__ import annotations
@@ -21,52 +21,59 @@
     from cedarthread.testing.cluster.scenario import Scenario
 
 WORKERS = 8
-WARM_UP_S = 1.5  # of traffic before the first fault
+WARM_UP_S = 1.5  # Traffic before the first fault.
 DEFAULT_SECONDS = 10.0
-QUIET_END_S = 0.5  # before the end, in which no fault begins
-PROCESS_FAULT_SHARE = 0.5  # of the routers: at most so many have a fault of their process
-LIST_FAULT_SHARE = 0.5  # of the workers: at most so many are drained or hidden
-MIN_SERVED_FRACTION = 0.3  # of the calls, whatever goes wrong: a third of what is possible, by STANDING
+QUIET_END_S = 0.5  # Time before the end in which no fault starts.
+PROCESS_FAULT_SHARE = 0.5  # Maximum share of the routers that have a fault of their process.
+LIST_FAULT_SHARE = 0.5  # Maximum share of the workers that are drained or hidden.
+# Minimum share of the calls under any faults: a third of the possible, by STANDING.
+MIN_SERVED_FRACTION = 0.3
 
-# Faults of a router's process, each at a router of its own, by their shortest and longest time in s.
+# Shortest and longest duration in s of each fault of a router's process. A router has one such fault at most.
 PROCESS_FAULTS = {"stop": (0.2, 3.0), "kill": (0.3, 1.0), "term": (3.8, 4.5), "restart": (0.1, 0.2)}
 LIST_FAULTS = {"drain": (1.0, 5.0), "hide": (1.0, 5.0)}
-DRAIN_DURING_STOP_SHARE = 0.5  # of the stops
-LONG_STOP_S = 2.4, 3.0  # past the time after which a drain counts as told, and the grace
+DRAIN_DURING_STOP_SHARE = 0.5  # Share of the pauses during which a worker drains.
+LONG_STOP_S = 2.4, 3.0  # Longer than the notice limit of a drain plus the grace period.
 MAX_OTHER_FAULTS, MIN_OTHER_FAULTS = 9, 4
 
 _CALL_ID = re.compile(r"(?:call|of) ([0-9a-f]{16})")
-FaultText = dict[str, Any]  # as scenario files have one
+FaultText = dict[str, Any]  # A fault, as in scenario files.
 
 
 class _Draw:
-    """One draw of faults."""
+    """One draw of faults; owns the list of faults drawn so far.
+
+    Args:
+        rng: The random numbers of the draw.
+        routers: The number of routers.
+        end_s: The end of the run, s from the start of traffic.
+    """
 
     def __init__(self, rng: random.Random, routers: int, end_s: float) -> None:
         self.rng, self.routers, self.end_s = rng, routers, end_s
         self.faults: list[FaultText] = []
 
     def add(self, kind: str, who: str, seconds: tuple[float, float], **more: Any) -> None:
-        """Draw when a fault of this kind lasts."""
+        """Add a fault of a kind, and draw when it starts and how long it lasts."""
         at = self.rng.uniform(WARM_UP_S, self.end_s - QUIET_END_S)
         until = min(at + self.rng.uniform(*seconds), self.end_s)
         times = {"at": round(at, 3), "until": round(until, 3)}
         self.faults.append({"kind": kind, **times, "who": who, **more})
 
     def any_router(self) -> str:
-        """One router, or all of them."""
+        """Draw one router or all routers."""
         return self.rng.choice(("router", f"router:{self.rng.randrange(self.routers)}"))
 
     def any_worker(self) -> str:
-        """One worker."""
+        """Draw one worker."""
         return f"runner:{self.rng.randrange(WORKERS)}"
 
     def any_discovery(self) -> str:
-        """The discovery server of one router, or of all."""
+        """Draw the discovery server of one router or those of all routers."""
         return self.any_router().replace("router", "resolver")
 
     def process_faults(self) -> None:
-        """Each at a router of its own: a process that is gone can't be stopped too."""
+        """Draw faults of processes, each at another router, because a dead process cannot be paused too."""
         count = self.rng.randint(1, max(1, int(PROCESS_FAULT_SHARE * self.routers)))
         for number in self.rng.sample(range(self.routers), count):
             kind = self.rng.choice(list(PROCESS_FAULTS))
@@ -75,7 +82,7 @@
                 self.drain_during_stop(self.faults[-1])
 
     def drain_during_stop(self, stop: FaultText) -> None:
-        """A worker drains soon after a process was stopped, which goes on long after the grace."""
+        """Add a drain that starts soon after a pause, and make the pause longer than the drain's grace."""
         stop["until"] = round(min(stop["at"] + self.rng.uniform(*LONG_STOP_S), self.end_s), 3)
         at = stop["at"] + self.rng.uniform(0.05, 0.3)
         if at < self.end_s - QUIET_END_S:
@@ -83,14 +90,14 @@
             self.faults.append({"kind": "drain", **times, "who": self.any_worker(), "to": "router"})
 
     def list_faults(self) -> None:
-        """Workers that drain, or are gone from the lists, and return."""
+        """Draw workers that drain or are missing from the lists, and return."""
         count = self.rng.randint(1, int(LIST_FAULT_SHARE * WORKERS))
         for number in self.rng.sample(range(WORKERS), count):
             kind = self.rng.choice(list(LIST_FAULTS))
             self.add(kind, f"runner:{number}", LIST_FAULTS[kind], to="router")
 
     def other_faults(self) -> None:
-        """Faults of discovery, network, workers, clients and system calls."""
+        """Draw faults of discovery, network, workers, clients and system calls."""
         rng = self.rng
         makers = (
             lambda: self.add("mute", self.any_discovery(), (0.3, 4.0)),
@@ -114,7 +121,7 @@
 
 
 def draw(seed: int, routers: int, seconds: float = DEFAULT_SECONDS) -> dict[str, Any]:
-    """The scenario of a seed, as files have it."""
+    """Return the scenario of a seed, in the form of a scenario file."""
     drawn = _Draw(random.Random(seed), routers, WARM_UP_S + seconds)
     drawn.process_faults()
     drawn.list_faults()
@@ -135,7 +142,7 @@
 
 
 def as_toml(document: dict[str, Any]) -> str:
-    """A draw as a scenario file; JSON's numbers, strings and booleans are TOML's too."""
+    """Return a draw as a TOML file. Numbers, strings and booleans of JSON are valid in TOML too."""
     lines = [f"{key} = {json.dumps(value)}" for key, value in document.items() if key != "fault"]
     for fault in document["fault"]:
         lines += ["", "[[fault]]", *(f"{key} = {json.dumps(value)}" for key, value in fault.items())]
@@ -143,25 +150,25 @@
 
 
 def quick(seed: int, routers: int = 10, seconds: float = DEFAULT_SECONDS) -> Iterator[Scenario]:
-    """One draw."""
+    """Return one draw, and print it."""
     document = draw(seed, routers, seconds)
     print(as_toml(document), flush=True)
     yield parse_scenario(document)
 
 
 def full(seed: int, routers: int = 40, seconds: float = DEFAULT_SECONDS) -> Iterator[Scenario]:
-    """Ten draws, from this seed on."""
+    """Return ten draws, for this seed and the nine next ones."""
     for number in range(seed, seed + 10):
         yield from quick(number, routers, seconds)
 
 
 def violations_by_rule(result: Result) -> Counter[str]:
-    """How often each rule was broken."""
+    """Return the number of violations by rule."""
     return Counter(violation.partition(" at ")[0] for violation in result.violations)
 
 
 def failings(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
-    """What a run shows that must not be."""
+    """Return the failed checks of a run."""
     failings = [f"{violation}{_trace(result, violation)}" for violation in result.violations]
     if result.served_fraction < MIN_SERVED_FRACTION:
         failings.append(f"{result.served_fraction:.2f} of the calls served")
@@ -169,7 +176,7 @@
 
 
 def _trace(result: Result, violation: str) -> str:
-    """All that the fakes saw of the call that a violation names, a fact a line."""
+    """Return all facts of the call that a violation names, one a line."""
     named = _CALL_ID.search(violation)
     if named is None:
         return ""
@@ -178,7 +185,7 @@
 
 
 def row(result: Result) -> str:
-    """A run as a line of a Markdown table."""
+    """Return the line of a run in the Markdown table."""
     rules = ", ".join(f"{rule} {count}" for rule, count in sorted(violations_by_rule(result).items()))
     calls = sum(result.answers.values())
     cells = (
--- a/cedarthread/testing/cluster/scenarios/load_spread.py
+++ b/cedarthread/testing/cluster/scenarios/load_spread.py
@@ -1,4 +1,4 @@
-"""Load spread: how evenly routers load the workers under faults, beside an omniscient policy."""
+"""Load spread: how evenly routers load the workers under faults, compared with an omniscient policy."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     from cedarthread.testing.cluster.result import Result
     from cedarthread.testing.cluster.scenario import Scenario
 
-MAX_IDLE_MS = 2000.0  # that a worker may be idle while a call queues at another
-MAX_PEAK_TO_MEAN_RATIO = 1.3  # of the omniscient policy's peak-to-mean
-MIN_SERVED_FRACTION = 0.9  # of the calls, in the quick form
+MAX_IDLE_MS = 2000.0  # Maximum time that a worker is idle while a call is queued at another worker.
+MAX_PEAK_TO_MEAN_RATIO = 1.3  # Maximum ratio to the omniscient policy's peak-to-mean.
+MIN_SERVED_FRACTION = 0.9  # Minimum share of the calls that are served.
 
 
 def quick(seed: int, routers: int = 24) -> Iterator[Scenario]:
-    """One short run with several faults at once, for CI."""
+    """Return one short run with several faults at once, for CI."""
     yield parse_scenario(
         {
             "name": "quick",
@@ -39,7 +39,7 @@
 
 
 def full(seed: int, routers: int = 200) -> Iterator[Scenario]:
-    """No fault, then each hard case by itself, with whole fleets."""
+    """Return a run without faults, then each hard case by itself, with whole fleets."""
     base = {
         "seed": seed,
         "routers": routers,
@@ -86,7 +86,7 @@
 
 
 def failings(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
-    """What a run shows that must not be."""
+    """Return the failed checks of a run."""
     metrics, omniscient = result.load_balance, result.replayed[OMNISCIENT]
     failings = list(result.violations)
     if result.is_void:
@@ -106,7 +106,7 @@
 
 
 def row(result: Result) -> str:
-    """A run as a line of a Markdown table."""
+    """Return the line of a run in the Markdown table."""
     metrics, omniscient = result.load_balance, result.replayed[OMNISCIENT]
     cells = [
         result.scenario_name,
--- a/cedarthread/testing/cluster/scenarios/mass_restart.py
+++ b/cedarthread/testing/cluster/scenarios/mass_restart.py
@@ -1,6 +1,6 @@
-"""Mass restart: most routers are killed and come back, and must not overload what they share.
+"""Mass restart: most routers are killed and started again, and must not overload shared services.
 
-Each run is compared with one of the same arrivals in which nothing happens.
+Each run is compared with a run of the same arrivals without faults.
 """
 
 from __future__ import annotations
@@ -39,30 +39,31 @@
 
 FLEET_CONFIG = "[sharing]\nperiod = 100\n"
 UNDISTURBED = "undisturbed"
-DOWNTIME_S = 0.6  # of a killed router; its process takes some more to start
-LATENCY_OBJECTIVE_MS = 1000.0  # of both classes: a call that is served later does not count
-STEP_MS, WINDOW_MS = 250.0, 1000.0  # of shares of served value
-UNDISTURBED_WINDOWS = 8  # before the last kill, over which the undisturbed share is taken
-LIST_REFRESH_MS = 600.0  # in which a router must have the current list: three of its queries
-MAX_PEAK_RATIO = 1.5  # of the undisturbed peak in 250 ms
-CONNECTION_PEAK_FLOOR = (
-    24  # connections at one worker in 250 ms that do no harm: some 0.2 ms of its time each
-)
-QUERY_PEAK_FLOOR = 1.25  # queries of each router in 250 ms: it asks five times a second
-PEER_DATAGRAM_FLOOR = 45  # of recovery, for each router in 250 ms: six queries, answers by both full buckets
-MIN_SERVED_FRACTION = 0.9  # of the value, undisturbed: else there is no full service to come back to
-MAX_RECOVERY_S = 5.0  # from the last kill to full service, in the quick form
-
-ScenarioText = dict[str, object]  # a scenario or a fault, as in scenario files
+DOWNTIME_S = 0.6  # Time from a router's kill to its start; the process needs more time until it serves.
+# Latency objective of both classes; a call that is served later does not count.
+LATENCY_OBJECTIVE_MS = 1000.0
+STEP_MS, WINDOW_MS = 250.0, 1000.0  # Distance and length of the windows of served value.
+UNDISTURBED_WINDOWS = 8  # Number of windows before the last kill that give the undisturbed share.
+LIST_REFRESH_MS = 600.0  # Maximum time until a router has the current list: the time of three queries.
+MAX_PEAK_RATIO = 1.5  # Maximum ratio of a peak in 250 ms to the peak of the undisturbed run.
+# Connections at one worker in 250 ms that do no harm: each needs some 0.2 ms of the worker's time.
+CONNECTION_PEAK_FLOOR = 24
+QUERY_PEAK_FLOOR = 1.25  # Queries per router in 250 ms that do no harm: a router queries five times a second.
+# Recovery datagrams per router in 250 ms that do no harm: six queries, and answers from both full buckets.
+PEER_DATAGRAM_FLOOR = 45
+MIN_SERVED_FRACTION = 0.9  # Minimum share of the value before the kill; with less there is no full service.
+MAX_RECOVERY_S = 5.0  # Maximum time from the last kill to full service, in the quick form.
+
+ScenarioText = dict[str, object]  # A scenario or a fault, as in scenario files.
 
 
 def _shared(*, has_store: bool) -> ScenarioText:
-    """What a scenario has in which routers share what they remember."""
+    """Return the keys of a scenario in which routers share their state, with or without stores."""
     return {"fleet": FLEET_CONFIG, "declares": "router", "store": has_store}
 
 
 def quick(seed: int, routers: int = 24) -> Iterator[Scenario]:
-    """The same arrivals undisturbed, and with most routers killed among several faults."""
+    """Return a run without faults, and one of the same arrivals with most routers killed and other faults."""
     last, most = routers - 1, int(0.8 * routers)
     faults: list[ScenarioText] = [
         {"kind": "loss", "at": 0.0, "who": "router", "to": "router", "figure": 0.1},
@@ -83,7 +84,7 @@
 
 
 def full(seed: int, routers: int = 200) -> Iterator[Scenario]:
-    """What routers remember, in turn; then faulty disks, and workers that lose their instances too."""
+    """Return runs for each source of recovered state, then runs with faulty disks and crashed workers."""
     size: ScenarioText = {"warm_up": 6.0, "seconds": 26.0, "runners": 40, "functions": 200, "rate": 600.0}
     size |= {"store_at_once": 40, "store_most": 300}
     last, half, killed_at_s = routers - 1, routers // 2, 12.0
@@ -146,10 +147,10 @@
 
 
 def served_value_shares(result: Result) -> list[float]:
-    """The value that was served within the latency objective, as shares of all that was submitted.
+    """Return the value served within the latency objective as shares of the submitted value, by window.
 
-    By windows of 1 s of submission, not of answers: chance alone has a window of 300 calls lack 0.05 now and
-    then.
+    Windows of 1 s contain the calls that were submitted in them. Windows of answers would vary by chance
+    alone: a window of 300 calls would lack a share of 0.05 now and then.
     """
     submissions: dict[str, _Submission] = {}
     submitted = [fact for fact in result.facts if isinstance(fact, CallSubmitted | NoRouterAvailable)]
@@ -179,12 +180,15 @@
 
 
 def last_kill_s(result: Result) -> float:
-    """When the last router was killed; 0 where none was."""
+    """Return when the last router was killed; 0 if none was."""
     return max((fault.start_s for fault in result.faults if fault.kind == FaultKind.KILL_ROUTER), default=0.0)
 
 
 def undisturbed_share(result: Result) -> float:
-    """The mean share in the last windows before the last kill: a fleet that starts cold serves little."""
+    """Return the mean share in the last windows before the last kill.
+
+    Earlier windows do not count, because a fleet that starts cold serves little.
+    """
     shares = served_value_shares(result)
     end_s = last_kill_s(result) or len(shares) * STEP_MS / 1000.0
     last = int((end_s - WINDOW_MS / 1000.0) * 1000.0 / STEP_MS)
@@ -192,14 +196,14 @@
 
 
 def time_to_recover_s(result: Result) -> float | None:
-    """From the last kill to full service, which is that of before; None where it is not reached."""
+    """Return the time from the last kill until the share is as before the kill; None if it never is."""
     return time_to_full_service(
         served_value_shares(result), last_kill_s(result), undisturbed_rate=undisturbed_share(result)
     )
 
 
 def peak_counts(result: Result, since_s: float = 0.0) -> dict[str, int]:
-    """The peaks in 250 ms from a time on, of all that returning routers share."""
+    """Return the peaks in 250 ms after a time, one for each service that restarted routers share."""
     peaks = {
         name: peak_count([at for at in times if at >= 1000.0 * since_s])
         for name, times in result.time_series.items()
@@ -214,7 +218,7 @@
 
 
 def stale_attempts(result: Result) -> int:
-    """Attempts that were sent to a worker which the router's list had lacked for long enough."""
+    """Return the number of attempts to a worker that the router's list had lacked for long enough."""
     faults = result.scenario.faults
     hide_faults = [fault for fault in faults if fault.kind is FaultKind.HIDE_WORKER]
     kill_faults = [fault for fault in faults if fault.kind is FaultKind.KILL_ROUTER]
@@ -243,9 +247,9 @@
 
 
 def peak_floors(result: Result) -> dict[str, float]:
-    """Peaks that do no harm, however low those of an undisturbed run are.
+    """Return the peaks that do no harm, even if the peaks of the undisturbed run are lower.
 
-    Loads: as many as the package store serves at full speed, each of which takes its whole time.
+    For loads: the number that the package store serves at full speed, where each lasts the whole load time.
     """
     scenario = result.scenario
     return {
@@ -257,7 +261,7 @@
 
 
 def failings(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
-    """What a run shows that must not be."""
+    """Return the failed checks of a run."""
     failings = list(result.violations)
     if result.is_void:
         failings.append(f"void: the rig itself was {result.lag_ms:.0f} ms late")
@@ -291,7 +295,7 @@
 
 
 def row(result: Result) -> str:
-    """A run as a line of a Markdown table."""
+    """Return the line of a run in the Markdown table."""
     recovery_s = time_to_recover_s(result)
     peaks = peak_counts(result, last_kill_s(result) or result.scenario.warm_up_s)
     cells = [
--- a/cedarthread/testing/cluster/service_levels.py
+++ b/cedarthread/testing/cluster/service_levels.py
@@ -1,4 +1,4 @@
-"""Figures drawn from recorded times: peaks, the value served per second, and the time to full service."""
+"""Figures computed from recorded times: peaks, value served per second, and time to full service."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
     from collections.abc import Sequence
 
 PEAK_WINDOW_MS = 250.0
-RATE_WINDOW_S = 1.0  # over which value rates are taken
-RATE_STEP_MS = 250.0  # from the beginning of one window to that of the next
+RATE_WINDOW_S = 1.0  # Length of the windows of value rates.
+RATE_STEP_MS = 250.0  # Time from the start of one window to the start of the next.
 
 
 class ServedValue(NamedTuple):
-    """When a call was served, and the value of its class."""
+    """The time at which a call was served, and the value of its class."""
 
     at_ms: float
     value: float
 
 
 def peak_count(times_ms: Sequence[float], window_ms: float = PEAK_WINDOW_MS) -> int:
-    """The most events within any window; the times in order."""
+    """Return the maximum number of events within any window. The times must be in order."""
     return max(
         (index + 1 - bisect_left(times_ms, at - window_ms) for index, at in enumerate(times_ms)), default=0
     )
 
 
 def value_rates(served: Sequence[ServedValue], end_ms: float, step_ms: float = RATE_STEP_MS) -> list[float]:
-    """The value served per second, in windows of 1 s that begin every ``step_ms``."""
+    """Return the value served per second, in windows of 1 s that start every ``step_ms``."""
     steps = [0.0] * int(end_ms // step_ms)
     for at, value in served:
         if 0.0 <= at < len(steps) * step_ms:
@@ -38,7 +38,7 @@
 
 
 def window_sums(steps: Sequence[float], width: int) -> list[float]:
-    """The sums of each ``width`` successive values."""
+    """Return the sums of each ``width`` successive values."""
     return [sum(steps[start : start + width]) for start in range(len(steps) - width + 1)]
 
 
@@ -50,11 +50,12 @@
     undisturbed_rate: float | None = None,
     step_s: float = 0.25,
 ) -> float | None:
-    """Seconds from the last crash to the end of the first window of a stable stretch.
+    """Return the seconds from the last crash to the end of the first window of a stable period.
 
-    A stretch is stable where every window of 1 s, one each ``step_s``, has ``required_share`` of the
-    undisturbed rate, for ``stable_s``. Where no ``undisturbed_rate`` is given, it is the mean of all windows
-    that ended before the crash, which holds only where that was the first one. None: it never came to that.
+    A period is stable if it lasts ``stable_s`` and each of its windows of 1 s, which start every ``step_s``,
+    reaches ``required_share`` of the undisturbed rate. Without ``undisturbed_rate``, the undisturbed rate is
+    the mean of all windows that ended before the last crash, which is correct only if there was no earlier
+    crash. None means that no period was stable.
     """
     if undisturbed_rate is None:
         before_crash = [
