--- a/cedarthread/testing/cluster/arrivals.py
+++ b/cedarthread/testing/cluster/arrivals.py
@@ -31,7 +31,8 @@
     arrivals: list[Arrival] = []
     tenants = tenant_shares(scenario)
     shares = [*tenants.values(), 1.0 - sum(tenants.values())]
-    now_ms, end_ms = 0.0, 1000.0 * scenario.end_s
+    now_ms = 0.0
+    end_ms = 1000.0 * scenario.end_s
     while True:
         calls_per_ms = _burst_factor(scenario, now_ms) * scenario.calls_per_second / 1000.0
         if (now_ms := now_ms + rng.expovariate(calls_per_ms)) >= end_ms:
--- a/cedarthread/testing/cluster/endpoint_timeline.py
+++ b/cedarthread/testing/cluster/endpoint_timeline.py
@@ -29,7 +29,8 @@
     """
 
     def __init__(self, scenario: Scenario, worker_ports: Sequence[int]) -> None:
-        self.scenario, self.worker_ports = scenario, worker_ports
+        self.scenario = scenario
+        self.worker_ports = worker_ports
         self.hide_faults = [fault for fault in scenario.faults if fault.kind is FaultKind.HIDE_WORKER]
         self.drain_faults = [fault for fault in scenario.faults if fault.kind is FaultKind.DRAIN_WORKER]
         self.crash_faults = [
@@ -45,7 +46,8 @@
 
     def list_at(self, now_ms: float, router: int) -> VersionedList:
         """Return the endpoint list of a router's discovery server at a time."""
-        now_s, workers = now_ms / 1000.0, range(self.scenario.worker_count)
+        now_s = now_ms / 1000.0
+        workers = range(self.scenario.worker_count)
         version = 1 + sum(at <= now_s for at in self.change_times_s)
         hidden = self._affected(self.hide_faults, now_s, router)
         draining = self._affected(self.drain_faults, now_s, router)
--- a/cedarthread/testing/cluster/evaluation.py
+++ b/cedarthread/testing/cluster/evaluation.py
@@ -46,12 +46,15 @@
         exit_codes: Exit codes by router number, of routers that ended otherwise than the run made them end.
         router_starts: Starts of routers after the first start of each.
     """
-    merged, workers = merge_recordings(recordings), _worker_availability(scenario)
-    start_ms, end_ms = 1000.0 * scenario.warm_up_s, 1000.0 * scenario.end_s
+    merged = merge_recordings(recordings)
+    workers = _worker_availability(scenario)
+    start_ms = 1000.0 * scenario.warm_up_s
+    end_ms = 1000.0 * scenario.end_s
     facts = sorted(
         chain(router_starts, *(recording.facts for recording in recordings)), key=lambda fact: fact.at_ms
     )
-    reader, arrivals = FactReader(scenario), generate_arrivals(scenario)
+    reader = FactReader(scenario)
+    arrivals = generate_arrivals(scenario)
     _check_datagrams(merged, reader.checker)
     reader.read(facts)
     reader.checker.check_all_answered(end_ms)
@@ -96,7 +99,8 @@
     scenario: Scenario, arrivals: list[Arrival], workers: Mapping[int, WorkerAvailability]
 ) -> dict[str, LoadBalanceMetrics]:
     """Return the load balance of each policy for the same arrivals."""
-    start_ms, end_ms = 1000.0 * scenario.warm_up_s, 1000.0 * scenario.end_s
+    start_ms = 1000.0 * scenario.warm_up_s
+    end_ms = 1000.0 * scenario.end_s
     return {
         policy: measure(
             PolicyReplay(scenario, policy).run(arrivals), workers, start_ms, end_ms, scenario.concurrency
@@ -123,7 +127,8 @@
             if fault.kind in (FaultKind.CRASH_WORKER, FaultKind.SILENCE_WORKER)
             and fault.subjects.includes(SubjectKind.WORKER, number)
         ]
-        ready, ready_since_ms = [], 0.0
+        ready = []
+        ready_since_ms = 0.0
         for outage in sorted(outages, key=lambda fault: fault.start_s):
             ready.append((ready_since_ms, 1000.0 * outage.start_s))
             ready_since_ms = 1000.0 * outage.end_s
--- a/cedarthread/testing/cluster/fact_reader.py
+++ b/cedarthread/testing/cluster/fact_reader.py
@@ -195,7 +195,8 @@
         This is ``NOTICE_LIMIT_MS`` if a fault hampered queries to discovery or the router was restarted, else
         ``PROMPT_NOTICE_MS``.
         """
-        since_s, until_s = changed_at_ms / 1000.0, (changed_at_ms + PROMPT_NOTICE_MS) / 1000.0
+        since_s = changed_at_ms / 1000.0
+        until_s = (changed_at_ms + PROMPT_NOTICE_MS) / 1000.0
         resumed_s = [
             fault.end_s + RESUME_S
             for fault in self.scenario.faults
--- a/cedarthread/testing/cluster/fake_clients.py
+++ b/cedarthread/testing/cluster/fake_clients.py
@@ -33,7 +33,8 @@
 ZONE = "room-a"
 CALLS_PER_YIELD = 32  # Overdue calls that are sent in one iteration of the event loop.
 ABANDON_BEFORE_RESUME_S = 0.02  # Calls are abandoned this long before a paused router resumes and can answer.
-CONNECT_TRIES, CONNECT_RETRY_S = 20, 0.1
+CONNECT_TRIES = 20
+CONNECT_RETRY_S = 0.1
 MOVED_SERVER_LINGERS_S = 0.3  # Time from a move until the server at the old address falls silent.
 # A request that was sent at most this long before its connection ended may have crossed the router's close.
 CROSSING_CLOSE_MS = 60.0
--- a/cedarthread/testing/cluster/injected_defects.py
+++ b/cedarthread/testing/cluster/injected_defects.py
@@ -47,7 +47,8 @@
     """Make a function that two calls happened to reach count as popular."""
     from cedarthread.routing import popularity
 
-    popularity.CALLS_IN_WINDOW, popularity.MIN_CALL_COUNT = 1.0, 1.0
+    popularity.CALLS_IN_WINDOW = 1.0
+    popularity.MIN_CALL_COUNT = 1.0
 
 
 def overreact_to_reports() -> None:
@@ -140,12 +141,10 @@
     from cedarthread.statistics import TokenBucket
 
     pacing_limits.PacingLimits.peer_queries = 1e4  # type: ignore[misc]
-    (
-        peer_query.MAX_PENDING_QUERIES,
-        peer_query.RESPONSE_TIMEOUT_MS,
-        peer_query.INITIAL_BACKOFF_MS,
-        peer_query.INITIAL_SPREAD_MS,
-    ) = 1000, 50.0, 1.0, 1.0
+    peer_query.MAX_PENDING_QUERIES = 1000
+    peer_query.RESPONSE_TIMEOUT_MS = 50.0
+    peer_query.INITIAL_BACKOFF_MS = 1.0
+    peer_query.INITIAL_SPREAD_MS = 1.0
     endless = type("Endless", (TokenBucket,), {"take": lambda *arguments: True})
     peer_query.__dict__["TokenBucket"] = endless
 
--- a/cedarthread/testing/cluster/peer_relays.py
+++ b/cedarthread/testing/cluster/peer_relays.py
@@ -18,7 +18,8 @@
     """The receiving end of one router's relay: other routers send to it instead of to the router."""
 
     def __init__(self, relays: PeerRelays, number: int) -> None:
-        self.relays, self.number = relays, number
+        self.relays = relays
+        self.number = number
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         self.relays.on_datagram(addr, self.number, data)
@@ -51,7 +52,8 @@
 
     def on_datagram(self, address: tuple[str, int], receiver: int, data: bytes) -> None:
         """Record a datagram from one router to another, and forward it as the network's faults say."""
-        process, now_ms = self.process, self.process.now_ms()
+        process = self.process
+        now_ms = self.process.now_ms()
         sender = self.router_by_address.get((address[0], address[1]))
         if sender is None or sender == receiver or process.is_recording_closed:
             return
--- a/cedarthread/testing/cluster/policy_replay.py
+++ b/cedarthread/testing/cluster/policy_replay.py
@@ -51,7 +51,8 @@
     """
 
     def __init__(self, scenario: Scenario, policy: str) -> None:
-        self.scenario, self.rng = scenario, random.Random(scenario.seed ^ REPLAY_SEED)
+        self.scenario = scenario
+        self.rng = random.Random(scenario.seed ^ REPLAY_SEED)
         self.policy = POLICIES[policy]
         self.workers = worker_models(scenario)
         self.in_flight = [[0] * scenario.worker_count for _ in range(scenario.router_count)]
@@ -89,7 +90,9 @@
                 for call in worker.crash(at_ms):
                     self._on_ended(call)
 
-        start_ms, end_ms, order = 1000.0 * fault.start_s, 1000.0 * fault.end_s, 1000 * number
+        start_ms = 1000.0 * fault.start_s
+        end_ms = 1000.0 * fault.end_s
+        order = 1000 * number
         if fault.kind is FaultKind.SLOW_WORKER:
             return [
                 _FaultEvent(start_ms, order, lambda: set_slowdown(fault.amount)),
--- a/cedarthread/testing/cluster/process_base.py
+++ b/cedarthread/testing/cluster/process_base.py
@@ -40,7 +40,9 @@
     """
 
     def __init__(self, plan: ClusterPlan, number: int) -> None:
-        self.plan, self.scenario, self.number = plan, plan.scenario, number
+        self.plan = plan
+        self.scenario = plan.scenario
+        self.number = number
         self.loop = asyncio.get_running_loop()
         self.start_time_s = self.loop.time() + NOT_STARTED_S
         self.network = Network(plan.scenario.faults, 1000 * plan.scenario.seed + number)
--- a/cedarthread/testing/cluster/process_handle.py
+++ b/cedarthread/testing/cluster/process_handle.py
@@ -26,7 +26,9 @@
     """
 
     def __init__(self, folder: Path, number: int, descriptors: list[int]) -> None:
-        self.folder, self.number, self.descriptors = folder, number, descriptors
+        self.folder = folder
+        self.number = number
+        self.descriptors = descriptors
         self.process: asyncio.subprocess.Process | None = None
         self._command_lock = asyncio.Lock()  # One command at a time, because replies carry no command number.
 
--- a/cedarthread/testing/cluster/recordings.py
+++ b/cedarthread/testing/cluster/recordings.py
@@ -16,7 +16,9 @@
     from cedarthread.testing.fakes.worker_model import WorkerCall
 
 # Names of time series in result files.
-LOADS, DISCOVERY_QUERIES, PLACEMENTS = "loads", "questions", "placements"
+LOADS = "loads"
+DISCOVERY_QUERIES = "questions"
+PLACEMENTS = "placements"
 CONNECTIONS_PREFIX = "connections:"  # Followed by the worker's number.
 PEER_DATAGRAMS_PREFIX = "peers:"  # Followed by the message type (the first byte) in hexadecimal.
 
--- a/cedarthread/testing/cluster/router_files.py
+++ b/cedarthread/testing/cluster/router_files.py
@@ -22,7 +22,8 @@
 DISK_CONTROL = struct.Struct("<B7xd")  # Index of the fault in DISK_FAULTS, amount of the fault.
 DISK_CONTROL_BYTES = 64
 SEED_STEP = 1_000_003  # Distance between the router seeds of two runs, so that no two routers share a seed.
-MEMORY_MB, SOCKETS = 192, 1024  # Limits in the configuration of a router.
+MEMORY_MB = 192  # Memory limit in the configuration of a router.
+SOCKETS = 1024  # Limit of open sockets in the configuration of a router.
 
 
 def router_settings(scenario: Scenario, number: int) -> dict[str, Any]:
@@ -57,7 +58,8 @@
     """
 
     def __init__(self, scenario: Scenario, folder: Path, number: int) -> None:
-        self.scenario, self.number = scenario, number
+        self.scenario = scenario
+        self.number = number
         self.config = folder / f"n{number}.json"
         self.fleet_config = folder / f"n{number}.fleet.toml"
         self.clock = folder / f"n{number}.clock"
@@ -65,7 +67,8 @@
         self.store = folder / f"n{number}.store"
         self.log = folder / f"n{number}.log"
         self.system_calls = folder / f"n{number}.calls"
-        self.discovery_port = self.moved_discovery_port = 0
+        self.discovery_port = 0
+        self.moved_discovery_port = 0
 
     def write(
         self,
@@ -76,7 +79,8 @@
         peer_address: str,
     ) -> None:
         """Write all files with their content at the start of the run."""
-        scenario, number = self.scenario, self.number
+        scenario = self.scenario
+        number = self.number
         self.discovery_port = discovery_port
         config: dict[str, Any] = {
             "name": f"n{number}",
--- a/cedarthread/testing/cluster/router_processes.py
+++ b/cedarthread/testing/cluster/router_processes.py
@@ -76,8 +76,10 @@
 
     def start(self, number: int) -> None:
         """Start a router's process; use ``router_entry`` if a fault or an injected defect requires it."""
-        files, scenario = self.files[number], self.scenario
-        module, arguments = "cedarthread", []
+        files = self.files[number]
+        scenario = self.scenario
+        module = "cedarthread"
+        arguments = []
         if number in self.routers_with_control_files or scenario.injected_defect:
             disk = str(files.disk) if scenario.has_store else ""
             module = "cedarthread.testing.cluster.router_entry"
--- a/cedarthread/testing/cluster/run.py
+++ b/cedarthread/testing/cluster/run.py
@@ -42,7 +42,8 @@
     """
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
-        self.scenario, self.folder = scenario, folder
+        self.scenario = scenario
+        self.folder = folder
         self.loop = asyncio.get_running_loop()
         self.start_time_s = self.loop.time()
         self.cpu_at_warm_up_s = 0.0
@@ -77,7 +78,8 @@
 
     async def run(self) -> Result:
         """Start all processes, wait until the timeline ends, stop all processes and return the evaluation."""
-        scenario, numbers = self.scenario, range(self.scenario.router_count)
+        scenario = self.scenario
+        numbers = range(self.scenario.router_count)
         try:
             await self.start()
             await asyncio.sleep(scenario.settle_s)
--- a/cedarthread/testing/cluster/scenario_file.py
+++ b/cedarthread/testing/cluster/scenario_file.py
@@ -145,7 +145,8 @@
     if unknown:
         raise ScenarioError(f"{where}: no such key: {', '.join(sorted(unknown))}")
     kind = _parse_kind(where, fault.get("kind"))
-    start_s, end_s = fault.get("at", 0.0), fault.get("until", scenario.end_s)
+    start_s = fault.get("at", 0.0)
+    end_s = fault.get("until", scenario.end_s)
     if not all(isinstance(time, (int, float)) for time in (start_s, end_s)) or not 0 <= start_s < end_s:
         raise ScenarioError(f"{where}: at {start_s!r} and until {end_s!r} are no times in order")
     peers = parse_subjects(f"{where}: to", fault["to"], scenario) if "to" in fault else None
@@ -159,7 +160,8 @@
         raise ScenarioError(f"{where}: what {text!r} is none of {', '.join(DISK_FAULTS)}")
     if kind is FaultKind.FLEET_CONFIG and not _have_fleet_config(subjects, scenario):
         raise ScenarioError(f"{where}: {fault.get('who')} has no file of the operators to begin with")
-    amount, is_one_way = float(fault.get("figure", 0.0)), bool(fault.get("one_way"))
+    amount = float(fault.get("figure", 0.0))
+    is_one_way = bool(fault.get("one_way"))
     return Fault(kind, float(start_s), float(end_s), subjects, peers, amount, is_one_way, text)
 
 
--- a/cedarthread/testing/cluster/scenarios/change_freeze.py
+++ b/cedarthread/testing/cluster/scenarios/change_freeze.py
@@ -29,7 +29,8 @@
 MIN_SERVED_FRACTION = 0.85
 RESTART_LISTING_MS = 500.0  # Time until routers know of a worker's restart; the design does not cover it.
 MIN_VALUE_FRACTION = 0.98  # Minimum share of the value per second of a run without a window.
-VALUE_FROM_S, VALUE_TO_S = 18, 30  # Time in which the value per second is compared.
+VALUE_FROM_S = 18  # Start of the time in which the value per second is compared.
+VALUE_TO_S = 30  # End of that time.
 RATE_WINDOWS_PER_S = 4
 UNWINDOWED_MS = (16_000.0, 28_000.0)  # Time that the table shows as the window of a run without a window.
 
@@ -55,7 +56,8 @@
 
 def quick(seed: int, routers: int = 24) -> Iterator[Scenario]:
     """Return one short run with several faults at once, for CI."""
-    last, half = routers - 1, routers // 2
+    last = routers - 1
+    half = routers // 2
     faults: list[FaultText] = [
         *LOSSY_NETWORK,
         {"kind": "declare", "at": 7.0, "who": "router:1", "what": window_config(9.0, 28.0)},
@@ -99,7 +101,8 @@
     }
     base |= {"warm_up": 6.0, "seconds": 30.0, "store_at_once": 40, "store_most": 300}
     base |= {"fleet": FLEET_CONFIG, "declares": "router"}
-    last, half = routers - 1, routers // 2
+    last = routers - 1
+    half = routers // 2
     declaration: FaultText = {
         "kind": "declare",
         "at": 10.0,
@@ -165,10 +168,12 @@
 
 def effective_window(scenario: Scenario) -> EffectiveWindow | None:
     """Return the window of a run with the time in which it must be in effect; None if none was declared."""
-    bound_ms, window = staleness_bound_ms(scenario), None
+    bound_ms = staleness_bound_ms(scenario)
+    window = None
     declarations = [fault for fault in scenario.faults if fault.kind is FaultKind.FLEET_CONFIG]
     for declaration in sorted(declarations, key=lambda fault: fault.start_s):
-        config, declared_at_ms = _parse_fleet_config(declaration.text), 1000.0 * declaration.start_s
+        config = _parse_fleet_config(declaration.text)
+        declared_at_ms = 1000.0 * declaration.start_s
         for freeze in config.freeze:
             start_ms, end_ms = (1000.0 * time.timestamp() for time in (freeze.start, freeze.end))
             if window is None:
@@ -232,13 +237,15 @@
 
 def _value_rate(result: Result) -> float:
     """Return the mean value served per second in the time that is compared."""
-    first, last = RATE_WINDOWS_PER_S * VALUE_FROM_S, RATE_WINDOWS_PER_S * VALUE_TO_S
+    first = RATE_WINDOWS_PER_S * VALUE_FROM_S
+    last = RATE_WINDOWS_PER_S * VALUE_TO_S
     return fmean(result.value_rates[first:last] or [0.0])
 
 
 def failings(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
     """Return the failed checks of a run."""
-    failings, changes = list(result.violations), changes_in_window(result.scenario, result.placements)
+    failings = list(result.violations)
+    changes = changes_in_window(result.scenario, result.placements)
     if result.is_void:
         failings.append(f"void: the rig itself was {result.lag_ms:.0f} ms late")
     if changes.made > changes.allowed:
@@ -246,7 +253,8 @@
     if result.served_fraction < MIN_SERVED_FRACTION:
         failings.append(f"{result.served_fraction:.3f} of the calls served")
     if result.scenario_name == "calm" and earlier:
-        rate, unwindowed_rate = _value_rate(result), _value_rate(earlier[0])
+        rate = _value_rate(result)
+        unwindowed_rate = _value_rate(earlier[0])
         if rate < MIN_VALUE_FRACTION * unwindowed_rate:
             failings.append(f"worth {rate:.0f} a second, {unwindowed_rate:.0f} without a window")
     return failings
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -34,7 +34,8 @@
 LIST_FAULTS = {"drain": (1.0, 5.0), "hide": (1.0, 5.0)}
 DRAIN_DURING_STOP_SHARE = 0.5  # Share of the pauses during which a worker drains.
 LONG_STOP_S = 2.4, 3.0  # Longer than the notice limit of a drain plus the grace period.
-MAX_OTHER_FAULTS, MIN_OTHER_FAULTS = 9, 4
+MAX_OTHER_FAULTS = 9
+MIN_OTHER_FAULTS = 4
 
 _CALL_ID = re.compile(r"(?:call|of) ([0-9a-f]{16})")
 FaultText = dict[str, Any]  # A fault, as in scenario files.
@@ -50,7 +51,9 @@
     """
 
     def __init__(self, rng: random.Random, routers: int, end_s: float) -> None:
-        self.rng, self.routers, self.end_s = rng, routers, end_s
+        self.rng = rng
+        self.routers = routers
+        self.end_s = end_s
         self.faults: list[FaultText] = []
 
     def add(self, kind: str, who: str, seconds: tuple[float, float], **more: Any) -> None:
--- a/cedarthread/testing/cluster/scenarios/load_spread.py
+++ b/cedarthread/testing/cluster/scenarios/load_spread.py
@@ -51,7 +51,8 @@
         "store_at_once": 40,
         "store_most": 300,
     }
-    last, half = routers - 1, routers // 2
+    last = routers - 1
+    half = routers // 2
     cases: dict[str, list[dict[str, object]]] = {
         "no fault": [],
         "runners back empty": [{"kind": "die", "at": 9.0, "until": 13.0, "who": "runner:0-1"}],
@@ -87,7 +88,8 @@
 
 def failings(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
     """Return the failed checks of a run."""
-    metrics, omniscient = result.load_balance, result.replayed[OMNISCIENT]
+    metrics = result.load_balance
+    omniscient = result.replayed[OMNISCIENT]
     failings = list(result.violations)
     if result.is_void:
         failings.append(f"void: the rig itself was {result.lag_ms:.0f} ms late")
@@ -107,7 +109,8 @@
 
 def row(result: Result) -> str:
     """Return the line of a run in the Markdown table."""
-    metrics, omniscient = result.load_balance, result.replayed[OMNISCIENT]
+    metrics = result.load_balance
+    omniscient = result.replayed[OMNISCIENT]
     cells = [
         result.scenario_name,
         f"{result.served_fraction:.3f}",
--- a/cedarthread/testing/cluster/scenarios/mass_restart.py
+++ b/cedarthread/testing/cluster/scenarios/mass_restart.py
@@ -42,7 +42,8 @@
 DOWNTIME_S = 0.6  # Time from a router's kill to its start; the process needs more time until it serves.
 # Latency objective of both classes; a call that is served later does not count.
 LATENCY_OBJECTIVE_MS = 1000.0
-STEP_MS, WINDOW_MS = 250.0, 1000.0  # Distance and length of the windows of served value.
+STEP_MS = 250.0  # Time from the start of one window of served value to the start of the next.
+WINDOW_MS = 1000.0  # Length of the windows of served value.
 UNDISTURBED_WINDOWS = 8  # Number of windows before the last kill that give the undisturbed share.
 LIST_REFRESH_MS = 600.0  # Maximum time until a router has the current list: the time of three queries.
 MAX_PEAK_RATIO = 1.5  # Maximum ratio of a peak in 250 ms to the peak of the undisturbed run.
@@ -64,7 +65,8 @@
 
 def quick(seed: int, routers: int = 24) -> Iterator[Scenario]:
     """Return a run without faults, and one of the same arrivals with most routers killed and other faults."""
-    last, most = routers - 1, int(0.8 * routers)
+    last = routers - 1
+    most = int(0.8 * routers)
     faults: list[ScenarioText] = [
         {"kind": "loss", "at": 0.0, "who": "router", "to": "router", "figure": 0.1},
         {"kind": "double", "at": 0.0, "who": "router", "to": "router", "figure": 0.1},
@@ -87,7 +89,9 @@
     """Return runs for each source of recovered state, then runs with faulty disks and crashed workers."""
     size: ScenarioText = {"warm_up": 6.0, "seconds": 26.0, "runners": 40, "functions": 200, "rate": 600.0}
     size |= {"store_at_once": 40, "store_most": 300}
-    last, half, killed_at_s = routers - 1, routers // 2, 12.0
+    last = routers - 1
+    half = routers // 2
+    killed_at_s = 12.0
     kill: ScenarioText = {
         "kind": "kill",
         "at": killed_at_s,
@@ -123,7 +127,8 @@
         {"kind": "clock", "at": killed_at_s - 0.5, "who": f"router:{half}-{last}", "figure": -4000.0},
     ]
     none: ScenarioText = {"seed": seed, "routers": routers} | size
-    peers, both = none | _shared(has_store=False), none | _shared(has_store=True)
+    peers = none | _shared(has_store=False)
+    both = none | _shared(has_store=True)
     for name, base, faults in (
         (UNDISTURBED, both, []),
         ("70%, no file", none, [most]),
@@ -155,7 +160,8 @@
     submissions: dict[str, _Submission] = {}
     submitted = [fact for fact in result.facts if isinstance(fact, CallSubmitted | NoRouterAvailable)]
     steps = 1 + int(max((fact.at_ms for fact in submitted), default=0.0) // STEP_MS)
-    total_value, served_value = [0.0] * steps, [0.0] * steps
+    total_value = [0.0] * steps
+    served_value = [0.0] * steps
     for fact in result.facts:
         if fact.at_ms < 0.0:
             continue
@@ -286,7 +292,8 @@
     usual: dict[str, int] = {}
     if undisturbed is not None:
         usual = peak_counts(undisturbed, undisturbed.scenario.warm_up_s)
-    floors, failings = peak_floors(result), []
+    floors = peak_floors(result)
+    failings = []
     for what, peak in peak_counts(result, last_kill_s(result)).items():
         bound = max(MAX_PEAK_RATIO * usual.get(what, 0), floors[what])
         if peak > bound:
--- a/cedarthread/testing/cluster/service_levels.py
+++ b/cedarthread/testing/cluster/service_levels.py
@@ -63,7 +63,8 @@
         ]
         undisturbed_rate = fmean(before_crash) if before_crash else 0.0
     required_rate = required_share * undisturbed_rate
-    required_windows, good_windows = round(stable_s / step_s), 0
+    required_windows = round(stable_s / step_s)
+    good_windows = 0
     for index, rate in enumerate(value_rates):
         is_good = rate >= required_rate and index * step_s >= last_crash_s
         good_windows = good_windows + 1 if is_good else 0
