--- a/cedarthread/testing/cluster/endpoint_timeline.py
+++ b/cedarthread/testing/cluster/endpoint_timeline.py
@@ -39,7 +39,7 @@
             if fault.kind is FaultKind.CRASH_WORKER and fault.end_s < scenario.end_s
         ]
         self.change_times_s = [
-            at for fault in (*self.hide_faults, *self.drain_faults) for at in (fault.start_s, fault.end_s)
+            at_s for fault in (*self.hide_faults, *self.drain_faults) for at_s in (fault.start_s, fault.end_s)
         ]
         self.change_times_s += [fault.end_s + LISTING_DELAY_S for fault in self.crash_faults]
         self._cache: dict[tuple[int, frozenset[int], frozenset[int]], tuple[ListedWorker, ...]] = {}
@@ -48,13 +48,15 @@
         """Return the endpoint list of a router's discovery server at a time."""
         now_s = now_ms / 1000.0
         workers = range(self.scenario.worker_count)
-        version = 1 + sum(at <= now_s for at in self.change_times_s)
+        version = 1 + sum(at_s <= now_s for at_s in self.change_times_s)
         hidden = self._affected(self.hide_faults, now_s, router)
         draining = self._affected(self.drain_faults, now_s, router)
         key = version, hidden, draining
         if key not in self._cache:
             self._cache[key] = tuple(
-                self._listed(now_s, n, is_draining=n in draining) for n in workers if n not in hidden
+                self._listed(now_s, number, is_draining=number in draining)
+                for number in workers
+                if number not in hidden
             )
         return VersionedList(version, self._cache[key])
 
--- a/cedarthread/testing/cluster/evaluation.py
+++ b/cedarthread/testing/cluster/evaluation.py
@@ -79,7 +79,8 @@
         value_rates=value_rates(reader.served, end_ms),
         lags_ms=lags_ms,
         peak_counts={
-            name: peak_count([at for at in times if at >= start_ms]) for name, times in time_series.items()
+            name: peak_count([at_ms for at_ms in times if at_ms >= start_ms])
+            for name, times in time_series.items()
         },
         answers_by_tenant={tenant: dict(counts) for tenant, counts in reader.answers_by_tenant.items()},
         time_series=time_series,
--- a/cedarthread/testing/cluster/fact_reader.py
+++ b/cedarthread/testing/cluster/fact_reader.py
@@ -100,16 +100,16 @@
             for fault in scenario.faults
             if fault.kind in (FaultKind.SILENCE_WORKER, FaultKind.SLOW_WORKER)
         ]
-        usual = InvariantLimits()
+        default_limits = InvariantLimits()
         limits = InvariantLimits(
             answer_slack_ms=ANSWER_SLACK_MS,
-            drain_slack_ms=usual.drain_slack_ms + HARNESS_SLACK_MS,
-            client_disconnected_slack_ms=usual.client_disconnected_slack_ms + HARNESS_SLACK_MS,
-            time_limit_slack_ms=usual.time_limit_slack_ms + HARNESS_SLACK_MS,
+            drain_slack_ms=default_limits.drain_slack_ms + HARNESS_SLACK_MS,
+            client_disconnected_slack_ms=default_limits.client_disconnected_slack_ms + HARNESS_SLACK_MS,
+            time_limit_slack_ms=default_limits.time_limit_slack_ms + HARNESS_SLACK_MS,
         )
         self.checker = InvariantChecker(limits)
         self.list_timeline = EndpointListTimeline(scenario, [0] * scenario.worker_count)
-        self._told_as_of_ms = [-math.inf] * scenario.router_count  # Time of the latest list, by router.
+        self._list_known_as_of_ms = [-math.inf] * scenario.router_count  # Time of the latest list, by router.
         self.scenario = scenario
         self._pending_notices = self._notices()
         self.answers: Counter[str] = Counter()
@@ -120,7 +120,7 @@
         self._submitted: dict[str, CallSubmitted] = {}  # By call id.
         self._cancelled_at_ms: dict[tuple[str, int], float] = {}  # Latest, by call id and worker.
         for router in range(scenario.router_count):
-            self._tell(-math.inf, 0.0, router)
+            self._mark_list_known(-math.inf, 0.0, router)
         self._handlers: dict[type, Callable[[Any], None]] = {
             ListSent: self._on_list_sent,
             RouterStarted: self._on_router_started,
@@ -141,10 +141,10 @@
             self._handlers[type(fact)](fact)
 
     def _on_list_sent(self, fact: ListSent) -> None:
-        self._tell(fact.at_ms, fact.at_ms, fact.router)
+        self._mark_list_known(fact.at_ms, fact.at_ms, fact.router)
 
     def _on_router_started(self, fact: RouterStarted) -> None:
-        self._tell(fact.at_ms, 0.0, fact.router)
+        self._mark_list_known(fact.at_ms, 0.0, fact.router)
 
     def _on_client_left(self, fact: ClientLeft) -> None:
         self.checker.on_client_disconnected(fact.at_ms, fact.call_id)
@@ -165,9 +165,9 @@
         self._cancelled_at_ms[fact.call_id, fact.worker] = fact.at_ms
         self._end_attempts(fact.call_id, fact.worker, may_have_executed=True)
 
-    def _tell(self, at_ms: float, as_of_ms: float, router: int) -> None:
+    def _mark_list_known(self, at_ms: float, as_of_ms: float, router: int) -> None:
         """Report the list of a time to the invariant checker as known to a router."""
-        self._told_as_of_ms[router] = as_of_ms
+        self._list_known_as_of_ms[router] = as_of_ms
         for worker, state in self.list_timeline.states_at(as_of_ms, router).items():
             self.checker.on_worker_state(at_ms, worker + 1, state, router=router)
 
@@ -175,7 +175,7 @@
         """Report to the invariant checker the changes that count as known by now."""
         while self._pending_notices and self._pending_notices[0].at_ms <= now_ms:
             notice = self._pending_notices.pop(0)
-            if self._told_as_of_ms[notice.router] >= notice.changed_at_ms:
+            if self._list_known_as_of_ms[notice.router] >= notice.changed_at_ms:
                 continue  # The router's latest list contains this change and perhaps later ones.
             for worker, state in self.list_timeline.states_at(notice.changed_at_ms, notice.router).items():
                 if state != "ready":
--- a/cedarthread/testing/cluster/failing_sockets.py
+++ b/cedarthread/testing/cluster/failing_sockets.py
@@ -24,7 +24,7 @@
 STREAM_ERRNOS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET)
 DATAGRAM_ERRNOS = (errno.ENOBUFS, errno.ENETUNREACH, errno.EPERM, errno.ECONNREFUSED)
 SOCKET_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-BROKEN_STREAM_SHARE = 0.1  # Share of the failing calls on a stream that raise; the others are short.
+STREAM_ERROR_SHARE = 0.1  # Share of the failing calls on a stream that raise; the others are short.
 SHORT_READ_BYTES = 7
 FILENO_POSITION = 3  # Position of ``fileno`` in the constructor; a socket from a descriptor is not new.
 
@@ -63,11 +63,11 @@
 
     control: FailureControl  # Set by ``install`` for the class.
 
-    def __init__(self, *arguments: Any, **named: Any) -> None:
-        is_new = named.get("fileno") is None and len(arguments) <= FILENO_POSITION
+    def __init__(self, *arguments: Any, **keywords: Any) -> None:
+        is_new = keywords.get("fileno") is None and len(arguments) <= FILENO_POSITION
         if is_new:
             self.control.check(SOCKET_ERRNOS)
-        super().__init__(*arguments, **named)
+        super().__init__(*arguments, **keywords)
 
     def accept(self) -> Any:
         """Accept a connection, or raise an error."""
@@ -85,7 +85,7 @@
             return super().send(data, flags)
         if self.type == socket.SOCK_DGRAM:
             raise self.control.error(DATAGRAM_ERRNOS)
-        if self.control.rng.random() < BROKEN_STREAM_SHARE:
+        if self.control.rng.random() < STREAM_ERROR_SHARE:
             raise self.control.error(STREAM_ERRNOS)
         with memoryview(data) as view:
             return super().send(view[: 1 + len(view) // 2], flags)
@@ -94,7 +94,7 @@
         """Receive available bytes or only a few of them, or raise an error."""
         if self.type != socket.SOCK_STREAM or not self.control.fails():
             return super().recv_into(buffer, nbytes, flags)
-        if self.control.rng.random() < BROKEN_STREAM_SHARE:
+        if self.control.rng.random() < STREAM_ERROR_SHARE:
             raise self.control.error(STREAM_ERRNOS)
         with memoryview(buffer) as view:
             return super().recv_into(view[:SHORT_READ_BYTES], 0, flags)
--- a/cedarthread/testing/cluster/fake_clients.py
+++ b/cedarthread/testing/cluster/fake_clients.py
@@ -133,8 +133,8 @@
         discovery_subject = Subject(SubjectKind.DISCOVERY, router)
         for delay_ms in self.network.datagram_delays_ms(now_ms, router_subject, discovery_subject):
             reply = make_reply()
-            spoilt = [fault for fault in faults if fault.kind is FaultKind.CORRUPT_DISCOVERY]
-            if any(self.rng.random() < fault.amount for fault in spoilt):
+            corruptions = [fault for fault in faults if fault.kind is FaultKind.CORRUPT_DISCOVERY]
+            if any(self.rng.random() < fault.amount for fault in corruptions):
                 reply = corrupt(reply, self.rng)
             self.call_after(delay_ms, partial(send_reply, reply))
 
--- a/cedarthread/testing/cluster/fake_workers.py
+++ b/cedarthread/testing/cluster/fake_workers.py
@@ -123,8 +123,10 @@
         for server in self.servers:
             number = server.model.number
             self.recording.lags_ms += server.timer_lags_ms
-            self.recording.connections += [AcceptedConnection(at, number) for at in server.accepted_at_ms]
+            self.recording.connections += [
+                AcceptedConnection(at_ms, number) for at_ms in server.accepted_at_ms
+            ]
             self.recording.placements += [
-                Placement(at, function, number) for at, function in server.model.placements
+                Placement(at_ms, function, number) for at_ms, function in server.model.placements
             ]
         return self.recording
--- a/cedarthread/testing/cluster/injected_defects.py
+++ b/cedarthread/testing/cluster/injected_defects.py
@@ -127,12 +127,12 @@
 
     on_endpoint_update = router.Router._on_endpoint_update
 
-    def keep_all(self: router.Router, now_ms: float, update: EndpointUpdate) -> None:
+    def add_unlisted(self: router.Router, now_ms: float, update: EndpointUpdate) -> None:
         listed = {endpoint.worker_id for endpoint in update.endpoints}
         unlisted = [record.endpoint for worker_id, record in self.workers.items() if worker_id not in listed]
         on_endpoint_update(self, now_ms, replace(update, endpoints=(*update.endpoints, *unlisted)))
 
-    router.Router._on_endpoint_update = keep_all  # type: ignore[method-assign]
+    router.Router._on_endpoint_update = add_unlisted  # type: ignore[method-assign]
 
 
 def flood_peer_queries() -> None:
--- a/cedarthread/testing/cluster/policy_replay.py
+++ b/cedarthread/testing/cluster/policy_replay.py
@@ -133,9 +133,9 @@
 
     def choose_lowest_own_load(self, arrival: Arrival, candidates: list[int]) -> int:
         """Choose at random among the workers with the fewest calls in flight from the router itself."""
-        own = self.in_flight[arrival.router]
-        fewest = min(own[number] for number in candidates)
-        return self.rng.choice([number for number in candidates if own[number] == fewest])
+        own_in_flight = self.in_flight[arrival.router]
+        fewest = min(own_in_flight[number] for number in candidates)
+        return self.rng.choice([number for number in candidates if own_in_flight[number] == fewest])
 
     def choose_of_two(self, arrival: Arrival, candidates: list[int]) -> int:
         """Choose two workers at random, and of these the one with fewer calls from the router itself."""
--- a/cedarthread/testing/cluster/recordings.py
+++ b/cedarthread/testing/cluster/recordings.py
@@ -77,7 +77,7 @@
             series[f"{CONNECTIONS_PREFIX}{connection.worker}"].append(connection.at_ms)
         for datagram in self.peer_datagrams:
             series[f"{PEER_DATAGRAMS_PREFIX}{datagram.message_type:02x}"].append(datagram.at_ms)
-        return {name: sorted(at for at in times if at >= 0.0) for name, times in series.items()}
+        return {name: sorted(at_ms for at_ms in times if at_ms >= 0.0) for name, times in series.items()}
 
 
 def merge_recordings(recordings: Iterable[Recording]) -> Recording:
--- a/cedarthread/testing/cluster/router_processes.py
+++ b/cedarthread/testing/cluster/router_processes.py
@@ -114,12 +114,12 @@
         """Return the log of a router: warnings and errors of all its processes."""
         return self.files[number].log.read_text(errors="replace")
 
-    def send_signal(self, number: int, which: signal.Signals) -> None:
+    def send_signal(self, number: int, signal_number: signal.Signals) -> None:
         """Send a signal to a router's process, unless the process has ended."""
-        if which is signal.SIGKILL:
+        if signal_number is signal.SIGKILL:
             self._ended_cpu_s[number] = self.cpu_seconds(number)
         if self.processes[number].poll() is None:
-            self.processes[number].send_signal(which)
+            self.processes[number].send_signal(signal_number)
 
     def cpu_seconds(self, number: int) -> float:
         """Return the CPU time in s that all processes of a router have used."""
--- a/cedarthread/testing/cluster/run.py
+++ b/cedarthread/testing/cluster/run.py
@@ -24,7 +24,7 @@
 
     from cedarthread.testing.cluster.result import Result
 
-FAILURE_WORDS = (" rule_violated ", "Traceback")  # A line of a router's log with one of these is a violation.
+FAILURE_MARKERS = (" rule_violated ", "Traceback")  # A router's log line with one of these is a violation.
 ROUTERS_PER_PROCESS = 50  # Maximum routers per fake process for clients, peer relays and discovery servers.
 # Time from the RUN command to the start of traffic, so that every process has received it.
 START_LEAD_S = 0.2
@@ -58,14 +58,17 @@
             scenario,
             client_processes,
             self.routers.ports,
-            [_port_of(each) for each in self.worker_sockets],
-            [InheritedSocket(each.fileno(), _port_of(each)) for each in self.relay_sockets],
-            [InheritedSocket(each.fileno(), _port_of(each)) for each in self.discovery_sockets],
-            [InheritedSocket(each.fileno(), _port_of(each)) for each in self.moved_discovery_sockets],
+            [_port_of(reserved) for reserved in self.worker_sockets],
+            [InheritedSocket(reserved.fileno(), _port_of(reserved)) for reserved in self.relay_sockets],
+            [InheritedSocket(reserved.fileno(), _port_of(reserved)) for reserved in self.discovery_sockets],
+            [
+                InheritedSocket(reserved.fileno(), _port_of(reserved))
+                for reserved in self.moved_discovery_sockets
+            ],
         )
         shared = [
-            each.descriptor
-            for each in (
+            reserved.descriptor
+            for reserved in (
                 *self.plan.peer_relays,
                 *self.plan.discovery_servers,
                 *self.plan.moved_discovery_servers,
@@ -105,18 +108,18 @@
             f"log of router {number}: {line}"
             for number in range(self.scenario.router_count)
             for line in self.routers.read_log(number).splitlines()
-            if any(word in line for word in FAILURE_WORDS)
+            if any(marker in line for marker in FAILURE_MARKERS)
         ]
 
     async def start(self) -> None:
         """Start all processes; return when all routers accept connections and all clients are connected."""
         (self.folder / "plan").write_bytes(pickle.dumps(self.plan))
         await asyncio.gather(*(process.start() for process in self.fake_processes))
-        calm = EndpointListTimeline(replace(self.scenario, faults=()), self.plan.worker_ports)
+        faultless_timeline = EndpointListTimeline(replace(self.scenario, faults=()), self.plan.worker_ports)
         known_endpoints = [
             {"name": worker.name, "address": f"127.0.0.1:{worker.port}", "zone": "room-a", "type": "std"}
             | {"group": 0, "status": "ready", "weight": 1, "since_ms": 0}
-            for worker in calm.list_at(0.0, 0).workers
+            for worker in faultless_timeline.list_at(0.0, 0).workers
         ]
         peers = [f"127.0.0.1:{relay.port}" for relay in self.plan.peer_relays]
         every = range(self.scenario.router_count)
@@ -139,13 +142,13 @@
         """Stop all processes, close the reserved sockets and return the exit codes by router number."""
         exit_codes = self.routers.stop_all()
         await asyncio.gather(*(process.kill() for process in self.fake_processes))
-        for each in (
+        for reserved in (
             *self.worker_sockets,
             *self.relay_sockets,
             *self.discovery_sockets,
             *self.moved_discovery_sockets,
         ):
-            each.close()
+            reserved.close()
         return exit_codes
 
     async def _wait_until(self, at_s: float) -> None:
--- a/cedarthread/testing/cluster/scenario_file.py
+++ b/cedarthread/testing/cluster/scenario_file.py
@@ -173,8 +173,10 @@
 
 
 def _have_fleet_config(subjects: Subjects, scenario: Scenario) -> bool:
-    having = fleet_config_routers(scenario)
-    return bool(scenario.fleet_config) and having.first <= subjects.first <= subjects.last <= having.last
+    configured = fleet_config_routers(scenario)
+    return (
+        bool(scenario.fleet_config) and configured.first <= subjects.first <= subjects.last <= configured.last
+    )
 
 
 def parse_subjects(where: str, text: Any, scenario: Scenario) -> Subjects:
--- a/cedarthread/testing/cluster/scenarios/change_freeze.py
+++ b/cedarthread/testing/cluster/scenarios/change_freeze.py
@@ -37,11 +37,11 @@
 FaultText = dict[str, object]  # A fault, as in scenario files.
 
 
-def window_config(start_s: float, end_s: float, allowance: int = 3, more: str = "") -> str:
+def window_config(start_s: float, end_s: float, allowance: int = 3, extra_text: str = "") -> str:
     """Return a fleet config with one window; its times are s from the start of traffic."""
     times = f"start = @{start_s:g}\nend = @{end_s:g}\n"
     window = f'[[freeze]]\nid = "cycle"\n{times}allowance = {allowance}\n'
-    return FLEET_CONFIG + window + 'author = "desk"\nreason = "cycle closes"\n' + more
+    return FLEET_CONFIG + window + 'author = "desk"\nreason = "cycle closes"\n' + extra_text
 
 
 REVOCATION = '[[revoke]]\nfreeze = "cycle"\nauthor = "desk"\nreason = "closed early"\n'
@@ -74,7 +74,12 @@
         {"kind": "die", "at": 15.0, "until": 17.0, "who": "runner:0-2"},
         {"kind": "retune", "at": 15.5, "who": "router", "what": LONGER_KEEP_ALIVE},
         {"kind": "kill", "at": 16.0, "until": 17.0, "who": f"router:{half}-{half + 2}"},
-        {"kind": "declare", "at": 20.5, "who": "router:2", "what": window_config(9.0, 28.0, more=REVOCATION)},
+        {
+            "kind": "declare",
+            "at": 20.5,
+            "who": "router:2",
+            "what": window_config(9.0, 28.0, extra_text=REVOCATION),
+        },
     ]
     yield parse_scenario(
         {
@@ -203,19 +208,19 @@
     # Function, worker, incarnation of the worker (the number of its restarts).
     known: set[tuple[int, int, int]] = set()
     changes_ms = []
-    for at, function, worker in sorted(placements):
+    for at_ms, function, worker in sorted(placements):
         restarted_at_ms = sorted(
             restart.at_ms
             for restart in restarts
-            if restart.at_ms <= at and restart.workers.includes(SubjectKind.WORKER, worker)
+            if restart.at_ms <= at_ms and restart.workers.includes(SubjectKind.WORKER, worker)
         )
         incarnation = len(restarted_at_ms)
         if (function, worker, incarnation) in known:
             continue
         known.add((function, worker, incarnation))
-        is_restart_news = bool(restarted_at_ms) and at - restarted_at_ms[-1] < RESTART_LISTING_MS
-        if not (is_restart_news and (function, worker, incarnation - 1) in known):
-            changes_ms.append(at)
+        is_restart_recent = bool(restarted_at_ms) and at_ms - restarted_at_ms[-1] < RESTART_LISTING_MS
+        if not (is_restart_recent and (function, worker, incarnation - 1) in known):
+            changes_ms.append(at_ms)
     return changes_ms
 
 
@@ -232,7 +237,9 @@
     if window is None:
         return WindowChanges(0, 0)
     changes_ms = placement_changes_ms(scenario, placements)
-    return WindowChanges(sum(window.start_ms <= at < window.end_ms for at in changes_ms), window.allowance)
+    return WindowChanges(
+        sum(window.start_ms <= at_ms < window.end_ms for at_ms in changes_ms), window.allowance
+    )
 
 
 def _value_rate(result: Result) -> float:
@@ -271,10 +278,10 @@
         f"{_value_rate(result):.0f}",
         f"{staleness_bound_ms(result.scenario) / 1000.0:.1f}",
         f"{start_ms / 1000.0:.1f}-{end_ms / 1000.0:.1f}",
-        str(sum(at < start_ms for at in changes_ms)),
-        str(sum(start_ms <= at < end_ms for at in changes_ms)),
+        str(sum(at_ms < start_ms for at_ms in changes_ms)),
+        str(sum(start_ms <= at_ms < end_ms for at_ms in changes_ms)),
         str(window.allowance) if window else "any",
-        str(sum(at >= end_ms for at in changes_ms)),
+        str(sum(at_ms >= end_ms for at_ms in changes_ms)),
         str(len(result.violations)),
         f"{result.cpu_ms_per_call:.2f}",
         f"{result.lag_ms:.0f}",
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -56,12 +56,12 @@
         self.end_s = end_s
         self.faults: list[FaultText] = []
 
-    def add(self, kind: str, who: str, seconds: tuple[float, float], **more: Any) -> None:
+    def add(self, kind: str, subjects: str, seconds: tuple[float, float], **other_keys: Any) -> None:
         """Add a fault of a kind, and draw when it starts and how long it lasts."""
-        at = self.rng.uniform(WARM_UP_S, self.end_s - QUIET_END_S)
-        until = min(at + self.rng.uniform(*seconds), self.end_s)
-        times = {"at": round(at, 3), "until": round(until, 3)}
-        self.faults.append({"kind": kind, **times, "who": who, **more})
+        start_s = self.rng.uniform(WARM_UP_S, self.end_s - QUIET_END_S)
+        until_s = min(start_s + self.rng.uniform(*seconds), self.end_s)
+        times = {"at": round(start_s, 3), "until": round(until_s, 3)}
+        self.faults.append({"kind": kind, **times, "who": subjects, **other_keys})
 
     def any_router(self) -> str:
         """Draw one router or all routers."""
@@ -87,9 +87,9 @@
     def drain_during_stop(self, stop: FaultText) -> None:
         """Add a drain that starts soon after a pause, and make the pause longer than the drain's grace."""
         stop["until"] = round(min(stop["at"] + self.rng.uniform(*LONG_STOP_S), self.end_s), 3)
-        at = stop["at"] + self.rng.uniform(0.05, 0.3)
-        if at < self.end_s - QUIET_END_S:
-            times = {"at": round(at, 3), "until": round(min(at + 4.0, self.end_s), 3)}
+        start_s = stop["at"] + self.rng.uniform(0.05, 0.3)
+        if start_s < self.end_s - QUIET_END_S:
+            times = {"at": round(start_s, 3), "until": round(min(start_s + 4.0, self.end_s), 3)}
             self.faults.append({"kind": "drain", **times, "who": self.any_worker(), "to": "router"})
 
     def list_faults(self) -> None:
@@ -180,10 +180,10 @@
 
 def _trace(result: Result, violation: str) -> str:
     """Return all facts of the call that a violation names, one a line."""
-    named = _CALL_ID.search(violation)
-    if named is None:
+    match = _CALL_ID.search(violation)
+    if match is None:
         return ""
-    facts = [fact for fact in result.facts if getattr(fact, "call_id", "") == named[1]]
+    facts = [fact for fact in result.facts if getattr(fact, "call_id", "") == match[1]]
     return "".join(f"\n    {fact}" for fact in facts)
 
 
--- a/cedarthread/testing/cluster/scenarios/mass_restart.py
+++ b/cedarthread/testing/cluster/scenarios/mass_restart.py
@@ -99,7 +99,10 @@
         "who": "router",
     }
     most = kill | {"who": f"router:0-{int(0.7 * routers) - 1}"}
-    thirds = [(n * half // 3, (n + 1) * half // 3 - 1, ("older", "flipped", "gone")[n]) for n in range(3)]
+    thirds = [
+        (index * half // 3, (index + 1) * half // 3 - 1, ("older", "flipped", "gone")[index])
+        for index in range(3)
+    ]
     disk_faults: list[ScenarioText] = [
         {"kind": "disk", "at": killed_at_s - 0.1, "who": f"router:{first}-{end}", "what": what}
         for first, end, what in thirds
@@ -211,7 +214,7 @@
 def peak_counts(result: Result, since_s: float = 0.0) -> dict[str, int]:
     """Return the peaks in 250 ms after a time, one for each service that restarted routers share."""
     peaks = {
-        name: peak_count([at for at in times if at >= 1000.0 * since_s])
+        name: peak_count([at_ms for at_ms in times if at_ms >= 1000.0 * since_s])
         for name, times in result.time_series.items()
     }
     at_workers = [peak for name, peak in peaks.items() if name.startswith(CONNECTIONS_PREFIX)]
@@ -289,15 +292,17 @@
 
 def _peak_failings(result: Result, earlier: Sequence[Result]) -> list[str]:
     undisturbed = next((other for other in earlier if other.scenario_name == UNDISTURBED), None)
-    usual: dict[str, int] = {}
+    undisturbed_peaks: dict[str, int] = {}
     if undisturbed is not None:
-        usual = peak_counts(undisturbed, undisturbed.scenario.warm_up_s)
+        undisturbed_peaks = peak_counts(undisturbed, undisturbed.scenario.warm_up_s)
     floors = peak_floors(result)
     failings = []
     for what, peak in peak_counts(result, last_kill_s(result)).items():
-        bound = max(MAX_PEAK_RATIO * usual.get(what, 0), floors[what])
+        bound = max(MAX_PEAK_RATIO * undisturbed_peaks.get(what, 0), floors[what])
         if peak > bound:
-            failings.append(f"{peak} {what} in 250 ms, {usual.get(what, 0)} undisturbed, bound {bound:.0f}")
+            failings.append(
+                f"{peak} {what} in 250 ms, {undisturbed_peaks.get(what, 0)} undisturbed, bound {bound:.0f}"
+            )
     return failings
 
 
--- a/cedarthread/testing/cluster/service_levels.py
+++ b/cedarthread/testing/cluster/service_levels.py
@@ -24,16 +24,17 @@
 def peak_count(times_ms: Sequence[float], window_ms: float = PEAK_WINDOW_MS) -> int:
     """Return the maximum number of events within any window. The times must be in order."""
     return max(
-        (index + 1 - bisect_left(times_ms, at - window_ms) for index, at in enumerate(times_ms)), default=0
+        (index + 1 - bisect_left(times_ms, at_ms - window_ms) for index, at_ms in enumerate(times_ms)),
+        default=0,
     )
 
 
 def value_rates(served: Sequence[ServedValue], end_ms: float, step_ms: float = RATE_STEP_MS) -> list[float]:
     """Return the value served per second, in windows of 1 s that start every ``step_ms``."""
     steps = [0.0] * int(end_ms // step_ms)
-    for at, value in served:
-        if 0.0 <= at < len(steps) * step_ms:
-            steps[int(at // step_ms)] += value
+    for at_ms, value in served:
+        if 0.0 <= at_ms < len(steps) * step_ms:
+            steps[int(at_ms // step_ms)] += value
     return window_sums(steps, round(1000.0 * RATE_WINDOW_S / step_ms))
 
 
