--- a/cedarthread/testing/cluster/arrivals.py
+++ b/cedarthread/testing/cluster/arrivals.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One call, before any router has received it."""
+    """A call, before any router has received it."""
 
     call_id: str
     at_ms: float
--- a/cedarthread/testing/cluster/endpoint_timeline.py
+++ b/cedarthread/testing/cluster/endpoint_timeline.py
@@ -42,6 +42,7 @@
             at_s for fault in (*self.hide_faults, *self.drain_faults) for at_s in (fault.start_s, fault.end_s)
         ]
         self.change_times_s += [fault.end_s + LISTING_DELAY_S for fault in self.crash_faults]
+        # Lists by version, hidden workers and draining workers.
         self._cache: dict[tuple[int, frozenset[int], frozenset[int]], tuple[ListedWorker, ...]] = {}
 
     def list_at(self, now_ms: float, router: int) -> VersionedList:
@@ -73,7 +74,7 @@
             worker
             for fault in faults
             if fault.is_active(now_s) and fault.affects_peer(SubjectKind.ROUTER, router)
-            for worker in range(fault.subjects.first, fault.subjects.last + 1)
+            for worker in fault.subjects.numbers
         )
 
     def _listed(self, now_s: float, worker: int, *, is_draining: bool) -> ListedWorker:
--- a/cedarthread/testing/cluster/fact_reader.py
+++ b/cedarthread/testing/cluster/fact_reader.py
@@ -240,7 +240,7 @@
             if attempt.record.is_in_flight and self._may_miss_cancellation(
                 fact.at_ms, router, attempt.worker
             ):
-                self.checker.on_attempt_ended(attempt.record, True)
+                self.checker.on_attempt_ended(attempt.record, may_have_executed=True)
         record = self.checker.on_attempt_started(
             fact.at_ms,
             fact.call_id,
@@ -252,7 +252,7 @@
         )
         self._attempts[fact.call_id].append(_WorkerAttempt(fact.worker, record))
         if self._cancelled_at_ms.get((fact.call_id, fact.worker), -1.0) >= fact.sent_at_ms:
-            self.checker.on_attempt_ended(record, True)
+            self.checker.on_attempt_ended(record, may_have_executed=True)
 
     def _may_miss_cancellation(self, now_ms: float, router: Subject, worker: int) -> bool:
         """Return whether a worker may have missed a router's cancellation because of a fault."""
--- a/cedarthread/testing/cluster/failing_sockets.py
+++ b/cedarthread/testing/cluster/failing_sockets.py
@@ -17,6 +17,8 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
+    from _typeshed import ReadableBuffer, WriteableBuffer
+
 SYSTEM_CALLS_CONTROL = struct.Struct("<d")  # Share of the calls that fail.
 
 ACCEPT_ERRNOS = (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO)
@@ -69,17 +71,17 @@
             self.control.check(SOCKET_ERRNOS)
         super().__init__(*arguments, **keywords)
 
-    def accept(self) -> Any:
+    def accept(self) -> tuple[socket.socket, Any]:
         """Accept a connection, or raise an error."""
         self.control.check(ACCEPT_ERRNOS)
         return super().accept()
 
-    def connect(self, address: Any) -> None:
+    def connect(self, address: tuple[Any, ...] | str | ReadableBuffer) -> None:
         """Connect, or raise an error."""
         self.control.check(CONNECT_ERRNOS)
         super().connect(address)
 
-    def send(self, data: Any, flags: int = 0) -> int:
+    def send(self, data: ReadableBuffer, flags: int = 0) -> int:
         """Send all of the data or half of it, or raise an error."""
         if not self.control.fails():
             return super().send(data, flags)
@@ -90,7 +92,7 @@
         with memoryview(data) as view:
             return super().send(view[: 1 + len(view) // 2], flags)
 
-    def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
+    def recv_into(self, buffer: WriteableBuffer, nbytes: int = 0, flags: int = 0) -> int:
         """Receive available bytes or only a few of them, or raise an error."""
         if self.type != socket.SOCK_STREAM or not self.control.fails():
             return super().recv_into(buffer, nbytes, flags)
--- a/cedarthread/testing/cluster/fake_clients.py
+++ b/cedarthread/testing/cluster/fake_clients.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from cedarthread.testing.cluster.arrivals import Arrival, generate_arrivals
-from cedarthread.testing.cluster.endpoint_timeline import EndpointListTimeline
+from cedarthread.testing.cluster.endpoint_timeline import EndpointListTimeline, VersionedList
 from cedarthread.testing.cluster.facts import (
     CallAbandoned,
     CallAnswered,
@@ -61,9 +61,10 @@
         self.rng = random.Random(1000 * plan.scenario.seed + number)
         self.list_timeline = EndpointListTimeline(plan.scenario, plan.worker_ports)
         self.discovery_faults = [fault for fault in plan.scenario.faults if fault.kind in DISCOVERY_FAULTS]
-        self.clients: dict[int, FakeClient] = {}
+        self.clients: dict[int, FakeClient] = {}  # By router.
+        # Call ids by router, then by the number of the call on its connection.
         self.pending_calls: dict[int, dict[int, str]] = {router: {} for router in self.routers}
-        self.submitted_at_ms: dict[str, float] = {}
+        self.submitted_at_ms: dict[str, float] = {}  # By call id.
         self.relays = PeerRelays(self)
 
     async def start(self) -> None:
@@ -80,7 +81,7 @@
             moved_socket = socket.socket(fileno=self.plan.moved_discovery_servers[router].descriptor)
             await moved_server.start(moved_socket)
 
-    def _list_for(self, router: int) -> tuple[int, tuple[Any, ...]]:
+    def _list_for(self, router: int) -> VersionedList:
         return self.list_timeline.list_at(self.now_ms(), router)
 
     async def on_command(self, command: Command, arguments: dict[str, Any]) -> None:
@@ -266,8 +267,8 @@
         """Close connections at ``LEAVE``; abandon the calls of a paused router shortly before it resumes."""
         if fault.kind is FaultKind.LEAVE:
             await self.wait_until(fault.start_s)
-            subjects = range(fault.subjects.first, fault.subjects.last + 1)
-            await asyncio.gather(*(self._leave(router) for router in subjects if router in self.routers))
+            leaving = (router for router in fault.subjects.numbers if router in self.routers)
+            await asyncio.gather(*map(self._leave, leaving))
         if fault.kind is not FaultKind.PAUSE_ROUTER:
             return
         end_s = self.scenario.end_s
--- a/cedarthread/testing/cluster/fake_workers.py
+++ b/cedarthread/testing/cluster/fake_workers.py
@@ -96,7 +96,7 @@
         """Crash, restart, slow down or silence workers, or reset their connections."""
         if fault.kind not in WORKER_FAULTS:
             return
-        servers = self.servers[fault.subjects.first : fault.subjects.last + 1]
+        servers = [self.servers[number] for number in fault.subjects.numbers]
         await self.wait_until(fault.start_s)
         for server in servers:
             if fault.kind is FaultKind.CRASH_WORKER:
--- a/cedarthread/testing/cluster/policy_replay.py
+++ b/cedarthread/testing/cluster/policy_replay.py
@@ -41,7 +41,7 @@
 
 
 class PolicyReplay:
-    """One replay; owns the worker models and the routers' counts of calls in flight.
+    """A replay; owns the worker models and the routers' counts of calls in flight.
 
     A policy receives a call and the numbers of the workers that are up, and returns one of these numbers.
 
@@ -84,7 +84,7 @@
         def set_slowdown(factor: float) -> None:
             worker.slowdown = factor
 
-        def set_up(is_up: bool, at_ms: float) -> None:
+        def set_up(at_ms: float, *, is_up: bool) -> None:
             self.is_up[number] = is_up
             if not is_up:
                 for call in worker.crash(at_ms):
@@ -100,8 +100,8 @@
             ]
         if fault.kind in (FaultKind.CRASH_WORKER, FaultKind.SILENCE_WORKER):
             return [
-                _FaultEvent(start_ms, order, lambda: set_up(False, start_ms)),
-                _FaultEvent(end_ms, order + 1, lambda: set_up(True, end_ms)),
+                _FaultEvent(start_ms, order, lambda: set_up(start_ms, is_up=False)),
+                _FaultEvent(end_ms, order + 1, lambda: set_up(end_ms, is_up=True)),
             ]
         return []
 
--- a/cedarthread/testing/cluster/process_base.py
+++ b/cedarthread/testing/cluster/process_base.py
@@ -32,7 +32,7 @@
 
 
 class FakeProcess:
-    """One fake process; owns its recording and tasks. Subclasses listen, send traffic and carry out faults.
+    """A fake process; owns its recording and tasks. Subclasses listen, send traffic and carry out faults.
 
     Args:
         plan: The plan of the run.
@@ -59,7 +59,7 @@
         if not self.is_recording_closed:
             self.recording.facts.append(fact)
 
-    def call_after(self, delay_ms: float, callback: Callable[[], Any]) -> None:
+    def call_after(self, delay_ms: float, callback: Callable[[], object]) -> None:
         """Call after a delay in ms; without a delay, call before returning."""
         if delay_ms <= 0.0:
             callback()
--- a/cedarthread/testing/cluster/process_handle.py
+++ b/cedarthread/testing/cluster/process_handle.py
@@ -6,7 +6,7 @@
 import json
 import pickle
 import sys
-from typing import TYPE_CHECKING, Any, cast
+from typing import TYPE_CHECKING, cast
 
 from cedarthread.testing.cluster.process_base import Command
 
@@ -45,7 +45,7 @@
         )
         await self._read_reply(Command.START)
 
-    async def send_command(self, command: Command, **arguments: Any) -> None:
+    async def send_command(self, command: Command, **arguments: object) -> None:
         """Send a command, and return when the process has carried it out."""
         assert self.process is not None
         assert self.process.stdin is not None
--- a/cedarthread/testing/cluster/recordings.py
+++ b/cedarthread/testing/cluster/recordings.py
@@ -24,7 +24,7 @@
 
 
 class AcceptedConnection(NamedTuple):
-    """One connection that a worker accepted."""
+    """A connection that a worker accepted."""
 
     at_ms: float
     worker: int
@@ -39,14 +39,14 @@
 
 
 class DiscoveryQuery(NamedTuple):
-    """One query of a router to its discovery server."""
+    """A query of a router to its discovery server."""
 
     at_ms: float
     router: int
 
 
 class PeerDatagram(NamedTuple):
-    """One datagram that a router sent to another router."""
+    """A datagram that a router sent to another router."""
 
     at_ms: float
     sender: int
--- a/cedarthread/testing/cluster/router_entry.py
+++ b/cedarthread/testing/cluster/router_entry.py
@@ -23,7 +23,7 @@
 from cedarthread.testing.cluster import failing_sockets
 from cedarthread.testing.cluster.injected_defects import inject
 
-Clock = Callable[[], float]  # s
+Clock = Callable[[], float]  # Returns a time in s.
 CLOCK_CONTROL = struct.Struct("<ddd")  # Offset in ms, rate, time from which the rate applies in monotonic s.
 
 
--- a/cedarthread/testing/cluster/run.py
+++ b/cedarthread/testing/cluster/run.py
@@ -1,4 +1,4 @@
-"""One cluster run: starts routers and fakes as processes, injects router faults, evaluates the recordings."""
+"""A cluster run: starts routers and fakes as processes, injects router faults, evaluates the recordings."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import socket
 import time
 from dataclasses import replace
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from cedarthread.testing.cluster.endpoint_timeline import EndpointListTimeline
 from cedarthread.testing.cluster.evaluation import evaluate
@@ -34,7 +34,7 @@
 
 
 class ClusterRun:
-    """One run of one scenario; owns all processes and reserved sockets of the run.
+    """A run of a scenario; owns all processes and reserved sockets of the run.
 
     Args:
         scenario: The scenario to run.
@@ -134,7 +134,7 @@
         await asyncio.gather(*map(self.routers.wait_until_ready, every))
         await self.command_all(Command.CONNECT, routers=list(every))
 
-    async def command_all(self, command: Command, **arguments: Any) -> None:
+    async def command_all(self, command: Command, **arguments: object) -> None:
         """Send a command to all fake processes."""
         await asyncio.gather(*(process.send_command(command, **arguments) for process in self.fake_processes))
 
@@ -161,7 +161,7 @@
     async def _run_fault(self, fault: Fault) -> None:
         if FAULT_SUBJECTS.get(fault.kind) is not SubjectKind.ROUTER:
             return
-        numbers = range(fault.subjects.first, fault.subjects.last + 1)
+        numbers = fault.subjects.numbers
         await self._wait_until(fault.start_s)
         for number in numbers:
             self.routers.begin_fault(fault, number)
--- a/cedarthread/testing/cluster/scenario.py
+++ b/cedarthread/testing/cluster/scenario.py
@@ -69,7 +69,7 @@
     FaultKind.PARTITION,
     FaultKind.STALL,
 )
-FAULT_SUBJECTS = {  # of all other faults: the one kind of subject that each happens at
+FAULT_SUBJECTS = {  # Kind of the subjects of each fault that is not in NETWORK_FAULTS.
     FaultKind.KILL_ROUTER: SubjectKind.ROUTER,
     FaultKind.PAUSE_ROUTER: SubjectKind.ROUTER,
     FaultKind.TERMINATE_ROUTER: SubjectKind.ROUTER,
@@ -124,6 +124,11 @@
     first: int
     last: int
 
+    @property
+    def numbers(self) -> range:
+        """Numbers of the parties."""
+        return range(self.first, self.last + 1)
+
     def includes(self, kind: SubjectKind, number: int) -> bool:
         """Return whether the range includes a party."""
         return kind == self.kind and self.first <= number <= self.last
@@ -131,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault of the timeline, from ``start_s`` up to ``end_s``."""
+    """A fault of the timeline, from ``start_s`` up to ``end_s``."""
 
     kind: FaultKind
     start_s: float
@@ -153,7 +158,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One scenario: the fleet, the traffic, its duration and the faults."""
+    """A scenario: the fleet, the traffic, its duration and the faults."""
 
     name: str = "quick"
     seed: int = 1
--- a/cedarthread/testing/cluster/scenario_file.py
+++ b/cedarthread/testing/cluster/scenario_file.py
@@ -114,7 +114,7 @@
     return dataclasses.replace(scenario, faults=faults)
 
 
-def _check_value(key: str, value: Any, type_name: str) -> None:
+def _check_value(key: str, value: object, type_name: str) -> None:
     is_bool = isinstance(value, bool)  # Checked apart, because bool is a subclass of int.
     if not isinstance(value, _TYPES[type_name]) or (is_bool and type_name != "bool"):
         raise ScenarioError(f"{key}: {value!r} is no {type_name}")
@@ -165,11 +165,11 @@
     return Fault(kind, float(start_s), float(end_s), subjects, peers, amount, is_one_way, text)
 
 
-def _parse_kind(where: str, text: Any) -> FaultKind:
+def _parse_kind(where: str, text: object) -> FaultKind:
     known = (*NETWORK_FAULTS, *FAULT_SUBJECTS)
     if text not in known:
         raise ScenarioError(f"{where}: kind {text!r} is none of {', '.join(known)}")
-    return FaultKind(text)
+    return FaultKind(str(text))
 
 
 def _have_fleet_config(subjects: Subjects, scenario: Scenario) -> bool:
@@ -179,7 +179,7 @@
     )
 
 
-def parse_subjects(where: str, text: Any, scenario: Scenario) -> Subjects:
+def parse_subjects(where: str, text: object, scenario: Scenario) -> Subjects:
     """Return a range of routers, workers, clients or discovery servers from its form in scenario files."""
     match = _SUBJECTS.match(text) if isinstance(text, str) else None
     if match is None:
--- a/cedarthread/testing/cluster/scenarios/change_freeze.py
+++ b/cedarthread/testing/cluster/scenarios/change_freeze.py
@@ -106,6 +106,12 @@
     }
     base |= {"warm_up": 6.0, "seconds": 30.0, "store_at_once": 40, "store_most": 300}
     base |= {"fleet": FLEET_CONFIG, "declares": "router"}
+    for name, faults in _cases(routers).items():
+        yield parse_scenario(base | {"name": name, "fault": faults})
+
+
+def _cases(routers: int) -> dict[str, list[FaultText]]:
+    """Return the faults of each run of the full form by the run's name."""
     last = routers - 1
     half = routers // 2
     declaration: FaultText = {
@@ -114,7 +120,7 @@
         "who": "router:1",
         "what": window_config(12.0, 32.0, 6),
     }
-    cases: dict[str, list[FaultText]] = {
+    return {
         "calm, no window": [],
         "calm": [declaration],
         "runners die, back empty": [
@@ -142,8 +148,6 @@
         ],
         "retuned": [declaration, {"kind": "retune", "at": 18.0, "who": "router", "what": LONGER_KEEP_ALIVE}],
     }
-    for name, faults in cases.items():
-        yield parse_scenario(base | {"name": name, "fault": faults})
 
 
 @dataclass(frozen=True, slots=True)
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -42,7 +42,7 @@
 
 
 class _Draw:
-    """One draw of faults; owns the list of faults drawn so far.
+    """A draw of faults; owns the list of faults drawn so far.
 
     Args:
         rng: The random numbers of the draw.
@@ -56,7 +56,7 @@
         self.end_s = end_s
         self.faults: list[FaultText] = []
 
-    def add(self, kind: str, subjects: str, seconds: tuple[float, float], **other_keys: Any) -> None:
+    def add(self, kind: str, subjects: str, seconds: tuple[float, float], **other_keys: object) -> None:
         """Add a fault of a kind, and draw when it starts and how long it lasts."""
         start_s = self.rng.uniform(WARM_UP_S, self.end_s - QUIET_END_S)
         until_s = min(start_s + self.rng.uniform(*seconds), self.end_s)
--- a/cedarthread/testing/cluster/scenarios/load_spread.py
+++ b/cedarthread/testing/cluster/scenarios/load_spread.py
@@ -51,9 +51,15 @@
         "store_at_once": 40,
         "store_most": 300,
     }
+    for name, faults in _cases(routers).items():
+        yield parse_scenario(base | {"name": name, "fault": faults})
+
+
+def _cases(routers: int) -> dict[str, list[dict[str, object]]]:
+    """Return the faults of each run of the full form by the run's name."""
     last = routers - 1
     half = routers // 2
-    cases: dict[str, list[dict[str, object]]] = {
+    return {
         "no fault": [],
         "runners back empty": [{"kind": "die", "at": 9.0, "until": 13.0, "who": "runner:0-1"}],
         "70% of the routers killed": [{"kind": "kill", "at": 10.0, "who": f"router:0-{int(0.7 * last)}"}],
@@ -82,8 +88,6 @@
             },
         ],
     }
-    for name, faults in cases.items():
-        yield parse_scenario(base | {"name": name, "fault": faults})
 
 
 def failings(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
--- a/tests/integration/test_cluster.py
+++ b/tests/integration/test_cluster.py
@@ -61,6 +61,7 @@
     load_scenario_set,
     load_spread,
     mass_restart,
+    restart_measurements,
 )
 from cedarthread.testing.cluster.service_levels import (
     ServedValue,
@@ -451,7 +452,7 @@
         faults=[FaultSpan(FaultKind.KILL_ROUTER, 5.0, 6.0)],
     )
     undisturbed = result(scenario_name=mass_restart.UNDISTURBED)
-    assert mass_restart.time_to_recover_s(good) == 3.0
+    assert restart_measurements.time_to_recover_s(good) == 3.0
     assert mass_restart.failings(good, [undisturbed]) == []
     late = AttemptSent(9000.0, "0000x", 1, 8000.0)
     bad = {
