--- a/cedarthread/testing/cluster/fake_clients.py
+++ b/cedarthread/testing/cluster/fake_clients.py
@@ -182,6 +182,7 @@
         self.abandon_calls(router)
 
     def _is_terminating(self, router: int) -> bool:
+        """Return whether a router is terminating, and no kill is active or starts within 1 s."""
         now_s = self.now_ms() / 1000.0
         return any(
             fault.kind is FaultKind.TERMINATE_ROUTER
--- a/cedarthread/testing/cluster/process_handle.py
+++ b/cedarthread/testing/cluster/process_handle.py
@@ -40,7 +40,7 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             pass_fds=self.descriptors,
-            # An interrupt from the terminal reaches the harness alone, which ends them.
+            # An interrupt from the terminal reaches the harness alone, which then kills the fake processes.
             start_new_session=True,
         )
         await self._read_reply(Command.START)
--- a/cedarthread/testing/cluster/router_files.py
+++ b/cedarthread/testing/cluster/router_files.py
@@ -6,6 +6,7 @@
 import re
 import struct
 import time
+from dataclasses import dataclass
 from datetime import UTC, datetime
 from typing import TYPE_CHECKING, Any
 
@@ -48,6 +49,16 @@
     )
 
 
+@dataclass(frozen=True, slots=True)
+class RouterAddresses:
+    """The addresses of one router's discovery servers and of the peers."""
+
+    discovery_port: int
+    moved_discovery_port: int  # Port of the discovery server that serves after a move.
+    peer_address: str  # Address from which the router itself sends to its peers.
+    peers: Sequence[str]  # Addresses of the relays of all routers.
+
+
 class RouterFiles:
     """The paths of one router's files, which are named for the router's number, and the writer of the files.
 
@@ -67,32 +78,26 @@
         self.store = folder / f"n{number}.store"
         self.log = folder / f"n{number}.log"
         self.system_calls = folder / f"n{number}.calls"
-        self.discovery_port = 0
+        self.discovery_port = 0  # ``write`` sets both ports.
         self.moved_discovery_port = 0
 
-    def write(
-        self,
-        port: int,
-        known_endpoints: Sequence[dict[str, Any]],
-        discovery_port: int,
-        peers: Sequence[str],
-        peer_address: str,
-    ) -> None:
+    def write(self, port: int, known_endpoints: Sequence[dict[str, Any]], addresses: RouterAddresses) -> None:
         """Write all files with their content at the start of the run."""
         scenario = self.scenario
         number = self.number
-        self.discovery_port = discovery_port
+        self.discovery_port = addresses.discovery_port
+        self.moved_discovery_port = addresses.moved_discovery_port
         config: dict[str, Any] = {
             "name": f"n{number}",
             "listen": f"127.0.0.1:{port}",
             "seed": f"{scenario.seed * SEED_STEP + number:016x}",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
             "known": {"n": 1, "events": [{"n": 1, "members": {"endpoints": known_endpoints}}]},
-            "dns": f"127.0.0.1:{discovery_port}",
+            "dns": f"127.0.0.1:{addresses.discovery_port}",
             "settings": router_settings(scenario, number),
         }
         if scenario.is_gossip_enabled:
-            config |= {"peer_listen": peer_address, "peers": peers}
+            config |= {"peer_listen": addresses.peer_address, "peers": addresses.peers}
         self.config.write_text(json.dumps(config))
         self.set_clock()
         self.set_disk_fault()
--- a/cedarthread/testing/cluster/router_processes.py
+++ b/cedarthread/testing/cluster/router_processes.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from cedarthread.testing.cluster.router_files import RouterFiles
+from cedarthread.testing.cluster.router_files import RouterAddresses, RouterFiles
 from cedarthread.testing.cluster.scenario import Fault, FaultKind, Scenario, SubjectKind
 
 if TYPE_CHECKING:
@@ -64,15 +64,10 @@
         }
 
     def write_config(
-        self,
-        number: int,
-        known_endpoints: Sequence[dict[str, Any]],
-        discovery_port: int,
-        peers: Sequence[str],
-        peer_address: str,
+        self, number: int, known_endpoints: Sequence[dict[str, Any]], addresses: RouterAddresses
     ) -> None:
         """Write the configuration and control files of one router."""
-        self.files[number].write(self.ports[number], known_endpoints, discovery_port, peers, peer_address)
+        self.files[number].write(self.ports[number], known_endpoints, addresses)
 
     def start(self, number: int) -> None:
         """Start a router's process; use ``router_entry`` if a fault or an injected defect requires it."""
--- a/cedarthread/testing/cluster/run.py
+++ b/cedarthread/testing/cluster/run.py
@@ -16,6 +16,7 @@
 from cedarthread.testing.cluster.plan import CALL_DEADLINE_MS, ClusterPlan, InheritedSocket, router_host
 from cedarthread.testing.cluster.process_base import Command
 from cedarthread.testing.cluster.process_handle import FakeProcessHandle
+from cedarthread.testing.cluster.router_files import RouterAddresses
 from cedarthread.testing.cluster.router_processes import RouterProcesses, reserve_port
 from cedarthread.testing.cluster.scenario import FAULT_SUBJECTS, Fault, FaultKind, Scenario, SubjectKind
 
@@ -124,10 +125,13 @@
         peers = [f"127.0.0.1:{relay.port}" for relay in self.plan.peer_relays]
         every = range(self.scenario.router_count)
         for number in every:
-            peer_address = f"{router_host(number)}:{self.plan.peer_relays[number].port}"
-            discovery_port = self.plan.discovery_servers[number].port
-            self.routers.write_config(number, known_endpoints, discovery_port, peers, peer_address)
-            self.routers.files[number].moved_discovery_port = self.plan.moved_discovery_servers[number].port
+            addresses = RouterAddresses(
+                discovery_port=self.plan.discovery_servers[number].port,
+                moved_discovery_port=self.plan.moved_discovery_servers[number].port,
+                peer_address=f"{router_host(number)}:{self.plan.peer_relays[number].port}",
+                peers=peers,
+            )
+            self.routers.write_config(number, known_endpoints, addresses)
             self.routers.start(number)
             if number == 0:  # Router 0 compiles the modules for all routers.
                 await self.routers.wait_until_ready(number)
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -33,7 +33,9 @@
 PROCESS_FAULTS = {"stop": (0.2, 3.0), "kill": (0.3, 1.0), "term": (3.8, 4.5), "restart": (0.1, 0.2)}
 LIST_FAULTS = {"drain": (1.0, 5.0), "hide": (1.0, 5.0)}
 DRAIN_DURING_STOP_SHARE = 0.5  # Share of the pauses during which a worker drains.
-LONG_STOP_S = 2.4, 3.0  # Longer than the notice limit of a drain plus the grace period.
+# Shortest and longest duration in s of a pause during which a worker drains: longer than the notice limit of
+# a drain plus the grace period.
+LONG_STOP_S = 2.4, 3.0
 MAX_OTHER_FAULTS = 9
 MIN_OTHER_FAULTS = 4
 
