--- a/tests/integration/test_change_freeze_drill.py
+++ b/tests/integration/test_change_freeze_drill.py
@@ -1,4 +1,4 @@
-"""What the change freeze scenarios count as a change, and their quick form as real processes."""
+"""The changes that the change freeze scenarios count, and their quick form as real processes."""
 
 from __future__ import annotations
 
@@ -15,37 +15,51 @@
 SCENARIO = next(iter(change_freeze.quick(1, 24)))
 
 
-def test_a_window_binds_from_one_bound_after_declaration_to_one_after_revocation() -> None:
-    wait = change_freeze.staleness_bound_ms(SCENARIO)
-    assert 4000.0 < wait < 6000.0
+def test_a_window_is_in_effect_from_one_bound_after_declaration_to_one_after_revocation() -> None:
+    bound_ms = change_freeze.staleness_bound_ms(SCENARIO)
+    assert 4000.0 < bound_ms < 6000.0
     assert change_freeze.effective_window(SCENARIO) == change_freeze.EffectiveWindow(
-        7000.0 + wait, 20_500.0 + wait, 3
+        7000.0 + bound_ms, 20_500.0 + bound_ms, 3
     )
-    later = [f for f in SCENARIO.faults if not (f.kind is FaultKind.FLEET_CONFIG and f.start_s > 10.0)]
+    without_revocation = [
+        fault
+        for fault in SCENARIO.faults
+        if not (fault.kind is FaultKind.FLEET_CONFIG and fault.start_s > 10.0)
+    ]
     assert change_freeze.effective_window(
-        replace(SCENARIO, faults=tuple(later))
-    ) == change_freeze.EffectiveWindow(7000.0 + wait, 28_000.0, 3)
+        replace(SCENARIO, faults=tuple(without_revocation))
+    ) == change_freeze.EffectiveWindow(7000.0 + bound_ms, 28_000.0, 3)
     assert change_freeze.effective_window(Scenario(fleet_config=change_freeze.FLEET_CONFIG)) is None
 
 
-def test_a_change_is_a_first_instance_in_one_incarnation_of_a_worker() -> None:
-    times = ((12_000.0, 1, 0), (13_000.0, 1, 0), (14_000.0, 1, 3), (15_500.0, 1, 0), (17_500.0, 1, 0))
-    placed = [Placement(*one) for one in times]
-    assert change_freeze.placement_changes_ms(SCENARIO, placed) == [12_000.0, 14_000.0, 17_500.0], (
+def test_a_change_is_the_first_instance_in_one_incarnation_of_a_worker() -> None:
+    """Worker 0 crashes at 15 s and is started again at 17 s."""
+    placements = [
+        Placement(12_000.0, 1, 0),
+        Placement(13_000.0, 1, 0),
+        Placement(14_000.0, 1, 3),
+        Placement(15_500.0, 1, 0),
+        Placement(17_500.0, 1, 0),
+    ]
+    assert change_freeze.placement_changes_ms(SCENARIO, placements) == [12_000.0, 14_000.0, 17_500.0], (
         "runner 0 died at 15 s"
     )
-    early = [Placement(12_000.0, 1, 0), Placement(17_200.0, 1, 0), Placement(17_200.0, 2, 0)]
-    assert change_freeze.placement_changes_ms(SCENARIO, early) == [12_000.0, 17_200.0], (
-        "the news of its start is not there yet"
+    soon_after_restart = [
+        Placement(12_000.0, 1, 0),
+        Placement(17_200.0, 1, 0),
+        Placement(17_200.0, 2, 0),
+    ]
+    assert change_freeze.placement_changes_ms(SCENARIO, soon_after_restart) == [12_000.0, 17_200.0], (
+        "routers may not know of the restart yet"
     )
-    assert change_freeze.changes_in_window(SCENARIO, placed) == (3, 3)
-    more = [Placement(11_000.0, 9, 9), Placement(20_000.0, 2, 3), Placement(27_000.0, 9, 3)]
-    assert change_freeze.changes_in_window(SCENARIO, [*placed, *more]) == (4, 3)
+    assert change_freeze.changes_in_window(SCENARIO, placements) == (3, 3)
+    later = [Placement(11_000.0, 9, 9), Placement(20_000.0, 2, 3), Placement(27_000.0, 9, 3)]
+    assert change_freeze.changes_in_window(SCENARIO, [*placements, *later]) == (4, 3)
 
 
-@pytest.mark.parametrize("plant", ["", "gate bypassed"])
-def test_real_routers_place_nothing_in_a_window_unless_the_gate_is_bypassed(plant: str) -> None:
-    """Six of them, under the quick form's faults of the network, a hot function and a runner back empty."""
+@pytest.mark.parametrize("defect", ["", "gate bypassed"])
+def test_real_routers_place_nothing_in_a_window_unless_the_gate_is_bypassed(defect: str) -> None:
+    """Six routers, under faults of the network, a hot function and workers that restart empty."""
     kinds = (
         FaultKind.LOSE,
         FaultKind.DUPLICATE,
@@ -55,12 +69,14 @@
         FaultKind.FLEET_CONFIG,
     )
     faults = tuple(
-        f for f in next(iter(change_freeze.quick(1, 6))).faults if f.kind in kinds and f.start_s < 20.0
+        fault
+        for fault in next(iter(change_freeze.quick(1, 6))).faults
+        if fault.kind in kinds and fault.start_s < 20.0
     )
     small = replace(
         SCENARIO,
         faults=faults,
-        injected_defect=plant,
+        injected_defect=defect,
         router_count=6,
         duration_s=15.0,
         settle_s=5.0,
@@ -69,7 +85,7 @@
         function_count=30,
     )
     result = asyncio.run(run_scenario(small))
-    made, allowed = change_freeze.changes_in_window(result.scenario, result.placements)
-    assert (made > allowed) == bool(plant), change_freeze.row(result)
+    changes = change_freeze.changes_in_window(result.scenario, result.placements)
+    assert (changes.made > changes.allowed) == bool(defect), change_freeze.row(result)
     assert not result.violations
     assert result.answers["served"] > 0
