--- a/cedarthread/testing/cluster/evaluation.py
+++ b/cedarthread/testing/cluster/evaluation.py
@@ -1,4 +1,4 @@
-"""Evaluation of a run: the recordings of all processes, put together in order of time, and what they show."""
+"""Evaluation of a run: merges the recordings of all processes in order of time and computes the result."""
 
 from __future__ import annotations
 
@@ -37,17 +37,24 @@
     exit_codes: Mapping[int, int],
     router_starts: Sequence[RouterStarted] = (),
 ) -> Result:
-    """The result of a run.
-
-    ``cpu_s``: that all routers used while it was measured; ``exit_codes``: those of routers that did not end
-    as they were told to; ``router_starts``: those after the first.
+    """Return the result of a run.
+
+    Args:
+        scenario: The scenario of the run.
+        recordings: The recordings of all fake processes, the workers' first.
+        cpu_s: CPU time of all routers after the warm-up.
+        exit_codes: Exit codes by router number, of routers that ended otherwise than the run made them end.
+        router_starts: Starts of routers after the first start of each.
     """
-    merged, workers = merge_recordings(recordings), _worker_availability(scenario)
-    start_ms, end_ms = 1000.0 * scenario.warm_up_s, 1000.0 * scenario.end_s
+    merged = merge_recordings(recordings)
+    workers = _worker_availability(scenario)
+    start_ms = 1000.0 * scenario.warm_up_s
+    end_ms = 1000.0 * scenario.end_s
     facts = sorted(
         chain(router_starts, *(recording.facts for recording in recordings)), key=lambda fact: fact.at_ms
     )
-    reader, arrivals = FactReader(scenario), generate_arrivals(scenario)
+    reader = FactReader(scenario)
+    arrivals = generate_arrivals(scenario)
     _check_datagrams(merged, reader.checker)
     reader.read(facts)
     reader.checker.check_all_answered(end_ms)
@@ -72,7 +79,8 @@
         value_rates=value_rates(reader.served, end_ms),
         lags_ms=lags_ms,
         peak_counts={
-            name: peak_count([at for at in times if at >= start_ms]) for name, times in time_series.items()
+            name: peak_count([at_ms for at_ms in times if at_ms >= start_ms])
+            for name, times in time_series.items()
         },
         answers_by_tenant={tenant: dict(counts) for tenant, counts in reader.answers_by_tenant.items()},
         time_series=time_series,
@@ -91,8 +99,9 @@
 def _replay_policies(
     scenario: Scenario, arrivals: list[Arrival], workers: Mapping[int, WorkerAvailability]
 ) -> dict[str, LoadBalanceMetrics]:
-    """The load balance of each policy with the same arrivals."""
-    start_ms, end_ms = 1000.0 * scenario.warm_up_s, 1000.0 * scenario.end_s
+    """Return the load balance of each policy for the same arrivals."""
+    start_ms = 1000.0 * scenario.warm_up_s
+    end_ms = 1000.0 * scenario.end_s
     return {
         policy: measure(
             PolicyReplay(scenario, policy).run(arrivals), workers, start_ms, end_ms, scenario.concurrency
@@ -119,7 +128,8 @@
             if fault.kind in (FaultKind.CRASH_WORKER, FaultKind.SILENCE_WORKER)
             and fault.subjects.includes(SubjectKind.WORKER, number)
         ]
-        ready, ready_since_ms = [], 0.0
+        ready = []
+        ready_since_ms = 0.0
         for outage in sorted(outages, key=lambda fault: fault.start_s):
             ready.append((ready_since_ms, 1000.0 * outage.start_s))
             ready_since_ms = 1000.0 * outage.end_s
--- a/cedarthread/testing/cluster/run.py
+++ b/cedarthread/testing/cluster/run.py
@@ -1,4 +1,4 @@
-"""One run: routers and fakes as processes, faults at routers by the timeline, the recordings at the end."""
+"""A cluster run: starts routers and fakes as processes, injects router faults, evaluates the recordings."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import socket
 import time
 from dataclasses import replace
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from cedarthread.testing.cluster.endpoint_timeline import EndpointListTimeline
 from cedarthread.testing.cluster.evaluation import evaluate
@@ -16,6 +16,7 @@
 from cedarthread.testing.cluster.plan import CALL_DEADLINE_MS, ClusterPlan, InheritedSocket, router_host
 from cedarthread.testing.cluster.process_base import Command
 from cedarthread.testing.cluster.process_handle import FakeProcessHandle
+from cedarthread.testing.cluster.router_files import RouterAddresses
 from cedarthread.testing.cluster.router_processes import RouterProcesses, reserve_port
 from cedarthread.testing.cluster.scenario import FAULT_SUBJECTS, Fault, FaultKind, Scenario, SubjectKind
 
@@ -24,19 +25,26 @@
 
     from cedarthread.testing.cluster.result import Result
 
-FAILURE_WORDS = (" rule_violated ", "Traceback")  # in a router's log
-ROUTERS_PER_PROCESS = 50  # whose clients, relays and discovery servers one process runs
-START_LEAD_S = 0.2  # from the command until traffic starts, so that all processes have it
-LAST_RESPONSES_S = 0.3  # after the last deadline
-# STANDING: SIGKILL comes the longest deadline, counted as 3 s at most, and 0.7 s after SIGTERM.
+FAILURE_MARKERS = (" rule_violated ", "Traceback")  # A router's log line with one of these is a violation.
+ROUTERS_PER_PROCESS = 50  # Maximum routers per fake process for clients, peer relays and discovery servers.
+# Time from the RUN command to the start of traffic, so that every process has received it.
+START_LEAD_S = 0.2
+LAST_RESPONSES_S = 0.3  # Wait after the last deadline, in which the last responses arrive.
+# STANDING: SIGKILL follows SIGTERM after the longest deadline, counted as 3 s at most, plus 0.7 s.
 SIGKILL_AFTER_SIGTERM_S = min(3.0, CALL_DEADLINE_MS / 1000.0) + 0.7
 
 
 class ClusterRun:
-    """One run of one scenario."""
+    """A run of a scenario; owns all processes and reserved sockets of the run.
+
+    Args:
+        scenario: The scenario to run.
+        folder: An existing folder for the files of all processes.
+    """
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
-        self.scenario, self.folder = scenario, folder
+        self.scenario = scenario
+        self.folder = folder
         self.loop = asyncio.get_running_loop()
         self.start_time_s = self.loop.time()
         self.cpu_at_warm_up_s = 0.0
@@ -51,27 +59,31 @@
             scenario,
             client_processes,
             self.routers.ports,
-            [_port_of(each) for each in self.worker_sockets],
-            [InheritedSocket(each.fileno(), _port_of(each)) for each in self.relay_sockets],
-            [InheritedSocket(each.fileno(), _port_of(each)) for each in self.discovery_sockets],
-            [InheritedSocket(each.fileno(), _port_of(each)) for each in self.moved_discovery_sockets],
+            [_port_of(reserved) for reserved in self.worker_sockets],
+            [InheritedSocket(reserved.fileno(), _port_of(reserved)) for reserved in self.relay_sockets],
+            [InheritedSocket(reserved.fileno(), _port_of(reserved)) for reserved in self.discovery_sockets],
+            [
+                InheritedSocket(reserved.fileno(), _port_of(reserved))
+                for reserved in self.moved_discovery_sockets
+            ],
         )
         shared = [
-            each.descriptor
-            for each in (
+            reserved.descriptor
+            for reserved in (
                 *self.plan.peer_relays,
                 *self.plan.discovery_servers,
                 *self.plan.moved_discovery_servers,
             )
         ]
-        self.fake_processes = [  # the workers' first
+        self.fake_processes = [  # Process 0 runs the workers.
             FakeProcessHandle(folder, number, shared if number else [])
             for number in range(1 + client_processes)
         ]
 
     async def run(self) -> Result:
-        """Start all processes, let the timeline pass, end them and evaluate."""
-        scenario, numbers = self.scenario, range(self.scenario.router_count)
+        """Start all processes, wait until the timeline ends, stop all processes and return the evaluation."""
+        scenario = self.scenario
+        numbers = range(self.scenario.router_count)
         try:
             await self.start()
             await asyncio.sleep(scenario.settle_s)
@@ -92,52 +104,55 @@
         return result
 
     def _logged_failures(self) -> list[str]:
-        """What routers logged that must not be: violations that they counted themselves, and exceptions."""
+        """Return a violation for each line of a router's log that reports a broken rule or an exception."""
         return [
             f"log of router {number}: {line}"
             for number in range(self.scenario.router_count)
             for line in self.routers.read_log(number).splitlines()
-            if any(word in line for word in FAILURE_WORDS)
+            if any(marker in line for marker in FAILURE_MARKERS)
         ]
 
     async def start(self) -> None:
-        """Start all processes, until routers serve and clients are connected."""
+        """Start all processes; return when all routers accept connections and all clients are connected."""
         (self.folder / "plan").write_bytes(pickle.dumps(self.plan))
         await asyncio.gather(*(process.start() for process in self.fake_processes))
-        calm = EndpointListTimeline(replace(self.scenario, faults=()), self.plan.worker_ports)
+        faultless_timeline = EndpointListTimeline(replace(self.scenario, faults=()), self.plan.worker_ports)
         known_endpoints = [
             {"name": worker.name, "address": f"127.0.0.1:{worker.port}", "zone": "room-a", "type": "std"}
             | {"group": 0, "status": "ready", "weight": 1, "since_ms": 0}
-            for worker in calm.list_at(0.0, 0).workers
+            for worker in faultless_timeline.list_at(0.0, 0).workers
         ]
         peers = [f"127.0.0.1:{relay.port}" for relay in self.plan.peer_relays]
         every = range(self.scenario.router_count)
         for number in every:
-            peer_address = f"{router_host(number)}:{self.plan.peer_relays[number].port}"
-            discovery_port = self.plan.discovery_servers[number].port
-            self.routers.write_config(number, known_endpoints, discovery_port, peers, peer_address)
-            self.routers.files[number].moved_discovery_port = self.plan.moved_discovery_servers[number].port
+            addresses = RouterAddresses(
+                discovery_port=self.plan.discovery_servers[number].port,
+                moved_discovery_port=self.plan.moved_discovery_servers[number].port,
+                peer_address=f"{router_host(number)}:{self.plan.peer_relays[number].port}",
+                peers=peers,
+            )
+            self.routers.write_config(number, known_endpoints, addresses)
             self.routers.start(number)
-            if number == 0:  # it compiles the modules for all others
+            if number == 0:  # Router 0 compiles the modules for all routers.
                 await self.routers.wait_until_ready(number)
         await asyncio.gather(*map(self.routers.wait_until_ready, every))
         await self.command_all(Command.CONNECT, routers=list(every))
 
-    async def command_all(self, command: Command, **arguments: Any) -> None:
-        """Send a command to all processes of fakes."""
+    async def command_all(self, command: Command, **arguments: object) -> None:
+        """Send a command to all fake processes."""
         await asyncio.gather(*(process.send_command(command, **arguments) for process in self.fake_processes))
 
     async def end(self) -> dict[int, int]:
-        """End all processes; the exit codes of the routers."""
+        """Stop all processes, close the reserved sockets and return the exit codes by router number."""
         exit_codes = self.routers.stop_all()
         await asyncio.gather(*(process.kill() for process in self.fake_processes))
-        for each in (
+        for reserved in (
             *self.worker_sockets,
             *self.relay_sockets,
             *self.discovery_sockets,
             *self.moved_discovery_sockets,
         ):
-            each.close()
+            reserved.close()
         return exit_codes
 
     async def _wait_until(self, at_s: float) -> None:
@@ -150,7 +165,7 @@
     async def _run_fault(self, fault: Fault) -> None:
         if FAULT_SUBJECTS.get(fault.kind) is not SubjectKind.ROUTER:
             return
-        numbers = range(fault.subjects.first, fault.subjects.last + 1)
+        numbers = fault.subjects.numbers
         await self._wait_until(fault.start_s)
         for number in numbers:
             self.routers.begin_fault(fault, number)
@@ -174,7 +189,7 @@
         self.router_starts += [RouterStarted(at_ms, number) for number in numbers]
 
     async def _reconnect_clients(self, numbers: range) -> None:
-        """Connect the client of each router as soon as that serves again."""
+        """Connect the client of each router as soon as the router accepts connections again."""
 
         async def reconnect(number: int) -> None:
             await self.routers.wait_until_ready(number)
@@ -185,7 +200,7 @@
 
 
 def _bind_udp() -> socket.socket:
-    """A UDP port of loopback."""
+    """Return a UDP socket that is bound to a free port of loopback."""
     bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     bound.bind(("127.0.0.1", 0))
     return bound
--- a/cedarthread/testing/cluster/scenario_file.py
+++ b/cedarthread/testing/cluster/scenario_file.py
@@ -1,4 +1,4 @@
-"""Scenarios from TOML, checked. An error says where and what: ``fault 2: cut needs `to` ``."""
+"""Parser of scenario files (TOML). An error names the place and the mistake: ``fault 2: cut needs `to` ``."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     from collections.abc import Mapping
     from pathlib import Path
 
-FIELD_BY_KEY = {  # of the file
+FIELD_BY_KEY = {  # Fields of ``Scenario`` by key of the file.
     "name": "name",
     "seed": "seed",
     "routers": "router_count",
@@ -69,11 +69,15 @@
 
 
 class ScenarioError(CedarthreadError):
-    """A scenario that can't be run: where, and what is wrong."""
+    """An error of a scenario that cannot be run; the message names the place and the mistake."""
 
 
 def load_scenario(path: Path) -> Scenario:
-    """A scenario from its file; ``ScenarioError`` says what is wrong."""
+    """Return the scenario of a file.
+
+    Raises:
+        ScenarioError: The file is missing, malformed or describes no valid scenario.
+    """
     try:
         return parse_scenario(tomllib.loads(path.read_text()))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, ScenarioError) as error:
@@ -81,7 +85,11 @@
 
 
 def parse_scenario(document: Mapping[str, Any]) -> Scenario:
-    """A scenario from its parsed text."""
+    """Return the scenario of a parsed file.
+
+    Raises:
+        ScenarioError: The document describes no valid scenario.
+    """
     type_names = {field.name: str(field.type) for field in dataclasses.fields(Scenario)}
     values: dict[str, Any] = {}
     for key, value in document.items():
@@ -106,8 +114,8 @@
     return dataclasses.replace(scenario, faults=faults)
 
 
-def _check_value(key: str, value: Any, type_name: str) -> None:
-    is_bool = isinstance(value, bool)  # which Python takes for an int
+def _check_value(key: str, value: object, type_name: str) -> None:
+    is_bool = isinstance(value, bool)  # Checked apart, because bool is a subclass of int.
     if not isinstance(value, _TYPES[type_name]) or (is_bool and type_name != "bool"):
         raise ScenarioError(f"{key}: {value!r} is no {type_name}")
     if isinstance(value, (int, float)) and value < 0:
@@ -115,7 +123,7 @@
 
 
 def tenant_shares(scenario: Scenario) -> dict[str, float]:
-    """The tenants' shares of the calls."""
+    """Return each tenant's share of the calls by the tenant's name."""
     text = scenario.tenants
     try:
         pairs = map(str.split, filter(None, text.split(",")))
@@ -128,7 +136,7 @@
 
 
 def fleet_config_routers(scenario: Scenario) -> Subjects:
-    """The routers that have the operators' file."""
+    """Return the routers that have the fleet config."""
     return parse_subjects("declares", scenario.fleet_config_routers, scenario)
 
 
@@ -137,7 +145,8 @@
     if unknown:
         raise ScenarioError(f"{where}: no such key: {', '.join(sorted(unknown))}")
     kind = _parse_kind(where, fault.get("kind"))
-    start_s, end_s = fault.get("at", 0.0), fault.get("until", scenario.end_s)
+    start_s = fault.get("at", 0.0)
+    end_s = fault.get("until", scenario.end_s)
     if not all(isinstance(time, (int, float)) for time in (start_s, end_s)) or not 0 <= start_s < end_s:
         raise ScenarioError(f"{where}: at {start_s!r} and until {end_s!r} are no times in order")
     peers = parse_subjects(f"{where}: to", fault["to"], scenario) if "to" in fault else None
@@ -151,24 +160,27 @@
         raise ScenarioError(f"{where}: what {text!r} is none of {', '.join(DISK_FAULTS)}")
     if kind is FaultKind.FLEET_CONFIG and not _have_fleet_config(subjects, scenario):
         raise ScenarioError(f"{where}: {fault.get('who')} has no file of the operators to begin with")
-    amount, is_one_way = float(fault.get("figure", 0.0)), bool(fault.get("one_way"))
+    amount = float(fault.get("figure", 0.0))
+    is_one_way = bool(fault.get("one_way"))
     return Fault(kind, float(start_s), float(end_s), subjects, peers, amount, is_one_way, text)
 
 
-def _parse_kind(where: str, text: Any) -> FaultKind:
+def _parse_kind(where: str, text: object) -> FaultKind:
     known = (*NETWORK_FAULTS, *FAULT_SUBJECTS)
     if text not in known:
         raise ScenarioError(f"{where}: kind {text!r} is none of {', '.join(known)}")
-    return FaultKind(text)
+    return FaultKind(str(text))
 
 
 def _have_fleet_config(subjects: Subjects, scenario: Scenario) -> bool:
-    having = fleet_config_routers(scenario)
-    return bool(scenario.fleet_config) and having.first <= subjects.first <= subjects.last <= having.last
+    configured = fleet_config_routers(scenario)
+    return (
+        bool(scenario.fleet_config) and configured.first <= subjects.first <= subjects.last <= configured.last
+    )
 
 
-def parse_subjects(where: str, text: Any, scenario: Scenario) -> Subjects:
-    """A range of routers, workers, clients or discovery servers, as files name them."""
+def parse_subjects(where: str, text: object, scenario: Scenario) -> Subjects:
+    """Return a range of routers, workers, clients or discovery servers from its form in scenario files."""
     match = _SUBJECTS.match(text) if isinstance(text, str) else None
     if match is None:
         raise ScenarioError(f"{where}: {text!r} is not like router, runner:3 or client:0-11")
--- a/cedarthread/testing/cluster/scenarios/change_freeze.py
+++ b/cedarthread/testing/cluster/scenarios/change_freeze.py
@@ -1,7 +1,7 @@
-"""Change freeze: by the workers' records, no function is placed at a new worker while a window is in effect.
+"""Change freeze: no function is placed at a new worker while a window is in effect, by the workers' records.
 
-A window is in effect from its declaration plus the staleness bound B, or from its start if that is later, to
-its end; one that is revoked, to B after the revocation.
+A window is in effect from the later of its start and its declaration plus the staleness bound, until its end.
+A revoked window ends at the latest at the revocation plus the staleness bound.
 """
 
 from __future__ import annotations
@@ -23,28 +23,29 @@
     from cedarthread.testing.cluster.result import Result
 
 FLEET_CONFIG = "[sharing]\nperiod = 200\nclock-error = 100\n"
-# In the quick form. What may fail in 24 s: an eighth of the calls, to a hot function that may be placed at no
-# more workers, for 15.5 s (8%); what was placed on a quarter of the workers, for 2 s (2%); the calls of four
-# routers, for 7 s (5%).
+# Minimum share of the calls that are served. In the 24 s of the quick form these calls may fail: an eighth of
+# the calls for 15.5 s, because they are to a hot function that must not be placed at more workers (8%); the
+# calls to instances on a quarter of the workers, for 2 s (2%); the calls of four routers, for 7 s (5%).
 MIN_SERVED_FRACTION = 0.85
-RESTART_LISTING_MS = 500.0  # until a restart is listed and read: the design does not cover it
-MIN_VALUE_FRACTION = 0.98  # of the value per second of a day without a window
-VALUE_FROM_S, VALUE_TO_S = 18, 30  # in which that is compared
+RESTART_LISTING_MS = 500.0  # Time until routers know of a worker's restart; the design does not cover it.
+MIN_VALUE_FRACTION = 0.98  # Minimum share of the value per second of a run without a window.
+VALUE_FROM_S = 18  # Start of the time in which the value per second is compared.
+VALUE_TO_S = 30  # End of that time.
 RATE_WINDOWS_PER_S = 4
-UNWINDOWED_MS = (16_000.0, 28_000.0)  # the time that a table shows of a run without a window
+UNWINDOWED_MS = (16_000.0, 28_000.0)  # Time that the table shows as the window of a run without a window.
 
-FaultText = dict[str, object]  # as in a scenario file
+FaultText = dict[str, object]  # A fault, as in scenario files.
 
 
-def window_config(start_s: float, end_s: float, allowance: int = 3, more: str = "") -> str:
-    """A fleet config with one window; times from the start of traffic."""
+def window_config(start_s: float, end_s: float, allowance: int = 3, extra_text: str = "") -> str:
+    """Return a fleet config with one window; its times are s from the start of traffic."""
     times = f"start = @{start_s:g}\nend = @{end_s:g}\n"
     window = f'[[freeze]]\nid = "cycle"\n{times}allowance = {allowance}\n'
-    return FLEET_CONFIG + window + 'author = "desk"\nreason = "cycle closes"\n' + more
+    return FLEET_CONFIG + window + 'author = "desk"\nreason = "cycle closes"\n' + extra_text
 
 
 REVOCATION = '[[revoke]]\nfreeze = "cycle"\nauthor = "desk"\nreason = "closed early"\n'
-# Under which each function gets more home workers.
+# Settings with which each function has more home workers.
 LONGER_KEEP_ALIVE = '{"specifics": {"keep-alive": 30000, "order-limit": 10000}}'
 LOSSY_NETWORK: list[FaultText] = [
     {"kind": "loss", "who": "router", "to": "router", "figure": 0.2},
@@ -54,8 +55,9 @@
 
 
 def quick(seed: int, routers: int = 24) -> Iterator[Scenario]:
-    """One short run with several faults at once, for CI."""
-    last, half = routers - 1, routers // 2
+    """Return one short run with several faults at once, for CI."""
+    last = routers - 1
+    half = routers // 2
     faults: list[FaultText] = [
         *LOSSY_NETWORK,
         {"kind": "declare", "at": 7.0, "who": "router:1", "what": window_config(9.0, 28.0)},
@@ -72,7 +74,12 @@
         {"kind": "die", "at": 15.0, "until": 17.0, "who": "runner:0-2"},
         {"kind": "retune", "at": 15.5, "who": "router", "what": LONGER_KEEP_ALIVE},
         {"kind": "kill", "at": 16.0, "until": 17.0, "who": f"router:{half}-{half + 2}"},
-        {"kind": "declare", "at": 20.5, "who": "router:2", "what": window_config(9.0, 28.0, more=REVOCATION)},
+        {
+            "kind": "declare",
+            "at": 20.5,
+            "who": "router:2",
+            "what": window_config(9.0, 28.0, extra_text=REVOCATION),
+        },
     ]
     yield parse_scenario(
         {
@@ -88,7 +95,7 @@
 
 
 def full(seed: int, routers: int = 200) -> Iterator[Scenario]:
-    """A calm day with and without a window, then each hard case by itself, with whole fleets."""
+    """Return a calm run without and one with a window, then each hard case by itself, with whole fleets."""
     base: dict[str, object] = {
         "seed": seed,
         "settle": 12.0,
@@ -99,14 +106,21 @@
     }
     base |= {"warm_up": 6.0, "seconds": 30.0, "store_at_once": 40, "store_most": 300}
     base |= {"fleet": FLEET_CONFIG, "declares": "router"}
-    last, half = routers - 1, routers // 2
+    for name, faults in _cases(routers).items():
+        yield parse_scenario(base | {"name": name, "fault": faults})
+
+
+def _cases(routers: int) -> dict[str, list[FaultText]]:
+    """Return the faults of each run of the full form by the run's name."""
+    last = routers - 1
+    half = routers // 2
     declaration: FaultText = {
         "kind": "declare",
         "at": 10.0,
         "who": "router:1",
         "what": window_config(12.0, 32.0, 6),
     }
-    cases: dict[str, list[FaultText]] = {
+    return {
         "calm, no window": [],
         "calm": [declaration],
         "runners die, back empty": [
@@ -134,13 +148,11 @@
         ],
         "retuned": [declaration, {"kind": "retune", "at": 18.0, "who": "router", "what": LONGER_KEEP_ALIVE}],
     }
-    for name, faults in cases.items():
-        yield parse_scenario(base | {"name": name, "fault": faults})
 
 
 @dataclass(frozen=True, slots=True)
 class EffectiveWindow:
-    """When a window is in effect, from the start of traffic, and the changes that it allows."""
+    """The time in which a window is in effect, ms from the start of traffic, and its exception budget."""
 
     start_ms: float
     end_ms: float
@@ -148,7 +160,7 @@
 
 
 def staleness_bound_ms(scenario: Scenario) -> float:
-    """B, by the formula of the replicated store."""
+    """Return the staleness bound of a scenario by the formula of the replicated store."""
     sharing = _parse_fleet_config(scenario.fleet_config).sharing
     store = ReplicatedStore(
         *(0, scenario.router_count, 1, 1),
@@ -164,11 +176,13 @@
 
 
 def effective_window(scenario: Scenario) -> EffectiveWindow | None:
-    """The window of a run, from when to when it must hold at all; None where none was declared."""
-    bound_ms, window = staleness_bound_ms(scenario), None
+    """Return the window of a run with the time in which it must be in effect; None if none was declared."""
+    bound_ms = staleness_bound_ms(scenario)
+    window = None
     declarations = [fault for fault in scenario.faults if fault.kind is FaultKind.FLEET_CONFIG]
     for declaration in sorted(declarations, key=lambda fault: fault.start_s):
-        config, declared_at_ms = _parse_fleet_config(declaration.text), 1000.0 * declaration.start_s
+        config = _parse_fleet_config(declaration.text)
+        declared_at_ms = 1000.0 * declaration.start_s
         for freeze in config.freeze:
             start_ms, end_ms = (1000.0 * time.timestamp() for time in (freeze.start, freeze.end))
             if window is None:
@@ -186,58 +200,63 @@
 
 
 def placement_changes_ms(scenario: Scenario, placements: Sequence[Placement]) -> list[float]:
-    """When functions were placed at workers where they had not been since the worker's last start.
+    """Return the times of each function's first placement at a worker since the worker's last start.
 
-    But for those that were there before a restart that the routers may not have heard of yet.
+    A function that was there before a restart does not count while routers may not know of the restart yet.
     """
     restarts = [
         _Restart(1000.0 * fault.end_s, fault.subjects)
         for fault in scenario.faults
         if fault.kind is FaultKind.CRASH_WORKER
     ]
-    known: set[tuple[int, int, int]] = set()  # function, worker, and how often that had been restarted
+    # Function, worker, incarnation of the worker (the number of its restarts).
+    known: set[tuple[int, int, int]] = set()
     changes_ms = []
-    for at, function, worker in sorted(placements):
+    for at_ms, function, worker in sorted(placements):
         restarted_at_ms = sorted(
             restart.at_ms
             for restart in restarts
-            if restart.at_ms <= at and restart.workers.includes(SubjectKind.WORKER, worker)
+            if restart.at_ms <= at_ms and restart.workers.includes(SubjectKind.WORKER, worker)
         )
         incarnation = len(restarted_at_ms)
         if (function, worker, incarnation) in known:
             continue
         known.add((function, worker, incarnation))
-        is_restart_news = bool(restarted_at_ms) and at - restarted_at_ms[-1] < RESTART_LISTING_MS
-        if not (is_restart_news and (function, worker, incarnation - 1) in known):
-            changes_ms.append(at)
+        is_restart_recent = bool(restarted_at_ms) and at_ms - restarted_at_ms[-1] < RESTART_LISTING_MS
+        if not (is_restart_recent and (function, worker, incarnation - 1) in known):
+            changes_ms.append(at_ms)
     return changes_ms
 
 
 class WindowChanges(NamedTuple):
-    """Placement changes while a window was in effect."""
+    """Numbers of placement changes: made while a window was in effect, and allowed by the window."""
 
     made: int
     allowed: int
 
 
 def changes_in_window(scenario: Scenario, placements: Sequence[Placement]) -> WindowChanges:
-    """How many changes were made in the window, and how many it allowed."""
+    """Return the number of changes that were made in the window, and the number that the window allowed."""
     window = effective_window(scenario)
     if window is None:
         return WindowChanges(0, 0)
     changes_ms = placement_changes_ms(scenario, placements)
-    return WindowChanges(sum(window.start_ms <= at < window.end_ms for at in changes_ms), window.allowance)
+    return WindowChanges(
+        sum(window.start_ms <= at_ms < window.end_ms for at_ms in changes_ms), window.allowance
+    )
 
 
 def _value_rate(result: Result) -> float:
-    """The mean value served per second, in the time that is compared."""
-    first, last = RATE_WINDOWS_PER_S * VALUE_FROM_S, RATE_WINDOWS_PER_S * VALUE_TO_S
+    """Return the mean value served per second in the time that is compared."""
+    first = RATE_WINDOWS_PER_S * VALUE_FROM_S
+    last = RATE_WINDOWS_PER_S * VALUE_TO_S
     return fmean(result.value_rates[first:last] or [0.0])
 
 
 def failings(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
-    """What a run shows that must not be."""
-    failings, changes = list(result.violations), changes_in_window(result.scenario, result.placements)
+    """Return the failed checks of a run."""
+    failings = list(result.violations)
+    changes = changes_in_window(result.scenario, result.placements)
     if result.is_void:
         failings.append(f"void: the rig itself was {result.lag_ms:.0f} ms late")
     if changes.made > changes.allowed:
@@ -245,14 +264,15 @@
     if result.served_fraction < MIN_SERVED_FRACTION:
         failings.append(f"{result.served_fraction:.3f} of the calls served")
     if result.scenario_name == "calm" and earlier:
-        rate, unwindowed_rate = _value_rate(result), _value_rate(earlier[0])
+        rate = _value_rate(result)
+        unwindowed_rate = _value_rate(earlier[0])
         if rate < MIN_VALUE_FRACTION * unwindowed_rate:
             failings.append(f"worth {rate:.0f} a second, {unwindowed_rate:.0f} without a window")
     return failings
 
 
 def row(result: Result) -> str:
-    """A run as a line of a Markdown table."""
+    """Return the line of a run in the Markdown table."""
     window = effective_window(result.scenario)
     changes_ms = placement_changes_ms(result.scenario, result.placements)
     start_ms, end_ms = (window.start_ms, window.end_ms) if window else UNWINDOWED_MS
@@ -262,10 +282,10 @@
         f"{_value_rate(result):.0f}",
         f"{staleness_bound_ms(result.scenario) / 1000.0:.1f}",
         f"{start_ms / 1000.0:.1f}-{end_ms / 1000.0:.1f}",
-        str(sum(at < start_ms for at in changes_ms)),
-        str(sum(start_ms <= at < end_ms for at in changes_ms)),
+        str(sum(at_ms < start_ms for at_ms in changes_ms)),
+        str(sum(start_ms <= at_ms < end_ms for at_ms in changes_ms)),
         str(window.allowance) if window else "any",
-        str(sum(at >= end_ms for at in changes_ms)),
+        str(sum(at_ms >= end_ms for at_ms in changes_ms)),
         str(len(result.violations)),
         f"{result.cpu_ms_per_call:.2f}",
         f"{result.lag_ms:.0f}",
