--- a/tests/contracts/test_fronts.py
+++ b/tests/contracts/test_fronts.py
@@ -27,8 +27,8 @@
     service,
 )
 from cedarthread.testing.fakes.settings import SETTINGS
-from tests.integration import test_invoke
-from tests.integration.test_invoke import DESK, PATH, Authority, Caller, config
+from tests.integration import invoke_caller
+from tests.integration.invoke_caller import DESK_ID, FUNCTION_PATH, Authority, Caller, read_invoke_config
 from tests.unit.simulator.test_codec import at, frame, start, table
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
 
 
 LAYOUTS = {71: "<IId", 68: "<Id", 77: "<I", 79: "<IH", 66: "<I", 74: "<B", 67: "<dI", 72: "<I", 73: "<"}
-authority = test_invoke.authority
+authority = invoke_caller.authority
 
 
 class RouterHarness:
@@ -152,7 +152,7 @@
         self.runners = [ScriptedWorker(self._behave) for _ in range(2)]
         for runner in self.runners:
             runner.message_received = self.came
-        answers_to = service(*self.runners, invoke=config(authority))
+        answers_to = service(*self.runners, invoke=read_invoke_config(authority))
         self.running = await stack.enter_async_context(answers_to)
 
     def _behave(self, runner: ScriptedWorker, message: dict[str, Any]) -> dict[str, Any] | None:
@@ -214,13 +214,13 @@
 
     async def open(self, stack: AsyncExitStack, authority: Authority) -> None:
         await super().open(stack, authority)
-        self.context = authority.caller(DESK)
+        self.context = authority.caller(DESK_ID)
         self.tasks: dict[int, asyncio.Task[None]] = {}
         stack.callback(lambda: [task.cancel() for task in self.tasks.values()])
 
     async def _converse(self, number: int, class_name: str, limit: int) -> None:
         async with Caller(self.running, self.context) as caller:
-            caller.send("POST", PATH + class_name, str(number).encode(), Call_Timeout_Ms=str(limit))
+            caller.send("POST", FUNCTION_PATH + class_name, str(number).encode(), Call_Timeout_Ms=str(limit))
             while True:
                 status, _, body = await caller.read()
                 said = json.loads(body) if status != 200 else {}
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -104,7 +104,7 @@
 from tests.golden_log_lines import old_sentence
 from tests.helpers import settings as some_settings
 from tests.helpers import worker
-from tests.integration.test_invoke import DESK, Authority, Caller, config
+from tests.integration.invoke_caller import DESK_ID, Authority, Caller, read_invoke_config
 
 if TYPE_CHECKING:
     from cedarthread.persistence.store import LoadResult, SyncMode
@@ -1094,8 +1094,8 @@
         ("nothing there", "GET", "/", {}),
         ("expectation", "GET", "/v1/ready", {"Expect": "other"}),
     )
-    async with service(ScriptedWorker(), invoke=config(made)) as running:
-        async with Caller(running, made.caller(DESK)) as desk:
+    async with service(ScriptedWorker(), invoke=read_invoke_config(made)) as running:
+        async with Caller(running, made.caller(DESK_ID)) as desk:
             for name, method, target, fields in asked:
                 desk.send(method, target or collected, b"body", **fields)
                 reply: bytes = await _response(desk.reader)
@@ -1105,7 +1105,7 @@
         async with Caller(running, made.caller("spiffe://gaz.example/other")) as other:
             other.send("GET", "/v1/ready")
             samples.append(Sample("invoke not let in", await _response(other.reader)))
-        async with Caller(running, made.caller(DESK)) as desk:
+        async with Caller(running, made.caller(DESK_ID)) as desk:
             if running.invoke is not None:
                 running.invoke.is_ready = False
             desk.send("GET", "/v1/ready")
