--- a/tests/unit/protocols/test_parsers.py
+++ b/tests/unit/protocols/test_parsers.py
@@ -17,30 +17,13 @@
 from cedarthread.transport.connection import BufferedConnection
 from cedarthread.transport.flusher import Flusher
 from cedarthread.transport.read_buffer import ReadBuffer
+from tests.unit.protocols.dns_replies import NAME_ERROR_FLAGS, TRUNCATED_FLAGS, discovery_reply
 
 fixed = settings(derandomize=True, deadline=None, max_examples=60)
 CALLS = [pack_call(n, "check", bytes(range(256)) * n, props="lanes:2") for n in range(1, 40)]
 POST = b"POST /v1/functions/7f3a9c21e0b4d655/check HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
 
 
-def name(text: str) -> bytes:
-    return b"".join(bytes((len(label),)) + label.encode() for label in text.split(".")) + b"\0"
-
-
-def record(owner: bytes, kind: int, data: bytes) -> bytes:
-    return owner + struct.pack(">HHIH", kind, 1, 5, len(data)) + data
-
-
-def reply(flags: int = 0x8400, serial: int = 9) -> bytes:
-    question = name("_back._tcp.pool.lan") + struct.pack(">2H", dns.TYPE_SRV, 1)
-    host = name("s-00c41f7a.east.hosts")
-    service = record(b"\xc0\x0c", dns.TYPE_SRV, struct.pack(">3H", 1, 40, 5050) + host)
-    soa = record(b"\xc0\x0c", dns.TYPE_SOA, b"\0\0" + struct.pack(">5I", serial, 1, 1, 1, 1))
-    txt_record = record(host, dns.TYPE_TXT, b"\x08kind=std\x06cell=2\x0bstarted=120")
-    rest = soa + record(host, dns.TYPE_A, bytes((10, 1, 0, 9))) + txt_record
-    return struct.pack(">6H", 7, flags, 1, 1, 1, 2) + question + service + rest
-
-
 class MessageCollector(BufferedConnection):
     """Takes MessagePack values or lines out of a stream."""
 
@@ -122,7 +105,7 @@
 
 
 def test_a_discovery_reply_is_parsed() -> None:
-    parsed = dns.parse(reply())
+    parsed = dns.parse(discovery_reply())
     assert isinstance(parsed, dns.Reply) and (parsed.query_id, parsed.serial) == (7, 9)
     endpoints = endpoints_from_reply(parsed)
     assert isinstance(endpoints, list) and len(endpoints) == 1
@@ -141,8 +124,8 @@
 
 def test_a_truncated_reply_and_an_error_are_unusable() -> None:
     """Else what they lack would pass for gone."""
-    assert isinstance(dns.parse(reply(0x8600)), dns.UnusableReply)
-    assert isinstance(dns.parse(reply(0x8403)), dns.UnusableReply)
+    assert isinstance(dns.parse(discovery_reply(TRUNCATED_FLAGS)), dns.UnusableReply)
+    assert isinstance(dns.parse(discovery_reply(NAME_ERROR_FLAGS)), dns.UnusableReply)
 
 
 def test_a_compression_loop_ends() -> None:
@@ -151,9 +134,9 @@
 
 
 @fixed
-@given(st.integers(0, len(reply())), st.binary(max_size=120))
+@given(st.integers(0, len(discovery_reply())), st.binary(max_size=120))
 def test_dns_parses_garbage_to_a_value(at: int, garbage: bytes) -> None:
-    parsed = dns.parse(reply()[:at] + garbage)
+    parsed = dns.parse(discovery_reply()[:at] + garbage)
     assert isinstance(parsed, dns.UnusableReply) or endpoints_from_reply(parsed) is not None
 
 
