--- a/tests/integration/test_worker_connections.py
+++ b/tests/integration/test_worker_connections.py
@@ -1,4 +1,4 @@
-"""The progress of attempts by the bytes that a worker's socket accepts, and the outcomes that follow from it."""
+"""The progress of attempts by the bytes that a worker's socket accepts, and their outcomes on failure."""
 
 from __future__ import annotations
 
