--- a/tests/unit/simulator/test_codec.py
+++ b/tests/unit/simulator/test_codec.py
@@ -41,50 +41,23 @@
 from cedarthread.simulator.decoder import Decoder, HostEvent, InstanceKilled
 from cedarthread.simulator.encoder import encode_action, encode_reply
 from cedarthread.simulator.host import SimulatorHost, main
-
-INFO = {
-    "balancers": 3,
-    "classes": [
-        {"name": "x", "goal-time": 500.0, "deadline": 2000.0, "effect": "retryable", "value": 2.0},
-        {"name": "y", "goal-time": 500.0, "deadline": 2000.0, "effect": "dedup", "group": "zone"},
-    ],
-    "limits": {"send-cap": 3, "most-held": 100, "cancel": True},
-    "obligations": {"cold-from": 0.2, "warm-after": 9000.0, "fall": 1000.0, "overload-factor": 2.0},
-    "a-key-of-tomorrow": 1,
-}
-
-
-def frame(*records: bytes, now_ms: float = 250.0) -> bytes:
-    body = b"".join(records)
-    return struct.pack("<IdI", 16 + len(body), now_ms, len(records)) + body
-
-
-def at(who: int) -> bytes:
-    return struct.pack("<BI", 13, who)
-
-
-def start(info: object = INFO) -> bytes:
-    text = json.dumps(info).encode()
-    return struct.pack("<BQI", 1, 99, len(text)) + text
-
-
-def table(number: int, *hosts: int, state: int = 2) -> bytes:
-    entries = b"".join(struct.pack("<IBHHBfd", h, 0, 0, 0, state, 1.0, 0.0) for h in hosts)
-    return struct.pack("<BII", 12, number, len(hosts)) + entries
-
-
-def update(number: int, scope: int = 1) -> bytes:
-    return struct.pack("<BBQI", 2, scope, 1, number)
-
-
-def arrival(request_id: int, deadline_ms: float = 2250.0) -> bytes:
-    return struct.pack("<BIfdQHffdHH", 3, request_id, 2.0, deadline_ms, 77, 0, 384.0, 900.0, 12.0, 0, 1)
+from tests.unit.simulator.frames import (
+    SIMULATOR_INFO,
+    endpoint_entry,
+    endpoint_table,
+    endpoint_update,
+    frame,
+    instance_started,
+    request_arrived,
+    select_instance,
+)
 
 
-def one(record: bytes) -> HostEvent:
-    _, events = Decoder().decode_batch(frame(at(5), record))
-    ((who, event),) = list(events)
-    assert who == 5
+def decode_event(record: bytes) -> HostEvent:
+    """Decode a frame with this record alone, and return its event."""
+    _, events = Decoder().decode_batch(frame(select_instance(5), record))
+    ((instance_id, event),) = list(events)
+    assert instance_id == 5
     return event
 
 
@@ -97,14 +70,14 @@
 
 
 def test_request_arrived_layout() -> None:
-    event = one(arrival(9))
+    event = decode_event(request_arrived(9))
     assert event == RequestArrived(9, 77, 0, 2250.0, None, 2.0, 384.0, 900.0, 12.0, False, False)
-    assert len(arrival(9)) == 47
+    assert len(request_arrived(9)) == 47
 
 
 def test_absent_and_odd_numbers_count_as_absent() -> None:
     raw = struct.pack("<BIfdQHffdHH", 3, 9, float("nan"), 1.0, 77, 0, -1.0, float("inf"), 12.0, 3, 0xFFF2)
-    event = one(raw)
+    event = decode_event(raw)
     assert isinstance(event, RequestArrived)
     assert (event.concurrency, event.memory, event.load_time_ms, event.work) == (None, None, None, None)
     assert event.is_client_retry
@@ -114,7 +87,7 @@
 
 def test_attempt_ended_layout_with_start_kind_concurrency_and_load_report() -> None:
     raw = struct.pack("<BIIdIHHBB", 5, 9, 4, 26.0, 8 * 6 + 3, 1, 200, 1, 2) + struct.pack("<2f", 0.5, -1.0)
-    event = one(raw)
+    event = decode_event(raw)
     assert event == AttemptEnded(9, 1, 4, Outcome.OK, 26.0, True, StartKind.PENDING, 6, (0.5, None))
 
 
@@ -132,7 +105,7 @@
     ],
 )
 def test_event_layouts(raw: bytes, event: HostEvent) -> None:
-    assert one(raw) == event
+    assert decode_event(raw) == event
 
 
 @pytest.mark.parametrize(
@@ -161,28 +134,53 @@
 
 def test_table_numbers_resolve_in_event_order() -> None:
     decoder = Decoder()
-    _, events = decoder.decode_batch(frame(at(1), table(0, 4), update(0), table(0, 5, 6), update(0, 3)))
-    lists = [e for _, e in events]
-    assert [[w.worker_id for w in e.endpoints] for e in lists if isinstance(e, EndpointUpdate)] == [
-        [4],
-        [5, 6],
-    ]
+    _, events = decoder.decode_batch(
+        frame(
+            select_instance(1),
+            endpoint_table(0, endpoint_entry(4)),
+            endpoint_update(0),
+            endpoint_table(0, endpoint_entry(5), endpoint_entry(6)),
+            endpoint_update(0, 3),
+        )
+    )
+    updates = [event for _, event in events if isinstance(event, EndpointUpdate)]
+    listed_ids = [[endpoint.worker_id for endpoint in update.endpoints] for update in updates]
+    assert listed_ids == [[4], [5, 6]]
 
 
 def test_settings_and_unknown_keys() -> None:
-    got = parse_settings(json.dumps(INFO).encode())
-    assert [c.idempotency for c in got.classes] == [Idempotency.IDEMPOTENT, Idempotency.WITH_KEY]
-    assert got.classes[1].deduplication_scope is DeduplicationScope.ZONE
-    assert got.rules.collapse_window_ms == 1000.0
-    assert got.limits.max_attempts == 3
+    settings = parse_settings(json.dumps(SIMULATOR_INFO).encode())
+    assert [request_class.idempotency for request_class in settings.classes] == [
+        Idempotency.IDEMPOTENT,
+        Idempotency.WITH_KEY,
+    ]
+    assert settings.classes[1].deduplication_scope is DeduplicationScope.ZONE
+    assert settings.rules.collapse_window_ms == 1000.0
+    assert settings.limits.max_attempts == 3
 
 
 def test_host_serves_a_request_and_restarts_without_state() -> None:
     host = SimulatorHost()
-    reply = host.handle_frame(frame(at(3), start(), table(0, 4), update(0), arrival(9)))
+    reply = host.handle_frame(
+        frame(
+            select_instance(3),
+            instance_started(),
+            endpoint_table(0, endpoint_entry(4)),
+            endpoint_update(0),
+            request_arrived(9),
+        )
+    )
     assert struct.pack("<BI", 72, 3) in reply
     assert struct.pack("<BII", 71, 9, 4) in reply
-    host.handle_frame(frame(at(3), struct.pack("<B", 10), start(), table(0), update(0)))
+    host.handle_frame(
+        frame(
+            select_instance(3),
+            struct.pack("<B", 10),
+            instance_started(),
+            endpoint_table(0),
+            endpoint_update(0),
+        )
+    )
     assert host.nodes[3].router.pending_requests == {}
     assert host.nodes[3].router.workers == {}
 
@@ -191,11 +189,11 @@
     "raw",
     [
         b"\x05\x00",
-        frame(at(3), b"\xee"),
-        frame(at(3), arrival(9)[:-3]),
-        frame(arrival(9)),
-        frame(at(3), start({"classes": 3})),
-        frame(at(3), update(7)),
+        frame(select_instance(3), b"\xee"),
+        frame(select_instance(3), request_arrived(9)[:-3]),
+        frame(request_arrived(9)),
+        frame(select_instance(3), instance_started({"classes": 3})),
+        frame(select_instance(3), endpoint_update(7)),
         struct.pack("<IdI", 15, 0.0, 0),
         frame() + b"\x40",
     ],
@@ -204,14 +202,22 @@
     raw: bytes, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(io.BytesIO(raw), io.BytesIO()) != 0
-    err = capsys.readouterr().err
-    assert err.startswith("cedarthread: bad input: ")
-    assert err.count("\n") == 1
+    stderr = capsys.readouterr().err
+    assert stderr.startswith("cedarthread: bad input: ")
+    assert stderr.count("\n") == 1
 
 
 def test_an_exception_of_the_decision_code_is_reported() -> None:
     host = SimulatorHost()
-    bad = struct.pack("<BIfdQHffdHH", 3, 9, 2.0, 2250.0, 77, 12, 1.0, 1.0, 1.0, 0, 0)
-    reply = host.handle_frame(frame(at(3), start(), table(0, 4), update(0), bad))
+    unknown_class = struct.pack("<BIfdQHffdHH", 3, 9, 2.0, 2250.0, 77, 12, 1.0, 1.0, 1.0, 0, 0)
+    reply = host.handle_frame(
+        frame(
+            select_instance(3),
+            instance_started(),
+            endpoint_table(0, endpoint_entry(4)),
+            endpoint_update(0),
+            unknown_class,
+        )
+    )
     assert reply[9] == 69
     assert b"IndexError" in reply
