--- a/tests/contracts/test_paths.py
+++ b/tests/contracts/test_paths.py
@@ -1,7 +1,4 @@
-"""The contract of a path between routers (``fakes/peer_transport.py``), held by each one in ``PATHS``.
-
-Each world has the ends 0 to 2, a stranger that knows them, and a way to let all that was sent arrive.
-"""
+"""The contract of a path between routers (``fakes/peer_transport.py``), for each path in ``PATHS``."""
 
 from __future__ import annotations
 
@@ -23,67 +20,94 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
 
-MARK = b"all before this has been heard"
-ReceivedDatagrams = list[tuple[int, bytes]]
+ROUTER_COUNT = 3
+MARKER = b"all before this has been heard"
+MARKER_SENDER = 3
+MAX_DATAGRAM_BYTES = 256
+ReceivedDatagrams = list[tuple[int, bytes]]  # with the number of the sender
 
 
 class MemoryWorld:
-    """In memory, over the cluster harness's network with these faults, or with none."""
+    """The paths of three routers over the cluster's simulated network.
+
+    Attributes:
+        ends: The ends of the routers 0 to 2.
+        outsiders: Ends that can send to the routers; the first is unknown to them.
+        received: What each end received, by its number.
+    """
 
-    def __init__(self, *kinds: str) -> None:
+    def __init__(self, *fault_kinds: str) -> None:
         self.received: list[ReceivedDatagrams] = [[] for _ in range(5)]
-        faults = [{"kind": kind, "who": "router", "to": "router", "figure": 0.3} for kind in kinds]
-        network = Network(parse_scenario({"fault": faults}).faults, 7)
+        faults = [{"kind": kind, "who": "router", "to": "router", "figure": 0.3} for kind in fault_kinds]
+        cluster_network = Network(parse_scenario({"fault": faults}).faults, 7)
         router = partial(Subject, SubjectKind.ROUTER)
-        self.air = MemoryNetwork(
-            3,
-            lambda now_ms, sender, receiver: network.datagram_delays_ms(
+        self.network = MemoryNetwork(
+            ROUTER_COUNT,
+            lambda now_ms, sender, receiver: cluster_network.datagram_delays_ms(
                 now_ms, router(sender), router(receiver)
             ),
         )
 
     async def start(self) -> None:
-        self.ends: list[PeerPath] = [MemoryPath(self.air, n, partial(self.on_datagram, n)) for n in range(4)]
-        self.outsiders = [self.ends.pop()]  # the stranger first
+        self.ends: list[PeerPath] = [
+            MemoryPath(self.network, number, partial(self.on_datagram, number))
+            for number in range(ROUTER_COUNT + 1)
+        ]
+        self.outsiders = [self.ends.pop()]
 
-    def on_datagram(self, number: int, sender: int, data: bytes) -> None:
-        self.received[number].append((sender, data))
+    def on_datagram(self, receiver: int, sender: int, data: bytes) -> None:
+        self.received[receiver].append((sender, data))
 
     async def deliver_all(self) -> None:
-        self.air.deliver_all()
+        """Let every datagram that was sent arrive."""
+        self.network.deliver_all()
 
 
 class UdpWorld(MemoryWorld):
-    """Real datagrams on loopback, which keeps the order at one socket: a mark tells that all has come."""
+    """The paths of three routers over UDP on loopback.
+
+    Loopback keeps the order of datagrams to one socket, so a marker arrives after all that was sent before.
+    The routers know the end 3, which sends the markers; they do not know the end 4.
+    """
 
     async def start(self) -> None:
-        sockets = [socket.socket(type=socket.SOCK_DGRAM) for _ in range(5)]
-        for each in sockets:
+        self.sockets = [socket.socket(type=socket.SOCK_DGRAM) for _ in range(5)]
+        for each in self.sockets:
             each.bind(("127.0.0.1", 0))
-        at = tuple(each.getsockname() for each in sockets)
-        every = [
-            PeerTransport(PeerAddresses(at[n], at[:4], None), partial(self.on_datagram, n)) for n in range(5)
+        addresses = tuple(each.getsockname() for each in self.sockets)
+        transports = [
+            PeerTransport(
+                PeerAddresses(addresses[number], addresses[:4], None), partial(self.on_datagram, number)
+            )
+            for number in range(5)
         ]
-        for end, each in zip(every, sockets, strict=True):
-            await asyncio.get_running_loop().create_datagram_endpoint(partial(lambda e: e, end), sock=each)
-        self.ends, self.outsiders = [*every[:3]], [every[4], every[3]]
-        self.sockets, self.came = sockets, asyncio.Event()
+        loop = asyncio.get_running_loop()
+        for transport, each in zip(transports, self.sockets, strict=True):
+            await loop.create_datagram_endpoint(partial(_identity, transport), sock=each)
+        self.ends = [*transports[:ROUTER_COUNT]]
+        self.outsiders = [transports[4], transports[MARKER_SENDER]]
+        self.has_received = asyncio.Event()
 
-    def on_datagram(self, number: int, sender: int, data: bytes) -> None:
-        super().on_datagram(number, sender, data)
-        self.came.set()
+    def on_datagram(self, receiver: int, sender: int, data: bytes) -> None:
+        super().on_datagram(receiver, sender, data)
+        self.has_received.set()
 
     async def deliver_all(self) -> None:
-        await asyncio.sleep(0)  # a socket closes in the loop's next iteration
-        alive = [n for n in range(3) if self.sockets[n].fileno() >= 0]
-        for number in alive:
-            self.outsiders[1].send(MARK, number)
+        await asyncio.sleep(0)  # a socket closes in the next iteration of the event loop
+        open_ends = [number for number in range(ROUTER_COUNT) if self.sockets[number].fileno() >= 0]
+        marker = (MARKER_SENDER, MARKER)
+        for number in open_ends:
+            self.outsiders[1].send(MARKER, number)
         async with asyncio.timeout(10):
-            while not all((3, MARK) in self.received[number] for number in alive):
-                self.came.clear()
-                await self.came.wait()
-        for number in alive:
-            self.received[number].remove((3, MARK))
+            while not all(marker in self.received[number] for number in open_ends):
+                self.has_received.clear()
+                await self.has_received.wait()
+        for number in open_ends:
+            self.received[number].remove(marker)
+
+
+def _identity(transport: PeerTransport) -> PeerTransport:
+    return transport
 
 
 @dataclass(frozen=True)
@@ -91,30 +115,33 @@
     """A path and its properties."""
 
     make: Callable[[], MemoryWorld]
-    times: int = 1  # that a datagram arrives at most
-    ordered: bool = False
-    sure: bool = True  # nothing is lost here, so that silence is a fault of the path
+    max_arrivals: int = 1  # of one datagram
+    is_ordered: bool = False
+    is_reliable: bool = True  # in these tests no datagram is lost, so a missing one is a fault of the path
 
 
 PATHS = {
-    "memory": PathKind(MemoryWorld, ordered=True),
+    "memory": PathKind(MemoryWorld, is_ordered=True),
     "udp": PathKind(UdpWorld),
-    "faults": PathKind(partial(MemoryWorld, "loss", "reorder"), sure=False),
-    "faults, doubled": PathKind(partial(MemoryWorld, "loss", "double", "reorder"), times=2, sure=False),
+    "faults": PathKind(partial(MemoryWorld, "loss", "reorder"), is_reliable=False),
+    "faults, doubled": PathKind(
+        partial(MemoryWorld, "loss", "double", "reorder"), max_arrivals=2, is_reliable=False
+    ),
 }
 
 
 def check_datagrams(kind: PathKind, sent: ReceivedDatagrams, received: ReceivedDatagrams) -> None:
-    """Rules 1 to 3, from a book of what was sent to one end; each datagram there is another."""
-    counts = Counter(received)
-    assert set(counts) <= set(sent)
-    assert not kind.sure or set(counts) == set(sent)
-    assert max(counts.values()) == kind.times, "so often at most, and so often it did come"
-    assert not kind.ordered or received == sent
+    """Check rules 1 to 3 at one end, to which each datagram was sent once and no two are equal."""
+    arrivals = Counter(received)
+    assert set(arrivals) <= set(sent)
+    assert not kind.is_reliable or set(arrivals) == set(sent)
+    assert max(arrivals.values()) == kind.max_arrivals, "the limit is kept, and it is reached"
+    assert not kind.is_ordered or received == sent
 
 
-async def whole(kind: PathKind, world: MemoryWorld) -> None:
-    sent = [(n % 2, bytes((n,)) * (1 + n % 16 * 17)) for n in range(60)]  # up to 256 bytes
+async def datagrams_arrive_complete_with_their_sender(kind: PathKind, world: MemoryWorld) -> None:
+    # The lengths are up to 256 bytes.
+    sent = [(number % 2, bytes((number,)) * (1 + number % 16 * 17)) for number in range(60)]
     for sender, data in sent:
         world.ends[sender].send(data, 2)
     await world.deliver_all()
@@ -123,8 +150,8 @@
     assert not any(end.unsent_count + end.unknown_sender_count for end in world.ends)
 
 
-async def to_all(kind: PathKind, world: MemoryWorld) -> None:
-    sent = [(1, bytes((n,))) for n in range(30)]
+async def a_datagram_to_all_arrives_at_each_other_router(kind: PathKind, world: MemoryWorld) -> None:
+    sent = [(1, bytes((number,))) for number in range(30)]
     for _, data in sent:
         world.ends[1].send(data, None)
     await world.deliver_all()
@@ -132,36 +159,46 @@
     check_datagrams(kind, sent, world.received[2])
 
 
-async def unheard(kind: PathKind, world: MemoryWorld) -> None:
-    for data, peer in ((b"x" * 257, 1), (b"x" * 257, None), (b"x", 43), (b"x", -1)) * 10:
+async def invalid_datagrams_and_unknown_senders_are_counted(kind: PathKind, world: MemoryWorld) -> None:
+    too_long = b"x" * (MAX_DATAGRAM_BYTES + 1)
+    for data, peer in ((too_long, 1), (too_long, None), (b"x", 43), (b"x", -1)) * 10:
         world.ends[0].send(data, peer)
         world.outsiders[0].send(b"x", 1)
     await world.deliver_all()
     assert world.received[:3] == [[], [], []]
     assert world.ends[0].unsent_count == 40
-    assert (40 if kind.sure else 1) <= world.ends[1].unknown_sender_count <= 40 * kind.times
+    min_count = 40 if kind.is_reliable else 1
+    assert min_count <= world.ends[1].unknown_sender_count <= 40 * kind.max_arrivals
 
 
-async def stopped(kind: PathKind, world: MemoryWorld) -> None:
-    sent = [(1, bytes((n,))) for n in range(30)]
+async def a_stopped_end_neither_sends_nor_receives(kind: PathKind, world: MemoryWorld) -> None:
+    sent = [(1, bytes((number,))) for number in range(30)]
     world.ends[1].send(b"under way", 0)
     world.ends[0].stop()
     world.ends[0].stop()
     for _, data in sent:
-        for sender, to in ((0, 2), (1, 0), (1, 2)):
-            world.ends[sender].send(data, to)
+        for sender, receiver in ((0, 2), (1, 0), (1, 2)):
+            world.ends[sender].send(data, receiver)
         await world.deliver_all()
     assert world.received[0] == []
     assert world.ends[1].unsent_count == 0
     check_datagrams(kind, sent, world.received[2])
 
 
-@pytest.mark.parametrize("rule", [whole, to_all, unheard, stopped], ids=lambda rule: rule.__name__)
+RULES = [
+    datagrams_arrive_complete_with_their_sender,
+    a_datagram_to_all_arrives_at_each_other_router,
+    invalid_datagrams_and_unknown_senders_are_counted,
+    a_stopped_end_neither_sends_nor_receives,
+]
+
+
+@pytest.mark.parametrize("rule", RULES, ids=lambda rule: rule.__name__)
 @pytest.mark.parametrize("kind", PATHS.values(), ids=list(PATHS))
 def test_the_contract_holds(
     kind: PathKind, rule: Callable[[PathKind, MemoryWorld], Coroutine[Any, Any, None]]
 ) -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         world = kind.make()
         await world.start()
         try:
@@ -171,4 +208,4 @@
                 end.stop()
             await asyncio.sleep(0)
 
-    asyncio.run(run())
+    asyncio.run(scenario())
