--- a/tests/unit/protocols/discovery/test_list_acceptance.py
+++ b/tests/unit/protocols/discovery/test_list_acceptance.py
@@ -1,4 +1,4 @@
-"""Which list is the present one: replies to two queries have to agree, whatever serial one alone bears."""
+"""Which endpoint list is accepted: replies to two queries must agree; one alone confirms no serial."""
 
 from __future__ import annotations
 
@@ -11,26 +11,31 @@
     ListVerdict,
 )
 
-KNOWN, NEW, UNCONFIRMED = ListVerdict.KNOWN, ListVerdict.NEW, ListVerdict.UNCONFIRMED
+KNOWN = ListVerdict.KNOWN
+NEW = ListVerdict.NEW
+UNCONFIRMED = ListVerdict.UNCONFIRMED
 
 
-def listed(*names: str) -> frozenset[EndpointRecord]:
+def endpoint_list(*names: str) -> frozenset[EndpointRecord]:
     return frozenset(
         EndpointRecord(name, "127.0.0.1", 1, "room-a", "std", 0, EndpointState.READY, 1.0, 0.0)
         for name in names
     )
 
 
-BOTH, ONE = listed("a", "b"), listed("a")
+BOTH_WORKERS = endpoint_list("a", "b")
+ONE_WORKER = endpoint_list("a")
 
 
 class Replies:
-    """Replies to one query after the other, so many s apart."""
+    """Replies to consecutive queries, on a virtual clock."""
 
     def __init__(self) -> None:
-        self.acceptance, self.now_s, self.query_id = ListAcceptance(), 100.0, 0
+        self.acceptance = ListAcceptance()
+        self.now_s = 100.0
+        self.query_id = 0
 
-    def take(
+    def receive(
         self,
         serial: int,
         records: frozenset[EndpointRecord],
@@ -38,14 +43,20 @@
         *,
         is_repeat: bool = False,
     ) -> ListVerdict:
+        """Return the verdict on a reply to the next query, or to the same query if ``is_repeat``."""
         self.now_s += after_s
         self.query_id += not is_repeat
         return self.acceptance.consider(serial, records, self.query_id, self.now_s)
 
 
-def in_use(serial: int = 1) -> Replies:
+def replies_with_accepted_list(serial: int = 1) -> Replies:
+    """Return replies after which the list of both workers is in use under this serial."""
     replies = Replies()
-    assert [replies.take(serial, BOTH), replies.take(serial, BOTH), replies.take(serial, BOTH)] == [
+    assert [
+        replies.receive(serial, BOTH_WORKERS),
+        replies.receive(serial, BOTH_WORKERS),
+        replies.receive(serial, BOTH_WORKERS),
+    ] == [
         UNCONFIRMED,
         NEW,
         KNOWN,
@@ -53,60 +64,64 @@
     return replies
 
 
-def test_one_query_alone_confirms_nothing_however_often_its_reply_comes() -> None:
-    replies = in_use()
-    assert replies.take(2, ONE) is UNCONFIRMED
-    assert replies.take(2, ONE, is_repeat=True) is UNCONFIRMED
-    assert replies.take(2, ONE) is NEW
+def test_duplicate_replies_to_one_query_confirm_nothing() -> None:
+    replies = replies_with_accepted_list()
+    assert replies.receive(2, ONE_WORKER) is UNCONFIRMED
+    assert replies.receive(2, ONE_WORKER, is_repeat=True) is UNCONFIRMED
+    assert replies.receive(2, ONE_WORKER) is NEW
     assert replies.acceptance.serial == 2
 
 
-def test_an_old_reply_whose_serial_is_ahead_is_not_taken_and_hides_nothing() -> None:
-    replies = in_use()
-    assert replies.take(2, BOTH) is UNCONFIRMED
-    assert replies.take(1, BOTH) is KNOWN
-    assert [replies.take(2, ONE), replies.take(2, ONE)] == [UNCONFIRMED, NEW]
+def test_an_outdated_reply_with_a_higher_serial_is_not_accepted_and_does_not_delay_the_next_list() -> None:
+    replies = replies_with_accepted_list()
+    assert replies.receive(2, BOTH_WORKERS) is UNCONFIRMED
+    assert replies.receive(1, BOTH_WORKERS) is KNOWN
+    assert [replies.receive(2, ONE_WORKER), replies.receive(2, ONE_WORKER)] == [UNCONFIRMED, NEW]
 
 
-def test_a_list_of_the_same_serial_with_other_workers_is_taken_once_it_is_confirmed() -> None:
-    replies = in_use(2)
-    assert [replies.take(2, ONE), replies.take(2, ONE)] == [UNCONFIRMED, NEW]
+def test_a_list_of_the_same_serial_with_other_workers_is_accepted_once_it_is_confirmed() -> None:
+    replies = replies_with_accepted_list(2)
+    assert [replies.receive(2, ONE_WORKER), replies.receive(2, ONE_WORKER)] == [UNCONFIRMED, NEW]
 
 
-def test_a_lower_serial_is_old_news_unless_nothing_else_comes() -> None:
-    replies = in_use(5)
-    assert [replies.take(4, ONE) for _ in range(3)] == [UNCONFIRMED] * 3
-    assert replies.take(5, BOTH) is KNOWN
-    assert replies.take(4, ONE) is UNCONFIRMED
-    assert replies.take(4, ONE, LOWER_SERIAL_CONFIRMATION_S) is NEW
+def test_a_lower_serial_is_accepted_only_if_no_other_list_is_received_for_some_time() -> None:
+    replies = replies_with_accepted_list(5)
+    assert [replies.receive(4, ONE_WORKER) for _ in range(3)] == [UNCONFIRMED] * 3
+    assert replies.receive(5, BOTH_WORKERS) is KNOWN
+    assert replies.receive(4, ONE_WORKER) is UNCONFIRMED
+    assert replies.receive(4, ONE_WORKER, LOWER_SERIAL_CONFIRMATION_S) is NEW
     assert replies.acceptance.serial == 4
 
 
-def test_beside_a_server_with_the_list_in_use_a_newer_one_needs_one_query_more() -> None:
-    """After a move two servers are asked."""
-    replies = in_use()
+def test_while_a_server_sends_the_list_in_use_a_newer_list_needs_one_more_query() -> None:
+    """After a change of the discovery address, two servers are queried."""
+    replies = replies_with_accepted_list()
     for expected in (UNCONFIRMED, UNCONFIRMED, NEW):
-        assert replies.take(2, ONE) is expected
+        assert replies.receive(2, ONE_WORKER) is expected
         if expected is UNCONFIRMED:
-            assert replies.take(1, BOTH, is_repeat=True) is KNOWN
-    late = in_use()
+            assert replies.receive(1, BOTH_WORKERS, is_repeat=True) is KNOWN
+    sparse_replies = replies_with_accepted_list()
     for _ in range(5):
-        assert late.take(2, ONE, CANDIDATE_LIFETIME_S) is UNCONFIRMED
-        assert late.take(1, BOTH, CANDIDATE_LIFETIME_S / 5, is_repeat=True) is KNOWN
-        assert late.take(1, BOTH, CANDIDATE_LIFETIME_S) is KNOWN, (
-            "an old reply now and then adds up to nothing"
+        assert sparse_replies.receive(2, ONE_WORKER, CANDIDATE_LIFETIME_S) is UNCONFIRMED
+        assert sparse_replies.receive(1, BOTH_WORKERS, CANDIDATE_LIFETIME_S / 5, is_repeat=True) is KNOWN
+        assert sparse_replies.receive(1, BOTH_WORKERS, CANDIDATE_LIFETIME_S) is KNOWN, (
+            "outdated replies far apart confirm nothing"
         )
 
 
-def test_an_empty_list_is_taken_only_from_two_queries_in_a_row() -> None:
-    replies = in_use()
+def test_an_empty_list_is_accepted_only_from_two_consecutive_queries() -> None:
+    replies = replies_with_accepted_list()
     for _ in range(5):
-        assert replies.take(9, listed()) is UNCONFIRMED
-        assert replies.take(1, BOTH) is KNOWN
-    assert [replies.take(9, listed()), replies.take(9, listed())] == [UNCONFIRMED, NEW]
+        assert replies.receive(9, endpoint_list()) is UNCONFIRMED
+        assert replies.receive(1, BOTH_WORKERS) is KNOWN
+    assert [replies.receive(9, endpoint_list()), replies.receive(9, endpoint_list())] == [UNCONFIRMED, NEW]
 
 
-def test_a_list_that_was_changed_by_an_unconfirmed_one_is_confirmed_again() -> None:
-    replies = in_use()
+def test_a_list_that_an_unconfirmed_one_has_changed_must_be_confirmed_again() -> None:
+    replies = replies_with_accepted_list()
     replies.acceptance.must_confirm_again = True
-    assert [replies.take(1, BOTH), replies.take(1, BOTH), replies.take(1, BOTH)] == [UNCONFIRMED, NEW, KNOWN]
+    assert [
+        replies.receive(1, BOTH_WORKERS),
+        replies.receive(1, BOTH_WORKERS),
+        replies.receive(1, BOTH_WORKERS),
+    ] == [UNCONFIRMED, NEW, KNOWN]
--- a/tests/unit/protocols/discovery/test_query_tracker.py
+++ b/tests/unit/protocols/discovery/test_query_tracker.py
@@ -1,4 +1,4 @@
-"""When discovery is queried: regularly, soon after a failure, and no faster in a long outage."""
+"""The times of discovery queries: regular, sooner after a failure, and regular in a long outage."""
 
 from __future__ import annotations
 
@@ -17,13 +17,15 @@
 
 
 class Driver:
-    """Sends each query when it is due; ``replies`` says of each whether a usable reply comes."""
+    """Sends each query when it is due, on a virtual clock."""
 
     def __init__(self, grace_s: float = GRACE_S) -> None:
-        self.now_s, self.sent_at_s = 100.0, list[float]()
+        self.now_s = 100.0
+        self.sent_at_s: list[float] = []
         self.tracker = QueryTracker(lambda: 0.5, grace_s)
 
     def query(self, *, is_answered: bool) -> None:
+        """Send a query and wait until the next is due; a usable reply arrives if ``is_answered``."""
         number = len(self.sent_at_s)
         self.sent_at_s.append(self.now_s)
         self.tracker.on_sent(number, self.now_s)
@@ -32,11 +34,12 @@
         self.now_s = self.tracker.next_query_at_s()
 
     def intervals_s(self, first: int) -> list[float]:
+        """Return the times between queries, from the query with this index."""
         times = self.sent_at_s[first:]
         return [later - earlier for earlier, later in itertools.pairwise(times)]
 
 
-def test_while_replies_come_queries_are_regular() -> None:
+def test_while_replies_arrive_queries_are_regular() -> None:
     driver = Driver()
     for _ in range(20):
         driver.query(is_answered=True)
@@ -44,14 +47,14 @@
 
 
 @pytest.mark.parametrize("grace_s", [0.1, 0.5, 2.0])
-def test_ten_queries_fit_into_the_grace_after_a_reply_that_fails(grace_s: float) -> None:
+def test_ten_queries_fit_into_the_grace_after_the_first_lost_reply(grace_s: float) -> None:
     driver = Driver(grace_s)
     for _ in range(5):
         driver.query(is_answered=True)
     failed_at_s = driver.now_s
     while driver.now_s < failed_at_s + grace_s:
         driver.query(is_answered=False)
-    assert sum(failed_at_s < at <= failed_at_s + grace_s for at in driver.sent_at_s) >= min(
+    assert sum(failed_at_s < sent_at_s <= failed_at_s + grace_s for sent_at_s in driver.sent_at_s) >= min(
         10, grace_s / 0.012
     )
 
@@ -63,17 +66,19 @@
     outage_at_s = driver.now_s
     while driver.now_s < outage_at_s + 10.0:
         driver.query(is_answered=False)
-    late = [at for at in driver.sent_at_s if at > outage_at_s + 2 * GRACE_S]
-    gaps = [after - before for before, after in itertools.pairwise(late)]
-    assert gaps == pytest.approx([MAX_POLL_INTERVAL_S] * len(gaps))
+    first_late_query = sum(sent_at_s <= outage_at_s + 2 * GRACE_S for sent_at_s in driver.sent_at_s)
+    intervals_s = driver.intervals_s(first_late_query)
+    assert intervals_s == pytest.approx([MAX_POLL_INTERVAL_S] * len(intervals_s))
     first = len(driver.sent_at_s)
     for _ in range(6):
         driver.query(is_answered=True)
-    quick = [gap for gap in driver.intervals_s(first) if gap < MAX_POLL_INTERVAL_S / 2]
-    assert len(quick) == CONFIRMING_REPLIES - 1
+    short_intervals_s = [
+        interval_s for interval_s in driver.intervals_s(first) if interval_s < MAX_POLL_INTERVAL_S / 2
+    ]
+    assert len(short_intervals_s) == CONFIRMING_REPLIES - 1
 
 
-def test_an_unusable_reply_brings_the_next_query_forward() -> None:
+def test_after_an_unusable_reply_the_next_query_is_sent_sooner() -> None:
     driver = Driver()
     driver.query(is_answered=True)
     driver.tracker.on_sent(7, driver.now_s)
@@ -81,7 +86,7 @@
     assert driver.tracker.next_query_at_s() < driver.now_s + 0.04
 
 
-def test_the_list_is_as_fresh_as_the_latest_query_that_was_answered() -> None:
+def test_the_list_is_as_fresh_as_the_latest_answered_query() -> None:
     tracker = QueryTracker(lambda: 0.5)
     for number, at_s in enumerate((1.0, 1.2, 1.4)):
         tracker.on_sent(number, at_s)
@@ -93,9 +98,10 @@
     assert not tracker.accepts(9)
 
 
-def test_a_slow_server_is_waited_for() -> None:
-    """Replies that take 80 ms are not taken for lost after 30 ms."""
-    tracker, now_s = QueryTracker(lambda: 0.5), 10.0
+def test_replies_of_a_slow_server_do_not_count_as_lost() -> None:
+    """With a measured round trip of 80 ms, the next query is sent later than 80 ms."""
+    tracker = QueryTracker(lambda: 0.5)
+    now_s = 10.0
     for number in range(40):
         tracker.on_sent(number, now_s)
         tracker.on_usable_reply(number, now_s + 0.08)
--- a/tests/unit/protocols/invoke/test_config.py
+++ b/tests/unit/protocols/invoke/test_config.py
@@ -1,4 +1,4 @@
-"""Errors in the invoke API's configuration file name the key and what is wanted, in an operator's words."""
+"""Errors in the invoke API's configuration file name the key and the expected value, without Python types."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
     return config.parse(text.encode(), Path("/etc/cedarthread/invoke.toml"))
 
 
-def error_of(raw: bytes) -> str:
+def error_message(raw: bytes) -> str:
     with pytest.raises(ValueError, match=r".") as caught:
         config.parse(raw, Path("invoke.toml"))
     return str(caught.value)
 
 
-def test_a_valid_file_is_accepted_with_keys_that_are_not_known() -> None:
+def test_a_valid_file_with_an_unknown_key_is_accepted() -> None:
     parsed = parse(VALID_LINES | {"comment": '"of a later version"'})
     assert (parsed.host, parsed.port) == ("127.0.0.1", 8443)
     assert parsed.key_path == Path("/etc/cedarthread/key.pem")
@@ -46,7 +46,7 @@
 
 
 def test_a_missing_table_is_named() -> None:
-    assert error_of(b"") == 'missing required key "invoke"'
+    assert error_message(b"") == 'missing required key "invoke"'
 
 
 @pytest.mark.parametrize(
@@ -75,5 +75,5 @@
 @pytest.mark.parametrize(
     "raw", [b"invoke = 7\n", b"invoke = []\n", b"[invoke\n", b"\xff", b"x = " + b"[" * 5000 + b"]" * 5000]
 )
-def test_no_error_names_a_type_of_python(raw: bytes) -> None:
-    assert not PYTHON_TYPE_NAME.search(error_of(raw))
+def test_no_error_names_a_python_type(raw: bytes) -> None:
+    assert not PYTHON_TYPE_NAME.search(error_message(raw))
--- a/tests/unit/protocols/worker/test_line_queue.py
+++ b/tests/unit/protocols/worker/test_line_queue.py
@@ -1,7 +1,9 @@
-"""How far the requests on a worker's connection have come, as its line queue records it."""
+"""The progress of the requests on a worker's connection, which its line queue records."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from cedarthread.dispatch.calls import Attempt, Call, Progress
 from cedarthread.protocols.worker.line_queue import LineQueue
 from cedarthread.protocols.worker.requests import OutboundLine, PendingPreload
@@ -9,29 +11,40 @@
 LINE_BYTES = 10
 
 
-def queue_with(*call_ids: str) -> tuple[LineQueue, list[Attempt], list[Attempt]]:
-    """A connected queue with an attempt for each id, the attempts, and those reported as written."""
+class ConnectedQueue(NamedTuple):
+    """A line queue of an established connection."""
+
+    queue: LineQueue
+    attempts: list[Attempt]  # of the lines in the queue
+    written: list[Attempt]  # reported as written
+
+
+def queue_with(*call_ids: str) -> ConnectedQueue:
+    """Return a connected queue with one attempt for each call id."""
     written: list[Attempt] = []
     queue = LineQueue(written.append)
-    attempts = [Attempt(Call(one, 0, 7, 0.0, b"", lambda result: None), 0, 1, 0.0) for one in call_ids]
+    attempts = [
+        Attempt(Call(call_id, 0, 7, 0.0, b"", lambda result: None), 0, 1, 0.0) for call_id in call_ids
+    ]
     for attempt in attempts:
         queue.append(OutboundLine(b"x" * LINE_BYTES, attempt))
     queue.on_connected()
-    return queue, attempts, written
+    return ConnectedQueue(queue, attempts, written)
 
 
-def hand_over(queue: LineQueue, written_bytes: int) -> list[OutboundLine]:
-    """Hand all queued lines over, of which the socket takes so many bytes; the lines."""
+def hand_over(queue: LineQueue, accepted_bytes: int) -> list[OutboundLine]:
+    """Hand all queued lines over to a transport whose socket accepts some bytes; return the lines."""
     lines = []
+    remaining_bytes = accepted_bytes
     while (line := queue.next_line()) is not None:
         queue.take(line)
-        queue.on_handed_over(line, written_bytes)
-        written_bytes -= len(line.data)
+        queue.on_handed_over(line, remaining_bytes)
+        remaining_bytes -= len(line.data)
         lines.append(line)
     return lines
 
 
-def test_a_connected_queue_holds_unwritten_attempts() -> None:
+def test_attempts_in_a_connected_queue_are_unwritten() -> None:
     queue, attempts, written = queue_with("a", "b")
     assert queue.requests() == attempts
     assert bool(queue)
@@ -48,7 +61,7 @@
     assert second.progress is Progress.PARTLY_WRITTEN
 
 
-def test_a_line_counts_as_written_with_its_last_byte_and_is_reported_once() -> None:
+def test_a_line_is_reported_as_written_once_with_its_last_byte() -> None:
     queue, attempts, written = queue_with("a", "b", "c")
     lines = hand_over(queue, 2 * LINE_BYTES - 1)
     assert [attempt.progress.name for attempt in attempts] == ["WRITTEN", "PARTLY_WRITTEN", "PARTLY_WRITTEN"]
@@ -63,7 +76,7 @@
     assert not queue
 
 
-def test_of_a_broken_connection_the_last_buffered_line_is_not_complete() -> None:
+def test_the_last_buffered_line_of_a_broken_connection_is_incomplete() -> None:
     queue, attempts, written = queue_with("a", "b")
     hand_over(queue, 0)
     queue.on_disconnected()
@@ -92,9 +105,9 @@
     assert not queue
 
 
-def test_a_line_without_a_request_may_pass_requests_and_first_bytes_are_reported() -> None:
-    begun: list[object] = []
-    queue = LineQueue(lambda attempt: None, begun.append)
+def test_a_line_without_a_request_may_overtake_requests_and_first_bytes_are_reported() -> None:
+    started: list[object] = []
+    queue = LineQueue(lambda attempt: None, started.append)
     preload = PendingPreload("load-1", 1, 7, 0.0)
     queue.append(OutboundLine(b"x" * LINE_BYTES, preload))
     queue.append(cancel := OutboundLine(b"y" * LINE_BYTES))
@@ -102,6 +115,6 @@
     queue.take(cancel)
     queue.on_handed_over(cancel, LINE_BYTES)
     assert queue.next_line(without_requests=True) is None
-    assert begun == []
+    assert started == []
     hand_over(queue, 1)
-    assert begun == [preload]
+    assert started == [preload]
