--- a/tests/integration/test_discovery_client.py
+++ b/tests/integration/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Which replies of discovery servers are applied: order, duplicates, and a change of the address."""
+"""Replies of discovery servers: lost, reordered, duplicated, and after a change of the address."""
 
 from __future__ import annotations
 
--- a/tests/integration/test_invoke.py
+++ b/tests/integration/test_invoke.py
@@ -206,7 +206,7 @@
     asyncio.run(scenario())
 
 
-def test_sigterm_completes_synchronous_and_deferred_calls(authority: Authority) -> None:
+def test_shutdown_completes_synchronous_and_deferred_calls(authority: Authority) -> None:
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
         async with service(worker, invoke=read_invoke_config(authority)) as running:
--- a/tests/integration/test_invoke_identities.py
+++ b/tests/integration/test_invoke_identities.py
@@ -1,4 +1,4 @@
-"""Which callers the invoke API accepts, by the SPIFFE ID in their certificate."""
+"""Authentication of callers of the invoke API by the SPIFFE ID in their certificate."""
 
 from __future__ import annotations
 
--- a/tests/unit/protocols/discovery/test_start_times.py
+++ b/tests/unit/protocols/discovery/test_start_times.py
@@ -1,4 +1,4 @@
-"""Start times of workers whose clock may be an hour off: the first list that has a start bounds its time."""
+"""Start times of workers with clocks that may be an hour off: the first list with a start bounds its time."""
 
 from __future__ import annotations
 
--- a/tests/unit/protocols/worker/test_codec.py
+++ b/tests/unit/protocols/worker/test_codec.py
@@ -1,4 +1,4 @@
-"""Which objects from a worker are valid responses to a call."""
+"""Responses of workers to a call: malformed objects, and bodies."""
 
 from __future__ import annotations
 
--- a/tests/unit/simulator/frames.py
+++ b/tests/unit/simulator/frames.py
@@ -1,4 +1,4 @@
-"""Frames of the simulator, put together byte by byte. ``frame`` takes records, which the others return."""
+"""Frames of the simulator and their records, put together byte by byte."""
 
 from __future__ import annotations
 
