--- /dev/null
+++ b/tests/integration/termination_harness.py
@@ -0,0 +1,232 @@
+"""Helpers of the termination tests: a router with scripted workers and clients, and the checks at its end.
+
+A call, a connection or the process may end while another event is on its way. The helpers here fix the order
+of such events: a scripted worker leaves a call unanswered until the test answers, ``DelayedConnects``
+suspends the connects to workers, and ``wait_until_input_read`` returns once the router has read a client's
+bytes. ``wait_until_settled`` checks at the end of a test that the router has released all state of its calls.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import dataclasses
+import json
+import socket
+import struct
+from collections.abc import AsyncIterator, Callable
+from contextlib import AsyncExitStack, asynccontextmanager
+from typing import TYPE_CHECKING, Any
+
+import pytest
+
+from cedarthread import config
+from cedarthread.model.endpoints import EndpointState
+from cedarthread.testing.fakes.scripted import (
+    ScriptedClient,
+    ScriptedWorker,
+    client,
+    endpoint_record,
+    service,
+)
+from cedarthread.testing.fakes.settings import SETTINGS
+
+if TYPE_CHECKING:
+    from cedarthread.protocols.worker.connection import WorkerConnection
+    from cedarthread.service import Service
+
+# Classes of the worker protocol whose methods are timer callbacks.
+TIMER_OWNERS = ("WorkerConnections.", "WorkerConnection.", "WorkerConnectionPool.", "PreloadRequests.")
+# The platform protocol's interrupt without its last field, the packed number of the call.
+INTERRUPT_PREFIX = b"\x93\x02\xa9interrupt\x91"
+UNREACHED_LIMIT_MS = "60000"  # a call's limit that no test reaches
+WAIT_TIMEOUT_S = 5.0  # of a condition that becomes true within milliseconds
+SETTLE_TIMEOUT_S = 2.0
+Connect = Callable[..., Any]  # as ``loop.create_connection``
+
+
+def reset(writer: asyncio.StreamWriter) -> None:
+    """Close a connection by RST instead of FIN."""
+    linger = struct.pack("ii", 1, 0)
+    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+    writer.transport.abort()
+
+
+CONNECTION_ENDINGS: dict[str, Callable[[asyncio.StreamWriter], None]] = {
+    "close": lambda writer: writer.close(),
+    "reset": reset,
+}
+
+
+def leave_unanswered(worker: ScriptedWorker, message: dict[str, Any]) -> None:
+    """Send no response, so that the test can send one later."""
+
+
+async def wait_until(condition: Callable[[], Any], description: str) -> None:
+    """Run the event loop until a condition is true; fail the test after WAIT_TIMEOUT_S."""
+    try:
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            while not condition():
+                await asyncio.sleep(0)
+    except TimeoutError:
+        pytest.fail(f"never: {description}")
+
+
+def unmet_obligations(running: Service) -> dict[str, Any]:
+    """Return the state of calls that the router has not released yet, by name; empty once all is released."""
+    dispatcher = running.dispatcher
+    workers = running.workers
+    platform = running.platform
+    router = dispatcher.router
+    counts = dispatcher.result_counts
+    worker_connections = all_worker_connections(running)
+    client_connections = [*platform.connections, *platform.unproven_connections]
+    result_count = counts["served"] + counts["rejected"] + counts["failed"]
+    result_counts_by_class = [
+        sum(figures[name] for name in ("passed", "dropped", "bad_gateway"))
+        for figures in dispatcher.class_figures.values()
+    ]
+    scheduled = asyncio.get_running_loop()._scheduled  # type: ignore[attr-defined]
+    timers = [handle for handle in scheduled if not handle.cancelled()]
+    timer_names = [getattr(handle._callback, "__qualname__", "") for handle in timers]
+    obligations = {
+        "pending calls": dispatcher.pending_calls,
+        "completing calls": dispatcher.calls.completing,
+        "pending call ids": dispatcher.calls.pending_ids,
+        "pending body bytes": dispatcher.calls.pending_body_bytes,
+        "queued events": dispatcher._event_queue,
+        "pending requests": router.pending_requests,
+        "queued requests": router.queued_requests,
+        "orphaned attempts": router.orphaned_attempts,
+        "attempts in flight by zone": router.state.zones.in_flight,
+        "workers with attempts in flight": [
+            view.endpoint.worker_id
+            for view in router.workers.values()
+            if view.in_flight or view.has_trial_in_flight
+        ],
+        "attempts in the overload estimator": router.state.overload.total_in_flight,
+        "preloads in flight": router.state.functions.preloads_in_flight
+        or [function for function in router.functions.values() if function.preloading_workers],
+        "connections of attempts": workers._connection_by_attempt,
+        "calls in flight on worker connections": [
+            name for connection in worker_connections for name in connection.in_flight
+        ],
+        "unwritten lines to workers": [
+            line
+            for connection in worker_connections
+            for line in (*connection.lines.queued, *connection.lines.buffered)
+        ],
+        "open calls of clients": [
+            number for connection in client_connections for number in connection.calls.open
+        ],
+        "queued bytes to clients": platform.queued_bytes,
+        "accepted calls without a result": counts["accepted"] - result_count - counts["abandoned"],
+        "results missing from class figures": result_count - sum(result_counts_by_class),
+        "timers": [name for name in timer_names if name.startswith(TIMER_OWNERS)],
+    }
+    return {name: value for name, value in obligations.items() if value}
+
+
+async def wait_until_settled(running: Service) -> None:
+    """Wait until the router has released all state of its calls, also of attempts just cancelled."""
+    try:
+        async with asyncio.timeout(SETTLE_TIMEOUT_S):
+            while unmet_obligations(running):
+                await asyncio.sleep(0.001)
+    except TimeoutError:
+        assert unmet_obligations(running) == {}
+
+
+class DelayedConnects:
+    """Suspends connects to chosen worker ports until the test lets them continue.
+
+    Attributes:
+        ports: Ports whose connects are suspended; the test changes them.
+        waiting: One event for each connect that was suspended; setting the event continues the connect.
+    """
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.ports = set[int]()
+        self.waiting: list[asyncio.Event] = []
+        self._create_connection: Connect = self.loop.create_connection
+        monkeypatch.setattr(self.loop, "create_connection", self.create_connection)
+
+    async def create_connection(
+        self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any
+    ) -> Any:
+        """Connect as the event loop does, after a wait if the port is one of ``ports``."""
+        if port in self.ports:
+            self.waiting.append(asyncio.Event())
+            await self.waiting[-1].wait()
+        return await self._create_connection(protocol_factory, host, port, **options)
+
+
+def all_worker_connections(running: Service) -> list[WorkerConnection]:
+    """Return the connections of the router to all workers."""
+    return [connection for pool in running.workers.pools.values() for connection in pool.connections]
+
+
+def update_endpoint_list(
+    running: Service, workers: list[ScriptedWorker], *states: EndpointState, **changes: Any
+) -> None:
+    """Apply a complete endpoint list of these workers; one whose state is REMOVED is not listed."""
+    records = [
+        endpoint_record(worker, number, state)
+        for number, (worker, state) in enumerate(zip(workers, states, strict=True), 1)
+    ]
+    records = [
+        dataclasses.replace(record, **changes)
+        for record in records
+        if record.state is not EndpointState.REMOVED
+    ]
+    running.update_endpoints(running.endpoint_list.version + 1, records, is_complete=True)
+
+
+def result_name(message: Any) -> str:
+    """Return "served", "rejected" or "failed" for a response of the platform protocol."""
+    return {None: "served", "Backoff": "rejected", "Lost": "failed"}[message[2] and message[2][0]]
+
+
+@asynccontextmanager
+async def running_router(
+    *workers: ScriptedWorker, **changes: Any
+) -> AsyncIterator[tuple[Service, ScriptedClient]]:
+    """Run a router with one client; check at the end that the router has released all state of its calls."""
+    async with AsyncExitStack() as stack:
+        running = await stack.enter_async_context(service(*workers, **changes))
+        yield running, await stack.enter_async_context(client(running))
+        await wait_until_settled(running)
+
+
+async def wait_until_input_read(caller: ScriptedClient, number: int) -> None:
+    """Wait until the router has read all that the client sent, by a health check behind it."""
+    caller.writer.write(b"\x94\x00" + bytes((number,)) + b"\xa5check\x90")
+    assert (await caller.read())[:2] == [1, number]
+
+
+async def connect_with_small_buffers(
+    running: Service, worker: ScriptedWorker, caller: ScriptedClient
+) -> WorkerConnection:
+    """Connect with socket buffers smaller than one long call, and suspend the worker's reading."""
+    listening_socket = worker.server.sockets[0]
+    # Accepted sockets inherit the size.
+    listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    assert result_name(await caller.call(1, "check", b"x")) == "served"
+    [connection] = all_worker_connections(running)
+    assert connection.transport is not None
+    connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    worker.writers[0].transport.pause_reading()  # type: ignore[attr-defined]
+    return connection
+
+
+def encode_config_file(settings: dict[str, Any]) -> bytes:
+    """Return a configuration file with these settings."""
+    return json.dumps({"listen": "127.0.0.1:0", "settings": settings}).encode()
+
+
+def reload_settings(running: Service, change: Callable[[dict[str, Any]], None]) -> None:
+    """Reload the configuration, as on SIGHUP, with settings that ``change`` has edited in place."""
+    changed = json.loads(json.dumps(SETTINGS))
+    change(changed)
+    running.reloader.load_config = lambda: config.decode(encode_config_file(changed), {})
+    running.reload()
--- /dev/null
+++ b/tests/integration/test_termination_worker_connects.py
@@ -0,0 +1,121 @@
+"""Connects to workers that complete late, never, or fail for want of a descriptor."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+from typing import Any
+
+import pytest
+
+from cedarthread.testing.fakes.scripted import ScriptedWorker, client, pack_call
+from cedarthread.testing.fakes.settings import SETTINGS
+from tests.integration.termination_harness import (
+    INTERRUPT_PREFIX,
+    UNREACHED_LIMIT_MS,
+    Connect,
+    DelayedConnects,
+    reset,
+    result_name,
+    running_router,
+    wait_until,
+)
+
+
+def test_a_connection_comes_up_late_and_the_call_is_written_to_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
+        worker = ScriptedWorker()
+        delayed_connects = DelayedConnects(monkeypatch)
+        async with running_router(worker, limits=SETTINGS["limits"] | {"connect-timeout": 5000}) as (
+            _,
+            caller,
+        ):
+            delayed_connects.ports.add(worker.port)
+            caller.writer.write(pack_call(1, "confirm", b"x"))
+            await wait_until(lambda: delayed_connects.waiting, "the connect has started")
+            delayed_connects.waiting[0].set()
+            assert await caller.read() == [1, 1, None, [b"X", {}]]
+
+    asyncio.run(scenario())
+
+
+@pytest.mark.parametrize("ending", ["deadline", "interrupt", "reset"])
+def test_a_call_that_ends_before_its_connection_comes_up_is_not_sent(
+    ending: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A call that is past its deadline, interrupted, or whose client has reset its connection is never sent.
+    The connection serves the next call.
+    """
+
+    async def scenario() -> None:
+        worker = ScriptedWorker()
+        delayed_connects = DelayedConnects(monkeypatch)
+        limits = SETTINGS["limits"] | {"connect-timeout": 5000}
+        async with (
+            running_router(worker, limits=limits) as (running, caller),
+            client(running) as disconnecting_client,
+        ):
+            delayed_connects.ports.add(worker.port)
+            disconnecting_client.writer.write(
+                pack_call(1, "confirm", b"x", limit="400" if ending == "deadline" else UNREACHED_LIMIT_MS)
+            )
+            await wait_until(lambda: delayed_connects.waiting, "the connect has started")
+            if ending == "deadline":
+                assert result_name(await disconnecting_client.read()) == "rejected"  # the call never ran
+            elif ending == "interrupt":
+                disconnecting_client.writer.write(INTERRUPT_PREFIX + b"\x01")
+            else:
+                reset(disconnecting_client.writer)
+            await wait_until(lambda: not running.dispatcher.pending_calls, "the call has ended")
+            delayed_connects.ports.clear()
+            delayed_connects.waiting[0].set()
+            assert await caller.call(2, "confirm", b"y") == [1, 2, None, [b"Y", {}]]
+            assert [call["id"] for call in worker.calls] == [f"{2:016x}"]
+            assert len(worker.writers) == 1
+
+    asyncio.run(scenario())
+
+
+def test_a_connection_that_never_comes_up_has_executed_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The waiting calls are sent to another worker, also those that are not idempotent."""
+
+    async def scenario() -> None:
+        workers = [ScriptedWorker(), ScriptedWorker()]
+        delayed_connects = DelayedConnects(monkeypatch)
+        limits = SETTINGS["limits"] | {"connect-timeout": 50}
+        async with running_router(*workers, limits=limits) as (running, caller):
+            delayed_connects.ports |= {worker.port for worker in workers}
+            caller.writer.write(pack_call(1, "confirm", b"x"))
+            await wait_until(lambda: delayed_connects.waiting, "the connect has started")
+            [chosen_number] = [number for number, pool in running.workers.pools.items() if pool.connections]
+            delayed_connects.ports = {workers[chosen_number - 1].port}
+            assert await caller.read() == [1, 1, None, [b"X", {}]]
+            assert workers[chosen_number - 1].calls == []
+            assert len(workers[2 - chosen_number].calls) == 1
+
+    asyncio.run(scenario())
+
+
+def test_without_a_descriptor_for_a_worker_the_call_is_rejected_and_no_worker_at_fault(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def scenario() -> None:
+        worker = ScriptedWorker()
+        async with running_router(worker) as (running, caller):
+            loop = asyncio.get_running_loop()
+            create_connection: Connect = loop.create_connection
+
+            async def fail(*args: Any, **options: Any) -> Any:
+                raise OSError(errno.EMFILE, "too many open files")
+
+            monkeypatch.setattr(loop, "create_connection", fail)
+            assert result_name(await caller.call(1, "confirm", b"x", limit="400")) == "rejected"
+            max_connections = running.workers.max_connections
+            running.workers.max_connections = 0
+            assert result_name(await caller.call(2, "confirm", b"x", limit="400")) == "rejected"
+            running.workers.max_connections = max_connections
+            monkeypatch.setattr(loop, "create_connection", create_connection)
+            assert running.dispatcher.router.workers[1].unreachable_at_ms < 0.0, "the worker is not at fault"
+            assert await caller.call(3, "confirm", b"x") == [1, 3, None, [b"X", {}]]
+
+    asyncio.run(scenario())
