--- /dev/null
+++ b/tests/integration/test_client_disconnects_process.py
@@ -0,0 +1,143 @@
+"""No attempt reaches a worker over 0.1 s after its client has disconnected, in a suspended real process.
+
+While the process is suspended, workers shed calls, new calls arrive, and clients close, reset, half-close or
+interrupt. The process resumes after the 0.1 s, so any of their calls that reaches a worker then is late. The
+workers' own records decide (term 1 of docs/results/acceptance.md).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import time
+from collections import Counter
+from typing import TYPE_CHECKING, Any
+
+import pytest
+
+from cedarthread.testing.fakes.scripted import ScriptedWorker
+from cedarthread.testing.fakes.settings import SETTINGS
+from tests.integration.async_router_process import router_process
+from tests.integration.client_sockets import DISCONNECTS, BlockingClient
+
+if TYPE_CHECKING:
+    from pathlib import Path
+
+SUSPENSION_S = 0.11  # past the 0.1 s after which no attempt of a disconnected client may start
+CLIENT_COUNT = 48
+EARLY_CLIENT_COUNT = 9  # clients with a call in flight; the retry budget allows each one retry
+STAYS = "stays"
+BEHAVIORS = [*DISCONNECTS, STAYS]
+
+
+class NumberedClient(BlockingClient):
+    """A client whose one call has the client's number as its id."""
+
+    def __init__(self, port: int, number: int) -> None:
+        super().__init__(port)
+        self.number = number
+        self.behavior = BEHAVIORS[number % len(BEHAVIORS)]
+
+    def send_call(self) -> None:
+        """Send the client's call, as number 1 of its connection."""
+        class_name = ("check", "confirm")[self.number % 2]
+        self.call(1, class_name, txn=f"{self.number:016x}", item=f"{self.number % 7:016x}")
+
+    def disconnect(self) -> None:
+        """Disconnect or interrupt, unless the client stays."""
+        if self.behavior != STAYS:
+            DISCONNECTS[self.behavior](self)
+
+
+def listed_endpoints(workers: list[ScriptedWorker]) -> dict[str, Any]:
+    """Return a ``known`` entry of ``config.json`` that lists the workers."""
+    endpoints = [
+        {
+            "name": f"s-{number:08x}",
+            "address": f"127.0.0.1:{worker.port}",
+            "zone": "room-a",
+            "type": "std",
+            "group": 0,
+            "status": "ready",
+            "weight": 1,
+            "since_ms": 0,
+        }
+        for number, worker in enumerate(workers, 1)
+    ]
+    events = [{"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": endpoints}}]
+    return {"n": 1, "events": events}
+
+
+def count_attempts(workers: list[ScriptedWorker]) -> Counter[str]:
+    """Return how many attempts of each call the workers have received."""
+    return Counter(message["id"] for worker in workers for message in worker.calls)
+
+
+@pytest.mark.parametrize("connected", [True, False])
+def test_a_resumed_process_starts_no_attempt_for_clients_that_disconnected(
+    tmp_path: Path, connected: bool
+) -> None:
+    """Early clients have a call in flight that is shed meanwhile; the others call the suspended process.
+
+    With ``connected`` there are early clients, so connections to the workers are open; otherwise the first
+    calls wait for a connect.
+    """
+
+    async def scenario() -> None:
+        unanswered: list[tuple[dict[str, Any], asyncio.StreamWriter]] = []
+
+        def leave_unanswered(worker: ScriptedWorker, message: dict[str, Any]) -> None:
+            unanswered.append((message, worker.writers[-1]))
+
+        workers = [ScriptedWorker(leave_unanswered) for _ in range(4)]
+        for worker in workers:
+            await worker.start()
+        async with router_process(tmp_path, known=listed_endpoints(workers), settings=SETTINGS) as running:
+            clients = [NumberedClient(running.port, 1 + index) for index in range(CLIENT_COUNT)]
+            early_clients = clients[:EARLY_CLIENT_COUNT] if connected else []
+            for client in early_clients:
+                client.send_call()
+            async with asyncio.timeout(10):
+                while len(unanswered) < len(early_clients):
+                    await asyncio.sleep(0.001)
+
+            await running.suspend()
+            for client in clients:
+                if client not in early_clients:
+                    client.send_call()
+            for message, writer in unanswered:
+                writer.write(b'{"op":"SHED","id":"%s","fields":{}}\n' % message["id"].encode())
+            await asyncio.sleep(0)
+            for client in clients:
+                client.disconnect()
+            disconnected_at_s = time.monotonic()
+            attempts_before = count_attempts(workers)
+            # This wait is the 0.1 s of the rule; the suspended router does nothing meanwhile.
+            while time.monotonic() < disconnected_at_s + SUSPENSION_S:
+                await asyncio.sleep(0.01)
+            running.resume()
+
+            # Once the attempts of all staying clients arrive, late attempts of others would have arrived too.
+            staying_ids = [f"{client.number:016x}" for client in clients if client.behavior == STAYS]
+            async with asyncio.timeout(20):
+                while any(
+                    sum(message["id"] == call_id for worker in workers for message in worker.calls)
+                    <= attempts_before[call_id]
+                    for call_id in staying_ids
+                ):
+                    await asyncio.sleep(0.001)
+            attempts_after = count_attempts(workers)
+            behaviors = {client.number: client.behavior for client in clients}
+            late = {
+                call_id: behaviors[int(call_id, 16)]
+                for call_id in attempts_after
+                if attempts_after[call_id] > attempts_before[call_id]
+            }
+            assert set(late.values()) == {STAYS}, late
+            for client in clients:
+                with contextlib.suppress(OSError):
+                    client.sock.close()
+        for worker in workers:
+            worker.stop()
+
+    asyncio.run(scenario())
