--- a/tests/integration/termination_harness.py
+++ b/tests/integration/termination_harness.py
@@ -4,6 +4,7 @@
 of such events: a scripted worker leaves a call unanswered until the test answers, ``DelayedConnects``
 suspends the connects to workers, and ``wait_until_input_read`` returns once the router has read a client's
 bytes. ``wait_until_settled`` checks at the end of a test that the router has released all state of its calls.
+docs/design/termination.md has the list of that state and of the cases.
 """
 
 from __future__ import annotations
@@ -73,27 +74,30 @@
 
 def unmet_obligations(running: Service) -> dict[str, Any]:
     """Return the state of calls that the router has not released yet, by name; empty once all is released."""
-    dispatcher = running.dispatcher
-    workers = running.workers
-    platform = running.platform
-    router = dispatcher.router
-    counts = dispatcher.result_counts
-    worker_connections = all_worker_connections(running)
-    client_connections = [*platform.connections, *platform.unproven_connections]
-    result_count = counts["served"] + counts["rejected"] + counts["failed"]
-    result_counts_by_class = [
-        sum(figures[name] for name in ("passed", "dropped", "bad_gateway"))
-        for figures in dispatcher.class_figures.values()
-    ]
-    scheduled = asyncio.get_running_loop()._scheduled  # type: ignore[attr-defined]
-    timers = [handle for handle in scheduled if not handle.cancelled()]
-    timer_names = [getattr(handle._callback, "__qualname__", "") for handle in timers]
     obligations = {
+        **_dispatcher_state(running),
+        **_routing_state(running),
+        **_connection_state(running),
+        **_count_differences(running),
+        "timers": _worker_timers(),
+    }
+    return {name: value for name, value in obligations.items() if value}
+
+
+def _dispatcher_state(running: Service) -> dict[str, Any]:
+    dispatcher = running.dispatcher
+    return {
         "pending calls": dispatcher.pending_calls,
         "completing calls": dispatcher.calls.completing,
         "pending call ids": dispatcher.calls.pending_ids,
         "pending body bytes": dispatcher.calls.pending_body_bytes,
         "queued events": dispatcher._event_queue,
+    }
+
+
+def _routing_state(running: Service) -> dict[str, Any]:
+    router = running.dispatcher.router
+    return {
         "pending requests": router.pending_requests,
         "queued requests": router.queued_requests,
         "orphaned attempts": router.orphaned_attempts,
@@ -106,7 +110,15 @@
         "attempts in the overload estimator": router.state.overload.total_in_flight,
         "preloads in flight": router.state.functions.preloads_in_flight
         or [function for function in router.functions.values() if function.preloading_workers],
-        "connections of attempts": workers._connection_by_attempt,
+    }
+
+
+def _connection_state(running: Service) -> dict[str, Any]:
+    platform = running.platform
+    worker_connections = all_worker_connections(running)
+    client_connections = [*platform.connections, *platform.unproven_connections]
+    return {
+        "connections of attempts": running.workers._connection_by_attempt,
         "calls in flight on worker connections": [
             name for connection in worker_connections for name in connection.in_flight
         ],
@@ -119,11 +131,29 @@
             number for connection in client_connections for number in connection.calls.open
         ],
         "queued bytes to clients": platform.queued_bytes,
+    }
+
+
+def _count_differences(running: Service) -> dict[str, Any]:
+    """Return accepted calls less results, and results less those in the figures of the classes."""
+    counts = running.dispatcher.result_counts
+    result_count = counts["served"] + counts["rejected"] + counts["failed"]
+    result_counts_by_class = [
+        sum(figures[name] for name in ("passed", "dropped", "bad_gateway"))
+        for figures in running.dispatcher.class_figures.values()
+    ]
+    return {
         "accepted calls without a result": counts["accepted"] - result_count - counts["abandoned"],
         "results missing from class figures": result_count - sum(result_counts_by_class),
-        "timers": [name for name in timer_names if name.startswith(TIMER_OWNERS)],
     }
-    return {name: value for name, value in obligations.items() if value}
+
+
+def _worker_timers() -> list[str]:
+    """Return the callbacks of the event loop's pending timers that belong to TIMER_OWNERS."""
+    scheduled = asyncio.get_running_loop()._scheduled  # type: ignore[attr-defined]
+    timers = [handle for handle in scheduled if not handle.cancelled()]
+    names = [getattr(handle._callback, "__qualname__", "") for handle in timers]
+    return [name for name in names if name.startswith(TIMER_OWNERS)]
 
 
 async def wait_until_settled(running: Service) -> None:
--- a/tests/integration/test_descriptor_limit_process.py
+++ b/tests/integration/test_descriptor_limit_process.py
@@ -45,11 +45,11 @@
 
     async def scenario() -> None:
         worker = ScriptedWorker()
-        moved_worker = ScriptedWorker()
+        other_worker = ScriptedWorker()
         await worker.start()
-        await moved_worker.start()
+        await other_worker.start()
         old_discovery = DelayedDiscovery(ListedWorker(f"s-{1:08x}", worker.port))
-        new_discovery = DelayedDiscovery(ListedWorker(f"s-{2:08x}", moved_worker.port))
+        new_discovery = DelayedDiscovery(ListedWorker(f"s-{2:08x}", other_worker.port))
         await old_discovery.server.start()
         await new_discovery.server.start()
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": configured_limit}
@@ -57,22 +57,22 @@
         async with router_process(tmp_path, process_limit, limits=limits, dns=dns) as running:
             # When 300 clients connect at once, the budget bounds the accepted ones.
             await old_discovery.wait_for_poll()
-            open_without_clients = len(running.open_descriptors())
+            count_without_clients = len(running.open_descriptors())
             connections = await connect_burst(running, 300)
             assert await running.send_command(b"PING\n") == ["YES"]
             await old_discovery.wait_for_poll()
             await wait_until_accepted(connections)
-            await running.wait_for_open_descriptors(open_without_clients + CLIENT_BUDGET)
+            await running.wait_for_open_descriptors(count_without_clients + CLIENT_BUDGET)
             assert await running.send_command(b"PING\n") == ["YES"]
 
-            # When discovery replies, the list is applied, and a new client's call uses a new connection to the
-            # worker. An idle client is evicted for the new one.
+            # When discovery replies, the list is applied. A new client's call uses a new worker connection,
+            # and an idle client is evicted for the new one.
             old_discovery.is_released = True
             await running.wait_for_log("endpoints_updated serial=2 changed=1 ")
             caller = await running.client()
             assert await caller.call(1, "confirm", b"x") == [1, 1, None, [b"X", {}]]
             assert len(worker.calls) == 1
-            await running.wait_for_open_descriptors(open_without_clients + CLIENT_BUDGET + 1)
+            await running.wait_for_open_descriptors(count_without_clients + CLIENT_BUDGET + 1)
             assert await running.send_command(b"PING\n") == ["YES"]
 
             # When the discovery address changes during a second burst, the new address is polled.
@@ -88,7 +88,7 @@
             assert "descriptors_exhausted" not in running.log()
             close_all(connections)
         worker.stop()
-        moved_worker.stop()
+        other_worker.stop()
         old_discovery.server.stop()
         new_discovery.server.stop()
 
--- a/tests/integration/test_termination_bad_input.py
+++ b/tests/integration/test_termination_bad_input.py
@@ -47,7 +47,9 @@
         self.running = running
         self.script: list[Alteration] = []
         self.query_count = 0
-        self.listed = tuple(ListedWorker(f"s-{n:08x}", worker.port) for n, worker in enumerate(workers, 1))
+        self.listed = tuple(
+            ListedWorker(f"s-{number:08x}", worker.port) for number, worker in enumerate(workers, 1)
+        )
         self.serial = 2
         self.server = FakeDiscoveryServer(lambda: (self.serial, self.listed), "room-a", self.send_altered)
 
