--- a/cedarthread/components/quota_escrow.py
+++ b/cedarthread/components/quota_escrow.py
@@ -11,7 +11,7 @@
     Each router reserves amounts of the fleet-wide total of a pool. Amounts are integers in a unit that the
     user of the pool defines. The sum of the amounts that all routers may use never exceeds the total of the
     pool, even if datagrams are lost, duplicated or delayed, the network is partitioned or routers restart
-    (proof in docs/design/grants.md).
+    (proof in docs/design/escrow.md).
     """
 
     def open_pool(self, name: str, total: int, *, is_consumable: bool, ends_at_ms: float | None) -> None:
--- a/cedarthread/components/replicated_state.py
+++ b/cedarthread/components/replicated_state.py
@@ -49,7 +49,7 @@
 class ReplicatedState(Protocol):
     """The interface of the replicated store for components, implemented by ``replication/store.py``.
 
-    Guarantee (proof in docs/design/register.md): an entry known at time t to be on a majority is known to
+    Guarantee (proof in docs/design/replication.md): an entry known at time t to be on a majority is known to
     every fresh router from t + ``staleness_bound_ms`` on. Therefore a restriction is in force from its
     reception on, and a relaxation from ``replicated_at_ms`` + ``staleness_bound_ms`` on. A router that is not
     fresh applies the strictest combination (greatest lower bound) of all entries that may be in force.
@@ -57,7 +57,7 @@
 
     @property
     def staleness_bound_ms(self) -> float:
-        """Return the staleness bound in ms (``B`` in docs/design/register.md)."""
+        """Return the staleness bound in ms (``B`` in docs/design/replication.md)."""
 
     def entries(self, kind: EntryKind) -> tuple[ReplicatedEntry, ...]:
         """Return all entries of a kind in the order of their names."""
--- a/cedarthread/persistence/sqlite_database.py
+++ b/cedarthread/persistence/sqlite_database.py
@@ -2,7 +2,7 @@
 
 The file has one table of rows and one head. SQLite uses a rollback journal, because a flipped bit in a
 write-ahead log silently discards all later commits. With a rollback journal, content stays in its place in
-the file, so that checksums detect each corruption (docs/design/store.md).
+the file, so that checksums detect each corruption (docs/design/persistence.md).
 """
 
 from __future__ import annotations
--- a/cedarthread/persistence/sqlite_store.py
+++ b/cedarthread/persistence/sqlite_store.py
@@ -1,8 +1,8 @@
 """The storage backend on SQLite, through apsw: opening, recovery after faults, commits.
 
 After a fault, the current file is neither written nor read again, because a failed sync leaves file and
-journal in a state that SQLite's own recovery can make worse (docs/design/store.md). Instead, the acknowledged
-content is written from memory to a new file ``state-N.db`` with a higher N.
+journal in a state that SQLite's own recovery can make worse (docs/design/persistence.md). Instead, the
+acknowledged content is written from memory to a new file ``state-N.db`` with a higher N.
 """
 
 from __future__ import annotations
--- a/cedarthread/testing/escrow_measurements.py
+++ b/cedarthread/testing/escrow_measurements.py
@@ -1,4 +1,4 @@
-"""Measures the table of docs/design/grants.md: ``python -m cedarthread.testing.escrow_measurements``."""
+"""Measures the table of docs/design/escrow.md: ``python -m cedarthread.testing.escrow_measurements``."""
 
 from __future__ import annotations
 
