--- a/cedarthread/testing/cluster/report.py
+++ b/cedarthread/testing/cluster/report.py
@@ -15,11 +15,11 @@
     try:
         from matplotlib.figure import Figure
     except ImportError as error:
-        print(f"cedarthread rig: {error}; install requirements-tools.txt", file=sys.stderr)
+        print(f"cedarthread cluster: {error}; install requirements-tools.txt", file=sys.stderr)
         return 2
     files = sorted(folder.glob("*.json"))
     if not files:
-        print(f"cedarthread rig: no results in {folder}", file=sys.stderr)
+        print(f"cedarthread cluster: no results in {folder}", file=sys.stderr)
         return 2
     for file in files:
         result = json.loads(file.read_text())
--- a/cedarthread/testing/fuzzing/router_under_test.py
+++ b/cedarthread/testing/fuzzing/router_under_test.py
@@ -106,9 +106,8 @@
         )
         self.checker = InvariantChecker(invariant_limits(self.raw_settings, stall_ms))
         settings = settings_from_object(self.raw_settings)
-        self.dispatcher = Dispatcher(settings, mode, clock=loop.unix_ms)
         self.flusher = Flusher()
-        self.dispatcher.flush_output = self.flusher.flush_all
+        self.dispatcher = Dispatcher(settings, mode, clock=loop.unix_ms, flush_output=self.flusher.flush_all)
         descriptors = 6 if mode & Mode.FEW_DESCRIPTORS else 40
         self.worker_connections = WorkerConnections(settings, self.dispatcher, descriptors, self.flusher)
         self.dispatcher.connect_workers(self.worker_connections)
--- a/cedarthread/testing/fuzzing/stream_target.py
+++ b/cedarthread/testing/fuzzing/stream_target.py
@@ -74,9 +74,9 @@
 
 def dispatcher_with_echo(loop: VirtualLoop) -> EchoDispatcher:
     """Return a dispatcher with two workers that answer every call with the call's own body."""
-    dispatcher = Dispatcher(settings_from_object(drawn_settings.settings()), 1, clock=loop.unix_ms)
     flusher = Flusher()
-    dispatcher.flush_output = flusher.flush_all
+    settings = settings_from_object(drawn_settings.settings())
+    dispatcher = Dispatcher(settings, 1, clock=loop.unix_ms, flush_output=flusher.flush_all)
     dispatcher.connect_workers(EchoTransport(dispatcher, loop))
     endpoints = tuple(Endpoint(number, 0, 0, 0, EndpointState.READY, None, None) for number in (1, 2))
     dispatcher.endpoints_changed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, endpoints))
