--- a/cedarthread/simulator/__init__.py
+++ b/cedarthread/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that hosts many routers on the operators' simulator, and its codec."""
+"""The adapter that hosts many routers on the operators' simulator, and the codec of its frames."""
--- a/cedarthread/simulator/decoder.py
+++ b/cedarthread/simulator/decoder.py
@@ -1,7 +1,8 @@
-"""Decodes the simulator's frames: a batch of records into the clock and each instance's events.
+"""Decodes the simulator's request frames into the clock and the events of each router instance.
 
-All numbers are little-endian. A batch starts with its length, the clock in ms and the number of records; each
-record starts with its code. This module alone knows the codes and layouts.
+A frame contains one batch. All numbers are little-endian. A batch starts with its length in bytes, the clock
+in ms and the number of records; each record starts with its code. ``Decoder`` writes the only state: the
+endpoint tables, and whether an instance has tenants.
 """
 
 from __future__ import annotations
@@ -36,12 +37,12 @@
 
 
 class SimulatorProtocolError(CedarthreadError):
-    """A frame is malformed; the message says at which record and byte."""
+    """A malformed frame; the message contains the record and the byte of the fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """A router instance starts, with nothing but its seed and settings."""
+    """The start of a router instance without any state from before."""
 
     seed: int
     settings: RouterSettings
@@ -49,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceKilled:
-    """A router instance was killed."""
+    """The end of a router instance, which loses its state."""
 
 
 HostEvent = Event | InstanceStarted | InstanceKilled
 
 
 class RecordCode(IntEnum):
-    """The first byte of a record."""
+    """Codes of the records of a request frame: the first byte of each record."""
 
     INSTANCE_STARTED = 1
     ENDPOINT_UPDATE = 2
@@ -69,8 +70,8 @@
     PEER_MESSAGE = 9
     INSTANCE_KILLED = 10
     PRELOAD_ENDED = 11
-    ENDPOINT_TABLE = 12  # a numbered endpoint list, for later updates to refer to
-    SELECT_INSTANCE = 13  # whose events the next records are
+    ENDPOINT_TABLE = 12  # defines a numbered endpoint list, which later endpoint updates refer to
+    SELECT_INSTANCE = 13  # selects the instance to which the events of the next records belong
 
 
 _U8 = struct.Struct("<B")
@@ -87,9 +88,14 @@
 _PRELOAD_ENDED = struct.Struct("<BIQHd")
 
 # Flags of an arrived request.
-_HAS_WORK, _IS_CLIENT_RETRY, _IS_WRITE = 1, 2, 4
-# An ended attempt's remark: its low three bits say how the instance started, the next five its concurrency.
-_START_KIND_MASK, _CONCURRENCY_SHIFT, _CONCURRENCY_MASK = 7, 3, 31
+_HAS_WORK = 1
+_IS_CLIENT_RETRY = 2
+_IS_WRITE = 4
+# The remark of an ended attempt: the low three bits are the start kind of the instance, and the next five bits
+# are the concurrency that the worker reports.
+_START_KIND_MASK = 7
+_CONCURRENCY_SHIFT = 3
+_CONCURRENCY_MASK = 31
 
 _OUTCOME_BY_VERDICT = {
     200: Outcome.OK,
@@ -113,7 +119,7 @@
 
 
 def _check_time(time_ms: float) -> float:
-    """A time or a span in ms; beyond ``MAX_NUMBER`` it is invalid."""
+    """Return a time or a duration in ms, unless it is NaN or its absolute value exceeds ``MAX_NUMBER``."""
     if not abs(time_ms) <= MAX_NUMBER:
         raise SimulatorProtocolError(f"{time_ms} ms is no time")
     return time_ms
@@ -139,10 +145,11 @@
 
 
 class _FrameReader:
-    """Reads packed fields from one frame, and says where it is cut short."""
+    """The read position in one frame; a read beyond the end of the frame raises SimulatorProtocolError."""
 
     def __init__(self, data: bytes, offset: int) -> None:
-        self.data, self.offset = data, offset
+        self.data = data
+        self.offset = offset
 
     def unpack(self, layout: struct.Struct) -> tuple[Any, ...]:
         if self.offset + layout.size > len(self.data):
@@ -164,7 +171,7 @@
 
 
 class Decoder:
-    """Decodes the batches of one process; keeps the numbered endpoint lists, which its instances share."""
+    """The decoder of one process; owns the numbered endpoint lists, which all its instances share."""
 
     def __init__(self) -> None:
         self.endpoint_tables: dict[int, tuple[Endpoint, ...]] = {}
@@ -184,8 +191,10 @@
         }
 
     def decode_batch(self, frame: bytes) -> tuple[float, Iterator[tuple[int, HostEvent]]]:
-        """The clock in ms, and the (instance id, event) pairs in order; SimulatorProtocolError, also while
-        iterating, if the frame is malformed.
+        """Return the clock of a batch in ms, and an iterator over its (instance id, event) pairs in order.
+
+        Raises:
+            SimulatorProtocolError: The frame is malformed. The iterator raises it too, at a malformed record.
         """
         if len(frame) < _BATCH_HEADER.size:
             raise SimulatorProtocolError(f"batch header cut short: {len(frame)} bytes")
--- a/cedarthread/simulator/encoder.py
+++ b/cedarthread/simulator/encoder.py
@@ -1,6 +1,6 @@
-"""Encodes the router's actions as records of the simulator's reply frames.
+"""Encodes the actions of routers as records of the simulator's reply frames; this module has no state.
 
-All numbers are little-endian; each record starts with its code. This module alone knows codes and layouts.
+All numbers are little-endian; each record starts with its code.
 """
 
 from __future__ import annotations
@@ -29,21 +29,21 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MAX_TEXT_BYTES = 0xFFFF  # a text's length is a 16-bit number; a longer one is cut
+MAX_TEXT_BYTES = 0xFFFF  # the length of a text is a 16-bit number; a longer text is truncated
 _ALL_PEERS = 0xFFFF
 
 
 class RecordCode(IntEnum):
-    """The first byte of a record."""
+    """Codes of the records of a reply frame: the first byte of each record."""
 
     PRELOAD_FUNCTION = 65
     CLOSE_IDLE_CONNECTIONS = 66
     SET_TIMER = 67
     REJECT_REQUEST = 68
-    FAILURE = 69  # the decision code raised an exception
+    FAILURE = 69  # the router raised an exception
     SEND_TO_PEER = 70
     START_ATTEMPT = 71
-    SELECT_INSTANCE = 72  # whose actions the next records are
+    SELECT_INSTANCE = 72  # selects the instance to which the actions of the next records belong
     FETCH_ENDPOINTS = 73
     SUBSCRIBE_ENDPOINTS = 74
     LOG_MESSAGE = 75
@@ -141,22 +141,22 @@
 
 
 def encode_action(action: Action) -> bytes:
-    """The record of one action."""
+    """Return the record of one action."""
     return _ENCODERS[type(action)](action)
 
 
 def encode_instance(instance_id: int) -> bytes:
-    """The record that selects the instance whose actions follow."""
+    """Return the record that selects the instance to which the following actions belong."""
     return _CODE_AND_U32.pack(RecordCode.SELECT_INSTANCE, instance_id)
 
 
 def encode_failure(text: str) -> bytes:
-    """The record that reports an exception of the decision code."""
+    """Return the record that reports an exception that a router raised."""
     return _encode_text(RecordCode.FAILURE, text)
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """A complete reply frame: its length, which counts itself, and the records."""
+    """Return a reply frame: its length in bytes, which includes the length field, and the records."""
     body = b"".join(records)
     return _FRAME_LENGTH.pack(_FRAME_LENGTH.size + len(body)) + body
 
--- a/cedarthread/simulator/host.py
+++ b/cedarthread/simulator/host.py
@@ -1,4 +1,8 @@
-"""Hosts router instances for the operators' simulator: frames on standard input, replies on its output."""
+"""Hosts router instances for the operators' simulator.
+
+The program reads request frames from standard input and writes one reply frame for each to standard output.
+``SimulatorHost`` writes the only state: the running instances.
+"""
 
 from __future__ import annotations
 
@@ -17,19 +21,25 @@
 if TYPE_CHECKING:
     from cedarthread.model.events import Event
 
-LENGTH_BYTES = 4  # of a frame's length, which counts itself
-MIN_FRAME_BYTES = 16  # a batch's header
+LENGTH_BYTES = 4  # size of the length field of a frame; the length includes the field
+MIN_FRAME_BYTES = 16  # size of the header of a batch
 
 
 class SimulatorHost:
-    """The instances of one process; they share nothing but the simulator's numbered endpoint lists."""
+    """The router instances of one process, which share only the simulator's numbered endpoint lists."""
 
     def __init__(self) -> None:
         self.decoder = Decoder()
         self.nodes: dict[int, RoutingNode] = {}  # by instance id
 
     def handle_frame(self, frame: bytes) -> bytes:
-        """The reply frame to one batch frame; SimulatorProtocolError if the frame is malformed."""
+        """Let the instances handle the events of a frame, and return the reply frame with their actions.
+
+        An event for an instance that does not run is ignored.
+
+        Raises:
+            SimulatorProtocolError: The frame is malformed.
+        """
         now_ms, events = self.decoder.decode_batch(frame)
         records: list[bytes] = []
         selected_instance: int | None = None
@@ -55,12 +65,16 @@
 def _handle_event(node: RoutingNode, now_ms: float, event: Event) -> list[bytes]:
     try:
         return [encode_action(action) for action in node.handle(now_ms, event)]
-    except Exception as error:  # whatever the decision code raises is reported, never swallowed
+    except Exception as error:  # reported to the simulator, which decides whether to stop
         return [encode_failure(f"{type(error).__name__}: {error} on {type(event).__name__}")]
 
 
 def read_frame(source: BinaryIO) -> bytes | None:
-    """The next frame, None at the end of input; SimulatorProtocolError if it is cut short."""
+    """Return the next frame, or None at the end of the input.
+
+    Raises:
+        SimulatorProtocolError: The input ends inside a frame, or the frame is shorter than a header.
+    """
     head = source.read(LENGTH_BYTES)
     if not head:
         return None
@@ -76,7 +90,7 @@
 
 
 def main(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answer frames until the input ends; returns the exit code, 2 after malformed input."""
+    """Answer frames until the input ends, and return the exit code: 0, or 2 after malformed input."""
     host = SimulatorHost()
     try:
         while (frame := read_frame(source)) is not None:
