--- a/cedarthread/simulator/decoder.py
+++ b/cedarthread/simulator/decoder.py
@@ -10,11 +10,10 @@
 import math
 import struct
 from dataclasses import dataclass
-from enum import IntEnum
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple, TypeVar
 
 from cedarthread.errors import CedarthreadError
-from cedarthread.model.endpoints import Endpoint, EndpointState, EndpointUpdate, EndpointUpdateKind
+from cedarthread.model.endpoints import Endpoint, EndpointUpdate, EndpointUpdateKind
 from cedarthread.model.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -26,9 +25,34 @@
     StreamStarted,
     TimerFired,
 )
-from cedarthread.model.outcomes import Outcome, StartKind
+from cedarthread.model.outcomes import StartKind
 from cedarthread.number_checks import MAX_NUMBER, positive_or_none
 from cedarthread.settings_parser import SettingsError, parse_settings
+from cedarthread.simulator.event_layouts import (
+    ATTEMPT_ENDED,
+    BATCH_HEADER,
+    CONCURRENCY_MASK,
+    CONCURRENCY_SHIFT,
+    ENDPOINT_ENTRY,
+    ENDPOINT_STATES,
+    ENDPOINT_UPDATE,
+    HAS_WORK,
+    HEALTH_CHECK_ENDED,
+    INSTANCE_STARTED,
+    IS_CLIENT_RETRY,
+    IS_WRITE,
+    OUTCOME_BY_VERDICT,
+    PEER_MESSAGE,
+    PRELOAD_ENDED,
+    REQUEST_ARRIVED,
+    START_KIND_MASK,
+    START_KINDS,
+    STREAM_STARTED,
+    U8,
+    U32,
+    UPDATE_KINDS,
+    RecordCode,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
@@ -54,68 +78,18 @@
 
 
 HostEvent = Event | InstanceStarted | InstanceKilled
+InstanceEvent = tuple[int, HostEvent]  # instance id and event; a bare tuple because one is made per event
+
+
+class Batch(NamedTuple):
+    """The content of one request frame."""
 
+    now_ms: float
+    events: Iterator[InstanceEvent]  # decodes the next record at each step
 
-class RecordCode(IntEnum):
-    """Codes of the records of a request frame: the first byte of each record."""
-
-    INSTANCE_STARTED = 1
-    ENDPOINT_UPDATE = 2
-    REQUEST_ARRIVED = 3
-    STREAM_STARTED = 4
-    ATTEMPT_ENDED = 5
-    CLIENT_DISCONNECTED = 6
-    TIMER_FIRED = 7
-    HEALTH_CHECK_ENDED = 8
-    PEER_MESSAGE = 9
-    INSTANCE_KILLED = 10
-    PRELOAD_ENDED = 11
-    ENDPOINT_TABLE = 12  # defines a numbered endpoint list, which later endpoint updates refer to
-    SELECT_INSTANCE = 13  # selects the instance to which the events of the next records belong
-
-
-_U8 = struct.Struct("<B")
-_U32 = struct.Struct("<I")
-_BATCH_HEADER = struct.Struct("<IdI")
-_ENDPOINT_ENTRY = struct.Struct("<IBHHBfd")
-_INSTANCE_STARTED = struct.Struct("<QI")
-_ENDPOINT_UPDATE = struct.Struct("<BQI")
-_REQUEST_ARRIVED = struct.Struct("<IfdQHffdHH")
-_STREAM_STARTED = struct.Struct("<IHId")
-_ATTEMPT_ENDED = struct.Struct("<IIdIHHB")
-_HEALTH_CHECK_ENDED = struct.Struct("<dIH")
-_PEER_MESSAGE = struct.Struct("<IH")
-_PRELOAD_ENDED = struct.Struct("<BIQHd")
-
-# Flags of an arrived request.
-_HAS_WORK = 1
-_IS_CLIENT_RETRY = 2
-_IS_WRITE = 4
-# The remark of an ended attempt: the low three bits are the start kind of the instance, and the next five bits
-# are the concurrency that the worker reports.
-_START_KIND_MASK = 7
-_CONCURRENCY_SHIFT = 3
-_CONCURRENCY_MASK = 31
-
-_OUTCOME_BY_VERDICT = {
-    200: Outcome.OK,
-    502: Outcome.ERROR,
-    429: Outcome.OVERLOADED,
-    408: Outcome.TIMEOUT,
-    521: Outcome.CONNECT_FAILED,
-    520: Outcome.RESET,
-    444: Outcome.CANCELLED,
-    409: Outcome.NOT_SENT,
-    204: Outcome.NOT_LOADED,
-}
-_START_KINDS = (StartKind.UNKNOWN, StartKind.WARM, StartKind.COLD, StartKind.PENDING, StartKind.LOAD_FAILED)
-_UPDATE_KINDS = {
-    4: EndpointUpdateKind.DELTA,
-    3: EndpointUpdateKind.SNAPSHOT,
-    1: EndpointUpdateKind.CACHED,
-    2: EndpointUpdateKind.FAILED,
-}
-_ENDPOINT_STATES = {0: EndpointState.REMOVED, 1: EndpointState.DRAINING, 2: EndpointState.READY}
+
+_Key = TypeVar("_Key")
+_Value = TypeVar("_Value")
 
 
 def _check_time(time_ms: float) -> float:
@@ -125,7 +99,7 @@
     return time_ms
 
 
-def _lookup(table: dict[Any, Any], key: Any, kind: str) -> Any:
+def _lookup(table: dict[_Key, _Value], key: _Key, kind: str) -> _Value:
     if key not in table:
         raise SimulatorProtocolError(f"unknown {kind} {key!r}")
     return table[key]
@@ -138,7 +112,7 @@
         zone,
         kind,
         cell,
-        _lookup(_ENDPOINT_STATES, state, "status"),
+        _lookup(ENDPOINT_STATES, state, "status"),
         positive_or_none(weight),
         positive_or_none(started_at_ms),
     )
@@ -165,7 +139,7 @@
         return self.data[self.offset - count : self.offset]
 
     def read_load_report(self) -> tuple[float | None, ...]:
-        (count,) = self.unpack(_U8)
+        (count,) = self.unpack(U8)
         values = struct.unpack(f"<{count}f", self.take(4 * count))
         return tuple(value if math.isfinite(value) and value >= 0 else None for value in values)
 
@@ -190,27 +164,27 @@
             RecordCode.PRELOAD_ENDED: self._preload_ended,
         }
 
-    def decode_batch(self, frame: bytes) -> tuple[float, Iterator[tuple[int, HostEvent]]]:
-        """Return the clock of a batch in ms, and an iterator over its (instance id, event) pairs in order.
+    def decode_batch(self, frame: bytes) -> Batch:
+        """Return the batch that a frame contains, with its events in order.
 
         Raises:
-            SimulatorProtocolError: The frame is malformed. The iterator raises it too, at a malformed record.
+            SimulatorProtocolError: The header is malformed. ``events`` raises it at a malformed record.
         """
-        if len(frame) < _BATCH_HEADER.size:
+        if len(frame) < BATCH_HEADER.size:
             raise SimulatorProtocolError(f"batch header cut short: {len(frame)} bytes")
-        length, now_ms, count = _BATCH_HEADER.unpack_from(frame)
+        length, now_ms, count = BATCH_HEADER.unpack_from(frame)
         if length != len(frame):
             raise SimulatorProtocolError(f"batch says {length} bytes and has {len(frame)}")
         _check_time(now_ms)
-        return now_ms, self._decode_records(_FrameReader(frame, _BATCH_HEADER.size), count)
+        return Batch(now_ms, self._decode_records(_FrameReader(frame, BATCH_HEADER.size), count))
 
-    def _decode_records(self, reader: _FrameReader, count: int) -> Iterator[tuple[int, HostEvent]]:
+    def _decode_records(self, reader: _FrameReader, count: int) -> Iterator[InstanceEvent]:
         instance_id: int | None = None
         for index in range(count):
             start = reader.offset
-            (code,) = reader.unpack(_U8)
+            (code,) = reader.unpack(U8)
             if code == RecordCode.SELECT_INSTANCE:
-                (instance_id,) = reader.unpack(_U32)
+                (instance_id,) = reader.unpack(U32)
             elif code == RecordCode.ENDPOINT_TABLE:
                 self._decode_endpoint_table(reader)
             elif instance_id is None:
@@ -227,12 +201,10 @@
             raise SimulatorProtocolError(f"{surplus} bytes after the last record at byte {reader.offset}")
 
     def _decode_endpoint_table(self, reader: _FrameReader) -> None:
-        (table_number,) = reader.unpack(_U32)
-        (count,) = reader.unpack(_U32)
-        entries = reader.take(count * _ENDPOINT_ENTRY.size)
-        self.endpoint_tables[table_number] = tuple(
-            map(_decode_endpoint, _ENDPOINT_ENTRY.iter_unpack(entries))
-        )
+        (table_number,) = reader.unpack(U32)
+        (count,) = reader.unpack(U32)
+        entries = reader.take(count * ENDPOINT_ENTRY.size)
+        self.endpoint_tables[table_number] = tuple(map(_decode_endpoint, ENDPOINT_ENTRY.iter_unpack(entries)))
 
     def _decode_event(self, reader: _FrameReader, code: int, instance_id: int) -> HostEvent:
         decode = self._decoders.get(code)
@@ -241,14 +213,14 @@
         return decode(reader, instance_id)
 
     def _instance_started(self, reader: _FrameReader, instance_id: int) -> HostEvent:
-        seed, count = reader.unpack(_INSTANCE_STARTED)
+        seed, count = reader.unpack(INSTANCE_STARTED)
         settings = parse_settings(reader.take(count))
         self.has_tenants[instance_id] = bool(settings.tenants)
         return InstanceStarted(seed, settings)
 
     def _endpoint_update(self, reader: _FrameReader, instance_id: int) -> HostEvent:
-        kind_code, version, table_number = reader.unpack(_ENDPOINT_UPDATE)
-        kind = _lookup(_UPDATE_KINDS, kind_code, "list kind")
+        kind_code, version, table_number = reader.unpack(ENDPOINT_UPDATE)
+        kind = _lookup(UPDATE_KINDS, kind_code, "list kind")
         if kind is EndpointUpdateKind.FAILED:
             return EndpointUpdate(kind, version, ())
         return EndpointUpdate(kind, version, _lookup(self.endpoint_tables, table_number, "table"))
@@ -265,7 +237,7 @@
             work_ms,
             tenant_index,
             flags,
-        ) = reader.unpack(_REQUEST_ARRIVED)
+        ) = reader.unpack(REQUEST_ARRIVED)
         return RequestArrived(
             request_id,
             function_id,
@@ -275,21 +247,21 @@
             positive_or_none(concurrency),
             positive_or_none(memory_mb),
             positive_or_none(load_time_ms),
-            positive_or_none(work_ms) if flags & _HAS_WORK else None,
-            bool(flags & _IS_CLIENT_RETRY),
-            bool(flags & _IS_WRITE),
+            positive_or_none(work_ms) if flags & HAS_WORK else None,
+            bool(flags & IS_CLIENT_RETRY),
+            bool(flags & IS_WRITE),
         )
 
     def _stream_started(self, reader: _FrameReader, instance_id: int) -> HostEvent:
-        request_id, attempt_index, worker_id, latency_ms = reader.unpack(_STREAM_STARTED)
+        request_id, attempt_index, worker_id, latency_ms = reader.unpack(STREAM_STARTED)
         return StreamStarted(request_id, attempt_index, worker_id, _check_time(latency_ms))
 
     def _attempt_ended(self, reader: _FrameReader, instance_id: int) -> HostEvent:
-        fields = reader.unpack(_ATTEMPT_ENDED)
+        fields = reader.unpack(ATTEMPT_ENDED)
         request_id, worker_id, latency_ms, remark, attempt_index, verdict, is_final = fields
-        outcome = _lookup(_OUTCOME_BY_VERDICT, verdict, "verdict")
-        start_code = remark & _START_KIND_MASK
-        start_kind = _START_KINDS[start_code] if start_code < len(_START_KINDS) else StartKind.UNKNOWN
+        outcome = _lookup(OUTCOME_BY_VERDICT, verdict, "verdict")
+        start_code = remark & START_KIND_MASK
+        start_kind = START_KINDS[start_code] if start_code < len(START_KINDS) else StartKind.UNKNOWN
         return AttemptEnded(
             request_id,
             attempt_index,
@@ -298,29 +270,29 @@
             _check_time(latency_ms),
             bool(is_final),
             start_kind,
-            (remark >> _CONCURRENCY_SHIFT) & _CONCURRENCY_MASK,
+            (remark >> CONCURRENCY_SHIFT) & CONCURRENCY_MASK,
             reader.read_load_report(),
         )
 
     def _client_disconnected(self, reader: _FrameReader, instance_id: int) -> HostEvent:
-        return ClientDisconnected(*reader.unpack(_U32))
+        return ClientDisconnected(*reader.unpack(U32))
 
     def _timer_fired(self, reader: _FrameReader, instance_id: int) -> HostEvent:
-        return TimerFired(*reader.unpack(_U32))
+        return TimerFired(*reader.unpack(U32))
 
     def _health_check_ended(self, reader: _FrameReader, instance_id: int) -> HostEvent:
-        latency_ms, worker_id, verdict = reader.unpack(_HEALTH_CHECK_ENDED)
-        outcome = _lookup(_OUTCOME_BY_VERDICT, verdict, "verdict")
+        latency_ms, worker_id, verdict = reader.unpack(HEALTH_CHECK_ENDED)
+        outcome = _lookup(OUTCOME_BY_VERDICT, verdict, "verdict")
         return HealthCheckEnded(worker_id, outcome, _check_time(latency_ms), reader.read_load_report())
 
     def _peer_message(self, reader: _FrameReader, instance_id: int) -> HostEvent:
-        sender_index, count = reader.unpack(_PEER_MESSAGE)
+        sender_index, count = reader.unpack(PEER_MESSAGE)
         return PeerMessageReceived(sender_index, reader.take(count))
 
     def _instance_killed(self, reader: _FrameReader, instance_id: int) -> HostEvent:
         return InstanceKilled()
 
     def _preload_ended(self, reader: _FrameReader, instance_id: int) -> HostEvent:
-        instances, worker_id, function_id, verdict, latency_ms = reader.unpack(_PRELOAD_ENDED)
-        outcome = _lookup(_OUTCOME_BY_VERDICT, verdict, "verdict")
+        instances, worker_id, function_id, verdict, latency_ms = reader.unpack(PRELOAD_ENDED)
+        outcome = _lookup(OUTCOME_BY_VERDICT, verdict, "verdict")
         return PreloadEnded(worker_id, function_id, outcome, instances, _check_time(latency_ms))
