--- a/cedarthread/simulator/host.py
+++ b/cedarthread/simulator/host.py
@@ -7,8 +7,20 @@
 from __future__ import annotations
 
 import sys
-from typing import TYPE_CHECKING, BinaryIO
-
+from typing import BinaryIO
+
+from cedarthread.model.endpoints import EndpointUpdate
+from cedarthread.model.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    Event,
+    HealthCheckEnded,
+    PeerMessageReceived,
+    PreloadEnded,
+    RequestArrived,
+    StreamStarted,
+    TimerFired,
+)
 from cedarthread.node.routing_node import RoutingNode
 from cedarthread.simulator.decoder import (
     Decoder,
@@ -18,12 +30,22 @@
 )
 from cedarthread.simulator.encoder import encode_action, encode_failure, encode_instance, encode_reply
 
-if TYPE_CHECKING:
-    from cedarthread.model.events import Event
-
 LENGTH_BYTES = 4  # size of the length field of a frame; the length includes the field
 MIN_FRAME_BYTES = 16  # size of the header of a batch
 
+# Each kind of event in the words of a failure record, which names no Python type because operators read it.
+_EVENT_DESCRIPTIONS: dict[type, str] = {
+    EndpointUpdate: "an endpoint update",
+    RequestArrived: "a request that arrived",
+    StreamStarted: "a stream that started",
+    AttemptEnded: "an attempt that ended",
+    ClientDisconnected: "a client that disconnected",
+    TimerFired: "a timer that fired",
+    HealthCheckEnded: "a health check that ended",
+    PeerMessageReceived: "a message of a peer",
+    PreloadEnded: "a preload that ended",
+}
+
 
 class SimulatorHost:
     """The router instances of one process, which share only the simulator's numbered endpoint lists."""
@@ -66,7 +88,9 @@
     try:
         return [encode_action(action) for action in node.handle(now_ms, event)]
     except Exception as error:  # reported to the simulator, which decides whether to stop
-        return [encode_failure(f"{type(error).__name__}: {error} on {type(event).__name__}")]
+        description = _EVENT_DESCRIPTIONS[type(event)]
+        details = str(error) or "no details"
+        return [encode_failure(f"internal error while handling {description}: {details}")]
 
 
 def read_frame(source: BinaryIO) -> bytes | None:
