--- a/cedarthread/testing/invariants.py
+++ b/cedarthread/testing/invariants.py
@@ -1,9 +1,9 @@
-"""Invariant checker: facts of a run in, violations of the operators' rules out.
+"""Checks the recorded facts of a run against the operators' rules and lists the violations.
 
-The facts are those that peers can see: what a client sent and got, what reached a worker and what it
-answered, and what endpoint lists said. Times are ms of any one clock that never goes back. Names of rules
-stand in reports: harness, answers, deadline, served, effects, attempts, gone, drain, time limit, orders and
-rest.
+The facts are those that the router's peers can see: requests and answers of clients, attempts and answers
+of workers, and endpoint lists. ``InvariantChecker`` writes all state. Times are ms of one monotonic clock.
+Reports contain the rules by name: harness, answers, deadline, served, effects, attempts, gone, drain, time
+limit, orders and rest.
 """
 
 from __future__ import annotations
@@ -13,28 +13,30 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-ROUNDING = 1e-9  # so that a product such as 2.0 * 1.15 counts for no less than it is
+ROUNDING = (
+    1e-9  # added before rounding down, because a product such as 2.0 * 1.15 may be too small by this much
+)
 
 
 class Idempotency(StrEnum):
-    """Whether a call may be executed more than once; the values are the words of settings files."""
+    """Permissions to execute a call more than once; the values are the words of settings files."""
 
     IDEMPOTENT = "retryable"
-    WITH_KEY = "dedup"  # within a scope and a window
+    WITH_KEY = "dedup"  # may be executed again within the deduplication scope and window
     NOT_IDEMPOTENT = "fragile"
 
 
 @dataclass(frozen=True, slots=True)
 class CallGuarantees:
-    """What one class of calls promises."""
+    """The rules for retries of one class of calls."""
 
     idempotency: Idempotency
-    retry_scope: str = "all"  # of calls with a key: all, zone or cell
-    retry_window_ms: float = 0.0  # of calls with a key: from the first attempt that may have been executed
+    retry_scope: str = "all"  # for calls with a key: all, zone or cell
+    retry_window_ms: float = 0.0  # for calls with a key: since the first attempt that may have been executed
 
     @property
     def allows_any_retry(self) -> bool:
-        """Whether a call may be executed again anywhere, so that a rejected one may have been executed."""
+        """Whether any worker may execute a call again; then a rejected call may have been executed."""
         if self.idempotency is Idempotency.WITH_KEY:
             return self.retry_scope == "all"
         return self.idempotency is Idempotency.IDEMPOTENT
@@ -42,39 +44,43 @@
 
 @dataclass(frozen=True, slots=True)
 class InvariantLimits:
-    """The numbers of the rules."""
+    """The limits that the rules check; the defaults are those of the default settings."""
 
     max_attempts: int = 4
     allows_hedging: bool = False
-    answer_slack_ms: float = 58.0  # after the deadline: the default setting, and 50 ms for the sockets
-    drain_slack_ms: float = 550.0  # after a list that says so, likewise
-    client_disconnected_slack_ms: float = (
-        100.0  # after a client closed its connection or cancelled its request
+    answer_slack_ms: float = (
+        58.0  # after the deadline: 8 ms by the default settings, and 50 ms for the sockets
     )
-    time_limit_slack_ms: float = 150.0  # by which the time passed to a worker may exceed what is left
+    drain_slack_ms: float = (
+        550.0  # after a list with the worker draining or absent: 500 ms by the settings, and 50
+    )
+    # After a client closed its connection or cancelled its request.
+    client_disconnected_slack_ms: float = 100.0
+    # A time limit that a worker receives may exceed the time to the client's deadline by this much.
+    time_limit_slack_ms: float = 150.0
     preload_window_ms: float = 0.0  # 0: preloads are not limited
-    preload_allowance: float = 0.0  # preload requests in a window in any case
-    preload_share: float = 0.0  # and for each call that was submitted in it
-    preload_tolerance: float = 1.0  # requests beyond the limit
-    preload_tolerance_factor: float = 1.15  # times the limit
+    preload_allowance: float = 0.0  # preload requests allowed in each window
+    preload_share: float = 0.0  # preload requests allowed in addition for each call submitted in the window
+    preload_tolerance: float = 1.0  # preload requests tolerated beyond the limit
+    preload_tolerance_factor: float = 1.15  # the limit is multiplied by this factor first
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken rule: which, when, and what was seen."""
+    """One violation of a rule."""
 
     rule: str
     at_ms: float
     detail: str
 
     def __str__(self) -> str:
-        """The violation as a line."""
+        """Return the violation as a line of a report."""
         return f"{self.rule} at {self.at_ms:.1f} ms: {self.detail}"
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt, as its worker saw it."""
+    """One attempt, as its worker observed it."""
 
     worker_id: int
     started_at_ms: float
@@ -84,11 +90,11 @@
     may_have_executed: bool = True
 
     def may_have_effect(self) -> bool:
-        """Whether it is executed now, or may have been."""
+        """Return whether the worker executes the attempt or may have executed it."""
         return self.is_in_flight or self.may_have_executed
 
     def is_outside(self, scope: str, other: AttemptRecord) -> bool:
-        """Whether another attempt is in another zone or cell, where that is the scope."""
+        """Return whether the other attempt is in another zone (scope "zone") or cell (scope "cell")."""
         if scope == "zone":
             return self.zone != other.zone
         return scope == "cell" and self.cell != other.cell
@@ -96,6 +102,8 @@
 
 @dataclass(slots=True)
 class _CallRecord:
+    """One call of a client, with its attempts and answers so far."""
+
     guarantees: CallGuarantees
     deadline_ms: float
     attempts: list[AttemptRecord] = field(default_factory=list)
@@ -108,14 +116,20 @@
 
 @dataclass(slots=True)
 class _WorkerListing:
+    """The state of one worker in the endpoint list of one router."""
+
     state: str  # ready, draining or gone
-    since_ms: float
+    since_ms: float  # since when the worker is ready, or since when it is draining or gone
     zone: int
     cell: int
 
 
 class InvariantChecker:
-    """All facts of a run, and the violations among them."""
+    """The checker of one run; owns the recorded calls, attempts and endpoint lists, and the violations.
+
+    Args:
+        limits: the limits that the rules check.
+    """
 
     def __init__(self, limits: InvariantLimits) -> None:
         self.limits = limits
@@ -131,8 +145,16 @@
     def on_worker_state(
         self, at_ms: float, worker_id: int, state: str, zone: int = 0, cell: int = 0, *, router: int = 0
     ) -> None:
-        """An endpoint list that a router is told has a worker as ready or draining, or has it no more
-        (``gone``). A worker that is gone may not be sent to since it was drained.
+        """Record the state of a worker in the endpoint list that a router received.
+
+        Args:
+            at_ms: when the router received the list.
+            worker_id: the worker.
+            state: ready, draining, or gone for a worker that is not in the list. The drain slack of a worker
+                counts from the first list in which the worker was not ready.
+            zone: the worker's zone.
+            cell: the worker's cell.
+            router: the router.
         """
         previous = self._workers.get((router, worker_id))
         is_ready = state == "ready"
@@ -145,7 +167,7 @@
     def on_call_submitted(
         self, at_ms: float, call: str, guarantees: CallGuarantees, deadline_ms: float
     ) -> None:
-        """A client sent a complete request, under a name of its own; the deadline is a time."""
+        """Record that a client sent a complete request, with a unique name of the call and its deadline."""
         if call in self._calls:
             self._report("harness", at_ms, f"call {call} was recorded twice")
             return
@@ -153,17 +175,17 @@
         self._submitted_at_ms.append(at_ms)
 
     def on_call_abandoned(self, at_ms: float, call: str) -> None:
-        """Its client waits no more: an answer need not come, and may."""
+        """Record that the client stopped waiting: the call may end with an answer or without."""
         if (record := self._calls.get(call)) is not None:
             record.is_abandoned = True
 
     def on_client_disconnected(self, at_ms: float, call: str) -> None:
-        """Its client closed the connection, or its own end of it, or cancelled the request."""
+        """Record that the client closed or half-closed its connection, or cancelled the request."""
         if (record := self._calls.get(call)) is not None:
             record.client_disconnected_at_ms = min(record.client_disconnected_at_ms, at_ms)
 
     def on_answer(self, at_ms: float, call: str, result: str, body: bytes = b"") -> None:
-        """A client got a final answer: served, refused or failed."""
+        """Record that a client received a final answer: served, refused or failed."""
         record = self._calls.get(call)
         if record is None:
             self._report("answers", at_ms, f"an answer to {call}, which nobody asked")
@@ -183,8 +205,8 @@
         guarantees = record.guarantees
         may_have_effect = any(attempt.may_have_effect() for attempt in record.attempts)
         if may_have_effect and not guarantees.allows_any_retry:
-            what = f"call {call} ({guarantees.idempotency}) refused though it may have run"
-            self._report("effects", at_ms, what)
+            detail = f"call {call} ({guarantees.idempotency}) refused though it may have run"
+            self._report("effects", at_ms, detail)
 
     def on_attempt_started(
         self,
@@ -197,13 +219,17 @@
         router: int = 0,
         time_limit_ms: float = 0.0,
     ) -> AttemptRecord:
-        """A complete attempt came to a worker.
-
-        ``first_byte_at_ms``: when its first byte left the router, where that was earlier.
-        ``handed_over_at_ms``: when the router gave it to a socket whose peer read nothing, from where it
-        could not be taken back.
-        ``router``: who sent it. ``time_limit_ms``: for how long the router will wait, as it told the worker
-        with the first byte; 0 where that is not known.
+        """Record that a worker received a complete attempt.
+
+        Args:
+            at_ms: when the worker received the last byte.
+            call: the name of the call.
+            worker_id: the worker.
+            first_byte_at_ms: when the first byte left the router; None for ``at_ms``.
+            handed_over_at_ms: when the router wrote the attempt to a socket that the worker did not read, so
+                that the router could not withdraw it; None for ``first_byte_at_ms``.
+            router: the router that sent the attempt.
+            time_limit_ms: the time limit that the worker received with the attempt; 0 if unknown.
         """
         listing = self._workers.get((router, worker_id))
         zone, cell = (listing.zone, listing.cell) if listing else (-1, -1)
@@ -215,25 +241,26 @@
         if record is None:
             self._report("attempts", at_ms, f"an attempt of {call}, which nobody asked")
             return attempt
-        self._check_call_wants_attempt(at_ms, call, record, first_byte_at_ms, handed_over_at_ms)
+        self._check_attempt_is_due(at_ms, call, record, first_byte_at_ms, handed_over_at_ms)
         excess_ms = first_byte_at_ms + time_limit_ms - record.deadline_ms
         if time_limit_ms > 0.0 and excess_ms > self.limits.time_limit_slack_ms:
-            what = f"the worker of {call} was told {excess_ms:.0f} ms more than its client had left"
-            self._report("time limit", at_ms, what)
+            detail = f"the worker of {call} was told {excess_ms:.0f} ms more than its client had left"
+            self._report("time limit", at_ms, detail)
         self._check_retry(first_byte_at_ms, call, record, attempt)
         record.attempts.append(attempt)
         return attempt
 
-    def _check_drain(self, at_ms: float, worker_id: int, what: str, listing: _WorkerListing | None) -> None:
+    def _check_drain(
+        self, at_ms: float, worker_id: int, message: str, listing: _WorkerListing | None
+    ) -> None:
         if listing is None:
-            self._report("drain", at_ms, f"{what} to worker {worker_id}, which was never listed")
+            self._report("drain", at_ms, f"{message} to worker {worker_id}, which was never listed")
         elif listing.state != "ready" and at_ms > listing.since_ms + self.limits.drain_slack_ms:
             late_ms = at_ms - listing.since_ms
-            self._report(
-                "drain", at_ms, f"{what} to worker {worker_id}, {late_ms:.0f} ms after it was {listing.state}"
-            )
+            detail = f"{message} to worker {worker_id}, {late_ms:.0f} ms after it was {listing.state}"
+            self._report("drain", at_ms, detail)
 
-    def _check_call_wants_attempt(
+    def _check_attempt_is_due(
         self, at_ms: float, call: str, record: _CallRecord, first_byte_at_ms: float, handed_over_at_ms: float
     ) -> None:
         is_same_time = handed_over_at_ms == at_ms and record.answer_count > 0
@@ -241,8 +268,8 @@
             self._report("attempts", at_ms, f"call {call} sent after its final answer")
         late_ms = first_byte_at_ms - record.client_disconnected_at_ms
         if first_byte_at_ms > record.client_disconnected_at_ms + self.limits.client_disconnected_slack_ms:
-            what = f"an attempt of {call} began {late_ms:.0f} ms after its client had gone"
-            self._report("gone", at_ms, what)
+            detail = f"an attempt of {call} began {late_ms:.0f} ms after its client had gone"
+            self._report("gone", at_ms, detail)
         is_in_flight = any(attempt.is_in_flight for attempt in record.attempts)
         if is_in_flight and not self.limits.allows_hedging:
             self._report("attempts", at_ms, f"call {call} has two attempts out")
@@ -264,14 +291,15 @@
             self._report("effects", at_ms, f"dedup call {call} left its {guarantees.retry_scope}")
 
     def on_body_produced(self, call: str, body: bytes) -> None:
-        """A worker made this body for a call, and has not sent it yet."""
+        """Record a body that a worker produced for a call, before the worker sends it."""
         if (record := self._calls.get(call)) is not None:
             record.produced_bodies.append(body)
 
     def on_attempt_ended(self, attempt: AttemptRecord, may_have_executed: bool) -> None:
-        """A worker sent an attempt's answer, or the router cancelled the attempt."""
+        """Record that a worker answered an attempt, or that the router cancelled the attempt."""
         if attempt.is_in_flight:
-            attempt.is_in_flight, attempt.may_have_executed = False, may_have_executed
+            attempt.is_in_flight = False
+            attempt.may_have_executed = may_have_executed
 
     def on_preload(
         self,
@@ -282,12 +310,22 @@
         *,
         router: int = 0,
     ) -> None:
-        """A complete preload request came to a worker; one for no instances only asks for their number."""
+        """Record that a worker received a complete preload request.
+
+        Args:
+            at_ms: when the worker received the last byte.
+            worker_id: the worker.
+            instances: the number of instances to load; 0 queries the number of loaded instances.
+            first_byte_at_ms: when the first byte left the router; None for ``at_ms``.
+            router: the router that sent the request.
+        """
         sent_at_ms = at_ms if first_byte_at_ms is None else first_byte_at_ms
         self._check_drain(sent_at_ms, worker_id, "an order", self._workers.get((router, worker_id)))
+        if instances > 0 and self.limits.preload_window_ms > 0:
+            self._check_preload_limit(at_ms)
+
+    def _check_preload_limit(self, at_ms: float) -> None:
         limits = self.limits
-        if instances <= 0 or limits.preload_window_ms <= 0:
-            return
         self._preloaded_at_ms.append(at_ms)
         for times in (self._preloaded_at_ms, self._submitted_at_ms):
             while times and times[0] <= at_ms - limits.preload_window_ms:
@@ -299,14 +337,15 @@
             self._report("orders", at_ms, f"{count} orders to load where {allowed:.1f} are allowed")
 
     def check_remaining(
-        self, at_ms: float, what: str, remaining: float, expected_at_most: float = 0.0
+        self, at_ms: float, resource: str, remaining: float, expected_at_most: float = 0.0
     ) -> None:
-        """At the end: what a run took must have been given back, but for what is expected."""
+        """Report a resource that was not released by the end of a run, beyond the expected remainder."""
         if remaining > expected_at_most:
-            self._report("rest", at_ms, f"{what}: {remaining:g} left, at most {expected_at_most:g} expected")
+            detail = f"{resource}: {remaining:g} left, at most {expected_at_most:g} expected"
+            self._report("rest", at_ms, detail)
 
     def check_all_answered(self, at_ms: float) -> None:
-        """At the end, with every deadline past: each call must have its answer."""
+        """Report each call without an answer; call this at the end, after the last deadline."""
         for call, record in self._calls.items():
             if not record.answer_count and not record.is_abandoned:
                 self._report("answers", at_ms, f"call {call} got no final answer")
