--- a/cedarthread/testing/escrow_measurements.py
+++ b/cedarthread/testing/escrow_measurements.py
@@ -5,7 +5,7 @@
 import itertools
 import math
 import random
-from typing import Any
+from typing import Any, NamedTuple
 
 from cedarthread.escrow.rate_pool import LEASE_TERM_MS
 from cedarthread.testing.escrow_simulation import TICK_INTERVAL_MS, EscrowSimulation
@@ -17,10 +17,15 @@
 }
 
 
+class SentDatagrams(NamedTuple):
+    """Datagrams that the routers sent in one second."""
+
+    mean: float  # over the routers
+    most_by_one_router: int
+
+
 def zipf_demand(router_count: int, total: int, exponent: float, rng: random.Random) -> list[int]:
-    """Demand by router: the k-th greatest is proportional to 1 / k^exponent; which router has it is
-    random.
-    """
+    """Return the demand by router: the k-th greatest is proportional to 1 / k^exponent, in random order."""
     weights = [rank**-exponent for rank in range(1, router_count + 1)]
     rng.shuffle(weights)
     return [int(total * weight / sum(weights)) for weight in weights]
@@ -29,10 +34,11 @@
 def measure_rate_service(
     router_count: int, seed: int, load: float, loss_rate: float, exponent: float = 1.0
 ) -> list[float]:
-    """How well a rate follows skewed demand that comes up at once.
+    """Measure how fast the shares of a rate follow skewed demand that appears at one moment.
 
-    Returns the fraction of the rate in use at once and after 2, 5, 10 and 20 s, the least fraction in the 10
-    s from then, and the bytes a second that a router sends in them, mean and maximum.
+    Returns:
+        The fraction of the rate in use at that moment and after 2, 5, 10 and 20 s; the least fraction in the
+        next 10 s; and the bytes that a router sends per second during these 10 s, mean and maximum.
     """
     total = 1_000_000
     network = {**MEASURED_NETWORK, "loss_rate": loss_rate, "check_interval_ms": 1e9}
@@ -63,7 +69,7 @@
 def measure_count_acquisition(
     router_count: int, seed: int, total: int, requesters: int, loss_rate: float
 ) -> list[float]:
-    """ms until routers without an allotment each had consumed a unit of a count; inf: not within 30 s."""
+    """Return the times in ms until routers without units each consumed a unit; inf if not within 30 s."""
     network = {**MEASURED_NETWORK, "loss_rate": loss_rate}
     simulation = EscrowSimulation(router_count, seed, {"count": total}, **network)
     simulation.run(1000.0)
@@ -83,26 +89,28 @@
     return times_ms + [math.inf] * (min(requesters, total) - len(times_ms))
 
 
-def measure_stampede(router_count: int, seed: int, seconds: int) -> list[tuple[float, int]]:
-    """All routers want a unit of a count of three that their holders keep.
+def measure_stampede(router_count: int, seed: int, duration_s: int) -> list[SentDatagrams]:
+    """Measure the datagrams when all routers request a unit of a count of three that its holders do not use.
 
-    Returns the datagrams sent in each second, by the mean and by the busiest router.
+    Returns:
+        The datagrams sent in each second: the mean of the routers, and the most by one router.
     """
     network = {**MEASURED_NETWORK, "loss_rate": 0.1}
     simulation = EscrowSimulation(router_count, seed, {"count": 3}, **network)
     for router in simulation.routers:
         router.escrow.request(router.clock_ms(), "count", 1)
-    datagrams: list[tuple[float, int]] = []
-    for _ in range(seconds):
+    datagrams: list[SentDatagrams] = []
+    for _ in range(duration_s):
         simulation.datagrams_sent.clear()
         simulation.run(1000.0)
-        busiest = max(simulation.datagrams_sent.values(), default=0)
-        datagrams.append((simulation.datagrams_sent.total() / router_count, busiest))
+        most_by_one_router = max(simulation.datagrams_sent.values(), default=0)
+        mean = simulation.datagrams_sent.total() / router_count
+        datagrams.append(SentDatagrams(mean, most_by_one_router))
     return datagrams
 
 
 def main() -> None:
-    """Print the figures."""
+    """Measure and print the table."""
     for router_count, load, loss_rate in itertools.product((24, 200), (0.8, 1.0, 1.5), (0.0, 0.1)):
         rows = [measure_rate_service(router_count, seed, load, loss_rate) for seed in range(3)]
         *fractions, mean_bytes, max_bytes = (sum(column) / len(rows) for column in zip(*rows, strict=True))
@@ -114,12 +122,13 @@
         for seed in range(40):
             times_ms += measure_count_acquisition(router_count, seed, 3, requesters, 0.1)
         times_ms.sort()
-        median, late = times_ms[len(times_ms) // 2], times_ms[int(len(times_ms) * 0.95)]
-        figures = f"median {median}, 95% {late}, most {times_ms[-1]}"
+        median_ms = times_ms[len(times_ms) // 2]
+        percentile_95_ms = times_ms[int(len(times_ms) * 0.95)]
+        figures = f"median {median_ms}, 95% {percentile_95_ms}, most {times_ms[-1]}"
         print(f"{router_count} routers, {requesters} ask for one of 3: {figures}")
     for router_count in (24, 200):
-        seconds = ", ".join(f"{mean:.1f} {most}" for mean, most in measure_stampede(router_count, 1, 10))
-        print(f"{router_count} routers, all want: {seconds}")
+        by_second = ", ".join(f"{mean:.1f} {most}" for mean, most in measure_stampede(router_count, 1, 10))
+        print(f"{router_count} routers, all want: {by_second}")
 
 
 if __name__ == "__main__":
--- a/cedarthread/testing/escrow_model.py
+++ b/cedarthread/testing/escrow_model.py
@@ -1,9 +1,10 @@
-"""Exhaustive exploration of two or three escrow routers.
+"""Model checking of quota escrow: explores all states of two or three routers with one pool.
 
-Every order of requests, deliveries, duplicates, uses, passing time, restarts and lowered totals is tried, up
-to given numbers of each. Time moves in steps that fall between a taker's end of a lease and the giver's. A
-datagram that is never delivered is lost, one that is delivered after steps is late. The clocks run at their
-limits, one fast, the others slow.
+The exploration tries every order of requests, deliveries, duplicates, consumption, passing time, restarts and
+lowered totals, up to given numbers of each. Time advances in steps that fall between the borrower's end of
+a lease and the lender's. A datagram that is never delivered is lost; a datagram that is delivered after steps
+is late. The clock rates are at their limits: one clock is fast, the others are slow. ``SmallEscrowModel``
+writes all state.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 import copy
 from collections import deque
 from enum import StrEnum
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from cedarthread.components.notifications import PeersChanged
 from cedarthread.escrow.count_pool import CountPool
@@ -25,29 +26,34 @@
     from cedarthread.escrow.escrow import Escrow
 
 CLOCK_RATE_ERROR = 0.25
-STEP_MS = 1300.0  # no multiple of it is the end of a lease, at the taker or at the giver
+STEP_MS = 1300.0  # no multiple of this is the end of a lease at the borrower or at the lender
 LOWERED_BY = 2  # units by which a count's total is lowered
 
 
 class EventKind(StrEnum):
-    """What may happen in the model."""
+    """Kinds of events of the model."""
 
-    REQUEST = "request"  # one router asks one peer
+    REQUEST = "request"  # one router requests units from one peer
     DELIVER = "deliver"
-    DUPLICATE = "duplicate"  # a datagram is delivered and stays under way
+    DUPLICATE = "duplicate"  # a datagram is delivered and remains in flight
     PASS_TIME = "pass time"
-    RESTART = "restart"  # without memory
-    LEARN_TOTAL = "learn total"  # a router learns of the lowered total
+    RESTART = "restart"  # a router restarts without memory
+    LEARN_TOTAL = "learn total"  # a router receives the lowered total
     CONSUME = "consume"
 
 
-Event = tuple[Any, ...]  # its kind, then the routers or the datagram that it concerns
+Event = tuple[Any, ...]  # the kind, then the routers or the datagram of the event
 
 
 class SmallEscrowModel:
-    """One state of two or three routers with one pool, and the events that may follow.
-
-    ``limits``: how often each kind of event may still happen; the kinds that are not named have no limit.
+    """One state of two or three routers with one pool.
+
+    Args:
+        escrow_type: the escrow of the routers, which a test may replace by one with a defect.
+        pool_name: "count" for a count; any other name for a rate.
+        router_count: number of routers.
+        total: total of the pool.
+        limits: how often each kind of event may happen; kinds that are absent have no limit.
     """
 
     def __init__(
@@ -58,27 +64,31 @@
         total: int,
         limits: Mapping[EventKind, int],
     ) -> None:
-        self.escrow_type, self.pool_name = escrow_type, pool_name
-        self.router_count, self.total = router_count, total
+        self.escrow_type = escrow_type
+        self.pool_name = pool_name
+        self.router_count = router_count
+        self.total = total
         self.remaining_events = dict(limits)
-        self.now_ms, self.last_incarnation, self.consumed = 0.0, 0, 0
-        self.consumed_when_all_knew = -1  # when all routers had learnt of the lowered total; -1: not yet
+        self.now_ms = 0.0
+        self.last_incarnation = 0
+        self.consumed = 0
+        self.consumed_when_all_knew = -1  # units consumed when the last router received the lowered total
         self.in_flight: frozenset[tuple[int, int, bytes]] = frozenset()  # sender, receiver, data
-        self.totals = [total] * router_count  # as each router knows it
-        self.routers = [self.start_router(index, True) for index in range(router_count)]
-        self.now_ms = 6 * STEP_MS  # long enough for the routers' own rates to be theirs
+        self.totals = [total] * router_count  # the total that each router has received
+        self.routers = [self.start_router(index, is_first=True) for index in range(router_count)]
+        self.now_ms = 6 * STEP_MS  # after the time in which a router may not use its own allotment of a rate
 
     @property
     def is_count(self) -> bool:
-        """Whether the pool is a count."""
+        """Whether the pool is a count, and not a rate."""
         return self.pool_name == "count"
 
     def clock_ms(self, router_index: int) -> float:
-        """The steady clock of a router."""
+        """Return the monotonic clock of a router."""
         return self.now_ms * (1 + CLOCK_RATE_ERROR if router_index == 0 else 1 - CLOCK_RATE_ERROR)
 
-    def start_router(self, router_index: int, is_first: bool) -> Escrow:
-        """An incarnation of a router begins."""
+    def start_router(self, router_index: int, *, is_first: bool) -> Escrow:
+        """Return the escrow of a new incarnation of a router, with memory only if it is the first."""
         self.last_incarnation += 1
         escrow = self.escrow_type(
             router_index,
@@ -96,7 +106,7 @@
         escrow.open_pool(self.pool_name, total, is_consumable=self.is_count, ends_at_ms=None)
 
     def state_key(self) -> str:
-        """The state in a form that is equal where the same can follow."""
+        """Return a key that is equal for states from which the same events can follow."""
         world = (
             self.now_ms,
             self.consumed,
@@ -107,8 +117,9 @@
         return repr(([_router_key(escrow) for escrow in self.routers], world))
 
     def possible_events(self) -> list[Event]:
-        """What may happen next."""
-        remaining, indices = self.remaining_events, range(self.router_count)
+        """Return the events that may happen next."""
+        remaining = self.remaining_events
+        indices = range(self.router_count)
         events: list[Event] = []
         if remaining[EventKind.REQUEST]:
             events += [
@@ -134,7 +145,7 @@
         return self.routers[router_index].available(self.clock_ms(router_index), self.pool_name)
 
     def apply(self, event: Event) -> None:
-        """Let one thing happen."""
+        """Apply one event."""
         kind, *arguments = event
         if kind in self.remaining_events:
             self.remaining_events[kind] -= 1
@@ -142,7 +153,7 @@
             self.now_ms += STEP_MS
         elif kind is EventKind.RESTART:
             (index,) = arguments
-            self.routers[index] = self.start_router(index, False)
+            self.routers[index] = self.start_router(index, is_first=False)
         elif kind is EventKind.LEARN_TOTAL:
             self._learn_lowered_total(*arguments)
         elif kind is EventKind.CONSUME:
@@ -160,22 +171,25 @@
             self.consumed_when_all_knew = self.consumed
 
     def _request(self, sender: int, peer: int) -> None:
-        """One router requests units from one peer, whatever its backoff and budget say."""
-        escrow, now_ms = self.routers[sender], self.clock_ms(sender)
+        """Send a request for units from one router to one peer, regardless of backoff and request budget."""
+        escrow = self.routers[sender]
+        now_ms = self.clock_ms(sender)
         escrow.on_notification(now_ms, PeersChanged((peer,), 2, {}))
         for pool in escrow.pools.values():
-            pool.rounds.next_at_ms, pool.rounds.is_open, pool.peer_available = now_ms, False, {}
+            pool.rounds.next_at_ms = now_ms
+            pool.rounds.is_open = False
+            pool.peer_available = {}
         escrow.requester.request_budget.tokens = 1.0
         escrow.request(now_ms, self.pool_name, self.total)
         self._add_in_flight(sender, escrow.on_tick(now_ms))
         escrow.request(now_ms, self.pool_name, 0)
 
-    def _deliver(self, datagram: tuple[int, int, bytes], is_duplicate: bool) -> None:
+    def _deliver(self, datagram: tuple[int, int, bytes], *, is_duplicate: bool) -> None:
         sender, receiver, data = datagram
         if not is_duplicate:
             self.in_flight -= {datagram}
-        answers = self.routers[receiver].on_message(self.clock_ms(receiver), sender, data)
-        self._add_in_flight(receiver, answers)
+        responses = self.routers[receiver].on_message(self.clock_ms(receiver), sender, data)
+        self._add_in_flight(receiver, responses)
 
     def _add_in_flight(self, sender: int, messages: Iterable[OutboundMessage]) -> None:
         for message in messages:
@@ -184,7 +198,7 @@
             self.in_flight |= {(sender, message.peer_index, message.data)}
 
     def is_total_exceeded(self) -> bool:
-        """Whether more is used than there is."""
+        """Return whether the routers use more than the total, or than the lowered total once all know it."""
         if self.is_count:
             lowered = max(self.consumed_when_all_knew, self.total - LOWERED_BY)
             is_total_lowered = self.consumed_when_all_knew >= 0 and self.consumed > lowered
@@ -192,13 +206,13 @@
         return sum(map(self._available, range(self.router_count))) > self.total
 
 
-def _router_key(escrow: Escrow) -> Any:
+def _router_key(escrow: Escrow) -> tuple[object, ...]:
     pool = next(iter(escrow.pools.values()))
     outstanding = sorted(
         (nonce, request.peer, request.requested, request.sent_at_ms, request.was_denied)
         for nonce, request in escrow.requester.outstanding.items()
     )
-    accounts: Any = None
+    accounts: tuple[object, ...] | None = None
     if isinstance(pool, RatePool):
         accounts = _lease_keys(pool.leases_given), _lease_keys(pool.leases_taken)
     elif isinstance(pool, CountPool):
@@ -206,14 +220,19 @@
     return escrow.incarnation, escrow.requester.last_nonce, pool.total, outstanding, accounts
 
 
-def _lease_keys(leases: Mapping[Any, Lease]) -> list[Any]:
-    return sorted((str(holder), lease.nonce, sorted(lease.grants)) for holder, lease in leases.items())
+def _lease_keys(leases: Mapping[Any, Lease]) -> list[tuple[object, ...]]:
+    return sorted((str(key), lease.nonce, sorted(lease.grants)) for key, lease in leases.items())
 
 
-def explore_states(start: SmallEscrowModel, max_states: int = 10**6) -> tuple[int, list[Event] | None]:
-    """Breadth first: the number of states seen, and the shortest events to an exceeded total, if there are
-    any.
-    """
+class Exploration(NamedTuple):
+    """The result of an exploration."""
+
+    state_count: int
+    violating_events: list[Event] | None  # the fewest events that exceed the total; None if none do
+
+
+def explore_states(start: SmallEscrowModel, max_states: int = 10**6) -> Exploration:
+    """Explore the states that can follow, breadth first, until the total is exceeded or no state is left."""
     seen = {start.state_key()}
     queue: deque[tuple[SmallEscrowModel, tuple[Event, ...]]] = deque([(start, ())])
     while queue and len(seen) < max_states:
@@ -222,15 +241,15 @@
             successor = copy.deepcopy(model, {id(shared): shared for shared in _shared_objects(model)})
             successor.apply(event)
             if successor.is_total_exceeded():
-                return len(seen), [*events, event]
+                return Exploration(len(seen), [*events, event])
             if (key := successor.state_key()) not in seen:
                 seen.add(key)
                 queue.append((successor, (*events, event)))
-    return len(seen), None
+    return Exploration(len(seen), None)
 
 
 def _shared_objects(model: SmallEscrowModel) -> list[object]:
-    """What the copies of a state may share: it does not change what can follow."""
+    """Return the objects that copies of a model may share because no later event depends on their state."""
     shared: list[object] = []
     for escrow in model.routers:
         places = (pool.place_by_router for pool in escrow.pools.values())
--- a/cedarthread/testing/escrow_simulation.py
+++ b/cedarthread/testing/escrow_simulation.py
@@ -1,8 +1,9 @@
-"""Fleets of escrows on one virtual clock, with faults, checked by what their users really consume.
+"""Simulates a fleet of escrows on one virtual clock, with faults, and checks the units that users consume.
 
-For tests and measurements, never loaded when serving. The check takes no router's word for the state of a
-pool: the users of each router use all that they may at that instant (a rate) or consume units at random (a
-count), and the check adds up what they used, in true time.
+The check does not read the routers' own accounts. The users of each router use all units that the router
+permits at that instant (a rate) or consume units at random (a count), and the check adds up their use on the
+true clock.
+``EscrowSimulation`` owns the clock, the network and the routers.
 """
 
 from __future__ import annotations
@@ -23,34 +24,44 @@
 
     from cedarthread.components.messages import OutboundMessage
 
-CLOCK_RATE_ERROR = 0.03  # far more than real clocks have, so that faults show sooner
+CLOCK_RATE_ERROR = 0.03  # far more than the error of real clocks, so that faults become visible sooner
 CHECK_INTERVAL_MS = 7.0
 TICK_INTERVAL_MS = 250.0
 DISK_WRITE_MS = 20.0
 
 
 class SimulatedRouter:
-    """A router, its clock, its disk, and what its users consumed."""
+    """A router with its clock, its disk and the units that its users consumed.
+
+    Args:
+        simulation: the fleet, which sends the router's datagrams.
+        router_index: the router.
+        clock_speed: ms of the router's clock for each ms of true time.
+    """
 
     def __init__(self, simulation: EscrowSimulation, router_index: int, clock_speed: float) -> None:
-        self.simulation, self.router_index, self.clock_speed = simulation, router_index, clock_speed
+        self.simulation = simulation
+        self.router_index = router_index
+        self.clock_speed = clock_speed
         self.clock_offset_ms = simulation.rng.uniform(0, 1e6)
         self.persisted_image: bytes | None = None
-        self.is_running, self.is_paused, self.consumed = True, False, 0
+        self.is_running = True
+        self.is_paused = False
+        self.consumed = 0  # units of the pool "count"
         self.queued_datagrams: list[tuple[int, bytes]] = []  # sender, data
         self.totals = dict(simulation.totals)
         self.start(is_first=True)
 
     def clock_ms(self) -> float:
-        """This router's steady clock."""
+        """Return the router's monotonic clock."""
         return self.clock_offset_ms + self.simulation.now_ms * self.clock_speed
 
     def is_active(self) -> bool:
-        """Whether the router runs and is not paused."""
+        """Return whether the router runs and is not paused."""
         return self.is_running and not self.is_paused
 
-    def start(self, is_first: bool = False) -> None:
-        """An incarnation begins: the first, or a later one with what the disk has, if there is a disk."""
+    def start(self, *, is_first: bool = False) -> None:
+        """Start an incarnation: the first, or a later one that restores the image on the disk, if any."""
         simulation = self.simulation
         has_memory = is_first or self.persisted_image is not None
         self.escrow = simulation.escrow_type(
@@ -67,22 +78,23 @@
             assert self.escrow.restore(self.persisted_image)
         elif simulation.is_durable:
             self.persisted_image = self.escrow.snapshot()
-        self.is_running, self.queued_datagrams = True, []
+        self.is_running = True
+        self.queued_datagrams = []
         for name in self.totals:
             self.open_pool(name)
 
     def open_pool(self, name: str) -> None:
-        """Open a pool, or set its total as this router knows it."""
+        """Open a pool, or set its total to the one that this router has received."""
         is_consumable = name.startswith("count")
         self.escrow.open_pool(name, self.totals[name], is_consumable=is_consumable, ends_at_ms=None)
 
     def send(self, messages: Iterable[OutboundMessage]) -> None:
-        """Send what the escrow returned."""
+        """Send messages that the escrow returned."""
         self.simulation.send(self.router_index, messages)
 
 
 class Fault(IntEnum):
-    """What one step of ``inject_fault`` may do."""
+    """Steps of ``inject_fault``."""
 
     CHANGE_RATE_DEMAND = 0
     CONSUME_COUNT = 1
@@ -92,9 +104,20 @@
 
 
 class EscrowSimulation:
-    """Routers, and a network that loses, duplicates, delays, reorders and cuts off datagrams.
-
-    Pools whose names begin with "count" are counts, the others rates.
+    """A fleet of routers, and a network that loses, duplicates, delays and reorders datagrams and cuts links.
+
+    Args:
+        router_count: number of routers.
+        seed: seed of the simulation.
+        totals: totals by pool name. A pool with a name that starts with "count" is a count, others are rates.
+        escrow_type: the escrow of the routers, which a test may replace by one with a defect.
+        loss_rate: fraction of the datagrams that are lost.
+        is_durable: whether the routers have disks.
+        duplication_rate: fraction of the datagrams that are duplicated.
+        tail_latency_factor: factor by which one in five datagrams is slower than the others.
+        check_interval_ms: time between two checks of the totals.
+        is_calm: whether ``inject_fault`` only changes demand and consumes units.
+        clock_rate_error: relative error of the routers' clocks, which are slow and fast in turn.
     """
 
     def __init__(
@@ -113,14 +136,22 @@
         clock_rate_error: float = CLOCK_RATE_ERROR,
     ) -> None:
         self.rng = random.Random(seed)
-        self.router_count, self.escrow_type, self.is_durable = router_count, escrow_type, is_durable
-        self.check_interval_ms, self.clock_rate_error = check_interval_ms, clock_rate_error
-        self.loss_rate, self.duplication_rate = loss_rate, duplication_rate
-        self.tail_latency_factor, self.is_calm = tail_latency_factor, is_calm
-        self.now_ms, self.longest_datagram_bytes, self.sequence = 0.0, 0, itertools.count()
+        self.router_count = router_count
+        self.escrow_type = escrow_type
+        self.is_durable = is_durable
+        self.check_interval_ms = check_interval_ms
+        self.clock_rate_error = clock_rate_error
+        self.loss_rate = loss_rate
+        self.duplication_rate = duplication_rate
+        self.tail_latency_factor = tail_latency_factor
+        self.is_calm = is_calm
+        self.now_ms = 0.0
+        self.longest_datagram_bytes = 0
+        self.sequence = itertools.count()  # orders events of the same time
         self.bytes_sent: Counter[int] = Counter()  # by router
         self.datagrams_sent: Counter[int] = Counter()  # by router
-        self.totals, self.limits = dict(totals), dict(totals)
+        self.totals = dict(totals)
+        self.limits = dict(totals)
         self.unreachable_pairs: set[tuple[int, int]] = set()  # sender, receiver
         self.events: list[tuple[float, int, Callable[[], None]]] = []  # a heap
         self.violations: list[str] = []
@@ -132,11 +163,11 @@
         self.schedule(0.0, self.check_totals)
 
     def schedule(self, delay_ms: float, event: Callable[[], None]) -> None:
-        """Call something so many ms from now."""
+        """Schedule a callback after a delay."""
         heapq.heappush(self.events, (self.now_ms + delay_ms, next(self.sequence), event))
 
     def run(self, duration_ms: float) -> None:
-        """Let so many ms pass."""
+        """Run the events of the next ``duration_ms``."""
         until_ms = self.now_ms + duration_ms
         while self.events[0][0] <= until_ms:
             self.now_ms, _, event = heapq.heappop(self.events)
@@ -144,14 +175,14 @@
         self.now_ms = until_ms
 
     def tick_router(self, router: SimulatedRouter) -> None:
-        """A router's tick, and the next one."""
+        """Run the tick of a router, and schedule the next one."""
         self.schedule(TICK_INTERVAL_MS * self.rng.uniform(0.9, 1.1), partial(self.tick_router, router))
         if router.is_active():
             router.send(router.escrow.on_tick(router.clock_ms()))
             self.write_image(router)
 
     def write_image(self, router: SimulatedRouter) -> None:
-        """Start a write to the disk; a router that crashes before its end has not written."""
+        """Start a write to the disk, which is lost if the router crashes before the write ends."""
         escrow = router.escrow
         if (image := escrow.image_to_write(router.clock_ms())) is not None:
 
@@ -163,7 +194,7 @@
             self.schedule(DISK_WRITE_MS, finish)
 
     def send(self, sender: int, messages: Iterable[OutboundMessage]) -> None:
-        """The network takes datagrams: some are lost, duplicated, late or cut off."""
+        """Send datagrams, of which some are lost, duplicated or late; a cut link loses all."""
         for message in messages:
             assert isinstance(message, SendToPeer)
             assert message.peer_index is not None
@@ -180,7 +211,7 @@
                 self.schedule(latency_ms, partial(self.deliver, receiver, sender, message.data))
 
     def deliver(self, router: SimulatedRouter, sender: int, data: bytes) -> None:
-        """A datagram arrives at a router, which may be paused or not running."""
+        """Deliver a datagram; a paused router queues it, and a router that does not run loses it."""
         if router.is_paused:
             router.queued_datagrams.append((sender, data))
         elif router.is_running:
@@ -188,7 +219,7 @@
             self.write_image(router)
 
     def check_totals(self) -> None:
-        """Add up what all users use at this instant (rates), or have consumed so far (counts)."""
+        """Check the units that all users use at this instant (rates) or have consumed so far (counts)."""
         self.schedule(self.check_interval_ms, self.check_totals)
         active = [router for router in self.routers if router.is_active()]
         for name, limit in self.limits.items():
@@ -202,20 +233,20 @@
                 self.violations.append(f"{name}: {used} of {limit} at {self.now_ms:.0f} ms")
 
     def consume(self, router: SimulatedRouter, amount: int) -> bool:
-        """A router's user consumes units of the count, if it may."""
+        """Consume units of the count at a router; return whether the router permitted it."""
         is_consumed = router.escrow.consume(router.clock_ms(), "count", amount)
         router.consumed += amount * is_consumed
         return is_consumed
 
     def resume(self, router: SimulatedRouter) -> None:
-        """A paused router goes on, with the datagrams that queued in its socket."""
+        """Resume a paused router, which receives the datagrams that its socket queued."""
         router.is_paused = False
         for sender, data in router.queued_datagrams:
             self.deliver(router, sender, data)
         router.queued_datagrams = []
 
     def inject_fault(self) -> None:
-        """One step of a day with everything: demand changes, units are consumed, routers and links fail."""
+        """Change demand, consume units, or let a router or link fail; then schedule the next such step."""
         self.schedule(self.rng.uniform(20, 120), self.inject_fault)
         router = self.rng.choice(self.routers)
         weights = [60, 30, 0, 0, 0] if self.is_calm else [60, 30, 1, 1, 1]
@@ -234,7 +265,7 @@
             self._use_pools(router, fault)
 
     def _cut_link(self, router: SimulatedRouter) -> None:
-        link = router.router_index, self.rng.randrange(self.router_count)
+        link = (router.router_index, self.rng.randrange(self.router_count))
         self.unreachable_pairs.add(link)
         self.schedule(self.rng.uniform(100, 9000), partial(self.unreachable_pairs.discard, link))
 
