--- a/cedarthread/testing/fakes/discovery_server.py
+++ b/cedarthread/testing/fakes/discovery_server.py
@@ -1,4 +1,4 @@
-"""A discovery server: DNS replies (RFC 1035, RFC 2782) with the list of workers that one router is to see."""
+"""A fake discovery server: DNS replies (RFC 1035, RFC 2782) with the endpoint list for one router."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from functools import lru_cache
-from typing import TYPE_CHECKING, cast
+from typing import TYPE_CHECKING, NamedTuple, cast
 
 from cedarthread.protocols import dns
 from cedarthread.protocols.discovery.client import SERVICE_NAME
@@ -17,16 +17,18 @@
 
 HEADER_BYTES = 12
 AUTHORITATIVE_ANSWER = 0x8400  # the flags QR and AA
-CLASS_IN, TTL_S = 1, 1
-DRAINING_PRIORITY, WEIGHT = 10, 10  # of SRV records: a worker that serves has priority 0
+CLASS_IN = 1
+TTL_S = 1
+DRAINING_PRIORITY = 10  # SRV priority of a draining worker; a ready worker has priority 0
+WEIGHT = 10  # SRV weight of every worker
 
-CurrentList = Callable[[], tuple[int, tuple["ListedWorker", ...]] | None]  # serial and workers
-Deliver = Callable[[Callable[[], bytes], Callable[[bytes], None]], None]  # makes a reply; sends it
+CurrentList = Callable[[], tuple[int, tuple["ListedWorker", ...]] | None]  # serial of the list, and workers
+Deliver = Callable[[Callable[[], bytes], Callable[[bytes], None]], None]  # creates a reply; sends a reply
 
 
 @dataclass(frozen=True, slots=True)
 class ListedWorker:
-    """One worker in the list."""
+    """One worker in the endpoint list."""
 
     name: str
     port: int
@@ -43,14 +45,21 @@
 
 
 def encode_reply(query: bytes, serial: int, workers: tuple[ListedWorker, ...], zone: str) -> bytes:
-    """The list, under a serial, in answer to a query."""
-    count, records = _encode_records(serial, workers, zone)
-    header = query[:2] + struct.pack(">5H", AUTHORITATIVE_ANSWER, 1, count, 0, 0)
-    return header + query[HEADER_BYTES:] + records
+    """Return the DNS reply to a query, with this endpoint list and its serial."""
+    answer = _encode_records(serial, workers, zone)
+    header = query[:2] + struct.pack(">5H", AUTHORITATIVE_ANSWER, 1, answer.record_count, 0, 0)
+    return header + query[HEADER_BYTES:] + answer.data
 
 
-@lru_cache(maxsize=64)  # routers ask for the same list over and over
-def _encode_records(serial: int, workers: tuple[ListedWorker, ...], zone: str) -> tuple[int, bytes]:
+class _AnswerSection(NamedTuple):
+    """The records of a reply."""
+
+    record_count: int
+    data: bytes
+
+
+@lru_cache(maxsize=64)  # because routers poll the same list many times
+def _encode_records(serial: int, workers: tuple[ListedWorker, ...], zone: str) -> _AnswerSection:
     records: list[bytes] = []
     for worker in workers:
         target = _encode_name(f"{worker.name}.{zone}.pool.lan")
@@ -69,35 +78,41 @@
             _encode_name("pool.lan"), dns.TYPE_SOA, root + root + struct.pack(">5I", serial, 1, 1, 1, 1)
         )
     )
-    return len(records), b"".join(records)
+    return _AnswerSection(len(records), b"".join(records))
 
 
 class FakeDiscoveryServer(asyncio.DatagramProtocol):
-    """One router's discovery server.
+    """The discovery server of one router.
 
-    ``current_list`` gives what the router is to see now; None for no reply. ``deliver`` is the network: it
-    gets a function that makes the reply and one that sends it, and may send late, something else, or never.
+    Args:
+        current_list: returns the serial and the workers of the list now; None if the server does not reply.
+        zone: DNS name of the zone, which is part of the workers' names.
+        deliver: the network. It receives a function that creates the reply and a function that sends a reply,
+            and may delay, alter or drop the reply.
     """
 
     def __init__(
-        self, current_list: CurrentList, zone: str, deliver: Deliver = lambda make, send: send(make())
+        self, current_list: CurrentList, zone: str, deliver: Deliver = lambda create, send: send(create())
     ) -> None:
-        self.current_list, self.zone, self.deliver = current_list, zone, deliver
+        self.current_list = current_list
+        self.zone = zone
+        self.deliver = deliver
         self.port = 0
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, sock: socket.socket | None = None) -> None:
-        """Listen on loopback, or at a given socket."""
-        loop, address = asyncio.get_running_loop(), None if sock is not None else ("127.0.0.1", 0)
+        """Listen on a new loopback socket, or on the given socket."""
+        loop = asyncio.get_running_loop()
+        address = None if sock is not None else ("127.0.0.1", 0)
         await loop.create_datagram_endpoint(lambda: self, local_addr=address, sock=sock)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is up."""
+        """Store the transport and the port of the open socket."""
         self._transport = cast("asyncio.DatagramTransport", transport)
         self.port = transport.get_extra_info("sockname")[1]
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Answer a query."""
+        """Reply to a query."""
         current = self.current_list()
         if current is not None and len(data) > HEADER_BYTES:
             serial, workers = current
@@ -110,6 +125,6 @@
             self._transport.sendto(data, addr)
 
     def stop(self) -> None:
-        """Stop replying."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
--- a/cedarthread/testing/fakes/peer_transport.py
+++ b/cedarthread/testing/fakes/peer_transport.py
@@ -1,4 +1,7 @@
-"""The contract of a path between routers, and a path in memory that keeps it, with a clock of its own."""
+"""The contract of the datagram path between routers, and a path in memory that fulfils the contract.
+
+``MemoryNetwork`` owns the datagrams in flight and a clock of its own in ms.
+"""
 
 from __future__ import annotations
 
@@ -8,34 +11,36 @@
 
 from cedarthread.components.datagram_fields import MAX_DATAGRAM_BYTES
 
-OnDatagram = Callable[[int, bytes], None]  # the number of the router that sent it, and its bytes
-Delays = Callable[[float, int, int], list[float]]  # now, sender, receiver: ms, one for each arrival
+OnDatagram = Callable[[int, bytes], None]  # sender's number and data
+Delays = Callable[[float, int, int], list[float]]  # (now_ms, sender, receiver): a delay in ms per arrival
 
 
 class PeerPath(Protocol):
-    """One router's end of the path to the others, who are known by number, from 0. No call raises.
+    """The end of one router on the path to the other routers, which have numbers from 0. No method raises.
 
     1. A datagram of 1 to 256 bytes arrives complete or not at all, with its sender's number.
-    2. How often it may arrive is a property of the path: once, or twice where the path duplicates.
-    3. Order is kept only where the path says so.
-    4. What is over 256 bytes, or for an unknown number, is not sent, and counted in ``unsent_count``.
-    5. What comes from an unknown sender is not delivered, and counted in ``unknown_sender_count``.
-    6. After ``stop`` it neither sends nor delivers, not even what was in flight before.
-    7. A peer that is not there is no error: datagrams to others go on.
-    8. None as the number means all the others; a sender may receive its own datagram.
+    2. A datagram arrives at most once, or at most twice on a path that duplicates datagrams.
+    3. Datagrams may arrive in another order than they were sent, unless the path documents otherwise.
+    4. A datagram over 256 bytes or to an unknown number is not sent, and ``unsent_count`` counts it.
+    5. A datagram of an unknown sender is not delivered, and ``unknown_sender_count`` counts it.
+    6. After ``stop`` the path neither sends nor delivers, also not the datagrams that are in flight.
+    7. A peer that does not run is no error: datagrams to other peers are still sent.
+    8. The number None addresses all other routers; a router may send a datagram to itself by its number.
     """
 
     unknown_sender_count: int
     unsent_count: int
 
     def send(self, data: bytes, peer: int | None) -> None:
-        """Send to one, or to all."""
+        """Send a datagram to one router, or to all others."""
 
     def stop(self) -> None:
-        """Neither send nor deliver any more."""
+        """Stop sending and delivering."""
 
 
 class _Datagram(NamedTuple):
+    """A datagram in flight; the tuple's order is the order of arrival."""
+
     arrival_ms: float
     serial: int
     sender: int
@@ -44,24 +49,30 @@
 
 
 class MemoryNetwork:
-    """Datagrams in flight in memory. ``deliver_all`` delivers them; the clock, in ms, goes on with each."""
+    """A network in memory; its clock advances to the arrival of each datagram that is delivered.
+
+    Args:
+        router_count: number of routers; a sender with a number from this on is unknown.
+        delays_ms: returns the delay of each arrival of a datagram; an empty list if the datagram is lost.
+    """
 
     def __init__(self, router_count: int, delays_ms: Delays = lambda now_ms, sender, receiver: [0.0]) -> None:
-        self.known_routers = range(router_count)  # any other sender is unknown
+        self.known_routers = range(router_count)
         self.delays_ms = delays_ms
-        self.now_ms, self._sent_count = 0.0, 0
+        self.now_ms = 0.0
+        self._sent_count = 0
         self.paths: dict[int, MemoryPath] = {}
         self._in_flight: list[_Datagram] = []
 
     def send(self, sender: int, receiver: int, data: bytes) -> None:
-        """Send a datagram; of two that arrive at one time, the one that was sent first comes first."""
+        """Send a datagram; datagrams that arrive at the same time are delivered in the order of sending."""
         for delay_ms in self.delays_ms(self.now_ms, sender, receiver):
             self._sent_count += 1
             arrival_ms = self.now_ms + delay_ms
             heapq.heappush(self._in_flight, _Datagram(arrival_ms, self._sent_count, sender, receiver, data))
 
     def deliver_all(self) -> None:
-        """Until nothing is in flight."""
+        """Deliver datagrams until none is in flight."""
         while self._in_flight:
             self.now_ms, _, sender, receiver, data = heapq.heappop(self._in_flight)
             path = self.paths.get(receiver)
@@ -72,16 +83,25 @@
 
 
 class MemoryPath:
-    """One end of a path in memory: a ``PeerPath``."""
+    """One end of a path in memory, which implements ``PeerPath``.
+
+    Args:
+        network: the network between the ends.
+        number: number of this router.
+        on_datagram: called with each datagram that arrives.
+    """
 
     def __init__(self, network: MemoryNetwork, number: int, on_datagram: OnDatagram) -> None:
-        self.network, self.number, self.on_datagram = network, number, on_datagram
-        self.unknown_sender_count = self.unsent_count = 0
+        self.network = network
+        self.number = number
+        self.on_datagram = on_datagram
+        self.unknown_sender_count = 0
+        self.unsent_count = 0
         network.paths[number] = self
 
     def send(self, data: bytes, peer: int | None) -> None:
-        """Send to one, or to all."""
-        if self.number not in self.network.paths:  # it has been stopped
+        """Send a datagram to one router, or to all others."""
+        if self.number not in self.network.paths:  # this path was stopped
             return
         others = [router for router in self.network.known_routers if router != self.number]
         known = [router for router in self.network.known_routers if router == peer]
@@ -93,5 +113,5 @@
             self.network.send(self.number, receiver, bytes(data))
 
     def stop(self) -> None:
-        """Neither send nor deliver any more."""
+        """Stop sending and delivering."""
         self.network.paths.pop(self.number, None)
--- a/cedarthread/testing/fakes/scripted.py
+++ b/cedarthread/testing/fakes/scripted.py
@@ -1,4 +1,4 @@
-"""Workers and clients that do what a test says, for a router hosted in the test's own process."""
+"""Workers with scripted answers and clients, for a router that a test hosts in its own process."""
 
 from __future__ import annotations
 
@@ -22,23 +22,27 @@
     from cedarthread.protocols.invoke.config import InvokeConfig
 
 FUNCTION = "7f3a9c21e0b4d655"
-TIMEOUT_S = 10  # past which a test has failed
-Behavior = Callable[["ScriptedWorker", dict[str, Any]], dict[str, Any] | None]
+TIMEOUT_S = 10  # longest wait for a message; then the test fails
+Behavior = Callable[["ScriptedWorker", dict[str, Any]], dict[str, Any] | None]  # call to answer or None
 
 
 def serve_uppercase(_: ScriptedWorker, message: dict[str, Any]) -> dict[str, Any]:
-    """Serve: the body in capitals, so that an answer can be told from its request."""
+    """Serve the call with its body in capitals, so that tests can distinguish the answer from the request."""
     body = base64.b64encode(base64.b64decode(message["body"]).upper()).decode()
     return {"op": "HIT", "fields": {"remark": "hit", "report": "inflight:1;x1:0"}, "body": body}
 
 
 def answer_with(op: str) -> Behavior:
-    """Answer each call with this operation."""
+    """Return a behavior that answers each call with this operation."""
     return lambda worker, message: {"op": op, "fields": {}}
 
 
 class ScriptedWorker:
-    """A worker that answers each call as ``behavior`` says; None leaves it unanswered."""
+    """A worker that answers each call with the result of ``behavior``; a call with None gets no answer.
+
+    Args:
+        behavior: returns the answer to a call.
+    """
 
     def __init__(self, behavior: Behavior = serve_uppercase) -> None:
         self.behavior = behavior
@@ -69,19 +73,19 @@
     def answer(
         self, message: dict[str, Any], answer: dict[str, Any], writer: asyncio.StreamWriter | None = None
     ) -> None:
-        """Answer a call, by its id."""
+        """Send the answer to a call on the given connection, or on the newest one."""
         line = json.dumps(answer | {"id": message["id"]}).encode() + b"\n"
         (writer or self.writers[-1]).write(line)
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
-        """Wait until messages have made a condition true."""
+        """Wait until the condition is true; check it after each message that arrives."""
         async with asyncio.timeout(TIMEOUT_S):
             while not condition():
                 self.message_received.clear()
                 await self.message_received.wait()
 
     def stop(self) -> None:
-        """Stop listening, and break all connections."""
+        """Stop listening, and reset all connections."""
         self.server.close()
         for writer in self.writers:
             writer.transport.abort()
@@ -90,7 +94,7 @@
 def endpoint_record(
     worker: ScriptedWorker, number: int, state: EndpointState = EndpointState.READY
 ) -> EndpointRecord:
-    """A worker as an endpoint list has it."""
+    """Return the record of a worker in an endpoint list."""
     return EndpointRecord(f"s-{number:08x}", "127.0.0.1", worker.port, "room-a", "std", 0, state, 1.0, 0.0)
 
 
@@ -98,7 +102,7 @@
 async def service(
     *workers: ScriptedWorker, invoke: InvokeConfig | None = None, **changes: Any
 ) -> AsyncIterator[Service]:
-    """A complete router in this process, with these workers; changes are to the settings."""
+    """Run a complete router in this process with these workers, and with ``changes`` to the settings."""
     for worker in workers:
         await worker.start()
     known = ((1, tuple(endpoint_record(worker, number) for number, worker in enumerate(workers, 1))),)
@@ -123,7 +127,7 @@
 
 
 async def ask_control(running: Service, line: bytes) -> list[str]:
-    """Send one line to the control address; the lines of the reply."""
+    """Send one line to the control address, and return the lines of the reply."""
     reader, writer = await asyncio.open_connection("127.0.0.1", running.control_port)
     try:
         writer.write(line)
@@ -134,38 +138,39 @@
 
 
 def pack_call(number: int, class_name: str, body: bytes = b"", **fields: str) -> bytes:
-    """A call with usual fields, but for those that are named."""
-    every = {"txn": f"{number:016x}", "limit": "3000", "item": FUNCTION} | fields
-    return client_side.pack_call(number, class_name, body, every)
+    """Return a call message with default fields, of which ``fields`` replaces some."""
+    all_fields = {"txn": f"{number:016x}", "limit": "3000", "item": FUNCTION} | fields
+    return client_side.pack_call(number, class_name, body, all_fields)
 
 
 class ScriptedClient:
-    """A client of the platform's protocol."""
+    """A client of the platform's protocol on an open connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
+        self.reader = reader
+        self.writer = writer
         self.buffer = b""
 
     async def read(self) -> Any:
-        """The next message, its binary values as bytes; None at the end."""
+        """Return the next message with bytes in place of views, or None at the end of the connection."""
         async with asyncio.timeout(TIMEOUT_S):
             while not isinstance(parsed := msgpack.parse(memoryview(self.buffer)), msgpack.ParsedValue):
-                more = await self.reader.read(65536)
-                if not more:
+                data = await self.reader.read(65536)
+                if not data:
                     return None
-                self.buffer += more
+                self.buffer += data
         self.buffer = self.buffer[parsed.end :]
         return client_side.without_views(parsed.value)
 
     async def call(self, number: int, class_name: str, body: bytes = b"", **fields: str) -> Any:
-        """Send a call, and read one message."""
+        """Send a call, and return the next message."""
         self.writer.write(pack_call(number, class_name, body, **fields))
         return await self.read()
 
 
 @asynccontextmanager
 async def client(running: Service) -> AsyncIterator[ScriptedClient]:
-    """A client of a router."""
+    """Connect a client to a router, and reset the connection at the end."""
     reader, writer = await asyncio.open_connection("127.0.0.1", running.port)
     try:
         yield ScriptedClient(reader, writer)
--- a/cedarthread/testing/fakes/settings.py
+++ b/cedarthread/testing/fakes/settings.py
@@ -1,4 +1,4 @@
-"""Settings in the platform's form: what fakes, the cluster harness and fuzzing start from."""
+"""Default settings of tests, in the platform's format: the base for fakes, clusters and fuzzing."""
 
 from __future__ import annotations
 
--- a/cedarthread/testing/fakes/worker_model.py
+++ b/cedarthread/testing/fakes/worker_model.py
@@ -1,6 +1,7 @@
-"""A worker and the package store behind it, without input or output: cores, instances, memory, loads, queues.
+"""A model of a worker and of the package store behind it: cores, instances, memory, loads and queues.
 
-It is driven by the clock that is handed in, so that it runs behind sockets and in a replay. Times are ms.
+The model does no input or output, and its callers pass the clock, so that the model runs behind sockets and
+in replays. ``WorkerModel`` and ``PackageStore`` own the state. Times are ms.
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-MAX_IN_FLIGHT_PER_CORE = 16  # calls for each core that a worker accepts; it rejects further ones
-KEEP_ALIVE_MS = 4000.0  # after which an unused function's instances are unloaded
+MAX_IN_FLIGHT_PER_CORE = 16  # calls per core that a worker accepts; a worker rejects more calls
+KEEP_ALIVE_MS = 4000.0  # the instances of a function that is unused for longer are unloaded
 REJECTED_REMARKS = ("shed", "spawn_failed")
 
 
@@ -20,32 +21,33 @@
 class WorkerCall:
     """One call at one worker.
 
-    ``remark``: hit (an instance was free), spawn (one is loaded for it), pending (it waits for a load), shed
-    (rejected), spawn_failed (no instance could be loaded) or lost (the worker crashed).
+    ``remark`` is hit (an instance was free), spawn (an instance is loaded for the call), pending (the call
+    waits for a load), shed (rejected), spawn_failed (no instance could be loaded) or lost (the worker
+    crashed).
     """
 
     call_id: str
     worker: int
     function: int
     arrived_at_ms: float
-    service_ms: float  # of a core
-    queued_at_ms: float = math.inf  # since when it waited for a slot or a core, and not for a load
-    started_at_ms: float = math.inf  # when it had an instance, a slot and a core
+    service_ms: float  # time on a core
+    queued_at_ms: float = math.inf  # when the call started to wait for a slot or a core, not for a load
+    started_at_ms: float = math.inf  # when the call got a core, and so an instance and a slot
     ended_at_ms: float = math.inf
     remark: str = "hit"
 
 
 @dataclass(slots=True)
 class PackageStore:
-    """The store that packages are loaded from: slower the more loads run at once, up to a limit."""
+    """The store from which workers load packages; more loads at the same time are slower, up to a limit."""
 
-    load_ms: float  # of one load alone
-    full_speed_loads: int  # loads at once at full speed
-    max_loads: int  # loads at once, past which it refuses
+    load_ms: float  # duration of one load alone
+    full_speed_loads: int  # loads at the same time that run at full speed
+    max_loads: int  # loads at the same time; the store refuses more
     loads_in_flight: int = 0
 
     def start_load(self) -> float | None:
-        """The ms that a load started now takes; None where it is refused."""
+        """Start a load and return its duration in ms, or None if the store refuses the load."""
         if self.loads_in_flight >= self.max_loads:
             return None
         self.loads_in_flight += 1
@@ -54,34 +56,43 @@
 
 @dataclass(slots=True)
 class _FunctionInstances:
-    """The instances of one function. Each has a slot for every call that it can serve at once."""
+    """The instances of one function at one worker; an instance has a slot for each concurrent call."""
 
     ready: int = 0
     loading: int = 0
     busy_slots: int = 0
     last_used_at_ms: float = 0.0
-    waiting_calls: deque[WorkerCall] = field(default_factory=deque)  # for a slot
+    waiting_calls: deque[WorkerCall] = field(default_factory=deque)  # calls that wait for a slot
 
     def has_any(self) -> bool:
-        """Whether an instance is ready or loading."""
+        """Return whether an instance is ready or loading."""
         return self.ready + self.loading > 0
 
     def is_idle(self) -> bool:
-        """Whether a ready instance serves nothing, and no call waits."""
+        """Return whether instances are ready but no call is served or waits."""
         return self.ready > 0 and not self.busy_slots and not self.waiting_calls
 
 
 class _Completion(NamedTuple):
-    """The end of a call's execution, or of a load (``call`` is None)."""
+    """The future end of the execution of a call, or of a load if ``call`` is None."""
 
     at_ms: float
-    serial: int  # among those of one time
+    serial: int  # orders completions of the same time
     function: int
     call: WorkerCall | None
 
 
 class WorkerModel:
-    """One worker."""
+    """A worker with its instances, queues and completions to come.
+
+    Args:
+        number: number of the worker.
+        cores: calls that execute at the same time.
+        max_instances: instances that fit into memory.
+        store: the package store, which several workers may share.
+        concurrency: slots of one instance.
+        keep_alive_ms: the instances of a function that is unused for longer are unloaded.
+    """
 
     def __init__(
         self,
@@ -92,22 +103,29 @@
         concurrency: int = 2,
         keep_alive_ms: float = KEEP_ALIVE_MS,
     ) -> None:
-        self.number, self.cores, self.max_instances, self.store = number, cores, max_instances, store
-        self.concurrency, self.keep_alive_ms = concurrency, keep_alive_ms
-        self.slowdown = 1.0  # times as long as usual that executions and loads take
+        self.number = number
+        self.cores = cores
+        self.max_instances = max_instances
+        self.store = store
+        self.concurrency = concurrency
+        self.keep_alive_ms = keep_alive_ms
+        self.slowdown = 1.0  # factor of the duration of executions and loads
         self.instances_by_function: dict[int, _FunctionInstances] = {}
         self.timer_queue: list[_Completion] = []
         self.core_queue: deque[WorkerCall] = deque()  # calls with a slot that wait for a core
-        self.running_count = self.in_flight = self.timer_serial = 0
-        self.instance_count = 0  # ready and loading ones
-        self.placements: list[tuple[float, int]] = []  # when the first instance of a function began to load
+        self.running_count = 0  # calls on a core
+        self.in_flight = 0  # calls accepted and not ended
+        self.timer_serial = 0
+        self.instance_count = 0  # ready and loading instances of all functions
+        # Time in ms and function, for each start of the first load of a function.
+        self.placements: list[tuple[float, int]] = []
 
     def next_event_at_ms(self) -> float:
-        """When something ends next; infinity where nothing runs."""
+        """Return the time of the next completion, or infinity if no call executes and no load runs."""
         return self.timer_queue[0].at_ms if self.timer_queue else math.inf
 
     def on_call(self, now_ms: float, call: WorkerCall) -> bool:
-        """A call arrives; False where it is rejected or no instance can be loaded, see its remark."""
+        """Accept a call and return True, or set its remark to the reason for rejection and return False."""
         instances = self.instances_by_function.setdefault(call.function, _FunctionInstances())
         unused_ms = now_ms - instances.last_used_at_ms
         if instances.ready and not instances.busy_slots and unused_ms > self.keep_alive_ms:
@@ -125,13 +143,13 @@
         return True
 
     def _admit(self, now_ms: float, function: int, instances: _FunctionInstances) -> str:
-        """The remark of a call; a load is started where it needs one."""
+        """Return the remark of a call; start a load if the call needs one."""
         in_flight = instances.busy_slots + len(instances.waiting_calls)
         if in_flight < instances.ready * self.concurrency:
             return "hit"
         if in_flight < (instances.ready + instances.loading) * self.concurrency:
             return "pending"
-        load_ms = self.store.start_load() if self._make_room(now_ms) else None
+        load_ms = self.store.start_load() if self._free_memory() else None
         if load_ms is None:
             return "pending" if instances.has_any() else "spawn_failed"
         if not instances.has_any():
@@ -141,8 +159,8 @@
         self._schedule(now_ms + load_ms * self.slowdown, function, None)
         return "spawn"
 
-    def _make_room(self, now_ms: float) -> bool:
-        """Whether there is memory for one more instance; the least recently used idle one is unloaded."""
+    def _free_memory(self) -> bool:
+        """Return whether one more instance fits; if needed, unload the least recently used idle one first."""
         if self.instance_count < self.max_instances:
             return True
         idle = [instances for instances in self.instances_by_function.values() if instances.is_idle()]
@@ -152,12 +170,12 @@
         self.instance_count -= 1
         return True
 
-    def _schedule(self, at: float, function: int, call: WorkerCall | None) -> None:
+    def _schedule(self, at_ms: float, function: int, call: WorkerCall | None) -> None:
         self.timer_serial += 1
-        heapq.heappush(self.timer_queue, _Completion(at, self.timer_serial, function, call))
+        heapq.heappush(self.timer_queue, _Completion(at_ms, self.timer_serial, function, call))
 
     def _start_ready_calls(self, now_ms: float, instances: _FunctionInstances) -> None:
-        """Give free slots of one function to waiting calls, then free cores to calls with a slot."""
+        """Assign free slots of one function to waiting calls, then free cores to calls with a slot."""
         while instances.waiting_calls and instances.busy_slots < instances.ready * self.concurrency:
             instances.busy_slots += 1
             instances.last_used_at_ms = now_ms
@@ -171,12 +189,12 @@
             self._schedule(now_ms + call.service_ms * self.slowdown, call.function, call)
 
     def advance(self, now_ms: float) -> list[WorkerCall]:
-        """The calls that have ended by now, in order."""
+        """Process the completions until now, and return the calls that ended, in order."""
         ended: list[WorkerCall] = []
         while self.timer_queue and self.timer_queue[0].at_ms <= now_ms:
-            at, _, function, call = heapq.heappop(self.timer_queue)
+            at_ms, _, function, call = heapq.heappop(self.timer_queue)
             instances = self.instances_by_function[function]
-            instances.last_used_at_ms = at
+            instances.last_used_at_ms = at_ms
             if call is None:
                 instances.loading -= 1
                 instances.ready += 1
@@ -185,13 +203,13 @@
                 instances.busy_slots -= 1
                 self.running_count -= 1
                 self.in_flight -= 1
-                call.ended_at_ms = at
+                call.ended_at_ms = at_ms
                 ended.append(call)
-            self._start_ready_calls(at, instances)
+            self._start_ready_calls(at_ms, instances)
         return ended
 
     def crash(self, now_ms: float) -> list[WorkerCall]:
-        """Lose everything, and be empty: the calls that were lost."""
+        """Remove all calls and instances, and return the calls that were lost."""
         lost = [completion.call for completion in self.timer_queue if completion.call is not None]
         lost += self.core_queue
         for instances in self.instances_by_function.values():
@@ -202,5 +220,7 @@
         self.instances_by_function.clear()
         self.timer_queue.clear()
         self.core_queue.clear()
-        self.running_count = self.in_flight = self.instance_count = 0
+        self.running_count = 0
+        self.in_flight = 0
+        self.instance_count = 0
         return lost
--- a/cedarthread/testing/fakes/worker_server.py
+++ b/cedarthread/testing/fakes/worker_server.py
@@ -1,4 +1,4 @@
-"""The model of a worker behind a socket: JSON lines, as the platform's protocol has them."""
+"""A fake worker: serves the model of a worker on a socket, by the JSON lines of the worker protocol."""
 
 from __future__ import annotations
 
@@ -14,37 +14,38 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-LISTEN_BACKLOG = 1024  # so that hundreds of routers connect at once
+LISTEN_BACKLOG = 1024  # so that hundreds of routers can connect at the same time
 
 
 class Deliver(Protocol):
-    """The network between a call's router and the worker."""
+    """The network between the router of a call and the worker."""
 
     def __call__(self, call_id: str, is_to_worker: bool, callback: Callable[[], None], /) -> None:
-        """Call back when the bytes of a message arrive, in either direction."""
+        """Call ``callback`` when a message of the call arrives at the worker, or at the router."""
 
 
 class WorkerObserver(Protocol):
-    """What is told of the calls at a worker."""
+    """An observer of the calls at a worker."""
 
     def on_call_sent(self, call_id: str, worker: int, time_limit_ms: float) -> None:
-        """A router handed a call to the network, which may still hold it; for how long it will wait."""
+        """Observe that a router sent a call with this time limit; the network may still delay the call."""
 
     def on_call_arrived(self, call: WorkerCall) -> None:
-        """The call came to the worker."""
+        """Observe that a call arrived at the worker."""
 
     def on_call_ended(self, call: WorkerCall) -> None:
-        """The call left the worker, or was lost there."""
+        """Observe that the worker answered, rejected or lost a call."""
 
     def on_call_cancelled(self, call_id: str, worker: int) -> None:
-        """The router waits for the call no more."""
+        """Observe that the router cancelled a call or closed its connection."""
 
 
 class _Connection(asyncio.Protocol):
-    """One router's connection."""
+    """The connection of one router."""
 
     def __init__(self, server: FakeWorkerServer) -> None:
-        self.server, self.buffer = server, b""
+        self.server = server
+        self.buffer = b""  # start of a line
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast("asyncio.Transport", transport)
@@ -61,23 +62,33 @@
 
 
 class FakeWorkerServer:
-    """Serves one worker model."""
+    """The server of one worker model; owns the connections of the routers.
+
+    Args:
+        model: the worker.
+        clock: returns the time in ms.
+        deliver: the network between routers and worker.
+        observer: observer of the calls.
+    """
 
     def __init__(
         self, model: WorkerModel, clock: Callable[[], float], deliver: Deliver, observer: WorkerObserver
     ) -> None:
-        self.model, self.clock, self.deliver, self.observer = model, clock, deliver, observer
+        self.model = model
+        self.clock = clock
+        self.deliver = deliver
+        self.observer = observer
         self.port = 0
-        self.is_silent = False  # connections stay open, and nothing is answered
+        self.is_silent = False  # whether the worker leaves connections open and calls unanswered
         self._server: asyncio.Server | None = None
         self._connection_by_call: dict[str, _Connection] = {}
         self.connections: set[_Connection] = set()
-        self.accepted_at_ms: list[float] = []  # times of connections
-        self.timer_lags_ms: list[float] = []  # by which it was late for what ended
+        self.accepted_at_ms: list[float] = []  # times at which connections were accepted
+        self.timer_lags_ms: list[float] = []  # by how much each timer fired late
         self._timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
-        """Listen; after a crash, at the same port."""
+        """Listen on a free port, or after a crash on the same port as before."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self), "127.0.0.1", self.port, backlog=LISTEN_BACKLOG, reuse_port=True
@@ -85,15 +96,15 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def connection_lost(self, connection: _Connection) -> None:
-        """A router closed its connection, and waits for nothing there any more."""
+        """Remove a connection; its calls count as cancelled."""
         self.connections.discard(connection)
-        cancelled = [call_id for call_id, own in self._connection_by_call.items() if own is connection]
+        cancelled = [call_id for call_id, caller in self._connection_by_call.items() if caller is connection]
         for call_id in cancelled:
             del self._connection_by_call[call_id]
             self.observer.on_call_cancelled(call_id, self.model.number)
 
     def on_line(self, connection: _Connection, line: bytes) -> None:
-        """A complete line came."""
+        """Process a complete line of a router."""
         message = json.loads(line)
         call_id = message["id"]
         if message["op"] == "CANCEL":
@@ -107,7 +118,8 @@
     def _on_call(self, message: dict[str, Any], connection: _Connection) -> None:
         if connection not in self.connections:
             return
-        now_ms, service_ms = self.clock(), float(base64.b64decode(message["body"]))
+        now_ms = self.clock()
+        service_ms = float(base64.b64decode(message["body"]))
         self._answer_all(self.model.advance(now_ms))
         function = int(message["fields"]["thing"], 16)
         call = WorkerCall(message["id"], self.model.number, function, now_ms, service_ms)
@@ -143,13 +155,13 @@
             connection.transport.write(answer)
 
     def reset_connections(self) -> None:
-        """Reset all connections: routers wait for nothing on them any more."""
+        """Reset all connections; their calls count as cancelled."""
         for connection in list(self.connections):
             connection.transport.abort()
             self.connection_lost(connection)
 
     def crash(self) -> None:
-        """End at once: connections break, and all calls are lost."""
+        """Stop listening, reset all connections and lose all calls."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -171,5 +183,5 @@
 
 
 def response_body(call_id: str) -> bytes:
-    """The body that a worker produces for a call."""
+    """Return the body that a worker produces for a call."""
     return b"made for " + call_id.encode()
