--- a/tests/simulation/test_fleet_components.py
+++ b/tests/simulation/test_fleet_components.py
@@ -1,171 +1,19 @@
-"""What operators declare for the fleet reaches all routers and takes effect, on a virtual clock."""
+"""Declarations of operators reach all routers of a fleet and take effect, on a virtual clock."""
 
 from __future__ import annotations
 
 import dataclasses
-import heapq
 import importlib.util
-import random
 import subprocess
 import sys
-from functools import partial
-from typing import TYPE_CHECKING, NamedTuple
 
 import pytest
 
 from cedarthread.components.replicated_state import EntryKind
-from cedarthread.fleet_config import parse_fleet_config
-from cedarthread.model.actions import (
-    Action,
-    FailRequest,
-    LogMessage,
-    RejectRequest,
-    SendToPeer,
-    SetTimer,
-    StartAttempt,
-)
-from cedarthread.model.endpoints import EndpointUpdate, EndpointUpdateKind
-from cedarthread.model.events import AttemptEnded, Event, PeerMessageReceived, RequestArrived, TimerFired
-from cedarthread.model.outcomes import Outcome, StartKind
+from cedarthread.model.events import AttemptEnded
+from cedarthread.model.outcomes import Outcome
 from cedarthread.node.routing_node import RoutingNode
-from tests.helpers import LIMITS, settings, worker
-
-if TYPE_CHECKING:
-    from collections.abc import Callable
-
-    from cedarthread.node.fleet_components import FleetComponents
-
-START = 1_800_000_000_000.0  # Unix ms at the first moment of the virtual clock
-NOTHING = b"[sharing]\nperiod = 200\n"
-WARM_MS, COLD_MS = 40.0, 400.0  # latency with and without a loaded instance
-ENDPOINTS = tuple(worker(worker_id) for worker_id in range(1, 7))
-ENDPOINT_LIST = EndpointUpdate(EndpointUpdateKind.CACHED, 1, ENDPOINTS)
-
-
-def _timestamp(at_s: float) -> str:
-    """A time in s after the start, as a fleet file writes it."""
-    return f"2027-01-15T{8 + int(at_s // 3600):02}:{int(at_s // 60) % 60:02}:{int(at_s) % 60:02}Z"
-
-
-def window(begins_s: float, ends_s: float, allowance: int = 0) -> bytes:
-    """A fleet file with one freeze window, its times in s after the start."""
-    return (
-        "[sharing]\nperiod = 200\nclock-error = 0\n"
-        f'[[freeze]]\nid = "cycle"\nstart = {_timestamp(begins_s)}\nend = {_timestamp(ends_s)}\n'
-        f'author = "desk"\nreason = "close"\nallowance = {allowance}\n'
-    ).encode()
-
-
-class ColdStart(NamedTuple):
-    """A load of an instance, as its worker saw it."""
-
-    at_ms: float
-    worker_id: int
-    function_id: int
-
-
-class Fleet:
-    """Routing nodes on a virtual clock; workers that load a function at its first call, and record that.
-
-    A request's id holds its function's: ``request_id % 1000``.
-    """
-
-    def __init__(self, count: int, seed: int, loss: float = 0.1, allows_gossip: bool = True) -> None:
-        limits = dataclasses.replace(LIMITS, allows_gossip=allows_gossip)
-        self.router_settings = [
-            settings(router_count=count, router_index=index, limits=limits) for index in range(count)
-        ]
-        self.routers = [
-            RoutingNode(own_settings, seed * 100 + index, index + 1)
-            for index, own_settings in enumerate(self.router_settings)
-        ]
-        self.rng, self.loss = random.Random(seed), loss
-        self.now_ms, self.serial = 0.0, 0
-        self.timers: list[tuple[float, int, Callable[[], None]]] = []
-        self.cold_starts: list[ColdStart] = []
-        self.loaded: set[tuple[int, int]] = set()  # worker and function
-        self.results: dict[int, list[str]] = {}  # by request id
-        self.log_lines: list[str] = []
-        for index in range(count):
-            self.handle(index, ENDPOINT_LIST)
-            self.declare(index, NOTHING)
-
-    def declare(self, index: int, text: bytes) -> None:
-        config = parse_fleet_config(text)
-        node = self.routers[index]
-        self.execute(index, node.apply_fleet_config(self.now_ms, config, lambda: START + self.now_ms))
-
-    def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        self.serial += 1
-        heapq.heappush(self.timers, (self.now_ms + delay_ms, self.serial, callback))
-
-    def handle(self, index: int, event: Event) -> None:
-        self.execute(index, self.routers[index].handle(self.now_ms, event))
-
-    def execute(self, index: int, actions: list[Action]) -> None:
-        for action in actions:
-            if isinstance(action, SetTimer):
-                self.after(action.at_ms - self.now_ms, partial(self.handle, index, TimerFired(action.token)))
-            elif isinstance(action, SendToPeer):
-                self.send_to_peers(index, action)
-            elif isinstance(action, LogMessage):
-                self.log_lines.append(action.message)
-            elif isinstance(action, (RejectRequest, FailRequest)):
-                self.results[action.request_id].append(type(action).__name__)
-            elif isinstance(action, StartAttempt):
-                self.start_attempt(index, action)
-
-    def send_to_peers(self, index: int, action: SendToPeer) -> None:
-        assert len(action.data) <= 256
-        for peer in range(len(self.routers)) if action.peer_index is None else [action.peer_index]:
-            if peer != index and self.rng.random() >= self.loss:
-                received = partial(self.handle, peer, PeerMessageReceived(index, action.data))
-                self.after(self.rng.uniform(1.0, 40.0), received)
-
-    def start_attempt(self, index: int, action: StartAttempt) -> None:
-        function_id, worker_id = action.request_id % 1000, action.worker_id
-        start_kind, latency_ms = StartKind.WARM, WARM_MS
-        if (worker_id, function_id) not in self.loaded:
-            self.loaded.add((worker_id, function_id))
-            self.cold_starts.append(ColdStart(self.now_ms, worker_id, function_id))
-            start_kind, latency_ms = StartKind.COLD, COLD_MS
-        ended = AttemptEnded(action.request_id, 0, worker_id, Outcome.OK, latency_ms, True, start_kind)
-        self.results[action.request_id].append("ok")
-        self.after(latency_ms, lambda: self.handle(index, ended))
-
-    def call(self, index: int, function_id: int, caller: str | None = None) -> int:
-        """Submit a request at a router; returns its id."""
-        self.serial += 1
-        request_id = self.serial * 1000 + function_id
-        self.results[request_id] = []
-        self.handle(index, RequestArrived(request_id, function_id, 0, self.now_ms + 3000.0, caller=caller))
-        return request_id
-
-    def call_all(self, rounds: int, functions: int) -> list[int]:
-        """Requests of all functions at all routers, one after the other; returns their ids."""
-        request_ids = []
-        for _ in range(rounds):
-            for function_id in range(functions):
-                for index in range(len(self.routers)):
-                    self.run(150.0)
-                    request_ids.append(self.call(index, function_id))
-        return request_ids
-
-    def run(self, duration_ms: float) -> None:
-        until_ms = self.now_ms + duration_ms
-        while self.timers and self.timers[0][0] <= until_ms:
-            self.now_ms, _, callback = heapq.heappop(self.timers)
-            callback()
-        self.now_ms = until_ms
-
-    def components(self, index: int) -> FleetComponents:
-        """The fleet components of a router, which exist once a fleet file was applied."""
-        components = self.routers[index].fleet_components
-        assert components is not None
-        return components
-
-    def all_components(self) -> list[FleetComponents]:
-        return [self.components(index) for index in range(len(self.routers))]
+from tests.simulation.component_fleet import EMPTY_FLEET_FILE, ENDPOINT_LIST, Fleet, freeze_window
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -177,13 +25,13 @@
     fleet.run(3_000.0)
     assert all(components.store.is_fresh(fleet.now_ms) for components in fleet.all_components())
     assert len(fleet.cold_starts) == 3
-    fleet.declare(4, window(50.0, 90.0))
+    fleet.declare(4, freeze_window(50.0, 90.0))
     fleet.call_all(8, 3)  # the instances stay in use
     cold_starts = len(fleet.cold_starts)
     request_ids = fleet.call_all(1, 5)
     fleet.run(3_000.0)
     assert len(fleet.cold_starts) == cold_starts
-    for request_id in request_ids:  # one without an instance is rejected once, and before its deadline
+    for request_id in request_ids:  # a request without an instance is rejected once, before its deadline
         assert fleet.results[request_id] == (["ok"] if request_id % 1000 < 3 else ["RejectRequest"])
     assert all(node.status(fleet.now_ms)["freeze_window_cycle"] == "in force" for node in fleet.routers)
     fleet.run(40_000.0)
@@ -196,7 +44,7 @@
 def test_the_exception_budget_belongs_to_the_fleet_not_to_a_router() -> None:
     fleet = Fleet(7, 3)
     fleet.run(30_000.0)
-    fleet.declare(0, window(60.0, 120.0, allowance=2))
+    fleet.declare(0, freeze_window(60.0, 120.0, allowance=2))
     fleet.run(35_000.0)
     for round_number in range(8):
         for index in range(7):
@@ -207,9 +55,10 @@
 
 def test_settings_that_move_instances_are_deferred_until_the_window_ends() -> None:
     fleet = Fleet(3, 4)
-    fleet.declare(0, window(30.0, 60.0))
+    fleet.declare(0, freeze_window(30.0, 60.0))
     fleet.run(35_000.0)
-    node, old_settings = fleet.routers[1], fleet.router_settings[1]
+    node = fleet.routers[1]
+    old_settings = fleet.router_settings[1]
     node.update_settings(dataclasses.replace(old_settings, keep_alive_ms=99_000.0), fleet.now_ms)
     assert node.router.state.settings.keep_alive_ms == old_settings.keep_alive_ms
     fleet.run(40_000.0)
@@ -218,7 +67,7 @@
 
 def test_without_gossip_each_router_acts_on_its_own_file_alone() -> None:
     fleet = Fleet(2, 5, allows_gossip=False)
-    fleet.declare(0, window(10.0, 60.0))
+    fleet.declare(0, freeze_window(10.0, 60.0))
     fleet.run(15_000.0)
     request_ids = [fleet.call(index, 3) for index in range(2)]
     fleet.run(4_000.0)
@@ -226,7 +75,7 @@
     assert not fleet.components(1).store.entries(EntryKind.FREEZE)
 
 
-# What a router without a fleet file must not import: each costs time and memory at the start.
+# Modules that a router without a fleet file must not import, because each costs time and memory at the start.
 FLEET_MODULES = (
     "cedarthread.change_freeze",
     "cedarthread.node.constraints",
@@ -243,7 +92,7 @@
 FLEET_LIBRARIES = ("apsw", "msgspec", "structlog")
 
 
-def test_nothing_of_it_is_imported_where_no_fleet_file_is_named() -> None:
+def test_no_fleet_module_is_imported_without_a_fleet_file() -> None:
     for module in FLEET_MODULES:
         assert importlib.util.find_spec(module) is not None, f"{module} has another name now"
     script = (
@@ -254,11 +103,11 @@
     assert subprocess.run([sys.executable, "-c", script], capture_output=True, text=True).stdout == "[]\n"
 
 
-def test_after_a_stall_a_window_that_has_begun_counts_before_pending_events() -> None:
-    """A router that stalled while a window began may not place a request that waited in its buffers."""
+def test_a_window_that_started_during_a_stall_applies_before_pending_events() -> None:
+    """A router that stalled when a window started may not place a request that waited in its buffers."""
     fleet = Fleet(3, 6)
     fleet.run(30_000.0)
-    fleet.declare(0, window(60.0, 120.0))
+    fleet.declare(0, freeze_window(60.0, 120.0))
     fleet.run(20_000.0)
     fleet.timers = [timer for timer in fleet.timers if timer[0] < fleet.now_ms]  # all routers stall
     fleet.run(20_000.0)
@@ -272,7 +121,7 @@
     fleet.run(30_000.0)
     fleet.call(0, 5)
     fleet.run(1_000.0)
-    fleet.declare(0, window(50.0, 90.0))
+    fleet.declare(0, freeze_window(50.0, 90.0))
     fleet.run(5_000.0)
     request_id = fleet.call(0, 5)
     worker_id = fleet.cold_starts[0].worker_id
@@ -286,16 +135,17 @@
 
 
 def test_a_contract_declared_elsewhere_sets_priorities_once_all_routers_know_it() -> None:
-    tenant, stranger = "spiffe://gaz.example/north", "spiffe://gaz.example/else"
+    tenant = "spiffe://gaz.example/north"
+    other_caller = "spiffe://gaz.example/else"
     contract = '[[tier]]\nname = "firm"\n[[tier]]\nname = "standard"\n'
     contract += f'[[contract]]\ntenant = "{tenant}"\ntier = "firm"\nrate = 70\n'
     fleet = Fleet(7, 8)
     fleet.run(30_000.0)
-    fleet.declare(4, NOTHING + contract.encode())
+    fleet.declare(4, EMPTY_FLEET_FILE + contract.encode())
     priorities = []
     for wait_ms in (3_000.0, 12_000.0):
         fleet.run(wait_ms)
-        for caller in (tenant, stranger):
+        for caller in (tenant, other_caller):
             request_id = fleet.call(1, 0, caller)
             priority = fleet.routers[1].router.pending_requests[request_id].call_priority
             assert priority is not None
@@ -305,7 +155,7 @@
     assert priorities[3] == (False, False)
 
 
-def test_a_start_of_all_routers_is_frozen_briefly_and_one_memory_of_a_window_is_enough() -> None:
+def test_after_a_start_of_all_routers_the_store_is_stale_and_one_router_restores_a_window_to_all() -> None:
     fleet = Fleet(9, 9)
     fleet.run(1_600.0)
     assert not any(
@@ -313,12 +163,12 @@
         for components in fleet.all_components()
     )
     fleet.run(27_000.0)
-    fleet.declare(0, window(50.0, 600.0))
+    fleet.declare(0, freeze_window(50.0, 600.0))
     fleet.run(40_000.0)
-    for index in range(1, 9):  # all but one forget
+    for index in range(1, 9):  # all routers but one restart without memory
         fleet.routers[index] = RoutingNode(fleet.router_settings[index], index, 1000 + index)
         fleet.handle(index, ENDPOINT_LIST)
-        fleet.declare(index, NOTHING)
+        fleet.declare(index, EMPTY_FLEET_FILE)
     for round_number in range(10):
         for index in range(9):
             fleet.call(index, 10 * round_number + index)
--- a/tests/simulation/test_persistence_restarts.py
+++ b/tests/simulation/test_persistence_restarts.py
@@ -13,7 +13,7 @@
 from cedarthread.persistence.state_persister import RESET_WRITE, StatePersister
 from cedarthread.persistence.store import LoadResult, StoreFault
 from tests.helpers import worker
-from tests.simulation.test_fleet_components import START, Fleet, window
+from tests.simulation.component_fleet import START_UNIX_MS, Fleet, freeze_window
 
 DISK_CONFIG = b'[disk]\nfolder = "kept"\n'
 ROUTER_COUNT = 5
@@ -99,7 +99,7 @@
     """Return a fleet in which all routers are voters and have one change freeze window."""
     fleet = FleetWithDisks(ROUTER_COUNT, 1)
     fleet.run(20_000.0)
-    fleet.declare(2, window(600.0, 700.0, allowance=1) + DISK_CONFIG)
+    fleet.declare(2, freeze_window(600.0, 700.0, allowance=1) + DISK_CONFIG)
     fleet.run(20_000.0)
     assert fleet.voters() == [True] * ROUTER_COUNT
     assert fleet.entry_counts() == [1] * ROUTER_COUNT
@@ -135,7 +135,7 @@
 def test_a_router_stays_a_voter_without_its_disk_whose_content_is_stale_at_the_next_start() -> None:
     fleet = settled_fleet()
     fleet.routers_with_faulty_disk.add(3)
-    fleet.declare(1, window(600.0, 690.0, allowance=1) + DISK_CONFIG)
+    fleet.declare(1, freeze_window(600.0, 690.0, allowance=1) + DISK_CONFIG)
     fleet.run(8_000.0)
     assert fleet.has_logged("store_degraded")
     assert fleet.voters()[3], "the router still has all entries in memory"
@@ -165,5 +165,5 @@
 
 
 def test_the_times_of_a_window_count_from_the_start_of_the_simulated_clock() -> None:
-    config = parse_fleet_config(window(600.0, 700.0))
-    assert config.freeze[0].start.timestamp() * 1000.0 == START + 600_000.0
+    config = parse_fleet_config(freeze_window(600.0, 700.0))
+    assert config.freeze[0].start.timestamp() * 1000.0 == START_UNIX_MS + 600_000.0
