--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and a small driver for the tests of the module."""
+"""Settings, endpoints and a driver for tests of the router, and fast deep copies for model checking."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-Thing = TypeVar("Thing")
+Copied = TypeVar("Copied")
 SAFE = RequestClass(
     "a", 1000.0, 3000.0, 1.0, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False, 0.0
 )
@@ -45,6 +45,7 @@
 
 
 def settings(**changes: Any) -> RouterSettings:
+    """Return router settings with these changes."""
     base = RouterSettings(
         classes=CLASSES,
         tenants=(),
@@ -74,11 +75,19 @@
     cell: int = 0,
     started: float | None = None,
 ) -> Endpoint:
+    """Return the endpoint of a worker; ``started`` is the time of its start in ms, None if unknown."""
     return Endpoint(number, zone, 0, cell, state, 1.0, started)
 
 
 class RouterDriver:
-    """Feeds a router and keeps the actions that it returned."""
+    """A router on a clock of its own, and the actions that the router returned.
+
+    Args:
+        *workers: endpoints that the router knows from the start.
+        seed: seed of the router.
+        now_ms: time of the start.
+        **changes: changes to the settings.
+    """
 
     def __init__(self, *workers: Endpoint, seed: int = 1, now_ms: float = 1000.0, **changes: Any) -> None:
         self.router = Router(settings(**changes), seed)
@@ -88,7 +97,7 @@
         self.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, tuple(workers)))
 
     def feed(self, event: Event, after_ms: float = 0.0) -> list[Action]:
-        """Hand in an event so many ms after the last one; returns what the router wants done."""
+        """Let the router handle an event ``after_ms`` after the last one, and return the router's actions."""
         self.now_ms += after_ms
         actions = self.router.handle(self.now_ms, event)
         self.actions.extend(actions)
@@ -102,7 +111,7 @@
         remaining_ms: float | None = None,
         **fields: Any,
     ) -> list[Action]:
-        """A request with this much time left, or the deadline of its class."""
+        """Send a request with this time to its deadline, by default that of its class; return the actions."""
         self.last_request_id += 1
         if remaining_ms is None:
             remaining_ms = CLASSES[class_index].deadline_ms
@@ -120,16 +129,16 @@
         start_kind: StartKind = StartKind.WARM,
         is_final: bool | None = None,
     ) -> list[Action]:
-        """An attempt ends so many ms after the last event; that is its latency too."""
-        is_done = outcome is Outcome.OK if is_final is None else is_final
+        """End an attempt ``after_ms`` after the last event, which is also its latency; return the actions."""
+        is_last = outcome is Outcome.OK if is_final is None else is_final
         return self.feed(
-            AttemptEnded(request_id, attempt_index, worker_id, outcome, after_ms, is_done, start_kind, 0),
+            AttemptEnded(request_id, attempt_index, worker_id, outcome, after_ms, is_last, start_kind, 0),
             after_ms,
         )
 
     def advance_to(self, until_ms: float) -> list[Action]:
-        """Fire the timers that are due until then."""
-        fired: list[Action] = []
+        """Fire the timers that are due until then, also those that these timers set; return the actions."""
+        returned: list[Action] = []
         while True:
             timers = [action for action in self.actions if isinstance(action, SetTimer)]
             self.actions = [action for action in self.actions if not isinstance(action, SetTimer)]
@@ -138,42 +147,49 @@
                     self.actions.append(timer)
                     continue
                 self.now_ms = max(self.now_ms, timer.at_ms)
-                fired.extend(self.feed(TimerFired(timer.token)))
+                returned.extend(self.feed(TimerFired(timer.token)))
             if all(timer.at_ms > until_ms for timer in timers):
                 break
         self.now_ms = max(self.now_ms, until_ms)
-        return fired
+        return returned
 
 
 def sends(actions: list[Action]) -> list[int]:
-    """The workers that attempts are started at."""
+    """Return the ids of the workers to which the actions send attempts."""
     return [action.worker_id for action in actions if isinstance(action, StartAttempt)]
 
 
 def finals(actions: list[Action]) -> list[Action]:
-    """The final answers."""
+    """Return the actions that are final answers other than success."""
     return [action for action in actions if isinstance(action, (RejectRequest, FailRequest))]
 
 
-class _Writes(pickle.Pickler):
-    def __init__(self, raw: io.BytesIO, same: dict[int, object]) -> None:
-        super().__init__(raw, pickle.HIGHEST_PROTOCOL)
-        self.same = same
+_SHARED_BY_ID: dict[int, object] = {}  # never emptied, so that each id in a pickle remains valid
+
+
+class _SharingPickler(pickle.Pickler):
+    """A pickler that writes a reference in place of each shared object."""
 
-    def reducer_override(self, one: Any) -> Any:
-        return (_shared, (id(one),)) if id(one) in self.same else NotImplemented
+    def __init__(self, buffer: io.BytesIO, shared_by_id: dict[int, object]) -> None:
+        super().__init__(buffer, pickle.HIGHEST_PROTOCOL)
+        self.shared_by_id = shared_by_id
 
+    def reducer_override(self, item: Any) -> Any:
+        return (_shared_object, (id(item),)) if id(item) in self.shared_by_id else NotImplemented
 
-_SHARED: dict[int, object] = {}
 
+def _shared_object(object_id: int) -> object:
+    return _SHARED_BY_ID[object_id]
 
-def _shared(number: int) -> object:
-    return _SHARED[number]
 
+def copier(original: Copied, shared: Iterable[object] = ()) -> Callable[[], Copied]:
+    """Return a function that returns deep copies of the original as it is now.
 
-def copier(thing: Thing, shared: Iterable[object] = ()) -> Callable[[], Thing]:
-    """Makes deep copies of a thing as it is now, many of one pickle; ``shared`` is not copied."""
-    same, raw = {id(one): one for one in shared}, io.BytesIO()
-    _SHARED.update(same)
-    _Writes(raw, same).dump(thing)
-    return functools.partial(pickle.loads, raw.getvalue())
+    All copies are read from one pickle, which is faster than ``copy.deepcopy`` for many copies. The copies
+    refer to the same ``shared`` objects.
+    """
+    shared_by_id = {id(item): item for item in shared}
+    buffer = io.BytesIO()
+    _SHARED_BY_ID.update(shared_by_id)
+    _SharingPickler(buffer, shared_by_id).dump(original)
+    return functools.partial(pickle.loads, buffer.getvalue())
--- a/tests/unit/testing/test_intervals.py
+++ b/tests/unit/testing/test_intervals.py
@@ -14,8 +14,8 @@
 )
 
 
-def covers(intervals: list[Interval], point: float) -> bool:
-    return any(begin < point < end for begin, end in intervals)
+def contains(intervals: list[Interval], point: float) -> bool:
+    return any(start < point < end for start, end in intervals)
 
 
 def test_intervals_that_overlap_or_touch_are_merged_and_empty_ones_dropped() -> None:
@@ -30,7 +30,7 @@
     assert subtract_intervals([(1.0, 10.0), (20.0, 21.0)], removed) == [(2.0, 4.0), (5.0, 9.0), (20.0, 21.0)]
 
 
-def test_intersection_is_what_is_in_both() -> None:
+def test_an_intersection_contains_the_parts_in_both_sets() -> None:
     assert intersect_intervals([(0.0, 5.0), (6.0, 9.0)], [(4.0, 7.0), (9.0, 10.0)]) == [
         (4.0, 5.0),
         (6.0, 7.0),
@@ -42,15 +42,17 @@
     rng = random.Random(seed)
 
     def random_intervals() -> list[Interval]:
-        return [(float(begin), float(begin + rng.randrange(8))) for begin in rng.choices(range(40), k=6)]
-
-    first, second = random_intervals(), random_intervals()
-    left, right = merge_intervals(first), merge_intervals(second)
-    for point in (whole + 0.5 for whole in range(50)):
-        assert covers(left, point) == covers(first, point)
-        assert covers(subtract_intervals(left, right), point) == (
-            covers(left, point) and not covers(right, point)
-        )
-        assert covers(intersect_intervals(left, right), point) == (
-            covers(left, point) and covers(right, point)
-        )
+        return [(float(start), float(start + rng.randrange(8))) for start in rng.choices(range(40), k=6)]
+
+    intervals = random_intervals()
+    other_intervals = random_intervals()
+    merged = merge_intervals(intervals)
+    other_merged = merge_intervals(other_intervals)
+    for point in (number + 0.5 for number in range(50)):
+        is_in_merged = contains(merged, point)
+        is_in_other = contains(other_merged, point)
+        assert is_in_merged == contains(intervals, point)
+        difference = subtract_intervals(merged, other_merged)
+        assert contains(difference, point) == (is_in_merged and not is_in_other)
+        intersection = intersect_intervals(merged, other_merged)
+        assert contains(intersection, point) == (is_in_merged and is_in_other)
