--- a/tests/simulation/slow_start_fleet.py
+++ b/tests/simulation/slow_start_fleet.py
@@ -1,9 +1,8 @@
-"""A fleet of routers without gossip, on one virtual clock, and workers that count what comes to them.
+"""Simulates a fleet of routers without gossip and workers of which some start late, on one virtual clock.
 
-Each worker records what routers that know of its start have sent it within any window of rule 4, each call as
-the mean work of its class, against what the rule allows it then.
-``python -m tests.simulation.slow_start_fleet`` prints the table of all transitions. Times are ms, rates are
-calls a second.
+Each worker records the work that it receives, in any window of rule 4, from routers that know of its start.
+The result compares this load with the budget of the rule. ``python -m tests.simulation.slow_start_fleet``
+prints the table of all scenarios. Times are ms, rates are calls per second.
 """
 
 from __future__ import annotations
@@ -14,173 +13,87 @@
 import math
 import random
 import sys
-from collections import deque
-from dataclasses import dataclass, field
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from cedarthread.model.actions import FailRequest, RejectRequest, SetTimer, StartAttempt
 from cedarthread.model.endpoints import Endpoint, EndpointState, EndpointUpdate, EndpointUpdateKind
 from cedarthread.model.events import AttemptEnded, Event, RequestArrived, TimerFired
-from cedarthread.model.outcomes import Outcome, StartKind
-from cedarthread.model.settings import Idempotency, RuleParameters
+from cedarthread.model.outcomes import Outcome
 from cedarthread.routing.rendezvous import hash64, rendezvous_score
 from cedarthread.routing.router import Router
-from tests.helpers import SAFE, settings
+from tests.helpers import settings
+from tests.simulation.slow_start_scenarios import (
+    FIRST_NEW_WORKER,
+    SCENARIOS,
+    Result,
+    Scenario,
+    Transition,
+)
+from tests.simulation.slow_start_worker import (
+    CLASS_FRACTIONS,
+    CLASS_WORK_MS,
+    CLASSES,
+    MEAN_WORK_MS,
+    NO_LOAD,
+    RULES,
+    FakeWorker,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-RULES = RuleParameters(8.0, 500.0, 0.25, 17000.0, 2.5, 2000.0, 10000.0, 0.0, 0.0, 0.0)
-CHECK = dataclasses.replace(SAFE, name="check", latency_objective_ms=1200.0, deadline_ms=5000.0)
-REVISE = dataclasses.replace(
-    SAFE, name="revise", latency_objective_ms=800.0, deadline_ms=5000.0, priority_weight=5.0
-)
-CONFIRM = dataclasses.replace(
-    SAFE,
-    name="confirm",
-    latency_objective_ms=1500.0,
-    deadline_ms=5000.0,
-    idempotency=Idempotency.NOT_IDEMPOTENT,
-)
-CLASSES = (CHECK, REVISE, CONFIRM)
-CLASS_FRACTIONS = (0.43, 0.40, 0.17)  # of the calls, by class
-CLASS_WORK_MS = (100.0, 170.0, 170.0)  # ms, mean of each class
-MEAN_WORK_MS = sum(p * w for p, w in zip(CLASS_FRACTIONS, CLASS_WORK_MS, strict=True))
-CORES = 3
-MAX_QUEUED = 15  # calls that wait at a worker before it rejects others
-COLD_START_MS = 1300.0
-FIRST_NEW_WORKER = 1000  # first number of those that start late
-TRANSITION_AT_MS = 9000.0  # when the transition begins
+TRANSITION_AT_MS = 9000.0
+BURST_START_MS = TRANSITION_AT_MS + 1000.0
+BURST_END_MS = TRANSITION_AT_MS + 7000.0
 ZONES = 3
-REPLACED_FRACTION = 0.6  # of the workers, where they are replaced
-STATE_ORDER = list(EndpointState)  # in which a worker's states follow each other
-
-
-@dataclass
-class FakeWorker:
-    """Some cores, a bounded queue, instances that are loaded on demand, and the record of sends."""
-
-    number: int
-    zone: int
-    started_at_ms: float = -math.inf
-    is_up: bool = True
-    core_free_at_ms: list[float] = field(default_factory=lambda: [0.0] * CORES)  # when each core is
-    instance_ready_at_ms: dict[int, float] = field(default_factory=dict)  # when each is loaded
-    window_sends: deque[tuple[float, float]] = field(default_factory=deque)
-    window_weight: float = 0.0
-    # Its parts of the upper bound, and sum and budget there.
-    fullest_window: tuple[float, float, float] = (0.0, 0.0, 0.0)
-    received_work: float = 0.0
-    allowed_work: float = 0.0
-
-    def capacity(self, now_ms: float) -> float:
-        """The least part of its capacity that rule 4 counts: it grows evenly from the start on."""
-        age = now_ms - self.started_at_ms
-        return min(
-            1.0,
-            RULES.slow_start_min_capacity + (1.0 - RULES.slow_start_min_capacity) * age / RULES.slow_start_ms,
-        )
+RETURNING_ZONE = 1
+FUNCTIONS = range(1, 61)  # functions that are called besides the hot one
+CLIENT_RETRY_DELAY_MS = 200.0
+ALLOWED_WORK_STEP_MS = 100.0  # the budget over a worker's life is summed in these steps
+STATE_ORDER = list(EndpointState)  # the order in which a worker passes through its states
 
-    def budget(self, now_ms: float) -> float:
-        """N: calls of mean work that it may get within a window that ends now."""
-        return (
-            RULES.collapse_multiple
-            * self.capacity(now_ms)
-            * len(self.core_free_at_ms)
-            / MEAN_WORK_MS
-            * RULES.collapse_window_ms
-        )
 
-    def record_send(self, now_ms: float, window_weight: float) -> None:
-        """One more call of a router that knows of the start."""
-        while self.window_sends and self.window_sends[0][0] <= now_ms - RULES.collapse_window_ms:
-            self.window_weight -= self.window_sends.popleft()[1]
-        self.window_sends.append((now_ms, window_weight))
-        self.window_weight += window_weight
-        self.received_work += window_weight
-        allowed_work = self.budget(now_ms)
-        self.fullest_window = max(
-            self.fullest_window,
-            (self.window_weight / upper_bound(allowed_work), self.window_weight, allowed_work),
-        )
+class Call(NamedTuple):
+    """A call that has no final answer yet."""
 
-    def serve(self, now_ms: float, function: int, work: float) -> tuple[float, Outcome, StartKind]:
-        """When the call ends, and how."""
-        if not self.is_up:
-            return now_ms + 5.0, Outcome.CONNECT_FAILED, StartKind.UNKNOWN
-        if min(self.core_free_at_ms) > now_ms + MAX_QUEUED * MEAN_WORK_MS / CORES:
-            return now_ms + 1.0, Outcome.OVERLOADED, StartKind.UNKNOWN
-        start_kind = StartKind.WARM
-        if function not in self.instance_ready_at_ms:
-            self.instance_ready_at_ms[function], start_kind = now_ms + COLD_START_MS, StartKind.COLD
-        elif self.instance_ready_at_ms[function] > now_ms:
-            start_kind = StartKind.PENDING
-        core = min(range(len(self.core_free_at_ms)), key=self.core_free_at_ms.__getitem__)
-        begins = max(now_ms, self.core_free_at_ms[core])
-        self.core_free_at_ms[core] = begins + work / self.capacity(now_ms)
-        return max(self.core_free_at_ms[core], self.instance_ready_at_ms[function]), Outcome.OK, start_kind
-
-
-def upper_bound(budget: float) -> float:
-    """What chance may make of N."""
-    return budget + 2.0 * math.sqrt(budget) + 2.0
-
-
-@dataclass(frozen=True)
-class Scenario:
-    """One day: who is there, what is called, and what its transition is."""
-
-    routers: int
-    transition: str = "join"
-    seed: int = 1
-    is_fleet_size_known: bool = True  # routers are told the fleet's size
-    workers: int = 12
-    cores: int = CORES  # of each worker
-    load: float = 0.6  # of the warm capacity of all workers
-    hot_function_fraction: float = 0.0  # of the calls; the function's home is the cold worker
-    is_hot_function_heavy: bool = False  # that function is of the class of most work
-    hot_function_delay_ms: float = 0.0  # ms after the start from which it is called
-    burst_factor: float = 1.0  # times the rate, for 6 s from 1 s after the start
-    client_retries: int = 0  # retries of clients after a rejection, marked as such
-    restarted_routers: float = 0.0  # part of the routers that start anew,
-    restart_delay_ms: float = -300.0  # ms after the workers' start
-    propagation_ms: float = 1500.0  # ms within which the routers hear of a start
-    drained_fraction: float = 0.6  # part of the others that leave, where the transition is "drain"
-    slowdown: float = 1.0  # times that all workers need for a call, till the start
-    others_lost_at_ms: float = 0.0  # after the start, where the transition is "alone" or "drain"
-    duration_ms: float = 14000.0
+    router_index: int
+    function: int
+    class_index: int
+    deadline_ms: float
+    client_retries: int  # retries by the client so far
 
 
 class Fleet:
-    """Plays one scenario."""
+    """The simulation of one scenario: routers, workers, calls, and a queue of events."""
 
     def __init__(self, scenario: Scenario) -> None:
-        self.scenario, self.rng = scenario, random.Random(scenario.seed)
+        self.scenario = scenario
+        self.rng = random.Random(scenario.seed)
         self.settings = settings(
             classes=CLASSES,
-            router_count=scenario.routers if scenario.is_fleet_size_known else 1,
+            router_count=scenario.router_count if scenario.is_fleet_size_known else 1,
             rules=RULES,
             keep_alive_ms=8700.0,
             limits=dataclasses.replace(settings().limits, allows_hedging=False, allows_gossip=False),
-        )  # fmt: skip
+        )
         self.workers = {
-            n: FakeWorker(n, n % ZONES, core_free_at_ms=[0.0] * scenario.cores)
-            for n in range(1, scenario.workers + 1)
+            number: FakeWorker(number, number % ZONES, core_free_at_ms=[0.0] * scenario.cores)
+            for number in range(1, scenario.worker_count + 1)
         }
-        self.endpoints: dict[int, Endpoint] = {n: self.endpoint(n) for n in self.workers}
-        self.routers = [self.router(n) for n in range(scenario.routers)]
+        self.endpoints: dict[int, Endpoint] = {number: self.endpoint(number) for number in self.workers}
+        self.routers = [self.create_router(index) for index in range(scenario.router_count)]
         self.known_endpoints: list[dict[int, Endpoint]] = [dict(self.endpoints) for _ in self.routers]
-        self.weights = [self.rng.choice((0.5, 0.7, 1.0, 1.3, 4.0)) for _ in self.routers]
-        self.serial = itertools.count()
+        self.router_weights = [self.rng.choice((0.5, 0.7, 1.0, 1.3, 4.0)) for _ in self.routers]
+        self.event_serial = itertools.count()  # orders events of the same time
         self.event_queue: list[tuple[float, int, Callable[[float], None]]] = []
-        self.number = itertools.count(1)
-        self.calls: dict[
-            int, tuple[int, int, int, float, int]
-        ] = {}  # router, function, class, deadline, client retries
-        self.first_requests = self.rejected_requests = self.cold_calls = 0
-        self.function_weights = [1.0 / (k + 3.0) ** 1.3 for k in range(60)]
-        self.incarnations = [0] * scenario.routers
+        self.request_ids = itertools.count(1)
+        self.calls: dict[int, Call] = {}  # by request id
+        self.first_requests = 0  # requests from the transition on, without retries of clients
+        self.rejected_requests = 0  # of these
+        self.cold_calls = 0  # calls that count against a budget
+        self.function_weights = [1.0 / (rank + 3.0) ** 1.3 for rank in range(len(FUNCTIONS))]
+        self.incarnations = [0] * scenario.router_count
         self.hot_function = 0
 
     def endpoint(self, number: int, state: EndpointState = EndpointState.READY) -> Endpoint:
@@ -188,34 +101,35 @@
         started_at_ms = None if worker.started_at_ms == -math.inf else worker.started_at_ms
         return Endpoint(number, worker.zone, 0, 0, state, None, started_at_ms)
 
-    def router(self, number: int, incarnation: int = 0) -> Router:
-        zone = dataclasses.replace(self.settings, router_index=number, zone=number % ZONES)
-        return Router(zone, self.scenario.seed * 1000003 + number * 101 + incarnation)
+    def create_router(self, index: int, incarnation: int = 0) -> Router:
+        router_settings = dataclasses.replace(self.settings, router_index=index, zone=index % ZONES)
+        return Router(router_settings, self.scenario.seed * 1000003 + index * 101 + incarnation)
 
-    def schedule(self, when: float, what: Callable[[float], None]) -> None:
-        heapq.heappush(self.event_queue, (when, next(self.serial), what))
+    def schedule(self, at_ms: float, callback: Callable[[float], None]) -> None:
+        heapq.heappush(self.event_queue, (at_ms, next(self.event_serial), callback))
 
-    # What happens.
+    # Endpoint lists, and starts and stops of workers and routers.
 
     def publish(self, number: int, state: EndpointState, now_ms: float) -> None:
-        """The list changes; each router hears of it in its own time."""
+        """Change the endpoint list; each router receives the change after its own delay."""
         endpoint = self.endpoints[number] = self.endpoint(number, state)
-        for who in range(len(self.routers)):
+        for index in range(len(self.routers)):
             known_at_ms = now_ms + self.rng.uniform(0.0, self.scenario.propagation_ms)
-            self.schedule(known_at_ms, partial(self.on_list_update, who, endpoint))
+            self.schedule(known_at_ms, partial(self.on_endpoint_changed, index, endpoint))
 
-    def on_list_update(self, who: int, endpoint: Endpoint, now_ms: float) -> None:
-        held = self.known_endpoints[who].get(endpoint.worker_id)
-        if held is not None and (held.started_at_ms or 0.0) > (endpoint.started_at_ms or 0.0):
+    def on_endpoint_changed(self, index: int, endpoint: Endpoint, now_ms: float) -> None:
+        """Let a router handle a change of the endpoint list, unless the router has a later one already."""
+        known = self.known_endpoints[index].get(endpoint.worker_id)
+        if known is not None and (known.started_at_ms or 0.0) > (endpoint.started_at_ms or 0.0):
             return
         if (
-            held is not None
-            and held.started_at_ms == endpoint.started_at_ms
-            and STATE_ORDER.index(held.state) > STATE_ORDER.index(endpoint.state)
+            known is not None
+            and known.started_at_ms == endpoint.started_at_ms
+            and STATE_ORDER.index(known.state) > STATE_ORDER.index(endpoint.state)
         ):
-            return  # the later news came first
-        self.known_endpoints[who][endpoint.worker_id] = endpoint
-        self.feed(who, EndpointUpdate(EndpointUpdateKind.DELTA, 2, (endpoint,)), now_ms)
+            return
+        self.known_endpoints[index][endpoint.worker_id] = endpoint
+        self.feed(index, EndpointUpdate(EndpointUpdateKind.DELTA, 2, (endpoint,)), now_ms)
 
     def start_worker(self, number: int, now_ms: float) -> None:
         self.workers[number] = FakeWorker(
@@ -223,98 +137,93 @@
         )
         self.publish(number, EndpointState.READY, now_ms)
 
-    def restart_router(self, who: int, now_ms: float) -> None:
-        self.incarnations[who] += 1
-        for request in [n for n, call in self.calls.items() if call[0] == who]:
-            del self.calls[request]
-        self.routers[who] = self.router(who, self.incarnations[who])
-        self.known_endpoints[who] = dict(self.endpoints)
-        self.feed(who, EndpointUpdate(EndpointUpdateKind.CACHED, 1, tuple(self.endpoints.values())), now_ms)
+    def stop_worker(self, number: int, now_ms: float, *, is_published: bool) -> None:
+        self.workers[number].is_up = False
+        if is_published:
+            self.publish(number, EndpointState.REMOVED, now_ms)
+
+    def restart_router(self, index: int, now_ms: float) -> None:
+        """Start a new incarnation of a router, which loses its calls."""
+        self.incarnations[index] += 1
+        self.calls = {key: call for key, call in self.calls.items() if call.router_index != index}
+        self.routers[index] = self.create_router(index, self.incarnations[index])
+        self.known_endpoints[index] = dict(self.endpoints)
+        self.feed_all_endpoints(index, now_ms)
+
+    def feed_all_endpoints(self, index: int, now_ms: float) -> None:
+        update = EndpointUpdate(EndpointUpdateKind.CACHED, 1, tuple(self.endpoints.values()))
+        self.feed(index, update, now_ms)
 
     def schedule_transition(self) -> None:
-        """Schedule what happens to the workers and routers."""
+        """Schedule the transition of the workers, and the restarts of routers."""
         scenario = self.scenario
         transitions = {
-            "join": self._join,
-            "zone": self._zone_returns,
-            "untold": self._untold_restart,
-            "replace": self._replace_workers,
-            "alone": self._others_fail,
-            "drain": self._others_leave,
+            Transition.JOIN: self._join,
+            Transition.ZONE_RETURNS: self._return_zone,
+            Transition.UNLISTED_RESTART: self._restart_workers_unlisted,
+            Transition.REPLACE: self._replace_workers,
+            Transition.OTHERS_FAIL: self._fail_others,
+            Transition.OTHERS_LEAVE: self._drain_others,
         }
         transitions[scenario.transition]()
-        for who in range(round(scenario.restarted_routers * scenario.routers)):
-            restart_at_ms = TRANSITION_AT_MS + scenario.restart_delay_ms + who * 0.5
-            self.schedule(restart_at_ms, partial(self.restart_router, who))
+        for index in range(round(scenario.restarted_routers * scenario.router_count)):
+            restart_at_ms = TRANSITION_AT_MS + scenario.restart_delay_ms + index * 0.5
+            self.schedule(restart_at_ms, partial(self.restart_router, index))
 
     def _join(self) -> None:
         self.schedule(TRANSITION_AT_MS, partial(self.start_worker, FIRST_NEW_WORKER))
 
-    def _zone_returns(self) -> None:
-        for number in [number for number in self.workers if number % ZONES == 1]:
+    def _return_zone(self) -> None:
+        for number in [number for number in self.workers if number % ZONES == RETURNING_ZONE]:
             self.schedule(TRANSITION_AT_MS - 4000.0, partial(self.stop_worker, number, is_published=True))
             self.schedule(TRANSITION_AT_MS, partial(self.start_worker, number))
 
-    def _untold_restart(self) -> None:
-        """Workers are down for a moment; the endpoint list tells of it only after that."""
+    def _restart_workers_unlisted(self) -> None:
+        """Stop workers for 1 s; the endpoint list changes only after their start."""
         for number in (1, 2):
             self.schedule(TRANSITION_AT_MS - 1000.0, partial(self.stop_worker, number, is_published=False))
             self.schedule(TRANSITION_AT_MS, partial(self.start_worker, number))
 
     def _replace_workers(self) -> None:
-        replaced = round(REPLACED_FRACTION * self.scenario.workers)
-        for index in range(replaced):
-            starts_at_ms = TRANSITION_AT_MS + 7000.0 * index / replaced
+        new_workers = self.scenario.new_workers()
+        for index, number in enumerate(new_workers):
+            starts_at_ms = TRANSITION_AT_MS + 7000.0 * index / len(new_workers)
             self.schedule(starts_at_ms - 700.0, partial(self.publish, index + 1, EndpointState.DRAINING))
-            self.schedule(starts_at_ms, partial(self.start_worker, FIRST_NEW_WORKER + index))
+            self.schedule(starts_at_ms, partial(self.start_worker, number))
 
-    def _others_fail(self) -> None:
-        """All others refuse connections, and the endpoint list still has them ready."""
+    def _fail_others(self) -> None:
+        """Let all other workers refuse connections, while the endpoint list has them as ready."""
         self._join()
         for number in list(self.workers):
             lost_at_ms = TRANSITION_AT_MS + self.scenario.others_lost_at_ms
             self.schedule(lost_at_ms, partial(self.stop_worker, number, is_published=False))
 
-    def _others_leave(self) -> None:
-        """Part of the others leave the list before any more have come."""
+    def _drain_others(self) -> None:
+        """Drain a part of the other workers; only one new worker starts."""
         self._join()
-        leaving = round(self.scenario.drained_fraction * self.scenario.workers)
-        for number in list(self.workers)[:leaving]:
-            leaves_at_ms = TRANSITION_AT_MS + self.scenario.others_lost_at_ms
-            self.schedule(leaves_at_ms, partial(self.publish, number, EndpointState.DRAINING))
-
-    def stop_worker(self, number: int, now_ms: float, is_published: bool) -> None:
-        self.workers[number].is_up = False
-        if is_published:
-            self.publish(number, EndpointState.REMOVED, now_ms)
-
-    def function_at_home(self, target: int) -> int:
-        """A function whose first home is that worker, in the fleet after the transition."""
-        gone = round(REPLACED_FRACTION * self.scenario.workers)
-        there = {
-            "join": [FIRST_NEW_WORKER],
-            "drain": [FIRST_NEW_WORKER],
-            "alone": [FIRST_NEW_WORKER],
-            "replace": list(range(FIRST_NEW_WORKER, FIRST_NEW_WORKER + gone)),
-        }.get(self.scenario.transition, [])
-        numbers = [*self.workers, *there]
+        drained = round(self.scenario.drained_fraction * self.scenario.worker_count)
+        for number in list(self.workers)[:drained]:
+            drains_at_ms = TRANSITION_AT_MS + self.scenario.others_lost_at_ms
+            self.schedule(drains_at_ms, partial(self.publish, number, EndpointState.DRAINING))
+
+    def function_with_home(self, worker_number: int) -> int:
+        """Return a function with this first home worker in the fleet after the transition."""
+        numbers = [*self.workers, *self.scenario.new_workers()]
         for function in range(5000, 9000):
-            if min(numbers, key=lambda n: rendezvous_score(hash64(function), hash64(n), 1.0)) == target:
+            scores = {number: rendezvous_score(hash64(function), hash64(number), 1.0) for number in numbers}
+            if min(numbers, key=scores.__getitem__) == worker_number:
                 return function
         raise AssertionError("no such function")
 
     # Calls.
 
     def rate(self, now_ms: float) -> float:
-        """Calls a second of the whole fleet."""
-        burst_factor = (
-            self.scenario.burst_factor
-            if TRANSITION_AT_MS + 1000.0 <= now_ms < TRANSITION_AT_MS + 7000.0
-            else 1.0
-        )
+        """Return the calls per second of the whole fleet."""
+        is_burst = BURST_START_MS <= now_ms < BURST_END_MS
+        burst_factor = self.scenario.burst_factor if is_burst else 1.0
         return (
             self.scenario.load
-            * self.scenario.workers
+            * self.scenario.worker_count
             * 1000.0
             * self.scenario.cores
             / MEAN_WORK_MS
@@ -322,221 +231,168 @@
         )
 
     def on_arrival(self, now_ms: float) -> None:
+        """Send a new call, and schedule the next one."""
         self.schedule(now_ms + self.rng.expovariate(self.rate(now_ms) / 1000.0), self.on_arrival)
-        who = self.rng.choices(range(len(self.routers)), self.weights)[0]
-        function = self.rng.choices(range(1, 61), self.function_weights)[0]
+        index = self.rng.choices(range(len(self.routers)), self.router_weights)[0]
+        function = self.rng.choices(FUNCTIONS, self.function_weights)[0]
         class_index = random.Random(function).choices(range(3), CLASS_FRACTIONS)[0]
         if (
             self.rng.random() < self.scenario.hot_function_fraction
             and now_ms >= TRANSITION_AT_MS + self.scenario.hot_function_delay_ms
         ):
-            function, class_index = self.hot_function, 1 if self.scenario.is_hot_function_heavy else 0
-        self.send_request(now_ms, who, function, class_index, 0)
-
-    def send_request(
-        self, now_ms: float, who: int, function: int, class_index: int, client_retries: int
-    ) -> None:
-        number, deadline_ms = next(self.number), now_ms + CLASSES[class_index].deadline_ms
-        self.calls[number] = who, function, class_index, deadline_ms, client_retries
+            function = self.hot_function
+            class_index = 1 if self.scenario.is_hot_function_heavy else 0
+        deadline_ms = now_ms + CLASSES[class_index].deadline_ms
+        self.send_request(now_ms, Call(index, function, class_index, deadline_ms, 0))
+
+    def send_request(self, now_ms: float, call: Call) -> None:
+        request_id = next(self.request_ids)
+        self.calls[request_id] = call
         if now_ms >= TRANSITION_AT_MS:
-            self.first_requests += client_retries == 0
-        self.feed(
-            who,
-            RequestArrived(
-                number,
-                function,
-                class_index,
-                deadline_ms,
-                is_client_retry=client_retries > 0,
-                concurrency=4.0,
-            ),
-            now_ms,
+            self.first_requests += call.client_retries == 0
+        request = RequestArrived(
+            request_id,
+            call.function,
+            call.class_index,
+            call.deadline_ms,
+            is_client_retry=call.client_retries > 0,
+            concurrency=4.0,
         )
+        self.feed(call.router_index, request, now_ms)
 
-    def feed(self, who: int, event: Event, now_ms: float) -> None:
-        router, incarnation = self.routers[who], self.incarnations[who]
+    def feed(self, index: int, event: Event, now_ms: float) -> None:
+        """Let a router handle an event, and execute its actions."""
+        router = self.routers[index]
+        incarnation = self.incarnations[index]
         for action in router.handle(now_ms, event):
             if isinstance(action, StartAttempt):
-                self.send(who, action, now_ms)
+                self.start_attempt(index, action, now_ms)
             elif isinstance(action, (RejectRequest, FailRequest)):
-                self.on_rejected(who, action, now_ms)
+                self.on_rejected(action, now_ms)
             elif isinstance(action, SetTimer):
-                self.schedule(action.at_ms, partial(self.on_timer, who, incarnation, action.token))
+                self.schedule(action.at_ms, partial(self.on_timer, index, incarnation, action.token))
 
-    def on_timer(self, who: int, incarnation: int, token: int, now_ms: float) -> None:
-        if self.incarnations[who] == incarnation:
-            self.feed(who, TimerFired(token), now_ms)
+    def on_timer(self, index: int, incarnation: int, token: int, now_ms: float) -> None:
+        if self.incarnations[index] == incarnation:
+            self.feed(index, TimerFired(token), now_ms)
 
-    def on_rejected(self, who: int, action: RejectRequest | FailRequest, now_ms: float) -> None:
+    def on_rejected(self, action: RejectRequest | FailRequest, now_ms: float) -> None:
         call = self.calls.pop(action.request_id, None)
         if call is None:
             return
-        _, function, class_index, _, client_retries = call
-        self.rejected_requests += now_ms >= TRANSITION_AT_MS and client_retries == 0
-        if client_retries < self.scenario.client_retries:
-            self.schedule(
-                now_ms + 200.0,
-                lambda at_ms: self.send_request(at_ms, who, function, class_index, client_retries + 1),
-            )
-
-    def send(self, who: int, action: StartAttempt, now_ms: float) -> None:
+        self.rejected_requests += now_ms >= TRANSITION_AT_MS and call.client_retries == 0
+        if call.client_retries < self.scenario.client_retries:
+            self.schedule(now_ms + CLIENT_RETRY_DELAY_MS, partial(self.retry, call))
+
+    def retry(self, call: Call, now_ms: float) -> None:
+        """Send the call again, with a new deadline."""
+        deadline_ms = now_ms + CLASSES[call.class_index].deadline_ms
+        retry = call._replace(deadline_ms=deadline_ms, client_retries=call.client_retries + 1)
+        self.send_request(now_ms, retry)
+
+    def start_attempt(self, index: int, action: StartAttempt, now_ms: float) -> None:
+        """Let the worker serve an attempt, and schedule its end."""
         call = self.calls[action.request_id]
-        worker, incarnation = self.workers[action.worker_id], self.incarnations[who]
-        known_start_ms = self.known_endpoints[who][action.worker_id].started_at_ms
-        if (
-            worker.started_at_ms > 0.0
-            and worker.is_up
-            and known_start_ms == worker.started_at_ms
-            and worker.capacity(now_ms) < 1.0
-        ):
-            worker.record_send(now_ms, CLASS_WORK_MS[call[2]] / MEAN_WORK_MS)
+        worker = self.workers[action.worker_id]
+        is_start_known = self.known_endpoints[index][action.worker_id].started_at_ms == worker.started_at_ms
+        if worker.started_at_ms > 0.0 and worker.is_up and is_start_known and worker.capacity(now_ms) < 1.0:
+            worker.record_send(now_ms, CLASS_WORK_MS[call.class_index] / MEAN_WORK_MS)
             self.cold_calls += 1
-        work = self.rng.expovariate(1.0 / CLASS_WORK_MS[call[2]]) * (
-            self.scenario.slowdown if now_ms < TRANSITION_AT_MS else 1.0
-        )
-        at_ms, outcome, start_kind = worker.serve(now_ms, call[1], work)
-        if at_ms > call[3]:
-            at_ms, outcome = call[3], Outcome.TIMEOUT
-        attempt = len(self.routers[who].pending_requests[action.request_id].attempts) - 1
-        ends = AttemptEnded(
+        slowdown = self.scenario.slowdown if now_ms < TRANSITION_AT_MS else 1.0
+        work_ms = self.rng.expovariate(1.0 / CLASS_WORK_MS[call.class_index]) * slowdown
+        ends_at_ms, outcome, start_kind = worker.serve(now_ms, call.function, work_ms)
+        if ends_at_ms > call.deadline_ms:
+            ends_at_ms = call.deadline_ms
+            outcome = Outcome.TIMEOUT
+        attempt_index = len(self.routers[index].pending_requests[action.request_id].attempts) - 1
+        ended = AttemptEnded(
             action.request_id,
-            attempt,
+            attempt_index,
             action.worker_id,
             outcome,
-            at_ms - now_ms,
+            ends_at_ms - now_ms,
             outcome is Outcome.OK,
             start_kind,
             0,
         )
-        self.schedule(at_ms, lambda now_ms: self.on_attempt_ended(who, incarnation, ends, now_ms))
+        self.schedule(ends_at_ms, partial(self.on_attempt_ended, index, self.incarnations[index], ended))
 
-    def on_attempt_ended(self, who: int, incarnation: int, ends: AttemptEnded, now_ms: float) -> None:
-        if self.incarnations[who] != incarnation:
+    def on_attempt_ended(self, index: int, incarnation: int, ended: AttemptEnded, now_ms: float) -> None:
+        if self.incarnations[index] != incarnation:
             return
-        if ends.is_final:
-            self.calls.pop(ends.request_id, None)
-        self.feed(who, ends, now_ms)
+        if ended.is_final:
+            self.calls.pop(ended.request_id, None)
+        self.feed(index, ended, now_ms)
 
     def run(self) -> Result:
-        """The whole day, from loaded instances at the start."""
-        for who in range(len(self.routers)):
-            self.feed(who, EndpointUpdate(EndpointUpdateKind.CACHED, 1, tuple(self.endpoints.values())), 0.0)
+        """Run the simulation; at its start all functions are loaded at all workers."""
+        for index in range(len(self.routers)):
+            self.feed_all_endpoints(index, 0.0)
         for worker in self.workers.values():
-            worker.instance_ready_at_ms = dict.fromkeys(range(1, 61), 0.0)
+            worker.instance_ready_at_ms = dict.fromkeys(FUNCTIONS, 0.0)
         if self.scenario.hot_function_fraction:
-            self.hot_function = self.function_at_home(
-                FIRST_NEW_WORKER if self.scenario.transition in ("join", "replace", "alone", "drain") else 1
+            self.hot_function = self.function_with_home(
+                FIRST_NEW_WORKER if self.scenario.new_workers() else 1
             )
         self.schedule_transition()
         self.schedule(0.0, self.on_arrival)
         while self.event_queue and self.event_queue[0][0] < TRANSITION_AT_MS + self.scenario.duration_ms:
-            now_ms, _, what = heapq.heappop(self.event_queue)
-            what(now_ms)
+            now_ms, _, callback = heapq.heappop(self.event_queue)
+            callback(now_ms)
         return self.result()
 
     def result(self) -> Result:
-        cold = [r for r in self.workers.values() if r.started_at_ms > 0.0]
-        ends, step = TRANSITION_AT_MS + self.scenario.duration_ms, 100.0
+        late_workers = [worker for worker in self.workers.values() if worker.started_at_ms > 0.0]
+        end_ms = TRANSITION_AT_MS + self.scenario.duration_ms
         allowed_work = 0.0
-        for worker in cold:
-            steps = int((ends - worker.started_at_ms) / step)
-            allowed_work += (
-                sum(worker.budget(worker.started_at_ms + k * step) for k in range(steps))
-                * step
-                / RULES.collapse_window_ms
+        for worker in late_workers:
+            steps = int((end_ms - worker.started_at_ms) / ALLOWED_WORK_STEP_MS)
+            budgets = (
+                worker.budget(worker.started_at_ms + step * ALLOWED_WORK_STEP_MS) for step in range(steps)
             )
-        fullest_window = max((r.fullest_window for r in cold), default=(0.0, 0.0, 0.0))
+            allowed_work += sum(budgets) * ALLOWED_WORK_STEP_MS / RULES.collapse_window_ms
+        fullest_window = max((worker.fullest_window for worker in late_workers), default=NO_LOAD)
         return Result(
-            fullest_window[0],
-            fullest_window[1],
-            fullest_window[2],
-            sum(r.received_work for r in cold) / allowed_work,
+            fullest_window.fraction_of_bound,
+            fullest_window.total,
+            fullest_window.budget,
+            sum(worker.received_work for worker in late_workers) / allowed_work,
             self.rejected_requests / self.first_requests,
         )
 
 
-@dataclass(frozen=True)
-class Result:
-    """Of one day: the fullest window of any cold worker, and what it cost."""
-
-    fullest_window: float  # its sum over N + 2 x root of N + 2
-    total: float  # that sum, in calls of mean work
-    budget: float  # N then
-    received_work: float  # all that cold workers got over all their budgets
-    rejected_requests: float  # of the first attempts from the start on
-
-
-SMALL_FLEET = Scenario(0, workers=6, cores=1, duration_ms=6000.0)
-OTHERS_FAIL = dataclasses.replace(SMALL_FLEET, transition="alone")
-OTHERS_LEAVE = dataclasses.replace(SMALL_FLEET, transition="drain")
-SCENARIOS: dict[str, Scenario] = {
-    "join": Scenario(0),
-    "join, load 1.3": Scenario(0, load=1.3),
-    "popular home": Scenario(0, hot_function_fraction=0.4),
-    "popular home, heavy class": Scenario(0, hot_function_fraction=0.4, is_hot_function_heavy=True),
-    "popular from 5 s on": Scenario(0, hot_function_fraction=0.6, hot_function_delay_ms=5000.0, load=0.9),
-    "burst of 2.0, repeats": Scenario(
-        0, load=0.9, burst_factor=2.0, client_retries=3, hot_function_fraction=0.4
-    ),
-    "zone returns": Scenario(0, transition="zone", hot_function_fraction=0.3),
-    "six in ten replaced": Scenario(0, transition="replace", hot_function_fraction=0.3, client_retries=2),
-    "six in ten replaced, load 0.9": Scenario(
-        0, transition="replace", hot_function_fraction=0.3, load=0.9, client_retries=2
-    ),
-    "routers restart before": Scenario(0, restarted_routers=0.9, hot_function_fraction=0.4),
-    "routers restart, heavy class, load 0.9": Scenario(
-        0, restarted_routers=0.9, hot_function_fraction=0.4, is_hot_function_heavy=True, load=0.9
-    ),
-    "untold start": Scenario(0, transition="untold", hot_function_fraction=0.3),
-    "all others fail": OTHERS_FAIL,
-    "all others fail, load 0.9": dataclasses.replace(OTHERS_FAIL, load=0.9),
-    "all others fail, routers restarted": dataclasses.replace(
-        OTHERS_FAIL, load=0.9, restarted_routers=0.9, restart_delay_ms=-1500.0, hot_function_fraction=0.5
-    ),
-    "all others fail, burst of 2.4": dataclasses.replace(OTHERS_FAIL, burst_factor=2.4),
-    "six in ten leave": dataclasses.replace(OTHERS_LEAVE, hot_function_fraction=0.4),
-    "five in six leave": dataclasses.replace(OTHERS_LEAVE, hot_function_fraction=0.4, drained_fraction=0.84),
-    "all others leave": dataclasses.replace(OTHERS_LEAVE, drained_fraction=1.0),
-    "all others leave later, load 0.9": dataclasses.replace(
-        OTHERS_LEAVE, drained_fraction=1.0, load=0.9, others_lost_at_ms=2500.0
-    ),
-    "all others leave, routers restart after": dataclasses.replace(
-        OTHERS_LEAVE, drained_fraction=1.0, restarted_routers=0.9, restart_delay_ms=2500.0
-    ),
-}
-
-
 def main() -> None:
-    """``python -m tests.simulation.slow_start_fleet [SEEDS [ROUTERS... [WORDS...]]]``.
+    """Print the table: ``python -m tests.simulation.slow_start_fleet [SEEDS [ROUTERS... [WORDS...]]]``.
 
-    WORDS: of the scenarios' names.
+    SEEDS is the number of seeds, ROUTERS are numbers of routers. With WORDS, only scenarios with one of the
+    words in their name are run.
     """
-    seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 3
-    fleets = [int(n) for n in sys.argv[2:] if n.isdigit()] or [3, 20, 30, 200]
-    words = [word for word in sys.argv[2:] if not word.isdigit()] or [""]
+    seed_count = int(sys.argv[1]) if len(sys.argv) > 1 else 3
+    router_counts = [int(argument) for argument in sys.argv[2:] if argument.isdigit()] or [3, 20, 30, 200]
+    words = [argument for argument in sys.argv[2:] if not argument.isdigit()] or [""]
     print("| transition | routers | worst of its bound | its sum | N | used of budgets | rejected |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for name, scenario in SCENARIOS.items():
         if not any(word in name for word in words):
             continue
-        for routers in fleets:
-            days = [_run(scenario, routers, seed) for seed in range(seeds)]
-            worst = max(days, key=lambda day: day.fullest_window)
-            used = sum(day.received_work for day in days) / seeds
-            rejected = sum(day.rejected_requests for day in days) / seeds
+        for router_count in router_counts:
+            results = [_run(scenario, router_count, seed) for seed in range(seed_count)]
+            worst = max(results, key=lambda result: result.fullest_window)
+            used = sum(result.received_work for result in results) / seed_count
+            rejected = sum(result.rejected_requests for result in results) / seed_count
             print(
-                f"| {name} | {routers} | {worst.fullest_window:.2f} | {worst.total:.1f} | {worst.budget:.1f} "
-                f"| {used:.2f} | {rejected:.3f} |",
+                f"| {name} | {router_count} | {worst.fullest_window:.2f} | {worst.total:.1f} "
+                f"| {worst.budget:.1f} | {used:.2f} | {rejected:.3f} |",
                 flush=True,
             )
 
 
-def _run(scenario: Scenario, routers: int, seed: int) -> Result:
-    """One day; every other seed's routers are told the fleet's size."""
-    is_known = seed % 2 == 0
-    return Fleet(
-        dataclasses.replace(scenario, routers=routers, seed=seed, is_fleet_size_known=is_known)
-    ).run()
+def _run(scenario: Scenario, router_count: int, seed: int) -> Result:
+    """Run a scenario; with every other seed the routers know the number of routers."""
+    seeded_scenario = dataclasses.replace(
+        scenario, router_count=router_count, seed=seed, is_fleet_size_known=seed % 2 == 0
+    )
+    return Fleet(seeded_scenario).run()
 
 
 if __name__ == "__main__":
