--- a/cedarthread/testing/fakes/worker_model.py
+++ b/cedarthread/testing/fakes/worker_model.py
@@ -83,7 +83,7 @@
 
 
 class WorkerModel:
-    """A worker with its instances, queues and completions to come.
+    """A worker with its instances, its queues and its pending completions.
 
     Args:
         number: number of the worker.
--- a/tests/simulation/test_slow_start_fleet.py
+++ b/tests/simulation/test_slow_start_fleet.py
@@ -101,7 +101,7 @@
     assert greatest_permitted_work_ms(driver) == pytest.approx(before_ms, rel=0.01)
 
 
-def test_the_budget_in_calls_does_not_grow_when_calls_turn_out_cheaper_than_estimated() -> None:
+def test_the_budget_in_calls_does_not_grow_when_calls_are_cheaper_than_estimated() -> None:
     """Before the first answer the router estimates three times the true work of a call."""
     driver = idle_router()
     for number in range(20):
