--- a/tests/contracts/test_fronts.py
+++ b/tests/contracts/test_fronts.py
@@ -29,7 +29,7 @@
 from cedarthread.testing.fakes.settings import SETTINGS
 from tests.integration import test_invoke
 from tests.integration.test_invoke import DESK, PATH, Authority, Caller, config
-from tests.unit.simulator.builders import endpoint_table, frame, select_instance, start_instance
+from tests.unit.simulator.frames import endpoint_entry, frame, instance_started, select_instance
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -86,7 +86,7 @@
         self.host, self.now_ms, self.version = SimulatorHost(), 1000.0, 0
         self.due: list[tuple[float, bytes]] = []
         self.states, self.waiting = {1: 2, 2: 1}, dict[int, float]()
-        self._feed(start_instance(SETTINGS))
+        self._feed(instance_started(SETTINGS))
         self.drain(2, 2)
 
     def _feed(self, *records: bytes) -> None:
@@ -132,7 +132,7 @@
 
     def drain(self, worker: int, state: int = 1) -> None:
         self.states[worker], self.version = state, self.version + 1
-        entries = b"".join(endpoint_table(0, n, state=state)[9:] for n, state in self.states.items())
+        entries = b"".join(endpoint_entry(n, state) for n, state in self.states.items())
         table_record = struct.pack("<BII", 12, self.version, len(self.states)) + entries
         self._feed(table_record, struct.pack("<BBQI", 2, 3, self.version, self.version))
 
--- a/tests/unit/simulator/test_decoder.py
+++ b/tests/unit/simulator/test_decoder.py
@@ -19,8 +19,8 @@
 )
 from cedarthread.model.outcomes import Outcome, StartKind
 from cedarthread.simulator.decoder import Decoder, HostEvent, InstanceKilled
-from tests.unit.simulator.builders import (
-    decode_event,
+from tests.unit.simulator.frames import (
+    endpoint_entry,
     endpoint_table,
     endpoint_update,
     frame,
@@ -28,6 +28,16 @@
     select_instance,
 )
 
+INSTANCE_ID = 5
+
+
+def decode_event(record: bytes) -> HostEvent:
+    """Decode a frame with this event record alone, and return the event."""
+    _, events = Decoder().decode_batch(frame(select_instance(INSTANCE_ID), record))
+    ((instance_id, event),) = list(events)
+    assert instance_id == INSTANCE_ID
+    return event
+
 
 def test_header_of_an_empty_batch() -> None:
     batch = bytes.fromhex("10000000" + "00000000206ec040" + "00000000")
@@ -78,9 +88,9 @@
 def test_a_table_number_refers_to_the_list_that_was_defined_last() -> None:
     records = (
         select_instance(1),
-        endpoint_table(0, 4),
+        endpoint_table(0, endpoint_entry(4)),
         endpoint_update(0),
-        endpoint_table(0, 5, 6),
+        endpoint_table(0, endpoint_entry(5), endpoint_entry(6)),
         endpoint_update(0, 3),
     )
     _, events = Decoder().decode_batch(frame(*records))
--- a/tests/unit/simulator/test_host.py
+++ b/tests/unit/simulator/test_host.py
@@ -14,28 +14,29 @@
 from cedarthread.settings_parser import parse_settings
 from cedarthread.simulator import host as simulator_host
 from cedarthread.simulator.host import SimulatorHost, main
-from tests.unit.simulator.builders import (
-    SETTINGS,
+from tests.unit.simulator.frames import (
+    SIMULATOR_INFO,
+    endpoint_entry,
     endpoint_table,
     endpoint_update,
     frame,
-    kill_instance,
+    instance_started,
     request_arrived,
     select_instance,
-    start_instance,
 )
 
+KILL_INSTANCE = struct.pack("<B", 10)
 INSTANCE_ID = 3
 START_WITH_ONE_WORKER = (
     select_instance(INSTANCE_ID),
-    start_instance(),
-    endpoint_table(0, 4),
+    instance_started(),
+    endpoint_table(0, endpoint_entry(4)),
     endpoint_update(0),
 )
 
 
 def test_settings_are_parsed_and_unknown_keys_ignored() -> None:
-    settings = parse_settings(json.dumps(SETTINGS).encode())
+    settings = parse_settings(json.dumps(SIMULATOR_INFO).encode())
     assert [request_class.idempotency for request_class in settings.classes] == [
         Idempotency.IDEMPOTENT,
         Idempotency.WITH_KEY,
@@ -50,7 +51,7 @@
     reply = host.handle_frame(frame(*START_WITH_ONE_WORKER, request_arrived(9)))
     assert struct.pack("<BI", 72, INSTANCE_ID) in reply
     assert struct.pack("<BII", 71, 9, 4) in reply
-    restart = (kill_instance(), start_instance(), endpoint_table(0), endpoint_update(0))
+    restart = (KILL_INSTANCE, instance_started(), endpoint_table(0), endpoint_update(0))
     host.handle_frame(frame(select_instance(INSTANCE_ID), *restart))
     assert host.nodes[INSTANCE_ID].router.pending_requests == {}
     assert host.nodes[INSTANCE_ID].router.workers == {}
@@ -63,7 +64,7 @@
         frame(select_instance(3), b"\xee"),
         frame(select_instance(3), request_arrived(9)[:-3]),
         frame(request_arrived(9)),
-        frame(select_instance(3), start_instance({"classes": 3})),
+        frame(select_instance(3), instance_started({"classes": 3})),
         frame(select_instance(3), endpoint_update(7)),
         struct.pack("<IdI", 15, 0.0, 0),
         frame() + b"\x40",
