--- a/cedarthread/testing/cluster/fact_reader.py
+++ b/cedarthread/testing/cluster/fact_reader.py
@@ -270,4 +270,4 @@
     def _end_attempts(self, call_id: str, worker: int, *, may_have_executed: bool) -> None:
         for attempt in self._attempts[call_id]:
             if attempt.worker == worker and attempt.record.is_in_flight:
-                self.checker.on_attempt_ended(attempt.record, may_have_executed)
+                self.checker.on_attempt_ended(attempt.record, may_have_executed=may_have_executed)
--- a/cedarthread/testing/invariants.py
+++ b/cedarthread/testing/invariants.py
@@ -295,7 +295,7 @@
         if (record := self._calls.get(call)) is not None:
             record.produced_bodies.append(body)
 
-    def on_attempt_ended(self, attempt: AttemptRecord, may_have_executed: bool) -> None:
+    def on_attempt_ended(self, attempt: AttemptRecord, *, may_have_executed: bool) -> None:
         """Record that a worker answered an attempt, or that the router cancelled the attempt."""
         if attempt.is_in_flight:
             attempt.is_in_flight = False
