--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -48,8 +48,10 @@
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("is_write_paused", [False, True])
 def test_no_retry_once_the_client_has_disconnected(disconnect: str, is_write_paused: bool) -> None:
-    """The router reads the worker's SHED before it reads the client's disconnect. With
-    ``is_write_paused`` the router does not read from the client, because the client's responses are queued.
+    """The router reads the worker's SHED before it reads the client's disconnect.
+
+    With ``is_write_paused`` the router does not read from the client, because the client's responses are
+    queued.
     """
 
     async def scenario() -> None:
--- a/tests/integration/test_termination_accounting.py
+++ b/tests/integration/test_termination_accounting.py
@@ -118,8 +118,9 @@
 
 
 def test_an_idle_client_that_has_not_read_its_responses_is_not_evicted() -> None:
-    """Closing such a connection waits until the client has read, and the connection is no longer counted, so
-    such clients could use every descriptor.
+    """Clients that read nothing could use every descriptor.
+
+    Closing such a connection waits until the client has read, and the connection is no longer counted.
     """
 
     async def scenario() -> None:
--- a/tests/integration/test_termination_endpoint_updates.py
+++ b/tests/integration/test_termination_endpoint_updates.py
@@ -54,8 +54,9 @@
 def test_a_drain_redirects_a_call_whose_connection_is_not_up_yet(
     first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A drain that arrives before the connection is up sends the call to the other worker and abandons the
-    connect. A drain that arrives afterwards finds the call already sent.
+    """A drain before the connection is up sends the call to the other worker and abandons the connect.
+
+    A drain that arrives afterwards finds the call already sent.
     """
 
     async def scenario() -> None:
@@ -90,8 +91,9 @@
 @pytest.mark.parametrize("class_name", ["check", "confirm"])
 @pytest.mark.parametrize("first", ["update", "response"])
 def test_removing_a_worker_ends_its_calls_and_retries_idempotent_ones(first: str, class_name: str) -> None:
-    """The removed worker's connections close at once. A call without a response may have run, so only an
-    idempotent call is sent to the other worker.
+    """The removed worker's connections close at once.
+
+    A call without a response may have run, so only an idempotent call is sent to the other worker.
     """
 
     async def scenario() -> None:
@@ -141,8 +143,9 @@
 
 
 def test_an_update_with_a_restart_and_a_drain_withdraws_unwritten_calls() -> None:
-    """The connection was opened after the worker's restart, so it stays open; calls queued on it must not be
-    written any more.
+    """The connection was opened after the worker's restart, so it stays open.
+
+    Calls queued on it must not be written any more.
     """
 
     async def scenario() -> None:
--- a/tests/integration/test_termination_worker_connections.py
+++ b/tests/integration/test_termination_worker_connections.py
@@ -35,8 +35,9 @@
 def test_a_workers_connection_ends_before_during_or_after_its_response(
     ending: str, class_name: str, position: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """If the connection ends before or within the response, the call may have run. If the connection ends
-    after the response, in the same write, the call is served.
+    """If the connection ends before or within the response, the call may have run.
+
+    If the connection ends after the response, in the same write, the call is served.
     """
     caplog.set_level("INFO", "cedarthread.protocols")
 
@@ -95,8 +96,9 @@
 
 @pytest.mark.parametrize("connection", ["same", "other"])
 def test_a_duplicate_response_is_ignored(connection: str) -> None:
-    """A response for a completed call, on the same or on another connection, is ignored and affects no other
-    call.
+    """A response for a completed call is ignored and affects no other call.
+
+    The response may arrive on the same or on another connection.
     """
 
     async def scenario() -> None:
--- a/tests/integration/test_termination_worker_connects.py
+++ b/tests/integration/test_termination_worker_connects.py
@@ -44,6 +44,7 @@
     ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A call that is past its deadline, interrupted, or whose client has reset its connection is never sent.
+
     The connection serves the next call.
     """
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""The tests that may fail for now: KNOWN-RED.txt at the root, one line each, ``test | cause | issue``."""
+"""The tests that are known to fail: KNOWN-RED.txt at the root, one ``test | cause | issue`` per line."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class KnownRedError(Exception):
-    """KNOWN-RED.txt can't be used: the line, and what is wrong there."""
+    """An unusable KNOWN-RED.txt; the message names the line and the fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """One test that fails for a real fault that is not mended yet."""
+    """One test that fails because of a real fault that is not corrected yet."""
 
     test: str  # as pytest names it, from the root
     cause: str
@@ -26,7 +26,11 @@
 
 
 def read(text: str) -> list[KnownRed]:
-    """The lines, all of them; KnownRedError where one is none, or there are too many."""
+    """Parse all lines.
+
+    Raises:
+        KnownRedError: A line is malformed, or there are too many.
+    """
     found: list[KnownRed] = []
     for number, line in enumerate(text.splitlines(), 1):
         parts = [part.strip() for part in line.split(" | ")]
@@ -41,5 +45,5 @@
 
 
 def unknown(known: list[KnownRed], collected: set[str]) -> list[str]:
-    """The names that no test bears."""
+    """Return the names that no test has."""
     return [one.test for one in known if one.test not in collected]
--- a/tests/simulation/test_fleet_components.py
+++ b/tests/simulation/test_fleet_components.py
@@ -100,7 +100,10 @@
         f"unwanted = {FLEET_MODULES + FLEET_LIBRARIES!r}\n"
         "print([m for m in sys.modules if any(m == name or m.startswith(name + '.') for name in unwanted)])"
     )
-    assert subprocess.run([sys.executable, "-c", script], capture_output=True, text=True).stdout == "[]\n"
+    assert (
+        subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=False).stdout
+        == "[]\n"
+    )
 
 
 def test_a_window_that_started_during_a_stall_applies_before_pending_events() -> None:
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -38,7 +38,7 @@
 
 
 def play(folder: Path, known: str, red: str) -> subprocess.CompletedProcess[str]:
-    """A whole run in a project of two tests, one of which does as told."""
+    """Run pytest in a project of two tests; the outcome of one of them is given."""
     tests = folder / "tests"
     tests.mkdir()
     for name in ("conftest.py", "known_red.py", "__init__.py"):
--- a/tests/unit/test_log_events.py
+++ b/tests/unit/test_log_events.py
@@ -67,19 +67,19 @@
 
 
 def _is_forwarded(call: ast.Call) -> bool:
-    """A call of a forwarder: ``state.log(now, event, ...)``, ``self.logs.line(now, event, ...)``."""
+    """Return whether a call is ``state.log(now_ms, event)`` or ``self.logs.line(now_ms, event)``."""
     return (_receiver(call).split(".")[-1], _called_name(call)) in {("state", "log"), ("logs", "line")}
 
 
 def _is_event(node: ast.expr) -> bool:
-    """A call of ``format_event``, or a choice between such calls."""
+    """Return whether an expression calls ``format_event``, or chooses between such calls."""
     if isinstance(node, ast.IfExp):
         return _is_event(node.body) and _is_event(node.orelse)
     return isinstance(node, ast.Call) and _called_name(node) == "format_event"
 
 
 def _emitted() -> tuple[set[str], list[str]]:
-    """The names of all events in the source, and the places where a name is no literal."""
+    """Return the names of all events in the source, and the places where a name is no literal."""
     events: set[str] = set()
     errors = []
     for name, tree in _files():
@@ -98,7 +98,7 @@
 
 
 def _documented() -> list[str]:
-    """The first word of each line in the page's tables of log lines."""
+    """Return the first word of each line in the page's tables of log lines."""
     section = ON_CALL.read_text().split("## Log lines\n")[1].split("\n## ")[0]
     return re.findall(r"^\| `([^` ]+)", section, re.MULTILINE)
 
@@ -117,7 +117,7 @@
 
 
 def _is_text(node: ast.expr) -> bool:
-    """A literal, an f-string, or one put together from others."""
+    """Return whether an expression is a literal, an f-string or a concatenation."""
     return isinstance(node, ast.Constant | ast.JoinedStr | ast.BinOp)
 
 
--- a/tests/unit/transport/test_listening.py
+++ b/tests/unit/transport/test_listening.py
@@ -14,7 +14,7 @@
 
 
 def fail_at_first(monkeypatch: pytest.MonkeyPatch, *errnos: int) -> list[int]:
-    """The first attempts to listen fail by these; the list of those still to come."""
+    """Make the first attempts to listen fail with these errors; return the list of the remaining ones."""
     remaining, create_server = list(errnos), socket.create_server
 
     def scarce(*arguments: Any, **named: Any) -> socket.socket:
