--- a/tests/simulation/test_recovery_fleet.py
+++ b/tests/simulation/test_recovery_fleet.py
@@ -48,7 +48,7 @@
 
 
 def restart(settled: SimulatedFleet, fraction: float, sources: Sources | None) -> RestartResult:
-    """Return the fleet 20 s after some routers restarted; without sources, they know all and are not paced."""
+    """Return the fleet 20 s after some routers restarted; without sources, they know all and are unpaced."""
     fleet = copy.deepcopy(settled)
     if sources is None:
         fleet.restores_all_instances = True
