--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -2,8 +2,7 @@
 
 The protocol servers and the worker transport report to the dispatcher, which queues the reports as events. In
 the next iteration of the event loop, the dispatcher passes the queued events to the routing node and executes
-the actions that the node returns. While the send gate is closed, the events stay queued; deadlines
-still run. The dispatcher depends on no protocol.
+the actions that the node returns. While the send gate is closed, events stay queued and deadlines still run.
 """
 
 from __future__ import annotations
@@ -265,10 +264,7 @@
         self.deadlines.bring_forward(at_ms)
 
     def tick_early(self, within_ms: float) -> None:
-        """Run the tick of the node's components now if the tick is due within ``within_ms``.
-
-        The process is awake at this time, so this saves a wakeup.
-        """
+        """Run the tick of the node's components if it is due within ``within_ms``, which saves a wakeup."""
         self.node_timers.fire_component_timer_within(within_ms)
 
     def _on_deadline(self, call: Call) -> None:
--- a/cedarthread/protocols/discovery/list_acceptance.py
+++ b/cedarthread/protocols/discovery/list_acceptance.py
@@ -25,7 +25,7 @@
     """The verdict on the list of a reply."""
 
     KNOWN = auto()  # the list in use
-    NEW = auto()  # confirmed, so it replaces the list in use
+    NEW = auto()  # confirmed, so it becomes (or stays) the list in use
     UNCONFIRMED = auto()  # not accepted yet: it may be new or old
 
 
--- a/cedarthread/routing/discovery_polling.py
+++ b/cedarthread/routing/discovery_polling.py
@@ -34,7 +34,7 @@
         self.backoff_ms = 0.0
 
     def should_subscribe(self, now_ms: float, mode: DiscoveryMode) -> bool:
-        """Return whether a first subscription is needed because the list is polled; make that one due now."""
+        """Return whether polling needs its first subscription; if so, make the subscription due now."""
         if mode is not DiscoveryMode.POLL or self.is_subscribed:
             return False
         self.poll_at_ms = now_ms
--- a/cedarthread/routing/router.py
+++ b/cedarthread/routing/router.py
@@ -148,7 +148,7 @@
     def _on_stream_started(self, now_ms: float, event: StreamStarted) -> None:
         """Make the first stream of a request its response and cancel the other attempts."""
         pending = self.pending_requests.get(event.request_id)
-        if pending is not None and not pending.is_streaming:  # otherwise this stream was cancelled too late
+        if pending is not None and not pending.is_streaming:  # else: another stream was first
             pending.is_streaming = True
             self.retries.cancel_attempts(pending, excluded_index=event.attempt_index)
         self.tracker.on_stream_started(now_ms, event)
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -30,7 +30,7 @@
 MAX_HOMES_PER_WORKER_SHARE = 10.0  # a function with 1/10 of the calls has all workers as homes
 MIN_CALLS_PER_HOME = 14.0  # calls by the fleet in a keep-alive time, because loading is expensive
 IDLE_MEMORY_WEIGHT = 10.0  # effect of the price of idle memory: a price of 0.1 halves the homes
-SPARE_WORKERS = 2  # candidates after the homes
+SPARE_WORKERS = 2  # places after the homes that are searched even if a worker was found
 HOME_JITTER = 0.1  # largest cost difference between homes by jitter; must not exceed 1 - HOME_AFFINITY
 HOME_AFFINITY = 0.9  # least affinity assumed at several homes and at gossiped instances: others call there
 
--- a/cedarthread/testing/cluster/scenarios/change_freeze.py
+++ b/cedarthread/testing/cluster/scenarios/change_freeze.py
@@ -30,7 +30,7 @@
 RESTART_LISTING_MS = 500.0  # Time until routers know of a worker's restart; the design does not cover it.
 MIN_VALUE_FRACTION = 0.98  # Minimum share of the value per second of a run without a window.
 VALUE_FROM_S = 18  # Start of the time in which the value per second is compared.
-VALUE_TO_S = 30  # End of that time.
+VALUE_TO_S = 30  # End of the time in which the value per second is compared.
 RATE_WINDOWS_PER_S = 4
 UNWINDOWED_MS = (16_000.0, 28_000.0)  # Time that the table shows as the window of a run without a window.
 
--- a/cedarthread/testing/fuzzing/discovery_target.py
+++ b/cedarthread/testing/fuzzing/discovery_target.py
@@ -25,7 +25,7 @@
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 
 TRUNCATED = 0x0200  # the DNS flag TC
-REPLIED_QUERIES = 3  # a reply answers one of this many latest queries
+REPLIED_QUERIES = 3  # a reply answers one of the last queries, up to this many back
 
 
 class _Update(NamedTuple):
