--- a/tests/integration/test_invoke.py
+++ b/tests/integration/test_invoke.py
@@ -38,12 +38,6 @@
 
 authority = invoke_caller.authority
 
-# ``test_descriptor_budget.py`` imports these names of ``invoke_caller.py`` from this file.
-__all__ = ["DESK", "PATH", "Authority", "Caller", "authority", "config"]
-DESK = DESK_ID
-PATH = FUNCTION_PATH
-config = read_invoke_config
-
 
 def test_synchronous_and_deferred_calls_are_served(authority: Authority) -> None:
     async def scenario() -> None:
