--- a/cedarthread/recovery/action_baseline.py
+++ b/cedarthread/recovery/action_baseline.py
@@ -1,4 +1,4 @@
-"""The rates of the paced actions in service, from which the limits of a recovery are derived."""
+"""The rates of the paced actions in normal service, from which the rate limits of a recovery are derived."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 TIME_CONSTANT_MS = 10_000.0
 """Time constant of the average that measures the baseline rates."""
 MIN_TIME_CONSTANTS = 2.0
-"""Time in service, in multiples of ``TIME_CONSTANT_MS``, before the measured rates are used."""
+"""Minimum time in service, in multiples of ``TIME_CONSTANT_MS``, before the measured rates are used."""
 
 
 class ActionBaseline:
--- a/cedarthread/recovery/admission.py
+++ b/cedarthread/recovery/admission.py
@@ -1,4 +1,4 @@
-"""Decides which loads, connections and queries a router may start while it recovers.
+"""Admission control for the loads, connections and discovery queries of a recovering router.
 
 Once the recovery is over and no action is deferred any longer, pacing ends and every action is granted.
 """
@@ -18,13 +18,14 @@
 PENDING_LOAD_TIMEOUT_MS = 4.0 * DEFAULT_LOAD_TIME_MS
 """Time after which a load that has not ended no longer blocks another load of its function."""
 LONG_DEFERRAL_MS = 500.0
-"""Duration from which on a deferral is long. Pacing cannot end while there is a long deferral."""
+"""A deferral that lasts longer is a long deferral. Pacing does not end while there is one."""
 
 
 PacedRequest = tuple[PacedAction, int]
 """An action and its target: the function id of a load, or the worker id of a connection.
 
-Identifies repeated requests. A plain tuple, because each call of a recovering router builds one.
+The key under which repeated requests are recognized. It is a plain tuple, because each call of a recovering
+router builds one.
 """
 
 
@@ -37,7 +38,7 @@
 
 
 class DeferralTracker:
-    """The actions that are deferred, each with the times of its first and last request."""
+    """The currently deferred actions, each with the times of its first and last request."""
 
     def __init__(self) -> None:
         self._deferrals: dict[PacedRequest, _Deferral] = {}
@@ -82,9 +83,9 @@
 
 
 class RecoveryAdmission:
-    """Grants or defers the actions of one router, by the tokens of its ``Pacer`` while pacing is on.
+    """Admission control of one router, which grants or defers actions by the tokens of its ``Pacer``.
 
-    Owns whether pacing is on, the loads in flight and the deferred actions.
+    Grants every action while pacing is off. Owns the pacing flag, the pending loads and the deferred actions.
     """
 
     def __init__(self, pacer: Pacer) -> None:
@@ -102,7 +103,7 @@
         self.is_paced = True
 
     def on_tick(self, now_ms: float, *, is_in_service: bool) -> None:
-        """Raise the load rate while an action is long deferred; otherwise end pacing once in service.
+        """Raise the load rate while there is a long deferral; otherwise end pacing once in service.
 
         The caller advances the state machine first.
         """
@@ -115,7 +116,7 @@
         """Return whether a load of a function may start now; consumes tokens if it returns True.
 
         Args:
-            now_ms: Present time.
+            now_ms: Current time.
             function_id: Function to load.
             awaits_peers: Whether peers may soon report a warm instance, which is faster than a load.
         """
@@ -132,7 +133,7 @@
         return was_granted
 
     def settle_load(self, now_ms: float, function_id: int, *, was_warm: bool, succeeded: bool) -> None:
-        """Correct the tokens of a function's pending load, if any, because a call of the function ended."""
+        """Correct the tokens of a function's pending load, if any, when a call of the function ends."""
         pending = self.pending_loads.pop(function_id, None)
         if pending is not None:
             self.pacer.settle_load(now_ms, pending.tokens_taken, was_warm=was_warm)
@@ -158,7 +159,7 @@
         return self.pacer.try_acquire(now_ms, PacedAction.DISCOVERY_QUERY)
 
     def try_acquire_release(self, now_ms: float) -> bool:
-        """Return whether one deferred change of a freeze may be applied now; consumes a token if so."""
+        """Return whether a change that a freeze deferred may be applied now; consumes a token if so."""
         was_granted = self.pacer.try_acquire(now_ms, PacedAction.RELEASE)
         if was_granted:
             self.pacer.record_result(PacedAction.RELEASE, succeeded=True)
--- a/cedarthread/recovery/codec.py
+++ b/cedarthread/recovery/codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes the datagrams of the peer query: at most 256 bytes, all fields little-endian.
+"""The wire format of the datagrams of the peer query: at most 256 bytes, all fields little-endian.
 
     query:    message type u8, kind u8, nonce u32, segment u8, segment count u8
     response: message type u8, kind u8, nonce u32, part u8, part count u8,
@@ -36,7 +36,7 @@
 AGE_UNIT_MS = 50.0
 """Ages are rounded up to multiples of this unit, which also covers clocks of slightly different rates."""
 MAX_AGE_UNITS = 65535
-"""This number also encodes every greater age; the decoder drops such observations."""
+"""Encodes this age and all greater ones; the decoder drops such observations."""
 UPTIME_UNIT_MS = 100.0
 MAX_UPTIME_UNITS = 65535
 RATE_UNIT_PER_SECOND = 0.01
@@ -64,7 +64,7 @@
 
 
 class BaselineRates(NamedTuple):
-    """The rates of one router in service, as far as they are sent to peers."""
+    """The baseline rates of one router that are sent to peers."""
 
     loads_per_second: float
     connections_per_second: float
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """A request for the warm instances of one segment."""
+    """A query for the warm instances of one segment."""
 
     nonce: int
     segment: int
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Busy:
-    """A rejection for lack of capacity, with a Retry-After and perhaps a peer to query in the meantime."""
+    """A rejection for lack of capacity, with a Retry-After and optionally another peer to query instead."""
 
     nonce: int
     retry_after_ms: float
@@ -105,7 +105,7 @@
 
 
 def split_into_datagrams(observations: Sequence[AgedObservation]) -> list[list[AgedObservation]]:
-    """Return the observations grouped by worker, one list per datagram.
+    """Return the observations sorted by worker and divided into one list per datagram.
 
     Observations that do not fit into ``MAX_PARTS`` datagrams are left out.
     """
@@ -186,7 +186,7 @@
 
 
 def decode(data: bytes) -> Message | MalformedDatagram:
-    """Return the message of a datagram; never raises, for any bytes."""
+    """Return the decoded message of a datagram; malformed input is returned as such and never raises."""
     if not HEADER_BYTES <= len(data) <= MAX_DATAGRAM_BYTES or data[0] != MessageType.RECOVERY:
         return MalformedDatagram(f"{len(data)} bytes")
     kind = data[1]
--- a/cedarthread/recovery/component.py
+++ b/cedarthread/recovery/component.py
@@ -53,9 +53,9 @@
     from cedarthread.model.settings import RouterSettings
 
 SUSPENSION_AFTER_PAUSE_MS = 500.0
-"""After a pause the warm state is unused for this time, because older responses may still arrive."""
+"""The warm state is not used for this time after a pause, because older responses may still arrive."""
 LOAD_DEFERRAL_FRACTION = 0.25
-"""Loads wait for peers at most this fraction of the peer query's timeout, in each phase before warming."""
+"""Maximum wait of loads for peers in each phase before warming, as a fraction of the peer query's timeout."""
 
 
 class RecoveryComponent:
@@ -101,7 +101,7 @@
         return self.peer_exchange.on_message(now_ms, sender, data)
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
-        """Advance the phases and the ramps, and send queries; called some times per second."""
+        """Advance the phases and the ramps, and send queries; called several times per second."""
         self._check_pause(now_ms)
         messages: list[OutboundMessage] = []
         if self.has_unreported_pause:
@@ -141,7 +141,7 @@
         return []
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """Return the figures for operators."""
+        """Return the metrics of the recovery for operators."""
         server = self.peer_exchange.server
         deferred_counts = self.pacer.deferred_counts
         return recovery_status(
@@ -177,7 +177,7 @@
         return self.state_machine.phase is RecoveryPhase.IN_SERVICE
 
     def is_mass_restart(self, now_ms: float) -> bool:
-        """Return whether most routers restart at once; without gossip, worker reports decide."""
+        """Return whether most routers restart at once; without gossip, this is inferred from load reports."""
         if self.peer_exchange.can_query_peers and self.fleet_view.latest_peers is not None:
             return self.fleet_view.is_mass_restart(now_ms, self.state_machine.timeouts.total_ms())
         return self.worker_reports.is_mass_restart_possible()
@@ -204,7 +204,7 @@
         return self.admission.try_acquire_connection(now_ms, worker_id)
 
     def retry_after_fractions(self, now_ms: float) -> RetryAfterFractions:
-        """Return the range from which a client's Retry-After is drawn, as fractions of the longest one."""
+        """Return the range from which a client's Retry-After is drawn, as fractions of its maximum."""
         if not self.is_in_service() and self.is_mass_restart(now_ms):
             return MASS_RESTART_RETRY_AFTER_FRACTIONS
         return RETRY_AFTER_FRACTIONS
@@ -219,23 +219,23 @@
         self.worker_reports.on_load_report(reported_calls, own_calls)
 
     def snapshot(self, now_ms: float) -> bytes | None:
-        """Return the warm-state snapshot to store, with present ages; None without a wall clock reading."""
+        """Return the warm-state snapshot to store, with current ages; None without a wall clock reading."""
         return self.snapshots.create(now_ms, self.baseline_warm_fraction())
 
     def restore(self, now_ms: float, raw: bytes, clock_error_ms: float = MAX_CLOCK_ERROR_MS) -> int:
         """Restore the stored snapshot of the previous incarnation.
 
-        Observations need an earlier wall clock reading, because their ages include the downtime; without one
-        they are dropped.
+        The wall clock must have been read before, because the ages of observations include the downtime;
+        otherwise the observations are dropped.
 
         Args:
-            now_ms: Present time.
+            now_ms: Current time.
             raw: The stored snapshot.
-            clock_error_ms: Largest difference between the wall clocks of the two incarnations; added to each
+            clock_error_ms: Maximum difference between the wall clocks of the two incarnations; added to each
                 age.
 
         Returns:
-            How many observations were new.
+            The number of new observations.
         """
         return self.snapshots.restore(now_ms, raw, clock_error_ms)
 
--- a/cedarthread/recovery/connection_turns.py
+++ b/cedarthread/recovery/connection_turns.py
@@ -1,9 +1,9 @@
-"""Spreads the connections of all recovering routers to one worker over time.
+"""Scheduling that spreads the connections of all recovering routers to one worker over time.
 
-Each router assumes that the other routers receive calls like its own. So from its own calls it estimates how
-many connections all routers together want to open to a worker. If the worker can accept that many, a router
-connects as soon as a call needs the connection. If not, each router waits for its own turn within the time
-over which all connections are spread.
+Each router assumes that the other routers receive similar calls, and from its own calls estimates how many
+connections all routers together want to open to a worker. If the worker can accept that many, a router
+connects as soon as a call needs the connection. Otherwise each router waits for its own time slot within the
+time over which all connections are spread.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from cedarthread.recovery.pacing_limits import WINDOW_MS
 
 FIRST_CONNECT_WINDOWS = 2.0
-"""Windows over which first connections are spread, because few calls are counted at first.
+"""Windows over which first connections are spread, because the estimate is based on few calls at first.
 
-Fewer windows suffice if the worker can accept the connections of all routers in them.
+Fewer windows are used if the worker can accept the connections of all routers in them.
 """
 GOLDEN_RATIO_CONJUGATE = 0.6180339887498949
-"""Its multiples modulo 1 fill the interval from 0 to 1 evenly, so that no two of a few are close.
+"""Its multiples modulo 1 are spread evenly from 0 to 1, so that no two of a few multiples are close.
 
 Source: Knuth, TAOCP 3, 6.4.
 """
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetDemand:
-    """The inputs of a turn that are the same for all workers."""
+    """The inputs of the connection schedule that are the same for all workers."""
 
     router_count: int  # routers that recover at once
     worker_count: int
@@ -34,10 +34,10 @@
 
 
 class ConnectionTurns:
-    """Decides when one router may open its next connection to each worker; one instance lasts one recovery.
+    """The schedule by which one router opens connections to each worker; one instance per recovery.
 
     Args:
-        phase_offset: Place of this router among all routers, from 0 to 1.
+        phase_offset: Offset of this router's time slots, from 0 to 1; different for each router.
         now_ms: Start of the recovery.
     """
 
@@ -49,7 +49,7 @@
         self._total_calls = 0
 
     def record_call(self, worker_id: int) -> None:
-        """Count a call that was sent to a worker, or that needs a connection to it."""
+        """Count a call that was sent to a worker or needs a connection to it."""
         self._calls_by_worker[worker_id] = self._calls_by_worker.get(worker_id, 0) + 1
         self._total_calls += 1
 
--- a/cedarthread/recovery/fleet_view.py
+++ b/cedarthread/recovery/fleet_view.py
@@ -1,4 +1,4 @@
-"""Detects that most routers of the fleet restart at once (a mass restart).
+"""Detection of a mass restart: most routers of the fleet restart at once.
 
 ``FleetView`` uses the membership. ``WorkerReportView`` uses the load reports of workers, for routers that
 may not gossip.
@@ -14,15 +14,15 @@
 
 MIN_FLEET_ROUTERS = 2  # a single router has no peers that could restart
 MASS_RESTART_FRACTION = 0.5
-"""Least fraction of the peers that started recently or are absent in a mass restart."""
+"""Minimum fraction of the peers that are absent or started recently in a mass restart."""
 OLDER_PEER_MARGIN_MS = 5000.0
-"""A peer did not restart with this router if its uptime is greater by more than this margin."""
+"""A peer whose uptime is greater than this router's by more than this margin did not restart with it."""
 MIN_LOAD_REPORTS = 20.0
-"""Least decayed number of load reports from which the activity of peers is inferred."""
+"""Minimum decayed number of load reports from which the activity of peers is inferred."""
 REPORT_DECAY = 1.0 - 1.0 / (4 * MIN_LOAD_REPORTS)
 """Factor by which each load report reduces the weight of the earlier ones."""
 ABSENT_PEERS_LOAD_FRACTION = 0.5
-"""Fraction of the load expected of peers; if their load is lower, the peers count as absent."""
+"""Peers count as absent if their load is below this fraction of the load that is expected of them."""
 
 
 @dataclass(slots=True)
@@ -39,13 +39,13 @@
     """Peers that sent a datagram of the peer query to this incarnation."""
 
     def on_peers_changed(self, now_ms: float, peers: PeersChanged) -> None:
-        """Replace the view by the present one of the membership."""
+        """Replace the view with the current one of the membership."""
         self.latest_peers = peers
         self.latest_peers_at_ms = now_ms
         self.router_count = peers.router_count
 
     def peer_uptimes_ms(self, now_ms: float) -> dict[int, float]:
-        """Return the peers that are alive, each with its uptime; 0 if the uptime is not known."""
+        """Return the live peers, each with its uptime, which counts from 0 if it is not known."""
         if self.latest_peers is None:
             return {}
         elapsed_ms = now_ms - self.latest_peers_at_ms
@@ -55,12 +55,12 @@
         }
 
     def has_older_peers(self, now_ms: float, restarted_at_ms: float) -> bool:
-        """Return whether a peer that is alive was alive before this router restarted."""
+        """Return whether any live peer started before this router restarted."""
         min_uptime_ms = now_ms - restarted_at_ms + OLDER_PEER_MARGIN_MS
         return any(uptime_ms > min_uptime_ms for uptime_ms in self.peer_uptimes_ms(now_ms).values())
 
     def has_majority(self) -> bool:
-        """Return whether this router and the peers known to be alive are a majority of all routers."""
+        """Return whether this router and the peers known to be alive form a majority of all routers."""
         if self.latest_peers is None:
             alive = self.seen_peers
         else:
@@ -84,10 +84,10 @@
 
 @dataclass(slots=True)
 class WorkerReportView:
-    """The load of the peers of a router without gossip, inferred from the load reports of workers.
+    """The load that peers of a router without gossip send, inferred from the load reports of workers.
 
     If N routers receive similar calls, each has about one Nth of the calls in flight. If the peers are
-    absent, workers report few calls in flight beside this router's own. If all routers restarted at the same
+    absent, workers report few calls in flight besides this router's own. If all routers restarted at the same
     moment, the reports do not show it. Therefore a mass restart is assumed until enough reports show the
     contrary.
     """
@@ -109,7 +109,7 @@
         self.report_count = self.report_count * REPORT_DECAY + 1.0
 
     def is_mass_restart_possible(self) -> bool:
-        """Return whether a mass restart is possible, so that the router must act as if it were in one."""
+        """Return whether a mass restart cannot be ruled out, so that the router must assume one."""
         if self.router_count < MIN_FLEET_ROUTERS:
             return False
         peer_calls = self.reported_calls - self.own_calls
--- a/cedarthread/recovery/load_probability.py
+++ b/cedarthread/recovery/load_probability.py
@@ -9,10 +9,10 @@
 from cedarthread.statistics import DecayingCounter
 
 TIME_CONSTANT_MS = 5000.0
-"""Time constant with which the outcomes of such calls decay."""
+"""Time constant of the decay of the outcomes of such calls."""
 MIN_PROBABILITY = 0.1
 PRIOR_LOADS = 1.0
-"""Weight, in outcomes, of the assumption before the first outcome that every such call starts a load."""
+"""Weight, in outcomes, of the prior assumption that every such call starts a load."""
 
 
 class LoadProbability:
--- a/cedarthread/recovery/pacing.py
+++ b/cedarthread/recovery/pacing.py
@@ -1,19 +1,19 @@
-"""Limits the rates of a recovering router's actions: loads, connections, queries and releases of changes.
+"""Rate limiting of a recovering router's actions: loads, connections, queries and releases of changes.
 
 Each action has a token bucket that refills evenly. A bucket starts with a fraction of a token, which depends
 on the router's index, so that routers that start at the same moment do not act at the same moment. As in
 TCP's slow start (Jacobson, Congestion avoidance and control, 1988) the rate starts at a fraction of the
-limit. A round doubles the rate, halves it, or leaves it (``ROUND_MS``). Loads start at their limit, because
-the load probability (below) limits them at first.
+limit. Each round doubles, halves or keeps the rate (``ROUND_MS``). Loads start at their limit, because the
+load probability (see below) limits them at first.
 
-The limit of loads is an equal part of a limit for the whole fleet; releases of deferred changes have the same
-limit. The other default limits are per router. If a baseline is known, three limits follow from it: those of
-loads and of discovery queries, both as equal parts of a limit for the fleet, and that of new connections to
-one worker.
+The limit of loads is an equal share of a fleet-wide limit; releases of deferred changes have the same limit.
+The other default limits are per router. If a baseline is known, three limits are derived from it: those of
+loads and of discovery queries, both as equal shares of a fleet-wide limit, and that of new connections to one
+worker.
 
 A call to a worker without a known warm instance may or may not start a load. Such a call therefore consumes
-only a fraction of a token, equal to the estimated probability of a load, and the response of the call
-corrects the difference. The estimate starts at 1, so at first each such call consumes a whole token. If calls
+only a fraction of a token, equal to the estimated probability of a load, and the difference is corrected when
+the call ends. The estimate starts at 1, so at first each such call consumes a whole token. If calls
 find warm instances, the estimate falls and more such calls fit into the rate.
 """
 
@@ -34,25 +34,25 @@
 INITIAL_RAMP_LEVEL = 0.25
 """Fraction of the limit at which a recovery starts."""
 MIN_RAMP_LEVEL = 1.0 / 16.0
-"""Lowest fraction of the limit to which failures reduce the rate."""
+"""Minimum fraction of the limit to which failures reduce the rate."""
 ROUND_MS = 250.0
 """Duration of a round. More failures than successes halve the rate; otherwise any success doubles it."""
 MIN_RATE_FRACTION = 0.1
 """Fraction of the default rate that is allowed even if the baseline is lower."""
 GROWTH_FACTOR = 1.5
-"""Factor by which the load rate grows while loads are long deferred."""
+"""Factor by which the load rate grows while there are long deferrals."""
 GROWTH_INTERVAL_MS = 2000.0
-"""Least time between two such increases."""
+"""Minimum time between two such increases."""
 MAX_TOKEN_DEFICIT = 3.0
-"""Largest negative balance of the load bucket, after more loads than the estimated probability implied."""
+"""Maximum token deficit of the load bucket, when more calls started loads than the estimate implied."""
 MAX_SOLO_FACTOR = 4.0
-"""Largest factor on all limits outside a mass restart, because the other routers use little of theirs."""
+"""Maximum factor on all limits outside a mass restart, because the other routers use little of theirs."""
 
 
 class Pacer:
     """The token buckets of one router, with their limits and ramp levels.
 
-    A ramp level is the present rate as a fraction of the limit; that of loads may exceed 1.
+    A ramp level is the current rate as a fraction of the limit; that of loads may exceed 1.
 
     ``RecoveryComponent`` sets ``limits``, ``router_count``, ``worker_count`` and ``is_mass_restart``;
     ``RecoveryAdmission`` requests the tokens.
@@ -61,12 +61,12 @@
         router_index: Index of this router in the fleet.
         now_ms: Start of the recovery.
         limits: Limits without a baseline; ``_default_rate_per_second`` applies them.
-        router_count: Number of configured routers; ``RecoveryComponent`` later sets the number of alive ones.
+        router_count: Number of configured routers; ``RecoveryComponent`` later sets the number of live ones.
     """
 
     def __init__(self, router_index: int, now_ms: float, limits: PacingLimits, router_count: int) -> None:
         self.phase_offset = (router_index + 0.5) / max(1, router_count)
-        """Place of this router among all routers, from 0 to 1."""
+        """Offset of this router in time, as a fraction from 0 to 1 that differs for each router."""
         self.limits = limits
         self.router_count = max(1, router_count)
         self.worker_count = 1
@@ -76,13 +76,13 @@
 
     def restart(self, now_ms: float) -> None:
         """Start a recovery: reset each ramp to its start and each bucket to a fraction of a token."""
-        self.is_mass_restart = True  # assumed until the fleet view says otherwise
+        self.is_mass_restart = True  # assumed until the fleet view shows otherwise
         self.baseline.leave_service()
         self.load_probability = LoadProbability()
         self.connection_turns = ConnectionTurns(self.phase_offset, now_ms)
         self.buckets = {action: self._new_bucket(now_ms, action) for action in PacedAction}
         self.ramp_levels = dict.fromkeys(PacedAction, INITIAL_RAMP_LEVEL)
-        self.ramp_levels[PacedAction.LOAD] = 1.0  # because the load probability already ramps loads up
+        self.ramp_levels[PacedAction.LOAD] = 1.0  # because the load probability already limits loads at first
         self._last_growth_ms = now_ms
         self._start_round(now_ms)
 
@@ -106,11 +106,11 @@
         self.baseline.enter_service(now_ms)
 
     def update_baseline(self, now_ms: float) -> Mapping[PacedAction, float]:
-        """Update the baseline; return its rates per second, of the actions for which they are known."""
+        """Update the baseline; return its rates per second for the actions whose rate is known."""
         return self.baseline.update(now_ms)
 
     def _default_rate_per_second(self, action: PacedAction) -> float:
-        """Return the rate limit of this router that applies without a baseline."""
+        """Return the rate limit of this router without a baseline."""
         if action is PacedAction.DISCOVERY_QUERY:
             return self.limits.discovery_queries * WINDOWS_PER_SECOND
         if action is PacedAction.PEER_QUERY:
@@ -120,7 +120,7 @@
         return self.limits.loads * WINDOWS_PER_SECOND / self.router_count
 
     def rate_per_second(self, action: PacedAction) -> float:
-        """Return the present refill rate of an action's bucket."""
+        """Return the current refill rate of an action's bucket."""
         limit = self._default_rate_per_second(action)
         baseline = self.baseline.per_second(action)
         if baseline is not None and action in (PacedAction.LOAD, PacedAction.DISCOVERY_QUERY):
@@ -131,7 +131,7 @@
         return limit * factor * self.ramp_levels[action]
 
     def _refilled_bucket(self, now_ms: float, action: PacedAction) -> TokenBucket:
-        """Refill an action's bucket at its previous rate, set its present rate, and return the bucket."""
+        """Refill an action's bucket at its previous rate, set its current rate, and return the bucket."""
         bucket = self.buckets[action]
         rate_per_second = self.rate_per_second(action)
         bucket.refill(now_ms)
@@ -148,7 +148,7 @@
         return False
 
     def wait_ms(self, now_ms: float, action: PacedAction) -> float:
-        """Return the time until a token is available at the present rate."""
+        """Return the time until a token is available at the current rate."""
         bucket = self._refilled_bucket(now_ms, action)
         if bucket.tokens >= 1.0:
             return 0.0
@@ -167,7 +167,7 @@
         return 0.0
 
     def settle_load(self, now_ms: float, tokens_taken: float, *, was_warm: bool) -> None:
-        """Correct the tokens of a call that ended: one token in all if it started a load, else none."""
+        """Correct the tokens that an ended call consumed: to one token if it started a load, else to none."""
         bucket = self._refilled_bucket(now_ms, PacedAction.LOAD)
         tokens = bucket.tokens + tokens_taken - (0.0 if was_warm else 1.0)
         bucket.tokens = min(bucket.capacity, max(-MAX_TOKEN_DEFICIT, tokens))
@@ -192,7 +192,7 @@
         return True
 
     def _connections_per_worker_window(self) -> float:
-        """Return the new connections in a window that one worker can accept from all routers together."""
+        """Return how many new connections per window one worker can accept from all routers together."""
         baseline = self.baseline.per_second(PacedAction.CONNECT)
         if baseline is None:
             return self.limits.connections_per_worker
@@ -200,7 +200,7 @@
         return max(self.limits.connections_per_worker, max_events_per_window(mean_per_window))
 
     def record_unpaced(self, now_ms: float, action: PacedAction) -> None:
-        """Count an action that was performed in service, without pacing, for the baseline."""
+        """Count an action that was performed without pacing towards the baseline."""
         self.baseline.record(now_ms, action)
 
     def grow_load_rate(self, now_ms: float) -> None:
@@ -220,7 +220,7 @@
         counts[action] += 1
 
     def on_tick(self, now_ms: float) -> None:
-        """Raise or lower the rates after each round; called some times per second."""
+        """Raise or lower the rates after each round; called several times per second."""
         if now_ms < self._round_ends_at_ms:
             return
         for action in PacedAction:
--- a/cedarthread/recovery/pacing_limits.py
+++ b/cedarthread/recovery/pacing_limits.py
@@ -1,10 +1,10 @@
 """The actions that a recovery paces, and the limits of their rates.
 
-The limits protect resources that all routers share. Without a baseline (the rates of an undisturbed day),
+The limits protect resources that all routers share. Without a baseline (the rates in normal operation),
 ``PacingLimits`` supplies defaults. With a baseline, the limit is derived from it: if events arrive at random
 with a mean of m in a window, the highest count in any window over some minutes is about m + 3 sqrt(m) + 1.
 The events of a recovery are paced, so with a mean of r in a window over all routers, their peak is about
-r + sqrt(r). A recovery may have a peak of 1.5 times the undisturbed one.
+r + sqrt(r). The peak of a recovery may be 1.5 times the peak in normal operation.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 WINDOW_MS = 250.0
 """Window in which the events of a peak are counted."""
 MAX_PEAK_RATIO = 1.5
-"""Highest allowed peak of a recovery, as a multiple of the undisturbed peak."""
+"""Maximum peak of a recovery, as a multiple of the peak in normal operation."""
 MIN_WORKER_CONNECTIONS_PER_WINDOW = 8.0
-"""New connections in a window that do not harm any worker, even one that usually receives few.
+"""New connections per window that any worker can accept, even one that usually receives few.
 
 Source: docs/design/recovery.md, 21.
 """
@@ -40,13 +40,13 @@
 
     loads: float  # of all routers together
     connections_per_worker: float = MIN_WORKER_CONNECTIONS_PER_WINDOW  # of all routers together
-    discovery_queries: float = 2.0  # of one router, which on an undisturbed day sends about five a second
+    discovery_queries: float = 2.0  # of one router, which sends about five per second in normal operation
     peer_queries: float = 6.0  # of one router
     connections: float = 16.0  # of one router to all workers, because handshakes use its own CPU time too
 
     @staticmethod
     def for_fleet(worker_count: int, load_time_ms: float) -> PacingLimits:
-        """Return limits under which each worker has on average half a load in flight.
+        """Return limits that allow half a load in flight per worker on average.
 
         Args:
             worker_count: Workers in the endpoint list.
@@ -56,7 +56,7 @@
 
 
 def max_events_per_window(mean_events: float) -> float:
-    """Return the mean events in a window that a recovery may have, from the mean of an undisturbed day.
+    """Return the mean events per window that a recovery may have, from the mean in normal operation.
 
     Solves r + sqrt(r) = 1.5 (m + 3 sqrt(m) + 1) for r, with m = ``mean_events``; the module's docstring
     explains the equation.
--- a/cedarthread/recovery/peer_exchange.py
+++ b/cedarthread/recovery/peer_exchange.py
@@ -1,4 +1,4 @@
-"""The datagrams of the peer query: receives them, answers them, and sends the queries of this router."""
+"""The exchange of peer query datagrams: answers the queries of peers and sends those of this router."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 
 class PeerExchange:
-    """Both sides of one router's peer query, and the counts of the datagrams that it rejected.
+    """Client and server of one router's peer query, and the counts of rejected datagrams.
 
     Args:
         settings: Settings of the router.
-        seed: Seed of the random numbers of the client.
+        seed: Seed of the client's random number generator.
         now_ms: Start of the process.
-        warm_state: Observations to send, and to merge those of peers into.
-        fleet_view: Uptimes of the peers; learns which peers sent a datagram.
-        state_machine: Phase of the recovery; only the phase PEER_QUERY sends queries.
-        pacer: Tokens of the queries, and the baseline rates to send and receive.
-        warm_fraction: Baseline warm fraction to send.
+        warm_state: Supplies the observations to send; receives those of peers.
+        fleet_view: Supplies the uptimes of peers; records which peers sent a datagram.
+        state_machine: Supplies the phase of the recovery; queries are sent only in PEER_QUERY.
+        pacer: Supplies the tokens for queries and the baseline rates to send; receives those of peers.
+        warm_fraction: Supplies the baseline warm fraction to send.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self.client.restart(now_ms)
 
     def rejected_count(self) -> int:
-        """Return how many datagrams were malformed, from an unknown sender, or answered no pending query."""
+        """Return how many datagrams were malformed, from an unknown sender, or matched no pending query."""
         return self._malformed_count + self._unknown_sender_count + self.client.unexpected_count
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> list[SendToPeer]:
@@ -94,7 +94,7 @@
         return sender != self._router_index and 0 <= sender < self._router_count
 
     def _response_template(self, now_ms: float) -> codec.Response:
-        """Return a response with the fields that describe this router itself."""
+        """Return a response with only the fields that describe this router."""
         is_in_service = self._state_machine.phase is RecoveryPhase.IN_SERVICE
         own_rates = self._pacer.baseline.own_per_second
         return codec.Response(
--- a/cedarthread/recovery/peer_query.py
+++ b/cedarthread/recovery/peer_query.py
@@ -1,4 +1,4 @@
-"""Both sides of the peer query: a recovering router learns from a few peers which instances are warm.
+"""Client and server of the peer query, by which a recovering router learns warm instances from a few peers.
 
 The functions are divided into segments. The client sends each query to one peer, for one segment, until all
 segments are complete (``segment_progress.py``).
@@ -33,28 +33,28 @@
 INITIAL_SPREAD_MS = 150.0
 """Time over which the first queries of routers that start at the same moment are spread."""
 FULL_WEIGHT_UPTIME_MS = 20_000.0
-"""Uptime from which on the weight of a peer in the random selection no longer grows."""
+"""Uptime above which a peer's weight in the random selection no longer grows."""
 NEW_PEER_WEIGHT = 0.05
-"""Weight of a peer that has just started; the uptime adds up to 1."""
+"""Weight of a peer that has just started; its uptime adds at most 1."""
 SUGGESTED_PEER_WEIGHT = 0.5
 """Additional weight of a peer that a busy peer suggested."""
 RESPONSES_PER_SECOND = 60.0
-"""Most response datagrams per second that a router sends to all peers together."""
+"""Maximum response datagrams per second that a router sends to all peers together."""
 RESPONSE_BURST = 24.0
 BUSY_REPLIES_PER_SECOND = 40.0
 BUSY_REPLY_BURST = 20.0
 MAX_RETRY_AFTER_MS = 3000.0
-"""Longest backlog that a busy server counts, and longest Retry-After that a client respects."""
+"""Maximum backlog that a busy server counts, and maximum Retry-After that a client respects."""
 RECENT_RECIPIENTS = 8
 """Number of recently answered peers that a busy reply may suggest."""
 MAX_RESPONSE_OBSERVATIONS = 256
-"""Most observations that are selected for a response; fewer fit into its datagrams."""
+"""Maximum number of observations selected for a response; fewer fit into its datagrams."""
 RNG_SALT = 0x6173_6B21
-"""Makes the random numbers of the client differ from those of other components with the same seed."""
+"""Salt that makes the client's random numbers differ from those of other components with the same seed."""
 
 
 class PeerQueryServer:
-    """The side that answers queries, with a bounded number of datagrams per second."""
+    """The server of the peer query, which sends a bounded number of datagrams per second."""
 
     def __init__(self, now_ms: float) -> None:
         self.response_tokens = TokenBucket(RESPONSES_PER_SECOND, RESPONSE_BURST, RESPONSE_BURST, now_ms)
@@ -69,14 +69,14 @@
     def on_query(
         self, now_ms: float, sender: int, query: codec.Query, warm_state: WarmState, template: codec.Response
     ) -> list[SendToPeer]:
-        """Answer with observations, or with a busy reply, or not at all if both limits are exhausted.
+        """Answer with observations, or with a busy reply, or not at all if both rate limits are exhausted.
 
         Args:
-            now_ms: Present time.
+            now_ms: Current time.
             sender: Peer that sent the query.
             query: The query.
             warm_state: Observations of this router.
-            template: Response with the fields that describe this router itself.
+            template: Response with only the fields that describe this router.
         """
         digest = warm_state.digest(now_ms, query.segment, query.segment_count, MAX_RESPONSE_OBSERVATIONS)
         parts = codec.split_into_datagrams(digest)
@@ -124,10 +124,10 @@
 
 
 class PeerQueryClient:
-    """The side that sends queries: the progress of one recovering router's peer query.
+    """The client of the peer query, which tracks the progress of one recovering router.
 
     Args:
-        seed: Seed of the random numbers.
+        seed: Seed of the random number generator.
         now_ms: Start of the recovery.
     """
 
@@ -157,8 +157,8 @@
         """Return the queries to send now.
 
         Args:
-            now_ms: Present time.
-            peer_uptimes_ms: Uptimes of the peers that are alive.
+            now_ms: Current time.
+            peer_uptimes_ms: Uptimes of the live peers.
             try_acquire: Returns whether one more query may be sent; consumes a token if it returns True.
         """
         self._expire_queries(now_ms, peer_uptimes_ms)
@@ -192,7 +192,7 @@
                 peer = self.rng.choices(free_peers, weights)[0]
                 return self._start_query(now_ms, peer, number)
             if all(peer in segment.responders for peer in peer_uptimes_ms):
-                segment.is_complete = True  # because all peers that are alive have answered
+                segment.is_complete = True  # because all live peers have answered
         return None
 
     def _incomplete_segments(self) -> list[int]:
@@ -253,11 +253,11 @@
         """Merge one part of a response into the warm state; ages count from when the query was sent.
 
         Args:
-            now_ms: Present time.
+            now_ms: Current time.
             sender: Peer that sent the response.
             response: One part of the response.
             warm_state: State to merge into.
-            has_older_peers: Whether a peer did not restart with this router.
+            has_older_peers: Whether any peer did not restart with this router.
         """
         query = self.pending.get(response.nonce)
         if query is None or query.peer != sender or response.part in query.received_parts:
--- a/cedarthread/recovery/peer_reports.py
+++ b/cedarthread/recovery/peer_reports.py
@@ -1,4 +1,4 @@
-"""The baselines that peers in service report with their responses to the peer query."""
+"""The baselines that peers in service report in their responses to the peer query."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PeerReports:
-    """The reported warm fractions and baseline rates, one of each per response that has them."""
+    """The warm fractions and baseline rates that peers reported, one of each per response that has them."""
 
     def __init__(self) -> None:
         self._warm_fractions: list[float] = []
--- a/cedarthread/recovery/segment_progress.py
+++ b/cedarthread/recovery/segment_progress.py
@@ -1,8 +1,8 @@
-"""The rule that ends the peer query for one segment of the functions.
+"""The rule by which the peer query of one segment of the functions is complete.
 
 A segment is complete once another response would contain few new observations. Their fraction is estimated as
-in Good (The population frequencies of species, 1953): the fraction of the last response that was new is about
-the fraction of the peers' observations that this router does not have.
+in Good (The population frequencies of species, 1953): the fraction of new observations in the last response
+approximates the fraction of the peers' observations that this router does not have.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 NEW_FRACTION_THRESHOLD = 0.1
 """Fraction of new observations in a response at or below which its segment is complete."""
 MIN_RESPONSES = 2
-"""Least number of responses for a segment, unless fewer peers are alive."""
+"""Minimum number of responses for a segment, unless fewer peers are alive."""
 MAX_NONEMPTY_RESPONSES = 5
-"""Number of responses with observations after which a segment is complete in any case."""
+"""Number of non-empty responses after which a segment is always complete."""
 
 
 @dataclass(slots=True)
@@ -33,8 +33,8 @@
             peer: Peer that sent the response.
             received_count: Observations in the response.
             new_count: Those of them that were new to this router.
-            has_older_peers: Whether a peer did not restart with this router. If there is one, an empty
-                response does not mean that there is nothing to learn.
+            has_older_peers: Whether any peer did not restart with this router. If so, an empty response does
+                not mean that no peer has observations.
         """
         self.responses += 1
         self.responders.add(peer)
--- a/cedarthread/recovery/snapshot.py
+++ b/cedarthread/recovery/snapshot.py
@@ -1,6 +1,6 @@
-"""Encodes and decodes the warm-state snapshot that a router stores for its next incarnation.
+"""The stored format of the warm-state snapshot that a router writes for its next incarnation.
 
-The snapshot is a MessagePack array: Unix time of writing in ms, the baseline warm fraction or nil, the
+The snapshot is a MessagePack array: the Unix time of writing in ms, the baseline warm fraction or nil, the
 baseline rates per second by the names in ``_ACTION_NAMES``, and one ``ObservationRow`` per observation.
 """
 
@@ -17,7 +17,7 @@
     from collections.abc import Iterable, Mapping
 
 MAX_STORED_OBSERVATIONS = 2048
-"""One row has at most 27 bytes (worker and start tag have 32 bits), so a snapshot is smaller than 56 kB."""
+"""A row is at most 27 bytes (worker and start tag have 32 bits), so a snapshot is smaller than 56 kB."""
 MAX_RATE_PER_SECOND = 1e6
 """A stored baseline rate of this value or more is ignored as corrupt."""
 
@@ -68,7 +68,7 @@
 
 
 def decode(raw: bytes) -> StoredWarmState | None:
-    """Return the snapshot that the bytes encode, or None if they do not encode one."""
+    """Return the decoded snapshot, or None if the bytes are not a valid snapshot."""
     try:
         return msgspec.msgpack.decode(raw, type=StoredWarmState)
     except (msgspec.MsgspecError, ValueError, RecursionError):
@@ -78,20 +78,20 @@
 def restore_observations(
     stored: StoredWarmState, warm_state: WarmState, now_ms: float, unix_ms: float, clock_error_ms: float
 ) -> int:
-    """Merge the stored observations into the warm state, with their ages grown by the downtime.
+    """Merge the stored observations into the warm state, with the downtime added to their ages.
 
-    Merges no observation if the wall clock has moved back by more than ``clock_error_ms``, or if the downtime
+    Merges no observation if the wall clock has gone back by more than ``clock_error_ms``, or if the downtime
     exceeds the keep-alive.
 
     Args:
         stored: The snapshot of the previous incarnation.
         warm_state: State to merge into.
-        now_ms: Present time.
-        unix_ms: Present Unix time.
-        clock_error_ms: Largest difference between the wall clocks of the two incarnations.
+        now_ms: Current time.
+        unix_ms: Current Unix time.
+        clock_error_ms: Maximum difference between the wall clocks of the two incarnations.
 
     Returns:
-        How many observations were new.
+        The number of new observations.
     """
     downtime_ms = unix_ms - stored.unix_ms
     if not -clock_error_ms <= downtime_ms <= warm_state.keep_alive_ms:  # also true for NaN
--- a/cedarthread/recovery/snapshot_exchange.py
+++ b/cedarthread/recovery/snapshot_exchange.py
@@ -1,4 +1,4 @@
-"""Creates the snapshot for the store, and restores that of the previous incarnation."""
+"""Creation of the snapshot for the store, and restoration of that of the previous incarnation."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     from cedarthread.recovery.warm_state import WarmState
 
 MAX_CLOCK_ERROR_MS = 500.0
-"""Largest assumed difference between the wall clocks of two incarnations."""
+"""Maximum assumed difference between the wall clocks of two incarnations."""
 
 
 class WallClock(NamedTuple):
-    """A reading of the wall clock, with the time of the steady clock at the reading."""
+    """A reading of the wall clock, with the time of the steady clock at that moment."""
 
     unix_ms: float
     read_at_ms: float
@@ -27,15 +27,15 @@
 
 
 class SnapshotExchange:
-    """The state that a router passes to its next incarnation, and the wall clock that dates the state.
+    """The state that a router passes to its next incarnation, and the wall clock that timestamps it.
 
     Without a wall clock reading, ages of observations cannot be carried across a restart, so no snapshot is
     created and no observation restored.
 
     Args:
-        warm_state: Observations to save, and to restore into.
-        pacer: Owner of the baseline rates to save and restore.
-        warm_fraction: Owner of the baseline warm fraction to restore.
+        warm_state: Supplies the observations to save; receives the restored ones.
+        pacer: Supplies the baseline rates to save; receives the restored ones.
+        warm_fraction: Receives the restored baseline warm fraction.
     """
 
     def __init__(self, warm_state: WarmState, pacer: Pacer, warm_fraction: WarmFractionTracker) -> None:
@@ -50,7 +50,7 @@
         self._wall_clock = WallClock(unix_ms, now_ms)
 
     def create(self, now_ms: float, baseline_warm_fraction: float | None) -> bytes | None:
-        """Return a snapshot with present ages, or None without a wall clock reading."""
+        """Return a snapshot with current ages, or None without a wall clock reading."""
         if self._wall_clock is None:
             return None
         observations = self._warm_state.digest(now_ms, limit=snapshot.MAX_STORED_OBSERVATIONS)
@@ -59,7 +59,7 @@
         return snapshot.encode(unix_ms, baseline_warm_fraction, own_rates, observations)
 
     def restore(self, now_ms: float, raw: bytes, clock_error_ms: float) -> int:
-        """Restore a snapshot; return how many of its observations were new."""
+        """Restore a snapshot; return the number of new observations."""
         stored = snapshot.decode(raw)
         if stored is None:
             self.malformed_count += 1
--- a/cedarthread/recovery/state_machine.py
+++ b/cedarthread/recovery/state_machine.py
@@ -1,9 +1,9 @@
 """The state machine of a recovery: its phases, and the conditions under which each phase ends.
 
-    starting -> peer query -> warming -> in service; a pause of the process leads back to the peer query
+    starting -> peer query -> warming -> in service; a pause of the process returns to the peer query
 
-A phase ends when its condition is satisfied, or else at its timeout. The timeouts let a router enter service
-even if no peer responds.
+A phase ends when its condition is satisfied, at the latest at its timeout. With the timeouts a router enters
+service even if no peer responds.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
     from cedarthread.model.settings import RouterSettings
 
 MEMBERSHIP_PERIOD_MS = 500.0
-"""Protocol period of the membership (SWIM)."""
+"""Protocol period of the SWIM membership."""
 STARTING_PERIODS = 4.0
-"""Timeout of the phase STARTING, in membership periods; by then, a majority is known to be alive or not."""
+"""Timeout of STARTING, in membership periods; by then it is known whether a majority is alive."""
 MIN_PHASE_TIMEOUT_MS = 500.0
 MAX_PEER_QUERY_MS = 4000.0
 MAX_WARMING_MS = 30_000.0
 WARMING_KEEP_ALIVES = 2.0
-"""Keep-alives after which each instance from before the restart has been used again or unloaded."""
+"""Number of keep-alives after which each instance from before the restart has been reused or unloaded."""
 PAUSE_THRESHOLD_MS = 2000.0
-"""Time without any event after which the process counts as paused; the membership uses the same time."""
+"""Time without events after which the process counts as paused; the membership uses the same time."""
 TARGET_WARM_RATIO = 0.95
 """Fraction of the baseline warm fraction that the recent one must reach to end the warming phase."""
 DEFAULT_WARM_FRACTION = 0.9
 """Baseline warm fraction if neither the peers nor the stored snapshot supply one."""
 MIN_RECENT_CALLS = 20.0
-"""Least decayed number of calls on which a usable warm fraction is based."""
+"""Minimum decayed number of calls for a usable warm fraction."""
 
 
 class RecoveryPhase(IntEnum):
@@ -45,7 +45,7 @@
 
 
 class TransitionCause(IntEnum):
-    """The cause of the last change of phase."""
+    """The cause of the last phase transition."""
 
     START = 0  # of the process
     EVIDENCE = 1  # the condition of the previous phase was satisfied
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryEvidence:
-    """The inputs of the conditions under which phases end."""
+    """The inputs of the conditions that end phases."""
 
     has_endpoint_list: bool
     can_query_peers: bool
@@ -106,9 +106,9 @@
 
 
 class RecoveryStateMachine:
-    """The present phase, the cause and time of the change into it, and the rules for the next change.
+    """The current phase, the cause and time of the transition to it, and the rules for the next transition.
 
-    ``RecoveryComponent`` calls ``detect_pause`` first with each event, and ``advance`` at each tick.
+    ``RecoveryComponent`` calls ``detect_pause`` first for each event, and ``advance`` at each tick.
     """
 
     def __init__(self, timeouts: PhaseTimeouts, now_ms: float) -> None:
@@ -122,7 +122,7 @@
     def detect_pause(self, now_ms: float) -> bool:
         """Return whether the process was paused since the last event; if so, restart the recovery.
 
-        The caller calls this method first with each event.
+        Must be called first for each event.
         """
         was_paused = now_ms - self.last_event_ms > PAUSE_THRESHOLD_MS
         self.last_event_ms = now_ms
@@ -133,7 +133,7 @@
         return was_paused
 
     def advance(self, now_ms: float, evidence: RecoveryEvidence) -> bool:
-        """Enter the next phase if the condition of the present one is satisfied or its timeout has passed.
+        """Enter the next phase if the condition of the current one is satisfied or its timeout has passed.
 
         Returns:
             Whether the phase changed.
@@ -151,7 +151,7 @@
         return True
 
     def _is_phase_complete(self, evidence: RecoveryEvidence) -> bool:
-        """Return whether the condition under which the present phase ends is satisfied."""
+        """Return whether the condition that ends the current phase is satisfied."""
         if self.phase is RecoveryPhase.STARTING:
             return evidence.has_endpoint_list and (evidence.has_majority or not evidence.can_query_peers)
         if self.phase is RecoveryPhase.PEER_QUERY:
--- a/cedarthread/recovery/status.py
+++ b/cedarthread/recovery/status.py
@@ -1,4 +1,4 @@
-"""The figures of the recovery for ``INFO``, under the names that operators read, and its log lines."""
+"""The metrics of the recovery for ``INFO``, and its log lines."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PhaseChange:
-    """A change of phase, as it is logged."""
+    """A phase transition, as it is logged."""
 
     phase: RecoveryPhase
     cause: TransitionCause
@@ -40,10 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryFigures:
-    """The present values of all figures."""
+    """The current values of all metrics."""
 
     phase: RecoveryPhase
-    cause: TransitionCause  # of the change into the phase
+    cause: TransitionCause  # of the transition to the phase
     in_phase_ms: float
     is_paced: bool
     is_mass_restart: bool
@@ -59,7 +59,7 @@
 
 
 def phase_log_line(change: PhaseChange) -> str:
-    """Return the log line of a change of phase."""
+    """Return the log line of a phase transition."""
     return format_event(
         "recovery_phase_changed",
         phase=change.phase.name.lower(),
@@ -71,7 +71,7 @@
 
 
 def recovery_status(figures: RecoveryFigures) -> Mapping[str, str]:
-    """Return the figures by the names that operators read."""
+    """Return the metrics by their names in ``INFO``, which must not change."""
     baseline = figures.baseline_warm_fraction
     return {
         "return_phase": _PHASE_FIGURES[figures.phase],
--- a/cedarthread/recovery/warm_fraction.py
+++ b/cedarthread/recovery/warm_fraction.py
@@ -1,4 +1,4 @@
-"""The fraction of calls that find a warm instance: over the last seconds, and over a longer time."""
+"""The fraction of calls that find a warm instance, over the last seconds and over a longer time."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 BASELINE_TIME_CONSTANT_MS = 20_000.0
 """Long enough that one burst of cold starts changes the baseline only slightly."""
 MIN_CALLS = 1e-9
-"""Least divisor, so that the fraction is 0 without any calls."""
+"""Minimum divisor, so that the fraction is 0 without any calls."""
 
 
 class _DecayingFraction:
-    """The fraction of warm calls among calls that decay with a time constant."""
+    """The fraction of warm calls, as an average that decays with a time constant."""
 
     def __init__(self, time_constant_ms: float) -> None:
         self.warm_calls = DecayingCounter(time_constant_ms)
--- a/cedarthread/recovery/warm_state.py
+++ b/cedarthread/recovery/warm_state.py
@@ -1,8 +1,8 @@
-"""The warm state: observations of which functions were warm on which workers, which a restart loses.
+"""The warm state: which functions were observed warm on which workers; a restart loses it.
 
-Two observations of the same function and worker merge to the later one, so the order, loss and duplication
-of observations do not matter. Routers forward an observation with its total age, so forwarding does not make
-an observation younger.
+Of two observations of the same function and worker, the merge keeps the later one, so the order, loss and
+duplication of observations do not matter. Routers forward an observation with its total age, so forwarding
+does not make an observation younger.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
     from collections.abc import Iterator
 
 MAX_OBSERVATIONS = 4096
-"""Number of observations after an eviction; an eviction occurs at a tenth more, and removes the oldest."""
+"""Number of observations after an eviction, which removes the oldest once there are a tenth more."""
 MAX_HOPS = 15
-"""Most routers that may have forwarded an observation: four bits of the flags in a datagram."""
+"""Maximum number of routers that forwarded an observation: four bits of the flags in a datagram."""
 UNKNOWN_START = 0
-"""Start tag of a worker of unknown start time."""
+"""Start tag of a worker with an unknown start time."""
 
 
 class Source(IntEnum):
@@ -48,7 +48,7 @@
     def supersedes(self, other: Observation) -> bool:
         """Return whether this observation replaces another.
 
-        The later one does. Of two at the same time, the one that found no warm instance does.
+        The later one wins; at the same time, the one that found no warm instance wins.
         """
         return (self.observed_at_ms, not self.is_warm, -self.hops) > (
             other.observed_at_ms,
@@ -64,22 +64,22 @@
     worker_id: int
     start_tag: int  # identifies the incarnation of the worker
     function_hash: int  # the function id folded to 32 bits
-    age_ms: float  # since the observation
+    age_ms: float  # time since the observation
     is_warm: bool
     hops: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class _ListedWorker:
-    """A worker of the present endpoint list."""
+    """A worker of the current endpoint list."""
 
     start_tag: int
     is_ready: bool
-    first_listed_at_ms: float  # since when this router's list has had this incarnation
+    first_listed_at_ms: float  # when this router's list first contained this incarnation
 
 
 def start_tag(started_at_ms: float | None) -> int:
-    """Return a worker's start time in 32 bits; the time is from the endpoint list, so all routers agree."""
+    """Return the low 32 bits of a worker's start time, which all routers have from the endpoint list."""
     if started_at_ms is None or not math.isfinite(started_at_ms):
         return UNKNOWN_START
     return int(started_at_ms) & 0xFFFFFFFF
@@ -115,8 +115,8 @@
             self.workers = {
                 worker_id: listed for worker_id, listed in self.workers.items() if worker_id in listed_ids
             }
-        # An attempt sent at any time counts for a worker of the first list; for a worker that is added
-        # later, only an attempt sent from now on.
+        # For a worker of the first list, attempts sent at any time count; for a worker that is added later,
+        # only attempts sent from now on.
         listed_since_ms = now_ms if self.workers else -math.inf
         for endpoint in update.endpoints:
             if endpoint.state is EndpointState.REMOVED:
@@ -133,11 +133,11 @@
     def is_usable(self, now_ms: float, worker_id: int, observed_tag: int, observation: Observation) -> bool:
         """Return whether routing may use an observation.
 
-        The observation must be warm, no older than the keep-alive, and of the present incarnation of a worker
+        The observation must be warm, no older than the keep-alive, and of the current incarnation of a worker
         that is listed as ready.
 
         Args:
-            now_ms: Present time.
+            now_ms: Current time.
             worker_id: Worker of the observation.
             observed_tag: Start tag of the worker at the observation.
             observation: Observation to check.
@@ -154,11 +154,11 @@
     ) -> None:
         """Merge an observation that this router made by an attempt of its own.
 
-        Ignores an attempt that was sent before the worker's present incarnation was listed, because the
+        Ignores an attempt that was sent before the worker's current incarnation was listed, because the
         attempt may have reached an earlier incarnation.
 
         Args:
-            now_ms: Present time, at which the attempt ended.
+            now_ms: Current time, at which the attempt ended.
             worker_id: Worker of the attempt.
             function_id: Function of the attempt.
             is_warm: Whether the attempt found a warm instance.
@@ -177,7 +177,7 @@
         The age counts from ``requested_at_ms``, so network delays make an observation older, never younger.
 
         Args:
-            now_ms: Present time.
+            now_ms: Current time.
             requested_at_ms: A time on this router's clock that is not later than the computation of the age,
                 such as the time of the query.
             aged: The observation.
@@ -253,10 +253,10 @@
         """Return the latest observations, warm and cold, to send to a peer or to store; latest first.
 
         Args:
-            now_ms: Present time.
-            segment: Only functions with a hash that is this number modulo ``segment_count``.
+            now_ms: Current time.
+            segment: Number of the segment: the function hash modulo ``segment_count``.
             segment_count: Number of segments.
-            limit: Most observations to return.
+            limit: Maximum number of observations to return.
         """
         unexpired = self._unexpired(now_ms, segment, segment_count)
         return heapq.nsmallest(limit, unexpired, key=lambda aged: aged.age_ms)
