--- a/cedarthread/node/__init__.py
+++ b/cedarthread/node/__init__.py
@@ -1,1 +1,1 @@
-"""The routing node, which hosts one router and its components and passes events between them."""
+"""The routing node, which hosts one router and its components and dispatches events to them."""
--- a/cedarthread/node/attempt_observer.py
+++ b/cedarthread/node/attempt_observer.py
@@ -1,4 +1,4 @@
-"""The observer that notifies the components of the starts and ends of attempts.
+"""Notification of the components when attempts start and end.
 
 Only ``AttemptObserver`` writes its state.
 """
@@ -27,17 +27,17 @@
 
 
 class _InFlightAttempt(NamedTuple):
-    """Function and tenant of an attempt in flight."""
+    """The function and tenant of an attempt in flight."""
 
     function_id: int
     tenant_index: int | None
 
 
 class AttemptObserver:
-    """Observer that stores function and tenant of each attempt in flight, which ``AttemptEnded`` lacks.
+    """Observer that stores the function and tenant of each attempt in flight, which ``AttemptEnded`` lacks.
 
     Args:
-        router: Its pending requests supply function and tenant when an attempt starts.
+        router: Supplies the function and tenant of the request when an attempt starts.
         components: The components to notify.
     """
 
@@ -61,7 +61,7 @@
                 self._components.load_gossip.on_attempt_sent(action.worker_id, request.function_id)
 
     def record_ended(self, now_ms: float, event: AttemptEnded) -> None:
-        """Record the end of an attempt, and ignore an attempt that was not recorded as started."""
+        """Record the end of an attempt; ignore an attempt whose start was not recorded."""
         attempt = self._in_flight.pop((event.request_id, event.worker_id), None)
         if attempt is None:
             return
--- a/cedarthread/node/component_set.py
+++ b/cedarthread/node/component_set.py
@@ -22,11 +22,11 @@
 class ComponentSet:
     """The components of one router, in the order of their ticks.
 
-    A component that the settings forbid does not exist.
+    Components that the settings forbid are not created.
 
     Args:
-        seed: Seed of the random decisions of membership and gossip.
-        incarnation: A random number of this start of the process; None: derived from the seed.
+        seed: Seed of the random number generators of membership and gossip.
+        incarnation: A random number that identifies this start of the process; None: derived from the seed.
     """
 
     def __init__(self, seed: int, incarnation: int | None) -> None:
@@ -80,7 +80,7 @@
         )
 
     def status(self, now_ms: float) -> dict[str, str]:
-        """Return the figures of all components by name."""
+        """Return the metrics of all components by name."""
         figures = dict(self.fleet.status()) if self.fleet is not None else {}
         for component in self.active:
             figures.update(component.status(now_ms))
--- a/cedarthread/node/constraints.py
+++ b/cedarthread/node/constraints.py
@@ -1,7 +1,7 @@
-"""The constraints of the fleet components on routing, in the terms of the router.
+"""The constraints that the fleet components impose on routing.
 
 Contracts determine the priority of requests. Change freezes and restart recovery determine which instances
-may be started now. The components only answer queries: the router selects workers, retries and rejects. Times
+may be started now. The components only answer the router, which selects workers, retries and rejects. Times
 are ms of the router's steady clock.
 """
 
@@ -25,7 +25,7 @@
 
 
 class FleetConstraints:
-    """Priorities, change freeze and restart recovery of one router, as ``routing.RoutingConstraints``.
+    """Implementation of ``routing.RoutingConstraints`` by priorities, change freeze and restart recovery.
 
     Args:
         priority: Assigns priorities to requests and selects requests to preempt.
@@ -40,7 +40,7 @@
         self.limits_loading = False  # whether a change freeze or the recovery limits new instances
 
     def refresh(self, now_ms: float) -> None:
-        """Update ``limits_loading``, at each tick and after each change of entries."""
+        """Update ``limits_loading``; called at each tick and after each change of entries."""
         self.limits_loading = self.gate.is_active or not self.recovery.is_in_service()
 
     def expected_instances(self, now_ms: float, function_id: int) -> dict[int, InstanceLoad]:
@@ -59,11 +59,11 @@
         """Return whether the request may be sent to the worker.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: Current time.
             pending: The request.
             worker: The candidate.
-            is_loaded: An instance of the function is known at the worker.
-            has_alternative: An instance is known at another worker that has capacity left.
+            is_loaded: Whether an instance of the function is known at the worker.
+            has_alternative: Whether an instance is known at another worker that has capacity left.
         """
         if is_loaded:
             return True
@@ -122,7 +122,7 @@
         return HomeWorkers([ready[worker_id] for worker_id in worker_ids], home_count)
 
     def retry_after_range(self, now_ms: float) -> tuple[float, float]:
-        """Return the fractions of the longest Retry-After between which that of a rejection is drawn."""
+        """Return the range from which a rejection's Retry-After is drawn, as fractions of its maximum."""
         return self.recovery.retry_after_fractions(now_ms)
 
     def shed_probability(
@@ -141,14 +141,14 @@
         return self.priority.shed_probability(now_ms, priority, shed_fraction, value)
 
     def on_rejected(self, now_ms: float, pending: PendingRequest) -> None:
-        """Count a rejected request towards the floor of its tenant."""
+        """Count a rejected request against the floor that its tenant's contract guarantees."""
         if pending.call_priority is not None:
             self.priority.record_rejected(
                 now_ms, pending.call_priority, is_client_retry=pending.request.is_client_retry
             )
 
     def overload_level(self, now_ms: float) -> int:
-        """Return how overloaded the fleet is; 0: not overloaded, or not known."""
+        """Return the overload level of the fleet; 0: not overloaded, or unknown."""
         return self.priority.overload_level(now_ms)
 
     def preemption_victim(
@@ -163,7 +163,7 @@
         """Return the id of the request to preempt for this one, and set its reason; None: there is none.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: Current time.
             pending: The request that needs capacity.
             worker: The worker that would receive the request.
             expected_ms: The expected service time of the request at the worker.
--- a/cedarthread/node/escrow_pools.py
+++ b/cedarthread/node/escrow_pools.py
@@ -8,16 +8,16 @@
     from cedarthread.escrow.escrow import Escrow
     from cedarthread.replication.store import ReplicatedStore
 
-# The time that the disks of other routers may need to open. Until then a persisted entry may still arrive
-# from another router.
+# Time that other routers may need to open their disks. Until then a persisted entry may still arrive from
+# another router.
 DISK_OPEN_GRACE_MS = 2500.0
 
 
 class EscrowPools:
     """A ``QuotaEscrow`` that determines for the escrow whether a consumable pool is new.
 
-    A pool is new if its declaration was first received in the present incarnation of this router. No earlier
-    incarnation can have consumed from a new pool. Therefore this router may use its part of a new pool even
+    A pool is new if its declaration was first received in the current incarnation of this router. No earlier
+    incarnation can have consumed from a new pool. Therefore this router may use its share of a new pool even
     if the state of earlier incarnations is lost.
 
     Args:
@@ -27,7 +27,7 @@
 
     def __init__(self, escrow: Escrow, store: ReplicatedStore) -> None:
         self.escrow = escrow  # ``FleetComponents`` replaces it after recovery of persisted state
-        self.now_ms = 0.0  # of the present notification; ``FleetComponents`` sets it
+        self.now_ms = 0.0  # time of the current notification; ``FleetComponents`` sets it
         self._store = store
         self._is_new_pool: dict[str, bool] = {}  # by name, consumable pools only
 
@@ -46,8 +46,9 @@
     def _is_declared_in_this_incarnation(self) -> bool:
         """Return whether a pool that is opened now for the first time was declared in this incarnation.
 
-        A router that has been fresh for the staleness bound has received every earlier entry. The grace is
-        added because shortly after a start of all routers, an older entry may still arrive from a slow disk.
+        A router that has been fresh for the staleness bound has received every earlier entry. The grace
+        period is added because an older entry may still arrive from a slow disk shortly after a start of all
+        routers.
         """
         since_ms = self._store.fresh_since(self.now_ms)
         if since_ms is None:
--- a/cedarthread/node/fleet_components.py
+++ b/cedarthread/node/fleet_components.py
@@ -1,4 +1,4 @@
-"""The components that exist if a fleet file is configured, connected to each other.
+"""The components that exist if a fleet file is configured, and the connections between them.
 
 This module and its imports are loaded only if a fleet file is configured. If the settings forbid gossip, the
 router acts on its own fleet file alone, as a fleet of one router. The replicated store of such a fleet is
@@ -43,7 +43,7 @@
     router_count: int
     incarnation: int
     seed: int
-    clock_rate: float  # maximum rate error of a steady clock, as a fraction
+    clock_rate: float  # maximum relative rate error of a steady clock
 
 
 def _identity_of(settings: RouterSettings, seed: int, incarnation: int, clock_rate: float) -> _Identity:
@@ -64,9 +64,9 @@
     Args:
         fleet_config: The fleet file.
         settings: The settings in force.
-        seed: Seed of the random decisions of the components.
-        incarnation: A random number of this start of the process.
-        now_ms: The steady clock.
+        seed: Seed of the random number generators of the components.
+        incarnation: A random number that identifies this start of the process.
+        now_ms: Current time of the steady clock.
         wall_clock_ms: Reads the wall clock, Unix time in ms.
     """
 
@@ -187,7 +187,8 @@
         """Return settings that a change freeze deferred and that may now apply; None: there are none.
 
         Deferred loads and changes of home workers need no action here, because later requests cause the same
-        changes again. This method only removes them from the deferred changes, at the pace of the recovery.
+        changes again. This method only removes them from the deferred changes, at the rate that the recovery
+        allows.
         """
         deferred = self.change_freeze.gate.deferred_settings
         released = self.change_freeze.release_deferred_changes(now_ms)
@@ -214,7 +215,7 @@
         """Notify the fleet components of the end of an attempt.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: Current time of the steady clock.
             event: The end of the attempt.
             function_id: The function of the request.
             tenant_index: The tenant of the request; None: of no tenant.
@@ -228,5 +229,5 @@
         self.notify(now_ms, completed)
 
     def status(self) -> Mapping[str, str]:
-        """Return the figures that belong to no single component."""
+        """Return the metrics that belong to no single component."""
         return {"declared_unusable": str(self.rejected_entries), "routers": str(self.router_count)}
--- a/cedarthread/node/preemption_view.py
+++ b/cedarthread/node/preemption_view.py
@@ -1,4 +1,4 @@
-"""Conversion of the router's records to the input of the selection of a request to preempt.
+"""Conversion of the router's records to the input of the preemption policy.
 
 The functions are pure. Times are ms of the router's steady clock.
 """
@@ -14,7 +14,7 @@
 
     from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
 
-MAX_PREEMPTION_CANDIDATES = 256  # only the youngest pending requests are considered
+MAX_PREEMPTION_CANDIDATES = 256  # only the latest pending requests are considered
 # Assumed time until a queued request is considered for a worker again and gets a slot.
 QUEUED_EXPECTED_MS = 50.0
 
@@ -44,7 +44,7 @@
     queue: Mapping[int, PendingRequest],
     worker: WorkerRecord,
 ) -> Iterator[PreemptionCandidate]:
-    """Yield the requests that could free a slot of ``worker``: queued ones, and those in flight at it."""
+    """Yield the requests that could free a slot of ``worker``: queued ones, and those in flight to it."""
     for request_id in list(pending_requests)[-MAX_PREEMPTION_CANDIDATES:]:
         pending = pending_requests[request_id]
         is_queued = request_id in queue
@@ -62,7 +62,7 @@
 def _stage(pending: PendingRequest, last_in_flight: Attempt | None, *, is_queued: bool) -> CallStage:
     """Return the stage of a request.
 
-    An attempt in flight counts as written, because the router does not know how much has been written.
+    An attempt in flight counts as written, because the router does not know how much of it has been written.
     """
     if pending.is_streaming:
         return CallStage.STREAMING
--- a/cedarthread/node/routing_node.py
+++ b/cedarthread/node/routing_node.py
@@ -28,19 +28,19 @@
     from cedarthread.model.settings import RouterSettings
     from cedarthread.node.fleet_components import FleetComponents
 
-COMPONENT_TIMER_TOKEN = 2**32 - 1  # of the components' timer; the router's tokens are below 2^31
+COMPONENT_TIMER_TOKEN = 2**32 - 1  # of the components' timer; tokens of the router are below 2^31
 TICK_PERIOD_MS = 250.0  # between ticks of the components
-TICK_STALLED_MS = 500.0  # time since the last tick from which on the next event is preceded by a tick
-MAX_LOGGED_MEMBERS = 8  # in one log line
+TICK_STALLED_MS = 500.0  # after this time without a tick, the next event is preceded by a tick
+MAX_LOGGED_MEMBERS = 8  # membership changes in one log line
 
 
 class RoutingNode:
-    """A router and its components, as one consumer of events and producer of actions.
+    """A router and its components, which together consume events and produce actions.
 
     Args:
         settings: The settings in force.
-        seed: Seed of the random decisions of the router and the components.
-        incarnation: A random number of this start of the process; None: derived from the seed.
+        seed: Seed of the random number generators of the router and the components.
+        incarnation: A random number that identifies this start of the process; None: derived from the seed.
     """
 
     def __init__(self, settings: RouterSettings, seed: int, incarnation: int | None = None) -> None:
@@ -96,7 +96,7 @@
         return actions
 
     def status(self, now_ms: float) -> dict[str, str]:
-        """Return the figures of the components for operators by name."""
+        """Return the metrics of the components for operators, by name."""
         return self.components.status(now_ms)
 
     def apply_fleet_config(
@@ -105,7 +105,7 @@
         """Apply the operators' fleet file, and return the actions to execute in order.
 
         Args:
-            now_ms: The host's clock.
+            now_ms: Current time of the host's clock.
             fleet_config: The fleet file.
             wall_clock_ms: Reads the wall clock, Unix time in ms.
         """
@@ -119,7 +119,7 @@
     def _create_fleet_components(
         self, now_ms: float, fleet_config: FleetConfig, wall_clock_ms: Callable[[], float]
     ) -> None:
-        # Imported here, because the libraries of the fleet components are loaded only if needed.
+        # Imported here, so that the libraries of the fleet components are loaded only if needed.
         from cedarthread.node.fleet_components import FleetComponents
 
         incarnation = self.seed if self.incarnation is None else self.incarnation
@@ -134,7 +134,7 @@
         self._on_tick(now_ms)
 
     def update_settings(self, settings: RouterSettings, now_ms: float = 0.0) -> None:
-        """Apply new settings, which must contain all classes of the previous settings at the same indexes.
+        """Apply new settings, which must contain all previous request classes at the same indexes.
 
         Components that the new settings forbid are dropped.
         """
@@ -153,7 +153,7 @@
         self._notify_peers_changed(now_ms)
 
     def _set_timer(self, now_ms: float, actions: list[Action]) -> None:
-        """Add an action that sets the timer for the next tick, unless that timer is set."""
+        """Add an action that sets the timer for the next tick, unless the timer is already set."""
         if not self._is_timer_set:
             self._is_timer_set = True
             actions.append(SetTimer(now_ms + TICK_PERIOD_MS, COMPONENT_TIMER_TOKEN))
@@ -185,7 +185,7 @@
         return actions
 
     def _notify_peers_changed(self, now_ms: float) -> list[Action]:
-        """Notify router and components of the live peers, on which quotas and gossip targets depend."""
+        """Notify the router and components of the live peers, which determine quotas and gossip targets."""
         membership = self.components.membership
         if membership is None:
             return []
@@ -193,7 +193,7 @@
         return self.components.notify(now_ms, membership.peers_changed(now_ms))
 
     def _on_membership_changes(self, now_ms: float, membership: SwimMembership) -> list[Action]:
-        """Notify router and components of membership changes, and log them except for suspicions."""
+        """Notify the router and the components of membership changes, and log all except suspicions."""
         changes = [
             f"{change.member_index}:{change.status.name.lower()}"
             for change in membership.status_changes
@@ -219,7 +219,7 @@
         in_flight_by_worker.clear()
 
     def _forget_peer_load(self) -> None:
-        """Reset the load and the instances that gossip reported."""
+        """Reset the load and the instances that peers reported by gossip."""
         for worker in self.router.workers.values():
             worker.peers_in_flight = 0.0
         for function in self.router.functions.values():
