--- a/cedarthread/components/component.py
+++ b/cedarthread/components/component.py
@@ -2,7 +2,7 @@
 
 ``RoutingNode`` (``node/routing_node.py``) hosts the components and passes datagrams, ticks and notifications
 to them. Components depend on each other only through the protocols of this package. They do no I/O. Times are
-ms of a steady clock that is passed in. The wall clock is passed in as a notification.
+ms of a steady clock, which the host passes in. Readings of the wall clock arrive as notifications.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Component(Protocol):
-    """A component that runs beside the router, with the clock and the seed that are passed in."""
+    """A component that runs beside the router; its host passes in the time and the random seed."""
 
     @property
     def message_types(self) -> frozenset[int]:
@@ -26,7 +26,7 @@
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
         """Handle a datagram of one of ``message_types``, and return the messages to send or log.
 
-        Malformed datagrams are counted. The method never raises because of the content of a datagram.
+        Malformed datagrams are counted. No content of a datagram makes this method raise.
         """
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
@@ -36,4 +36,4 @@
         """Handle a notification, and return the messages to send or log."""
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """Return the figures of the component for operators (``INFO``) as text by name."""
+        """Return the metrics of the component for operators (``INFO``), as text by name."""
--- a/cedarthread/components/datagram_fields.py
+++ b/cedarthread/components/datagram_fields.py
@@ -1,9 +1,9 @@
-"""Framing that the codecs of datagrams between routers share: size limit, repeated records, malformed input.
+"""Framing shared by the codecs of datagrams between routers: size limit, repeated records, malformed input.
 
-A datagram is a fixed header, optionally followed by records of one size or by groups up to the end of the
+A datagram is a fixed header, optionally followed by fixed-size records or by groups up to the end of the
 datagram. A group is a group header and records; the last field of the group header is the number of records.
 Readers never raise because of bytes from the network, but return a ``MalformedDatagram`` with the reason.
-Writers raise ``ValueError``, because a datagram that is too long is a fault of this program.
+Writers raise ``ValueError``, because a datagram that is too long is a bug in this program.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
     import struct
     from collections.abc import Iterable, Sequence
 
-MAX_DATAGRAM_BYTES = 256  # limit of the platform's protocol; a longer datagram voids a whole run
+MAX_DATAGRAM_BYTES = 256  # limit of the platform's protocol, which fails the whole run on a longer datagram
 
-RecordFields = tuple[Any, ...]  # as ``struct`` unpacks one record
+RecordFields = tuple[Any, ...]  # one record as unpacked by ``struct``
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,14 +57,14 @@
 
 
 def max_records(offset: int, record: struct.Struct) -> int:
-    """Return the number of records that fit behind a header of ``offset`` bytes."""
+    """Return the number of records that fit after a header of ``offset`` bytes."""
     return (MAX_DATAGRAM_BYTES - offset) // record.size
 
 
 def read_records(
     data: bytes, offset: int, record: struct.Struct
 ) -> tuple[RecordFields, ...] | MalformedDatagram:
-    """Read records of one size from ``offset`` to the end; malformed if too short, too long or truncated."""
+    """Read fixed-size records from ``offset`` to the end; malformed if too short, too long or truncated."""
     if not offset <= len(data) <= MAX_DATAGRAM_BYTES or (len(data) - offset) % record.size:
         return MalformedDatagram(f"{len(data)} bytes")
     return tuple(record.iter_unpack(data[offset:]))
--- a/cedarthread/components/messages.py
+++ b/cedarthread/components/messages.py
@@ -14,7 +14,7 @@
     MEMBERSHIP = 0xC2
     REPLICATION = 0xC3
     ESCROW = 0xC4
-    RECOVERY = 0xC5  # queries for warm instances by restarted routers, and the responses
+    RECOVERY = 0xC5  # queries for warm instances by recovering routers, and the responses
     LOAD_PRESSURE = 0xC6  # how overloaded a router is, and the usage of tenants
 
 
--- a/cedarthread/components/notifications.py
+++ b/cedarthread/components/notifications.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersChanged:
-    """The set of live routers has changed.
+    """The set of live peers has changed.
 
     Args:
         alive_peers: Indexes of the other routers that are alive.
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """New settings are in force."""
+    """New settings have taken effect."""
 
     settings: RouterSettings
 
--- a/cedarthread/components/quota_escrow.py
+++ b/cedarthread/components/quota_escrow.py
@@ -1,4 +1,4 @@
-"""The interface of the quota escrow, which reserves amounts of fleet-wide totals."""
+"""The interface of the quota escrow, which divides fleet-wide quotas among the routers."""
 
 from __future__ import annotations
 
@@ -32,4 +32,4 @@
         """Consume an amount of a consumable pool; return False, and consume nothing, if less is available."""
 
     def request(self, now_ms: float, name: str, amount: int) -> None:
-        """Set the total amount that this router could use; the missing part is requested from its peers."""
+        """Set the total amount that this router could use; the missing amount is requested from its peers."""
--- a/cedarthread/components/replicated_state.py
+++ b/cedarthread/components/replicated_state.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Version:
-    """Version of an entry. The greater of two versions replaces the other."""
+    """The version of an entry. The greater of two versions wins."""
 
     counter: int  # a Lamport clock
     author: int  # index of the router that wrote the version
@@ -34,7 +34,7 @@
     name: str
     version: Version
     body: bytes
-    replaces_digest: int = 0  # of the entry that the author replaced; 0: none
+    replaces_digest: int = 0  # digest of the entry that the author replaced; 0: none
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
 
     @property
     def staleness_bound_ms(self) -> float:
-        """Return the staleness bound in ms (``B`` in docs/design/replication.md)."""
+        """Return the staleness bound (``B`` in docs/design/replication.md)."""
 
     def entries(self, kind: EntryKind) -> tuple[ReplicatedEntry, ...]:
         """Return all entries of a kind in the order of their names."""
