--- a/cedarthread/components/datagram_fields.py
+++ b/cedarthread/components/datagram_fields.py
@@ -42,7 +42,7 @@
     """
     data = b"".join(fields)
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise ValueError(f"a datagram of {len(data)} bytes may not be sent")
+        raise ValueError(f"datagram of {len(data)} bytes exceeds the size limit")
     return data
 
 
@@ -53,7 +53,7 @@
         ValueError: There are more than ``limit`` records.
     """
     if len(records) > limit:
-        raise ValueError(f"{len(records)} entries, {limit} at most")
+        raise ValueError(f"too many records: {len(records)}, maximum {limit}")
 
 
 def max_records(offset: int, record: struct.Struct) -> int:
@@ -66,7 +66,7 @@
 ) -> tuple[RecordFields, ...] | MalformedDatagram:
     """Read fixed-size records from ``offset`` to the end; malformed if too short, too long or truncated."""
     if not offset <= len(data) <= MAX_DATAGRAM_BYTES or (len(data) - offset) % record.size:
-        return MalformedDatagram(f"{len(data)} bytes")
+        return MalformedDatagram(f"invalid length: {len(data)} bytes")
     return tuple(record.iter_unpack(data[offset:]))
 
 
@@ -77,12 +77,12 @@
     groups: list[RecordGroup] = []
     while offset < len(data):
         if offset + header.size > len(data):
-            return MalformedDatagram(f"cut short at byte {offset} of {len(data)}")
+            return MalformedDatagram(f"truncated at byte {offset} of {len(data)}")
         fields = header.unpack_from(data, offset)
         offset += header.size
         end = offset + fields[-1] * record.size
         if end > len(data):
-            return MalformedDatagram(f"cut short at byte {offset} of {len(data)}")
+            return MalformedDatagram(f"truncated at byte {offset} of {len(data)}")
         groups.append(RecordGroup(fields, tuple(record.iter_unpack(data[offset:end]))))
         offset = end
     return groups
--- a/tests/unit/components/test_datagram_fields.py
+++ b/tests/unit/components/test_datagram_fields.py
@@ -26,7 +26,7 @@
 def test_join_datagram_concatenates_up_to_the_size_limit() -> None:
     assert join_datagram([b"ab", b"", b"c"]) == b"abc"
     assert len(join_datagram([b"x" * 200, b"y" * 56])) == MAX_DATAGRAM_BYTES
-    with pytest.raises(ValueError, match="a datagram of 257 bytes may not be sent"):
+    with pytest.raises(ValueError, match="datagram of 257 bytes exceeds the size limit"):
         join_datagram([b"x" * 200, b"y" * 57])
 
 
@@ -34,7 +34,7 @@
     limit = max_records(HEADER.size, RECORD)
     assert HEADER.size + limit * RECORD.size <= MAX_DATAGRAM_BYTES < HEADER.size + (limit + 1) * RECORD.size
     check_record_count([b""] * limit, limit)
-    with pytest.raises(ValueError, match=f"{limit + 1} entries, {limit} at most"):
+    with pytest.raises(ValueError, match=f"too many records: {limit + 1}, maximum {limit}"):
         check_record_count([b""] * (limit + 1), limit)
 
 
@@ -49,7 +49,9 @@
     "size", [0, 1, 3, 4, 6, 256, 257, 260], ids=lambda size: f"{size} bytes behind or without the header"
 )
 def test_records_that_are_cut_off_or_too_long_are_malformed(size: int) -> None:
-    assert read_records(b"\x01" * size, HEADER.size, RECORD) == MalformedDatagram(f"{size} bytes")
+    assert read_records(b"\x01" * size, HEADER.size, RECORD) == MalformedDatagram(
+        f"invalid length: {size} bytes"
+    )
 
 
 def test_groups_read_as_they_were_written() -> None:
@@ -64,10 +66,10 @@
 def test_groups_that_are_cut_off_name_the_byte() -> None:
     data = HEADER.pack(1, 2) + GROUP.pack(7, 2) + RECORD.pack(1, 2) + RECORD.pack(3, 4)
     assert read_record_groups(data[:-1], HEADER.size, GROUP, RECORD) == MalformedDatagram(
-        "cut short at byte 7 of 12"
+        "truncated at byte 7 of 12"
     )
     assert read_record_groups(data + b"\0", HEADER.size, GROUP, RECORD) == MalformedDatagram(
-        "cut short at byte 13 of 14"
+        "truncated at byte 13 of 14"
     )
 
 
