--- a/cedarthread/recovery/codec.py
+++ b/cedarthread/recovery/codec.py
@@ -188,25 +188,25 @@
 def decode(data: bytes) -> Message | MalformedDatagram:
     """Return the decoded message of a datagram; malformed input is returned as such and never raises."""
     if not HEADER_BYTES <= len(data) <= MAX_DATAGRAM_BYTES or data[0] != MessageType.RECOVERY:
-        return MalformedDatagram(f"{len(data)} bytes")
+        return MalformedDatagram(f"not a recovery datagram of valid length: {len(data)} bytes")
     kind = data[1]
     if kind == DatagramKind.QUERY and len(data) == _QUERY.size:
         _, _, nonce, segment, segment_count = _QUERY.unpack(data)
         if segment >= segment_count:
-            return MalformedDatagram(f"segment {segment} of {segment_count}")
+            return MalformedDatagram(f"invalid segment number: {segment} of {segment_count}")
         return Query(nonce, segment, segment_count)
     if kind == DatagramKind.BUSY and len(data) == _BUSY.size:
         _, _, nonce, retry_after_ms, suggested_peer = _BUSY.unpack(data)
         return Busy(nonce, float(retry_after_ms), None if suggested_peer == NO_PEER else suggested_peer)
     if kind == DatagramKind.RESPONSE and len(data) >= _RESPONSE.size:
         return _decode_response(data)
-    return MalformedDatagram(f"kind {kind}, {len(data)} bytes")
+    return MalformedDatagram(f"unknown kind or invalid length: kind {kind}, {len(data)} bytes")
 
 
 def _decode_response(data: bytes) -> Response | MalformedDatagram:
     _, _, nonce, part, part_count, fraction, uptime, loads, connections = _RESPONSE.unpack_from(data)
     if not part < part_count <= MAX_PARTS:
-        return MalformedDatagram(f"part {part} of {part_count}")
+        return MalformedDatagram(f"invalid part number: {part} of {part_count}")
     observations = _decode_observations(data)
     if isinstance(observations, MalformedDatagram):
         return observations
