--- a/cedarthread/recovery/admission.py
+++ b/cedarthread/recovery/admission.py
@@ -132,11 +132,11 @@
             self.pending_loads[function_id] = PendingLoad(now_ms, tokens_taken)
         return was_granted
 
-    def settle_load(self, now_ms: float, function_id: int, *, was_warm: bool, succeeded: bool) -> None:
+    def reconcile_load(self, now_ms: float, function_id: int, *, was_warm: bool, succeeded: bool) -> None:
         """Correct the tokens of a function's pending load, if any, when a call of the function ends."""
         pending = self.pending_loads.pop(function_id, None)
         if pending is not None:
-            self.pacer.settle_load(now_ms, pending.tokens_taken, was_warm=was_warm)
+            self.pacer.reconcile_load(now_ms, pending.tokens_taken, was_warm=was_warm)
             self.pacer.record_result(PacedAction.LOAD, succeeded=succeeded)
 
     def try_acquire_connection(self, now_ms: float, worker_id: int) -> bool:
--- a/cedarthread/recovery/component.py
+++ b/cedarthread/recovery/component.py
@@ -39,7 +39,7 @@
 from cedarthread.recovery.status import (
     PAUSE_LOG_LINE,
     PhaseChange,
-    RecoveryFigures,
+    RecoveryMetrics,
     phase_log_line,
     recovery_status,
 )
@@ -112,7 +112,7 @@
         self.warm_state.drop_expired(now_ms)
         if self.is_in_service():
             self.pacer.update_baseline(now_ms)
-            self.warm_fraction.remember_baseline(now_ms)
+            self.warm_fraction.save_baseline(now_ms)
         messages += self.peer_exchange.send_queries(now_ms)
         while self.state_machine.advance(now_ms, self._evidence(now_ms)):
             if self.is_in_service():
@@ -121,23 +121,23 @@
         self.admission.on_tick(now_ms, is_in_service=self.is_in_service())
         return messages
 
-    def on_notification(self, now_ms: float, fact: Notification) -> Sequence[OutboundMessage]:
+    def on_notification(self, now_ms: float, notification: Notification) -> Sequence[OutboundMessage]:
         """Handle a change of peers, endpoints or settings, an ended attempt or a wall clock reading."""
         self._check_pause(now_ms)
-        match fact:
+        match notification:
             case AttemptCompleted():
-                self._on_attempt_completed(now_ms, fact)
+                self._on_attempt_completed(now_ms, notification)
             case EndpointUpdate():
-                self.warm_state.on_endpoint_update(now_ms, fact)
+                self.warm_state.on_endpoint_update(now_ms, notification)
                 self.pacer.worker_count = max(1, len(self.warm_state.workers))
                 self.pacer.limits = PacingLimits.for_fleet(self.pacer.worker_count, DEFAULT_LOAD_TIME_MS)
             case PeersChanged():
-                self.fleet_view.on_peers_changed(now_ms, fact)
-                self.pacer.router_count = 1 + len(fact.alive_peers)
+                self.fleet_view.on_peers_changed(now_ms, notification)
+                self.pacer.router_count = 1 + len(notification.alive_peers)
             case WallClockRead():
-                self.snapshots.on_wall_clock_read(now_ms, fact.unix_ms)
+                self.snapshots.on_wall_clock_read(now_ms, notification.unix_ms)
             case SettingsChanged():
-                self._on_settings_changed(fact.settings)
+                self._on_settings_changed(notification.settings)
         return []
 
     def status(self, now_ms: float) -> Mapping[str, str]:
@@ -145,7 +145,7 @@
         server = self.peer_exchange.server
         deferred_counts = self.pacer.deferred_counts
         return recovery_status(
-            RecoveryFigures(
+            RecoveryMetrics(
                 phase=self.state_machine.phase,
                 cause=self.state_machine.cause,
                 in_phase_ms=now_ms - self.state_machine.entered_at_ms,
@@ -242,7 +242,7 @@
     def baseline_warm_fraction(self) -> float | None:
         """Return the baseline fraction of warm calls: reported by peers, else from before the restart."""
         reported = self.peer_exchange.client.reports.median_warm_fraction()
-        return self.warm_fraction.remembered_baseline if reported is None else reported
+        return self.warm_fraction.saved_baseline if reported is None else reported
 
     def _check_pause(self, now_ms: float) -> None:
         """Restart the recovery if the process was paused; most public methods check this first."""
@@ -269,7 +269,7 @@
                 is_warm=succeeded,
                 latency_ms=attempt.work_ms,
             )
-        self.admission.settle_load(
+        self.admission.reconcile_load(
             now_ms, attempt.function_id, was_warm=attempt.was_warm is True, succeeded=succeeded
         )
         self.pacer.record_call(attempt.worker_id)
--- a/cedarthread/recovery/connection_turns.py
+++ b/cedarthread/recovery/connection_turns.py
@@ -33,7 +33,7 @@
     connections_per_window: float  # that one worker can accept from all routers together
 
 
-class ConnectionTurns:
+class ConnectionScheduler:
     """The schedule by which one router opens connections to each worker; one instance per recovery.
 
     Args:
@@ -64,13 +64,13 @@
     def is_due(self, now_ms: float, worker_id: int, demand: FleetDemand) -> bool:
         """Return whether this router may connect to a worker now."""
         if self.has_connected(worker_id):
-            waits_since_ms = self._last_connection_ms[worker_id]
-            turn_fraction = 1.0
+            waiting_since_ms = self._last_connection_ms[worker_id]
+            slot_fraction = 1.0
         else:
-            waits_since_ms = self._started_at_ms
-            turn_fraction = (self._phase_offset + worker_id * GOLDEN_RATIO_CONJUGATE) % 1.0
+            waiting_since_ms = self._started_at_ms
+            slot_fraction = (self._phase_offset + worker_id * GOLDEN_RATIO_CONJUGATE) % 1.0
         spread_windows = self._spread_windows(now_ms, worker_id, demand)
-        return not now_ms - waits_since_ms < turn_fraction * spread_windows * WINDOW_MS
+        return not now_ms - waiting_since_ms < slot_fraction * spread_windows * WINDOW_MS
 
     def _spread_windows(self, now_ms: float, worker_id: int, demand: FleetDemand) -> float:
         """Return the number of windows over which all routers' connections to a worker are spread."""
@@ -80,8 +80,8 @@
             self._total_calls + demand.worker_count
         )
         fleet_calls_per_window = demand.router_count * max(1.0, self._total_calls) / windows_passed
-        wanted_per_window = fleet_calls_per_window * worker_share
+        demanded_per_window = fleet_calls_per_window * worker_share
         min_windows = 0.0
         if not self.has_connected(worker_id):
             min_windows = min(FIRST_CONNECT_WINDOWS, demand.router_count / limit)
-        return max(min_windows, demand.router_count / limit * max(0.0, 1.0 - limit / wanted_per_window))
+        return max(min_windows, demand.router_count / limit * max(0.0, 1.0 - limit / demanded_per_window))
--- a/cedarthread/recovery/pacing.py
+++ b/cedarthread/recovery/pacing.py
@@ -22,7 +22,7 @@
 from typing import TYPE_CHECKING
 
 from cedarthread.recovery.action_baseline import ActionBaseline
-from cedarthread.recovery.connection_turns import GOLDEN_RATIO_CONJUGATE, ConnectionTurns, FleetDemand
+from cedarthread.recovery.connection_turns import GOLDEN_RATIO_CONJUGATE, ConnectionScheduler, FleetDemand
 from cedarthread.recovery.load_probability import LoadProbability
 from cedarthread.recovery.pacing_limits import WINDOW_MS, PacedAction, PacingLimits, max_events_per_window
 from cedarthread.statistics import TokenBucket
@@ -45,7 +45,7 @@
 """Minimum time between two such increases."""
 MAX_TOKEN_DEFICIT = 3.0
 """Maximum token deficit of the load bucket, when more calls started loads than the estimate implied."""
-MAX_SOLO_FACTOR = 4.0
+MAX_ISOLATED_RESTART_FACTOR = 4.0
 """Maximum factor on all limits outside a mass restart, because the other routers use little of theirs."""
 
 
@@ -79,7 +79,7 @@
         self.is_mass_restart = True  # assumed until the fleet view shows otherwise
         self.baseline.leave_service()
         self.load_probability = LoadProbability()
-        self.connection_turns = ConnectionTurns(self.phase_offset, now_ms)
+        self.connection_scheduler = ConnectionScheduler(self.phase_offset, now_ms)
         self.buckets = {action: self._new_bucket(now_ms, action) for action in PacedAction}
         self.ramp_levels = dict.fromkeys(PacedAction, INITIAL_RAMP_LEVEL)
         self.ramp_levels[PacedAction.LOAD] = 1.0  # because the load probability already limits loads at first
@@ -127,7 +127,7 @@
             fleet_events_per_window = baseline * self.router_count / WINDOWS_PER_SECOND
             fleet_limit = max_events_per_window(fleet_events_per_window) * WINDOWS_PER_SECOND
             limit = max(fleet_limit / self.router_count, MIN_RATE_FRACTION * limit)
-        factor = 1.0 if self.is_mass_restart else min(MAX_SOLO_FACTOR, float(self.router_count))
+        factor = 1.0 if self.is_mass_restart else min(MAX_ISOLATED_RESTART_FACTOR, float(self.router_count))
         return limit * factor * self.ramp_levels[action]
 
     def _refilled_bucket(self, now_ms: float, action: PacedAction) -> TokenBucket:
@@ -166,7 +166,7 @@
         self.deferred_counts[PacedAction.LOAD] += 1
         return 0.0
 
-    def settle_load(self, now_ms: float, tokens_taken: float, *, was_warm: bool) -> None:
+    def reconcile_load(self, now_ms: float, tokens_taken: float, *, was_warm: bool) -> None:
         """Correct the tokens that an ended call consumed: to one token if it started a load, else to none."""
         bucket = self._refilled_bucket(now_ms, PacedAction.LOAD)
         tokens = bucket.tokens + tokens_taken - (0.0 if was_warm else 1.0)
@@ -175,7 +175,7 @@
 
     def record_call(self, worker_id: int) -> None:
         """Count a call to a worker, as a sample of the fleet's demand for connections to the worker."""
-        self.connection_turns.record_call(worker_id)
+        self.connection_scheduler.record_call(worker_id)
 
     def try_acquire_connection(self, now_ms: float, worker_id: int) -> bool:
         """Return whether a connection to a worker may start now; consumes a token if it returns True."""
@@ -184,11 +184,11 @@
             self.worker_count,
             self._connections_per_worker_window(),
         )
-        if not self.connection_turns.is_due(now_ms, worker_id, demand):
+        if not self.connection_scheduler.is_due(now_ms, worker_id, demand):
             return False
         if not self.try_acquire(now_ms, PacedAction.CONNECT):
             return False
-        self.connection_turns.record_connection(now_ms, worker_id)
+        self.connection_scheduler.record_connection(now_ms, worker_id)
         return True
 
     def _connections_per_worker_window(self) -> float:
--- a/cedarthread/recovery/peer_query.py
+++ b/cedarthread/recovery/peer_query.py
@@ -19,7 +19,7 @@
 from cedarthread.recovery.peer_backoff import PeerBackoffs
 from cedarthread.recovery.peer_reports import PeerReports
 from cedarthread.recovery.segment_progress import SegmentProgress
-from cedarthread.recovery.warm_state import MAX_HOPS, Source, WarmState
+from cedarthread.recovery.warm_state import MAX_HOPS, ObservationSource, WarmState
 from cedarthread.statistics import TokenBucket
 
 if TYPE_CHECKING:
@@ -78,8 +78,10 @@
             warm_state: Observations of this router.
             template: Response with only the fields that describe this router.
         """
-        digest = warm_state.digest(now_ms, query.segment, query.segment_count, MAX_RESPONSE_OBSERVATIONS)
-        parts = codec.split_into_datagrams(digest)
+        latest = warm_state.latest_observations(
+            now_ms, query.segment, query.segment_count, MAX_RESPONSE_OBSERVATIONS
+        )
+        parts = codec.split_into_datagrams(latest)
         if not self.response_tokens.take(now_ms, len(parts)):
             return self._reply_busy(now_ms, sender, query)
         self.backlog_ms = max(0.0, self.backlog_ms - RESPONSE_TIMEOUT_MS / 2)
@@ -200,7 +202,7 @@
         pending_counts = Counter(query.segment for query in self.pending.values())
         incomplete = [number for number, segment in enumerate(self.segments) if not segment.is_complete]
         return sorted(
-            incomplete, key=lambda number: (pending_counts[number], self.segments[number].responses)
+            incomplete, key=lambda number: (pending_counts[number], self.segments[number].response_count)
         )
 
     def _free_peers(
@@ -267,7 +269,9 @@
         query.received_count += len(response.observations)
         for aged in response.observations:
             if aged.function_hash % SEGMENT_COUNT == query.segment and aged.hops < MAX_HOPS:
-                query.new_count += warm_state.merge_remote(now_ms, query.sent_at_ms, aged, Source.PEER)
+                query.new_count += warm_state.merge_remote(
+                    now_ms, query.sent_at_ms, aged, ObservationSource.PEER
+                )
         if len(query.received_parts) < response.part_count:
             return
         del self.pending[response.nonce]
--- a/cedarthread/recovery/segment_progress.py
+++ b/cedarthread/recovery/segment_progress.py
@@ -21,8 +21,8 @@
 class SegmentProgress:
     """The responses for one segment, and whether the segment is complete."""
 
-    responses: int = 0
-    nonempty_responses: int = 0
+    response_count: int = 0
+    nonempty_response_count: int = 0
     responders: set[int] = field(default_factory=set)
     is_complete: bool = False
 
@@ -36,14 +36,14 @@
             has_older_peers: Whether any peer did not restart with this router. If so, an empty response does
                 not mean that no peer has observations.
         """
-        self.responses += 1
+        self.response_count += 1
         self.responders.add(peer)
-        self.nonempty_responses += received_count > 0
+        self.nonempty_response_count += received_count > 0
         if received_count:
-            has_little_new = new_count <= NEW_FRACTION_THRESHOLD * received_count
+            has_few_new = new_count <= NEW_FRACTION_THRESHOLD * received_count
         else:
-            has_little_new = not has_older_peers
-        if self.responses >= MIN_RESPONSES and has_little_new:
+            has_few_new = not has_older_peers
+        if self.response_count >= MIN_RESPONSES and has_few_new:
             self.is_complete = True
-        if self.nonempty_responses >= MAX_NONEMPTY_RESPONSES:
+        if self.nonempty_response_count >= MAX_NONEMPTY_RESPONSES:
             self.is_complete = True
--- a/cedarthread/recovery/snapshot.py
+++ b/cedarthread/recovery/snapshot.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cedarthread.recovery.pacing_limits import PacedAction
-from cedarthread.recovery.warm_state import AgedObservation, Source, WarmState
+from cedarthread.recovery.warm_state import AgedObservation, ObservationSource, WarmState
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -111,4 +111,4 @@
     if not (min(age_ms, hops) >= 0):  # also true for NaN
         return False
     aged = AgedObservation(worker_id, start_tag, function_hash, age_ms + age_growth_ms, is_warm, hops)
-    return warm_state.merge_remote(now_ms, now_ms, aged, Source.STORE)
+    return warm_state.merge_remote(now_ms, now_ms, aged, ObservationSource.STORE)
--- a/cedarthread/recovery/snapshot_exchange.py
+++ b/cedarthread/recovery/snapshot_exchange.py
@@ -53,7 +53,7 @@
         """Return a snapshot with current ages, or None without a wall clock reading."""
         if self._wall_clock is None:
             return None
-        observations = self._warm_state.digest(now_ms, limit=snapshot.MAX_STORED_OBSERVATIONS)
+        observations = self._warm_state.latest_observations(now_ms, limit=snapshot.MAX_STORED_OBSERVATIONS)
         own_rates = self._pacer.update_baseline(now_ms)
         unix_ms = self._wall_clock.at(now_ms)
         return snapshot.encode(unix_ms, baseline_warm_fraction, own_rates, observations)
@@ -67,7 +67,7 @@
         baseline = self._pacer.baseline
         baseline.own_per_second = stored.known_baselines() | baseline.own_per_second
         if stored.baseline_warm_fraction is not None and 0.0 <= stored.baseline_warm_fraction <= 1.0:
-            self._warm_fraction.remembered_baseline = stored.baseline_warm_fraction
+            self._warm_fraction.saved_baseline = stored.baseline_warm_fraction
         if self._wall_clock is None:
             return 0
         unix_ms = self._wall_clock.at(now_ms)
--- a/cedarthread/recovery/state_machine.py
+++ b/cedarthread/recovery/state_machine.py
@@ -18,12 +18,12 @@
 
 MEMBERSHIP_PERIOD_MS = 500.0
 """Protocol period of the SWIM membership."""
-STARTING_PERIODS = 4.0
+STARTING_TIMEOUT_PERIODS = 4.0
 """Timeout of STARTING, in membership periods; by then it is known whether a majority is alive."""
 MIN_PHASE_TIMEOUT_MS = 500.0
 MAX_PEER_QUERY_MS = 4000.0
 MAX_WARMING_MS = 30_000.0
-WARMING_KEEP_ALIVES = 2.0
+WARMING_TIMEOUT_KEEP_ALIVES = 2.0
 """Number of keep-alives after which each instance from before the restart has been reused or unloaded."""
 PAUSE_THRESHOLD_MS = 2000.0
 """Time without events after which the process counts as paused; the membership uses the same time."""
@@ -72,13 +72,14 @@
             (request_class.deadline_ms for request_class in settings.classes), default=MAX_PEER_QUERY_MS
         )
         return PhaseTimeouts(
-            starting_ms=STARTING_PERIODS * MEMBERSHIP_PERIOD_MS,
+            starting_ms=STARTING_TIMEOUT_PERIODS * MEMBERSHIP_PERIOD_MS,
             peer_query_ms=max(
                 MIN_PHASE_TIMEOUT_MS,
                 min(settings.keep_alive_ms / 2, shortest_deadline_ms / 2, MAX_PEER_QUERY_MS),
             ),
             warming_ms=max(
-                2 * MIN_PHASE_TIMEOUT_MS, min(WARMING_KEEP_ALIVES * settings.keep_alive_ms, MAX_WARMING_MS)
+                2 * MIN_PHASE_TIMEOUT_MS,
+                min(WARMING_TIMEOUT_KEEP_ALIVES * settings.keep_alive_ms, MAX_WARMING_MS),
             ),
         )
 
--- a/cedarthread/recovery/warm_fraction.py
+++ b/cedarthread/recovery/warm_fraction.py
@@ -31,11 +31,11 @@
 class WarmFractionTracker:
     """The recent fraction of warm calls, the baseline fraction, and the last baseline measured in service.
 
-    ``remembered_baseline`` survives a restart, because the component restores it from the stored snapshot.
+    ``saved_baseline`` survives a restart, because the component restores it from the stored snapshot.
     """
 
     def __init__(self) -> None:
-        self.remembered_baseline: float | None = None
+        self.saved_baseline: float | None = None
         self._recent = _DecayingFraction(RECENT_TIME_CONSTANT_MS)
         self._baseline = _DecayingFraction(BASELINE_TIME_CONSTANT_MS)
 
@@ -60,7 +60,7 @@
         """Return the fraction of warm calls over the longer time; meaningful only while in service."""
         return self._baseline.read(now_ms)
 
-    def remember_baseline(self, now_ms: float) -> None:
+    def save_baseline(self, now_ms: float) -> None:
         """Save the measured baseline if it is based on enough calls; call only while in service."""
         if self._baseline.calls.read(now_ms) >= MIN_RECENT_CALLS:
-            self.remembered_baseline = self.baseline(now_ms)
+            self.saved_baseline = self.baseline(now_ms)
--- a/cedarthread/recovery/warm_state.py
+++ b/cedarthread/recovery/warm_state.py
@@ -28,7 +28,7 @@
 """Start tag of a worker with an unknown start time."""
 
 
-class Source(IntEnum):
+class ObservationSource(IntEnum):
     """The origin of an observation: this router, its store, or a peer."""
 
     LOCAL = 0
@@ -42,7 +42,7 @@
 
     observed_at_ms: float  # on this process's steady clock
     is_warm: bool  # whether a warm instance was found
-    source: Source
+    source: ObservationSource
     hops: int  # routers that forwarded the observation
 
     def supersedes(self, other: Observation) -> bool:
@@ -166,11 +166,11 @@
         """
         listed = self.workers.get(worker_id)
         if listed is not None and now_ms - latency_ms >= listed.first_listed_at_ms:
-            observation = Observation(now_ms, is_warm, Source.LOCAL, 0)
+            observation = Observation(now_ms, is_warm, ObservationSource.LOCAL, 0)
             self._merge(worker_id, listed.start_tag, fold_function_id(function_id), observation)
 
     def merge_remote(
-        self, now_ms: float, requested_at_ms: float, aged: AgedObservation, source: Source
+        self, now_ms: float, requested_at_ms: float, aged: AgedObservation, source: ObservationSource
     ) -> bool:
         """Merge an observation from a peer or the store.
 
@@ -247,7 +247,7 @@
             if self.is_usable(now_ms, worker_id, observed_tag, observation)
         }
 
-    def digest(
+    def latest_observations(
         self, now_ms: float, segment: int = 0, segment_count: int = 1, limit: int = MAX_OBSERVATIONS
     ) -> list[AgedObservation]:
         """Return the latest observations, warm and cold, to send to a peer or to store; latest first.
--- a/tests/contracts/test_golden.py
+++ b/tests/contracts/test_golden.py
@@ -256,7 +256,7 @@
             assert recovered_image.encode_entry(entry)[1] == golden[f"entry/{kind.value}/{entry.name}"]
             assert entry_codec.decode(entry_codec.encode(entry)) == entry
     assert components.escrow.snapshot() == golden_values("each")["grants"]
-    assert len(components.recovery.warm_state.digest(10.0)) == 5
+    assert len(components.recovery.warm_state.latest_observations(10.0)) == 5
 
 
 def test_what_is_kept_is_not_written_over(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/golden_builders/stored_values.py
+++ b/tests/golden_builders/stored_values.py
@@ -155,7 +155,7 @@
     count = recovery.restore(2000.0, image)
     return [
         count,
-        to_plain(recovery.warm_state.digest(2000.0)),
-        to_plain(recovery.warm_fraction.remembered_baseline),
+        to_plain(recovery.warm_state.latest_observations(2000.0)),
+        to_plain(recovery.warm_fraction.saved_baseline),
         to_plain(msgspec.msgpack.decode(image)),
     ]
--- a/tests/simulation/recovery_fleet.py
+++ b/tests/simulation/recovery_fleet.py
@@ -22,7 +22,7 @@
 from cedarthread.model.outcomes import Outcome
 from cedarthread.recovery.component import RecoveryComponent
 from cedarthread.recovery.state_machine import RecoveryPhase
-from cedarthread.recovery.warm_state import AgedObservation, Source, start_tag
+from cedarthread.recovery.warm_state import AgedObservation, ObservationSource, start_tag
 from tests.helpers import LIMITS, settings, worker
 from tests.simulation.recovery_records import FleetRecords, peak
 
@@ -208,7 +208,7 @@
             tag = start_tag(self.worker_started_at_ms[worker_id])
             for function_id, used_at_ms in functions.items():
                 aged = AgedObservation(worker_id, tag, function_id, self.now_ms - used_at_ms, True)
-                recovery.warm_state.merge_remote(self.now_ms, self.now_ms, aged, Source.STORE)
+                recovery.warm_state.merge_remote(self.now_ms, self.now_ms, aged, ObservationSource.STORE)
 
     # Calls.
 
--- a/tests/simulation/test_recovery_exploration.py
+++ b/tests/simulation/test_recovery_exploration.py
@@ -171,7 +171,7 @@
             round(self.now_ms - machine.entered_at_ms),
             round(self.now_ms - machine.restarted_at_ms),
             tuple(
-                (segment.responses, segment.is_complete, tuple(sorted(segment.responders)))
+                (segment.response_count, segment.is_complete, tuple(sorted(segment.responders)))
                 for segment in client.segments
             ),
             tuple(sorted((query.peer, query.segment, query.sent_at_ms) for query in client.pending.values())),
--- a/tests/simulation/test_recovery_invariants.py
+++ b/tests/simulation/test_recovery_invariants.py
@@ -18,7 +18,7 @@
 from cedarthread.recovery.component import RecoveryComponent
 from cedarthread.recovery.pacing import Pacer
 from cedarthread.recovery.state_machine import RecoveryStateMachine
-from cedarthread.recovery.warm_state import AgedObservation, Observation, Source, WarmState
+from cedarthread.recovery.warm_state import AgedObservation, Observation, ObservationSource, WarmState
 from tests.helpers import settings, worker
 from tests.simulation.recovery_fleet import (
     SETTLED_MS,
@@ -116,7 +116,11 @@
 
 
 def merge_without_age(
-    warm_state: WarmState, now_ms: float, requested_at_ms: float, aged: AgedObservation, source: Source
+    warm_state: WarmState,
+    now_ms: float,
+    requested_at_ms: float,
+    aged: AgedObservation,
+    source: ObservationSource,
 ) -> bool:
     return MERGE_REMOTE(warm_state, now_ms, now_ms, dataclasses.replace(aged, age_ms=0.0), source)
 
--- a/tests/unit/recovery/test_pacing.py
+++ b/tests/unit/recovery/test_pacing.py
@@ -45,7 +45,7 @@
             granted_by_step.append(sum(tokens > 0 for tokens in consumed))
             for tokens in consumed:
                 if tokens:
-                    pacer.settle_load(step * 50.0 + 40.0, tokens, was_warm=was_warm)
+                    pacer.reconcile_load(step * 50.0 + 40.0, tokens, was_warm=was_warm)
         assert all(after <= 2 * before + 1 for before, after in itertools.pairwise(granted_by_step))
         if was_warm:
             assert sum(granted_by_step[-20:]) >= 190
@@ -66,7 +66,7 @@
                 pacer.record_call(3)
                 for other in range(other_workers):
                     pacer.record_call(100 + other)
-                has_connected = pacer.connection_turns.has_connected(3)
+                has_connected = pacer.connection_scheduler.has_connected(3)
                 if not has_connected and pacer.try_acquire_connection(float(now_ms), 3):
                     connected_at_ms.append(now_ms)
         peak = max(
--- a/tests/unit/recovery/test_snapshot.py
+++ b/tests/unit/recovery/test_snapshot.py
@@ -27,7 +27,7 @@
         ages = [instance.warm_age_ms for instance in after.warm_instances(7.0, FUNCTION).values()]
         assert len(ages) == expected_count
         assert all(age is not None and age >= 42_000.0 - 40_900.0 + 2500.0 for age in ages)
-        assert after.warm_fraction.remembered_baseline == pytest.approx(1.0)
+        assert after.warm_fraction.saved_baseline == pytest.approx(1.0)
     rng = random.Random(1)
     for _ in range(200):
         corrupted = bytearray(raw)
--- a/tests/unit/recovery/test_warm_state.py
+++ b/tests/unit/recovery/test_warm_state.py
@@ -7,7 +7,13 @@
 
 from cedarthread.model.endpoints import EndpointState, EndpointUpdateKind
 from cedarthread.recovery import codec
-from cedarthread.recovery.warm_state import AgedObservation, Observation, Source, WarmState, start_tag
+from cedarthread.recovery.warm_state import (
+    AgedObservation,
+    Observation,
+    ObservationSource,
+    WarmState,
+    start_tag,
+)
 from tests.helpers import worker
 from tests.unit.recovery.builders import (
     FUNCTION,
@@ -69,7 +75,7 @@
     for _ in range(30):
         warm_state = empty_warm_state()
         for aged in rng.choices(observations, k=4) + rng.sample(observations, len(observations)):
-            warm_state.merge_remote(9000.0, 9000.0, aged, Source.PEER)
+            warm_state.merge_remote(9000.0, 9000.0, aged, ObservationSource.PEER)
         expected = expected if expected is not None else warm_state.observations
         assert warm_state.observations == expected
         assert warm_state.observation_count == 1
@@ -88,17 +94,17 @@
     for _ in range(5):
         now_ms += rng.uniform(0.0, 300.0)
         requested_at_ms = now_ms
-        (aged,) = warm_state.digest(now_ms)
+        (aged,) = warm_state.latest_observations(now_ms)
         received = codec.decode(codec.encode(codec.Response(1, 0, 1, None, 0.0, (aged,))))
         assert isinstance(received, codec.Response)
         warm_state = empty_warm_state()
         now_ms += rng.uniform(0.0, 300.0)
-        warm_state.merge_remote(now_ms, requested_at_ms, received.observations[0], Source.PEER)
+        warm_state.merge_remote(now_ms, requested_at_ms, received.observations[0], ObservationSource.PEER)
         (instance,) = warm_state.warm_instances(now_ms, FUNCTION).values()
         true_age_ms = now_ms - observed_at_ms
         assert instance.warm_age_ms is not None
         assert true_age_ms <= instance.warm_age_ms <= true_age_ms + 5 * 350.0
-    assert warm_state.digest(now_ms)[0].hops == 5
+    assert warm_state.latest_observations(now_ms)[0].hops == 5
 
 
 def test_the_number_of_observations_is_bounded_and_the_oldest_are_evicted() -> None:
