--- a/cedarthread/node/component_set.py
+++ b/cedarthread/node/component_set.py
@@ -81,7 +81,7 @@
 
     def status(self, now_ms: float) -> dict[str, str]:
         """Return the metrics of all components by name."""
-        figures = dict(self.fleet.status()) if self.fleet is not None else {}
+        metrics = dict(self.fleet.status()) if self.fleet is not None else {}
         for component in self.active:
-            figures.update(component.status(now_ms))
-        return figures
+            metrics.update(component.status(now_ms))
+        return metrics
--- a/cedarthread/node/fleet_components.py
+++ b/cedarthread/node/fleet_components.py
@@ -36,7 +36,7 @@
     from cedarthread.model.settings import RouterSettings
 
 
-class _Identity(NamedTuple):
+class _RouterIdentity(NamedTuple):
     """The identity of this router among its peers, and the accuracy of its clock."""
 
     router_index: int
@@ -46,10 +46,12 @@
     clock_rate: float  # maximum relative rate error of a steady clock
 
 
-def _identity_of(settings: RouterSettings, seed: int, incarnation: int, clock_rate: float) -> _Identity:
+def _router_identity(
+    settings: RouterSettings, seed: int, incarnation: int, clock_rate: float
+) -> _RouterIdentity:
     """Return the identity of this router: without peers, the only router of a fleet of one."""
     has_peers = settings.limits.allows_gossip and settings.router_count > 1
-    return _Identity(
+    return _RouterIdentity(
         settings.router_index if has_peers else 0,
         settings.router_count if has_peers else 1,
         incarnation,
@@ -81,7 +83,7 @@
         wall_clock_ms: Callable[[], float],
     ) -> None:
         sharing = fleet_config.sharing
-        self._identity = _identity_of(settings, seed, incarnation, sharing.clock_rate)
+        self._identity = _router_identity(settings, seed, incarnation, sharing.clock_rate)
         self.router_count = self._identity.router_count
         self.wall_clock_ms = wall_clock_ms
         self.store = self._new_store(now_ms, sharing)
--- a/cedarthread/node/routing_node.py
+++ b/cedarthread/node/routing_node.py
@@ -147,7 +147,7 @@
         self.components.update(settings)
         if self.components.load_gossip is None:
             self._is_timer_set = self._is_timer_set and bool(self.components.active)
-            self._forget_peer_load()
+            self._reset_peer_load()
         self.router.state.gossip = self.components.load_gossip
         self.components.notify(now_ms, SettingsChanged(settings))
         self._notify_peers_changed(now_ms)
@@ -218,7 +218,7 @@
                 worker.peers_in_flight = in_flight
         in_flight_by_worker.clear()
 
-    def _forget_peer_load(self) -> None:
+    def _reset_peer_load(self) -> None:
         """Reset the load and the instances that peers reported by gossip."""
         for worker in self.router.workers.values():
             worker.peers_in_flight = 0.0
