--- a/tests/simulation/component_fleet.py
+++ b/tests/simulation/component_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet of routing nodes with fleet files, on one virtual clock."""
+"""A simulated fleet of routing nodes with fleet files, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
     from cedarthread.node.fleet_components import FleetComponents
 
 START_UNIX_MS = 1_800_000_000_000.0  # Unix time when the virtual clock is 0
-EMPTY_FLEET_FILE = b"[sharing]\nperiod = 200\n"  # no windows and contracts
-WARM_LATENCY_MS = 40.0  # with a loaded instance
-COLD_LATENCY_MS = 400.0  # without a loaded instance
+EMPTY_FLEET_FILE = b"[sharing]\nperiod = 200\n"  # no windows or contracts
+WARM_LATENCY_MS = 40.0  # if an instance is loaded
+COLD_LATENCY_MS = 400.0  # if no instance is loaded
 ENDPOINTS = tuple(worker(worker_id) for worker_id in range(1, 7))
 ENDPOINT_LIST = EndpointUpdate(EndpointUpdateKind.CACHED, 1, ENDPOINTS)
 
 
 def _timestamp(at_s: float) -> str:
-    """Return a time in s after the start in the format of a fleet file."""
+    """Return a time, given in s after the start, in the format of a fleet file."""
     return f"2027-01-15T{8 + int(at_s // 3600):02}:{int(at_s // 60) % 60:02}:{int(at_s) % 60:02}Z"
 
 
@@ -52,7 +52,7 @@
 
 
 class ColdStart(NamedTuple):
-    """A load of an instance, as its worker observed it."""
+    """A cold start, as observed at the worker."""
 
     at_ms: float
     worker_id: int
@@ -65,10 +65,10 @@
     The function id of a request is ``request_id % 1000``.
 
     Args:
-        router_count: number of routers.
-        seed: seed of the simulation.
-        loss_rate: fraction of the datagrams between routers that are lost.
-        allows_gossip: whether the routers may send datagrams.
+        router_count: Number of routers.
+        seed: Seed of the simulation.
+        loss_rate: Fraction of the datagrams between routers that are lost.
+        allows_gossip: Whether the routers may send datagrams.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         self.rng = random.Random(seed)
         self.loss_rate = loss_rate
         self.now_ms = 0.0
-        self.serial = 0  # orders timers of the same time, and numbers requests
+        self.serial = 0  # orders timers at the same time, and makes request ids unique
         self.timers: list[tuple[float, int, Callable[[], None]]] = []
         self.cold_starts: list[ColdStart] = []
         self.loaded: set[tuple[int, int]] = set()  # worker id and function id
--- a/tests/simulation/recovery_fleet.py
+++ b/tests/simulation/recovery_fleet.py
@@ -1,8 +1,8 @@
-"""A small simulation on virtual time of a fleet with the recovery component in each router.
+"""A small simulation, on virtual time, of a fleet of routers with the recovery component.
 
 Routing is simpler than in the program: a call is sent to a worker with a known warm instance, else to a home
-worker. The simulation has one package store that slows down under many loads, a network that loses and delays
-datagrams, and records of everything that the tests evaluate.
+worker. The simulation has one package store that slows down under many concurrent loads, a network that loses
+and delays datagrams, and records of everything that the tests evaluate.
 """
 
 from __future__ import annotations
@@ -36,15 +36,15 @@
 SERVICE_MS = 40.0
 LATENCY_OBJECTIVE_MS = 700.0
 DEADLINE_MS = 3000.0
-FULL_SPEED_LOADS = 8  # that the package store serves at full speed
+FULL_SPEED_LOADS = 8  # concurrent loads that the package store serves at full speed
 DATAGRAM_LOSS = 0.1
 WALL_CLOCK_AT_0_MS = 1e12
 WORKER_START_MS = 1000.0
-SETTLED_MS = 45_000.0  # time after which all routers of an undisturbed fleet are in service
+SETTLED_MS = 45_000.0  # time after which all routers of a fleet without faults are in service
 
 
 class ScheduledEvent(NamedTuple):
-    """An event of the simulation; the serial number orders events of the same time."""
+    """An event of the simulation; the serial number orders events at the same time."""
 
     time_ms: float
     serial: int
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Attempt:
-    """A call that was sent to a worker, with the incarnations of both at that time."""
+    """A call that was sent to a worker, with the incarnations of router and worker at that time."""
 
     router_index: int
     router_started_at_ms: float
@@ -66,12 +66,12 @@
 
 
 class SimulatedFleet:
-    """Routers, workers with instances, the package store, the network, and the records of all.
+    """Routers, workers with instances, the package store, the network, and the records.
 
     Args:
         routers: Number of routers.
         workers: Number of workers.
-        functions: Number of functions; their popularity falls with their number.
+        functions: Number of functions; the popularity of a function falls with its number.
         calls_per_second: Rate of calls at each router.
         seed: Seed of the random numbers.
         allows_gossip: Whether the settings allow gossip.
@@ -109,7 +109,7 @@
         self.paces_loads = True
         self.paces_connections = True
         self.restores_all_instances = False
-        """Whether routers that restart know all instances, as the best possible recovery."""
+        """Whether restarted routers know all instances, which gives the best possible recovery."""
         self.connected: list[set[int]] = [set() for _ in range(routers)]
         """The workers to which each router has a connection."""
         self._schedule: list[ScheduledEvent] = []
@@ -218,11 +218,11 @@
         functions = range(len(self.cumulative_popularity))
         function_id = self.rng.choices(functions, cum_weights=self.cumulative_popularity)[0]
         self._call(index, self.now_ms, function_id)
-        if self.rng.random() < 0.02 and self.connected[index]:  # some connections always break
+        if self.rng.random() < 0.02 and self.connected[index]:  # connections sometimes break
             self.connected[index].discard(self.rng.choice(sorted(self.connected[index])))
 
     def _call(self, index: int, arrived_at_ms: float, function_id: int) -> None:
-        """Send a call, or try again in 50 ms until its deadline."""
+        """Send a call, or retry every 50 ms until its deadline."""
         if index in self.down or self.now_ms - arrived_at_ms > DEADLINE_MS:
             self.records.call_values[int(arrived_at_ms / 100.0)].append(0.0)
             return
@@ -252,7 +252,7 @@
         )
 
     def _home_worker(self, function_id: int) -> int:
-        """Return a home of a function: all routers agree on one, or on three for a third of the functions."""
+        """Return a home worker of a function; a third of the functions have three homes, the others one."""
         home_count = 1 if function_id % 3 else 3
         worker_id = (function_id * 7 + self.rng.randrange(home_count)) % len(self.worker_ids)
         while worker_id in self.draining:
@@ -291,7 +291,7 @@
         self._schedule_at(starts_at_ms + SERVICE_MS, functools.partial(self._complete, attempt))
 
     def _load(self, worker_id: int, function_id: int) -> float:
-        """Start a load; return its end, which is later the more loads are in flight."""
+        """Start a load; return when it ends, which is later if more loads are in flight."""
         self.records.load_times.append(self.now_ms)
         in_flight = sum(1 for ends_at_ms in self.load_ends_ms.values() if ends_at_ms > self.now_ms)
         ends_at_ms = self.now_ms + LOAD_MS * max(1.0, (in_flight + 1) / FULL_SPEED_LOADS)
@@ -324,7 +324,7 @@
     # Faults.
 
     def restart_routers(self, fraction: float, *, has_store: bool = False, may_query: bool = True) -> float:
-        """Kill a fraction of the routers within 300 ms and start them again; return when all are dead."""
+        """Kill a fraction of the routers within 300 ms and restart them; return when all are down."""
         killed = self.rng.sample(range(self.router_count), round(fraction * self.router_count))
         starts_at_ms = self.now_ms + 900.0
         for index in killed:
@@ -347,7 +347,7 @@
     # Invariants.
 
     def too_young_observations(self) -> list[str]:
-        """Return the instances of which a router has a later observation than any router ever made."""
+        """Return the instances whose age at a router is less than the time since they were last seen warm."""
         return [
             f"router {index} has {function_id} on {worker_id} as {instance.warm_age_ms:.0f} ms old"
             for index, recovery in enumerate(self.routers)
@@ -361,7 +361,7 @@
 
 @functools.cache
 def settled_fleet() -> SimulatedFleet:
-    """Return a fleet that has been undisturbed until all its routers are in service; copy it before use."""
+    """Return a fleet that ran without faults until all its routers are in service; copy it before use."""
     fleet = SimulatedFleet(16, workers=10, functions=60, calls_per_second=12.0, seed=11).run(SETTLED_MS)
     for recovery in fleet.routers:
         assert recovery.is_in_service()
@@ -371,6 +371,6 @@
 
 @functools.cache
 def undisturbed_load_peak() -> int:
-    """Return the most loads in any 250 ms of the settled fleet without faults."""
+    """Return the maximum number of loads in any 250 ms of the settled fleet without faults."""
     fleet = copy.deepcopy(settled_fleet()).run(SETTLED_MS + 20_000.0)
     return peak(fleet.records.load_times, SETTLED_MS - 20_000.0)
--- a/tests/simulation/recovery_records.py
+++ b/tests/simulation/recovery_records.py
@@ -1,4 +1,4 @@
-"""The records of the simulated fleet in ``recovery_fleet.py``, and the figures derived from them."""
+"""The records of the simulated fleet in ``recovery_fleet.py``, and the metrics derived from them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class FleetRecords:
-    """All that the tests evaluate. Times are milliseconds of the simulation."""
+    """Everything that the tests evaluate. Times are in ms of the virtual clock."""
 
     load_times: list[float] = field(default_factory=list)
     connection_times: dict[int, list[float]] = field(default_factory=lambda: defaultdict(list))
@@ -22,9 +22,9 @@
     sent_datagrams: dict[int, list[float]] = field(default_factory=lambda: defaultdict(list))
     """Times, by sender."""
     call_values: dict[int, list[float]] = field(default_factory=lambda: defaultdict(list))
-    """By the tenth of a second in which the call arrived: 1 in time, 0.2 late, 0 lost."""
+    """By the tenth of a second in which the call arrived: 1 if answered in time, 0.2 if late, 0 if lost."""
     stale_decisions: int = 0
-    """Calls sent as warm to a worker that has restarted since, or is draining."""
+    """Calls that were expected warm at a worker that has since restarted or is draining."""
     last_seen_warm: dict[tuple[int, int], float] = field(default_factory=dict)
     """The last time at which any router saw an instance, by worker and function."""
 
@@ -35,7 +35,7 @@
         return sum(values) / max(1, len(values))
 
     def recovery_ms(self, died_at_ms: float, value_before: float) -> float:
-        """Return how long after the last death the value reaches 0.95 of the value before for 5 s.
+        """Return the time after the last kill until the value is at least 0.95 of the earlier value for 5 s.
 
         The value is the mean over windows of 1 s, of which 41 that start every 100 ms cover 5 s.
         """
@@ -50,7 +50,7 @@
 
 
 def peak(times_ms: Iterable[float], since_ms: float = 0.0) -> int:
-    """Return the most events in any 250 ms."""
+    """Return the maximum number of events in any 250 ms."""
     sorted_times_ms = sorted(time_ms for time_ms in times_ms if time_ms >= since_ms)
     first = 0
     most = 0
--- a/tests/simulation/test_fleet_components.py
+++ b/tests/simulation/test_fleet_components.py
@@ -1,4 +1,4 @@
-"""Declarations of operators reach all routers of a fleet and take effect, on a virtual clock."""
+"""Propagation and effect of operators' declarations in a fleet of routers, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_window_declared_at_one_router_freezes_placement_at_all(seed: int) -> None:
     fleet = Fleet(7, seed)
-    fleet.run(30_000.0)  # the restart recovery, which limits loads, is over
+    fleet.run(30_000.0)  # by then the restart recovery, which limits loads, is over
     for function_id in range(3):
         fleet.call(function_id, function_id)
     fleet.run(3_000.0)
@@ -75,7 +75,7 @@
     assert not fleet.components(1).store.entries(EntryKind.FREEZE)
 
 
-# Modules that a router without a fleet file must not import, because each costs time and memory at the start.
+# Modules that a router without a fleet file must not import, because each costs time and memory at startup.
 FLEET_MODULES = (
     "cedarthread.change_freeze",
     "cedarthread.node.constraints",
@@ -107,7 +107,7 @@
 
 
 def test_a_window_that_started_during_a_stall_applies_before_pending_events() -> None:
-    """A router that stalled when a window started may not place a request that waited in its buffers."""
+    """A router that stalls past the start of a window must not place requests buffered during the stall."""
     fleet = Fleet(3, 6)
     fleet.run(30_000.0)
     fleet.declare(0, freeze_window(60.0, 120.0))
@@ -168,7 +168,7 @@
     fleet.run(27_000.0)
     fleet.declare(0, freeze_window(50.0, 600.0))
     fleet.run(40_000.0)
-    for index in range(1, 9):  # all routers but one restart without memory
+    for index in range(1, 9):  # all routers but one restart with no stored state
         fleet.routers[index] = RoutingNode(fleet.router_settings[index], index, 1000 + index)
         fleet.handle(index, ENDPOINT_LIST)
         fleet.declare(index, EMPTY_FLEET_FILE)
--- a/tests/simulation/test_recovery_exploration.py
+++ b/tests/simulation/test_recovery_exploration.py
@@ -1,4 +1,4 @@
-"""Model checking of a small fleet: every order of ticks, pauses, datagram faults and restarts."""
+"""Model checking of a small fleet over all orders of ticks, pauses, datagram faults and restarts."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class SmallFleet:
-    """Two or three routers, of which the first is old and knows one warm instance, and their datagrams."""
+    """Two or three routers and their datagrams; only the first has run for long and knows a warm instance."""
 
     def __init__(self, router_count: int) -> None:
         self.now_ms = 30_000.0
@@ -75,7 +75,7 @@
         return recovery
 
     def possible_events(self) -> list[Event]:
-        """Return the events that may happen next."""
+        """Return the events that can occur next."""
         events: list[Event] = []
         if self.ticks_left:
             events.append(Event(EventKind.TICK))
@@ -134,7 +134,7 @@
         del self.in_flight[MAX_IN_FLIGHT:]  # the others are lost
 
     def check(self) -> None:
-        """Assert the invariants, which apply to each state."""
+        """Assert the invariants that must hold in each state."""
         for recovery in self.routers:
             for instance in recovery.warm_instances(self.now_ms, FUNCTION).values():
                 assert not self.has_worker_restarted
@@ -150,7 +150,7 @@
                 assert self.now_ms - machine.restarted_at_ms >= machine.timeouts.warming_ms
 
     def key(self) -> object:
-        """Return what distinguishes two states: times in whole milliseconds, datagrams without nonces."""
+        """Return the identity of a state, with times in whole milliseconds and datagrams without nonces."""
         in_flight = tuple(
             sorted((receiver, sender, data[1], len(data)) for receiver, sender, data in self.in_flight)
         )
@@ -184,7 +184,7 @@
 
 
 def explore(router_count: int, max_states: int) -> int:
-    """Check every state that is reached, and return the number of them."""
+    """Check each reachable state up to ``max_states``, and return the number of states."""
     initial = SmallFleet(router_count)
     to_visit = deque([initial])
     known = {initial.key()}
--- a/tests/simulation/test_recovery_fleet.py
+++ b/tests/simulation/test_recovery_fleet.py
@@ -1,4 +1,4 @@
-"""Many routers that restart at once: how soon the fleet serves as before, and that no stampede occurs."""
+"""Restarts of many routers at once: the fleet recovers soon, without a stampede."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def restart(settled: SimulatedFleet, fraction: float, sources: Sources | None) -> RestartResult:
-    """Return the fleet 20 s after some routers restarted; without sources, they know all and are unpaced."""
+    """Return the fleet 20 s after a restart; without sources, routers know all instances and are unpaced."""
     fleet = copy.deepcopy(settled)
     if sources is None:
         fleet.restores_all_instances = True
--- a/tests/simulation/test_recovery_invariants.py
+++ b/tests/simulation/test_recovery_invariants.py
@@ -1,4 +1,4 @@
-"""Invariant checks, which read the simulation's records, and the injected defects that they must find."""
+"""Invariant checks on the simulation's records, and the injected defects that the checks must find."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def responses_in_a_query_storm() -> int:
-    """Return how many response datagrams one survivor sends while 100 routers query it for a second."""
+    """Return how many response datagrams a surviving router sends while 100 others query it for 1 s."""
     survivor = RecoveryComponent(settings(router_count=102, router_index=0), 1, 0.0)
     endpoints = tuple(worker(worker_id) for worker_id in range(30))
     survivor.on_notification(0.0, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, endpoints))
@@ -90,7 +90,7 @@
 
 
 def check_survivors(settled: SimulatedFleet, undisturbed_peak: int) -> Violations:
-    """Check the number of response datagrams of one survivor."""
+    """Check the number of response datagrams that one surviving router sends."""
     max_responses = peer_query.RESPONSES_PER_SECOND + peer_query.RESPONSE_BURST
     return {"survivor overloaded"} if responses_in_a_query_storm() > max_responses else set()
 
@@ -98,7 +98,7 @@
 def is_usable_without(
     *, ready: bool = False, start: bool = False
 ) -> Callable[[WarmState, float, int, int, Observation], bool]:
-    """Return ``WarmState.is_usable`` without its rule on the state or on the start tag of the worker."""
+    """Return ``WarmState.is_usable`` without its check of the worker's state or of its start tag."""
 
     def is_usable(
         warm_state: WarmState, now_ms: float, worker_id: int, tag: int, observation: Observation
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True)
 class InjectedDefect:
-    """A replacement of one function, with the check that must find it, and the violation to report."""
+    """A replacement of one function, with the check that must find it and the violation it must report."""
 
     owner: object
     name: str
--- a/tests/unit/components/test_datagram_fields.py
+++ b/tests/unit/components/test_datagram_fields.py
@@ -1,4 +1,4 @@
-"""Framing that all codecs of datagrams between routers share."""
+"""Framing shared by the codecs of datagrams between routers."""
 
 from __future__ import annotations
 
--- a/tests/unit/node/test_component_set.py
+++ b/tests/unit/node/test_component_set.py
@@ -1,4 +1,4 @@
-"""The components of a routing node, and the dispatch of datagrams, ticks and notifications to them."""
+"""The dispatch of datagrams, ticks and notifications to the components of a routing node."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class NodeWithComponent(NamedTuple):
-    """A routing node and a component that was added to its own."""
+    """A routing node and a component that was added to it."""
 
     node: RoutingNode
     component: RecordingComponent
--- a/tests/unit/recovery/test_codec.py
+++ b/tests/unit/recovery/test_codec.py
@@ -1,4 +1,4 @@
-"""The datagrams of the peer query."""
+"""Encoding and decoding of the datagrams of the peer query."""
 
 from __future__ import annotations
 
--- a/tests/unit/recovery/test_component.py
+++ b/tests/unit/recovery/test_component.py
@@ -1,4 +1,4 @@
-"""The recovery component: pauses, mass restarts, fleets without gossip, paced actions, settings."""
+"""The recovery component: pauses, mass restarts, operation without gossip, paced actions, settings."""
 
 from __future__ import annotations
 
--- a/tests/unit/recovery/test_pacing.py
+++ b/tests/unit/recovery/test_pacing.py
@@ -1,4 +1,4 @@
-"""The token buckets of a recovery: even tokens, ramps, load probability, connections and the baseline."""
+"""The token buckets of a recovery: even refill, ramps, load probability, connections, baseline."""
 
 from __future__ import annotations
 
--- a/tests/unit/recovery/test_peer_query.py
+++ b/tests/unit/recovery/test_peer_query.py
@@ -1,4 +1,4 @@
-"""Both sides of the peer query: the server's limits, and the client's backoff, selection and end."""
+"""The peer query: rate limits of the server; backoff, peer selection and completion of the client."""
 
 from __future__ import annotations
 
--- a/tests/unit/recovery/test_snapshot.py
+++ b/tests/unit/recovery/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The snapshot that a router stores for its next incarnation."""
+"""The warm-state snapshot that a router stores for its next incarnation."""
 
 from __future__ import annotations
 
--- a/tests/unit/recovery/test_state_machine.py
+++ b/tests/unit/recovery/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The phases of the recovery."""
+"""The phases of the recovery and the conditions that end them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     baseline_warm_fraction=0.9,
     has_deferred_loads=False,
 )
-# Each phase, with evidence that satisfies the conditions of the phases before it, but not its own.
+# Each phase, with evidence that satisfies the conditions of the earlier phases, but not its own.
 INCOMPLETE_EVIDENCE = [
     (RecoveryPhase.STARTING, dataclasses.replace(ALL_EVIDENCE, has_endpoint_list=False)),
     (RecoveryPhase.STARTING, dataclasses.replace(ALL_EVIDENCE, has_majority=False)),
--- a/tests/unit/recovery/test_warm_state.py
+++ b/tests/unit/recovery/test_warm_state.py
@@ -1,4 +1,4 @@
-"""The warm state: which observations are usable, and how they merge, age, expire and are evicted."""
+"""The warm state: usability, merge, aging, expiry and eviction of observations."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
     tag = start_tag(50.0)
     ages = rng.sample(range(9000), 6)
     observations = [AgedObservation(1, tag, FUNCTION, float(age), rng.random() < 0.5) for age in ages]
-    # Of two observations at the same time, the cold one counts.
+    # Of two observations at the same time, the cold one wins.
     contrary = dataclasses.replace(observations[2], is_warm=not observations[2].is_warm)
     observations.append(contrary)
     expected: dict[int, dict[tuple[int, int], Observation]] | None = None
@@ -85,7 +85,10 @@
 
 
 def test_forwarding_never_makes_an_observation_younger() -> None:
-    """Five routers forward the observation over links with delays; each router has just started."""
+    """Five routers, each just started, forward the observation over links with delays.
+
+    An age that does not include the delays would be too low.
+    """
     rng = random.Random(5)
     observed_at_ms = 1000.0
     now_ms = observed_at_ms
