--- a/tests/simulation/recovery_fleet.py
+++ b/tests/simulation/recovery_fleet.py
@@ -310,7 +310,7 @@
         self.records.call_values[int(attempt.arrived_at_ms / 100.0)].append(value)
         if is_lost:
             return
-        self.records.last_seen_warm[attempt.worker_id, attempt.function_id] = self.now_ms
+        self.records.last_seen_warm_ms[attempt.worker_id, attempt.function_id] = self.now_ms
         completed = AttemptCompleted(
             attempt.worker_id,
             attempt.function_id,
@@ -346,16 +346,16 @@
 
     # Invariants.
 
-    def too_young_observations(self) -> list[str]:
+    def understated_ages(self) -> list[str]:
         """Return the instances whose age at a router is less than the time since they were last seen warm."""
         return [
-            f"router {index} has {function_id} on {worker_id} as {instance.warm_age_ms:.0f} ms old"
+            f"router {index}: function {function_id} on worker {worker_id} aged {instance.warm_age_ms:.0f} ms"
             for index, recovery in enumerate(self.routers)
             for function_id in range(len(self.cumulative_popularity))
             for worker_id, instance in recovery.warm_instances(self.now_ms, function_id).items()
             if instance.warm_age_ms is not None
             and self.now_ms - instance.warm_age_ms
-            > self.records.last_seen_warm.get((worker_id, function_id), -1.0) + 0.001
+            > self.records.last_seen_warm_ms.get((worker_id, function_id), -1.0) + 0.001
         ]
 
 
@@ -370,7 +370,7 @@
 
 
 @functools.cache
-def undisturbed_load_peak() -> int:
+def fault_free_load_peak() -> int:
     """Return the maximum number of loads in any 250 ms of the settled fleet without faults."""
     fleet = copy.deepcopy(settled_fleet()).run(SETTLED_MS + 20_000.0)
     return peak(fleet.records.load_times, SETTLED_MS - 20_000.0)
--- a/tests/simulation/recovery_records.py
+++ b/tests/simulation/recovery_records.py
@@ -25,7 +25,7 @@
     """By the tenth of a second in which the call arrived: 1 if answered in time, 0.2 if late, 0 if lost."""
     stale_decisions: int = 0
     """Calls that were expected warm at a worker that has since restarted or is draining."""
-    last_seen_warm: dict[tuple[int, int], float] = field(default_factory=dict)
+    last_seen_warm_ms: dict[tuple[int, int], float] = field(default_factory=dict)
     """The last time at which any router saw an instance, by worker and function."""
 
     def mean_value(self, since_ms: float, until_ms: float) -> float:
@@ -34,18 +34,18 @@
         values = [value for tenth in tenths for value in self.call_values[tenth]]
         return sum(values) / max(1, len(values))
 
-    def recovery_ms(self, died_at_ms: float, value_before: float) -> float:
+    def recovery_ms(self, killed_at_ms: float, value_before: float) -> float:
         """Return the time after the last kill until the value is at least 0.95 of the earlier value for 5 s.
 
         The value is the mean over windows of 1 s, of which 41 that start every 100 ms cover 5 s.
         """
         good_windows = 0
         for step in range(250):
-            start_ms = died_at_ms + 100.0 * step
+            start_ms = killed_at_ms + 100.0 * step
             is_good = self.mean_value(start_ms, start_ms + 1000.0) >= 0.95 * value_before
             good_windows = good_windows + 1 if is_good else 0
             if good_windows == 41:
-                return start_ms - 4000.0 - died_at_ms
+                return start_ms - 4000.0 - killed_at_ms
         return MAX_RECOVERY_MS
 
 
--- a/tests/simulation/test_fleet_components.py
+++ b/tests/simulation/test_fleet_components.py
@@ -94,7 +94,7 @@
 
 def test_no_fleet_module_is_imported_without_a_fleet_file() -> None:
     for module in FLEET_MODULES:
-        assert importlib.util.find_spec(module) is not None, f"{module} has another name now"
+        assert importlib.util.find_spec(module) is not None, f"module {module} not found; was it renamed?"
     script = (
         "import sys, cedarthread.service, cedarthread.cli, cedarthread.simulator.host\n"
         f"unwanted = {FLEET_MODULES + FLEET_LIBRARIES!r}\n"
--- a/tests/simulation/test_recovery_invariants.py
+++ b/tests/simulation/test_recovery_invariants.py
@@ -23,8 +23,8 @@
 from tests.simulation.recovery_fleet import (
     SETTLED_MS,
     SimulatedFleet,
+    fault_free_load_peak,
     settled_fleet,
-    undisturbed_load_peak,
 )
 from tests.simulation.recovery_records import peak
 
@@ -38,8 +38,8 @@
 
 
 @pytest.fixture(scope="module")
-def undisturbed_peak() -> int:
-    return undisturbed_load_peak()
+def fault_free_peak() -> int:
+    return fault_free_load_peak()
 
 
 def responses_in_a_query_storm() -> int:
@@ -60,7 +60,7 @@
     return response_count
 
 
-def check_restart_with_store(settled: SimulatedFleet, undisturbed_peak: int) -> Violations:
+def check_restart_with_store(settled: SimulatedFleet, fault_free_peak: int) -> Violations:
     """Check a restart of all routers with a store, while workers restart and one drains."""
     fleet = copy.deepcopy(settled)
     fleet.restart_routers(1.0, has_store=True)
@@ -69,30 +69,30 @@
     fleet.run(SETTLED_MS + 4000.0)
     violations = {
         # The peak is 4 to 6 loads, depending on the seed, and 22 to 31 without pacing.
-        "stampede at the store": peak(fleet.records.load_times, SETTLED_MS) > 4 * undisturbed_peak,
+        "stampede of loads": peak(fleet.records.load_times, SETTLED_MS) > 4 * fault_free_peak,
         "stale decisions": fleet.records.stale_decisions > 0,
-        "made younger": bool(fleet.too_young_observations()),
+        "understated age": bool(fleet.understated_ages()),
     }
     return {name for name, is_violated in violations.items() if is_violated}
 
 
-def check_restart_with_peers(settled: SimulatedFleet, undisturbed_peak: int) -> Violations:
+def check_restart_with_peers(settled: SimulatedFleet, fault_free_peak: int) -> Violations:
     """Check a restart of seven in ten routers without a store."""
     fleet = copy.deepcopy(settled)
     value_before = fleet.records.mean_value(SETTLED_MS - 10_000.0, SETTLED_MS)
-    died_at_ms = fleet.restart_routers(0.7, has_store=False)
+    killed_at_ms = fleet.restart_routers(0.7, has_store=False)
     fleet.run(SETTLED_MS + 10_000.0)
     violations = {
-        "made younger": bool(fleet.too_young_observations()),
-        "late": fleet.records.recovery_ms(died_at_ms, value_before) > 1500.0,
+        "understated age": bool(fleet.understated_ages()),
+        "slow recovery": fleet.records.recovery_ms(killed_at_ms, value_before) > 1500.0,
     }
     return {name for name, is_violated in violations.items() if is_violated}
 
 
-def check_survivors(settled: SimulatedFleet, undisturbed_peak: int) -> Violations:
+def check_survivors(settled: SimulatedFleet, fault_free_peak: int) -> Violations:
     """Check the number of response datagrams that one surviving router sends."""
     max_responses = peer_query.RESPONSES_PER_SECOND + peer_query.RESPONSE_BURST
-    return {"survivor overloaded"} if responses_in_a_query_storm() > max_responses else set()
+    return {"surviving router overloaded"} if responses_in_a_query_storm() > max_responses else set()
 
 
 def is_usable_without(
@@ -148,7 +148,7 @@
         "try_acquire_load",
         lambda pacer, now_ms: 1.0,
         check_restart_with_store,
-        "stampede at the store",
+        "stampede of loads",
     ),
     "observation of an earlier incarnation used": InjectedDefect(
         WarmState,
@@ -169,43 +169,43 @@
         "merge_remote",
         merge_without_age,
         check_restart_with_peers,
-        "made younger",
+        "understated age",
     ),
     "responses unbounded": InjectedDefect(
         statistics.TokenBucket,
         "take",
         lambda *_: True,
         check_survivors,
-        "survivor overloaded",
+        "surviving router overloaded",
     ),
     "phases ended by timeouts alone": InjectedDefect(
         RecoveryStateMachine,
         "_is_phase_complete",
         lambda machine, evidence: False,
         check_restart_with_peers,
-        "late",
+        "slow recovery",
     ),
     "stored ages not grown": InjectedDefect(
         snapshot,
         "restore_observation",
         restore_without_growth,
         check_restart_with_store,
-        "made younger",
+        "understated age",
     ),
 }
 
 
 @pytest.mark.parametrize("check", [check_restart_with_store, check_restart_with_peers, check_survivors])
 def test_the_checks_find_nothing_in_the_component_as_it_is(
-    settled: SimulatedFleet, undisturbed_peak: int, check: Check
+    settled: SimulatedFleet, fault_free_peak: int, check: Check
 ) -> None:
-    assert check(settled, undisturbed_peak) == set()
+    assert check(settled, fault_free_peak) == set()
 
 
 @pytest.mark.parametrize("defect_name", INJECTED_DEFECTS)
 def test_a_check_finds_each_injected_defect(
-    settled: SimulatedFleet, undisturbed_peak: int, defect_name: str, monkeypatch: pytest.MonkeyPatch
+    settled: SimulatedFleet, fault_free_peak: int, defect_name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     defect = INJECTED_DEFECTS[defect_name]
     monkeypatch.setattr(defect.owner, defect.name, defect.replacement)
-    assert defect.violation in defect.check(settled, undisturbed_peak)
+    assert defect.violation in defect.check(settled, fault_free_peak)
