--- a/tests/simulation/test_fleet_components.py
+++ b/tests/simulation/test_fleet_components.py
@@ -65,7 +65,7 @@
     assert node.router.state.settings.keep_alive_ms == 99_000.0
 
 
-def test_without_gossip_each_router_acts_on_its_own_file_alone() -> None:
+def test_without_gossip_each_router_applies_only_its_own_fleet_file() -> None:
     fleet = Fleet(2, 5, allows_gossip=False)
     fleet.declare(0, freeze_window(10.0, 60.0))
     fleet.run(15_000.0)
--- a/tests/simulation/test_recovery_invariants.py
+++ b/tests/simulation/test_recovery_invariants.py
@@ -44,18 +44,18 @@
 
 def responses_in_a_query_storm() -> int:
     """Return how many response datagrams a surviving router sends while 100 others query it for 1 s."""
-    survivor = RecoveryComponent(settings(router_count=102, router_index=0), 1, 0.0)
+    surviving_router = RecoveryComponent(settings(router_count=102, router_index=0), 1, 0.0)
     endpoints = tuple(worker(worker_id) for worker_id in range(30))
-    survivor.on_notification(0.0, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, endpoints))
+    surviving_router.on_notification(0.0, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, endpoints))
     for function_id in range(600):
         completed = AttemptCompleted(function_id % 30, function_id, None, 1.0, Outcome.OK, True)
-        survivor.on_notification(1.0, completed)
+        surviving_router.on_notification(1.0, completed)
     response_count = 0
     for nonce in range(2000):
         query = codec.encode(codec.Query(nonce, nonce % 4, 4))
         response_count += sum(
             isinstance(message, SendToPeer) and message.data[1] == codec.DatagramKind.RESPONSE
-            for message in survivor.on_message(1.0 + nonce / 2, 1 + nonce % 100, query)
+            for message in surviving_router.on_message(1.0 + nonce / 2, 1 + nonce % 100, query)
         )
     return response_count
 
@@ -89,7 +89,7 @@
     return {name for name, is_violated in violations.items() if is_violated}
 
 
-def check_survivors(settled: SimulatedFleet, fault_free_peak: int) -> Violations:
+def check_response_limit(settled: SimulatedFleet, fault_free_peak: int) -> Violations:
     """Check the number of response datagrams that one surviving router sends."""
     max_responses = peer_query.RESPONSES_PER_SECOND + peer_query.RESPONSE_BURST
     return {"surviving router overloaded"} if responses_in_a_query_storm() > max_responses else set()
@@ -175,7 +175,7 @@
         statistics.TokenBucket,
         "take",
         lambda *_: True,
-        check_survivors,
+        check_response_limit,
         "surviving router overloaded",
     ),
     "phases ended by timeouts alone": InjectedDefect(
@@ -195,8 +195,8 @@
 }
 
 
-@pytest.mark.parametrize("check", [check_restart_with_store, check_restart_with_peers, check_survivors])
-def test_the_checks_find_nothing_in_the_component_as_it_is(
+@pytest.mark.parametrize("check", [check_restart_with_store, check_restart_with_peers, check_response_limit])
+def test_the_checks_find_no_violation_in_the_unmodified_component(
     settled: SimulatedFleet, fault_free_peak: int, check: Check
 ) -> None:
     assert check(settled, fault_free_peak) == set()
--- a/tests/unit/components/test_datagram_fields.py
+++ b/tests/unit/components/test_datagram_fields.py
@@ -30,7 +30,7 @@
         join_datagram([b"x" * 200, b"y" * 57])
 
 
-def test_record_count_is_limited_to_what_fits_behind_the_header() -> None:
+def test_record_count_is_limited_to_what_fits_after_the_header() -> None:
     limit = max_records(HEADER.size, RECORD)
     assert HEADER.size + limit * RECORD.size <= MAX_DATAGRAM_BYTES < HEADER.size + (limit + 1) * RECORD.size
     check_record_count([b""] * limit, limit)
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize(
     "size", [0, 1, 3, 4, 6, 256, 257, 260], ids=lambda size: f"{size} bytes behind or without the header"
 )
-def test_records_that_are_cut_off_or_too_long_are_malformed(size: int) -> None:
+def test_truncated_or_too_long_records_are_malformed(size: int) -> None:
     assert read_records(b"\x01" * size, HEADER.size, RECORD) == MalformedDatagram(
         f"invalid length: {size} bytes"
     )
@@ -63,7 +63,7 @@
     assert read_record_groups(HEADER.pack(1, 2), HEADER.size, GROUP, RECORD) == []
 
 
-def test_groups_that_are_cut_off_name_the_byte() -> None:
+def test_truncated_groups_are_malformed_and_the_reason_has_the_position() -> None:
     data = HEADER.pack(1, 2) + GROUP.pack(7, 2) + RECORD.pack(1, 2) + RECORD.pack(3, 4)
     assert read_record_groups(data[:-1], HEADER.size, GROUP, RECORD) == MalformedDatagram(
         "truncated at byte 7 of 12"
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_bytes_raise(seed: int) -> None:
+def test_no_input_raises(seed: int) -> None:
     rng = random.Random(seed)
     for _ in range(500):
         data = rng.randbytes(rng.randrange(300))
--- a/tests/unit/node/test_component_set.py
+++ b/tests/unit/node/test_component_set.py
@@ -69,7 +69,7 @@
     assert node.membership.malformed_datagrams == 1
 
 
-def test_one_timer_ticks_all_components_and_status_joins_their_figures() -> None:
+def test_one_timer_ticks_all_components_and_status_merges_their_metrics() -> None:
     node, _ = node_with_component()
     actions = node.handle(250.0, TimerFired(COMPONENT_TIMER_TOKEN))
     assert SendToPeer(b"\xc6now", 1) in actions
--- a/tests/unit/recovery/test_codec.py
+++ b/tests/unit/recovery/test_codec.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_responses_decode_as_encoded_with_ages_rounded_up_and_no_bytes_raise(seed: int) -> None:
+def test_responses_decode_as_encoded_with_ages_rounded_up_and_no_input_raises(seed: int) -> None:
     rng = random.Random(seed)
     for _ in range(200):
         parts = codec.split_into_datagrams([random_observation(rng) for _ in range(rng.randrange(150))])
--- a/tests/unit/recovery/test_peer_query.py
+++ b/tests/unit/recovery/test_peer_query.py
@@ -13,9 +13,9 @@
     return True
 
 
-def test_a_survivor_that_190_routers_query_at_once_sends_a_bounded_number_of_datagrams() -> None:
+def test_a_server_that_190_routers_query_at_once_sends_a_bounded_number_of_datagrams() -> None:
     template = codec.Response(0, 0, 1, 0.9, 9e5, (), codec.BaselineRates(0.5, 2.0))
-    survivor = PeerQueryServer(0.0)
+    server = PeerQueryServer(0.0)
     warm_state = WarmState(KEEP_ALIVE_MS)
     warm_state.on_endpoint_update(0.0, endpoint_update(*(worker(number) for number in range(60))))
     for function_id in range(600):
@@ -23,14 +23,14 @@
     kinds: list[int] = []
     for step in range(190 * 4):
         now_ms = step * 1000.0 / (190 * 4)
-        sent = survivor.on_query(now_ms, step % 190, codec.Query(step, 0, 4), warm_state, template)
+        sent = server.on_query(now_ms, step % 190, codec.Query(step, 0, 4), warm_state, template)
         kinds += [message.data[1] for message in sent]
     responses = kinds.count(codec.DatagramKind.RESPONSE)
     busy_replies = kinds.count(codec.DatagramKind.BUSY)
     assert responses <= peer_query.RESPONSES_PER_SECOND + peer_query.RESPONSE_BURST
     assert busy_replies <= peer_query.BUSY_REPLIES_PER_SECOND + peer_query.BUSY_REPLY_BURST
-    assert survivor.answered_queries >= 5
-    assert survivor.dropped_queries > 0
+    assert server.answered_queries >= 5
+    assert server.dropped_queries > 0
 
 
 def test_a_busy_peer_suggests_another_and_is_not_queried_before_its_retry_after() -> None:
@@ -53,7 +53,7 @@
     assert any(client.on_tick(now_ms, uptimes_ms, always) for now_ms in range(1000, 3000, 50))
 
 
-def test_the_query_ends_once_responses_have_little_new_and_prefers_peers_of_long_uptime() -> None:
+def test_the_query_ends_once_few_observations_are_new_and_prefers_peers_of_long_uptime() -> None:
     client = PeerQueryClient(2, 0.0)
     warm_state = empty_warm_state()
     now_ms = 500.0
