--- a/cedarthread/recovery/fleet_view.py
+++ b/cedarthread/recovery/fleet_view.py
@@ -45,7 +45,7 @@
         self.router_count = peers.router_count
 
     def peer_uptimes_ms(self, now_ms: float) -> dict[int, float]:
-        """Return the live peers, each with its uptime, which counts from 0 if it is not known."""
+        """Return the live peers, each with its uptime; 0 if the uptime is not known."""
         if self.latest_peers is None:
             return {}
         elapsed_ms = now_ms - self.latest_peers_at_ms
@@ -55,7 +55,7 @@
         }
 
     def has_older_peers(self, now_ms: float, restarted_at_ms: float) -> bool:
-        """Return whether any live peer started before this router restarted."""
+        """Return whether any live peer was already alive when this router restarted."""
         min_uptime_ms = now_ms - restarted_at_ms + OLDER_PEER_MARGIN_MS
         return any(uptime_ms > min_uptime_ms for uptime_ms in self.peer_uptimes_ms(now_ms).values())
 
