--- a/cedarthread/node/fleet_components.py
+++ b/cedarthread/node/fleet_components.py
@@ -1,4 +1,4 @@
-"""The components that exist if a fleet file is configured, connected to each other.
+"""The components that exist if a fleet file is configured, and the connections between them.
 
 This module and its imports are loaded only if a fleet file is configured. If the settings forbid gossip, the
 router acts on its own fleet file alone, as a fleet of one router. The replicated store of such a fleet is
@@ -36,20 +36,22 @@
     from cedarthread.model.settings import RouterSettings
 
 
-class _Identity(NamedTuple):
+class _RouterIdentity(NamedTuple):
     """The identity of this router among its peers, and the accuracy of its clock."""
 
     router_index: int
     router_count: int
     incarnation: int
     seed: int
-    clock_rate: float  # maximum rate error of a steady clock, as a fraction
+    clock_rate: float  # maximum relative rate error of a steady clock
 
 
-def _identity_of(settings: RouterSettings, seed: int, incarnation: int, clock_rate: float) -> _Identity:
+def _router_identity(
+    settings: RouterSettings, seed: int, incarnation: int, clock_rate: float
+) -> _RouterIdentity:
     """Return the identity of this router: without peers, the only router of a fleet of one."""
     has_peers = settings.limits.allows_gossip and settings.router_count > 1
-    return _Identity(
+    return _RouterIdentity(
         settings.router_index if has_peers else 0,
         settings.router_count if has_peers else 1,
         incarnation,
@@ -64,9 +66,9 @@
     Args:
         fleet_config: The fleet file.
         settings: The settings in force.
-        seed: Seed of the random decisions of the components.
-        incarnation: A random number of this start of the process.
-        now_ms: The steady clock.
+        seed: Seed of the random number generators of the components.
+        incarnation: A random number that identifies this start of the process.
+        now_ms: Current time of the steady clock.
         wall_clock_ms: Reads the wall clock, Unix time in ms.
     """
 
@@ -81,7 +83,7 @@
         wall_clock_ms: Callable[[], float],
     ) -> None:
         sharing = fleet_config.sharing
-        self._identity = _identity_of(settings, seed, incarnation, sharing.clock_rate)
+        self._identity = _router_identity(settings, seed, incarnation, sharing.clock_rate)
         self.router_count = self._identity.router_count
         self.wall_clock_ms = wall_clock_ms
         self.store = self._new_store(now_ms, sharing)
@@ -187,7 +189,8 @@
         """Return settings that a change freeze deferred and that may now apply; None: there are none.
 
         Deferred loads and changes of home workers need no action here, because later requests cause the same
-        changes again. This method only removes them from the deferred changes, at the pace of the recovery.
+        changes again. This method only removes them from the deferred changes, at the rate that the recovery
+        allows.
         """
         deferred = self.change_freeze.gate.deferred_settings
         released = self.change_freeze.release_deferred_changes(now_ms)
@@ -214,7 +217,7 @@
         """Notify the fleet components of the end of an attempt.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: Current time of the steady clock.
             event: The end of the attempt.
             function_id: The function of the request.
             tenant_index: The tenant of the request; None: of no tenant.
@@ -228,5 +231,5 @@
         self.notify(now_ms, completed)
 
     def status(self) -> Mapping[str, str]:
-        """Return the figures that belong to no single component."""
+        """Return the metrics that belong to no single component."""
         return {"declared_unusable": str(self.rejected_entries), "routers": str(self.router_count)}
--- a/cedarthread/recovery/codec.py
+++ b/cedarthread/recovery/codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes the datagrams of the peer query: at most 256 bytes, all fields little-endian.
+"""The wire format of the datagrams of the peer query: at most 256 bytes, all fields little-endian.
 
     query:    message type u8, kind u8, nonce u32, segment u8, segment count u8
     response: message type u8, kind u8, nonce u32, part u8, part count u8,
@@ -36,7 +36,7 @@
 AGE_UNIT_MS = 50.0
 """Ages are rounded up to multiples of this unit, which also covers clocks of slightly different rates."""
 MAX_AGE_UNITS = 65535
-"""This number also encodes every greater age; the decoder drops such observations."""
+"""Encodes this age and all greater ones; the decoder drops such observations."""
 UPTIME_UNIT_MS = 100.0
 MAX_UPTIME_UNITS = 65535
 RATE_UNIT_PER_SECOND = 0.01
@@ -64,7 +64,7 @@
 
 
 class BaselineRates(NamedTuple):
-    """The rates of one router in service, as far as they are sent to peers."""
+    """The baseline rates of one router that are sent to peers."""
 
     loads_per_second: float
     connections_per_second: float
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """A request for the warm instances of one segment."""
+    """A query for the warm instances of one segment."""
 
     nonce: int
     segment: int
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Busy:
-    """A rejection for lack of capacity, with a Retry-After and perhaps a peer to query in the meantime."""
+    """A rejection for lack of capacity, with a Retry-After and optionally another peer to query instead."""
 
     nonce: int
     retry_after_ms: float
@@ -105,7 +105,7 @@
 
 
 def split_into_datagrams(observations: Sequence[AgedObservation]) -> list[list[AgedObservation]]:
-    """Return the observations grouped by worker, one list per datagram.
+    """Return the observations sorted by worker and divided into one list per datagram.
 
     Observations that do not fit into ``MAX_PARTS`` datagrams are left out.
     """
@@ -186,27 +186,27 @@
 
 
 def decode(data: bytes) -> Message | MalformedDatagram:
-    """Return the message of a datagram; never raises, for any bytes."""
+    """Return the decoded message of a datagram; malformed input is returned as such and never raises."""
     if not HEADER_BYTES <= len(data) <= MAX_DATAGRAM_BYTES or data[0] != MessageType.RECOVERY:
-        return MalformedDatagram(f"{len(data)} bytes")
+        return MalformedDatagram(f"not a recovery datagram of valid length: {len(data)} bytes")
     kind = data[1]
     if kind == DatagramKind.QUERY and len(data) == _QUERY.size:
         _, _, nonce, segment, segment_count = _QUERY.unpack(data)
         if segment >= segment_count:
-            return MalformedDatagram(f"segment {segment} of {segment_count}")
+            return MalformedDatagram(f"invalid segment number: {segment} of {segment_count}")
         return Query(nonce, segment, segment_count)
     if kind == DatagramKind.BUSY and len(data) == _BUSY.size:
         _, _, nonce, retry_after_ms, suggested_peer = _BUSY.unpack(data)
         return Busy(nonce, float(retry_after_ms), None if suggested_peer == NO_PEER else suggested_peer)
     if kind == DatagramKind.RESPONSE and len(data) >= _RESPONSE.size:
         return _decode_response(data)
-    return MalformedDatagram(f"kind {kind}, {len(data)} bytes")
+    return MalformedDatagram(f"unknown kind or invalid length: kind {kind}, {len(data)} bytes")
 
 
 def _decode_response(data: bytes) -> Response | MalformedDatagram:
     _, _, nonce, part, part_count, fraction, uptime, loads, connections = _RESPONSE.unpack_from(data)
     if not part < part_count <= MAX_PARTS:
-        return MalformedDatagram(f"part {part} of {part_count}")
+        return MalformedDatagram(f"invalid part number: {part} of {part_count}")
     observations = _decode_observations(data)
     if isinstance(observations, MalformedDatagram):
         return observations
--- a/cedarthread/recovery/component.py
+++ b/cedarthread/recovery/component.py
@@ -39,7 +39,7 @@
 from cedarthread.recovery.status import (
     PAUSE_LOG_LINE,
     PhaseChange,
-    RecoveryFigures,
+    RecoveryMetrics,
     phase_log_line,
     recovery_status,
 )
@@ -53,9 +53,9 @@
     from cedarthread.model.settings import RouterSettings
 
 SUSPENSION_AFTER_PAUSE_MS = 500.0
-"""After a pause the warm state is unused for this time, because older responses may still arrive."""
+"""The warm state is not used for this time after a pause, because older responses may still arrive."""
 LOAD_DEFERRAL_FRACTION = 0.25
-"""Loads wait for peers at most this fraction of the peer query's timeout, in each phase before warming."""
+"""Maximum wait of loads for peers in each phase before warming, as a fraction of the peer query's timeout."""
 
 
 class RecoveryComponent:
@@ -101,7 +101,7 @@
         return self.peer_exchange.on_message(now_ms, sender, data)
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
-        """Advance the phases and the ramps, and send queries; called some times per second."""
+        """Advance the phases and the ramps, and send queries; called several times per second."""
         self._check_pause(now_ms)
         messages: list[OutboundMessage] = []
         if self.has_unreported_pause:
@@ -112,7 +112,7 @@
         self.warm_state.drop_expired(now_ms)
         if self.is_in_service():
             self.pacer.update_baseline(now_ms)
-            self.warm_fraction.remember_baseline(now_ms)
+            self.warm_fraction.save_baseline(now_ms)
         messages += self.peer_exchange.send_queries(now_ms)
         while self.state_machine.advance(now_ms, self._evidence(now_ms)):
             if self.is_in_service():
@@ -121,31 +121,31 @@
         self.admission.on_tick(now_ms, is_in_service=self.is_in_service())
         return messages
 
-    def on_notification(self, now_ms: float, fact: Notification) -> Sequence[OutboundMessage]:
+    def on_notification(self, now_ms: float, notification: Notification) -> Sequence[OutboundMessage]:
         """Handle a change of peers, endpoints or settings, an ended attempt or a wall clock reading."""
         self._check_pause(now_ms)
-        match fact:
+        match notification:
             case AttemptCompleted():
-                self._on_attempt_completed(now_ms, fact)
+                self._on_attempt_completed(now_ms, notification)
             case EndpointUpdate():
-                self.warm_state.on_endpoint_update(now_ms, fact)
+                self.warm_state.on_endpoint_update(now_ms, notification)
                 self.pacer.worker_count = max(1, len(self.warm_state.workers))
                 self.pacer.limits = PacingLimits.for_fleet(self.pacer.worker_count, DEFAULT_LOAD_TIME_MS)
             case PeersChanged():
-                self.fleet_view.on_peers_changed(now_ms, fact)
-                self.pacer.router_count = 1 + len(fact.alive_peers)
+                self.fleet_view.on_peers_changed(now_ms, notification)
+                self.pacer.router_count = 1 + len(notification.alive_peers)
             case WallClockRead():
-                self.snapshots.on_wall_clock_read(now_ms, fact.unix_ms)
+                self.snapshots.on_wall_clock_read(now_ms, notification.unix_ms)
             case SettingsChanged():
-                self._on_settings_changed(fact.settings)
+                self._on_settings_changed(notification.settings)
         return []
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """Return the figures for operators."""
+        """Return the metrics of the recovery for operators."""
         server = self.peer_exchange.server
         deferred_counts = self.pacer.deferred_counts
         return recovery_status(
-            RecoveryFigures(
+            RecoveryMetrics(
                 phase=self.state_machine.phase,
                 cause=self.state_machine.cause,
                 in_phase_ms=now_ms - self.state_machine.entered_at_ms,
@@ -177,7 +177,7 @@
         return self.state_machine.phase is RecoveryPhase.IN_SERVICE
 
     def is_mass_restart(self, now_ms: float) -> bool:
-        """Return whether most routers restart at once; without gossip, worker reports decide."""
+        """Return whether most routers restart at once; without gossip, this is inferred from load reports."""
         if self.peer_exchange.can_query_peers and self.fleet_view.latest_peers is not None:
             return self.fleet_view.is_mass_restart(now_ms, self.state_machine.timeouts.total_ms())
         return self.worker_reports.is_mass_restart_possible()
@@ -204,7 +204,7 @@
         return self.admission.try_acquire_connection(now_ms, worker_id)
 
     def retry_after_fractions(self, now_ms: float) -> RetryAfterFractions:
-        """Return the range from which a client's Retry-After is drawn, as fractions of the longest one."""
+        """Return the range from which a client's Retry-After is drawn, as fractions of its maximum."""
         if not self.is_in_service() and self.is_mass_restart(now_ms):
             return MASS_RESTART_RETRY_AFTER_FRACTIONS
         return RETRY_AFTER_FRACTIONS
@@ -219,30 +219,30 @@
         self.worker_reports.on_load_report(reported_calls, own_calls)
 
     def snapshot(self, now_ms: float) -> bytes | None:
-        """Return the warm-state snapshot to store, with present ages; None without a wall clock reading."""
+        """Return the warm-state snapshot to store, with current ages; None without a wall clock reading."""
         return self.snapshots.create(now_ms, self.baseline_warm_fraction())
 
     def restore(self, now_ms: float, raw: bytes, clock_error_ms: float = MAX_CLOCK_ERROR_MS) -> int:
         """Restore the stored snapshot of the previous incarnation.
 
-        Observations need an earlier wall clock reading, because their ages include the downtime; without one
-        they are dropped.
+        The wall clock must have been read before, because the ages of observations include the downtime;
+        otherwise the observations are dropped.
 
         Args:
-            now_ms: Present time.
+            now_ms: Current time.
             raw: The stored snapshot.
-            clock_error_ms: Largest difference between the wall clocks of the two incarnations; added to each
+            clock_error_ms: Maximum difference between the wall clocks of the two incarnations; added to each
                 age.
 
         Returns:
-            How many observations were new.
+            The number of new observations.
         """
         return self.snapshots.restore(now_ms, raw, clock_error_ms)
 
     def baseline_warm_fraction(self) -> float | None:
         """Return the baseline fraction of warm calls: reported by peers, else from before the restart."""
         reported = self.peer_exchange.client.reports.median_warm_fraction()
-        return self.warm_fraction.remembered_baseline if reported is None else reported
+        return self.warm_fraction.saved_baseline if reported is None else reported
 
     def _check_pause(self, now_ms: float) -> None:
         """Restart the recovery if the process was paused; most public methods check this first."""
@@ -269,7 +269,7 @@
                 is_warm=succeeded,
                 latency_ms=attempt.work_ms,
             )
-        self.admission.settle_load(
+        self.admission.reconcile_load(
             now_ms, attempt.function_id, was_warm=attempt.was_warm is True, succeeded=succeeded
         )
         self.pacer.record_call(attempt.worker_id)
--- a/cedarthread/recovery/warm_fraction.py
+++ b/cedarthread/recovery/warm_fraction.py
@@ -1,4 +1,4 @@
-"""The fraction of calls that find a warm instance: over the last seconds, and over a longer time."""
+"""The fraction of calls that find a warm instance, over the last seconds and over a longer time."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 BASELINE_TIME_CONSTANT_MS = 20_000.0
 """Long enough that one burst of cold starts changes the baseline only slightly."""
 MIN_CALLS = 1e-9
-"""Least divisor, so that the fraction is 0 without any calls."""
+"""Minimum divisor, so that the fraction is 0 without any calls."""
 
 
 class _DecayingFraction:
-    """The fraction of warm calls among calls that decay with a time constant."""
+    """The fraction of warm calls, as an average that decays with a time constant."""
 
     def __init__(self, time_constant_ms: float) -> None:
         self.warm_calls = DecayingCounter(time_constant_ms)
@@ -31,11 +31,11 @@
 class WarmFractionTracker:
     """The recent fraction of warm calls, the baseline fraction, and the last baseline measured in service.
 
-    ``remembered_baseline`` survives a restart, because the component restores it from the stored snapshot.
+    ``saved_baseline`` survives a restart, because the component restores it from the stored snapshot.
     """
 
     def __init__(self) -> None:
-        self.remembered_baseline: float | None = None
+        self.saved_baseline: float | None = None
         self._recent = _DecayingFraction(RECENT_TIME_CONSTANT_MS)
         self._baseline = _DecayingFraction(BASELINE_TIME_CONSTANT_MS)
 
@@ -60,7 +60,7 @@
         """Return the fraction of warm calls over the longer time; meaningful only while in service."""
         return self._baseline.read(now_ms)
 
-    def remember_baseline(self, now_ms: float) -> None:
+    def save_baseline(self, now_ms: float) -> None:
         """Save the measured baseline if it is based on enough calls; call only while in service."""
         if self._baseline.calls.read(now_ms) >= MIN_RECENT_CALLS:
-            self.remembered_baseline = self.baseline(now_ms)
+            self.saved_baseline = self.baseline(now_ms)
--- a/tests/unit/recovery/test_warm_state.py
+++ b/tests/unit/recovery/test_warm_state.py
@@ -1,4 +1,4 @@
-"""The warm state: which observations are usable, and how they merge, age, expire and are evicted."""
+"""The warm state: usability, merge, aging, expiry and eviction of observations."""
 
 from __future__ import annotations
 
@@ -7,7 +7,13 @@
 
 from cedarthread.model.endpoints import EndpointState, EndpointUpdateKind
 from cedarthread.recovery import codec
-from cedarthread.recovery.warm_state import AgedObservation, Observation, Source, WarmState, start_tag
+from cedarthread.recovery.warm_state import (
+    AgedObservation,
+    Observation,
+    ObservationSource,
+    WarmState,
+    start_tag,
+)
 from tests.helpers import worker
 from tests.unit.recovery.builders import (
     FUNCTION,
@@ -62,14 +68,14 @@
     tag = start_tag(50.0)
     ages = rng.sample(range(9000), 6)
     observations = [AgedObservation(1, tag, FUNCTION, float(age), rng.random() < 0.5) for age in ages]
-    # Of two observations at the same time, the cold one counts.
+    # Of two observations at the same time, the cold one wins.
     contrary = dataclasses.replace(observations[2], is_warm=not observations[2].is_warm)
     observations.append(contrary)
     expected: dict[int, dict[tuple[int, int], Observation]] | None = None
     for _ in range(30):
         warm_state = empty_warm_state()
         for aged in rng.choices(observations, k=4) + rng.sample(observations, len(observations)):
-            warm_state.merge_remote(9000.0, 9000.0, aged, Source.PEER)
+            warm_state.merge_remote(9000.0, 9000.0, aged, ObservationSource.PEER)
         expected = expected if expected is not None else warm_state.observations
         assert warm_state.observations == expected
         assert warm_state.observation_count == 1
@@ -79,7 +85,10 @@
 
 
 def test_forwarding_never_makes_an_observation_younger() -> None:
-    """Five routers forward the observation over links with delays; each router has just started."""
+    """Five routers, each just started, forward the observation over links with delays.
+
+    An age that does not include the delays would be too low.
+    """
     rng = random.Random(5)
     observed_at_ms = 1000.0
     now_ms = observed_at_ms
@@ -88,17 +97,17 @@
     for _ in range(5):
         now_ms += rng.uniform(0.0, 300.0)
         requested_at_ms = now_ms
-        (aged,) = warm_state.digest(now_ms)
+        (aged,) = warm_state.latest_observations(now_ms)
         received = codec.decode(codec.encode(codec.Response(1, 0, 1, None, 0.0, (aged,))))
         assert isinstance(received, codec.Response)
         warm_state = empty_warm_state()
         now_ms += rng.uniform(0.0, 300.0)
-        warm_state.merge_remote(now_ms, requested_at_ms, received.observations[0], Source.PEER)
+        warm_state.merge_remote(now_ms, requested_at_ms, received.observations[0], ObservationSource.PEER)
         (instance,) = warm_state.warm_instances(now_ms, FUNCTION).values()
         true_age_ms = now_ms - observed_at_ms
         assert instance.warm_age_ms is not None
         assert true_age_ms <= instance.warm_age_ms <= true_age_ms + 5 * 350.0
-    assert warm_state.digest(now_ms)[0].hops == 5
+    assert warm_state.latest_observations(now_ms)[0].hops == 5
 
 
 def test_the_number_of_observations_is_bounded_and_the_oldest_are_evicted() -> None:
