--- a/cedarthread/change_freeze/__init__.py
+++ b/cedarthread/change_freeze/__init__.py
@@ -1,1 +1,1 @@
-"""Change freezes: the windows in which placements must not change, and the gate that enforces them."""
+"""Change freezes: time windows in which placements must not change, and the gate that enforces them."""
--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -1,9 +1,9 @@
-"""The admission gate, which permits, denies or defers each change of where functions are placed.
+"""The admission gate, which permits, denies or defers each placement change.
 
-Each code path that changes placements consults the gate before the change. docs/design/change-freeze.md lists
+Each code path that changes placements queries the gate before the change. docs/design/change-freeze.md lists
 these paths, and ``placement_paths`` checks the source against that list. ``ChangeFreezeComponent`` writes the
-gate's rules and flags; the other state changes as the router consults the gate. All times are ms on the
-steady clock.
+gate's rules and flags; the router's queries update the remaining state. All times are ms on the steady
+clock.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     from cedarthread.components.quota_escrow import QuotaEscrow
     from cedarthread.model.settings import RouterSettings
 
-MAX_RETAINED_HOMES = 4096  # functions of which the gate remembers the home workers from before a window
+MAX_RETAINED_HOMES = 4096  # functions whose home workers from before a window are retained
 # The changes that load an instance at a worker:
 LOADING_KINDS = (PlacementChangeKind.FIRST_INSTANCE, PlacementChangeKind.PRELOAD)
 
@@ -46,8 +46,8 @@
 class AdmissionGate:
     """The admission gate of one router, which decides on its placement changes while windows are in force.
 
-    While ``is_active`` is False, nothing is frozen, and the methods on the path of calls return after this
-    test. The gate owns the placement table, the deferred changes and the home workers from before the
+    While ``is_active`` is False, nothing is frozen, and the methods on the call path return immediately after
+    this check. The gate owns the placement table, the deferred changes and the home workers from before the
     windows.
 
     Args:
@@ -61,7 +61,7 @@
         self.acquire_release = acquire_release
         self.is_active = False
         self.rules: tuple[FreezeRule, ...] = ()
-        self.is_uncertain = False  # this router may lack a window, so all changes count as frozen
+        self.is_uncertain = False  # a window may not have been received, so all changes count as frozen
         self.placements = PlacementTable()
         self.deferred_changes = DeferredChanges()
         self.retained_homes: dict[int, tuple[int, ...]] = {}  # worker ids by function, from before the freeze
@@ -84,7 +84,7 @@
             self.retained_homes.clear()
 
     def is_frozen(self, change: PlacementChange) -> bool:
-        """Return whether a rule in force freezes the change, without regard to the exception budget."""
+        """Return whether a rule in force freezes the change, regardless of the exception budget."""
         return self.is_active and (self.is_uncertain or any(rule.covers(change) for rule in self.rules))
 
     def is_emergency(self, function_id: int, *, has_alternatives: bool) -> bool:
@@ -106,7 +106,7 @@
         is_placed: bool,
         has_alternatives: bool,
     ) -> bool:
-        """Return whether a call may be sent to a worker; it consumes no exception, but a denial is deferred.
+        """Return whether a call may be sent to a worker; consumes no exception, but defers a denied change.
 
         Args:
             now_ms: The time on the steady clock.
@@ -208,8 +208,8 @@
     ) -> HomeWorkers:
         """Return the ready workers in the order of preference for the function, and its number of homes.
 
-        While home workers are frozen, the function keeps its homes from before the freeze, or from its first
-        call in the freeze. Homes that are no longer ready are left out and not replaced.
+        While home workers are frozen, the function retains its homes from before the freeze, or from its
+        first call during the freeze. Homes that are no longer ready are omitted and not replaced.
         """
         if not self.is_active:
             return HomeWorkers(ready_workers, home_count)
@@ -254,7 +254,7 @@
     def _is_known_placement(self, change: PlacementChange) -> bool:
         """Return whether the change loads a function at a worker where the function is placed already.
 
-        Such a change is permitted because an instance that is loaded again at its own worker moves nothing.
+        Such a change is permitted because reloading an instance at its own worker changes no placement.
         """
         if change.kind not in LOADING_KINDS or change.function_id is None or change.worker_id is None:
             return False
@@ -271,7 +271,7 @@
     def _use_exception(self, now_ms: float, change: PlacementChange, rules: list[FreezeRule]) -> bool:
         """Consume one exception of each window that covers the change; return whether all had one.
 
-        Where windows overlap, the strictest decides, because each must have an exception left.
+        If windows overlap, the strictest one determines the result, because each must have an exception left.
         """
         if change.kind not in LOADING_KINDS or not self._has_exception(now_ms, change):
             return False
--- a/cedarthread/change_freeze/call_routing.py
+++ b/cedarthread/change_freeze/call_routing.py
@@ -26,7 +26,7 @@
 
 
 class RoutingDecision(NamedTuple):
-    """The verdict on one call, and the worker of the verdict; None for a rejected call."""
+    """The verdict on one call, and the worker to which it applies; None for a rejected call."""
 
     verdict: RoutingVerdict
     worker_id: int | None
@@ -39,8 +39,8 @@
     worker_id: int
     is_ready: bool  # False while the worker drains or is absent from the endpoint list
     is_open: bool  # the function is placed at the worker, or no rule freezes a load there
-    has_capacity: bool  # by the router's count of calls in flight
-    distance: float = 0.0  # the router prefers the least
+    has_capacity: bool  # by the router's count of calls in flight to the worker
+    distance: float = 0.0  # the router prefers the smallest
     zone_index: int | None = None
 
 
@@ -59,7 +59,7 @@
 
 
 def route_call(candidates: Iterable[PlacementCandidate], *, is_load_permitted: bool) -> RoutingDecision:
-    """Return the verdict on a call and the worker of the verdict.
+    """Return the verdict on a call and the worker to which it applies.
 
     An open worker with capacity is preferred. Without one, the call loads its function at another worker if
     an exception permits the load. Otherwise the call waits for an open worker, and is rejected only if no
--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -1,4 +1,4 @@
-"""The change freeze component: follows the declared windows and sets the rules of the admission gate.
+"""The change freeze component, which tracks the declared windows and sets the rules of the admission gate.
 
 The component is pure: the caller passes the steady clock (ms) and readings of the host's wall clock.
 Design: docs/design/change-freeze.md.
@@ -41,7 +41,7 @@
     from cedarthread.fleet_config import SharingConfig
     from cedarthread.model.settings import RouterSettings
 
-WINDOW_LEAD_MS = 500.0  # by which windows start early; twice the longest interval between ticks
+WINDOW_LEAD_MS = 500.0  # how early windows start; twice the longest interval between ticks
 PLACEMENT_EXPIRY_INTERVAL_MS = 5000.0  # between removals of expired placements
 BUDGETED_STATES = (WindowState.PENDING, WindowState.IN_FORCE)  # a window's exception pool is open
 ACTIVE_STATES = (*BUDGETED_STATES, WindowState.LIFTED)  # placements are tracked
@@ -59,9 +59,9 @@
         replicated_state: Contains the entries that declare, revoke and lift windows.
         escrow: Contains the exception budgets of the windows.
         now_ms: The time on the steady clock.
-        has_read_enough_peers: Returns whether several peers were read completely in this incarnation. If so,
-            the entries known at the start count even without confirmation by a majority
-            (docs/design/change-freeze.md, step 21).
+        has_read_enough_peers: Returns whether the entries of several peers were read completely in this
+            incarnation. If so, the entries known at the start count even without confirmation by a
+            majority (docs/design/change-freeze.md, step 21).
         acquire_release: Returns whether one deferred change may be released at a time on the steady clock,
             and consumes a token if so; None: a ``ReleaseRateLimiter`` of this component.
     """
--- a/cedarthread/change_freeze/deferred_changes.py
+++ b/cedarthread/change_freeze/deferred_changes.py
@@ -1,4 +1,4 @@
-"""Placement changes that are denied during a window and released after the window, at a limited rate.
+"""Placement changes that are denied during a window and released after it at a limited rate.
 
 The admission gate adds, releases and discards the changes.
 """
@@ -50,7 +50,7 @@
     function_id: int | None
     worker_id: int | None
     request_count: int = 1
-    is_emergency: bool = False  # at any of the requests
+    is_emergency: bool = False  # whether any of the requests was an emergency
     zone_index: int | None = None
     tenant_index: int | None = None
 
@@ -66,13 +66,13 @@
 
     def __init__(self) -> None:
         self.changes: dict[tuple[PlacementChangeKind, int | None], DeferredChange] = {}
-        self.has_overflowed = False  # some denied changes were not stored, and which is unknown
+        self.has_overflowed = False  # denied changes were dropped, and it is unknown which
 
     def __len__(self) -> int:
         return len(self.changes)
 
     def add(self, change: PlacementChange) -> None:
-        """Store a denied change, or count the request if one of its kind and function is stored."""
+        """Store a denied change, or count the request if one of its kind and function is stored already."""
         key = (change.kind, change.function_id)
         if (deferred := self.changes.get(key)) is not None:
             deferred.request_count += 1
@@ -95,7 +95,7 @@
         return (kind, function_id) in self.changes or (self.has_overflowed and bool(self.changes))
 
     def discard(self, kind: PlacementChangeKind, function_id: int | None) -> None:
-        """Remove a change that has been made."""
+        """Remove a change that has been applied."""
         self.changes.pop((kind, function_id), None)
 
     def release(
--- a/cedarthread/change_freeze/exception_pools.py
+++ b/cedarthread/change_freeze/exception_pools.py
@@ -17,7 +17,7 @@
 
 
 class OpenedPool(NamedTuple):
-    """The total and end of a pool, as last passed to the quota escrow."""
+    """The total and end of a pool, as most recently passed to the quota escrow."""
 
     total: int
     ends_at_ms: float
--- a/cedarthread/change_freeze/freeze_rules.py
+++ b/cedarthread/change_freeze/freeze_rules.py
@@ -1,4 +1,4 @@
-"""The translation of a window's terms into a rule, by the zones and tenants of this router's settings."""
+"""The translation of a window's terms into a rule, using the zones and tenants in this router's settings."""
 
 from __future__ import annotations
 
--- a/cedarthread/change_freeze/placement_changes.py
+++ b/cedarthread/change_freeze/placement_changes.py
@@ -1,6 +1,6 @@
 """Records of the admission gate: placement changes, decisions, and the rules of windows in force.
 
-docs/design/change-freeze.md, steps 1 to 4, defines which acts are placement changes.
+docs/design/change-freeze.md, steps 1 to 4, defines which operations are placement changes.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 # Causes of a denial other than a window's id.
-UNCERTAIN = "unsure"  # this router may lack a window
+UNCERTAIN = "unsure"  # this router may not have received a window
 RELEASING = "releasing"  # the window has ended, and deferred changes are released at a limited rate
 
 
--- a/cedarthread/change_freeze/placement_paths.py
+++ b/cedarthread/change_freeze/placement_paths.py
@@ -2,7 +2,7 @@
 
 A path is a function that creates a ``PreloadFunction``, an ``UnloadFunction`` or a ``StartAttempt``, or that
 sets the number or the order of home workers. The check searches the syntax tree by name. It finds paths that
-are not on the list, and paths that do not consult the admission gate.
+are not on the list, and paths that do not query the admission gate.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 
 # The constants below name functions and attributes of other modules. A rename there must be repeated here;
 # otherwise the test of this list fails.
-# Calls that can load an instance at a worker, or remove one:
+# Calls that can load an instance on a worker, or unload one:
 PLACEMENT_CALLS = ("PreloadFunction", "UnloadFunction", "_start_attempt")
 # Attributes that determine the home workers of functions:
 PLACEMENT_ATTRIBUTES = ("placement_order",)
 # Attribute and method through which new settings reach the router, which may move home workers:
 SETTINGS_CALL = ("router", "update_settings")
-# The name of the gate that a path must use if it is not on the list:
+# The name by which a path that is not on the list must refer to the gate:
 DEFAULT_GATE_NAME = "gate"
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementPath:
-    """A function that changes placements, and the name through which the function consults the gate."""
+    """A function that changes placements, and the name through which the function queries the gate."""
 
     module: str  # dotted name below the package
     function: str
     act: str
-    gate_name: str  # a name in the function through which the function consults the gate
+    gate_name: str  # a name in the function through which the function queries the gate
     question: str  # the gate's method, and when the function calls the method
 
 
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeSite:
-    """A function in a source text that changes placements, and whether the function consults the gate."""
+    """A function in a source text that changes placements, and whether the function queries the gate."""
 
     function: str
     act: str
@@ -115,5 +115,5 @@
 
 
 def find_sites_bypassing_gate(source: str) -> list[ChangeSite]:
-    """Return the functions that change placements without consulting the gate."""
+    """Return the functions that change placements without querying the gate."""
     return [site for site in find_change_sites(source) if not site.uses_gate]
--- a/cedarthread/change_freeze/placement_settings.py
+++ b/cedarthread/change_freeze/placement_settings.py
@@ -1,4 +1,4 @@
-"""The settings that decide where instances are placed, and how a freeze excludes them from new settings."""
+"""The settings that determine where instances are placed, which a freeze excludes from settings changes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def with_placement_settings_of(old: RouterSettings, new: RouterSettings) -> RouterSettings:
-    """Return the new settings with the old values of those that decide where instances are placed."""
+    """Return the new settings with the old values of those that determine where instances are placed."""
     prices = replace(new.prices, idle_memory=old.prices.idle_memory, cross_zone=old.prices.cross_zone)
     return replace(
         new,
--- a/cedarthread/change_freeze/placement_table.py
+++ b/cedarthread/change_freeze/placement_table.py
@@ -1,4 +1,4 @@
-"""The table of where functions are placed, as far as one router knows.
+"""The table of function placements that are known to one router.
 
 The admission gate and the change freeze component write the table, from completed attempts, permitted loads
 and updates of the endpoint list.
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class PlacementTable:
-    """The functions that are placed on each worker, as far as this router has seen instances.
+    """The functions placed on each worker, according to the instances that this router has observed.
 
     During a window no placement expires, because an instance that was unloaded while idle may be loaded again
     at its worker. All times are ms on the steady clock.
@@ -58,7 +58,7 @@
         return worker_id in self.last_seen_by_function.get(function_id, ())
 
     def has_lost_most(self, function_id: int) -> bool:
-        """Return whether more placements were lost than are left, so that those left may be overloaded."""
+        """Return whether more placements were lost than remain, so that those remaining may be overloaded."""
         return self.lost_placements.get(function_id, 0) > len(self.last_seen_by_function.get(function_id, ()))
 
     def expire(self, now_ms: float) -> None:
--- a/cedarthread/change_freeze/stale_hold.py
+++ b/cedarthread/change_freeze/stale_hold.py
@@ -1,7 +1,8 @@
-"""The time for which a router that is not fresh freezes all placements, because it may lack a window.
+"""The limited time for which a router that is not fresh freezes all placements.
 
-The time is limited because serving calls has precedence over a window that may not exist.
-docs/design/change-freeze.md, steps 20 and 21, derives the limits.
+The router freezes placements because it may not have received a declared window. The time is limited because
+serving calls has precedence over a window that may not exist. docs/design/change-freeze.md, steps 20 and 21,
+derives the limits.
 """
 
 from __future__ import annotations
@@ -20,14 +21,18 @@
 
 @dataclass(slots=True)
 class StaleHold:
-    """The time-limited freeze of a router that may lack a window. All times are ms on the steady clock."""
+    """The time-limited freeze of a router that may not have received a window.
+
+    All times are ms on the steady clock.
+    """
 
     started_at_ms: float
-    has_read_enough_peers: Callable[[], bool]  # whether several peers were read completely since the start
+    # Whether the entries of several peers were read completely since the start:
+    has_read_enough_peers: Callable[[], bool]
     last_fresh_at_ms: float | None = None  # in this incarnation; None: never
 
     def is_uncertain(self, now_ms: float, *, is_fresh: bool, has_entries: bool) -> bool:
-        """Return whether all placements must stay frozen, because this router may lack a window.
+        """Return whether all placements must stay frozen, because this router may not have received a window.
 
         Args:
             now_ms: The time on the steady clock.
--- a/cedarthread/change_freeze/wall_clock.py
+++ b/cedarthread/change_freeze/wall_clock.py
@@ -2,11 +2,12 @@
 
 Freeze windows are declared in wall time. ``WallClock`` runs on the steady clock and slews toward the host's
 wall clock by no more than the drift that both clocks may have. While a window is declared, a step of the
-host's clock is therefore a gap that ends no window, and is followed only once other routers confirm it;
-without a window, a step is followed at once. The offset to another router's clock is computed from a request
-and its response, as in NTP (Mills, RFC 5905); the median offset shows whether this router's clock deviates.
-The change freeze component passes the readings of the host's clock; ``FleetComponents`` passes the samples of
-other routers' clocks.
+host's clock therefore does not end the window, and is applied only once other routers confirm it; without a
+window, a step is applied at once.
+
+The offset to another router's clock is computed from a request and its response, as in NTP (Mills, RFC 5905);
+the median offset shows whether this router's clock deviates. The change freeze component passes the readings
+of the host's clock; ``FleetComponents`` passes the samples of other routers' clocks.
 Design: docs/design/change-freeze.md, steps 17 to 19.
 """
 
@@ -19,10 +20,10 @@
 from cedarthread.change_freeze.window_entries import MAX_WINDOW_MS
 from cedarthread.logs import format_event
 
-STEP_THRESHOLD_MS = 100.0  # a smaller gap is not a step, because the two clocks are read one after the other
+STEP_THRESHOLD_MS = 100.0  # a smaller difference is no step, because the clocks are read in turn
 SAMPLE_LIFETIME_MS = 120_000.0  # limits the drift of the other clock since the comparison
-MAX_QUORUM = 9  # clocks, including the own one, that suffice for a median in a large fleet
-MAX_ROUND_TRIP_MS = 60_000.0  # a comparison with a longer round trip is too uncertain
+MAX_QUORUM = 9  # clocks, including this router's, that suffice for a median in a large fleet
+MAX_ROUND_TRIP_MS = 60_000.0  # a comparison with a longer round trip is too inaccurate
 
 
 class OffsetBounds(NamedTuple):
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _OffsetSample:
-    """A comparison with another router's clock."""
+    """A comparison of this router's clock with another router's clock."""
 
     offset_ms: float  # the other router's wall clock minus this router's steady clock
     uncertainty_ms: float  # maximum error of the offset in either direction
@@ -79,7 +80,7 @@
         Args:
             now_ms: The time on the steady clock.
             unix_ms: The host's wall time.
-            has_window: Whether a window is known. If True, the clock follows a step only if other routers
+            has_window: Whether a window is known. If True, the clock applies a step only if other routers
                 confirm the step.
         """
         if not math.isfinite(unix_ms):
@@ -113,13 +114,13 @@
         return format_event("wall_clock_stepped", step_s=step_s, followed=False) if is_new_step else None
 
     def unix_ms(self, now_ms: float) -> float:
-        """Return the followed wall time, which other routers receive too; NaN before the first reading."""
+        """Return the applied wall time, which is also sent to other routers; NaN before the first reading."""
         return now_ms + self.followed_offset_ms if self.followed_offset_ms is not None else math.nan
 
     # Comparison with other routers.
 
     def add_sample(self, now_ms: float, sender: int, unix_ms: float, sent_at_ms: float) -> None:
-        """Store the wall time that another router follows, as reported in a response received now.
+        """Store the applied wall time of another router, as reported in a response received now.
 
         The other router read its clock between ``sent_at_ms``, when the request was sent, and ``now_ms``, so
         the offset may be wrong by half of the round trip.
@@ -145,7 +146,7 @@
         self._drop_old_samples(now_ms)
         if not self._has_quorum():
             return NO_OFFSET
-        lower_offsets = [0.0]  # the own clock
+        lower_offsets = [0.0]  # this router's clock
         upper_offsets = [0.0]
         for sample in self.samples.values():
             ahead_ms = sample.offset_ms - own_offset_ms
@@ -175,8 +176,8 @@
     def _is_step_confirmed(self, now_ms: float, offset_ms: float) -> bool:
         """Return whether most samples of other routers agree with the time to which the host's clock stepped.
 
-        Routers report the time that they follow, not the time of their hosts. A wrong time source that steps
-        all hosts at once is therefore not confirmed.
+        Routers report the wall time that they apply, not the time of their hosts. A wrong time source that
+        steps all hosts at once is therefore not confirmed.
         """
         agreeing = sum(
             abs(sample.offset_ms - offset_ms) <= self.max_error_ms + self._uncertainty_ms(now_ms, sample)
@@ -185,10 +186,10 @@
         self._drop_old_samples(now_ms)
         return self._has_quorum() and 2 * agreeing > len(self.samples)
 
-    # Results that determine when windows start and end.
+    # Time bounds that determine when windows start and end.
 
     def deviation_ms(self, now_ms: float) -> float:
-        """Return the offset of the median clock, ahead above 0, if it exceeds ``max_error_ms``; else 0."""
+        """Return the offset of the median clock (positive: ahead) if it exceeds ``max_error_ms``; else 0."""
         bounds = self.peer_offset_bounds_ms(now_ms)
         worst_ms = bounds.lower_ms if abs(bounds.lower_ms) > abs(bounds.upper_ms) else bounds.upper_ms
         is_over_error = bounds.lower_ms > self.max_error_ms or bounds.upper_ms < -self.max_error_ms
@@ -200,7 +201,7 @@
         A window starts when the latest reaches its start, and ends when the earliest reaches its end.
         ``max_error_ms`` widens the range in both directions. A larger deviation of this router's clock
         widens the range by the deviation. If the deviation exceeds the longest window, only the clocks of
-        the other routers count. A step that is not followed only raises the latest: a window may start
+        the other routers count. A step that is not applied only raises the latest: a window may start
         earlier, but never ends later than its end by the steady clock.
         """
         if self.followed_offset_ms is None:
--- a/cedarthread/change_freeze/window.py
+++ b/cedarthread/change_freeze/window.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from cedarthread.components.replicated_state import ReplicatedEntry
 
-MAX_VERSIONS = 8  # in effect together for one window; beyond, the two oldest are merged into their union
+MAX_VERSIONS = 8  # in effect together for one window; the two oldest are merged if there are more
 
 
 class WindowState(StrEnum):
@@ -51,7 +51,7 @@
     earliest_unix_ms: float
     latest_unix_ms: float
     staleness_bound_ms: float  # B in docs/design/replication.md
-    lead_ms: float = 0.0  # by which windows start early, because the next reading may be that much later
+    lead_ms: float = 0.0  # how early windows start, because the next reading may be that much later
 
 
 _BodyT = TypeVar("_BodyT", WindowTerms, Revocation, BreakGlass)
@@ -63,10 +63,10 @@
 
     replicated: ReplicatedEntry
     body: _BodyT
-    is_predecessor_unknown: bool = False  # replaced a version that this router never received
+    is_predecessor_unknown: bool = False  # replaces a version that this router never received
 
     def is_effective(self, reading: ClockReading) -> bool:
-        """Return whether all fresh routers have this version by now, so its relaxations are in effect."""
+        """Return whether all fresh routers have this version, so that its relaxations are in effect."""
         replicated_at_ms = self.replicated.replicated_at_ms
         return (
             replicated_at_ms is not None and reading.now_ms >= replicated_at_ms + reading.staleness_bound_ms
--- a/cedarthread/change_freeze/window_entries.py
+++ b/cedarthread/change_freeze/window_entries.py
@@ -23,7 +23,7 @@
 
 MAX_WINDOW_MS = MAX_WINDOW_SECONDS * 1000.0
 MAX_NAMES = 256  # zones, functions or tenants in one body
-MAX_TEXT_BYTES = 512  # length of a reason or an author
+MAX_TEXT_BYTES = 512  # of a reason or an author
 MAX_NAME_BYTES = 64
 MAX_EXCEPTION_BUDGET = 10_000  # placement changes per window
 MAX_UNIX_MS = 2**53  # a float represents no greater whole number exactly
@@ -152,7 +152,7 @@
 
 
 def _error_in(body: WindowBody) -> str | None:
-    """Return what is invalid in a body, or None; entries arrive over the network from any author."""
+    """Return what is invalid in a body, or None. Entries arrive over the network from any author."""
     if not 1 <= len(body.window_id.encode()) <= MAX_NAME_BYTES:
         return "no name of 1 to 64 bytes"
     if max(len(body.author.encode()), len(body.reason.encode())) > MAX_TEXT_BYTES:
@@ -187,7 +187,7 @@
 
 
 def strictest_union(first: WindowTerms, second: WindowTerms) -> WindowTerms:
-    """Return terms that at any time are at least as strict as both together, and may be stricter."""
+    """Return terms that at any time are at least as strict as both inputs combined, and may be stricter."""
 
     def union(names: tuple[str, ...], other_names: tuple[str, ...]) -> tuple[str, ...]:
         return _sorted_unique((*names, *other_names)) if names and other_names else ()
--- a/cedarthread/change_freeze/window_registry.py
+++ b/cedarthread/change_freeze/window_registry.py
@@ -1,6 +1,6 @@
 """The registry of all freeze windows of one router, decoded from entries of the replicated store.
 
-The change freeze component passes the entries.
+The change freeze component supplies the entries.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MAX_UNREADABLE_ENTRIES = 256  # remembered so that each is logged once
+MAX_UNREADABLE_ENTRIES = 256  # retained so that each is logged once
 WINDOW_ENTRY_KINDS = (EntryKind.FREEZE, EntryKind.REVOKE, EntryKind.BREAK_GLASS)
 
 
@@ -69,7 +69,7 @@
         return findings
 
     def forget_removed(self, replicated_state: ReplicatedState) -> list[str]:
-        """Remove ended or revoked windows without an entry in the replicated store; return their ids."""
+        """Remove ended or revoked windows that have no entry in the replicated store; return their ids."""
         names = {
             replicated.entry.name
             for kind in WINDOW_ENTRY_KINDS
