--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -235,7 +235,9 @@
         )
         if is_uncertain != self.gate.is_uncertain and now_ms > self.stale_hold.started_at_ms:
             self._log(
-                format_event("change_freeze_hold_started", reason="this router may have missed a window")
+                format_event(
+                    "change_freeze_hold_started", reason="this router may not have received a declared window"
+                )
                 if is_uncertain
                 else format_event("change_freeze_hold_ended")
             )
--- a/cedarthread/change_freeze/window_entries.py
+++ b/cedarthread/change_freeze/window_entries.py
@@ -115,17 +115,17 @@
 def decode(kind: EntryKind, name: str, raw: bytes) -> WindowBody | MalformedDatagram:
     """Return the body of an entry, or why the bytes are malformed; never raise, even on hostile bytes."""
     if (body_type := _BODY_TYPES.get(kind)) is None:
-        return MalformedDatagram(f"{kind} is not about windows")
+        return MalformedDatagram(f"entries of kind {kind} do not concern windows")
     try:
         body = msgspec.msgpack.decode(raw, type=body_type)
     except (msgspec.MsgspecError, UnicodeDecodeError, ValueError, RecursionError) as error:
         return MalformedDatagram(str(error))
     if body.window_id != name:
-        return MalformedDatagram("the body is of another window than its name")
+        return MalformedDatagram("the window id in the body differs from the name of the entry")
     if (problem := _error_in(body)) is not None:
         return MalformedDatagram(problem)
     # A second encoding of one meaning would have another digest, and would count as an edit.
-    return body if encode(body) == raw else MalformedDatagram("not the canonical encoding")
+    return body if encode(body) == raw else MalformedDatagram("the encoding is not canonical")
 
 
 def _window_terms(window: fleet_config.FreezeWindowConfig) -> WindowTerms:
@@ -154,35 +154,37 @@
 def _error_in(body: WindowBody) -> str | None:
     """Return what is invalid in a body, or None. Entries arrive over the network from any author."""
     if not 1 <= len(body.window_id.encode()) <= MAX_NAME_BYTES:
-        return "no name of 1 to 64 bytes"
+        return "a name is not 1 to 64 bytes long"
     if max(len(body.author.encode()), len(body.reason.encode())) > MAX_TEXT_BYTES:
-        return f"author or reason is over {MAX_TEXT_BYTES} bytes"
+        return f"the author or the reason is longer than {MAX_TEXT_BYTES} bytes"
     if isinstance(body, Revocation):
         return None
     if not 0 <= body.end_unix_ms < MAX_UNIX_MS:
-        return "the end is no time"
+        return "the end is out of range"
     if isinstance(body, BreakGlass):
         return None
     duration_ms = body.end_unix_ms - body.start_unix_ms
     if not 0 <= body.start_unix_ms < body.end_unix_ms or duration_ms > MAX_WINDOW_MS:
-        return f"a window lasts up to {MAX_WINDOW_SECONDS / 3600:g} hours"
+        return (
+            f"the start is invalid, or the window is empty or longer than {MAX_WINDOW_SECONDS / 3600:g} hours"
+        )
     if not 0 <= body.exception_budget <= MAX_EXCEPTION_BUDGET:
-        return f"the allowance is not 0 to {MAX_EXCEPTION_BUDGET}"
+        return f"the allowance is outside 0 to {MAX_EXCEPTION_BUDGET}"
     return _error_in_names(body)
 
 
 def _error_in_names(terms: WindowTerms) -> str | None:
     for names in (terms.zone_names, terms.tenant_names, terms.function_ids):
         if len(names) > MAX_NAMES or len(set(names)) < len(names) or list(names) != sorted(names):
-            return f"names are not up to {MAX_NAMES}, in order, each once"
+            return f"a list has more than {MAX_NAMES} names, or is not sorted without duplicates"
     if any(
         not 1 <= len(name.encode()) <= MAX_NAME_BYTES for name in (*terms.zone_names, *terms.tenant_names)
     ):
-        return "no name of 1 to 64 bytes"
+        return "a name is not 1 to 64 bytes long"
     if any(not 0 <= function_id < 2**64 for function_id in terms.function_ids):
-        return "no function of 64 bits"
+        return "a function id is not an unsigned 64-bit integer"
     if tuple(kind for kind in ALL_CHANGE_KINDS if kind in terms.frozen_kinds) != terms.frozen_kinds:
-        return "what is frozen is not in order, each once"
+        return "the frozen kinds are not in canonical order without duplicates"
     return None
 
 
