--- a/cedarthread/priority/codec.py
+++ b/cedarthread/priority/codec.py
@@ -43,7 +43,9 @@
         ValueError: More than ``MAX_ENTRIES`` reports, which do not fit in a datagram.
     """
     if len(reports) > MAX_ENTRIES:
-        raise ValueError(f"{len(reports)} entries, {MAX_ENTRIES} at most")
+        raise ValueError(
+            f"{len(reports)} reports do not fit in a datagram, which holds at most {MAX_ENTRIES}"
+        )
     return bytes((MessageType.LOAD_PRESSURE,)) + b"".join(
         _ENTRY_FORMAT.pack(
             report.router_index,
@@ -62,7 +64,7 @@
         or (len(data) - 1) % ENTRY_BYTES
         or data[0] != MessageType.LOAD_PRESSURE
     ):
-        return MalformedDatagram(f"{len(data)} bytes")
+        return MalformedDatagram(f"invalid length or message type in a datagram of {len(data)} bytes")
     return tuple(
         RouterPressure(
             router_index,
--- a/cedarthread/priority/contract_entries.py
+++ b/cedarthread/priority/contract_entries.py
@@ -91,11 +91,11 @@
     if isinstance(terms, MalformedDatagram):
         return terms
     if not _is_valid_name(terms.tier_name) or not _is_valid_name(entry.name):
-        return MalformedDatagram("no name of 1 to 64 bytes")
+        return MalformedDatagram("a name is not 1 to 64 bytes long")
     rate = terms.rate_milli_per_second
     floor = terms.floor_permille
     if not (0 <= rate <= MAX_RATE_MILLI_PER_SECOND and 0 <= floor <= FIXED_POINT_SCALE):
-        return MalformedDatagram(f"rate {rate}, floor {floor}")
+        return MalformedDatagram(f"rate {rate} or floor {floor} is out of range")
     return terms
 
 
@@ -106,18 +106,18 @@
         return order
     names = order.tier_names
     if entry.name != TIER_ORDER_NAME or not 1 <= len(names) <= MAX_TIERS or len(set(names)) < len(names):
-        return MalformedDatagram(f"{len(names)} tiers under {entry.name!r}")
+        return MalformedDatagram(f"invalid tier order: {len(names)} tiers in an entry named {entry.name!r}")
     if not all(map(_is_valid_name, names)):
-        return MalformedDatagram("no name of 1 to 64 bytes")
+        return MalformedDatagram("a name is not 1 to 64 bytes long")
     min_onset, max_onset = ONSET_PERMILLE_RANGE
     onset = order.onset_permille
     release = order.release_permille
     if not (min_onset <= onset <= max_onset and MIN_RELEASE_PERMILLE <= release <= onset):
-        return MalformedDatagram(f"onset {onset}, end {release}")
+        return MalformedDatagram(f"onset {onset} or end {release} is out of range")
     dwell_ms = order.dwell_ms
     preemptions = order.preemptions_milli_per_second
     if not (0 <= dwell_ms <= MAX_DWELL_MS and 0 <= preemptions <= MAX_RATE_MILLI_PER_SECOND):
-        return MalformedDatagram(f"dwell {dwell_ms}, preempts {preemptions}")
+        return MalformedDatagram(f"dwell {dwell_ms} or preempts {preemptions} is out of range")
     return order
 
 
@@ -131,5 +131,5 @@
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         return MalformedDatagram(str(error)[:MAX_ERROR_CHARACTERS])
     if msgspec.msgpack.encode(value) != body:  # a second encoding of one meaning would have another digest
-        return MalformedDatagram("not the canonical encoding")
+        return MalformedDatagram("the encoding is not canonical")
     return value
