--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -172,34 +172,41 @@
     ) -> RoutingDecision:
         """Apply ``call_routing.route_call`` under the rules in force.
 
-        A candidate that is not open yet counts as open if the placement table has the function there, or if
-        no rule freezes a load there and no such load is deferred. The load at the first ready candidate that
-        is not open and not selected is deferred.
+        A candidate that is not permitted yet counts as permitted if the placement table has the function
+        there, or if no rule freezes a load there and no such load is deferred. The load at the first ready
+        candidate that is not permitted and not selected is deferred.
         """
 
-        def load_at(candidate: PlacementCandidate, *, is_emergency: bool) -> PlacementChange:
+        def load_change(candidate: PlacementCandidate, *, is_emergency: bool) -> PlacementChange:
             return first_instance_change(candidate, function_id, tenant_index, is_emergency=is_emergency)
 
         def can_place(candidate: PlacementCandidate, *, is_emergency: bool) -> bool:
-            change = load_at(candidate, is_emergency=is_emergency)
+            change = load_change(candidate, is_emergency=is_emergency)
             return not self.is_active or self._can_place(now_ms, change)
 
-        seen = [
-            replace(candidate, is_open=candidate.is_open or can_place(candidate, is_emergency=False))
+        evaluated = [
+            replace(
+                candidate, is_permitted=candidate.is_permitted or can_place(candidate, is_emergency=False)
+            )
             for candidate in candidates
         ]
         is_emergency = not any(
-            candidate.is_ready and candidate.is_open and candidate.has_capacity for candidate in seen
+            candidate.is_ready and candidate.is_permitted and candidate.has_capacity
+            for candidate in evaluated
         )
         eligible = [
             candidate
-            for candidate in seen
-            if candidate.is_open or (is_emergency and can_place(candidate, is_emergency=True))
+            for candidate in evaluated
+            if candidate.is_permitted or (is_emergency and can_place(candidate, is_emergency=True))
         ]
         decision = route_call(eligible, is_load_permitted=is_emergency)
-        for candidate in seen:
-            if candidate.is_ready and not candidate.is_open and candidate.worker_id != decision.worker_id:
-                self._defer(load_at(candidate, is_emergency=is_emergency))
+        for candidate in evaluated:
+            if (
+                candidate.is_ready
+                and not candidate.is_permitted
+                and candidate.worker_id != decision.worker_id
+            ):
+                self._defer(load_change(candidate, is_emergency=is_emergency))
                 break
         return decision
 
@@ -215,9 +222,11 @@
             return HomeWorkers(ready_workers, home_count)
         homes = tuple(ready_workers[:home_count])
         change = PlacementChange(PlacementChangeKind.HOME_WORKERS, None, function_id)
-        is_free = not self.is_frozen(change) and not self.deferred_changes.includes(change.kind, function_id)
+        may_change = not self.is_frozen(change) and not self.deferred_changes.includes(
+            change.kind, function_id
+        )
         retained_homes = self.retained_homes.get(function_id)
-        if is_free or retained_homes is None:
+        if may_change or retained_homes is None:
             if len(self.retained_homes) < MAX_RETAINED_HOMES or retained_homes is not None:
                 self.retained_homes[function_id] = homes
             return HomeWorkers(ready_workers, home_count)
@@ -231,14 +240,14 @@
         If the freeze denies changes of settings, the settings that decide where instances are placed
         retain their old values, and the new settings are stored in ``deferred_settings``.
         """
-        if not self.is_active or (without_moves := with_placement_settings_of(old, new)) == new:
+        if not self.is_active or (restricted := with_placement_settings_of(old, new)) == new:
             self.deferred_settings = None
             return new
         if self.admit(now_ms, PlacementChange(PlacementChangeKind.SETTINGS, None, None)).is_permitted:
             self.deferred_settings = None
             return new
         self.deferred_settings = new
-        return without_moves
+        return restricted
 
     def release(self, now_ms: float) -> list[DeferredChange]:
         """Remove and return the deferred changes that are no longer frozen, as many as the rate permits."""
--- a/cedarthread/change_freeze/call_routing.py
+++ b/cedarthread/change_freeze/call_routing.py
@@ -1,7 +1,7 @@
 """The routing of one call while placements are frozen, as a pure function.
 
-Serving calls has precedence over the freeze: a call without an open worker may load its function elsewhere
-if an exception permits the load.
+Serving calls has precedence over the freeze: a call without a permitted worker may load its function
+elsewhere if an exception permits the load.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 class RoutingVerdict(Enum):
     """The kind of a routing decision for one call."""
 
-    SEND = "send"  # to an open worker, which has capacity
-    LOAD = "place"  # to a worker that is not open and must load the function, by exception
-    WAIT = "wait"  # for an open worker, which has no capacity yet
-    REJECT = "refuse"  # no worker is open, and no exception permits a load
+    SEND = "send"  # to a permitted worker, which has capacity
+    LOAD = "place"  # to a worker that is not permitted and must load the function, by exception
+    WAIT = "wait"  # for a permitted worker, which has no capacity yet
+    REJECT = "refuse"  # no worker is permitted, and no exception permits a load
 
 
 class RoutingDecision(NamedTuple):
@@ -38,7 +38,7 @@
 
     worker_id: int
     is_ready: bool  # False while the worker drains or is absent from the endpoint list
-    is_open: bool  # the function is placed at the worker, or no rule freezes a load there
+    is_permitted: bool  # the function is placed at the worker, or no rule freezes a load there
     has_capacity: bool  # by the router's count of calls in flight to the worker
     distance: float = 0.0  # the router prefers the smallest
     zone_index: int | None = None
@@ -61,22 +61,22 @@
 def route_call(candidates: Iterable[PlacementCandidate], *, is_load_permitted: bool) -> RoutingDecision:
     """Return the verdict on a call and the worker to which it applies.
 
-    An open worker with capacity is preferred. Without one, the call loads its function at another worker if
-    an exception permits the load. Otherwise the call waits for an open worker, and is rejected only if no
-    worker is open. A worker that is not ready receives no call.
+    A permitted worker with capacity is preferred. Without one, the call loads its function at another worker
+    if an exception permits the load. Otherwise the call waits for a permitted worker, and is rejected only if
+    no worker is permitted. A worker that is not ready receives no call.
     """
     ready = sorted(
         (candidate for candidate in candidates if candidate.is_ready),
         key=lambda candidate: candidate.distance,
     )
-    open_candidates = [candidate for candidate in ready if candidate.is_open]
-    for candidate in open_candidates:
+    permitted_candidates = [candidate for candidate in ready if candidate.is_permitted]
+    for candidate in permitted_candidates:
         if candidate.has_capacity:
             return RoutingDecision(RoutingVerdict.SEND, candidate.worker_id)
     if is_load_permitted:
         for candidate in ready:
-            if not candidate.is_open:
+            if not candidate.is_permitted:
                 return RoutingDecision(RoutingVerdict.LOAD, candidate.worker_id)
-    if open_candidates:
-        return RoutingDecision(RoutingVerdict.WAIT, open_candidates[0].worker_id)
+    if permitted_candidates:
+        return RoutingDecision(RoutingVerdict.WAIT, permitted_candidates[0].worker_id)
     return RoutingDecision(RoutingVerdict.REJECT, None)
--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -120,8 +120,8 @@
         """Read the replicated store and the clocks, and update the gate."""
         for kind in WINDOW_ENTRY_KINDS:
             self._add_entries(now_ms, self.replicated_state.entries(kind))
-        for window_id in self.registry.forget_removed(self.replicated_state):
-            self.exception_pools.forget(window_id)
+        for window_id in self.registry.prune(self.replicated_state):
+            self.exception_pools.remove(window_id)
         self._report_clock_deviation(now_ms)
         self._update_gate(now_ms)
         if now_ms - self.last_expiry_at_ms >= PLACEMENT_EXPIRY_INTERVAL_MS:
--- a/cedarthread/change_freeze/exception_pools.py
+++ b/cedarthread/change_freeze/exception_pools.py
@@ -49,6 +49,6 @@
                 exception_pool_name(window_id), total, is_consumable=True, ends_at_ms=ends_at_ms
             )
 
-    def forget(self, window_id: str) -> None:
+    def remove(self, window_id: str) -> None:
         """Remove the record of a window that no longer exists."""
         self.opened_pools.pop(window_id, None)
--- a/cedarthread/change_freeze/home_workers.py
+++ b/cedarthread/change_freeze/home_workers.py
@@ -29,6 +29,6 @@
     retained_ready = [worker_id for worker_id in retained_homes if worker_id in ready]
     if not retained_ready:
         return HomeWorkers(ready_workers, min(home_count, 1))
-    known = set(retained_ready)
-    others = (worker_id for worker_id in ready_workers if worker_id not in known)
+    retained_ids = set(retained_ready)
+    others = (worker_id for worker_id in ready_workers if worker_id not in retained_ids)
     return HomeWorkers([*retained_ready, *others], len(retained_ready))
--- a/cedarthread/change_freeze/placement_paths.py
+++ b/cedarthread/change_freeze/placement_paths.py
@@ -28,9 +28,9 @@
 
     module: str  # dotted name below the package
     function: str
-    act: str
+    operation: str
     gate_name: str  # a name in the function through which the function queries the gate
-    question: str  # the gate's method, and when the function calls the method
+    gate_call: str  # the gate's method, and when the function calls the method
 
 
 PLACEMENT_PATHS = (
@@ -53,14 +53,14 @@
         "_candidates",
         "placement_order",
         "constraints",
-        "home_workers(...) over the order by rendezvous hashing, before it is used",
+        "home_workers(...) on the order by rendezvous hashing, before it is used",
     ),
     PlacementPath(
         "node.routing_node",
         "update_settings",
         "update_settings",
         "gate",
-        "admitted_settings(...) over the settings, before they are followed",
+        "admitted_settings(...) on the settings, before they are applied",
     ),
 )
 
@@ -70,7 +70,7 @@
     """A function in a source text that changes placements, and whether the function queries the gate."""
 
     function: str
-    act: str
+    operation: str
     uses_gate: bool
 
 
@@ -80,20 +80,24 @@
     Raises:
         SyntaxError: The text is not valid Python.
     """
-    gate_names = {(path.function, path.act): path.gate_name for path in PLACEMENT_PATHS}
+    gate_names = {(path.function, path.operation): path.gate_name for path in PLACEMENT_PATHS}
     sites: list[ChangeSite] = []
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.FunctionDef):
             names = {getattr(inner, field, "") for inner in ast.walk(node) for field in ("attr", "id", "arg")}
-            acts = dict.fromkeys(act for inner in ast.walk(node) for act in _acts_of(inner))
+            operations = dict.fromkeys(
+                operation for inner in ast.walk(node) for operation in _operations_of(inner)
+            )
             sites += [
-                ChangeSite(node.name, act, gate_names.get((node.name, act), DEFAULT_GATE_NAME) in names)
-                for act in acts
+                ChangeSite(
+                    node.name, operation, gate_names.get((node.name, operation), DEFAULT_GATE_NAME) in names
+                )
+                for operation in operations
             ]
     return sites
 
 
-def _acts_of(node: ast.AST) -> list[str]:
+def _operations_of(node: ast.AST) -> list[str]:
     """Return the names of the calls and attributes by which one syntax node changes placements."""
     if isinstance(node, ast.Call):
         name = getattr(node.func, "attr", getattr(node.func, "id", ""))
@@ -110,8 +114,8 @@
 
 def find_unlisted_sites(module: str, source: str) -> list[ChangeSite]:
     """Return the functions of a module that change placements and are not on the list."""
-    listed = {(path.function, path.act) for path in PLACEMENT_PATHS if path.module == module}
-    return [site for site in find_change_sites(source) if (site.function, site.act) not in listed]
+    listed = {(path.function, path.operation) for path in PLACEMENT_PATHS if path.module == module}
+    return [site for site in find_change_sites(source) if (site.function, site.operation) not in listed]
 
 
 def find_sites_bypassing_gate(source: str) -> list[ChangeSite]:
--- a/cedarthread/change_freeze/stale_hold.py
+++ b/cedarthread/change_freeze/stale_hold.py
@@ -47,5 +47,5 @@
         else:
             since_ms = self.started_at_ms
             hold_ms = RESTART_HOLD_MS if has_entries else FIRST_START_HOLD_MS
-        knows_from_start = self.last_fresh_at_ms is None and self.has_read_enough_peers()
-        return not is_fresh and not knows_from_start and now_ms - since_ms < hold_ms
+        has_initial_entries = self.last_fresh_at_ms is None and self.has_read_enough_peers()
+        return not is_fresh and not has_initial_entries and now_ms - since_ms < hold_ms
--- a/cedarthread/change_freeze/wall_clock.py
+++ b/cedarthread/change_freeze/wall_clock.py
@@ -66,9 +66,9 @@
         self.router_count = router_count
         self.max_error_ms = max_error_ms
         self.max_drift_rate = max_drift_rate
-        self.followed_offset_ms: float | None = None  # wall clock minus steady clock; None: no reading yet
+        self.applied_offset_ms: float | None = None  # wall clock minus steady clock; None: no reading yet
         self.read_at_ms = 0.0  # time of the last host reading
-        self.unfollowed_offset_ms: float | None = None  # of the host's clock after an unconfirmed step
+        self.unconfirmed_offset_ms: float | None = None  # of the host's clock after an unconfirmed step
         self.stepped_at_ms = 0.0  # when the unconfirmed step was first seen
         self.samples: dict[int, _OffsetSample] = {}  # latest sample by router index
         self.step_count = 0
@@ -86,36 +86,36 @@
         if not math.isfinite(unix_ms):
             return None
         offset_ms = unix_ms - now_ms
-        if self.followed_offset_ms is None:
-            self.followed_offset_ms = offset_ms
+        if self.applied_offset_ms is None:
+            self.applied_offset_ms = offset_ms
             self.read_at_ms = now_ms
             return None
         allowed_drift_ms = self.max_drift_rate * max(0.0, now_ms - self.read_at_ms) * 2.0
         self.read_at_ms = now_ms
-        gap_ms = offset_ms - self.followed_offset_ms
-        if abs(gap_ms) <= STEP_THRESHOLD_MS + allowed_drift_ms:
-            self.followed_offset_ms += min(max(gap_ms, -allowed_drift_ms), allowed_drift_ms)
-            is_undone = self.unfollowed_offset_ms is not None
-            self.unfollowed_offset_ms = None
+        difference_ms = offset_ms - self.applied_offset_ms
+        if abs(difference_ms) <= STEP_THRESHOLD_MS + allowed_drift_ms:
+            self.applied_offset_ms += min(max(difference_ms, -allowed_drift_ms), allowed_drift_ms)
+            is_undone = self.unconfirmed_offset_ms is not None
+            self.unconfirmed_offset_ms = None
             return format_event("wall_clock_step_undone") if is_undone else None
         is_new_step = (
-            self.unfollowed_offset_ms is None
-            or abs(offset_ms - self.unfollowed_offset_ms) > STEP_THRESHOLD_MS + allowed_drift_ms
+            self.unconfirmed_offset_ms is None
+            or abs(offset_ms - self.unconfirmed_offset_ms) > STEP_THRESHOLD_MS + allowed_drift_ms
         )
         if is_new_step:
             self.stepped_at_ms = now_ms
             self.step_count += 1
-        self.unfollowed_offset_ms = offset_ms
-        step_s = f"{gap_ms / 1000.0:+.1f}"
+        self.unconfirmed_offset_ms = offset_ms
+        step_s = f"{difference_ms / 1000.0:+.1f}"
         if not has_window or self._is_step_confirmed(now_ms, offset_ms):
-            self.followed_offset_ms = offset_ms
-            self.unfollowed_offset_ms = None
+            self.applied_offset_ms = offset_ms
+            self.unconfirmed_offset_ms = None
             return format_event("wall_clock_stepped", step_s=step_s, followed=True)
         return format_event("wall_clock_stepped", step_s=step_s, followed=False) if is_new_step else None
 
     def unix_ms(self, now_ms: float) -> float:
         """Return the applied wall time, which is also sent to other routers; NaN before the first reading."""
-        return now_ms + self.followed_offset_ms if self.followed_offset_ms is not None else math.nan
+        return now_ms + self.applied_offset_ms if self.applied_offset_ms is not None else math.nan
 
     # Comparison with other routers.
 
@@ -138,9 +138,9 @@
 
         With only one other router, the samples cannot show which of the two clocks deviates.
         """
-        if self.followed_offset_ms is None:
+        if self.applied_offset_ms is None:
             return NO_OFFSET
-        return self._median_offset_bounds_ms(now_ms, self.followed_offset_ms)
+        return self._median_offset_bounds_ms(now_ms, self.applied_offset_ms)
 
     def _median_offset_bounds_ms(self, now_ms: float, own_offset_ms: float) -> OffsetBounds:
         self._drop_old_samples(now_ms)
@@ -149,10 +149,10 @@
         lower_offsets = [0.0]  # this router's clock
         upper_offsets = [0.0]
         for sample in self.samples.values():
-            ahead_ms = sample.offset_ms - own_offset_ms
+            relative_offset_ms = sample.offset_ms - own_offset_ms
             uncertainty_ms = self._uncertainty_ms(now_ms, sample)
-            lower_offsets.append(ahead_ms - uncertainty_ms)
-            upper_offsets.append(ahead_ms + uncertainty_ms)
+            lower_offsets.append(relative_offset_ms - uncertainty_ms)
+            upper_offsets.append(relative_offset_ms + uncertainty_ms)
         lower_offsets.sort()
         upper_offsets.sort()
         return OffsetBounds(
@@ -179,12 +179,12 @@
         Routers report the wall time that they apply, not the time of their hosts. A wrong time source that
         steps all hosts at once is therefore not confirmed.
         """
-        agreeing = sum(
+        agreeing_count = sum(
             abs(sample.offset_ms - offset_ms) <= self.max_error_ms + self._uncertainty_ms(now_ms, sample)
             for sample in self.samples.values()
         )
         self._drop_old_samples(now_ms)
-        return self._has_quorum() and 2 * agreeing > len(self.samples)
+        return self._has_quorum() and 2 * agreeing_count > len(self.samples)
 
     # Time bounds that determine when windows start and end.
 
@@ -204,7 +204,7 @@
         the other routers count. A step that is not applied only raises the latest: a window may start
         earlier, but never ends later than its end by the steady clock.
         """
-        if self.followed_offset_ms is None:
+        if self.applied_offset_ms is None:
             return UNKNOWN_TIME
         unix_ms = self.unix_ms(now_ms)
         error_ms = self.max_error_ms
@@ -212,12 +212,12 @@
         latest_unix_ms = unix_ms
         if self.deviation_ms(now_ms) != 0.0:
             lower_ms, upper_ms = self.peer_offset_bounds_ms(now_ms)
-            is_far_off = max(abs(lower_ms), abs(upper_ms)) > MAX_WINDOW_MS
-            earliest_unix_ms = unix_ms + lower_ms if is_far_off else unix_ms + min(0.0, lower_ms)
-            latest_unix_ms = unix_ms + upper_ms if is_far_off else unix_ms + max(0.0, upper_ms)
-        if self.unfollowed_offset_ms is not None:
+            exceeds_longest_window = max(abs(lower_ms), abs(upper_ms)) > MAX_WINDOW_MS
+            earliest_unix_ms = unix_ms + lower_ms if exceeds_longest_window else unix_ms + min(0.0, lower_ms)
+            latest_unix_ms = unix_ms + upper_ms if exceeds_longest_window else unix_ms + max(0.0, upper_ms)
+        if self.unconfirmed_offset_ms is not None:
             error_ms += 2.0 * self.max_drift_rate * (now_ms - self.stepped_at_ms)
             latest_unix_ms = max(
-                latest_unix_ms, min(self.unfollowed_offset_ms + now_ms, unix_ms + MAX_WINDOW_MS)
+                latest_unix_ms, min(self.unconfirmed_offset_ms + now_ms, unix_ms + MAX_WINDOW_MS)
             )
         return UnixTimeBounds(earliest_unix_ms - error_ms, latest_unix_ms + error_ms)
--- a/cedarthread/change_freeze/window.py
+++ b/cedarthread/change_freeze/window.py
@@ -127,7 +127,7 @@
             for version in self.versions
             if (terms := self._terms_in_force(version, reading)) is not None
         )
-        self.state = self._next_state(reading, is_covered=bool(in_force))
+        self.state = self._next_state(reading, has_terms_in_force=bool(in_force))
         return in_force if self.state is WindowState.IN_FORCE else ()
 
     def _terms_in_force(
@@ -156,13 +156,13 @@
         has_started = reading.latest_unix_ms + reading.lead_ms >= terms.start_unix_ms
         return terms if has_started and reading.earliest_unix_ms < terms.end_unix_ms else None
 
-    def _next_state(self, reading: ClockReading, *, is_covered: bool) -> WindowState:
-        """Return the next state. ``is_covered``: whether the terms of a version are in force."""
+    def _next_state(self, reading: ClockReading, *, has_terms_in_force: bool) -> WindowState:
+        """Return the next state. ``has_terms_in_force``: whether the terms of a version are in force."""
         if self.revocation is not None and (
             self.state is WindowState.REVOKED or self.revocation.is_effective(reading)
         ):  # a later version of the revocation does not end the revoked state
             return WindowState.REVOKED
-        if is_covered:
+        if has_terms_in_force:
             return WindowState.LIFTED if self._is_lifted(reading) else WindowState.IN_FORCE
         if self.versions and all(
             reading.earliest_unix_ms >= version.body.end_unix_ms for version in self.versions
--- a/cedarthread/change_freeze/window_registry.py
+++ b/cedarthread/change_freeze/window_registry.py
@@ -68,7 +68,7 @@
                 findings.append(NewVersion(window, body))
         return findings
 
-    def forget_removed(self, replicated_state: ReplicatedState) -> list[str]:
+    def prune(self, replicated_state: ReplicatedState) -> list[str]:
         """Remove ended or revoked windows that have no entry in the replicated store; return their ids."""
         names = {
             replicated.entry.name
--- a/cedarthread/testing/cluster/injected_defects.py
+++ b/cedarthread/testing/cluster/injected_defects.py
@@ -108,7 +108,7 @@
     from cedarthread.change_freeze import wall_clock
 
     def follow_host(self: wall_clock.WallClock, now_ms: float, unix_ms: float, *, has_window: bool) -> None:
-        self.followed_offset_ms = unix_ms - now_ms
+        self.applied_offset_ms = unix_ms - now_ms
 
     wall_clock.WallClock.on_host_reading = follow_host  # type: ignore[method-assign]
 
--- a/tests/simulation/change_freeze_fleet.py
+++ b/tests/simulation/change_freeze_fleet.py
@@ -172,7 +172,7 @@
                 PlacementCandidate(
                     worker.worker_id,
                     is_ready=not worker.is_draining,
-                    is_open=is_placed,
+                    is_permitted=is_placed,
                     has_capacity=self._has_capacity(worker),
                     distance=float(rank >= home_count) * 10.0 + rank,
                     zone_index=worker.worker_id % 2,
--- a/tests/simulation/change_freeze_world.py
+++ b/tests/simulation/change_freeze_world.py
@@ -145,8 +145,8 @@
             window.state if window else "",
         )
         clock = (
-            self.component.wall_clock.followed_offset_ms,
-            self.component.wall_clock.unfollowed_offset_ms,
+            self.component.wall_clock.applied_offset_ms,
+            self.component.wall_clock.unconfirmed_offset_ms,
             len(self.component.wall_clock.samples) > 0,
         )
         own_state = (
--- a/tests/unit/change_freeze/test_placement_paths.py
+++ b/tests/unit/change_freeze/test_placement_paths.py
@@ -26,10 +26,10 @@
         assert placement_paths.find_unlisted_sites(module, source) == []
         assert placement_paths.find_sites_bypassing_gate(source) == []
     assert {
-        (module, site.function, site.act)
+        (module, site.function, site.operation)
         for module, source in modules.items()
         for site in placement_paths.find_change_sites(source)
-    } == {(path.module, path.function, path.act) for path in placement_paths.PLACEMENT_PATHS}
+    } == {(path.module, path.function, path.operation) for path in placement_paths.PLACEMENT_PATHS}
 
 
 def test_a_listed_path_that_no_longer_consults_the_gate_is_found() -> None:
