--- a/cedarthread/change_freeze/wall_clock.py
+++ b/cedarthread/change_freeze/wall_clock.py
@@ -92,9 +92,9 @@
             return None
         allowed_drift_ms = self.max_drift_rate * max(0.0, now_ms - self.read_at_ms) * 2.0
         self.read_at_ms = now_ms
-        difference_ms = offset_ms - self.applied_offset_ms
-        if abs(difference_ms) <= STEP_THRESHOLD_MS + allowed_drift_ms:
-            self.applied_offset_ms += min(max(difference_ms, -allowed_drift_ms), allowed_drift_ms)
+        gap_ms = offset_ms - self.applied_offset_ms
+        if abs(gap_ms) <= STEP_THRESHOLD_MS + allowed_drift_ms:
+            self.applied_offset_ms += min(max(gap_ms, -allowed_drift_ms), allowed_drift_ms)
             is_undone = self.unconfirmed_offset_ms is not None
             self.unconfirmed_offset_ms = None
             return format_event("wall_clock_step_undone") if is_undone else None
@@ -106,7 +106,7 @@
             self.stepped_at_ms = now_ms
             self.step_count += 1
         self.unconfirmed_offset_ms = offset_ms
-        step_s = f"{difference_ms / 1000.0:+.1f}"
+        step_s = f"{gap_ms / 1000.0:+.1f}"
         if not has_window or self._is_step_confirmed(now_ms, offset_ms):
             self.applied_offset_ms = offset_ms
             self.unconfirmed_offset_ms = None
