--- a/tests/unit/change_freeze/builders.py
+++ b/tests/unit/change_freeze/builders.py
@@ -1,4 +1,4 @@
-"""Terms of windows and a fake quota escrow for the tests of the change freeze."""
+"""Window terms and a fake quota escrow for the tests of the change freeze."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def window_terms(start_ms: float, end_ms: float, **changes: object) -> WindowTerms:
-    """Return terms that freeze all changes between two virtual times, with changed fields."""
+    """Return terms that freeze all changes between two virtual times, with some fields replaced."""
     base = WindowTerms(
         "w",
         int(EPOCH_UNIX_MS + start_ms),
@@ -32,10 +32,10 @@
 
     Args:
         router_index: The index of the router that uses the escrow.
-        is_empty: Whether this router has no amount, as after a restart.
+        is_empty: Whether this router has no share of the totals, as after a restart.
     """
 
-    has_total_per_router = False  # an injected defect sets it: each router may use the complete total
+    has_total_per_router = False  # set by an injected defect: each router may use the complete total
 
     def __init__(self, router_index: int, *, is_empty: bool) -> None:
         self.router_index = router_index
--- a/tests/unit/change_freeze/test_placement_paths.py
+++ b/tests/unit/change_freeze/test_placement_paths.py
@@ -1,4 +1,4 @@
-"""The list of code paths that change placements, checked against the source."""
+"""Tests that the list of code paths that change placements matches the source."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def _decision_modules() -> dict[str, str]:
-    """Return the source by dotted name of all modules that decide where functions are placed."""
+    """Return the source by dotted name of all modules that determine where functions are placed."""
     package = Path(placement_paths.__file__).parents[1]
     return {
         f"{folder}.{file.stem}": file.read_text()
@@ -20,7 +20,7 @@
     }
 
 
-def test_every_placement_path_is_listed_and_consults_the_gate() -> None:
+def test_every_placement_path_is_listed_and_queries_the_gate() -> None:
     modules = _decision_modules()
     for module, source in modules.items():
         assert placement_paths.find_unlisted_sites(module, source) == []
@@ -32,7 +32,7 @@
     } == {(path.module, path.function, path.operation) for path in placement_paths.PLACEMENT_PATHS}
 
 
-def test_a_listed_path_that_no_longer_consults_the_gate_is_found() -> None:
+def test_a_listed_path_that_no_longer_queries_the_gate_is_found() -> None:
     modules = _decision_modules()
     for path in placement_paths.PLACEMENT_PATHS:
         bypassing = re.sub(rf"\b{path.gate_name}\b", "free", modules[path.module])
@@ -40,7 +40,7 @@
         assert path.function in [site.function for site in sites]
 
 
-def test_a_new_placement_path_is_found_and_must_consult_the_gate() -> None:
+def test_a_new_placement_path_is_found_and_must_query_the_gate() -> None:
     added = "def _prefetch(self):\n    self.actions.append(PreloadFunction(1, 2, 1))\n"
     by_module = added.replace("PreloadFunction", "actions.PreloadFunction")
     for source in (added, by_module):
--- a/tests/unit/change_freeze/test_placement_table.py
+++ b/tests/unit/change_freeze/test_placement_table.py
@@ -1,4 +1,4 @@
-"""The table of where functions are placed."""
+"""The table of function placements."""
 
 from __future__ import annotations
 
--- a/tests/unit/change_freeze/test_wall_clock.py
+++ b/tests/unit/change_freeze/test_wall_clock.py
@@ -27,7 +27,7 @@
     assert clock.deviation_ms(200_000.0) == 0.0, "the samples have expired"
 
 
-def test_a_clock_step_is_followed_once_most_peers_confirm_it() -> None:
+def test_a_clock_step_is_applied_once_most_peers_confirm_it() -> None:
     clock = WallClock(3, MAX_ERROR_MS, MAX_DRIFT_RATE)
     clock.on_host_reading(0.0, EPOCH_UNIX_MS, has_window=True)
     stepped_unix_ms = EPOCH_UNIX_MS + 7.2e6
