--- a/tests/unit/priority/contract_world.py
+++ b/tests/unit/priority/contract_world.py
@@ -1,7 +1,7 @@
-"""A small world of two routers and two edits of one contract, explored exhaustively.
+"""A model of two routers and two edits of one contract, explored exhaustively.
 
-Two routers act on the contracts of the tenants ``mill``, which is edited, and ``town``, which is not. The
-exploration checks that the routers never contradict each other on which tenant has precedence.
+The routers apply the contracts of two tenants: the contract of ``mill`` is edited, that of ``town`` is not.
+The exploration checks that the routers never contradict each other on which tenant has precedence.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
 
 class KnownEdit(NamedTuple):
-    """An edit of the mill's contract as known to one router."""
+    """An edit of the contract of ``mill``, as known to one router."""
 
     edit: int
     received_at: float
@@ -76,17 +76,17 @@
 
 
 class WorldState(NamedTuple):
-    """A state of the world: the time, the edits that were made, and the edits known to each router."""
+    """A state of the model: the time, the edits that were made, and the edits known to each router."""
 
     now_ms: int
     last_edit: int
     replicated_at: ReplicatedAt
     routers: tuple[KnownEdits, KnownEdits]
-    contradiction_ticks: int  # duration of the contradiction that lasts until now
+    contradiction_ticks: int  # duration of the contradiction that is still present
 
 
 def _preemption_sign(known: KnownEdits, now_ms: float, replicated_at: ReplicatedAt, first_tier: str) -> int:
-    """Return 1 if the mill outranks the town at a router, -1 if the town outranks the mill, else 0."""
+    """Return 1 if ``mill`` outranks ``town`` at a router, -1 if ``town`` outranks ``mill``, else 0."""
     is_fresh = all(
         at is None or at + BOUND_TICKS > now_ms or known[-1].edit >= edit
         for edit, at in enumerate(replicated_at)
@@ -107,7 +107,7 @@
 
 
 def _successors(state: WorldState) -> Iterator[WorldState]:
-    """Yield the states that one edit, delivery, replication or its notice at a router leads to."""
+    """Yield the states after one edit, delivery, replication or confirmation of replication at a router."""
     now_ms = float(state.now_ms)
     for router in (0, 1):
         own_edits = state.routers[router]
@@ -117,7 +117,9 @@
             routers = (known, state.routers[1]) if router == 0 else (state.routers[0], known)
             return state._replace(routers=routers, last_edit=last_edit)
 
-        if state.last_edit < router + 1:  # the first router makes the first edit, because both are alike
+        if (
+            state.last_edit < router + 1
+        ):  # the first router makes the first edit, because the routers are symmetric
             edit = state.last_edit + 1
             yield knowing((*own_edits, KnownEdit(edit, now_ms, None)), last_edit=edit)
         if other_edits[-1].edit > own_edits[-1].edit:
--- a/tests/unit/priority/test_contracts_exploration.py
+++ b/tests/unit/priority/test_contracts_exploration.py
@@ -1,4 +1,4 @@
-"""Edits of a contract in a small world: routers that know different versions never contradict each other."""
+"""Exhaustive test that routers with different versions of a contract never contradict each other."""
 
 from __future__ import annotations
 
--- a/tests/unit/priority/test_overload_level.py
+++ b/tests/unit/priority/test_overload_level.py
@@ -1,4 +1,4 @@
-"""The level of cluster overload, explored over all sequences of pressures."""
+"""Exhaustive test of the level of cluster overload over all sequences of load pressures."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 PRESSURES = (None, 0.7, 0.9, 1.1, 1.3, 1.5)
 NOW_MS = 11.0
 PREVIOUS_MS = 10.0
-MAX_AGE_MS = 3.0  # past the dwell time, the age of a request makes no difference
+MAX_AGE_MS = 3.0  # longer than the dwell time, after which the age of a request has no effect
 
 
 class MachineState(NamedTuple):
-    """A state of the machine, and the last three pressures that led to the state."""
+    """A state of the state machine, and the last three load pressures that led to the state."""
 
     level: int
     requested_step: int
--- a/tests/unit/priority/test_pressure_gossip.py
+++ b/tests/unit/priority/test_pressure_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip of load pressure: the datagram, its spread in a large fleet, and invalid datagrams."""
+"""Gossip of load pressure: the datagram, its propagation in a large fleet, and invalid datagrams."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     assert bytes_per_second < 1024.0
     assert all(gossip.fleet_pressure(END_MS) is not None for gossip in fleet)
     fleet[0].alive_peers = tuple(range(1, 100))
-    assert fleet[0].fleet_pressure(END_MS) is None, "half of the configured routers are no majority"
+    assert fleet[0].fleet_pressure(END_MS) is None, "half of the configured routers are not a majority"
 
 
 def test_invalid_datagrams_are_counted_and_change_nothing() -> None:
