--- a/tests/unit/priority/contract_world.py
+++ b/tests/unit/priority/contract_world.py
@@ -21,7 +21,7 @@
 
 BOUND_TICKS = 2.0  # the staleness bound
 LAST_TICK = 4
-LONG_AGO = -99.0  # ticks
+INITIAL_TICK = -99.0  # of the initial entries, long before the first edit
 
 
 class FixedState:
@@ -29,15 +29,15 @@
 
     staleness_bound_ms = BOUND_TICKS
 
-    def __init__(self, contract: ReplicatedEntry, *, hears_majority: bool) -> None:
+    def __init__(self, contract: ReplicatedEntry, *, reaches_majority: bool) -> None:
         self.contract = contract
-        self.hears_majority = hears_majority
+        self.reaches_majority = reaches_majority
 
     def entries(self, kind: EntryKind) -> tuple[ReplicatedEntry, ...]:
-        return (TIER_ORDER,) if kind is EntryKind.TIERS else (self.contract, TOWN_CONTRACT)
+        return (TIER_ORDER,) if kind is EntryKind.TIERS else (self.contract, UNEDITED_CONTRACT)
 
     def is_fresh(self, now_ms: float) -> bool:
-        return self.hears_majority
+        return self.reaches_majority
 
     def fresh_since(self, now_ms: float) -> float | None:
         return None
@@ -55,11 +55,11 @@
     "order",
     contract_entries.TierOrder(("a", "b", "c"), 1100, 900, 0, 0),
     0,
-    LONG_AGO,
-    LONG_AGO,
+    INITIAL_TICK,
+    INITIAL_TICK,
 )
-TOWN_CONTRACT = _replicated(
-    EntryKind.CONTRACT, "town", contract_entries.ContractTerms("b", 0, 0), 0, LONG_AGO, LONG_AGO
+UNEDITED_CONTRACT = _replicated(
+    EntryKind.CONTRACT, "town", contract_entries.ContractTerms("b", 0, 0), 0, INITIAL_TICK, INITIAL_TICK
 )
 
 
@@ -75,7 +75,7 @@
 ReplicatedAt = tuple[float | None, ...]  # by edit: when a majority had received it
 
 
-class WorldState(NamedTuple):
+class ModelState(NamedTuple):
     """A state of the model: the time, the edits that were made, and the edits known to each router."""
 
     now_ms: int
@@ -85,35 +85,37 @@
     contradiction_ticks: int  # duration of the contradiction that is still present
 
 
-def _preemption_sign(known: KnownEdits, now_ms: float, replicated_at: ReplicatedAt, first_tier: str) -> int:
+def _precedence(known: KnownEdits, now_ms: float, replicated_at: ReplicatedAt, first_tier: str) -> int:
     """Return 1 if ``mill`` outranks ``town`` at a router, -1 if ``town`` outranks ``mill``, else 0."""
     is_fresh = all(
         at is None or at + BOUND_TICKS > now_ms or known[-1].edit >= edit
         for edit, at in enumerate(replicated_at)
     )
     tiers = (first_tier, "c" if first_tier == "a" else "a", first_tier)
-    state = FixedState(TOWN_CONTRACT, hears_majority=is_fresh)
+    state = FixedState(UNEDITED_CONTRACT, reaches_majority=is_fresh)
     contracts = EffectiveContracts(state)
     for edit, received_at, known_replicated_at in known:
         terms = contract_entries.ContractTerms(tiers[edit], 0, 0)
         for at in (None, known_replicated_at):
             state.contract = _replicated(EntryKind.CONTRACT, "mill", terms, edit, received_at, at)
-            contracts.refresh(received_at if edit else LONG_AGO)
+            contracts.refresh(received_at if edit else INITIAL_TICK)
     contracts.refresh(now_ms)
-    mill, town = (
+    edited, unedited = (
         assign_priority(name, contracts.for_tenant(name), is_within_quota=True) for name in ("mill", "town")
     )
-    return mill.outranks(town) - town.outranks(mill)
+    return edited.outranks(unedited) - unedited.outranks(edited)
 
 
-def _successors(state: WorldState) -> Iterator[WorldState]:
+def _successors(state: ModelState) -> Iterator[ModelState]:
     """Yield the states after one edit, delivery, replication or confirmation of replication at a router."""
     now_ms = float(state.now_ms)
     for router in (0, 1):
         own_edits = state.routers[router]
         other_edits = state.routers[1 - router]
 
-        def knowing(known: KnownEdits, router: int = router, last_edit: int = state.last_edit) -> WorldState:
+        def with_known_edits(
+            known: KnownEdits, router: int = router, last_edit: int = state.last_edit
+        ) -> ModelState:
             routers = (known, state.routers[1]) if router == 0 else (state.routers[0], known)
             return state._replace(routers=routers, last_edit=last_edit)
 
@@ -121,12 +123,12 @@
             state.last_edit < router + 1
         ):  # the first router makes the first edit, because the routers are symmetric
             edit = state.last_edit + 1
-            yield knowing((*own_edits, KnownEdit(edit, now_ms, None)), last_edit=edit)
+            yield with_known_edits((*own_edits, KnownEdit(edit, now_ms, None)), last_edit=edit)
         if other_edits[-1].edit > own_edits[-1].edit:
-            yield knowing((*own_edits, KnownEdit(other_edits[-1].edit, now_ms, None)))
+            yield with_known_edits((*own_edits, KnownEdit(other_edits[-1].edit, now_ms, None)))
         latest = own_edits[-1]
         if latest.known_replicated_at is None and state.replicated_at[latest.edit] is not None:
-            yield knowing((*own_edits[:-1], latest._replace(known_replicated_at=now_ms)))
+            yield with_known_edits((*own_edits[:-1], latest._replace(known_replicated_at=now_ms)))
         if state.replicated_at[latest.edit] is None:  # the majority includes this router
             before = state.replicated_at[: latest.edit]
             after = state.replicated_at[latest.edit + 1 :]
@@ -137,27 +139,29 @@
     """The result of an exploration."""
 
     state_count: int
-    act_count: int  # states in which one tenant outranks the other at the first router
+    precedence_count: int  # states in which one tenant outranks the other at the first router
     longest_contradiction_ticks: int
 
 
 def explore(first_tier: str, max_ticks: float = math.inf) -> Exploration:
     """Explore all runs of two routers and two edits, or until a contradiction exceeds ``max_ticks``."""
-    start: KnownEdits = (KnownEdit(0, LONG_AGO, LONG_AGO),)
-    pending = [WorldState(0, 0, (LONG_AGO, None, None), (start, start), 0)]
+    start: KnownEdits = (KnownEdit(0, INITIAL_TICK, INITIAL_TICK),)
+    pending = [ModelState(0, 0, (INITIAL_TICK, None, None), (start, start), 0)]
     seen = set(pending)
-    act_count = 0
+    precedence_count = 0
     longest_ticks = 0
-    signs: dict[tuple[KnownEdits, int, ReplicatedAt], int] = {}
+    precedence_by_state: dict[tuple[KnownEdits, int, ReplicatedAt], int] = {}
     while pending and longest_ticks <= max_ticks:
         state = pending.pop()
         keys = [(known, state.now_ms, state.replicated_at) for known in state.routers]
         for key in keys:
-            if key not in signs:
-                signs[key] = _preemption_sign(key[0], float(state.now_ms), state.replicated_at, first_tier)
-        first_sign, other_sign = (signs[key] for key in keys)
-        act_count += first_sign != 0
-        contradiction_ticks = state.contradiction_ticks + 1 if first_sign * other_sign < 0 else 0
+            if key not in precedence_by_state:
+                precedence_by_state[key] = _precedence(
+                    key[0], float(state.now_ms), state.replicated_at, first_tier
+                )
+        first_precedence, other_precedence = (precedence_by_state[key] for key in keys)
+        precedence_count += first_precedence != 0
+        contradiction_ticks = state.contradiction_ticks + 1 if first_precedence * other_precedence < 0 else 0
         longest_ticks = max(longest_ticks, contradiction_ticks)
         successors = list(_successors(state))
         if state.now_ms < LAST_TICK:
@@ -168,4 +172,4 @@
             if successor not in seen:
                 seen.add(successor)
                 pending.append(successor)
-    return Exploration(len(seen), act_count, longest_ticks)
+    return Exploration(len(seen), precedence_count, longest_ticks)
--- a/tests/unit/priority/test_contracts_exploration.py
+++ b/tests/unit/priority/test_contracts_exploration.py
@@ -17,7 +17,7 @@
     explored = explore("a")
     print(explored)
     assert explored.state_count > 10_000
-    assert explored.act_count > 1000
+    assert explored.precedence_count > 1000
     assert explored.longest_contradiction_ticks == 0
 
 
