--- a/tests/simulation/change_freeze_world.py
+++ b/tests/simulation/change_freeze_world.py
@@ -1,4 +1,4 @@
-"""A small world around one router with the change freeze component, explored exhaustively.
+"""A small model around one router with the change freeze component, explored exhaustively.
 
 The surroundings may do all that the replicated store permits: replicate, deliver and confirm entries in any
 order, partition or restart the router, and step its clock.
@@ -54,7 +54,7 @@
 
 
 @dataclass
-class SmallWorld:
+class RouterModel:
     """One router and its surroundings, which may do all that the replicated store's theorem permits."""
 
     relaxing_entry: int = SHORTENED  # the entry of ``BODIES`` that follows the window
@@ -64,13 +64,13 @@
     replicated_at: dict[int, int] = field(default_factory=dict)
     received_at: dict[int, int] = field(default_factory=dict)
     known_replicated_at: dict[int, int] = field(default_factory=dict)
-    hears_majority: bool = True
+    reaches_majority: bool = True
     wall_clock_step_ms: float = 0.0
     stepped_before_window: bool = False  # if so, the clock followed the step
     has_restarted: bool = False
     staleness_bound_ms: float = BOUND_STEPS * STEP_MS
     component: ChangeFreezeComponent | None = None
-    make_copy: Callable[[], SmallWorld] | None = None
+    make_copy: Callable[[], RouterModel] | None = None
 
     def entries(self, kind: EntryKind) -> tuple[ReplicatedEntry, ...]:
         newest: dict[str, ReplicatedEntry] = {}
@@ -83,7 +83,7 @@
         return tuple(newest.values())
 
     def is_fresh(self, now_ms: float) -> bool:
-        return self.hears_majority
+        return self.reaches_majority
 
     def fresh_since(self, now_ms: float) -> float | None:
         return None
@@ -115,7 +115,7 @@
             self.component = ChangeFreezeComponent(SETTINGS, sharing, self, escrow, now_ms=now_ms)
         host_unix_ms = EPOCH_UNIX_MS + now_ms + self.wall_clock_step_ms
         self.component.on_notification(now_ms, WallClockRead(host_unix_ms))
-        if self.hears_majority:
+        if self.reaches_majority:
             for peer_index in (1, 2):
                 self.component.wall_clock.add_sample(now_ms, peer_index, EPOCH_UNIX_MS + now_ms, now_ms)
         self.component.on_tick(now_ms)
@@ -150,7 +150,7 @@
             len(self.component.wall_clock.samples) > 0,
         )
         own_state = (
-            self.hears_majority,
+            self.reaches_majority,
             self.wall_clock_step_ms,
             self.stepped_before_window,
             self.has_restarted,
@@ -166,11 +166,11 @@
             return -1.0
         return min(self.step_index * STEP_MS - replicated_at_ms, self.staleness_bound_ms)
 
-    def successors(self) -> Iterator[SmallWorld]:
-        for transitions in (self._replicate, self._deliver, self._learn_replicated):
+    def successors(self) -> Iterator[RouterModel]:
+        for transitions in (self._replicate, self._deliver, self._confirm_replicated):
             yield from transitions()
         if self.step_index in CHANGE_STEPS:
-            yield self._changed(hears_majority=not self.hears_majority)
+            yield self._changed(reaches_majority=not self.reaches_majority)
         if not self.wall_clock_step_ms and self.step_index == START_STEP + 1:
             for hours in (-5, 5):
                 yield self._changed(
@@ -187,34 +187,34 @@
                 yield self._changed(
                     component=None,
                     has_restarted=True,
-                    hears_majority=False,
+                    reaches_majority=False,
                     received_at=restored,
                     known_replicated_at={},
                 )
         if self.step_index < LAST_STEP:
             yield self._changed(step_index=self.step_index + 1)
 
-    def _changed(self, **changes: object) -> SmallWorld:
+    def _changed(self, **changes: object) -> RouterModel:
         if self.make_copy is None:
             self.make_copy = helpers.copier(self, (SETTINGS, *(body for _, body in BODIES), *ENTRIES))
-        world = self.make_copy()
+        model = self.make_copy()
         for name, value in changes.items():
-            setattr(world, name, value)
-        return world
+            setattr(model, name, value)
+        return model
 
-    def _replicate(self) -> Iterator[SmallWorld]:
+    def _replicate(self) -> Iterator[RouterModel]:
         indexes = (WINDOW, self.relaxing_entry) if WINDOW in self.replicated_at else (WINDOW,)
         for index in indexes:
             if index not in self.replicated_at and self.step_index in CHANGE_STEPS:
                 yield self._changed(replicated_at=self.replicated_at | {index: self.step_index})
 
-    def _deliver(self) -> Iterator[SmallWorld]:
+    def _deliver(self) -> Iterator[RouterModel]:
         for index in self.replicated_at:
             is_superseded = index == WINDOW and SHORTENED in self.received_at
             if index not in self.received_at and not is_superseded:
                 yield self._changed(received_at=self.received_at | {index: self.step_index})
 
-    def _learn_replicated(self) -> Iterator[SmallWorld]:
+    def _confirm_replicated(self) -> Iterator[RouterModel]:
         for index in self.received_at:
             if index not in self.known_replicated_at:
                 yield self._changed(known_replicated_at=self.known_replicated_at | {index: self.step_index})
@@ -222,7 +222,7 @@
     def violation(self) -> str | None:
         """Return the violation in this state, by the true state of the surroundings; None: no violation."""
         assert self.component is not None
-        is_open = not self.component.gate.is_frozen(
+        permits_changes = not self.component.gate.is_frozen(
             PlacementChange(PlacementChangeKind.FIRST_INSTANCE, None, 1)
         )
         relaxed_at = min(
@@ -234,14 +234,14 @@
             and self.step_index > max(START_STEP, self.replicated_at[WINDOW] + FRESHNESS_STEPS)
             and self.step_index < min(END_STEP, relaxed_at)
         )
-        if must_be_frozen and is_open and self.has_restarted and not self.hears_majority:
+        if must_be_frozen and permits_changes and self.has_restarted and not self.reaches_majority:
             return "a restarted router changed placements in the window, before it was fresh"
-        if must_be_frozen and is_open and self.hears_majority:
+        if must_be_frozen and permits_changes and self.reaches_majority:
             return "a fresh router changed placements in the window"
         trusts_wrong_clock = self.wall_clock_step_ms and (self.has_restarted or self.stepped_before_window)
         lacks_predecessor = SHORTENED in self.received_at and WINDOW not in self.received_at
         must_have_ended = self.step_index >= END_STEP + (BOUND_STEPS if lacks_predecessor else 0)
-        if not is_open and must_have_ended and self.hears_majority and not trusts_wrong_clock:
+        if not permits_changes and must_have_ended and self.reaches_majority and not trusts_wrong_clock:
             return "the window did not end"
         return None
 
@@ -255,7 +255,7 @@
 
 def explore(relaxing_entry: int) -> Exploration:
     """Explore all runs with the window and one relaxing entry."""
-    first = SmallWorld(relaxing_entry)
+    first = RouterModel(relaxing_entry)
     first.tick()
     seen = {first.state_key()}
     pending = [first]
@@ -265,8 +265,8 @@
         if (violation := state.violation()) is not None:
             violations.add(violation)
         for successor in state.successors():
-            if successor.hears_majority and not successor.may_be_fresh():
-                successor.hears_majority = False
+            if successor.reaches_majority and not successor.may_be_fresh():
+                successor.reaches_majority = False
             successor.tick()
             if (key := successor.state_key()) not in seen:
                 seen.add(key)
