--- a/tests/simulation/change_freeze_fleet.py
+++ b/tests/simulation/change_freeze_fleet.py
@@ -2,7 +2,7 @@
 
 The routers run the real component. The replicated store is a fake that only delays entries, and the escrow is
 a fake that divides totals evenly. The workers record each function that is placed on them, and the scenarios
-check these records alone. All times are ms.
+check only these records. All times are ms.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 FUNCTION_COUNT = 30
 MAX_DRIFT_RATE = 0.001
 CLOCK_ERROR_MS = 500.0
-PREFERENCE_EPOCH_MS = 5000.0  # after which each function prefers other workers, so that changes never end
+PREFERENCE_EPOCH_MS = 5000.0  # after which functions prefer other workers, so that changes never stop
 
 
 class FakeReplicatedState:
@@ -88,7 +88,7 @@
 
 
 class SimulatedRouter:
-    """A router with the real component, clocks that drift, and a simple way to route calls."""
+    """A router with the real component, drifting clocks and simplified routing of calls."""
 
     def __init__(self, fleet: SimulatedFleet, router_index: int, started_at_ms: float = 0.0) -> None:
         self.fleet = fleet
@@ -148,7 +148,7 @@
                 and deferred.kind is not PlacementChangeKind.UNLOAD
             ):
                 self.fleet.load_function(deferred.worker_id, deferred.function_id)
-        for peer in self.fleet.routers:  # one request and its response on each tick
+        for peer in self.fleet.routers:  # one clock request and its response on each tick
             is_partitioned = self.fleet.is_partitioned(self) or self.fleet.is_partitioned(peer)
             if peer is not self and not is_partitioned:
                 peer_unix_ms = peer.component.wall_clock.unix_ms(peer.local_now_ms)
@@ -216,7 +216,7 @@
             )
 
     def request_preload(self, function_id: int) -> None:
-        """Request a preload of the function where it is not placed, and an unload of it."""
+        """Request a preload of the function on a worker where it is not placed, and an unload."""
         now_ms = self.local_now_ms
         gate = self.component.gate
         without_instance = [
@@ -342,7 +342,7 @@
             router.component.on_notification(router.local_now_ms, update)
 
     def restart_router(self, router_index: int, *, has_disk: bool) -> None:
-        """Restart a router. Without a disk, the router receives its entries again only once connected."""
+        """Restart a router. Without a disk, the router receives its entries again only when connected."""
         previous = self.routers[router_index]
         restarted = SimulatedRouter(self, router_index, self.now_ms)
         restarted.wall_clock_step_ms = previous.wall_clock_step_ms
@@ -356,13 +356,13 @@
             restarted.replicated_state.deliveries[kind] = deliveries if has_disk else delayed
         self.routers[router_index] = restarted
 
-    # Figures for the scenarios.
+    # Measurements for the scenarios.
 
     def count_placements(self, from_ms: float, until_ms: float) -> int:
         return sum(from_ms <= placement.at_ms < until_ms for placement in self.placements)
 
     def peak_placements(self, from_ms: float, until_ms: float, span_ms: float = 250.0) -> int:
-        """Return the greatest number of placements in any time of ``span_ms``."""
+        """Return the greatest number of placements in any interval of ``span_ms``."""
         times_ms = [each.at_ms for each in self.placements if from_ms <= each.at_ms < until_ms]
         counts = (sum(start_ms <= at_ms < start_ms + span_ms for at_ms in times_ms) for start_ms in times_ms)
         return max(counts, default=0)
--- a/tests/simulation/change_freeze_records.py
+++ b/tests/simulation/change_freeze_records.py
@@ -36,7 +36,7 @@
 
 
 class Partition(NamedTuple):
-    """The time in which a router neither receives nor delivers messages."""
+    """The time in which a router neither receives nor sends messages."""
 
     start_ms: float
     end_ms: float
--- a/tests/simulation/change_freeze_world.py
+++ b/tests/simulation/change_freeze_world.py
@@ -1,6 +1,6 @@
-"""A small model around one router with the change freeze component, explored exhaustively.
+"""A model of one router with the change freeze component and its environment, explored exhaustively.
 
-The surroundings may do all that the replicated store permits: replicate, deliver and confirm entries in any
+The environment may do all that the replicated store permits: replicate, deliver and confirm entries in any
 order, partition or restart the router, and step its clock.
 """
 
@@ -28,11 +28,11 @@
 END_STEP = 7
 SHORTENED_END_STEP = 5
 LAST_STEP = 9
-CHANGE_STEPS = (1, START_STEP + 1)  # at which the surroundings change
-NEVER = 99  # a step after the last
+CHANGE_STEPS = (1, START_STEP + 1)  # at which the environment changes
+NEVER = 99  # later than the last step
 MS_PER_HOUR = 3_600_000.0
 
-# Indexes of the entries: a window, and three entries that relax the window, of which a run has one.
+# Indexes of the entries: a window, and three entries that relax the window. A run has one of these three.
 WINDOW, SHORTENED, REVOKED, LIFTED = range(4)
 
 
@@ -55,18 +55,18 @@
 
 @dataclass
 class RouterModel:
-    """One router and its surroundings, which may do all that the replicated store's theorem permits."""
+    """One router and its environment, which may do all that the replicated store's guarantees permit."""
 
     relaxing_entry: int = SHORTENED  # the entry of ``BODIES`` that follows the window
     step_index: int = 0
     # By index of an entry, the step at which a majority had the entry, the router received the entry, and the
-    # router learnt of the majority:
+    # router knew of the majority:
     replicated_at: dict[int, int] = field(default_factory=dict)
     received_at: dict[int, int] = field(default_factory=dict)
     known_replicated_at: dict[int, int] = field(default_factory=dict)
     reaches_majority: bool = True
     wall_clock_step_ms: float = 0.0
-    stepped_before_window: bool = False  # if so, the clock followed the step
+    stepped_before_window: bool = False  # if so, the clock applied the step
     has_restarted: bool = False
     staleness_bound_ms: float = BOUND_STEPS * STEP_MS
     component: ChangeFreezeComponent | None = None
@@ -89,7 +89,7 @@
         return None
 
     def may_be_fresh(self) -> bool:
-        """Return whether the theorem of the replicated store permits that the router is fresh.
+        """Return whether the guarantees of the replicated store permit that the router is fresh.
 
         A fresh router has each entry that a majority had ``FRESHNESS_STEPS`` before, or a later version, and
         knows of the majority.
@@ -107,7 +107,7 @@
         return not has_unconfirmed and all(index == WINDOW and is_superseded for index in missing)
 
     def tick(self) -> None:
-        """Let the component read its clock, compare the clock with others' and tick."""
+        """Pass a reading of the host's clock and samples of other clocks to the component, then tick."""
         now_ms = self.step_index * STEP_MS
         if self.component is None:
             sharing = SharingConfig(clock_error=0.0, clock_rate=0.0)
@@ -220,7 +220,7 @@
                 yield self._changed(known_replicated_at=self.known_replicated_at | {index: self.step_index})
 
     def violation(self) -> str | None:
-        """Return the violation in this state, by the true state of the surroundings; None: no violation."""
+        """Return the violation in this state, according to the true state of the environment; None: none."""
         assert self.component is not None
         permits_changes = not self.component.gate.is_frozen(
             PlacementChange(PlacementChangeKind.FIRST_INSTANCE, None, 1)
--- a/tests/simulation/contract_edits.py
+++ b/tests/simulation/contract_edits.py
@@ -93,7 +93,7 @@
 def contradiction_of_edited_contracts(seed: int) -> str | None:
     """Edit two contracts repeatedly while pulls are lost and routers are partitioned, some in one direction.
 
-    Return a text if two routers disagree on which tenant has precedence for longer than the staleness bound.
+    Return a message if two routers disagree on which tenant has precedence for over the staleness bound.
     """
     rng = random.Random(seed)
     states = [PullingReplicatedState(router_index, ROUTER_COUNT) for router_index in range(ROUTER_COUNT)]
--- a/tests/simulation/priority_fleet.py
+++ b/tests/simulation/priority_fleet.py
@@ -53,7 +53,7 @@
 
 
 class SimulatedRouter:
-    """A router with the real priority component and overload estimator, and a simple way to route calls."""
+    """A router with the real priority component and overload estimator, and simplified routing of calls."""
 
     def __init__(self, fleet: SimulatedFleet, router_index: int) -> None:
         self.fleet = fleet
@@ -124,7 +124,7 @@
         return forced or self.overload.shed_probability(now_ms, objective_ms, range(WORKER_COUNT))
 
     def expected_wait_ms(self, worker_id: int, *, preempted_calls: int) -> float:
-        """Return the time until the worker has a free slot, if all routers have as many calls there."""
+        """Return the time until the worker has a free slot, if all routers have equally many calls there."""
         calls_ahead = ROUTER_COUNT * len(self.in_flight[worker_id]) - preempted_calls + 1 - CONCURRENCY
         return max(0.0, calls_ahead * 200.0 / CONCURRENCY)
 
@@ -207,14 +207,14 @@
                 self.send(now_ms, queued_call, call.worker_id)
 
 
-# The measured time is after the onset of 6 s, which docs/design/priority.md reports separately.
+# The measurement starts after the onset phase of 6 s, which docs/design/priority.md reports separately.
 MEASURED_FROM_MS = 14_000.0
 MEASURED_UNTIL_MS = 44_000.0
 ArrivalRates = Callable[[float], tuple[float, float, float]]
 
 
 class SimulatedFleet:
-    """Routers, workers and clients on virtual time, and the records that the checks read. Times are ms.
+    """Routers, workers and clients on virtual time, and the records that the checks use. Times are ms.
 
     Args:
         seed: Seeds all random draws.
@@ -352,7 +352,7 @@
             self.queues[call.worker_id].remove(call)
         self.start_queued(now_ms, call.worker_id)
 
-    # Figures for the checks.
+    # Measurements for the checks.
 
     def value_served(
         self,
--- a/tests/simulation/test_change_freeze.py
+++ b/tests/simulation/test_change_freeze.py
@@ -1,4 +1,4 @@
-"""A freeze in a simulated fleet: no placement changes beyond the exception budget, whatever fails.
+"""A freeze in a simulated fleet: no placement changes beyond the exception budget, despite failures.
 
 Each scenario returns the violations that it finds. Each injected defect must be found by a scenario.
 """
@@ -41,7 +41,7 @@
 window_terms = functools.partial(builders.window_terms, start_ms=WINDOW_START_MS, end_ms=WINDOW_END_MS)
 REVOCATION = Revocation("w", "ops", "over")
 
-# What a scenario found wrong in the fleet, one text each.
+# The violations that a scenario found, one message each.
 Violations = list[str]
 Scenario = Callable[[SimulatedFleet], Violations]
 
@@ -123,7 +123,7 @@
 
 
 def window_edited(fleet: SimulatedFleet) -> Violations:
-    """Overlap, extend and later shorten a window; only the shortening waits for the bound."""
+    """Overlap, extend and later shorten a window; only the shortening waits for the staleness bound."""
     fleet.declare(EntryKind.FREEZE, window_terms(end_ms=40_000.0))
     fleet.declare(
         EntryKind.FREEZE, window_terms(start_ms=35_000.0, end_ms=50_000.0, window_id="x", function_ids=(1, 2))
@@ -145,7 +145,7 @@
 
 
 def clocks_step(fleet: SimulatedFleet) -> Violations:
-    """Three clocks step by hours or by 80 s; then one wrong time source steps all clocks at once."""
+    """Step three clocks by hours or by 80 s, then all clocks at once, as a wrong time source would."""
     fleet.declare(EntryKind.FREEZE, window_terms())
     fleet.run(25_000.0)
     for router_index, step_ms in ((1, 7_200_000.0), (2, -7_200_000.0), (3, 80_000.0)):
@@ -161,7 +161,7 @@
 
 
 def clock_behind_from_start(fleet: SimulatedFleet) -> Violations:
-    """Set a clock back by hours from its router's start; the window starts by the other routers' clocks."""
+    """Set a router's clock back by hours from its start; the window starts by the other routers' clocks."""
     fleet.routers[3].wall_clock_step_ms = -7_200_000.0
     fleet.restart_router(3, has_disk=False)
     fleet.run(16_000.0).declare(EntryKind.FREEZE, window_terms(start_ms=21_000.0))
@@ -174,7 +174,7 @@
 
 
 def routers_restart(fleet: SimulatedFleet) -> Violations:
-    """Routers lose their entries in the window, and one of them is partitioned as well."""
+    """Restart routers in the window, two without their entries, of which one is partitioned as well."""
     fleet.declare(EntryKind.FREEZE, window_terms(exception_budget=3))
     fleet.run(28_000.0)
     fleet.routers[4].partition = Partition(28_000.0, 45_000.0)
@@ -184,7 +184,7 @@
 
 
 def all_routers_partitioned(fleet: SimulatedFleet) -> Violations:
-    """All routers are partitioned from long before the end: the window still ends on time."""
+    """Partition all routers long before the end; the window still ends on time."""
     fleet.declare(EntryKind.FREEZE, window_terms(end_ms=100_000.0))
     fleet.run(25_000.0)
     for router in fleet.routers:
@@ -218,7 +218,7 @@
 
 
 def released_slowly(fleet: SimulatedFleet) -> Violations:
-    """Deferred changes are not released at once: their peak is near the peak of a fleet without a window."""
+    """Check that deferred changes are released slowly: the peak is near that of a fleet without a window."""
     fleet.declare(EntryKind.FREEZE, window_terms())
     peak = fleet.run(RUN_END_MS).peak_placements(WINDOW_END_MS, RUN_END_MS)
     max_peak = 1.5 * SimulatedFleet().start().run(WINDOW_END_MS).peak_placements(10_000.0, WINDOW_END_MS)
--- a/tests/simulation/test_change_freeze_exploration.py
+++ b/tests/simulation/test_change_freeze_exploration.py
@@ -1,4 +1,4 @@
-"""The change freeze in a small world that is explored exhaustively."""
+"""Exhaustive exploration of a model of one router with the change freeze component."""
 
 from __future__ import annotations
 
--- a/tests/simulation/test_priority_fleet.py
+++ b/tests/simulation/test_priority_fleet.py
@@ -37,12 +37,12 @@
 
 
 def double_capacity(now_ms: float) -> tuple[float, float, float]:
-    """Spare capacity until 8 s, then twice the capacity; the rate of the first tenant is constant."""
+    """Return rates below the capacity until 8 s, then twice the capacity; the first tenant's is constant."""
     return (45.0, 120.0, 155.0) if now_ms > 8000.0 else (45.0, 15.0, 20.0)
 
 
 def burst(now_ms: float) -> tuple[float, float, float]:
-    """2.4 times the usual rate for 7 s, which the fleet can serve."""
+    """Return 2.4 times the usual rates for 7 s, which the fleet can serve."""
     factor = 2.4 if 10_000.0 < now_ms < 17_000.0 else 1.0
     return (18.0 * factor, 18.0 * factor, 18.0 * factor)
 
@@ -63,7 +63,7 @@
 
 
 def _local_overload(seed: int) -> str | None:
-    """One router is overloaded and another partitioned, which is no overload of the cluster."""
+    """Overload one router and partition another, which is no overload of the cluster."""
     fleet = SimulatedFleet(seed, lambda now_ms: (20.0, 20.0, 20.0))
     fleet.forced_shed_probability[2] = 0.8
     fleet.routers[2].component.pressure_estimator.pressure = lambda now_ms: 3.0  # type: ignore[method-assign]
@@ -80,12 +80,12 @@
 
 
 def _queued_preempted(seed: int) -> str | None:
-    """All calls wait and none is rejected, so that only preemption frees capacity: here of queued calls."""
+    """Queue all calls and reject none, so that only preemption frees capacity: here of queued calls."""
     return _check_preemptions(SimulatedFleet(seed, double_capacity, never_sheds=True), were_running=False)
 
 
 def _running_preempted(seed: int) -> str | None:
-    """As above, with running calls, because the next worker of a queued call is unknown."""
+    """Preempt running calls instead, because the next worker of a queued call is unknown."""
     fleet = SimulatedFleet(seed, double_capacity, never_sheds=True, hides_queued_workers=True)
     return _check_preemptions(fleet, were_running=True)
 
@@ -114,7 +114,7 @@
 
 
 def _floor_held(seed: int) -> str | None:
-    """Only the calls of one small tenant may be preempted, and all others claim them."""
+    """Let only the calls of one small tenant be preempted, while all other calls claim their capacity."""
     fleet_file = FLEET_FILE.replace(b"rate = 60", b"rate = 900").replace(b"preempts = 6", b"preempts = 60")
     fleet = SimulatedFleet(
         seed,
@@ -135,7 +135,7 @@
 
 def _tenant_floods(seed: int) -> str | None:
     """Send far more than the first tenant's quota; another tenant's calls within quota are served."""
-    until_ms = MEASURED_UNTIL_MS - 1000.0  # later calls may not have ended
+    until_ms = MEASURED_UNTIL_MS - 1000.0  # later calls may still be in progress
     flooded = SimulatedFleet(
         seed, lambda now_ms: (250.0, 45.0, 5.0) if now_ms > 8000.0 else (45.0, 45.0, 5.0)
     )
@@ -146,7 +146,7 @@
 
 
 def _level_flaps(seed: int) -> str | None:
-    """Vary the pressure slowly around the onset, then fast and far; the level must not follow."""
+    """Vary the pressure slowly around the onset, then fast and widely; the level must not follow."""
     machine = OverloadStateMachine()
     rng = random.Random(seed)
     changes = 0
