--- a/tests/simulation/contract_edits.py
+++ b/tests/simulation/contract_edits.py
@@ -122,8 +122,12 @@
             else:
                 contradicts_since_ms.pop(pair, None)
     if act_count < 0.1 * STEP_COUNT * ROUTER_COUNT:
-        return f"only {act_count} acts: nothing is shown"
-    return f"a contradiction for {longest_ms:.0f} ms" if longest_ms > STALENESS_BOUND_MS else None
+        return f"only {act_count} precedence decisions, too few to show anything"
+    return (
+        f"two routers contradicted each other for {longest_ms:.0f} ms"
+        if longest_ms > STALENESS_BOUND_MS
+        else None
+    )
 
 
 def _edit_contract(now_ms: float, author: PullingReplicatedState, rng: random.Random) -> None:
--- a/tests/simulation/test_change_freeze.py
+++ b/tests/simulation/test_change_freeze.py
@@ -54,7 +54,7 @@
     fleet: SimulatedFleet, from_ms: float, until_ms: float, exception_budget: int = 0
 ) -> Violations:
     count = fleet.count_placements(from_ms, until_ms)
-    text = f"{count} changes from {from_ms} to {until_ms}, {exception_budget} permitted"
+    text = f"{count} changes from {from_ms} to {until_ms} ms, of which {exception_budget} are permitted"
     return violation(text, when=count > exception_budget)
 
 
@@ -64,7 +64,8 @@
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, WINDOW_END_MS),
         *violation(
-            "unloaded", when=any(WINDOW_START_MS <= at_ms < WINDOW_END_MS for at_ms in fleet.unloads_at_ms)
+            "a function was unloaded",
+            when=any(WINDOW_START_MS <= at_ms < WINDOW_END_MS for at_ms in fleet.unloads_at_ms),
         ),
         *violation(
             "nothing was requested or released", when=fleet.count_placements(WINDOW_END_MS, RUN_END_MS) == 0
@@ -94,7 +95,10 @@
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, WINDOW_END_MS, 7),
         *violation("the exception budget was not used", when=is_unused),
-        *violation("a placed worker had capacity", when=bool(fleet.needless_rejections_at_ms)),
+        *violation(
+            "a call was rejected although a placed worker had capacity",
+            when=bool(fleet.needless_rejections_at_ms),
+        ),
     ]
 
 
@@ -156,7 +160,7 @@
     fleet.run(RUN_END_MS)
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, WINDOW_END_MS),
-        *violation("it did not end", when=fleet.count_placements(WINDOW_END_MS, RUN_END_MS) == 0),
+        *violation("the window did not end", when=fleet.count_placements(WINDOW_END_MS, RUN_END_MS) == 0),
     ]
 
 
@@ -192,7 +196,7 @@
     fleet.run(110_000.0)
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, 100_000.0),
-        *violation("it did not end", when=fleet.count_placements(100_000.0, 110_000.0) == 0),
+        *violation("the window did not end", when=fleet.count_placements(100_000.0, 110_000.0) == 0),
     ]
 
 
@@ -213,7 +217,7 @@
     are_followed = all(router.settings.prices.idle_memory == 0.5 for router in fleet.routers)
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, WINDOW_END_MS),
-        *violation("the settings were never followed", when=not are_followed),
+        *violation("the new settings were never applied", when=not are_followed),
     ]
 
 
--- a/tests/simulation/test_priority_fleet.py
+++ b/tests/simulation/test_priority_fleet.py
@@ -69,14 +69,18 @@
     fleet.routers[2].component.pressure_estimator.pressure = lambda now_ms: 3.0  # type: ignore[method-assign]
     fleet.partitioned.add(4)
     fleet.routers[4].component.pressure_estimator.pressure = lambda now_ms: 3.0  # type: ignore[method-assign]
-    return "overload where there is none" if fleet.run(30_000.0).highest_level() else None
+    return (
+        "a router detected cluster overload where there is none"
+        if fleet.run(30_000.0).highest_level()
+        else None
+    )
 
 
 def _short_burst(seed: int) -> str | None:
     fleet = SimulatedFleet(seed, burst).run(25_000.0)
     lost = sum(call.answered_at_ms is None for call in fleet.calls.values() if call.arrived_at_ms < 24_000.0)
     assert lost < 0.04 * len(fleet.calls), "the fleet must be able to serve the burst"
-    return "overload where there is none" if fleet.highest_level() else None
+    return "a router detected cluster overload where there is none" if fleet.highest_level() else None
 
 
 def _queued_preempted(seed: int) -> str | None:
@@ -101,7 +105,7 @@
     ):
         return "a written call that must not run twice was preempted"
     if max(Counter(each.call.retry_identity for each in preemptions).values()) > 1:
-        return "one call was preempted twice"
+        return "a call was preempted twice"
     if fleet.wasted_work_ms > 0.03 * fleet.completed_work_ms:
         return f"{fleet.wasted_work_ms / fleet.completed_work_ms:.3f} of the work is wasted"
     spans = [(preemptions[0].at_ms, until_ms), *((from_ms, 2000.0) for from_ms in range(9000, 38_000, 500))]
@@ -109,7 +113,7 @@
         count = sum(from_ms <= each.at_ms < from_ms + span_ms for each in preemptions)
         budget = PREEMPTIONS_PER_SECOND * (min(span_ms, until_ms - from_ms) / 1000.0 + 1.0) + ROUTER_COUNT
         if count > budget:
-            return f"{count} preempted within {span_ms:.0f} ms"
+            return f"{count} calls were preempted within {span_ms:.0f} ms"
     return None
 
 
@@ -130,7 +134,11 @@
     )
     preempted = sum(each.call.arrived_at_ms > 12_000.0 for each in fleet.preemptions)
     assert preempted > 0.1 * calls, "otherwise the check shows nothing"
-    return f"{preempted} of {calls} preempted with a floor of a half" if preempted > 0.5 * calls else None
+    return (
+        f"{preempted} of {calls} calls were preempted with a floor of a half"
+        if preempted > 0.5 * calls
+        else None
+    )
 
 
 def _tenant_floods(seed: int) -> str | None:
@@ -142,7 +150,7 @@
     alone = SimulatedFleet(seed, lambda now_ms: (0.0, 45.0, 0.0))
     value = flooded.run(MEASURED_UNTIL_MS).value_served(1, until_ms=until_ms)
     served_share = value / alone.run(MEASURED_UNTIL_MS).value_served(1, until_ms=until_ms)
-    return f"{served_share:.2f} of a tenant's value within quota is served" if served_share < 0.6 else None
+    return f"{served_share:.2f} of a tenant's value within quota was served" if served_share < 0.6 else None
 
 
 def _level_flaps(seed: int) -> str | None:
@@ -157,7 +165,7 @@
         slow_wave = 1.1 + 0.15 * math.sin(now_ms / 3000.0)
         machine.update(now_ms, slow_wave if step < 1000 else rng.uniform(0.7, 1.5), parameters)
         changes += machine.level != previous_level
-    return f"{changes} changes of level" if changes != 1 else None
+    return f"{changes} changes of the overload level" if changes != 1 else None
 
 
 CHECKS = {
