--- a/tests/simulation/change_freeze_fleet.py
+++ b/tests/simulation/change_freeze_fleet.py
@@ -59,7 +59,7 @@
 
     def entries(self, kind: EntryKind) -> tuple[ReplicatedEntry, ...]:
         now_ms = self.fleet.now_ms
-        to_local = self.router.steady_clock_ms
+        to_steady_clock_ms = self.router.steady_clock_ms
         newest: dict[str, ReplicatedEntry] = {}
         for received_at_ms, entry, majority_at_ms in self.deliveries[kind]:
             previous = newest.get(entry.name)
@@ -67,7 +67,9 @@
                 replicated_at_ms = max(received_at_ms, majority_at_ms)
                 is_replicated = replicated_at_ms <= now_ms
                 newest[entry.name] = ReplicatedEntry(
-                    entry, to_local(received_at_ms), to_local(replicated_at_ms) if is_replicated else None
+                    entry,
+                    to_steady_clock_ms(received_at_ms),
+                    to_steady_clock_ms(replicated_at_ms) if is_replicated else None,
                 )
         return tuple(newest.values())
 
@@ -165,8 +167,8 @@
         ranked, home_count = gate.home_workers(now_ms, function_id, ready, 2)
         candidates = []
         for worker in preferred:
-            knows_instances = self.fleet.now_ms > self.started_at_ms + 500.0
-            is_placed = knows_instances and function_id in worker.placed_functions
+            has_observed_instances = self.fleet.now_ms > self.started_at_ms + 500.0
+            is_placed = has_observed_instances and function_id in worker.placed_functions
             rank = ranked.index(worker.worker_id) if worker.worker_id in ranked else 99
             candidates.append(
                 PlacementCandidate(
--- a/tests/simulation/contract_edits.py
+++ b/tests/simulation/contract_edits.py
@@ -75,14 +75,14 @@
     """The routers that neither pull nor are pulled from, and those from which no router pulls."""
 
     isolated: set[int]
-    unheard: set[int]
+    not_pulled_from: set[int]
 
 
 def _pull_at_random(
     now_ms: float, states: list[PullingReplicatedState], partition: OneWayPartition, rng: random.Random
 ) -> None:
     """Let each router pull from a random peer, unless the pull is lost or one of the two is partitioned."""
-    unreachable = partition.isolated | partition.unheard
+    unreachable = partition.isolated | partition.not_pulled_from
     for router_index in range(ROUTER_COUNT):
         peer_index = rng.randrange(ROUTER_COUNT)
         is_lost = rng.random() >= 0.2 or router_index == peer_index
@@ -111,12 +111,12 @@
             partition = OneWayPartition({rng.randrange(ROUTER_COUNT)}, {rng.randrange(ROUTER_COUNT)})
         _pull_at_random(now_ms, states, partition, rng)
         if step % 40 == 20 and step > 200:
-            author = rng.choice([*partition.unheard, rng.randrange(ROUTER_COUNT)])
+            author = rng.choice([*partition.not_pulled_from, rng.randrange(ROUTER_COUNT)])
             _edit_contract(now_ms, states[author], rng)
-        signs = [_preemption_sign(now_ms, each) for each in contracts]
-        act_count += sum(map(abs, signs))
+        precedence_by_router = [_precedence(now_ms, each) for each in contracts]
+        act_count += sum(map(abs, precedence_by_router))
         for pair in itertools.product(range(ROUTER_COUNT), range(ROUTER_COUNT)):
-            if signs[pair[0]] * signs[pair[1]] < 0:
+            if precedence_by_router[pair[0]] * precedence_by_router[pair[1]] < 0:
                 since_ms = contradicts_since_ms.setdefault(pair, now_ms)
                 longest_ms = max(longest_ms, now_ms - since_ms)
             else:
@@ -138,7 +138,7 @@
     author.add(now_ms, Entry(EntryKind.CONTRACT, name, version, msgspec.msgpack.encode(terms)))
 
 
-def _preemption_sign(now_ms: float, contracts: EffectiveContracts) -> int:
+def _precedence(now_ms: float, contracts: EffectiveContracts) -> int:
     """Return 1 if the first of ``EDITED_TENANTS`` outranks the other at a router, -1 if outranked, else 0."""
     contracts.refresh(now_ms)
     first, other = (
--- a/tests/simulation/test_change_freeze.py
+++ b/tests/simulation/test_change_freeze.py
@@ -214,10 +214,10 @@
         prices = dataclasses.replace(router.settings.prices, idle_memory=0.5)
         router.reload_settings(dataclasses.replace(router.settings, prices=prices))
     fleet.run(RUN_END_MS)
-    are_followed = all(router.settings.prices.idle_memory == 0.5 for router in fleet.routers)
+    are_applied = all(router.settings.prices.idle_memory == 0.5 for router in fleet.routers)
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, WINDOW_END_MS),
-        *violation("the new settings were never applied", when=not are_followed),
+        *violation("the new settings were never applied", when=not are_applied),
     ]
 
 
--- a/tests/simulation/test_priority_fleet.py
+++ b/tests/simulation/test_priority_fleet.py
@@ -50,13 +50,15 @@
 def test_at_twice_the_capacity_the_first_tier_is_served_and_little_value_is_lost() -> None:
     seed = 1
     until_ms = MEASURED_UNTIL_MS + 1000.0
-    tiered = SimulatedFleet(seed, double_capacity).run(until_ms)
-    plain = SimulatedFleet(seed, double_capacity, uses_priorities=False).run(until_ms)
+    with_priorities = SimulatedFleet(seed, double_capacity).run(until_ms)
+    without_priorities = SimulatedFleet(seed, double_capacity, uses_priorities=False).run(until_ms)
     alone = SimulatedFleet(seed, lambda now_ms: (45.0, 15.0, 20.0)).run(until_ms)
-    assert tiered.value_served(0) >= 0.98 * alone.value_served(0)
-    assert tiered.value_served(None) >= 0.97 * plain.value_served(None)
-    assert plain.value_served(0) < 0.7 * alone.value_served(0), "otherwise the test shows nothing"
-    assert tiered.wasted_work_ms <= 0.03 * tiered.completed_work_ms
+    assert with_priorities.value_served(0) >= 0.98 * alone.value_served(0)
+    assert with_priorities.value_served(None) >= 0.97 * without_priorities.value_served(None)
+    assert without_priorities.value_served(0) < 0.7 * alone.value_served(0), (
+        "otherwise the test shows nothing"
+    )
+    assert with_priorities.wasted_work_ms <= 0.03 * with_priorities.completed_work_ms
 
 
 # Checks: each runs a fleet, and returns the violation that it finds, or None.
@@ -141,14 +143,14 @@
     )
 
 
-def _tenant_floods(seed: int) -> str | None:
+def _tenant_exceeds_quota(seed: int) -> str | None:
     """Send far more than the first tenant's quota; another tenant's calls within quota are served."""
     until_ms = MEASURED_UNTIL_MS - 1000.0  # later calls may still be in progress
-    flooded = SimulatedFleet(
+    over_quota = SimulatedFleet(
         seed, lambda now_ms: (250.0, 45.0, 5.0) if now_ms > 8000.0 else (45.0, 45.0, 5.0)
     )
     alone = SimulatedFleet(seed, lambda now_ms: (0.0, 45.0, 0.0))
-    value = flooded.run(MEASURED_UNTIL_MS).value_served(1, until_ms=until_ms)
+    value = over_quota.run(MEASURED_UNTIL_MS).value_served(1, until_ms=until_ms)
     served_share = value / alone.run(MEASURED_UNTIL_MS).value_served(1, until_ms=until_ms)
     return f"{served_share:.2f} of a tenant's value within quota was served" if served_share < 0.6 else None
 
@@ -176,7 +178,7 @@
         _queued_preempted,
         _running_preempted,
         _floor_held,
-        _tenant_floods,
+        _tenant_exceeds_quota,
         _level_flaps,
         contradiction_of_edited_contracts,
     )
@@ -244,11 +246,11 @@
         [(preemption, "is_safe_to_reject", lambda *_: True)],
     ),
     "complete rate per router": (
-        "_tenant_floods",
+        "_tenant_exceeds_quota",
         [(FakeEscrow, "available", lambda self, now_ms, name: self.totals.get(name, 0))],
     ),
     "calls over quota count as within": (
-        "_tenant_floods",
+        "_tenant_exceeds_quota",
         [(usage.QuotaBucket, "try_take", lambda self: True)],
     ),
     "edits act at once": (
