--- a/cedarthread/change_freeze/window_entries.py
+++ b/cedarthread/change_freeze/window_entries.py
@@ -102,7 +102,7 @@
     ]
     bodies: list[tuple[EntryKind, WindowBody]] = [*windows, *revocations, *break_glass]
     for kind, body in bodies:
-        if (problem := _error_in(body)) is not None:
+        if (problem := _validation_error(body)) is not None:
             raise FleetConfigError(f"{kind} ({body.window_id}): {problem}")
     return [WindowEntry(kind, body.window_id, encode(body)) for kind, body in bodies]
 
@@ -122,7 +122,7 @@
         return MalformedDatagram(str(error))
     if body.window_id != name:
         return MalformedDatagram("the window id in the body differs from the name of the entry")
-    if (problem := _error_in(body)) is not None:
+    if (problem := _validation_error(body)) is not None:
         return MalformedDatagram(problem)
     # A second encoding of one meaning would have another digest, and would count as an edit.
     return body if encode(body) == raw else MalformedDatagram("the encoding is not canonical")
@@ -151,7 +151,7 @@
     return tuple(sorted(set(names)))
 
 
-def _error_in(body: WindowBody) -> str | None:
+def _validation_error(body: WindowBody) -> str | None:
     """Return what is invalid in a body, or None. Entries arrive over the network from any author."""
     if not 1 <= len(body.window_id.encode()) <= MAX_NAME_BYTES:
         return "a name is not 1 to 64 bytes long"
@@ -170,10 +170,10 @@
         )
     if not 0 <= body.exception_budget <= MAX_EXCEPTION_BUDGET:
         return f"the allowance is outside 0 to {MAX_EXCEPTION_BUDGET}"
-    return _error_in_names(body)
+    return _name_list_error(body)
 
 
-def _error_in_names(terms: WindowTerms) -> str | None:
+def _name_list_error(terms: WindowTerms) -> str | None:
     for names in (terms.zone_names, terms.tenant_names, terms.function_ids):
         if len(names) > MAX_NAMES or len(set(names)) < len(names) or list(names) != sorted(names):
             return f"a list has more than {MAX_NAMES} names, or is not sorted without duplicates"
--- a/cedarthread/priority/pressure_gossip.py
+++ b/cedarthread/priority/pressure_gossip.py
@@ -111,9 +111,9 @@
         )
         latest = sorted(others)[: MAX_REPORTS_PER_MESSAGE - 1]
         chosen = [self.router_index, *(router_index for _, router_index in latest)]
-        return [self._encodable(now_ms, router_index) for router_index in chosen]
+        return [self._to_router_pressure(now_ms, router_index) for router_index in chosen]
 
-    def _encodable(self, now_ms: float, router_index: int) -> RouterPressure:
+    def _to_router_pressure(self, now_ms: float, router_index: int) -> RouterPressure:
         report = self.reports[router_index]
         return RouterPressure(
             router_index, report.pressure, report.calls_per_second, now_ms - report.measured_at_ms
