--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -1,9 +1,9 @@
-"""The admission gate, which permits, denies or defers each change of where functions are placed.
+"""The admission gate, which permits, denies or defers each placement change.
 
-Each code path that changes placements consults the gate before the change. docs/design/change-freeze.md lists
+Each code path that changes placements queries the gate before the change. docs/design/change-freeze.md lists
 these paths, and ``placement_paths`` checks the source against that list. ``ChangeFreezeComponent`` writes the
-gate's rules and flags; the other state changes as the router consults the gate. All times are ms on the
-steady clock.
+gate's rules and flags; the router's queries update the remaining state. All times are ms on the steady
+clock.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     from cedarthread.components.quota_escrow import QuotaEscrow
     from cedarthread.model.settings import RouterSettings
 
-MAX_RETAINED_HOMES = 4096  # functions of which the gate remembers the home workers from before a window
+MAX_RETAINED_HOMES = 4096  # functions whose home workers from before a window are retained
 # The changes that load an instance at a worker:
 LOADING_KINDS = (PlacementChangeKind.FIRST_INSTANCE, PlacementChangeKind.PRELOAD)
 
@@ -46,8 +46,8 @@
 class AdmissionGate:
     """The admission gate of one router, which decides on its placement changes while windows are in force.
 
-    While ``is_active`` is False, nothing is frozen, and the methods on the path of calls return after this
-    test. The gate owns the placement table, the deferred changes and the home workers from before the
+    While ``is_active`` is False, nothing is frozen, and the methods on the call path return immediately after
+    this check. The gate owns the placement table, the deferred changes and the home workers from before the
     windows.
 
     Args:
@@ -61,7 +61,7 @@
         self.acquire_release = acquire_release
         self.is_active = False
         self.rules: tuple[FreezeRule, ...] = ()
-        self.is_uncertain = False  # this router may lack a window, so all changes count as frozen
+        self.is_uncertain = False  # a window may not have been received, so all changes count as frozen
         self.placements = PlacementTable()
         self.deferred_changes = DeferredChanges()
         self.retained_homes: dict[int, tuple[int, ...]] = {}  # worker ids by function, from before the freeze
@@ -84,7 +84,7 @@
             self.retained_homes.clear()
 
     def is_frozen(self, change: PlacementChange) -> bool:
-        """Return whether a rule in force freezes the change, without regard to the exception budget."""
+        """Return whether a rule in force freezes the change, regardless of the exception budget."""
         return self.is_active and (self.is_uncertain or any(rule.covers(change) for rule in self.rules))
 
     def is_emergency(self, function_id: int, *, has_alternatives: bool) -> bool:
@@ -106,7 +106,7 @@
         is_placed: bool,
         has_alternatives: bool,
     ) -> bool:
-        """Return whether a call may be sent to a worker; it consumes no exception, but a denial is deferred.
+        """Return whether a call may be sent to a worker; consumes no exception, but defers a denied change.
 
         Args:
             now_ms: The time on the steady clock.
@@ -172,34 +172,41 @@
     ) -> RoutingDecision:
         """Apply ``call_routing.route_call`` under the rules in force.
 
-        A candidate that is not open yet counts as open if the placement table has the function there, or if
-        no rule freezes a load there and no such load is deferred. The load at the first ready candidate that
-        is not open and not selected is deferred.
+        A candidate that is not permitted yet counts as permitted if the placement table has the function
+        there, or if no rule freezes a load there and no such load is deferred. The load at the first ready
+        candidate that is not permitted and not selected is deferred.
         """
 
-        def load_at(candidate: PlacementCandidate, *, is_emergency: bool) -> PlacementChange:
+        def load_change(candidate: PlacementCandidate, *, is_emergency: bool) -> PlacementChange:
             return first_instance_change(candidate, function_id, tenant_index, is_emergency=is_emergency)
 
         def can_place(candidate: PlacementCandidate, *, is_emergency: bool) -> bool:
-            change = load_at(candidate, is_emergency=is_emergency)
+            change = load_change(candidate, is_emergency=is_emergency)
             return not self.is_active or self._can_place(now_ms, change)
 
-        seen = [
-            replace(candidate, is_open=candidate.is_open or can_place(candidate, is_emergency=False))
+        evaluated = [
+            replace(
+                candidate, is_permitted=candidate.is_permitted or can_place(candidate, is_emergency=False)
+            )
             for candidate in candidates
         ]
         is_emergency = not any(
-            candidate.is_ready and candidate.is_open and candidate.has_capacity for candidate in seen
+            candidate.is_ready and candidate.is_permitted and candidate.has_capacity
+            for candidate in evaluated
         )
         eligible = [
             candidate
-            for candidate in seen
-            if candidate.is_open or (is_emergency and can_place(candidate, is_emergency=True))
+            for candidate in evaluated
+            if candidate.is_permitted or (is_emergency and can_place(candidate, is_emergency=True))
         ]
         decision = route_call(eligible, is_load_permitted=is_emergency)
-        for candidate in seen:
-            if candidate.is_ready and not candidate.is_open and candidate.worker_id != decision.worker_id:
-                self._defer(load_at(candidate, is_emergency=is_emergency))
+        for candidate in evaluated:
+            if (
+                candidate.is_ready
+                and not candidate.is_permitted
+                and candidate.worker_id != decision.worker_id
+            ):
+                self._defer(load_change(candidate, is_emergency=is_emergency))
                 break
         return decision
 
@@ -208,16 +215,18 @@
     ) -> HomeWorkers:
         """Return the ready workers in the order of preference for the function, and its number of homes.
 
-        While home workers are frozen, the function keeps its homes from before the freeze, or from its first
-        call in the freeze. Homes that are no longer ready are left out and not replaced.
+        While home workers are frozen, the function retains its homes from before the freeze, or from its
+        first call during the freeze. Homes that are no longer ready are omitted and not replaced.
         """
         if not self.is_active:
             return HomeWorkers(ready_workers, home_count)
         homes = tuple(ready_workers[:home_count])
         change = PlacementChange(PlacementChangeKind.HOME_WORKERS, None, function_id)
-        is_free = not self.is_frozen(change) and not self.deferred_changes.includes(change.kind, function_id)
+        may_change = not self.is_frozen(change) and not self.deferred_changes.includes(
+            change.kind, function_id
+        )
         retained_homes = self.retained_homes.get(function_id)
-        if is_free or retained_homes is None:
+        if may_change or retained_homes is None:
             if len(self.retained_homes) < MAX_RETAINED_HOMES or retained_homes is not None:
                 self.retained_homes[function_id] = homes
             return HomeWorkers(ready_workers, home_count)
@@ -231,14 +240,14 @@
         If the freeze denies changes of settings, the settings that decide where instances are placed
         retain their old values, and the new settings are stored in ``deferred_settings``.
         """
-        if not self.is_active or (without_moves := with_placement_settings_of(old, new)) == new:
+        if not self.is_active or (restricted := with_placement_settings_of(old, new)) == new:
             self.deferred_settings = None
             return new
         if self.admit(now_ms, PlacementChange(PlacementChangeKind.SETTINGS, None, None)).is_permitted:
             self.deferred_settings = None
             return new
         self.deferred_settings = new
-        return without_moves
+        return restricted
 
     def release(self, now_ms: float) -> list[DeferredChange]:
         """Remove and return the deferred changes that are no longer frozen, as many as the rate permits."""
@@ -254,7 +263,7 @@
     def _is_known_placement(self, change: PlacementChange) -> bool:
         """Return whether the change loads a function at a worker where the function is placed already.
 
-        Such a change is permitted because an instance that is loaded again at its own worker moves nothing.
+        Such a change is permitted because reloading an instance at its own worker changes no placement.
         """
         if change.kind not in LOADING_KINDS or change.function_id is None or change.worker_id is None:
             return False
@@ -271,7 +280,7 @@
     def _use_exception(self, now_ms: float, change: PlacementChange, rules: list[FreezeRule]) -> bool:
         """Consume one exception of each window that covers the change; return whether all had one.
 
-        Where windows overlap, the strictest decides, because each must have an exception left.
+        If windows overlap, the strictest one determines the result, because each must have an exception left.
         """
         if change.kind not in LOADING_KINDS or not self._has_exception(now_ms, change):
             return False
--- a/cedarthread/change_freeze/exception_pools.py
+++ b/cedarthread/change_freeze/exception_pools.py
@@ -17,7 +17,7 @@
 
 
 class OpenedPool(NamedTuple):
-    """The total and end of a pool, as last passed to the quota escrow."""
+    """The total and end of a pool, as most recently passed to the quota escrow."""
 
     total: int
     ends_at_ms: float
@@ -49,6 +49,6 @@
                 exception_pool_name(window_id), total, is_consumable=True, ends_at_ms=ends_at_ms
             )
 
-    def forget(self, window_id: str) -> None:
+    def remove(self, window_id: str) -> None:
         """Remove the record of a window that no longer exists."""
         self.opened_pools.pop(window_id, None)
--- a/cedarthread/change_freeze/placement_paths.py
+++ b/cedarthread/change_freeze/placement_paths.py
@@ -2,7 +2,7 @@
 
 A path is a function that creates a ``PreloadFunction``, an ``UnloadFunction`` or a ``StartAttempt``, or that
 sets the number or the order of home workers. The check searches the syntax tree by name. It finds paths that
-are not on the list, and paths that do not consult the admission gate.
+are not on the list, and paths that do not query the admission gate.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 
 # The constants below name functions and attributes of other modules. A rename there must be repeated here;
 # otherwise the test of this list fails.
-# Calls that can load an instance at a worker, or remove one:
+# Calls that can load an instance on a worker, or unload one:
 PLACEMENT_CALLS = ("PreloadFunction", "UnloadFunction", "_start_attempt")
 # Attributes that determine the home workers of functions:
 PLACEMENT_ATTRIBUTES = ("placement_order",)
 # Attribute and method through which new settings reach the router, which may move home workers:
 SETTINGS_CALL = ("router", "update_settings")
-# The name of the gate that a path must use if it is not on the list:
+# The name by which a path that is not on the list must refer to the gate:
 DEFAULT_GATE_NAME = "gate"
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementPath:
-    """A function that changes placements, and the name through which the function consults the gate."""
+    """A function that changes placements, and the name through which the function queries the gate."""
 
     module: str  # dotted name below the package
     function: str
-    act: str
-    gate_name: str  # a name in the function through which the function consults the gate
-    question: str  # the gate's method, and when the function calls the method
+    operation: str
+    gate_name: str  # a name in the function through which the function queries the gate
+    gate_call: str  # the gate's method, and when the function calls the method
 
 
 PLACEMENT_PATHS = (
@@ -53,24 +53,24 @@
         "_candidates",
         "placement_order",
         "constraints",
-        "home_workers(...) over the order by rendezvous hashing, before it is used",
+        "home_workers(...) on the order by rendezvous hashing, before it is used",
     ),
     PlacementPath(
         "node.routing_node",
         "update_settings",
         "update_settings",
         "gate",
-        "admitted_settings(...) over the settings, before they are followed",
+        "admitted_settings(...) on the settings, before they are applied",
     ),
 )
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeSite:
-    """A function in a source text that changes placements, and whether the function consults the gate."""
+    """A function in a source text that changes placements, and whether the function queries the gate."""
 
     function: str
-    act: str
+    operation: str
     uses_gate: bool
 
 
@@ -80,20 +80,24 @@
     Raises:
         SyntaxError: The text is not valid Python.
     """
-    gate_names = {(path.function, path.act): path.gate_name for path in PLACEMENT_PATHS}
+    gate_names = {(path.function, path.operation): path.gate_name for path in PLACEMENT_PATHS}
     sites: list[ChangeSite] = []
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.FunctionDef):
             names = {getattr(inner, field, "") for inner in ast.walk(node) for field in ("attr", "id", "arg")}
-            acts = dict.fromkeys(act for inner in ast.walk(node) for act in _acts_of(inner))
+            operations = dict.fromkeys(
+                operation for inner in ast.walk(node) for operation in _operations_of(inner)
+            )
             sites += [
-                ChangeSite(node.name, act, gate_names.get((node.name, act), DEFAULT_GATE_NAME) in names)
-                for act in acts
+                ChangeSite(
+                    node.name, operation, gate_names.get((node.name, operation), DEFAULT_GATE_NAME) in names
+                )
+                for operation in operations
             ]
     return sites
 
 
-def _acts_of(node: ast.AST) -> list[str]:
+def _operations_of(node: ast.AST) -> list[str]:
     """Return the names of the calls and attributes by which one syntax node changes placements."""
     if isinstance(node, ast.Call):
         name = getattr(node.func, "attr", getattr(node.func, "id", ""))
@@ -110,10 +114,10 @@
 
 def find_unlisted_sites(module: str, source: str) -> list[ChangeSite]:
     """Return the functions of a module that change placements and are not on the list."""
-    listed = {(path.function, path.act) for path in PLACEMENT_PATHS if path.module == module}
-    return [site for site in find_change_sites(source) if (site.function, site.act) not in listed]
+    listed = {(path.function, path.operation) for path in PLACEMENT_PATHS if path.module == module}
+    return [site for site in find_change_sites(source) if (site.function, site.operation) not in listed]
 
 
 def find_sites_bypassing_gate(source: str) -> list[ChangeSite]:
-    """Return the functions that change placements without consulting the gate."""
+    """Return the functions that change placements without querying the gate."""
     return [site for site in find_change_sites(source) if not site.uses_gate]
--- a/cedarthread/change_freeze/window.py
+++ b/cedarthread/change_freeze/window.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from cedarthread.components.replicated_state import ReplicatedEntry
 
-MAX_VERSIONS = 8  # in effect together for one window; beyond, the two oldest are merged into their union
+MAX_VERSIONS = 8  # in effect together for one window; the two oldest are merged if there are more
 
 
 class WindowState(StrEnum):
@@ -51,7 +51,7 @@
     earliest_unix_ms: float
     latest_unix_ms: float
     staleness_bound_ms: float  # B in docs/design/replication.md
-    lead_ms: float = 0.0  # by which windows start early, because the next reading may be that much later
+    lead_ms: float = 0.0  # how early windows start, because the next reading may be that much later
 
 
 _BodyT = TypeVar("_BodyT", WindowTerms, Revocation, BreakGlass)
@@ -63,10 +63,10 @@
 
     replicated: ReplicatedEntry
     body: _BodyT
-    is_predecessor_unknown: bool = False  # replaced a version that this router never received
+    is_predecessor_unknown: bool = False  # replaces a version that this router never received
 
     def is_effective(self, reading: ClockReading) -> bool:
-        """Return whether all fresh routers have this version by now, so its relaxations are in effect."""
+        """Return whether all fresh routers have this version, so that its relaxations are in effect."""
         replicated_at_ms = self.replicated.replicated_at_ms
         return (
             replicated_at_ms is not None and reading.now_ms >= replicated_at_ms + reading.staleness_bound_ms
@@ -127,7 +127,7 @@
             for version in self.versions
             if (terms := self._terms_in_force(version, reading)) is not None
         )
-        self.state = self._next_state(reading, is_covered=bool(in_force))
+        self.state = self._next_state(reading, has_terms_in_force=bool(in_force))
         return in_force if self.state is WindowState.IN_FORCE else ()
 
     def _terms_in_force(
@@ -139,7 +139,7 @@
             and not version.is_effective(reading)
             and reading.now_ms < version.replicated.received_at_ms + MAX_WINDOW_MS
         ):
-            # Other routers may still act on the replaced version. Its terms are unknown here, so every kind
+            # Other routers may still apply the replaced version. Its terms are unknown here, so every kind
             # of change is frozen.
             return WindowTerms(
                 terms.window_id,
@@ -156,13 +156,13 @@
         has_started = reading.latest_unix_ms + reading.lead_ms >= terms.start_unix_ms
         return terms if has_started and reading.earliest_unix_ms < terms.end_unix_ms else None
 
-    def _next_state(self, reading: ClockReading, *, is_covered: bool) -> WindowState:
-        """Return the next state. ``is_covered``: whether the terms of a version are in force."""
+    def _next_state(self, reading: ClockReading, *, has_terms_in_force: bool) -> WindowState:
+        """Return the next state. ``has_terms_in_force``: whether the terms of a version are in force."""
         if self.revocation is not None and (
             self.state is WindowState.REVOKED or self.revocation.is_effective(reading)
         ):  # a later version of the revocation does not end the revoked state
             return WindowState.REVOKED
-        if is_covered:
+        if has_terms_in_force:
             return WindowState.LIFTED if self._is_lifted(reading) else WindowState.IN_FORCE
         if self.versions and all(
             reading.earliest_unix_ms >= version.body.end_unix_ms for version in self.versions
--- a/tests/simulation/contract_edits.py
+++ b/tests/simulation/contract_edits.py
@@ -75,14 +75,14 @@
     """The routers that neither pull nor are pulled from, and those from which no router pulls."""
 
     isolated: set[int]
-    unheard: set[int]
+    not_pulled_from: set[int]
 
 
 def _pull_at_random(
     now_ms: float, states: list[PullingReplicatedState], partition: OneWayPartition, rng: random.Random
 ) -> None:
     """Let each router pull from a random peer, unless the pull is lost or one of the two is partitioned."""
-    unreachable = partition.isolated | partition.unheard
+    unreachable = partition.isolated | partition.not_pulled_from
     for router_index in range(ROUTER_COUNT):
         peer_index = rng.randrange(ROUTER_COUNT)
         is_lost = rng.random() >= 0.2 or router_index == peer_index
@@ -93,7 +93,7 @@
 def contradiction_of_edited_contracts(seed: int) -> str | None:
     """Edit two contracts repeatedly while pulls are lost and routers are partitioned, some in one direction.
 
-    Return a text if two routers disagree on which tenant has precedence for longer than the staleness bound.
+    Return a message if two routers disagree on which tenant has precedence for over the staleness bound.
     """
     rng = random.Random(seed)
     states = [PullingReplicatedState(router_index, ROUTER_COUNT) for router_index in range(ROUTER_COUNT)]
@@ -111,19 +111,23 @@
             partition = OneWayPartition({rng.randrange(ROUTER_COUNT)}, {rng.randrange(ROUTER_COUNT)})
         _pull_at_random(now_ms, states, partition, rng)
         if step % 40 == 20 and step > 200:
-            author = rng.choice([*partition.unheard, rng.randrange(ROUTER_COUNT)])
+            author = rng.choice([*partition.not_pulled_from, rng.randrange(ROUTER_COUNT)])
             _edit_contract(now_ms, states[author], rng)
-        signs = [_preemption_sign(now_ms, each) for each in contracts]
-        act_count += sum(map(abs, signs))
+        precedence_by_router = [_precedence(now_ms, each) for each in contracts]
+        act_count += sum(map(abs, precedence_by_router))
         for pair in itertools.product(range(ROUTER_COUNT), range(ROUTER_COUNT)):
-            if signs[pair[0]] * signs[pair[1]] < 0:
+            if precedence_by_router[pair[0]] * precedence_by_router[pair[1]] < 0:
                 since_ms = contradicts_since_ms.setdefault(pair, now_ms)
                 longest_ms = max(longest_ms, now_ms - since_ms)
             else:
                 contradicts_since_ms.pop(pair, None)
     if act_count < 0.1 * STEP_COUNT * ROUTER_COUNT:
-        return f"only {act_count} acts: nothing is shown"
-    return f"a contradiction for {longest_ms:.0f} ms" if longest_ms > STALENESS_BOUND_MS else None
+        return f"only {act_count} precedence decisions, too few to show anything"
+    return (
+        f"two routers contradicted each other for {longest_ms:.0f} ms"
+        if longest_ms > STALENESS_BOUND_MS
+        else None
+    )
 
 
 def _edit_contract(now_ms: float, author: PullingReplicatedState, rng: random.Random) -> None:
@@ -134,7 +138,7 @@
     author.add(now_ms, Entry(EntryKind.CONTRACT, name, version, msgspec.msgpack.encode(terms)))
 
 
-def _preemption_sign(now_ms: float, contracts: EffectiveContracts) -> int:
+def _precedence(now_ms: float, contracts: EffectiveContracts) -> int:
     """Return 1 if the first of ``EDITED_TENANTS`` outranks the other at a router, -1 if outranked, else 0."""
     contracts.refresh(now_ms)
     first, other = (
--- a/tests/simulation/test_change_freeze.py
+++ b/tests/simulation/test_change_freeze.py
@@ -1,4 +1,4 @@
-"""A freeze in a simulated fleet: no placement changes beyond the exception budget, whatever fails.
+"""A freeze in a simulated fleet: no placement changes beyond the exception budget, despite failures.
 
 Each scenario returns the violations that it finds. Each injected defect must be found by a scenario.
 """
@@ -41,7 +41,7 @@
 window_terms = functools.partial(builders.window_terms, start_ms=WINDOW_START_MS, end_ms=WINDOW_END_MS)
 REVOCATION = Revocation("w", "ops", "over")
 
-# What a scenario found wrong in the fleet, one text each.
+# The violations that a scenario found, one message each.
 Violations = list[str]
 Scenario = Callable[[SimulatedFleet], Violations]
 
@@ -54,7 +54,7 @@
     fleet: SimulatedFleet, from_ms: float, until_ms: float, exception_budget: int = 0
 ) -> Violations:
     count = fleet.count_placements(from_ms, until_ms)
-    text = f"{count} changes from {from_ms} to {until_ms}, {exception_budget} permitted"
+    text = f"{count} changes from {from_ms} to {until_ms} ms, of which {exception_budget} are permitted"
     return violation(text, when=count > exception_budget)
 
 
@@ -64,7 +64,8 @@
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, WINDOW_END_MS),
         *violation(
-            "unloaded", when=any(WINDOW_START_MS <= at_ms < WINDOW_END_MS for at_ms in fleet.unloads_at_ms)
+            "a function was unloaded",
+            when=any(WINDOW_START_MS <= at_ms < WINDOW_END_MS for at_ms in fleet.unloads_at_ms),
         ),
         *violation(
             "nothing was requested or released", when=fleet.count_placements(WINDOW_END_MS, RUN_END_MS) == 0
@@ -94,7 +95,10 @@
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, WINDOW_END_MS, 7),
         *violation("the exception budget was not used", when=is_unused),
-        *violation("a placed worker had capacity", when=bool(fleet.needless_rejections_at_ms)),
+        *violation(
+            "a call was rejected although a placed worker had capacity",
+            when=bool(fleet.needless_rejections_at_ms),
+        ),
     ]
 
 
@@ -123,7 +127,7 @@
 
 
 def window_edited(fleet: SimulatedFleet) -> Violations:
-    """Overlap, extend and later shorten a window; only the shortening waits for the bound."""
+    """Overlap, extend and later shorten a window; only the shortening waits for the staleness bound."""
     fleet.declare(EntryKind.FREEZE, window_terms(end_ms=40_000.0))
     fleet.declare(
         EntryKind.FREEZE, window_terms(start_ms=35_000.0, end_ms=50_000.0, window_id="x", function_ids=(1, 2))
@@ -145,7 +149,7 @@
 
 
 def clocks_step(fleet: SimulatedFleet) -> Violations:
-    """Three clocks step by hours or by 80 s; then one wrong time source steps all clocks at once."""
+    """Step three clocks by hours or by 80 s, then all clocks at once, as a wrong time source would."""
     fleet.declare(EntryKind.FREEZE, window_terms())
     fleet.run(25_000.0)
     for router_index, step_ms in ((1, 7_200_000.0), (2, -7_200_000.0), (3, 80_000.0)):
@@ -156,12 +160,12 @@
     fleet.run(RUN_END_MS)
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, WINDOW_END_MS),
-        *violation("it did not end", when=fleet.count_placements(WINDOW_END_MS, RUN_END_MS) == 0),
+        *violation("the window did not end", when=fleet.count_placements(WINDOW_END_MS, RUN_END_MS) == 0),
     ]
 
 
 def clock_behind_from_start(fleet: SimulatedFleet) -> Violations:
-    """Set a clock back by hours from its router's start; the window starts by the other routers' clocks."""
+    """Set a router's clock back by hours from its start; the window starts by the other routers' clocks."""
     fleet.routers[3].wall_clock_step_ms = -7_200_000.0
     fleet.restart_router(3, has_disk=False)
     fleet.run(16_000.0).declare(EntryKind.FREEZE, window_terms(start_ms=21_000.0))
@@ -174,7 +178,7 @@
 
 
 def routers_restart(fleet: SimulatedFleet) -> Violations:
-    """Routers lose their entries in the window, and one of them is partitioned as well."""
+    """Restart routers in the window, two without their entries, of which one is partitioned as well."""
     fleet.declare(EntryKind.FREEZE, window_terms(exception_budget=3))
     fleet.run(28_000.0)
     fleet.routers[4].partition = Partition(28_000.0, 45_000.0)
@@ -184,7 +188,7 @@
 
 
 def all_routers_partitioned(fleet: SimulatedFleet) -> Violations:
-    """All routers are partitioned from long before the end: the window still ends on time."""
+    """Partition all routers long before the end; the window still ends on time."""
     fleet.declare(EntryKind.FREEZE, window_terms(end_ms=100_000.0))
     fleet.run(25_000.0)
     for router in fleet.routers:
@@ -192,7 +196,7 @@
     fleet.run(110_000.0)
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, 100_000.0),
-        *violation("it did not end", when=fleet.count_placements(100_000.0, 110_000.0) == 0),
+        *violation("the window did not end", when=fleet.count_placements(100_000.0, 110_000.0) == 0),
     ]
 
 
@@ -210,15 +214,15 @@
         prices = dataclasses.replace(router.settings.prices, idle_memory=0.5)
         router.reload_settings(dataclasses.replace(router.settings, prices=prices))
     fleet.run(RUN_END_MS)
-    are_followed = all(router.settings.prices.idle_memory == 0.5 for router in fleet.routers)
+    are_applied = all(router.settings.prices.idle_memory == 0.5 for router in fleet.routers)
     return [
         *changes_over_budget(fleet, WINDOW_START_MS, WINDOW_END_MS),
-        *violation("the settings were never followed", when=not are_followed),
+        *violation("the new settings were never applied", when=not are_applied),
     ]
 
 
 def released_slowly(fleet: SimulatedFleet) -> Violations:
-    """Deferred changes are not released at once: their peak is near the peak of a fleet without a window."""
+    """Check that deferred changes are released slowly: the peak is near that of a fleet without a window."""
     fleet.declare(EntryKind.FREEZE, window_terms())
     peak = fleet.run(RUN_END_MS).peak_placements(WINDOW_END_MS, RUN_END_MS)
     max_peak = 1.5 * SimulatedFleet().start().run(WINDOW_END_MS).peak_placements(10_000.0, WINDOW_END_MS)
--- a/tests/simulation/test_priority_fleet.py
+++ b/tests/simulation/test_priority_fleet.py
@@ -37,12 +37,12 @@
 
 
 def double_capacity(now_ms: float) -> tuple[float, float, float]:
-    """Spare capacity until 8 s, then twice the capacity; the rate of the first tenant is constant."""
+    """Return rates below the capacity until 8 s, then twice the capacity; the first tenant's is constant."""
     return (45.0, 120.0, 155.0) if now_ms > 8000.0 else (45.0, 15.0, 20.0)
 
 
 def burst(now_ms: float) -> tuple[float, float, float]:
-    """2.4 times the usual rate for 7 s, which the fleet can serve."""
+    """Return 2.4 times the usual rates for 7 s, which the fleet can serve."""
     factor = 2.4 if 10_000.0 < now_ms < 17_000.0 else 1.0
     return (18.0 * factor, 18.0 * factor, 18.0 * factor)
 
@@ -50,42 +50,48 @@
 def test_at_twice_the_capacity_the_first_tier_is_served_and_little_value_is_lost() -> None:
     seed = 1
     until_ms = MEASURED_UNTIL_MS + 1000.0
-    tiered = SimulatedFleet(seed, double_capacity).run(until_ms)
-    plain = SimulatedFleet(seed, double_capacity, uses_priorities=False).run(until_ms)
+    with_priorities = SimulatedFleet(seed, double_capacity).run(until_ms)
+    without_priorities = SimulatedFleet(seed, double_capacity, uses_priorities=False).run(until_ms)
     alone = SimulatedFleet(seed, lambda now_ms: (45.0, 15.0, 20.0)).run(until_ms)
-    assert tiered.value_served(0) >= 0.98 * alone.value_served(0)
-    assert tiered.value_served(None) >= 0.97 * plain.value_served(None)
-    assert plain.value_served(0) < 0.7 * alone.value_served(0), "otherwise the test shows nothing"
-    assert tiered.wasted_work_ms <= 0.03 * tiered.completed_work_ms
+    assert with_priorities.value_served(0) >= 0.98 * alone.value_served(0)
+    assert with_priorities.value_served(None) >= 0.97 * without_priorities.value_served(None)
+    assert without_priorities.value_served(0) < 0.7 * alone.value_served(0), (
+        "otherwise the test shows nothing"
+    )
+    assert with_priorities.wasted_work_ms <= 0.03 * with_priorities.completed_work_ms
 
 
 # Checks: each runs a fleet, and returns the violation that it finds, or None.
 
 
 def _local_overload(seed: int) -> str | None:
-    """One router is overloaded and another partitioned, which is no overload of the cluster."""
+    """Overload one router and partition another, which is no overload of the cluster."""
     fleet = SimulatedFleet(seed, lambda now_ms: (20.0, 20.0, 20.0))
     fleet.forced_shed_probability[2] = 0.8
     fleet.routers[2].component.pressure_estimator.pressure = lambda now_ms: 3.0  # type: ignore[method-assign]
     fleet.partitioned.add(4)
     fleet.routers[4].component.pressure_estimator.pressure = lambda now_ms: 3.0  # type: ignore[method-assign]
-    return "overload where there is none" if fleet.run(30_000.0).highest_level() else None
+    return (
+        "a router detected cluster overload where there is none"
+        if fleet.run(30_000.0).highest_level()
+        else None
+    )
 
 
 def _short_burst(seed: int) -> str | None:
     fleet = SimulatedFleet(seed, burst).run(25_000.0)
     lost = sum(call.answered_at_ms is None for call in fleet.calls.values() if call.arrived_at_ms < 24_000.0)
     assert lost < 0.04 * len(fleet.calls), "the fleet must be able to serve the burst"
-    return "overload where there is none" if fleet.highest_level() else None
+    return "a router detected cluster overload where there is none" if fleet.highest_level() else None
 
 
 def _queued_preempted(seed: int) -> str | None:
-    """All calls wait and none is rejected, so that only preemption frees capacity: here of queued calls."""
+    """Queue all calls and reject none, so that only preemption frees capacity: here of queued calls."""
     return _check_preemptions(SimulatedFleet(seed, double_capacity, never_sheds=True), were_running=False)
 
 
 def _running_preempted(seed: int) -> str | None:
-    """As above, with running calls, because the next worker of a queued call is unknown."""
+    """Preempt running calls instead, because the next worker of a queued call is unknown."""
     fleet = SimulatedFleet(seed, double_capacity, never_sheds=True, hides_queued_workers=True)
     return _check_preemptions(fleet, were_running=True)
 
@@ -101,7 +107,7 @@
     ):
         return "a written call that must not run twice was preempted"
     if max(Counter(each.call.retry_identity for each in preemptions).values()) > 1:
-        return "one call was preempted twice"
+        return "a call was preempted twice"
     if fleet.wasted_work_ms > 0.03 * fleet.completed_work_ms:
         return f"{fleet.wasted_work_ms / fleet.completed_work_ms:.3f} of the work is wasted"
     spans = [(preemptions[0].at_ms, until_ms), *((from_ms, 2000.0) for from_ms in range(9000, 38_000, 500))]
@@ -109,12 +115,12 @@
         count = sum(from_ms <= each.at_ms < from_ms + span_ms for each in preemptions)
         budget = PREEMPTIONS_PER_SECOND * (min(span_ms, until_ms - from_ms) / 1000.0 + 1.0) + ROUTER_COUNT
         if count > budget:
-            return f"{count} preempted within {span_ms:.0f} ms"
+            return f"{count} calls were preempted within {span_ms:.0f} ms"
     return None
 
 
 def _floor_held(seed: int) -> str | None:
-    """Only the calls of one small tenant may be preempted, and all others claim them."""
+    """Let only the calls of one small tenant be preempted, while all other calls claim their capacity."""
     fleet_file = FLEET_FILE.replace(b"rate = 60", b"rate = 900").replace(b"preempts = 6", b"preempts = 60")
     fleet = SimulatedFleet(
         seed,
@@ -130,23 +136,27 @@
     )
     preempted = sum(each.call.arrived_at_ms > 12_000.0 for each in fleet.preemptions)
     assert preempted > 0.1 * calls, "otherwise the check shows nothing"
-    return f"{preempted} of {calls} preempted with a floor of a half" if preempted > 0.5 * calls else None
+    return (
+        f"{preempted} of {calls} calls were preempted with a floor of a half"
+        if preempted > 0.5 * calls
+        else None
+    )
 
 
-def _tenant_floods(seed: int) -> str | None:
+def _tenant_exceeds_quota(seed: int) -> str | None:
     """Send far more than the first tenant's quota; another tenant's calls within quota are served."""
-    until_ms = MEASURED_UNTIL_MS - 1000.0  # later calls may not have ended
-    flooded = SimulatedFleet(
+    until_ms = MEASURED_UNTIL_MS - 1000.0  # later calls may still be in progress
+    over_quota = SimulatedFleet(
         seed, lambda now_ms: (250.0, 45.0, 5.0) if now_ms > 8000.0 else (45.0, 45.0, 5.0)
     )
     alone = SimulatedFleet(seed, lambda now_ms: (0.0, 45.0, 0.0))
-    value = flooded.run(MEASURED_UNTIL_MS).value_served(1, until_ms=until_ms)
+    value = over_quota.run(MEASURED_UNTIL_MS).value_served(1, until_ms=until_ms)
     served_share = value / alone.run(MEASURED_UNTIL_MS).value_served(1, until_ms=until_ms)
-    return f"{served_share:.2f} of a tenant's value within quota is served" if served_share < 0.6 else None
+    return f"{served_share:.2f} of a tenant's value within quota was served" if served_share < 0.6 else None
 
 
 def _level_flaps(seed: int) -> str | None:
-    """Vary the pressure slowly around the onset, then fast and far; the level must not follow."""
+    """Vary the pressure slowly around the onset, then fast and widely; the level must not follow."""
     machine = OverloadStateMachine()
     rng = random.Random(seed)
     changes = 0
@@ -157,7 +167,7 @@
         slow_wave = 1.1 + 0.15 * math.sin(now_ms / 3000.0)
         machine.update(now_ms, slow_wave if step < 1000 else rng.uniform(0.7, 1.5), parameters)
         changes += machine.level != previous_level
-    return f"{changes} changes of level" if changes != 1 else None
+    return f"{changes} changes of the overload level" if changes != 1 else None
 
 
 CHECKS = {
@@ -168,7 +178,7 @@
         _queued_preempted,
         _running_preempted,
         _floor_held,
-        _tenant_floods,
+        _tenant_exceeds_quota,
         _level_flaps,
         contradiction_of_edited_contracts,
     )
@@ -236,11 +246,11 @@
         [(preemption, "is_safe_to_reject", lambda *_: True)],
     ),
     "complete rate per router": (
-        "_tenant_floods",
+        "_tenant_exceeds_quota",
         [(FakeEscrow, "available", lambda self, now_ms, name: self.totals.get(name, 0))],
     ),
     "calls over quota count as within": (
-        "_tenant_floods",
+        "_tenant_exceeds_quota",
         [(usage.QuotaBucket, "try_take", lambda self: True)],
     ),
     "edits act at once": (
--- a/tests/unit/priority/test_contracts_exploration.py
+++ b/tests/unit/priority/test_contracts_exploration.py
@@ -1,4 +1,4 @@
-"""Edits of a contract in a small world: routers that know different versions never contradict each other."""
+"""Exhaustive test that routers with different versions of a contract never contradict each other."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     explored = explore("a")
     print(explored)
     assert explored.state_count > 10_000
-    assert explored.act_count > 1000
+    assert explored.precedence_count > 1000
     assert explored.longest_contradiction_ticks == 0
 
 
