--- a/cedarthread/replication/__init__.py
+++ b/cedarthread/replication/__init__.py
@@ -1,5 +1,5 @@
 """Replicated operator entries: an anti-entropy store of which every router has a full copy.
 
-The package has no sockets and no clock of its own: times are arguments, datagrams are return values. The
-design and the proof of its guarantee are in docs/design/replication.md.
+The package opens no socket and reads no clock: callers pass times as arguments and send the returned
+datagrams. Design and proof: docs/design/replication.md.
 """
--- a/cedarthread/replication/codec.py
+++ b/cedarthread/replication/codec.py
@@ -3,13 +3,14 @@
     SYNC_REQUEST     nonce u64, root digest u64, incarnation u64, first router u16, store generation u64
     SYNC_RESPONSE    nonce u64, root digest u64, incarnation u64, flags u8 (1: voter), age step u16 ms,
                      first router u16, remembered generation u64 (the greatest store generation that the
-                     requester had reported to the responder), unix_ms f64; then a byte a router from the
-                     first on: 6 bits of age in steps (63: unknown), 64: read as a voter, 128: has this root
-    SUMMARY_REQUEST  nonce u64; then the sum of each of 32 buckets, 48 bits
-    SUMMARY          nonce u64, root digest u64, incarnation u64, buckets u32 (a bit each), part u8,
-                     parts u8; then refs of key hash u32 and the low 32 bits of the entry's digest
+                     requester had reported to the responder), unix_ms f64; then one byte for each
+                     router from the first on: 6 bits of age in steps (63: unknown), 64: read as a voter,
+                     128: has this root digest
+    SUMMARY_REQUEST  nonce u64; then the sums of 32 buckets, 48 bits each
+    SUMMARY          nonce u64, root digest u64, incarnation u64, buckets u32 (a bit each), part index u8,
+                     part count u8; then refs of key hash u32 and the low 32 bits of the entry's digest
     FETCH_REQUEST    items of key hash u32, digest low bits u32, fragments u16 (a bit each)
-    FRAGMENT         digest u64, bytes of the entry u16, fragment number u8; then data
+    FRAGMENT         digest u64, length of the entry u16, fragment index u8; then data
 
 The first byte of each datagram is the message type u8, the second the kind u8. An entry's bucket is the low 5
 bits of its key hash. The module has no state.
@@ -85,7 +86,7 @@
 _FRAGMENT = struct.Struct("<BBQHB")
 MAX_REFS_PER_SUMMARY = (MAX_DATAGRAM_BYTES - _SUMMARY.size) // _ENTRY_REF.size
 MAX_ITEMS_PER_FETCH = (MAX_DATAGRAM_BYTES - HEADER_BYTES) // _FETCH_ITEM.size
-FRAGMENT_BYTES = MAX_DATAGRAM_BYTES - _FRAGMENT.size  # of an entry's data in one fragment
+FRAGMENT_BYTES = MAX_DATAGRAM_BYTES - _FRAGMENT.size  # data bytes in a full fragment
 
 
 def encode(message: Message) -> bytes:
@@ -175,7 +176,7 @@
 
 
 def decode(data: bytes) -> Message | MalformedDatagram:
-    """Decode a datagram. Malformed bytes give a ``MalformedDatagram``; no bytes cause an exception."""
+    """Decode a datagram. Malformed bytes yield a ``MalformedDatagram``; the function never raises."""
     if (
         not HEADER_BYTES <= len(data) <= MAX_DATAGRAM_BYTES
         or data[0] != MessageType.REPLICATION
--- a/cedarthread/replication/entry.py
+++ b/cedarthread/replication/entry.py
@@ -1,9 +1,8 @@
 """Replicated entries: size limits, canonical encoding, digests, and the order that decides between two edits.
 
-The module has values and functions only, no state. The join of two sets of entries selects, for each kind and
-name, the maximum in the total order (version, digest). The join is commutative, associative and idempotent,
-as in state-based replicated data types (Shapiro, Preguiça, Baquero, Zawirski: "Conflict-free replicated data
-types", 2011).
+The module is stateless. The join of two sets of entries selects, for each kind and name, the maximum in the
+total order (version, digest). The join is commutative, associative and idempotent, as in state-based
+replicated data types (Shapiro, Preguiça, Baquero, Zawirski: "Conflict-free replicated data types", 2011).
 """
 
 from __future__ import annotations
@@ -15,14 +14,14 @@
 
 from cedarthread.components.replicated_state import Entry, EntryKind, Version
 
-MAX_PROPOSED_ENTRIES = 512  # limit for proposals of this router
+MAX_PROPOSED_ENTRIES = 512  # limit for entries that this router proposes
 # Limit for entries from peers. It is higher, because routers that propose at the same time may exceed
 # MAX_PROPOSED_ENTRIES together.
 MAX_ENTRIES = 1024
 MAX_BODY_BYTES = 2048
-MAX_NAME_BYTES = 64  # of UTF-8
+MAX_NAME_BYTES = 64  # in UTF-8
 VERSION_COUNTER_LIMIT = 2**48  # exclusive
-_HEADER = struct.Struct("<BBQHQQ")  # kind, bytes of the name, counter, author, incarnation, replaced digest
+_HEADER = struct.Struct("<BBQHQQ")  # kind, name length, counter, author, incarnation, replaced digest
 MAX_ENTRY_BYTES = _HEADER.size + MAX_NAME_BYTES + MAX_BODY_BYTES
 ENTRY_KINDS = tuple(EntryKind)
 
@@ -64,7 +63,7 @@
 
 
 def encode(entry: Entry) -> bytes:
-    """Return the canonical bytes of an entry, which its digest covers and which routers send each other."""
+    """Return the canonical bytes of an entry, which its digest covers and which peers exchange."""
     name = entry.name.encode()
     version = entry.version
     header = _HEADER.pack(
@@ -81,7 +80,7 @@
 def decode(data: bytes) -> Entry | RejectedEntry:
     """Decode the canonical bytes of an entry.
 
-    Malformed bytes give a ``RejectedEntry``; no bytes cause an exception.
+    Malformed bytes yield a ``RejectedEntry``; the function never raises.
     """
     if not _HEADER.size < len(data) <= MAX_ENTRY_BYTES:
         return RejectedEntry("entry", f"{len(data)} bytes")
@@ -93,7 +92,7 @@
     except UnicodeDecodeError:
         return RejectedEntry("entry: name", "no UTF-8")
     body = data[_HEADER.size + name_bytes :]
-    if len(name.encode()) != name_bytes:  # the data ends within the name
+    if len(name.encode()) != name_bytes:  # the data ends before the end of the name
         return RejectedEntry("entry: name", f"{name_bytes} bytes")
     rejected = check_bounds(ENTRY_KINDS[kind], name, body)
     version = Version(counter, author, incarnation)
--- a/cedarthread/replication/fragments.py
+++ b/cedarthread/replication/fragments.py
@@ -1,6 +1,6 @@
 """Reassembly of entries that peers send in fragments.
 
-``FragmentAssembler`` has the state, which only ``SyncSessions`` changes.
+``FragmentAssembler`` owns the state; only ``SyncSessions`` changes it.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
     """The partial entries of one router, each with its fragments, and a count of invalid ones.
 
     Args:
-        state: This router's entries, read to recognise fragments of known entries.
+        state: This router's entries, read to recognize fragments of known entries.
     """
 
     def __init__(self, state: ReplicaState) -> None:
--- a/cedarthread/replication/freshness.py
+++ b/cedarthread/replication/freshness.py
@@ -3,14 +3,14 @@
 Two relations to each other router k are recorded, with their times. *Read at c*: this router stores every
 entry that k stored at time c. *Confirmed at h*: k stored, at time h, every entry that this router stores now
 (``majority.py``). Freshness follows from reads, replication to a majority from confirmations. All times are
-in ms on this router's steady clock. A read counts from the time at which its request was sent, so a recorded
-time is never too late.
-
-A router that started without memory may have lost entries that it confirmed in an earlier incarnation. Such a
-router is not a *voter*: it does not count for majorities until it has read enough of the other routers. If so
-many voters are down that no majority of all configured routers can be read, no router is fresh until they
-return. ``SyncSessions`` records responses, ``LocalReplica`` reports changes and calls ``update``. Steps 3 to
-10 of docs/design/replication.md.
+in ms on this router's monotonic clock. A read counts from the time at which its request was sent, so a
+recorded time is never too late.
+
+A router that started without its persisted state may have lost entries that it confirmed in an earlier
+incarnation. Such a router is not a *voter*: it does not count for majorities until it has read enough of the
+other routers. If so many voters are down that no majority of all configured routers can be read, no router is
+fresh until they return. ``SyncSessions`` records responses, ``LocalReplica`` reports changes and calls
+``update``. Steps 3 to 10 of docs/design/replication.md.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
         self.fresh_until_ms = math.inf if router_count == 1 else NEVER_MS  # advanced by reads of voters
         self.fresh_since_ms: float | None = now_ms if router_count == 1 else None
 
-    # Records of reads and changes.
+    # Recording of reads and changes.
 
     def on_state_changed(self, root_digest: int, key: EntryKey, digest: int) -> None:
         """Track which routers confirm a changed entry.
@@ -113,7 +113,7 @@
         for confirmed_at_ms in confirmation_times:
             confirmed_at_ms[router] = max(confirmed_at_ms[router], read_at_ms)
 
-    # Conclusions from the records.
+    # Freshness, replication and voting, derived from the records.
 
     def update(self, now_ms: float, *, is_persisted: bool) -> bool:
         """Recompute the freshness, and the changes that are replicated to a majority.
@@ -153,16 +153,14 @@
         return self.fresh_since_ms if self.is_fresh(now_ms) else None
 
     def can_become_voter(self, now_ms: float) -> bool:
-        """Return whether a router that started without memory has read enough to vote.
+        """Return whether a router that started without its persisted state has read enough to vote.
 
         Only reads after the expiry of the earlier incarnation count. One of two conditions suffices:
 
-        - The number of voters read exceeds the number of routers outside a majority. Then every majority has
-        a
-          router that was read, so this router knows every replicated entry. Such reads stay valid.
+        - The number of voters read exceeds the number of routers outside a majority. Then every majority
+          has a router that was read, so this router knows every replicated entry. Such reads stay valid.
         - A majority of the routers, this one included, are non-voters that were read within the window. Then
-        no
-          majority of voters exists that this router's vote could contradict.
+          no majority of voters exists that this router's vote could contradict.
         """
         expired_at_ms = self.earlier_incarnation_expires_at_ms
         oldest_ms = max(expired_at_ms, now_ms - self.window_ms)
@@ -204,5 +202,5 @@
         return bytes(encoded)
 
     def _age_in_steps(self, age_ms: float, steps_per_ms: float) -> int:
-        """Return an age as the fastest clock may measure it, rounded up to whole steps."""
+        """Return an age as the fastest permitted clock measures it, rounded up to whole steps."""
         return min(AGE_UNKNOWN, math.ceil(age_ms * steps_per_ms))
--- a/cedarthread/replication/local_replica.py
+++ b/cedarthread/replication/local_replica.py
@@ -1,4 +1,4 @@
-"""A router's replica: its entries, their durability here and their replication to a majority.
+"""A router's replica: its entries, their local durability and their replication to a majority.
 
 The module has no networking; ``SyncExchange`` connects the replica to the anti-entropy protocol. Entries
 change only by ``LocalReplica.merge``.
@@ -30,7 +30,7 @@
 
 
 class LocalReplica:
-    """The entries of one router, and the conclusions that this router may draw from them.
+    """The entries of one router, and what is known about their durability and replication.
 
     Args:
         router_index: Index of this router, the author of the entries that ``prepare`` builds.
@@ -49,7 +49,7 @@
         self.freshness = freshness
         self.is_durable = is_durable
         self.revision = 0  # counts changes of the state
-        self.persisted_revision = 0  # the latest revision that the disk has
+        self.persisted_revision = 0  # the latest revision on disk
         self._changed_keys: dict[EntryKey, None] = {}
         self._pending_logs: list[OutboundMessage] = []
 
@@ -66,7 +66,8 @@
             kind: Kind of the entry.
             name: Name of the entry, unique in its kind.
             body: Body of the new version.
-            canonical_body: Returns the meaning of a body as bytes; by default the body itself.
+            canonical_body: Normalizes a body, so that bodies with the same meaning compare equal; by default
+                the body itself.
 
         Returns:
             The new version; the stored entry if it has the same meaning; or the reason for a rejection.
@@ -120,12 +121,12 @@
         return not self.is_durable or self.persisted_revision >= self.revision
 
     def mark_persisted(self, now_ms: float, revision: int) -> None:
-        """Record that the disk has the state of ``revision``."""
+        """Record that the state of ``revision`` is on disk."""
         self.persisted_revision = max(self.persisted_revision, revision)
         self.update_freshness(now_ms)
 
     def update_freshness(self, now_ms: float) -> None:
-        """Draw conclusions from reads, merges and disk writes since the last call."""
+        """Update freshness and replication from reads, merges and disk writes since the last call."""
         if self.freshness.update(now_ms, is_persisted=self.is_persisted()):
             self._log(format_event("replica_became_voter"))
         newly_replicated = self.freshness.majority.newly_replicated
--- a/cedarthread/replication/majority.py
+++ b/cedarthread/replication/majority.py
@@ -38,11 +38,11 @@
 class MajorityTracker:
     """The cohorts of one router's recent changes, and the changes newly known to be replicated.
 
-    Times are in ms on this router's steady clock.
+    Times are in ms on this router's monotonic clock.
 
     Args:
         router_count: Number of configured routers.
-        window_ms: How long a router counts as having a root digest after the time for which that is known.
+        window_ms: How long a router counts as having a root digest after it was last known to have it.
         root_digest: Root digest of this router's state at the start.
     """
 
@@ -51,7 +51,7 @@
         self.window_ms = window_ms
         self.quorum = router_count // 2 + 1
         self.cohorts = [ChangeCohort(root_digest, router_count)]
-        self.newly_replicated: dict[EntryKey, int] = {}  # digests; the caller removes them
+        self.newly_replicated: dict[EntryKey, int] = {}  # digest by key; the caller clears the dictionary
 
     def on_state_changed(self, root_digest: int, key: EntryKey, digest: int) -> None:
         """Start a cohort for a new root digest, which no other router is known to have."""
@@ -82,11 +82,11 @@
         return self.cohorts[-1].confirmed_at_ms
 
     def update(self, now_ms: float, *, is_persisted: bool) -> None:
-        """Move the changes that are replicated by now to ``newly_replicated``.
+        """Move the changes that have become replicated to ``newly_replicated``.
 
         Args:
             now_ms: Current time.
-            is_persisted: Whether this router itself counts as a holder.
+            is_persisted: Whether this router itself counts among the routers that store its entries.
         """
         for cohort in self.cohorts:
             if cohort.pending_digests and self._count_holders(now_ms, cohort) + is_persisted >= self.quorum:
--- a/cedarthread/replication/messages.py
+++ b/cedarthread/replication/messages.py
@@ -1,6 +1,6 @@
 """Messages of replication datagrams: their fields, without the wire format (``codec.py``).
 
-The module has values only, no state.
+The module is stateless.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-AGES_PER_RESPONSE = 208  # the ages of so many routers fit one datagram
+AGES_PER_RESPONSE = 208  # number of routers whose ages fit in one datagram
 BUCKET_COUNT = 32
-BUCKET_SUM_MODULUS = 2**48  # bucket sums are truncated to this on the wire
-DIGEST_LOW_MODULUS = 2**32  # a ref has these low bits of a digest
-AGE_UNKNOWN = 63  # instead of an age in steps
-VOTER_FLAG = 64  # in the byte of the age: the age is that of a read as a voter
-HAS_ROOT_FLAG = 128  # in the byte of the age: the router has the responder's root digest
-ALL_FRAGMENTS = 0xFFFF  # fragment bits of a whole entry
+BUCKET_SUM_MODULUS = 2**48  # bucket sums are sent modulo this
+DIGEST_LOW_MODULUS = 2**32  # refs carry digests modulo this
+AGE_UNKNOWN = 63  # value of the age bits if the age is unknown
+VOTER_FLAG = 64  # flag in the age byte: the age is that of a read of a voter
+HAS_ROOT_FLAG = 128  # flag in the age byte: the router has the responder's root digest
+ALL_FRAGMENTS = 0xFFFF  # fragment bits that request a whole entry
 
 
 class EntryRef(NamedTuple):
@@ -27,7 +27,7 @@
 
     @property
     def bucket(self) -> int:
-        """The bucket that has the entry in its sum."""
+        """The bucket whose sum includes the entry."""
         return self.key_hash % BUCKET_COUNT
 
 
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncResponse:
-    """The responder's root digest, and a byte of age and flags for each router from ``first_router`` on."""
+    """The responder's root digest, and a byte with age and flags for each router from ``first_router`` on."""
 
     nonce: int
     root_digest: int
@@ -70,15 +70,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SummaryRequest:
-    """A request for the refs in the buckets with other sums than the requester's."""
+    """A request for the refs in the buckets whose sums differ from the requester's."""
 
     nonce: int
-    bucket_sums: tuple[int, ...]  # the requester's, modulo BUCKET_SUM_MODULUS
+    bucket_sums: tuple[int, ...]  # of the requester, modulo BUCKET_SUM_MODULUS
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """Refs of all entries in some buckets, or one part of a bucket that does not fit one datagram."""
+    """Refs of all entries in some buckets, or one part of a bucket that does not fit in one datagram."""
 
     nonce: int
     root_digest: int
--- a/cedarthread/replication/peer_records.py
+++ b/cedarthread/replication/peer_records.py
@@ -1,4 +1,4 @@
-"""Facts that peers report about themselves and remember about this router.
+"""Data that peers report about themselves and remember about this router.
 
 ``SyncExchange`` writes the records. The host reads them, and clears the clock samples after use.
 """
@@ -15,8 +15,8 @@
     """A peer's wall clock, read from a sync response."""
 
     unix_ms: float  # the peer's wall clock; NaN if the peer does not know the time
-    sent_at_ms: float  # when the request was sent, on this router's steady clock
-    received_at_ms: float  # when the response arrived, on this router's steady clock
+    sent_at_ms: float  # when the request was sent, on this router's monotonic clock
+    received_at_ms: float  # when the response arrived, on this router's monotonic clock
 
 
 class PeerRecords:
--- a/cedarthread/replication/state.py
+++ b/cedarthread/replication/state.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class EntryRecord:
-    """The entry stored for one kind and name. Times are in ms on this router's steady clock."""
+    """The entry stored for one kind and name. Times are in ms on this router's monotonic clock."""
 
     entry: Entry
     digest: int
@@ -61,7 +61,7 @@
         self.known_digests: set[int] = set()  # of stored and superseded entries
         self.bucket_sums = [0] * BUCKET_COUNT
         self.root_digest = 0
-        self.covered_roots: dict[int, None] = {0: None}  # of states that are known to be within this one
+        self.covered_roots: dict[int, None] = {0: None}  # root digests of states that this state includes
         self.highest_counter = 0  # of all versions seen
         self._entries_by_kind: dict[EntryKind, tuple[ReplicatedEntry, ...]] = {}  # cache
 
@@ -88,7 +88,7 @@
             del self.keys_by_ref[previous_ref]
             self._remember_superseded(previous_ref, previous.digest)
             self._add_to_sums(previous_ref.bucket, -previous.digest)
-        self.records.pop(key, None)  # so that the newest record is the last
+        self.records.pop(key, None)  # keeps the most recently received record last
         self.records[key] = EntryRecord(entry, digest, encoded.data, now_ms)
         self.keys_by_ref[ref] = key
         self.superseded_digests.pop(ref, None)
@@ -121,7 +121,7 @@
         return key not in self.records and len(self.records) >= max_entries
 
     def mark_covered(self, root_digest: int) -> None:
-        """Record that the state with this root digest is within this one.
+        """Record that this state includes the state with this root digest.
 
         The record stays valid, because this state only grows.
         """
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -3,7 +3,7 @@
 Each router sends one sync request per period to a random peer, compares root digests, and fetches the entries
 that it lacks. A response counts as a read of the peer once this router stores all entries of the peer; the
 read counts from the time at which the request was sent. ``freshness.py`` derives freshness from the reads.
-``majority.py`` derives from confirmations of the peers which entries a majority stores. All state of the
+``majority.py`` derives from the peers' confirmations which entries a majority stores. All state of the
 package changes within calls of ``ReplicatedStore``, except that the host clears ``peer_clock_samples``. Steps
 1 to 13 of docs/design/replication.md.
 """
@@ -37,14 +37,14 @@
 
 MAX_TICK_INTERVAL_MS = 250.0  # the host calls on_tick at least this often
 ASSUMED_LOSS = 0.2  # fraction of lost datagrams that the default window allows for
-_RNG_SALT = 0x5245_4749  # in the seed, so that components with the same seed draw different numbers
+_RNG_SALT = 0x5245_4749  # mixed into the seed, so that components with the same seed draw different numbers
 
 
 def default_window_ms(period_ms: float, router_count: int) -> float:
     """Return the default freshness window V.
 
     The formula (step 10 of docs/design/replication.md) estimates the rounds until random requests have
-    reached all routers, with some to spare. Request and response may each be lost, hence the square.
+    reached all routers, plus a margin. Request and response may each be lost, hence the square.
     """
     rounds = math.log2(router_count) + math.log(router_count) + 6.0
     return period_ms * rounds / (1.0 - ASSUMED_LOSS) ** 2
@@ -53,14 +53,14 @@
 class ReplicatedStore:
     """The replicated store of one router, a ``Component`` and the ``ReplicatedState`` of other components.
 
-    Times are in ms on this router's steady clock.
+    Times are in ms on this router's monotonic clock.
 
     Args:
         router_index: Index of this router.
         router_count: Number of configured routers.
-        incarnation: Random number of this start of the process. Two processes of one router must never run at
-            a time, because peers would count the confirmations of both as one router's.
-        seed: Seed for peers, nonces and jitter; must differ between incarnations.
+        incarnation: Random number drawn at each start of the process. Two processes of one router must never
+            run at the same time, because peers would count the confirmations of both as one router's.
+        seed: Seed for the choice of peers, nonces and jitter; must differ between incarnations.
         period_ms: Mean time between two periodic sync requests.
         window_ms: Freshness window, the same at all routers; 0 selects ``default_window_ms``.
         clock_rate: Fraction by which a router's clock may run fast or slow.
@@ -114,7 +114,7 @@
         body: bytes,
         canonical_body: Callable[[bytes], bytes] | None = None,
     ) -> Entry | RejectedEntry:
-        """Declare an entry at this router.
+        """Propose a new version of an entry at this router.
 
         Args:
             now_ms: Current time.
@@ -136,12 +136,12 @@
         return prepared.entry
 
     def restore(self, entries: Iterable[Entry], *, is_voter: bool, now_ms: float = 0.0) -> None:
-        """Merge the entries that the disk had at the start.
+        """Merge the entries that were on disk at the start.
 
         Args:
-            entries: The entries on the disk.
-            is_voter: Whether this router votes from the start. The disk must then have every entry that this
-                router ever confirmed to a peer; ``persistence/state_persister.py`` decides that.
+            entries: The entries on disk.
+            is_voter: Whether this router votes from the start. The disk must then contain every entry that
+                this router ever confirmed to a peer; ``persistence/state_persister.py`` decides that.
             now_ms: Current time.
         """
         for entry in entries:
@@ -156,7 +156,7 @@
 
     @property
     def is_voter(self) -> bool:
-        """True if this router counts for majorities."""
+        """Whether this router counts towards majorities."""
         return self.replica.freshness.is_voter
 
     @property
@@ -169,11 +169,11 @@
         self.replica.is_durable = is_durable
 
     def snapshot(self) -> tuple[Entry, ...]:
-        """Return all entries, for the disk; ``revision`` identifies this state of the entries."""
+        """Return all entries for persistence; ``revision`` identifies this state of the entries."""
         return tuple(record.entry for record in self.replica.state.records.values())
 
     def mark_persisted(self, now_ms: float, revision: int) -> None:
-        """Record that the disk has the state of ``revision``."""
+        """Record that the state of ``revision`` is on disk."""
         self.replica.mark_persisted(now_ms, revision)
 
     def take_changes(self) -> tuple[ReplicatedEntry, ...]:
@@ -265,7 +265,7 @@
         return [*logs, *self.exchange.on_tick(now_ms)]
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
-        """Process a peer's datagram. Never raises, regardless of the bytes."""
+        """Process a peer's datagram. Never raises, whatever the bytes."""
         message = decode(data)
         if (
             isinstance(message, MalformedDatagram)
--- a/cedarthread/replication/sync_exchange.py
+++ b/cedarthread/replication/sync_exchange.py
@@ -32,14 +32,14 @@
     from cedarthread.replication.sync_server import SyncServer
     from cedarthread.replication.sync_session import SyncSessions
 
-MAX_TICK_GAP_MS = 2000.0  # after a longer pause of this router its open requests and sessions are dropped
-BOOTSTRAP_PEERS = 8  # peers to read completely after a start before acting without a majority of voters
+MAX_TICK_GAP_MS = 2000.0  # after a longer pause, this router's open requests and sessions are dropped
+BOOTSTRAP_PEERS = 8  # peers to read completely after a start before proceeding without a majority of voters
 
 
 class SyncExchange:
     """The exchange of one router with its peers.
 
-    Times are in ms on this router's steady clock.
+    Times are in ms on this router's monotonic clock.
 
     Args:
         replica: This router's entries.
@@ -69,8 +69,8 @@
     def has_read_enough_peers(self) -> bool:
         """Return whether this incarnation has read several peers completely.
 
-        The result serves where a majority are not voters, so that no router can become fresh. An entry that
-        one peer in eight stores is then missed once in 256 times, if half of these peers remember the entry.
+        Callers use this when a majority are not voters, so that no router can become fresh. An entry that one
+        peer in eight stores is then missed in 1 of 256 cases, if half of these peers remember the entry.
         """
         return len(self.sessions.fully_read_peers) >= min(BOOTSTRAP_PEERS, len(self.requests.all_peers))
 
--- a/cedarthread/replication/sync_requests.py
+++ b/cedarthread/replication/sync_requests.py
@@ -20,9 +20,9 @@
     from collections.abc import Collection
 
 MAX_OPEN_REQUESTS = 16  # the oldest are dropped first
-REQUESTS_PER_RANDOM_PEER = 8  # every 8th request may select a peer that is not alive, so that partitions heal
+REQUESTS_PER_RANDOM_PEER = 8  # every 8th request may go to a peer that is not alive, so that partitions heal
 BOOTSTRAP_REQUESTS_PER_TICK = 4  # extra requests until enough peers are read after a start
-PERIOD_JITTER = 0.8, 1.2  # factors on the period, so that routers do not synchronise
+PERIOD_JITTER = 0.8, 1.2  # factors on the period, so that routers do not synchronize
 
 
 class OpenRequest(NamedTuple):
@@ -35,7 +35,7 @@
 class SyncRequests:
     """The schedule and the open sync requests of one router.
 
-    Times are in ms on this router's steady clock.
+    Times are in ms on this router's monotonic clock.
 
     Args:
         router_index: Index of this router.
@@ -67,7 +67,7 @@
         self.next_request_at_ms = now_ms + rng.uniform(0.0, period_ms)
         self.next_reverse_request_at_ms = now_ms
         self.request_count = 0
-        self.next_age_segment = 0  # of AGES_PER_RESPONSE routers; index for the next request
+        self.next_age_segment = 0  # index of the segment of AGES_PER_RESPONSE routers for the next request
 
     def set_alive(self, peers: Collection[int]) -> None:
         """Restrict requests to the peers that are alive, apart from one in ``REQUESTS_PER_RANDOM_PEER``."""
@@ -79,7 +79,7 @@
         """Return the peer of the periodic request and schedule the next one; None if no request is due."""
         if not self.all_peers or now_ms < self.next_request_at_ms:
             return None
-        # After a pause of this router at most one missed request is caught up.
+        # After a pause of this router, at most one missed request is sent late.
         earliest_ms = max(self.next_request_at_ms, now_ms - self.period_ms)
         self.next_request_at_ms = earliest_ms + self.period_ms * self.rng.uniform(*PERIOD_JITTER)
         self.request_count += 1
--- a/cedarthread/replication/sync_server.py
+++ b/cedarthread/replication/sync_server.py
@@ -1,6 +1,6 @@
-"""Responses to peers, within budgets: sync responses, summaries of buckets that differ, fragments of entries.
+"""Rate-limited responses to peers: sync responses, summaries of buckets that differ, fragments of entries.
 
-``SyncServer`` reads the replica and changes only its own budgets and count.
+``SyncServer`` reads the replica, and changes only its own budgets and counter.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 
     from cedarthread.replication.local_replica import LocalReplica
 
-RESPONSES_PER_SECOND = 20.0  # bounds the responses to a flood of requests
+RESPONSES_PER_SECOND = 20.0  # limits the responses to a flood of requests
 RESPONSE_BURST = 20.0
-BYTES_PER_SECOND = 16_000.0  # of summaries and fragments; bounds the load when many routers start together
+BYTES_PER_SECOND = 16_000.0  # of summaries and fragments; limits the load when many routers start together
 BYTE_BURST = 16_384.0
-MAX_UNSOLICITED_FRAGMENTS = 4  # of the newest entry, sent before a response to a peer with another root
+MAX_UNSOLICITED_FRAGMENTS = 4  # of the newest entry, sent before a response to a peer whose state differs
 
 
 class SummaryPart(NamedTuple):
@@ -58,7 +58,7 @@
         replica: This router's replica, only read.
         router_count: Number of configured routers.
         rng: Draws the first bucket of summaries.
-        now_ms: Start of this incarnation, in ms on this router's steady clock.
+        now_ms: Start of this incarnation, in ms on this router's monotonic clock.
     """
 
     def __init__(self, replica: LocalReplica, router_count: int, rng: random.Random, now_ms: float) -> None:
@@ -87,7 +87,7 @@
     ) -> list[SendToPeer]:
         """Return the sync response, preceded by the newest entry if the peer's state differs.
 
-        The newest entry is sent because a peer with another state most often lacks only that entry.
+        The newest entry is sent because a peer whose state differs most often lacks only that entry.
         """
         messages: list[SendToPeer] = []
         replica = self.replica
@@ -170,7 +170,7 @@
 
 
 def pack_summaries(refs_by_bucket: Mapping[int, list[EntryRef]], first_bucket: int) -> list[SummaryPart]:
-    """Distribute buckets over few datagrams, starting with ``first_bucket``.
+    """Pack buckets into few datagrams, starting with ``first_bucket``.
 
     Small buckets share a datagram. A bucket that exceeds a datagram is split into parts of its own.
     """
--- a/cedarthread/replication/sync_session.py
+++ b/cedarthread/replication/sync_session.py
@@ -1,7 +1,7 @@
 """Sessions that fetch the entries which a peer has and this router lacks, after the peer's sync response.
 
 A session compares bucket sums with the peer, requests summaries of the buckets that differ, fetches unknown
-entries, and ends when the sums prove that the peer's state is within this router's state. Only then does the
+entries, and ends when the sums prove that this router's state includes the peer's state. Only then does the
 peer's response count as a confirmation. ``SyncExchange`` drives the sessions.
 """
 
@@ -32,10 +32,10 @@
     from cedarthread.replication.entry import EncodedEntry
     from cedarthread.replication.local_replica import LocalReplica
 
-RETRY_INTERVAL_MS = 300.0  # after which an overdue request is repeated
-MAX_RETRIES = 8  # without the arrival of an entry; then the session is aborted
+RETRY_INTERVAL_MS = 300.0  # a request without a response is retried after this time
+MAX_RETRIES = 8  # retries without an arriving entry, after which the session is aborted
 RETRIES_PER_SUMMARY_REQUEST = 4  # every 4th retry requests the summaries too, not only entries
-MAX_PENDING_FETCHES = 8  # with more pending fetches no further session is started
+MAX_PENDING_FETCHES = 8  # with more pending fetches, no further session is started
 MAX_SESSIONS = 4  # the oldest are dropped first
 
 
@@ -47,10 +47,10 @@
 
 
 class SyncSession:
-    """The known part of one peer's state since its sync response.
+    """The part of one peer's state that has arrived since its sync response.
 
     Args:
-        now_ms: Start of the session, in ms on this router's steady clock.
+        now_ms: Start of the session, in ms on this router's monotonic clock.
         peer: Index of the responder.
         sent_at_ms: When the request of the response was sent.
         response: The response that started the session.
@@ -113,7 +113,7 @@
 class SyncSessions:
     """The sync sessions of one router, and the fetches that are pending in them.
 
-    Times are in ms on this router's steady clock.
+    Times are in ms on this router's monotonic clock.
 
     Args:
         replica: This router's replica, in which the sessions record confirmations.
@@ -124,9 +124,9 @@
         self.replica = replica
         self.rng = rng
         self.sessions: dict[int, SyncSession] = {}  # by nonce
-        self.pending_fetches: dict[EntryRef, float] = {}  # ms of the last fetch request
+        self.pending_fetches: dict[EntryRef, float] = {}  # time of the last fetch request, in ms
         self.fragments = FragmentAssembler(replica.state)
-        self.fully_read_peers: set[int] = set()  # peers with a state that was once within this router's
+        self.fully_read_peers: set[int] = set()  # peers whose state was once included in this router's
 
     def clear_sessions(self) -> None:
         """Abort all sessions."""
@@ -231,7 +231,7 @@
         return True
 
     def _confirm_if_covered(self, now_ms: float, session: SyncSession) -> bool:
-        """Record the peer's response as a confirmation if the peer's state is within this router's state.
+        """Record the peer's response as a confirmation if this router's state includes the peer's state.
 
         Returns:
             Whether the response was recorded.
