--- a/cedarthread/escrow/codec.py
+++ b/cedarthread/escrow/codec.py
@@ -2,8 +2,8 @@
 
     request   type u8, kind u8, pool key u64, incarnation u64, nonce u32, requested u32
     response  type u8, kind u8, pool key u64, incarnation u64, serial u32, requester's incarnation u64,
-              nonce u32, amount u32, term u32 ms, total u32 as the responder knows it, units available
-              at the responder u32, hinted peer u16
+              nonce u32, amount u32, term u32 ms, total known to the responder u32, units available at
+              the responder u32, hinted peer u16
 
 A pool's key is a hash of its name. A response of amount 0 is a denial.
 """
@@ -17,7 +17,7 @@
 from cedarthread.components.datagram_fields import MalformedDatagram
 from cedarthread.components.messages import MessageType
 
-NO_HINT = 0xFFFF  # the hinted peer of a response that names no peer
+NO_HINT = 0xFFFF  # value of ``hinted_peer`` in a response without a hint
 NONCE_MODULUS = 2**32  # nonces wrap at 32 bits
 MAX_AMOUNT = 2**32 - 1  # the greatest number of units that the wire format can carry
 _REQUEST_KIND = 1
@@ -50,7 +50,7 @@
     requester_incarnation: int
     nonce: int  # of the request
     amount: int
-    term_ms: int  # counted from when the request was sent; 0: the units are transferred for good
+    term_ms: int  # counted from when the request was sent; 0 if the units are transferred permanently
     total: int
     available: int
     hinted_peer: int = NO_HINT
@@ -89,7 +89,7 @@
 
 
 def decode(data: bytes) -> EscrowRequest | EscrowResponse | MalformedDatagram:
-    """Decode a datagram. Invalid bytes return a ``MalformedDatagram``; no input raises."""
+    """Decode a datagram. Malformed bytes yield a ``MalformedDatagram``; the function never raises."""
     if data[:1] != bytes((MessageType.ESCROW,)):
         return MalformedDatagram("not of this form")
     if len(data) == _REQUEST.size and data[1] == _REQUEST_KIND:
--- a/cedarthread/escrow/count_pool.py
+++ b/cedarthread/escrow/count_pool.py
@@ -1,4 +1,4 @@
-"""Count pools: consumable units, which routers transfer to each other for good.
+"""Count pools: consumable units, which routers transfer to each other permanently.
 
 ``CountPool`` is one router's account. ``CountBalance`` is the record of that account in the persisted image.
 """
@@ -11,7 +11,7 @@
 from cedarthread.escrow.allotment import allotment
 from cedarthread.escrow.quota_pool import QuotaPool
 
-RETENTION_MS = 24 * 3_600_000.0  # how long an ended count pool stays in the pool table
+RETENTION_MS = 24 * 3_600_000.0  # how long an ended count pool is retained
 WRITE_OFF_DIVISOR = 16  # units are written off ahead of use in chunks of 1/16 of this router's allotment
 
 
@@ -28,8 +28,8 @@
 class CountPool(QuotaPool):
     """The account that one router has of a pool of consumable units.
 
-    ``free`` units of ``balance`` are already written off on the disk, so that a later incarnation cannot
-    use them again. Without a disk (``is_durable`` is False), the whole balance is free.
+    ``free`` units of ``balance`` are already written off on disk, so that a later incarnation cannot use
+    them again. Without a disk (``is_durable`` is False), the whole balance is free.
     """
 
     is_consumable = True
@@ -44,7 +44,7 @@
         self.used = 0
         self.highest_total = 0
         self.is_lost = False  # an earlier incarnation may have used or granted this router's allotment
-        self.wanted_free = 0  # units that were wanted by a user or peer but not free
+        self.wanted_free = 0  # units that a user or peer requested but that were not free
         self.last_recipient: int | None = None
 
     def initialize(self, total: int, *, is_lost: bool, persisted: CountBalance | None) -> None:
@@ -54,7 +54,7 @@
             total: The pool's total.
             is_lost: Whether this router's allotment is unusable because an earlier incarnation may have
                 used it; ignored if ``persisted`` is given.
-            persisted: The pool's record in the restored image; None: the image has no record of the pool.
+            persisted: The pool's record in the restored image, or None if the image has none.
         """
         if persisted is None:
             self.is_lost = is_lost
@@ -79,7 +79,7 @@
 
         If the new total exceeds the highest total so far, the balance grows by this router's allotment of
         the increase. If the new total is below the current one, this router deducts the *whole* difference,
-        as far as its balance covers it. If any router's balance covers the difference, that router alone
+        or its whole balance if that is less. If any router's balance covers the difference, that router alone
         makes up for the reduction; otherwise all balances are zero afterwards (docs/design/escrow.md, 13).
         """
         if total > self.highest_total:
@@ -137,7 +137,7 @@
         return amount
 
     def is_waiting_for_disk(self) -> bool:
-        """Return whether units beyond the demand exist but are not written off yet."""
+        """Return whether this router has units beyond its demand, some of which are not written off yet."""
         return self.balance - self.demand > 0 and self.free < self.balance
 
     def _deduct(self, amount: int) -> None:
@@ -156,6 +156,6 @@
         return max(0, min(self.balance, math.ceil(wanted / chunk) * chunk) - self.free)
 
     def mark_written_off(self, amount: int) -> None:
-        """Mark ``amount`` more units as free, because the disk has recorded them as written off."""
+        """Mark ``amount`` more units as free, because they are recorded as written off on disk."""
         self.free = min(self.balance, self.free + amount)
         self.wanted_free = 0
--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -26,7 +26,7 @@
 
     from cedarthread.escrow.quota_pool import QuotaPool
 
-COUNTERS = (  # figures of ``INFO`` since the start, under the names that operators' tools read
+COUNTERS = (  # counters of ``INFO`` since the start, under the names that operators' tools read
     "granted",  # grants sent
     "taken",  # responses that added units
     "refused",  # denials sent
@@ -37,28 +37,28 @@
     "drowned",  # requests dropped because the response budget was exhausted
     "lies",  # responses that exceed their request, and any declaration that conflicts with an open pool
 )
-_RNG_SALT = 0x4752_414E  # makes this component's random sequence differ from others with the same seed
+_RNG_SALT = 0x4752_414E  # mixed into the seed, so that components with the same seed draw different numbers
 
 
 class Escrow:
     """The ``Component`` that owns one router's accounts of all pools.
 
-    Other components use these accounts through the ``QuotaEscrow`` protocol. Times are ms on this router's
-    steady clock. For one lease term after each start, this router's own units of all rate pools are 0,
-    because leases granted by an earlier incarnation may still be in use.
+    Other components use these accounts through the ``QuotaEscrow`` protocol. Times are in ms on this
+    router's monotonic clock. For one lease term after each start, this router's own units of all rate pools
+    are 0, because leases granted by an earlier incarnation may still be in use.
 
     Args:
-        router_index: This router.
-        router_count: The configured routers.
-        incarnation: A random number that the caller draws at each start of the router.
-        seed: The seed of all random decisions.
-        clock_rate: The fraction by which a router's steady clock may run fast or slow.
-        now_ms: The steady clock.
+        router_index: Index of this router.
+        router_count: Number of configured routers.
+        incarnation: Random number drawn by the caller at each start of the router.
+        seed: Seed of all random decisions.
+        clock_rate: Fraction by which a router's monotonic clock may run fast or slow.
+        now_ms: Start of this incarnation.
         has_memory: Whether this router knows all units that its earlier incarnations used or granted of
             counts, because there was no earlier incarnation or because ``restore`` supplies their image. If
             False, this router's allotment of each count is lost.
-        is_durable: Whether units of a count may be used or granted only after the disk records them as
-            written off (``image_to_write``, ``mark_written``).
+        is_durable: Whether units of a count may be used or granted only after they are recorded as
+            written off on disk (``image_to_write``, ``mark_written``).
     """
 
     message_types = frozenset((int(MessageType.ESCROW),))
@@ -103,7 +103,7 @@
             name: The pool's name, the same at all routers.
             total: The fleet-wide total.
             is_consumable: Whether the pool is a count; otherwise the pool is a rate.
-            ends_at_ms: When the pool ends; None: never.
+            ends_at_ms: When the pool ends, or None if it never ends.
             is_new: Whether the pool is new, so that no earlier incarnation used it. Then this router's
                 allotment of a count is usable even without memory (docs/design/escrow.md, 12).
         """
@@ -168,14 +168,14 @@
         if (pool := self.pool_named(name)) is not None:
             set_demand(now_ms, pool, amount)
 
-    # The disk.
+    # Persistence.
 
     def snapshot(self) -> bytes:
         """Return the image that records all unused units of counts as used (written off)."""
         return self.image.encode(self.pools, {})
 
     def restore(self, data: bytes) -> bool:
-        """Load the last image of an earlier incarnation; must be called before any pool is opened.
+        """Load the last image of an earlier incarnation. Must be called before any pool is opened.
 
         Return False if the image is invalid. Then no balance is restored, and the router has no memory.
         """
@@ -189,7 +189,7 @@
         return self.image.next_write(now_ms, self.pools)
 
     def mark_written(self, now_ms: float) -> None:
-        """Free the units that the last returned image writes off, because the image is on the disk."""
+        """Free the units that the last returned image writes off, because the image is on disk."""
         self.image.mark_written(self.pools)
 
     def mark_write_failed(self) -> None:
@@ -199,7 +199,7 @@
     # The component interface.
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
-        """Handle a peer's request or response. Invalid bytes are counted; no input raises."""
+        """Handle a peer's request or response. Malformed datagrams are counted; the method never raises."""
         message = decode(data)
         if isinstance(message, MalformedDatagram):
             self.counters["unreadable"] += 1
@@ -240,7 +240,7 @@
         return ()
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """Return the figures for ``INFO``."""
+        """Return the counters and gauges for ``INFO``."""
         rates = [pool for pool in self.pools.values() if isinstance(pool, RatePool)]
         figures = {
             "pools": len(self.pools),
--- a/cedarthread/escrow/grantor.py
+++ b/cedarthread/escrow/grantor.py
@@ -36,17 +36,17 @@
 
     amount: int  # units granted
     available: int  # units that this router could still grant
-    term_ms: int  # 0: the units are transferred for good
+    term_ms: int  # 0 if the units are transferred permanently
 
 
 class EscrowGrantor:
     """The responder of one router, with the grants that it may have to repeat.
 
     Args:
-        incarnation: The random number of this start of the router.
-        rng: The source of the choice among hints.
-        counters: The figures for ``INFO``, which ``Escrow`` owns and shares with this object.
-        now_ms: The steady clock.
+        incarnation: Random number drawn at this start of the router.
+        rng: Random source for the choice among hints.
+        counters: Counters for ``INFO``, owned by ``Escrow`` and shared with this object.
+        now_ms: Current time, in ms on this router's monotonic clock.
     """
 
     def __init__(self, incarnation: int, rng: random.Random, counters: dict[str, int], now_ms: float) -> None:
--- a/cedarthread/escrow/image.py
+++ b/cedarthread/escrow/image.py
@@ -1,7 +1,7 @@
 """The persisted image of the count pools, which limits the units that a later incarnation may use.
 
-Units may be used or granted only after the disk records them as written off. The image is therefore written
-ahead of use: it already excludes the units to write off, and these units become free when the write
+Units may be used or granted only after they are recorded as written off on disk. The image is therefore
+written ahead of use: it already excludes the units to write off, and these units become free when the write
 succeeds.
 """
 
@@ -27,14 +27,14 @@
     Args:
         has_memory: Whether this router knows all units that its earlier incarnations used or granted of
             counts, because there was no earlier incarnation or because ``restore`` supplies their image.
-        is_durable: Whether units must be written off on the disk before use.
+        is_durable: Whether units must be written off on disk before use.
     """
 
     def __init__(self, *, has_memory: bool, is_durable: bool) -> None:
         self.has_memory = has_memory
         self.is_durable = is_durable
         self.restored_balances: dict[int, CountBalance] = {}  # by pool key
-        self.pending_write_offs: dict[int, int] | None = None  # by pool key; None: no write is in progress
+        self.pending_write_offs: dict[int, int] | None = None  # by pool key; None if no write is in progress
 
     def encode(self, pools: Mapping[int, QuotaPool], write_offs: Mapping[int, int]) -> bytes:
         """Return the image of the pools with the units of ``write_offs`` (by pool key) written off."""
@@ -46,7 +46,7 @@
         return msgspec.msgpack.encode(balances + list(self.restored_balances.values())[-MAX_RESTORED_COUNTS:])
 
     def restore(self, data: bytes) -> bool:
-        """Load the last image of an earlier incarnation; must be called before any pool is opened.
+        """Load the last image of an earlier incarnation. Must be called before any pool is opened.
 
         Return False if the image cannot be decoded or contradicts itself. Then no balance is restored and
         ``has_memory`` becomes False.
@@ -66,7 +66,7 @@
         return self.restored_balances.pop(key, None)
 
     def next_write(self, now_ms: float, pools: Mapping[int, QuotaPool]) -> bytes | None:
-        """Start a write: return the image that the disk must record before more units become free.
+        """Start a write: return the image that must be on disk before more units become free.
 
         Return None if no units are to be written off or a write is already in progress. The host reports
         the end of the write by ``mark_written`` or ``mark_write_failed``.
@@ -84,14 +84,14 @@
         return self.encode(pools, self.pending_write_offs)
 
     def mark_written(self, pools: Mapping[int, QuotaPool]) -> None:
-        """Mark the pending units as free, because the image is on the disk."""
+        """Mark the pending units as free, because the image is on disk."""
         for key, amount in (self.pending_write_offs or {}).items():
             if isinstance(pool := pools.get(key), CountPool):
                 pool.mark_written_off(amount)
         self.pending_write_offs = None
 
     def mark_write_failed(self) -> None:
-        """End the write without freeing units, because the image may not be on the disk."""
+        """End the write without freeing units, because the image may not be on disk."""
         self.pending_write_offs = None
 
 
--- a/cedarthread/escrow/quota_pool.py
+++ b/cedarthread/escrow/quota_pool.py
@@ -3,7 +3,7 @@
 Sources: escrow (O'Neil: "The Escrow Transactional Method", 1986) and bounded counters (Balegas and others:
 "Extending eventually consistent cloud databases for enforcing numeric invariants", 2015). A total is
 divided into allotments. A router that transfers units first deducts them from its own account and then
-sends the grant. Units are whole numbers; times are ms on this router's steady clock.
+sends the grant. Units are whole numbers; times are in ms on this router's monotonic clock.
 
 ``Escrow`` creates the pools; ``EscrowGrantor``, ``EscrowRequester`` and ``EscrowImage`` change them.
 """
@@ -31,18 +31,18 @@
 class RequestRounds:
     """The outcome of recent request rounds for one pool, which determines when the next round starts."""
 
-    is_open: bool = False  # requests were sent, and their outcome determines whether to back off
+    is_open: bool = False  # requests were sent; their outcome decides whether to back off
     has_gained: bool = False  # a response in this round added units
     failed: int = 0  # consecutive rounds that added no units
-    hints_followed: int = 0  # consecutive rounds that started at once because of a hint
+    hints_followed: int = 0  # consecutive rounds that started without backoff because of a hint
     next_at_ms: float = -math.inf  # the next round starts no earlier
-    woken_at_ms: float = -math.inf  # when growing demand last cut a backoff short
+    woken_at_ms: float = -math.inf  # when growing demand last shortened a backoff
 
 
 class QuotaPool:
     """The account that one router has of one pool; the base of ``RatePool`` and ``CountPool``.
 
-    ``ends_at_ms`` is when the pool ends; None: the pool never ends.
+    ``ends_at_ms`` is the time at which the pool ends, or None if it never ends.
     """
 
     is_consumable = False
@@ -56,7 +56,7 @@
         self.place = self.place_by_router[router_index]
         self.total = 0
         self.ends_at_ms: float | None = None
-        self.demand = 0  # units that this router's users want in all
+        self.demand = 0  # total units that this router's users want
         self.rounds = RequestRounds()
         self.peer_available: dict[int, PeerAvailability] = {}  # by router index
 
--- a/cedarthread/escrow/rate_pool.py
+++ b/cedarthread/escrow/rate_pool.py
@@ -16,7 +16,7 @@
 
 LEASE_TERM_MS = 4000.0  # term of each lease; the requester rejects a response with a longer term
 UNMET_REQUEST_EXPIRY_MS = 1000.0  # how long an unmet request limits the amounts that other borrowers get
-# A sixteenth of the allotment, rounded down, is not lent, for the router's own next calls.
+# A sixteenth of the allotment, rounded down, is not lent; it is reserved for the router's own next calls.
 RESERVE_DIVISOR = 16
 
 
@@ -69,9 +69,9 @@
     Args:
         name: The pool's name.
         key: The hash of the name.
-        router_index: This router.
-        router_count: The configured routers.
-        clock_drift_factor: The lender's term divided by the borrower's term.
+        router_index: Index of this router.
+        router_count: Number of configured routers.
+        clock_drift_factor: Ratio of the lender's term to the borrower's term.
         ready_at_ms: Until this time, leases granted by an earlier incarnation of this router may still be
             in use, so this router's own rate is 0.
     """
--- a/cedarthread/escrow/request_rounds.py
+++ b/cedarthread/escrow/request_rounds.py
@@ -24,14 +24,15 @@
 BACKOFF_BASE_MS = 250.0  # doubled with each consecutive failed round
 RATE_BACKOFF_MAX_MS = 2000.0
 COUNT_BACKOFF_MAX_MS = 4000.0
-MAX_FAILED_ROUNDS = 16  # the count of failed rounds stops here
-MAX_FAILED_ROUNDS_WHEN_WOKEN = 3  # upper limit of the same count when growing demand cuts a backoff short
-WAKE_INTERVAL_MS = 5000.0  # shortest time between two cuts: fluctuating demand must not defeat the backoff
+MAX_FAILED_ROUNDS = 16  # upper limit of the count of failed rounds
+MAX_FAILED_ROUNDS_WHEN_WOKEN = 3  # the same limit once growing demand has shortened a backoff
+# Minimum time between two shortened backoffs, because fluctuating demand must not defeat the backoff.
+WAKE_INTERVAL_MS = 5000.0
 MAX_HINTS_FOLLOWED = 2  # consecutive rounds that may start without backoff because of a hint
 
 
 def set_demand(now_ms: float, pool: QuotaPool, amount: int) -> None:
-    """Set this router's demand for a pool; growing demand may cut a backoff short."""
+    """Set this router's demand for a pool; growing demand may shorten a backoff."""
     rounds = pool.rounds
     if amount > pool.demand and now_ms - rounds.woken_at_ms >= WAKE_INTERVAL_MS:
         rounds.woken_at_ms = now_ms
@@ -52,7 +53,7 @@
         """Return the peers to send requests for a pool's shortfall, or None if no round may start now.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: Current time.
             pool: A pool with a shortfall.
             alive_peers: The peers that may receive requests.
             pending_peers: The peers with a pending request for this pool that has not timed out.
--- a/cedarthread/escrow/requester.py
+++ b/cedarthread/escrow/requester.py
@@ -1,8 +1,8 @@
 """The requesting side of escrow: sends requests for units to peers, and adds the granted units to the pools.
 
 A response is accepted only once, and only for an outstanding request of this incarnation. A duplicated,
-late or forged response adds no units. If a grant is lost in transit, its units are missing until their lease
-ends (rate pools) or for good (count pools).
+late or forged response adds no units. If a grant is lost in transit, its units are unavailable until their
+lease ends (rate pools) or permanently (count pools).
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 REQUESTS_PER_SECOND = 40.0
 REQUEST_BURST = 20.0
-MAX_ATTEMPTS = 4  # of a request for a count, because a lost response would lose its units for good
-LATE_RESPONSE_LIMIT_MS = 30_000.0  # age of a request for a count up to which its response is accepted
+MAX_ATTEMPTS = 4  # of a request for a count, because a lost response would lose its units permanently
+LATE_RESPONSE_LIMIT_MS = 30_000.0  # responses to older requests for a count are rejected
 RENEW_AFTER_FRACTION = 0.6  # fraction of its term after which a lease is renewed
 
 
 @dataclass(slots=True)
 class OutstandingRequest:
-    """A request to one peer; its response is still accepted."""
+    """A request to one peer whose response is still accepted."""
 
     pool: QuotaPool
     peer: int
@@ -47,13 +47,13 @@
     """The requests of one router: those that are outstanding, and the schedule of further ones.
 
     Args:
-        router_index: This router.
-        router_count: The configured routers.
-        incarnation: The random number of this start of the router; responses to other incarnations are
+        router_index: Index of this router.
+        router_count: Number of configured routers.
+        incarnation: Random number drawn at this start of the router; responses to other incarnations are
             dropped.
-        rng: The source of nonces, jitter and the choice of peers.
-        counters: The figures for ``INFO``, which ``Escrow`` owns and shares with this object.
-        now_ms: The steady clock.
+        rng: Random source for nonces, jitter and the choice of peers.
+        counters: Counters for ``INFO``, owned by ``Escrow`` and shared with this object.
+        now_ms: Current time, in ms on this router's monotonic clock.
     """
 
     def __init__(
@@ -123,9 +123,9 @@
     def _record_availability(
         self, now_ms: float, sender: int, pool: QuotaPool, response: EscrowResponse
     ) -> None:
-        """Record the units that the sender reports, and its hint at another peer.
+        """Record the units that the sender reports, and the peer that it hints at.
 
-        A hint does not override recent knowledge that the other peer has no units.
+        A hint does not override recent information that the hinted peer has no units.
         """
         pool.peer_available[sender] = PeerAvailability(response.available, now_ms)
         hinted_peer = response.hinted_peer
@@ -135,7 +135,7 @@
                 pool.peer_available[hinted_peer] = PeerAvailability(max(1, known.units), now_ms)
 
     def expire(self, now_ms: float) -> None:
-        """Remove requests that are so old that a response is no longer accepted."""
+        """Remove requests that are too old for their responses to be accepted."""
         for nonce, request in list(self.outstanding.items()):
             limit_ms = LATE_RESPONSE_LIMIT_MS if request.pool.is_consumable else LEASE_TERM_MS
             if now_ms - request.sent_at_ms >= limit_ms:
