--- a/cedarthread/escrow/codec.py
+++ b/cedarthread/escrow/codec.py
@@ -91,9 +91,9 @@
 def decode(data: bytes) -> EscrowRequest | EscrowResponse | MalformedDatagram:
     """Decode a datagram. Malformed bytes yield a ``MalformedDatagram``; the function never raises."""
     if data[:1] != bytes((MessageType.ESCROW,)):
-        return MalformedDatagram("not of this form")
+        return MalformedDatagram("not an escrow datagram")
     if len(data) == _REQUEST.size and data[1] == _REQUEST_KIND:
         return EscrowRequest(*_REQUEST.unpack(data)[2:])
     if len(data) == _RESPONSE.size and data[1] == _RESPONSE_KIND:
         return EscrowResponse(*_RESPONSE.unpack(data)[2:])
-    return MalformedDatagram(f"kind {data[1:2].hex()}, {len(data)} bytes")
+    return MalformedDatagram(f"invalid kind or length: kind {data[1:2].hex()}, {len(data)} bytes")
--- a/cedarthread/replication/codec.py
+++ b/cedarthread/replication/codec.py
@@ -182,8 +182,10 @@
         or data[0] != MessageType.REPLICATION
         or data[1] not in _DECODERS
     ):
-        return MalformedDatagram(f"{len(data)} bytes: {data[:2]!r}")
-    return _DECODERS[data[1]](data) or MalformedDatagram(f"{len(data)} bytes of kind {data[1]}")
+        return MalformedDatagram(f"invalid length, type or kind: {len(data)} bytes, first bytes {data[:2]!r}")
+    return _DECODERS[data[1]](data) or MalformedDatagram(
+        f"malformed message: {len(data)} bytes of kind {data[1]}"
+    )
 
 
 def _decode_sync_request(data: bytes) -> SyncRequest | None:
--- a/cedarthread/replication/conflicts.py
+++ b/cedarthread/replication/conflicts.py
@@ -46,7 +46,9 @@
 ACT_RULES: Mapping[Act, ActRule] = MappingProxyType(
     {
         Act.CHANGE_PLACEMENT: _rule(
-            Act.KEEP_PLACEMENT, "a window that was missed may be in force", Act.CONFIRM_WINDOW_IN_FORCE
+            Act.KEEP_PLACEMENT,
+            "a window that this router has not received may be in force",
+            Act.CONFIRM_WINDOW_IN_FORCE,
         ),
         Act.USE_EXCEPTION_BUDGET: _rule(
             Act.USE_EXCEPTION_BUDGET, "the units of all routers add up to the budget, fresh or not"
@@ -59,13 +61,13 @@
         ),
         Act.CONFIRM_WINDOW_IN_FORCE: _rule(
             Act.KEEP_PLACEMENT,
-            "its end may have been missed",
+            "this router may not have received the end of the window",
             Act.CHANGE_PLACEMENT,
             Act.TREAT_WINDOW_AS_ENDED,
         ),
         Act.PREEMPT: _rule(Act.SERVE, "the order of the tiers may have changed", Act.PREEMPT, Act.SHED),
         Act.SHED: _rule(Act.SERVE, "the tier may have changed", Act.PREEMPT, Act.SHED),
-        Act.SERVE: _rule(Act.SERVE, "every state allows to serve"),
+        Act.SERVE: _rule(Act.SERVE, "every state allows serving"),
     }
 )
 
--- a/cedarthread/replication/entry.py
+++ b/cedarthread/replication/entry.py
@@ -83,17 +83,17 @@
     Malformed bytes yield a ``RejectedEntry``; the function never raises.
     """
     if not _HEADER.size < len(data) <= MAX_ENTRY_BYTES:
-        return RejectedEntry("entry", f"{len(data)} bytes")
+        return RejectedEntry("entry", f"invalid length: {len(data)} bytes")
     kind, name_bytes, counter, author, incarnation, replaces_digest = _HEADER.unpack_from(data)
     if kind >= len(ENTRY_KINDS) or counter >= VERSION_COUNTER_LIMIT:
-        return RejectedEntry("entry", f"kind {kind}, counter {counter}")
+        return RejectedEntry("entry", f"kind {kind} or counter {counter} is out of range")
     try:
         name = data[_HEADER.size : _HEADER.size + name_bytes].decode()
     except UnicodeDecodeError:
-        return RejectedEntry("entry: name", "no UTF-8")
+        return RejectedEntry("entry: name", "not valid UTF-8")
     body = data[_HEADER.size + name_bytes :]
     if len(name.encode()) != name_bytes:  # the data ends before the end of the name
-        return RejectedEntry("entry: name", f"{name_bytes} bytes")
+        return RejectedEntry("entry: name", f"truncated: the header declares {name_bytes} bytes")
     rejected = check_bounds(ENTRY_KINDS[kind], name, body)
     version = Version(counter, author, incarnation)
     return rejected or Entry(ENTRY_KINDS[kind], name, version, body, replaces_digest)
@@ -104,12 +104,14 @@
     try:
         name_bytes = len(name.encode())
     except UnicodeEncodeError:
-        return RejectedEntry(f"{kind}: name", "no UTF-8")
+        return RejectedEntry(f"{kind}: name", "cannot be encoded as UTF-8")
     if not 1 <= name_bytes <= MAX_NAME_BYTES:
         location = f"{kind} {name[:MAX_NAME_BYTES]!r}: name"
-        return RejectedEntry(location, f"{name_bytes} bytes, 1 to {MAX_NAME_BYTES} may be")
+        return RejectedEntry(location, f"{name_bytes} bytes; must be 1 to {MAX_NAME_BYTES} bytes")
     if len(body) > MAX_BODY_BYTES:
-        return RejectedEntry(f"{kind} {name!r}: body", f"{len(body)} bytes, {MAX_BODY_BYTES} at most")
+        return RejectedEntry(
+            f"{kind} {name!r}: body", f"{len(body)} bytes; must be at most {MAX_BODY_BYTES} bytes"
+        )
     return None
 
 
--- a/cedarthread/replication/local_replica.py
+++ b/cedarthread/replication/local_replica.py
@@ -76,7 +76,7 @@
             return rejected
         if self.state.is_full((kind, name), MAX_PROPOSED_ENTRIES):
             return RejectedEntry(
-                f"{kind} {name!r}", f"{MAX_PROPOSED_ENTRIES} entries are held, no more may be"
+                f"{kind} {name!r}", f"the limit of {MAX_PROPOSED_ENTRIES} entries is reached"
             )
         previous = self.state.records.get((kind, name))
         meaning = canonical_body or bytes
@@ -84,7 +84,7 @@
             return previous.entry
         version = self.state.next_version(self.router_index, self.incarnation)
         if version.counter >= VERSION_COUNTER_LIMIT:
-            return RejectedEntry(f"{kind} {name!r}: version", "the counter has come to its end")
+            return RejectedEntry(f"{kind} {name!r}: version", "the version counter is exhausted")
         return EncodedEntry.of(Entry(kind, name, version, body, previous.digest if previous else 0))
 
     def merge(self, now_ms: float, encoded: EncodedEntry) -> None:
