--- a/cedarthread/replication/conflicts.py
+++ b/cedarthread/replication/conflicts.py
@@ -1,9 +1,9 @@
-"""Rules for acts of routers: which acts contradict each other, and the fallback of each act.
+"""Rules for actions of routers: which actions conflict with each other, and the fallback of each action.
 
-Two acts *contradict* each other when no single state of the replicated store allows both. Fresh routers know
-the same entries, so their acts contradict each other for no longer than the staleness bound. A router with a
-state that is not fresh replaces an act by the *fallback* of that act; a fallback contradicts no act. The
-module has constants and functions only, no state. Step 13 of docs/design/replication.md.
+Two actions *conflict* when no single state of the replicated store allows both. Fresh routers know the same
+entries, so their actions conflict for no longer than the staleness bound. A router with a state that is not
+fresh replaces an action by the *fallback* of that action; a fallback conflicts with no action. The module is
+stateless. Step 13 of docs/design/replication.md.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
     from collections.abc import Mapping
 
 
-class Act(StrEnum):
-    """An act that a router derives from replicated entries."""
+class RouterAction(StrEnum):
+    """An action that a router derives from replicated entries."""
 
     CHANGE_PLACEMENT = "load, unload or migrate instances"
     USE_EXCEPTION_BUDGET = "change placement by a unit of a freeze window's exception budget"
@@ -31,52 +31,59 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ActRule:
-    """The rule for one act: the acts that contradict it, and its fallback."""
+class ActionRule:
+    """The rule for one action: the actions that conflict with it, and its fallback."""
 
-    contradicts: frozenset[Act]  # when another router does one of them
-    fallback: Act  # replaces the act while the router's state is not fresh
-    reason: str  # why the act needs a fresh state
+    conflicts_with: frozenset[RouterAction]  # the conflicting actions, at any other router
+    fallback: RouterAction  # replaces the action while the router's state is not fresh
+    reason: str  # why the action needs a fresh state
 
 
-def _rule(fallback: Act, reason: str, *contradicts: Act) -> ActRule:
-    return ActRule(frozenset(contradicts), fallback, reason)
+def _rule(fallback: RouterAction, reason: str, *conflicts_with: RouterAction) -> ActionRule:
+    return ActionRule(frozenset(conflicts_with), fallback, reason)
 
 
-ACT_RULES: Mapping[Act, ActRule] = MappingProxyType(
+ACTION_RULES: Mapping[RouterAction, ActionRule] = MappingProxyType(
     {
-        Act.CHANGE_PLACEMENT: _rule(
-            Act.KEEP_PLACEMENT,
+        RouterAction.CHANGE_PLACEMENT: _rule(
+            RouterAction.KEEP_PLACEMENT,
             "a window that this router has not received may be in force",
-            Act.CONFIRM_WINDOW_IN_FORCE,
+            RouterAction.CONFIRM_WINDOW_IN_FORCE,
         ),
-        Act.USE_EXCEPTION_BUDGET: _rule(
-            Act.USE_EXCEPTION_BUDGET, "the units of all routers add up to the budget, fresh or not"
+        RouterAction.USE_EXCEPTION_BUDGET: _rule(
+            RouterAction.USE_EXCEPTION_BUDGET, "the units of all routers add up to the budget, fresh or not"
         ),
-        Act.KEEP_PLACEMENT: _rule(Act.KEEP_PLACEMENT, "no state requires a change"),
-        Act.TREAT_WINDOW_AS_ENDED: _rule(
-            Act.KEEP_PLACEMENT,
+        RouterAction.KEEP_PLACEMENT: _rule(RouterAction.KEEP_PLACEMENT, "no state requires a change"),
+        RouterAction.TREAT_WINDOW_AS_ENDED: _rule(
+            RouterAction.KEEP_PLACEMENT,
             "the end may have been revoked, or the window replaced",
-            Act.CONFIRM_WINDOW_IN_FORCE,
+            RouterAction.CONFIRM_WINDOW_IN_FORCE,
         ),
-        Act.CONFIRM_WINDOW_IN_FORCE: _rule(
-            Act.KEEP_PLACEMENT,
+        RouterAction.CONFIRM_WINDOW_IN_FORCE: _rule(
+            RouterAction.KEEP_PLACEMENT,
             "this router may not have received the end of the window",
-            Act.CHANGE_PLACEMENT,
-            Act.TREAT_WINDOW_AS_ENDED,
+            RouterAction.CHANGE_PLACEMENT,
+            RouterAction.TREAT_WINDOW_AS_ENDED,
         ),
-        Act.PREEMPT: _rule(Act.SERVE, "the order of the tiers may have changed", Act.PREEMPT, Act.SHED),
-        Act.SHED: _rule(Act.SERVE, "the tier may have changed", Act.PREEMPT, Act.SHED),
-        Act.SERVE: _rule(Act.SERVE, "every state allows serving"),
+        RouterAction.PREEMPT: _rule(
+            RouterAction.SERVE,
+            "the order of the tiers may have changed",
+            RouterAction.PREEMPT,
+            RouterAction.SHED,
+        ),
+        RouterAction.SHED: _rule(
+            RouterAction.SERVE, "the tier may have changed", RouterAction.PREEMPT, RouterAction.SHED
+        ),
+        RouterAction.SERVE: _rule(RouterAction.SERVE, "every state allows serving"),
     }
 )
 
 
-def are_contradictory(one: Act, other: Act) -> bool:
+def are_conflicting(one: RouterAction, other: RouterAction) -> bool:
     """Return whether no single state allows ``one`` at one router and ``other`` at another."""
-    return other in ACT_RULES[one].contradicts
+    return other in ACTION_RULES[one].conflicts_with
 
 
-def act_or_fallback(act: Act, *, is_fresh: bool) -> Act:
-    """Return ``act`` if the router's state is fresh, else the fallback of ``act``."""
-    return act if is_fresh else ACT_RULES[act].fallback
+def action_or_fallback(action: RouterAction, *, is_fresh: bool) -> RouterAction:
+    """Return ``action`` if the router's state is fresh, else the fallback of ``action``."""
+    return action if is_fresh else ACTION_RULES[action].fallback
--- a/cedarthread/replication/freshness.py
+++ b/cedarthread/replication/freshness.py
@@ -169,8 +169,8 @@
             read_at_ms >= oldest_ms and self.read_as_voter_at_ms[router] < expired_at_ms
             for router, read_at_ms in enumerate(self.read_at_ms)
         )
-        meets_every_majority = voters > self.router_count - self.quorum
-        return meets_every_majority or non_voters >= self.quorum
+        intersects_every_majority = voters > self.router_count - self.quorum
+        return intersects_every_majority or non_voters >= self.quorum
 
     def count_recently_read(self, now_ms: float) -> int:
         """Return the number of routers read within the window, this router and non-voters included."""
--- a/cedarthread/replication/local_replica.py
+++ b/cedarthread/replication/local_replica.py
@@ -79,8 +79,8 @@
                 f"{kind} {name!r}", f"the limit of {MAX_PROPOSED_ENTRIES} entries is reached"
             )
         previous = self.state.records.get((kind, name))
-        meaning = canonical_body or bytes
-        if previous is not None and meaning(previous.entry.body) == meaning(body):
+        normalize = canonical_body or bytes
+        if previous is not None and normalize(previous.entry.body) == normalize(body):
             return previous.entry
         version = self.state.next_version(self.router_index, self.incarnation)
         if version.counter >= VERSION_COUNTER_LIMIT:
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -260,7 +260,7 @@
 
     def on_tick(self, now_ms: float) -> Sequence[OutboundMessage]:
         """Send due sync requests and retry sessions; required every ``MAX_TICK_INTERVAL_MS``."""
-        self.exchange.note_activity(now_ms)
+        self.exchange.reset_after_pause(now_ms)
         logs = self.replica.take_logs()
         return [*logs, *self.exchange.on_tick(now_ms)]
 
@@ -274,6 +274,6 @@
         ):
             self.undecodable_count += 1
             return []
-        self.exchange.note_activity(now_ms)
+        self.exchange.reset_after_pause(now_ms)
         responses = self.exchange.on_message(now_ms, sender, message)
         return [*self.replica.take_logs(), *responses]
--- a/cedarthread/replication/sync_exchange.py
+++ b/cedarthread/replication/sync_exchange.py
@@ -77,7 +77,7 @@
     def on_tick(self, now_ms: float) -> list[SendToPeer]:
         """Return the sync requests that are due and the retries of sessions."""
         messages: list[SendToPeer] = []
-        if (peer := self.requests.allow_request(now_ms)) is not None:
+        if (peer := self.requests.next_due_peer(now_ms)) is not None:
             messages.append(self.request_sync(now_ms, peer))
         if not self.replica.freshness.is_voter and not self.has_read_enough_peers():
             peers = self.requests.bootstrap_peers(self.sessions.fully_read_peers)
@@ -96,11 +96,11 @@
         if isinstance(message, Summary):
             return self.sessions.on_summary(now_ms, sender, message)
         if isinstance(message, FetchRequest):
-            return self.server.fetched_fragments(now_ms, sender, message)
+            return self.server.requested_fragments(now_ms, sender, message)
         self._on_fragment(now_ms, message)
         return []
 
-    def note_activity(self, now_ms: float) -> None:
+    def reset_after_pause(self, now_ms: float) -> None:
         """Drop open requests and sessions if this router has been paused since its last activity.
 
         After a pause the send times of open requests would appear more recent than they are.
@@ -126,7 +126,7 @@
         Such reverse requests are sent at most once per period.
         """
         self.peers.record_incarnation(sender, request.incarnation)
-        if not self.server.admits(now_ms, request):
+        if not self.server.admit(now_ms, request):
             return []
         remembered = self.peers.record_generation(sender, request)
         messages = self.server.respond(now_ms, sender, request, remembered, self.unix_ms)
--- a/cedarthread/replication/sync_requests.py
+++ b/cedarthread/replication/sync_requests.py
@@ -75,7 +75,7 @@
             peer for peer in peers if 0 <= peer < self.router_count and peer != self.router_index
         ]
 
-    def allow_request(self, now_ms: float) -> int | None:
+    def next_due_peer(self, now_ms: float) -> int | None:
         """Return the peer of the periodic request and schedule the next one; None if no request is due."""
         if not self.all_peers or now_ms < self.next_request_at_ms:
             return None
@@ -83,8 +83,8 @@
         earliest_ms = max(self.next_request_at_ms, now_ms - self.period_ms)
         self.next_request_at_ms = earliest_ms + self.period_ms * self.rng.uniform(*PERIOD_JITTER)
         self.request_count += 1
-        is_any_peer = not self.alive_peers or self.request_count % REQUESTS_PER_RANDOM_PEER == 0
-        return self.rng.choice(self.all_peers if is_any_peer else self.alive_peers)
+        includes_dead_peers = not self.alive_peers or self.request_count % REQUESTS_PER_RANDOM_PEER == 0
+        return self.rng.choice(self.all_peers if includes_dead_peers else self.alive_peers)
 
     def allow_reverse_request(self, now_ms: float) -> bool:
         """Return whether a reverse request may be sent now, and schedule the next one.
--- a/cedarthread/replication/sync_server.py
+++ b/cedarthread/replication/sync_server.py
@@ -69,7 +69,7 @@
         self.byte_budget = TokenBucket(BYTES_PER_SECOND, BYTE_BURST, BYTE_BURST, now_ms)
         self.unanswered_count = 0  # sync requests without a response; responses cut short by the byte budget
 
-    def admits(self, now_ms: float, request: SyncRequest) -> bool:
+    def admit(self, now_ms: float, request: SyncRequest) -> bool:
         """Return whether a sync request gets a response, and charge the response budget.
 
         A request without a response looks like a lost datagram to the peer.
@@ -92,7 +92,7 @@
         messages: list[SendToPeer] = []
         replica = self.replica
         if request.root_digest != replica.state.root_digest:
-            messages += self.newest_entry(now_ms, sender)
+            messages += self.newest_entry_fragments(now_ms, sender)
         response = SyncResponse(
             nonce=request.nonce,
             root_digest=replica.state.root_digest,
@@ -107,7 +107,7 @@
         messages.append(encode_to(response, sender))
         return messages
 
-    def newest_entry(self, now_ms: float, sender: int) -> list[SendToPeer]:
+    def newest_entry_fragments(self, now_ms: float, sender: int) -> list[SendToPeer]:
         """Return the fragments of the most recently received entry, if it is recent and small."""
         record = next(reversed(self.replica.state.records.values()), None)
         if record is None or now_ms - record.received_at_ms > self.replica.freshness.window_ms:
@@ -147,7 +147,7 @@
         ]
         return self._send_within_budget(now_ms, sender, messages)
 
-    def fetched_fragments(self, now_ms: float, sender: int, request: FetchRequest) -> list[SendToPeer]:
+    def requested_fragments(self, now_ms: float, sender: int, request: FetchRequest) -> list[SendToPeer]:
         """Return the requested fragments of those entries that this router stores."""
         state = self.replica.state
         fragments: list[EntryFragment] = []
--- a/cedarthread/testing/replication_model.py
+++ b/cedarthread/testing/replication_model.py
@@ -58,7 +58,7 @@
 class QuietServer(SyncServer):
     """A server that sends no entry without a request."""
 
-    def newest_entry(self, now_ms: float, sender: int) -> list[SendToPeer]:
+    def newest_entry_fragments(self, now_ms: float, sender: int) -> list[SendToPeer]:
         """Return no fragments."""
         return []
 
