--- a/cedarthread/escrow/allotment.py
+++ b/cedarthread/escrow/allotment.py
@@ -15,10 +15,10 @@
     )
 
 
-def allotment(total: int, router_count: int, place: int) -> int:
-    """Return the units allotted to the router at index ``place`` of ``allotment_order``.
+def allotment(total: int, router_count: int, rank: int) -> int:
+    """Return the units allotted to the router at index ``rank`` of ``allotment_order``.
 
-    The allotments of all places add up to the total, and no allotment shrinks when the total grows. Routers
+    The allotments of all ranks add up to the total, and no allotment shrinks when the total grows. Routers
     that know different totals therefore never exceed the greatest of these totals together.
     """
-    return (total + router_count - 1 - place) // router_count
+    return (total + router_count - 1 - rank) // router_count
--- a/cedarthread/escrow/count_pool.py
+++ b/cedarthread/escrow/count_pool.py
@@ -22,7 +22,7 @@
     balance: int
     total: int
     highest_total: int
-    is_lost: bool
+    is_allotment_lost: bool
 
 
 class CountPool(QuotaPool):
@@ -43,27 +43,28 @@
         self.free = 0
         self.used = 0
         self.highest_total = 0
-        self.is_lost = False  # an earlier incarnation may have used or granted this router's allotment
-        self.wanted_free = 0  # units that a user or peer requested but that were not free
+        # An earlier incarnation may have used or granted this router's allotment.
+        self.is_allotment_lost = False
+        self.free_units_needed = 0  # most units requested at a time while fewer were free
         self.last_recipient: int | None = None
 
-    def initialize(self, total: int, *, is_lost: bool, persisted: CountBalance | None) -> None:
+    def initialize(self, total: int, *, is_allotment_lost: bool, persisted: CountBalance | None) -> None:
         """Set up the account when this incarnation first opens the pool.
 
         Args:
             total: The pool's total.
-            is_lost: Whether this router's allotment is unusable because an earlier incarnation may have
-                used it; ignored if ``persisted`` is given.
+            is_allotment_lost: Whether this router's allotment is unusable because an earlier incarnation may
+                have used it; ignored if ``persisted`` is given.
             persisted: The pool's record in the restored image, or None if the image has none.
         """
         if persisted is None:
-            self.is_lost = is_lost
+            self.is_allotment_lost = is_allotment_lost
             self.total = total
             self.highest_total = total
-            self.balance = 0 if is_lost else self.own_allotment()
+            self.balance = 0 if is_allotment_lost else self.own_allotment()
         else:
             self.balance = persisted.balance
-            self.is_lost = persisted.is_lost
+            self.is_allotment_lost = persisted.is_allotment_lost
             self.total = persisted.total
             self.highest_total = persisted.highest_total
             self.change_total(total)
@@ -72,7 +73,7 @@
     def balance_to_persist(self, write_off: int) -> CountBalance:
         """Return the record to persist in order to write off ``write_off`` more units."""
         remaining = self.balance - self.free - write_off
-        return CountBalance(self.key, remaining, self.total, self.highest_total, self.is_lost)
+        return CountBalance(self.key, remaining, self.total, self.highest_total, self.is_allotment_lost)
 
     def change_total(self, total: int) -> None:
         """Change the total and adjust the balance.
@@ -83,8 +84,10 @@
         makes up for the reduction; otherwise all balances are zero afterwards (docs/design/escrow.md, 13).
         """
         if total > self.highest_total:
-            before = allotment(self.highest_total, self.router_count, self.place)
-            self.balance += 0 if self.is_lost else allotment(total, self.router_count, self.place) - before
+            before = allotment(self.highest_total, self.router_count, self.rank)
+            self.balance += (
+                0 if self.is_allotment_lost else allotment(total, self.router_count, self.rank) - before
+            )
             self.highest_total = total
         elif total < self.total:
             self.balance -= min(self.balance, self.total - total)
@@ -116,7 +119,7 @@
     def consume(self, now_ms: float, amount: int) -> bool:
         """Consume ``amount`` units and return True; return False and consume none if fewer are free."""
         if amount > self.available(now_ms):
-            self.wanted_free = max(self.wanted_free, amount)
+            self.free_units_needed = max(self.free_units_needed, amount)
             return False
         self._deduct(amount)
         self.used += amount
@@ -130,7 +133,7 @@
         """
         amount = min(requested, max(0, self.available(now_ms) - self.demand))
         if amount < requested:
-            self.wanted_free = max(self.wanted_free, self.demand + requested)
+            self.free_units_needed = max(self.free_units_needed, self.demand + requested)
         if amount:
             self._deduct(amount)
             self.last_recipient = recipient
@@ -150,12 +153,12 @@
         self._update_free()
 
     def amount_to_write_off(self) -> int:
-        """Return the units to write off next, so that the wanted units, rounded up to chunks, are free."""
-        wanted = max(self.demand, self.wanted_free)
+        """Return the units to write off next, so that the needed units, rounded up to chunks, are free."""
+        needed = max(self.demand, self.free_units_needed)
         chunk = max(1, self.own_allotment() // WRITE_OFF_DIVISOR)
-        return max(0, min(self.balance, math.ceil(wanted / chunk) * chunk) - self.free)
+        return max(0, min(self.balance, math.ceil(needed / chunk) * chunk) - self.free)
 
     def mark_written_off(self, amount: int) -> None:
         """Mark ``amount`` more units as free, because they are recorded as written off on disk."""
         self.free = min(self.balance, self.free + amount)
-        self.wanted_free = 0
+        self.free_units_needed = 0
--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -129,8 +129,10 @@
             count = CountPool(
                 name, key, self.router_index, self.router_count, is_durable=self.image.is_durable
             )
-            is_lost = not (self.image.has_memory or is_new)
-            count.initialize(total, is_lost=is_lost, persisted=self.image.take_restored(key))
+            is_allotment_lost = not (self.image.has_memory or is_new)
+            count.initialize(
+                total, is_allotment_lost=is_allotment_lost, persisted=self.image.take_restored(key)
+            )
             return count
         rate = RatePool(
             name,
@@ -143,19 +145,19 @@
         rate.total = total
         return rate
 
-    def pool_named(self, name: str) -> QuotaPool | None:
+    def find_pool(self, name: str) -> QuotaPool | None:
         """Return the open pool of this name, if any."""
         key = self.keys_by_name.get(name)
         return None if key is None else self.pools.get(key)
 
     def available(self, now_ms: float, name: str) -> int:
         """Return the units that this router may use now; 0 for a pool that is not open or has ended."""
-        pool = self.pool_named(name)
+        pool = self.find_pool(name)
         return 0 if pool is None else pool.available(now_ms)
 
     def consume(self, now_ms: float, name: str, amount: int = 1) -> bool:
         """Consume units of a count and return True; return False and consume none if too few are free."""
-        pool = self.pool_named(name)
+        pool = self.find_pool(name)
         return isinstance(pool, CountPool) and amount > 0 and pool.consume(now_ms, amount)
 
     def request(self, now_ms: float, name: str, amount: int) -> None:
@@ -165,7 +167,7 @@
         ``amount`` is the number of units to have available for consumption, and each consumption reduces
         the demand.
         """
-        if (pool := self.pool_named(name)) is not None:
+        if (pool := self.find_pool(name)) is not None:
             set_demand(now_ms, pool, amount)
 
     # Persistence.
--- a/cedarthread/escrow/grantor.py
+++ b/cedarthread/escrow/grantor.py
@@ -66,8 +66,8 @@
         ``response_budget``.
         """
         request_id = RequestId(sender, request.incarnation, request.nonce)
-        if (sent_before := self.sent_grants.get(request_id)) is not None and pool.is_consumable:
-            return (SendToPeer(sent_before, sender),)
+        if (earlier_response := self.sent_grants.get(request_id)) is not None and pool.is_consumable:
+            return (SendToPeer(earlier_response, sender),)
         grant = self._grant(now_ms, sender, pool, request)
         if grant is None:
             return ()
--- a/cedarthread/escrow/quota_pool.py
+++ b/cedarthread/escrow/quota_pool.py
@@ -33,10 +33,10 @@
 
     is_open: bool = False  # requests were sent; their outcome decides whether to back off
     has_gained: bool = False  # a response in this round added units
-    failed: int = 0  # consecutive rounds that added no units
+    consecutive_failures: int = 0  # consecutive rounds that added no units
     hints_followed: int = 0  # consecutive rounds that started without backoff because of a hint
     next_at_ms: float = -math.inf  # the next round starts no earlier
-    woken_at_ms: float = -math.inf  # when growing demand last shortened a backoff
+    backoff_shortened_at_ms: float = -math.inf  # when growing demand last shortened a backoff
 
 
 class QuotaPool:
@@ -52,8 +52,8 @@
         self.key = key
         self.router_count = router_count
         order = allotment_order(key, router_count)
-        self.place_by_router = {router: place for place, router in enumerate(order)}
-        self.place = self.place_by_router[router_index]
+        self.rank_by_router = {router: rank for rank, router in enumerate(order)}
+        self.rank = self.rank_by_router[router_index]
         self.total = 0
         self.ends_at_ms: float | None = None
         self.demand = 0  # total units that this router's users want
@@ -62,7 +62,7 @@
 
     def own_allotment(self) -> int:
         """Return this router's allotment of the total."""
-        return allotment(self.total, self.router_count, self.place)
+        return allotment(self.total, self.router_count, self.rank)
 
     def has_ended(self, now_ms: float) -> bool:
         """Return whether the pool has ended."""
--- a/cedarthread/escrow/request_rounds.py
+++ b/cedarthread/escrow/request_rounds.py
@@ -25,19 +25,19 @@
 RATE_BACKOFF_MAX_MS = 2000.0
 COUNT_BACKOFF_MAX_MS = 4000.0
 MAX_FAILED_ROUNDS = 16  # upper limit of the count of failed rounds
-MAX_FAILED_ROUNDS_WHEN_WOKEN = 3  # the same limit once growing demand has shortened a backoff
+MAX_FAILED_ROUNDS_AFTER_SHORTENING = 3  # the same limit once growing demand has shortened a backoff
 # Minimum time between two shortened backoffs, because fluctuating demand must not defeat the backoff.
-WAKE_INTERVAL_MS = 5000.0
+MIN_BACKOFF_SHORTENING_INTERVAL_MS = 5000.0
 MAX_HINTS_FOLLOWED = 2  # consecutive rounds that may start without backoff because of a hint
 
 
 def set_demand(now_ms: float, pool: QuotaPool, amount: int) -> None:
     """Set this router's demand for a pool; growing demand may shorten a backoff."""
     rounds = pool.rounds
-    if amount > pool.demand and now_ms - rounds.woken_at_ms >= WAKE_INTERVAL_MS:
-        rounds.woken_at_ms = now_ms
+    if amount > pool.demand and now_ms - rounds.backoff_shortened_at_ms >= MIN_BACKOFF_SHORTENING_INTERVAL_MS:
+        rounds.backoff_shortened_at_ms = now_ms
         rounds.next_at_ms = min(rounds.next_at_ms, now_ms + BACKOFF_BASE_MS)
-        rounds.failed = min(rounds.failed, MAX_FAILED_ROUNDS_WHEN_WOKEN)
+        rounds.consecutive_failures = min(rounds.consecutive_failures, MAX_FAILED_ROUNDS_AFTER_SHORTENING)
     pool.demand = max(0, amount)
 
 
@@ -73,15 +73,15 @@
         rounds.is_open = False
         if rounds.has_gained:
             rounds.has_gained = False
-            rounds.failed = 0
+            rounds.consecutive_failures = 0
             return True
         if rounds.hints_followed < MAX_HINTS_FOLLOWED and _has_recent_hint(now_ms, pool):
             rounds.hints_followed += 1
             return True
         rounds.hints_followed = 0
-        rounds.failed = min(rounds.failed + 1, MAX_FAILED_ROUNDS)
+        rounds.consecutive_failures = min(rounds.consecutive_failures + 1, MAX_FAILED_ROUNDS)
         max_ms = COUNT_BACKOFF_MAX_MS if pool.is_consumable else RATE_BACKOFF_MAX_MS
-        backoff_ms = min(BACKOFF_BASE_MS * 2.0**rounds.failed, max_ms)
+        backoff_ms = min(BACKOFF_BASE_MS * 2.0**rounds.consecutive_failures, max_ms)
         rounds.next_at_ms = now_ms + backoff_ms * self.rng.uniform(*RETRY_JITTER)
         return False
 
@@ -103,7 +103,7 @@
             if now_ms - known.seen_at_ms < LEASE_TERM_MS:
                 (with_units if known.units else without_units).append(peer)
             else:
-                has_allotment = pool.is_consumable and pool.place_by_router[peer] < pool.total
+                has_allotment = pool.is_consumable and pool.rank_by_router[peer] < pool.total
                 (with_allotment if has_allotment else unknown).append(peer)
         chosen: list[int] = []
         for group in (with_units, with_allotment, unknown):
@@ -122,7 +122,7 @@
     if pool.is_consumable:
         return 1
     half_allotment = max(1, pool.own_allotment() // 2)
-    limit = MAX_PARALLEL_REQUESTS >> min(pool.rounds.failed, MAX_HALVINGS)
+    limit = MAX_PARALLEL_REQUESTS >> min(pool.rounds.consecutive_failures, MAX_HALVINGS)
     return min(limit, math.ceil(shortfall / half_allotment))
 
 
--- a/cedarthread/testing/escrow_model.py
+++ b/cedarthread/testing/escrow_model.py
@@ -216,7 +216,12 @@
     if isinstance(pool, RatePool):
         accounts = _lease_keys(pool.leases_given), _lease_keys(pool.leases_taken)
     elif isinstance(pool, CountPool):
-        accounts = pool.balance, pool.highest_total, pool.is_lost, sorted(escrow.grantor.sent_grants)
+        accounts = (
+            pool.balance,
+            pool.highest_total,
+            pool.is_allotment_lost,
+            sorted(escrow.grantor.sent_grants),
+        )
     return escrow.incarnation, escrow.requester.last_nonce, pool.total, outstanding, accounts
 
 
@@ -252,6 +257,6 @@
     """Return the objects that copies of a model may share because no later event depends on their state."""
     shared: list[object] = []
     for escrow in model.routers:
-        places = (pool.place_by_router for pool in escrow.pools.values())
-        shared += [escrow.rng, *places, escrow.counters]
+        ranks = (pool.rank_by_router for pool in escrow.pools.values())
+        shared += [escrow.rng, *ranks, escrow.counters]
     return shared
--- a/tests/simulation/test_escrow_fleet.py
+++ b/tests/simulation/test_escrow_fleet.py
@@ -242,10 +242,10 @@
     """Defect: when a count is lowered, each router deducts only its own allotment of the difference."""
 
     def open_pool(self, name: str, total: int, **settings: Any) -> None:
-        pool = self.pool_named(name)
+        pool = self.find_pool(name)
         if isinstance(pool, CountPool) and total < pool.total:
             pool.balance -= min(
-                pool.balance, pool.own_allotment() - allotment(total, pool.router_count, pool.place)
+                pool.balance, pool.own_allotment() - allotment(total, pool.router_count, pool.rank)
             )
             pool.total = total
         super().open_pool(name, total, **settings)
--- a/tests/unit/escrow/test_allotment.py
+++ b/tests/unit/escrow/test_allotment.py
@@ -16,7 +16,7 @@
     lower_total, higher_total = sorted(totals)
     order = allotment_order(codec.pool_key(name), router_count)
     assert sorted(order) == list(range(router_count))
-    lower = [allotment(lower_total, router_count, place) for place in range(router_count)]
-    higher = [allotment(higher_total, router_count, place) for place in range(router_count)]
+    lower = [allotment(lower_total, router_count, rank) for rank in range(router_count)]
+    higher = [allotment(higher_total, router_count, rank) for rank in range(router_count)]
     assert [sum(lower), sum(higher)] == [lower_total, higher_total]
     assert all(low <= high for low, high in zip(lower, higher, strict=True))
