--- a/cedarthread/testing/escrow_simulation.py
+++ b/cedarthread/testing/escrow_simulation.py
@@ -116,7 +116,7 @@
         duplication_rate: fraction of the datagrams that are duplicated.
         tail_latency_factor: factor by which one in five datagrams is slower than the others.
         check_interval_ms: time between two checks of the totals.
-        is_calm: whether ``inject_fault`` only changes demand and consumes units.
+        is_demand_only: whether ``inject_fault`` only changes demand and consumes units.
         clock_rate_error: relative error of the routers' clocks, which are slow and fast in turn.
     """
 
@@ -132,7 +132,7 @@
         duplication_rate: float = 0.2,
         tail_latency_factor: int = 20,
         check_interval_ms: float = CHECK_INTERVAL_MS,
-        is_calm: bool = False,
+        is_demand_only: bool = False,
         clock_rate_error: float = CLOCK_RATE_ERROR,
     ) -> None:
         self.rng = random.Random(seed)
@@ -144,7 +144,7 @@
         self.loss_rate = loss_rate
         self.duplication_rate = duplication_rate
         self.tail_latency_factor = tail_latency_factor
-        self.is_calm = is_calm
+        self.is_demand_only = is_demand_only
         self.now_ms = 0.0
         self.longest_datagram_bytes = 0
         self.sequence = itertools.count()  # orders events of the same time
@@ -249,7 +249,7 @@
         """Change demand, consume units, or let a router or link fail; then schedule the next such step."""
         self.schedule(self.rng.uniform(20, 120), self.inject_fault)
         router = self.rng.choice(self.routers)
-        weights = [60, 30, 0, 0, 0] if self.is_calm else [60, 30, 1, 1, 1]
+        weights = [60, 30, 0, 0, 0] if self.is_demand_only else [60, 30, 1, 1, 1]
         fault = Fault(self.rng.choices(range(5), weights)[0])
         if fault is Fault.CUT_LINK:
             self._cut_link(router)
--- a/tests/simulation/test_escrow_fleet.py
+++ b/tests/simulation/test_escrow_fleet.py
@@ -1,4 +1,4 @@
-"""Escrow among many routers, checked by the units that users consume, with injected defects; small models."""
+"""Simulated escrow fleets, checked by the units that users consume, and small models; both with defects."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 
 def simulate_faults(
-    escrow_type: type[Escrow], seed: int, *, is_durable: bool = False, is_calm: bool = False
+    escrow_type: type[Escrow], seed: int, *, is_durable: bool = False, is_demand_only: bool = False
 ) -> EscrowSimulation:
-    """Run six routers with two pools for 40 s, under all faults or, if calm, only changing demand."""
+    """Run six routers with two pools for 40 s, under all faults or with changes of demand only."""
     simulation = EscrowSimulation(
         6,
         seed,
         {"rate": 600, "count": 40},
         escrow_type=escrow_type,
         is_durable=is_durable,
-        loss_rate=0.0 if is_calm else 0.1,
-        is_calm=is_calm,
+        loss_rate=0.0 if is_demand_only else 0.1,
+        is_demand_only=is_demand_only,
     )
     simulation.schedule(LEASE_TERM_MS * 1.1, simulation.inject_fault)
     simulation.run(40_000.0)
@@ -105,14 +105,14 @@
 class LeasesEndAtTicks(Escrow):
     """Defect: leases end only at ticks, so a router that was paused uses units of ended leases."""
 
-    ticked_at_ms = 0.0
+    last_tick_at_ms = 0.0
 
     def on_tick(self, now_ms: float) -> Any:
-        self.ticked_at_ms = now_ms
+        self.last_tick_at_ms = now_ms
         return super().on_tick(now_ms)
 
     def available(self, now_ms: float, name: str) -> int:
-        return super().available(self.ticked_at_ms, name)
+        return super().available(self.last_tick_at_ms, name)
 
 
 class UseBeforeWriteOff(Escrow):
@@ -179,14 +179,14 @@
 def test_the_simulation_finds_injected_defects(defect: type[Escrow]) -> None:
     settings = {
         "is_durable": defect is UseBeforeWriteOff,
-        "is_calm": defect is NoDriftMargin,  # units lost elsewhere would hide a small overlap
+        "is_demand_only": defect is NoDriftMargin,  # units lost elsewhere would hide a small overlap
     }
     assert any(simulate_faults(defect, seed, **settings).violations for seed in range(4))
     assert not simulate_faults(Escrow, 0, **settings).violations
 
 
-class SmallWorld(NamedTuple):
-    """The initial state of a model, how often each event may happen, and the least number of states."""
+class ModelScenario(NamedTuple):
+    """The initial state of a model, how often each event may happen, and the minimum number of states."""
 
     pool_name: str
     router_count: int
@@ -207,17 +207,19 @@
     }
 
 
-WORLDS = {
-    "a rate, restarts": SmallWorld("rate", 2, 3, limits(request=2, pass_time=3, restart=1), 7_000),
-    "a rate, late": SmallWorld("rate", 2, 3, limits(request=1, duplicate=1, pass_time=6, restart=1), 1000),
-    "a rate, doubles": SmallWorld("rate", 2, 3, limits(request=2, duplicate=1, pass_time=3), 9_000),
-    "a count of three routers": SmallWorld("count", 3, 4, limits(request=1, duplicate=1, restart=1), 5_500),
-    "a count, lowered": SmallWorld("count", 2, 4, limits(request=2, learn_total=2), 4_800),
+MODEL_SCENARIOS = {
+    "a rate, restarts": ModelScenario("rate", 2, 3, limits(request=2, pass_time=3, restart=1), 7_000),
+    "a rate, late": ModelScenario("rate", 2, 3, limits(request=1, duplicate=1, pass_time=6, restart=1), 1000),
+    "a rate, duplicates": ModelScenario("rate", 2, 3, limits(request=2, duplicate=1, pass_time=3), 9_000),
+    "a count of three routers": ModelScenario(
+        "count", 3, 4, limits(request=1, duplicate=1, restart=1), 5_500
+    ),
+    "a count, lowered": ModelScenario("count", 2, 4, limits(request=2, learn_total=2), 4_800),
 }
 
 
-class QuicklyCopiedModel(SmallEscrowModel):
-    """A small model that is copied faster."""
+class FastCopyModel(SmallEscrowModel):
+    """A small model with a faster deep copy."""
 
     def __deepcopy__(self, memo: dict[int, Any]) -> Any:
         if "copy" not in self.__dict__:
@@ -225,17 +227,19 @@
         return self.copy()
 
 
-def explore(escrow_type: type[Escrow], world: SmallWorld) -> tuple[int, list[Event] | None]:
-    start = QuicklyCopiedModel(escrow_type, world.pool_name, world.router_count, world.total, world.limits)
+def explore(escrow_type: type[Escrow], scenario: ModelScenario) -> tuple[int, list[Event] | None]:
+    start = FastCopyModel(
+        escrow_type, scenario.pool_name, scenario.router_count, scenario.total, scenario.limits
+    )
     return explore_states(start)
 
 
-@pytest.mark.parametrize("name", WORLDS)
+@pytest.mark.parametrize("name", MODEL_SCENARIOS)
 def test_no_order_of_events_in_a_small_model_exceeds_the_total(name: str) -> None:
-    states, events = explore(Escrow, WORLDS[name])
+    states, events = explore(Escrow, MODEL_SCENARIOS[name])
     print(f"{name}: {states} states")
     assert events is None
-    assert states >= WORLDS[name].min_states
+    assert states >= MODEL_SCENARIOS[name].min_states
 
 
 class ReductionByAllotment(Escrow):
@@ -256,20 +260,20 @@
     [
         (NoDriftMargin, "a rate, restarts"),
         (TermFromReception, "a rate, late"),
-        (DeductionAfterGrant, "a rate, doubles"),
+        (DeductionAfterGrant, "a rate, duplicates"),
         (ResponseCountsTwice, "a count of three routers"),
         (AllotmentWithoutMemory, "a count of three routers"),
         (ReductionByAllotment, "a count, lowered"),
     ],
 )
 def test_a_small_model_finds_injected_defects(defect: type[Escrow], name: str) -> None:
-    states, events = explore(defect, WORLDS[name])
+    states, events = explore(defect, MODEL_SCENARIOS[name])
     print(f"{defect.__name__}: {states} states, {events and len(events)} events")
     assert events is not None
 
 
 def test_skewed_demand_is_served_and_a_unit_of_a_small_count_is_found() -> None:
-    """The limits are below the table of the design page; the figures are of fixed seeds on virtual time."""
+    """The limits are below the table of docs/design/escrow.md, for fixed seeds on virtual time."""
     fractions = measure_rate_service(60, 1, 1.0, 0.1)
     assert fractions[0] < 0.6, fractions
     assert fractions[1] > 0.8, fractions
--- a/tests/simulation/test_replication_fleet.py
+++ b/tests/simulation/test_replication_fleet.py
@@ -19,12 +19,12 @@
     simulate_restart_during_sync,
 )
 
-MAX_STATES = 12_000  # of the small model
+MAX_STATES = 12_000  # to explore in the small model
 
 
 def test_a_router_that_lost_an_entry_does_not_count_as_its_holder() -> None:
     simulation = simulate_lost_entry()
-    assert simulation.replicated_at_ms[0], "replicated by what the router stored before its restart"
+    assert simulation.replicated_at_ms[0], "replicated because of what the router stored before its restart"
     assert not simulation.observer.violations
     assert not simulation.is_fresh(4)
     simulation = simulate_restart_during_sync()
@@ -60,7 +60,7 @@
 def test_no_state_of_a_small_model_contradicts_the_theorem(
     router_count: int, max_windows: int, max_restarts: int, min_states: int
 ) -> None:
-    """All 4832 states of two routers; the nearest 12,000 states of three routers."""
+    """Explore all 4832 states of two routers and, breadth first, the first 12,000 states of three routers."""
     exploration = explore_states(router_count, max_windows, max_restarts, MAX_STATES)
     print(
         f"{router_count} routers, {max_windows} windows, {max_restarts} starts without memory: "
--- a/tests/unit/escrow/test_count_pool.py
+++ b/tests/unit/escrow/test_count_pool.py
@@ -32,7 +32,7 @@
     assert granting.available(READY_MS, POOL) == 40
 
 
-def test_without_memory_a_count_is_zero_unless_new_and_nothing_revives_it() -> None:
+def test_without_memory_a_count_is_zero_unless_new_and_reopening_restores_no_units() -> None:
     escrow = Escrow(0, 2, 1, 1, clock_rate=CLOCK_RATE)
     escrow.open_pool("old", 10, is_consumable=True, ends_at_ms=9000.0)
     escrow.open_pool("new", 10, is_consumable=True, ends_at_ms=9000.0, is_new=True)
--- a/tests/unit/replication/test_store.py
+++ b/tests/unit/replication/test_store.py
@@ -62,4 +62,4 @@
     request = codec.encode(codec.SyncRequest(1, 0, 1, 0))
     assert one_of_two.on_message(0.0, 1, request)
     one_of_two.propose(0.0, EntryKind.FREEZE, "y", b"")
-    assert not one_of_two.on_message(0.0, 1, request), "a missing response is like a loss, which is harmless"
+    assert not one_of_two.on_message(0.0, 1, request), "to the peer it is a lost response, which is harmless"
