--- a/cedarthread/escrow/grantor.py
+++ b/cedarthread/escrow/grantor.py
@@ -87,7 +87,7 @@
         data = encode(response)
         self.counters["granted" if grant.amount else "refused"] += 1
         if grant.amount and pool.is_consumable:
-            self._remember(request_id, data)
+            self._store_grant(request_id, data)
         return (SendToPeer(data, sender),)
 
     def _grant(self, now_ms: float, sender: int, pool: QuotaPool, request: EscrowRequest) -> Grant | None:
@@ -110,7 +110,7 @@
             int(LEASE_TERM_MS),
         )
 
-    def _remember(self, request_id: RequestId, data: bytes) -> None:
+    def _store_grant(self, request_id: RequestId, data: bytes) -> None:
         self.sent_grants[request_id] = data
         if len(self.sent_grants) > MAX_REMEMBERED_GRANTS:
             self.sent_grants.popitem(last=False)
--- a/cedarthread/replication/fragments.py
+++ b/cedarthread/replication/fragments.py
@@ -78,9 +78,9 @@
         if partial.missing_bits():
             return None
         self.partial_entries.pop(fragment.digest, None)
-        return self._checked(fragment.digest, partial.data())
+        return self._validate(fragment.digest, partial.data())
 
-    def _checked(self, digest: int, data: bytes) -> EncodedEntry | None:
+    def _validate(self, digest: int, data: bytes) -> EncodedEntry | None:
         entry = decode_entry(data)
         if not isinstance(entry, RejectedEntry):
             encoded = EncodedEntry(entry, digest, data)
--- a/cedarthread/replication/local_replica.py
+++ b/cedarthread/replication/local_replica.py
@@ -58,7 +58,7 @@
         kind: EntryKind,
         name: str,
         body: bytes,
-        canonical_body: Callable[[bytes], bytes] | None = None,
+        normalize_body: Callable[[bytes], bytes] | None = None,
     ) -> EncodedEntry | Entry | RejectedEntry:
         """Build a new version of an entry, which the caller merges.
 
@@ -66,7 +66,7 @@
             kind: Kind of the entry.
             name: Name of the entry, unique in its kind.
             body: Body of the new version.
-            canonical_body: Normalizes a body, so that bodies with the same meaning compare equal; by default
+            normalize_body: Normalizes a body, so that bodies with the same meaning compare equal; by default
                 the body itself.
 
         Returns:
@@ -79,7 +79,7 @@
                 f"{kind} {name!r}", f"the limit of {MAX_PROPOSED_ENTRIES} entries is reached"
             )
         previous = self.state.records.get((kind, name))
-        normalize = canonical_body or bytes
+        normalize = normalize_body or bytes
         if previous is not None and normalize(previous.entry.body) == normalize(body):
             return previous.entry
         version = self.state.next_version(self.router_index, self.incarnation)
--- a/cedarthread/replication/state.py
+++ b/cedarthread/replication/state.py
@@ -81,12 +81,12 @@
             return MergeResult(is_changed=False)
         self.known_digests.add(digest)
         if previous is not None and not self.supersedes(entry, digest, previous):
-            self._remember_superseded(ref, digest)
+            self._record_superseded(ref, digest)
             return MergeResult(is_changed=False)
         if previous is not None:
             previous_ref = entry_ref(previous.entry, previous.digest)
             del self.keys_by_ref[previous_ref]
-            self._remember_superseded(previous_ref, previous.digest)
+            self._record_superseded(previous_ref, previous.digest)
             self._add_to_sums(previous_ref.bucket, -previous.digest)
         self.records.pop(key, None)  # keeps the most recently received record last
         self.records[key] = EntryRecord(entry, digest, encoded.data, now_ms)
@@ -105,7 +105,7 @@
         self.bucket_sums[bucket] = (self.bucket_sums[bucket] + digest) % DIGEST_MODULUS
         self.root_digest = (self.root_digest + digest) % DIGEST_MODULUS
 
-    def _remember_superseded(self, ref: EntryRef, digest: int) -> None:
+    def _record_superseded(self, ref: EntryRef, digest: int) -> None:
         self.superseded_digests[ref] = digest
         if len(self.superseded_digests) > MAX_SUPERSEDED_DIGESTS:
             self.known_digests.discard(self.superseded_digests.pop(next(iter(self.superseded_digests))))
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -112,7 +112,7 @@
         kind: EntryKind,
         name: str,
         body: bytes,
-        canonical_body: Callable[[bytes], bytes] | None = None,
+        normalize_body: Callable[[bytes], bytes] | None = None,
     ) -> Entry | RejectedEntry:
         """Propose a new version of an entry at this router.
 
@@ -121,14 +121,14 @@
             kind: Kind of the entry.
             name: Name of the entry, unique in its kind.
             body: Body of the entry.
-            canonical_body: Normalizes a body, so that bodies with the same meaning compare equal; by default
+            normalize_body: Normalizes a body, so that bodies with the same meaning compare equal; by default
                 the body itself.
 
         Returns:
             The new entry; the stored entry, unchanged, if it has the same meaning; or the reason for a
                 rejection.
         """
-        prepared = self.replica.prepare(kind, name, body, canonical_body)
+        prepared = self.replica.prepare(kind, name, body, normalize_body)
         if not isinstance(prepared, EncodedEntry):
             return prepared
         self.exchange.merge(now_ms, prepared)
--- a/cedarthread/replication/sync_requests.py
+++ b/cedarthread/replication/sync_requests.py
@@ -20,7 +20,8 @@
     from collections.abc import Collection
 
 MAX_OPEN_REQUESTS = 16  # the oldest are dropped first
-REQUESTS_PER_RANDOM_PEER = 8  # every 8th request may go to a peer that is not alive, so that partitions heal
+# Every 8th request may go to a peer that is not alive, so that partitions heal.
+REQUESTS_PER_UNRESTRICTED_REQUEST = 8
 BOOTSTRAP_REQUESTS_PER_TICK = 4  # extra requests until enough peers are read after a start
 PERIOD_JITTER = 0.8, 1.2  # factors on the period, so that routers do not synchronize
 
@@ -70,7 +71,7 @@
         self.next_age_segment = 0  # index of the segment of AGES_PER_RESPONSE routers for the next request
 
     def set_alive(self, peers: Collection[int]) -> None:
-        """Restrict requests to the peers that are alive, apart from one in ``REQUESTS_PER_RANDOM_PEER``."""
+        """Restrict requests to alive peers, except one in ``REQUESTS_PER_UNRESTRICTED_REQUEST`` requests."""
         self.alive_peers = [
             peer for peer in peers if 0 <= peer < self.router_count and peer != self.router_index
         ]
@@ -83,7 +84,9 @@
         earliest_ms = max(self.next_request_at_ms, now_ms - self.period_ms)
         self.next_request_at_ms = earliest_ms + self.period_ms * self.rng.uniform(*PERIOD_JITTER)
         self.request_count += 1
-        includes_dead_peers = not self.alive_peers or self.request_count % REQUESTS_PER_RANDOM_PEER == 0
+        includes_dead_peers = (
+            not self.alive_peers or self.request_count % REQUESTS_PER_UNRESTRICTED_REQUEST == 0
+        )
         return self.rng.choice(self.all_peers if includes_dead_peers else self.alive_peers)
 
     def allow_reverse_request(self, now_ms: float) -> bool:
