--- a/cedarthread/escrow/count_pool.py
+++ b/cedarthread/escrow/count_pool.py
@@ -1,4 +1,4 @@
-"""Count pools: consumable units, which routers transfer to each other for good.
+"""Count pools: consumable units, which routers transfer to each other permanently.
 
 ``CountPool`` is one router's account. ``CountBalance`` is the record of that account in the persisted image.
 """
@@ -11,7 +11,7 @@
 from cedarthread.escrow.allotment import allotment
 from cedarthread.escrow.quota_pool import QuotaPool
 
-RETENTION_MS = 24 * 3_600_000.0  # how long an ended count pool stays in the pool table
+RETENTION_MS = 24 * 3_600_000.0  # how long an ended count pool is retained
 WRITE_OFF_DIVISOR = 16  # units are written off ahead of use in chunks of 1/16 of this router's allotment
 
 
@@ -22,14 +22,14 @@
     balance: int
     total: int
     highest_total: int
-    is_lost: bool
+    is_allotment_lost: bool
 
 
 class CountPool(QuotaPool):
     """The account that one router has of a pool of consumable units.
 
-    ``free`` units of ``balance`` are already written off on the disk, so that a later incarnation cannot
-    use them again. Without a disk (``is_durable`` is False), the whole balance is free.
+    ``free`` units of ``balance`` are already written off on disk, so that a later incarnation cannot use
+    them again. Without a disk (``is_durable`` is False), the whole balance is free.
     """
 
     is_consumable = True
@@ -43,27 +43,28 @@
         self.free = 0
         self.used = 0
         self.highest_total = 0
-        self.is_lost = False  # an earlier incarnation may have used or granted this router's allotment
-        self.wanted_free = 0  # units that were wanted by a user or peer but not free
+        # An earlier incarnation may have used or granted this router's allotment.
+        self.is_allotment_lost = False
+        self.free_units_needed = 0  # most units requested at a time while fewer were free
         self.last_recipient: int | None = None
 
-    def initialize(self, total: int, *, is_lost: bool, persisted: CountBalance | None) -> None:
+    def initialize(self, total: int, *, is_allotment_lost: bool, persisted: CountBalance | None) -> None:
         """Set up the account when this incarnation first opens the pool.
 
         Args:
             total: The pool's total.
-            is_lost: Whether this router's allotment is unusable because an earlier incarnation may have
-                used it; ignored if ``persisted`` is given.
-            persisted: The pool's record in the restored image; None: the image has no record of the pool.
+            is_allotment_lost: Whether this router's allotment is unusable because an earlier incarnation may
+                have used it; ignored if ``persisted`` is given.
+            persisted: The pool's record in the restored image, or None if the image has none.
         """
         if persisted is None:
-            self.is_lost = is_lost
+            self.is_allotment_lost = is_allotment_lost
             self.total = total
             self.highest_total = total
-            self.balance = 0 if is_lost else self.own_allotment()
+            self.balance = 0 if is_allotment_lost else self.own_allotment()
         else:
             self.balance = persisted.balance
-            self.is_lost = persisted.is_lost
+            self.is_allotment_lost = persisted.is_allotment_lost
             self.total = persisted.total
             self.highest_total = persisted.highest_total
             self.change_total(total)
@@ -72,19 +73,21 @@
     def balance_to_persist(self, write_off: int) -> CountBalance:
         """Return the record to persist in order to write off ``write_off`` more units."""
         remaining = self.balance - self.free - write_off
-        return CountBalance(self.key, remaining, self.total, self.highest_total, self.is_lost)
+        return CountBalance(self.key, remaining, self.total, self.highest_total, self.is_allotment_lost)
 
     def change_total(self, total: int) -> None:
         """Change the total and adjust the balance.
 
         If the new total exceeds the highest total so far, the balance grows by this router's allotment of
         the increase. If the new total is below the current one, this router deducts the *whole* difference,
-        as far as its balance covers it. If any router's balance covers the difference, that router alone
+        or its whole balance if that is less. If any router's balance covers the difference, that router alone
         makes up for the reduction; otherwise all balances are zero afterwards (docs/design/escrow.md, 13).
         """
         if total > self.highest_total:
-            before = allotment(self.highest_total, self.router_count, self.place)
-            self.balance += 0 if self.is_lost else allotment(total, self.router_count, self.place) - before
+            before = allotment(self.highest_total, self.router_count, self.rank)
+            self.balance += (
+                0 if self.is_allotment_lost else allotment(total, self.router_count, self.rank) - before
+            )
             self.highest_total = total
         elif total < self.total:
             self.balance -= min(self.balance, self.total - total)
@@ -116,7 +119,7 @@
     def consume(self, now_ms: float, amount: int) -> bool:
         """Consume ``amount`` units and return True; return False and consume none if fewer are free."""
         if amount > self.available(now_ms):
-            self.wanted_free = max(self.wanted_free, amount)
+            self.free_units_needed = max(self.free_units_needed, amount)
             return False
         self._deduct(amount)
         self.used += amount
@@ -130,14 +133,14 @@
         """
         amount = min(requested, max(0, self.available(now_ms) - self.demand))
         if amount < requested:
-            self.wanted_free = max(self.wanted_free, self.demand + requested)
+            self.free_units_needed = max(self.free_units_needed, self.demand + requested)
         if amount:
             self._deduct(amount)
             self.last_recipient = recipient
         return amount
 
     def is_waiting_for_disk(self) -> bool:
-        """Return whether units beyond the demand exist but are not written off yet."""
+        """Return whether this router has units beyond its demand, some of which are not written off yet."""
         return self.balance - self.demand > 0 and self.free < self.balance
 
     def _deduct(self, amount: int) -> None:
@@ -150,12 +153,12 @@
         self._update_free()
 
     def amount_to_write_off(self) -> int:
-        """Return the units to write off next, so that the wanted units, rounded up to chunks, are free."""
-        wanted = max(self.demand, self.wanted_free)
+        """Return the units to write off next, so that the needed units, rounded up to chunks, are free."""
+        needed = max(self.demand, self.free_units_needed)
         chunk = max(1, self.own_allotment() // WRITE_OFF_DIVISOR)
-        return max(0, min(self.balance, math.ceil(wanted / chunk) * chunk) - self.free)
+        return max(0, min(self.balance, math.ceil(needed / chunk) * chunk) - self.free)
 
     def mark_written_off(self, amount: int) -> None:
-        """Mark ``amount`` more units as free, because the disk has recorded them as written off."""
+        """Mark ``amount`` more units as free, because they are recorded as written off on disk."""
         self.free = min(self.balance, self.free + amount)
-        self.wanted_free = 0
+        self.free_units_needed = 0
--- a/cedarthread/escrow/grantor.py
+++ b/cedarthread/escrow/grantor.py
@@ -36,17 +36,17 @@
 
     amount: int  # units granted
     available: int  # units that this router could still grant
-    term_ms: int  # 0: the units are transferred for good
+    term_ms: int  # 0 if the units are transferred permanently
 
 
 class EscrowGrantor:
     """The responder of one router, with the grants that it may have to repeat.
 
     Args:
-        incarnation: The random number of this start of the router.
-        rng: The source of the choice among hints.
-        counters: The figures for ``INFO``, which ``Escrow`` owns and shares with this object.
-        now_ms: The steady clock.
+        incarnation: Random number drawn at this start of the router.
+        rng: Random source for the choice among hints.
+        counters: Counters for ``INFO``, owned by ``Escrow`` and shared with this object.
+        now_ms: Current time, in ms on this router's monotonic clock.
     """
 
     def __init__(self, incarnation: int, rng: random.Random, counters: dict[str, int], now_ms: float) -> None:
@@ -66,8 +66,8 @@
         ``response_budget``.
         """
         request_id = RequestId(sender, request.incarnation, request.nonce)
-        if (sent_before := self.sent_grants.get(request_id)) is not None and pool.is_consumable:
-            return (SendToPeer(sent_before, sender),)
+        if (earlier_response := self.sent_grants.get(request_id)) is not None and pool.is_consumable:
+            return (SendToPeer(earlier_response, sender),)
         grant = self._grant(now_ms, sender, pool, request)
         if grant is None:
             return ()
@@ -87,7 +87,7 @@
         data = encode(response)
         self.counters["granted" if grant.amount else "refused"] += 1
         if grant.amount and pool.is_consumable:
-            self._remember(request_id, data)
+            self._store_grant(request_id, data)
         return (SendToPeer(data, sender),)
 
     def _grant(self, now_ms: float, sender: int, pool: QuotaPool, request: EscrowRequest) -> Grant | None:
@@ -110,7 +110,7 @@
             int(LEASE_TERM_MS),
         )
 
-    def _remember(self, request_id: RequestId, data: bytes) -> None:
+    def _store_grant(self, request_id: RequestId, data: bytes) -> None:
         self.sent_grants[request_id] = data
         if len(self.sent_grants) > MAX_REMEMBERED_GRANTS:
             self.sent_grants.popitem(last=False)
--- a/cedarthread/replication/fragments.py
+++ b/cedarthread/replication/fragments.py
@@ -1,6 +1,6 @@
 """Reassembly of entries that peers send in fragments.
 
-``FragmentAssembler`` has the state, which only ``SyncSessions`` changes.
+``FragmentAssembler`` owns the state; only ``SyncSessions`` changes it.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
     """The partial entries of one router, each with its fragments, and a count of invalid ones.
 
     Args:
-        state: This router's entries, read to recognise fragments of known entries.
+        state: This router's entries, read to recognize fragments of known entries.
     """
 
     def __init__(self, state: ReplicaState) -> None:
@@ -78,9 +78,9 @@
         if partial.missing_bits():
             return None
         self.partial_entries.pop(fragment.digest, None)
-        return self._checked(fragment.digest, partial.data())
+        return self._validate(fragment.digest, partial.data())
 
-    def _checked(self, digest: int, data: bytes) -> EncodedEntry | None:
+    def _validate(self, digest: int, data: bytes) -> EncodedEntry | None:
         entry = decode_entry(data)
         if not isinstance(entry, RejectedEntry):
             encoded = EncodedEntry(entry, digest, data)
--- a/cedarthread/replication/local_replica.py
+++ b/cedarthread/replication/local_replica.py
@@ -1,4 +1,4 @@
-"""A router's replica: its entries, their durability here and their replication to a majority.
+"""A router's replica: its entries, their local durability and their replication to a majority.
 
 The module has no networking; ``SyncExchange`` connects the replica to the anti-entropy protocol. Entries
 change only by ``LocalReplica.merge``.
@@ -30,7 +30,7 @@
 
 
 class LocalReplica:
-    """The entries of one router, and the conclusions that this router may draw from them.
+    """The entries of one router, and what is known about their durability and replication.
 
     Args:
         router_index: Index of this router, the author of the entries that ``prepare`` builds.
@@ -49,7 +49,7 @@
         self.freshness = freshness
         self.is_durable = is_durable
         self.revision = 0  # counts changes of the state
-        self.persisted_revision = 0  # the latest revision that the disk has
+        self.persisted_revision = 0  # the latest revision on disk
         self._changed_keys: dict[EntryKey, None] = {}
         self._pending_logs: list[OutboundMessage] = []
 
@@ -58,7 +58,7 @@
         kind: EntryKind,
         name: str,
         body: bytes,
-        canonical_body: Callable[[bytes], bytes] | None = None,
+        normalize_body: Callable[[bytes], bytes] | None = None,
     ) -> EncodedEntry | Entry | RejectedEntry:
         """Build a new version of an entry, which the caller merges.
 
@@ -66,7 +66,8 @@
             kind: Kind of the entry.
             name: Name of the entry, unique in its kind.
             body: Body of the new version.
-            canonical_body: Returns the meaning of a body as bytes; by default the body itself.
+            normalize_body: Normalizes a body, so that bodies with the same meaning compare equal; by default
+                the body itself.
 
         Returns:
             The new version; the stored entry if it has the same meaning; or the reason for a rejection.
@@ -75,15 +76,15 @@
             return rejected
         if self.state.is_full((kind, name), MAX_PROPOSED_ENTRIES):
             return RejectedEntry(
-                f"{kind} {name!r}", f"{MAX_PROPOSED_ENTRIES} entries are held, no more may be"
+                f"{kind} {name!r}", f"the limit of {MAX_PROPOSED_ENTRIES} entries is reached"
             )
         previous = self.state.records.get((kind, name))
-        meaning = canonical_body or bytes
-        if previous is not None and meaning(previous.entry.body) == meaning(body):
+        normalize = normalize_body or bytes
+        if previous is not None and normalize(previous.entry.body) == normalize(body):
             return previous.entry
         version = self.state.next_version(self.router_index, self.incarnation)
         if version.counter >= VERSION_COUNTER_LIMIT:
-            return RejectedEntry(f"{kind} {name!r}: version", "the counter has come to its end")
+            return RejectedEntry(f"{kind} {name!r}: version", "the version counter is exhausted")
         return EncodedEntry.of(Entry(kind, name, version, body, previous.digest if previous else 0))
 
     def merge(self, now_ms: float, encoded: EncodedEntry) -> None:
@@ -120,12 +121,12 @@
         return not self.is_durable or self.persisted_revision >= self.revision
 
     def mark_persisted(self, now_ms: float, revision: int) -> None:
-        """Record that the disk has the state of ``revision``."""
+        """Record that the state of ``revision`` is on disk."""
         self.persisted_revision = max(self.persisted_revision, revision)
         self.update_freshness(now_ms)
 
     def update_freshness(self, now_ms: float) -> None:
-        """Draw conclusions from reads, merges and disk writes since the last call."""
+        """Update freshness and replication from reads, merges and disk writes since the last call."""
         if self.freshness.update(now_ms, is_persisted=self.is_persisted()):
             self._log(format_event("replica_became_voter"))
         newly_replicated = self.freshness.majority.newly_replicated
--- a/cedarthread/replication/sync_exchange.py
+++ b/cedarthread/replication/sync_exchange.py
@@ -32,14 +32,14 @@
     from cedarthread.replication.sync_server import SyncServer
     from cedarthread.replication.sync_session import SyncSessions
 
-MAX_TICK_GAP_MS = 2000.0  # after a longer pause of this router its open requests and sessions are dropped
-BOOTSTRAP_PEERS = 8  # peers to read completely after a start before acting without a majority of voters
+MAX_TICK_GAP_MS = 2000.0  # after a longer pause, this router's open requests and sessions are dropped
+BOOTSTRAP_PEERS = 8  # peers to read completely after a start before proceeding without a majority of voters
 
 
 class SyncExchange:
     """The exchange of one router with its peers.
 
-    Times are in ms on this router's steady clock.
+    Times are in ms on this router's monotonic clock.
 
     Args:
         replica: This router's entries.
@@ -69,15 +69,15 @@
     def has_read_enough_peers(self) -> bool:
         """Return whether this incarnation has read several peers completely.
 
-        The result serves where a majority are not voters, so that no router can become fresh. An entry that
-        one peer in eight stores is then missed once in 256 times, if half of these peers remember the entry.
+        Callers use this when a majority are not voters, so that no router can become fresh. An entry that one
+        peer in eight stores is then missed in 1 of 256 cases, if half of these peers remember the entry.
         """
         return len(self.sessions.fully_read_peers) >= min(BOOTSTRAP_PEERS, len(self.requests.all_peers))
 
     def on_tick(self, now_ms: float) -> list[SendToPeer]:
         """Return the sync requests that are due and the retries of sessions."""
         messages: list[SendToPeer] = []
-        if (peer := self.requests.allow_request(now_ms)) is not None:
+        if (peer := self.requests.next_due_peer(now_ms)) is not None:
             messages.append(self.request_sync(now_ms, peer))
         if not self.replica.freshness.is_voter and not self.has_read_enough_peers():
             peers = self.requests.bootstrap_peers(self.sessions.fully_read_peers)
@@ -96,11 +96,11 @@
         if isinstance(message, Summary):
             return self.sessions.on_summary(now_ms, sender, message)
         if isinstance(message, FetchRequest):
-            return self.server.fetched_fragments(now_ms, sender, message)
+            return self.server.requested_fragments(now_ms, sender, message)
         self._on_fragment(now_ms, message)
         return []
 
-    def note_activity(self, now_ms: float) -> None:
+    def reset_after_pause(self, now_ms: float) -> None:
         """Drop open requests and sessions if this router has been paused since its last activity.
 
         After a pause the send times of open requests would appear more recent than they are.
@@ -126,7 +126,7 @@
         Such reverse requests are sent at most once per period.
         """
         self.peers.record_incarnation(sender, request.incarnation)
-        if not self.server.admits(now_ms, request):
+        if not self.server.admit(now_ms, request):
             return []
         remembered = self.peers.record_generation(sender, request)
         messages = self.server.respond(now_ms, sender, request, remembered, self.unix_ms)
--- a/cedarthread/replication/sync_server.py
+++ b/cedarthread/replication/sync_server.py
@@ -1,6 +1,6 @@
-"""Responses to peers, within budgets: sync responses, summaries of buckets that differ, fragments of entries.
+"""Rate-limited responses to peers: sync responses, summaries of buckets that differ, fragments of entries.
 
-``SyncServer`` reads the replica and changes only its own budgets and count.
+``SyncServer`` reads the replica, and changes only its own budgets and counter.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 
     from cedarthread.replication.local_replica import LocalReplica
 
-RESPONSES_PER_SECOND = 20.0  # bounds the responses to a flood of requests
+RESPONSES_PER_SECOND = 20.0  # limits the responses to a flood of requests
 RESPONSE_BURST = 20.0
-BYTES_PER_SECOND = 16_000.0  # of summaries and fragments; bounds the load when many routers start together
+BYTES_PER_SECOND = 16_000.0  # of summaries and fragments; limits the load when many routers start together
 BYTE_BURST = 16_384.0
-MAX_UNSOLICITED_FRAGMENTS = 4  # of the newest entry, sent before a response to a peer with another root
+MAX_UNSOLICITED_FRAGMENTS = 4  # of the newest entry, sent before a response to a peer whose state differs
 
 
 class SummaryPart(NamedTuple):
@@ -58,7 +58,7 @@
         replica: This router's replica, only read.
         router_count: Number of configured routers.
         rng: Draws the first bucket of summaries.
-        now_ms: Start of this incarnation, in ms on this router's steady clock.
+        now_ms: Start of this incarnation, in ms on this router's monotonic clock.
     """
 
     def __init__(self, replica: LocalReplica, router_count: int, rng: random.Random, now_ms: float) -> None:
@@ -69,7 +69,7 @@
         self.byte_budget = TokenBucket(BYTES_PER_SECOND, BYTE_BURST, BYTE_BURST, now_ms)
         self.unanswered_count = 0  # sync requests without a response; responses cut short by the byte budget
 
-    def admits(self, now_ms: float, request: SyncRequest) -> bool:
+    def admit(self, now_ms: float, request: SyncRequest) -> bool:
         """Return whether a sync request gets a response, and charge the response budget.
 
         A request without a response looks like a lost datagram to the peer.
@@ -87,12 +87,12 @@
     ) -> list[SendToPeer]:
         """Return the sync response, preceded by the newest entry if the peer's state differs.
 
-        The newest entry is sent because a peer with another state most often lacks only that entry.
+        The newest entry is sent because a peer whose state differs most often lacks only that entry.
         """
         messages: list[SendToPeer] = []
         replica = self.replica
         if request.root_digest != replica.state.root_digest:
-            messages += self.newest_entry(now_ms, sender)
+            messages += self.newest_entry_fragments(now_ms, sender)
         response = SyncResponse(
             nonce=request.nonce,
             root_digest=replica.state.root_digest,
@@ -107,7 +107,7 @@
         messages.append(encode_to(response, sender))
         return messages
 
-    def newest_entry(self, now_ms: float, sender: int) -> list[SendToPeer]:
+    def newest_entry_fragments(self, now_ms: float, sender: int) -> list[SendToPeer]:
         """Return the fragments of the most recently received entry, if it is recent and small."""
         record = next(reversed(self.replica.state.records.values()), None)
         if record is None or now_ms - record.received_at_ms > self.replica.freshness.window_ms:
@@ -147,7 +147,7 @@
         ]
         return self._send_within_budget(now_ms, sender, messages)
 
-    def fetched_fragments(self, now_ms: float, sender: int, request: FetchRequest) -> list[SendToPeer]:
+    def requested_fragments(self, now_ms: float, sender: int, request: FetchRequest) -> list[SendToPeer]:
         """Return the requested fragments of those entries that this router stores."""
         state = self.replica.state
         fragments: list[EntryFragment] = []
@@ -170,7 +170,7 @@
 
 
 def pack_summaries(refs_by_bucket: Mapping[int, list[EntryRef]], first_bucket: int) -> list[SummaryPart]:
-    """Distribute buckets over few datagrams, starting with ``first_bucket``.
+    """Pack buckets into few datagrams, starting with ``first_bucket``.
 
     Small buckets share a datagram. A bucket that exceeds a datagram is split into parts of its own.
     """
