--- a/cedarthread/lifecycle/composition.py
+++ b/cedarthread/lifecycle/composition.py
@@ -1,8 +1,9 @@
-"""The composition of the service: builds each part with the parts it works with, in one place.
+"""The composition root of the service, which constructs all parts and connects them.
 
-Each part is built after the parts that it calls. Two pairs of parts call each other, and a third object owns
-each relation: the poll schedule and the query tracker connect the discovery client with the freshness gate,
-and the dispatch context connects the dispatcher with the worker connections (``Dispatcher.connect_workers``).
+Each part is built after the parts that it calls. Two pairs of parts call each other, through a shared object
+that is independent of both: the poll schedule and the query tracker connect the discovery client with the
+freshness gate, and the dispatch context connects the dispatcher with the worker connections
+(``Dispatcher.connect_workers``).
 """
 
 from __future__ import annotations
@@ -38,15 +39,15 @@
     from cedarthread.protocols.invoke.server import InvokeServer
     from cedarthread.transport.descriptor_budget import DescriptorBudget
 
-BASE_MEMORY_BYTES = 20 * 2**20  # the memory of the program without any call
+BASE_MEMORY_BYTES = 20 * 2**20  # memory use of the process without any calls
 BODY_MEMORY_FRACTION = 0.3  # of the memory beyond the base, for the bodies of pending calls
-OUTPUT_MEMORY_FRACTION = 0.2  # of the memory beyond the base, for results that clients have not read yet
+OUTPUT_MEMORY_FRACTION = 0.2  # of the memory beyond the base, for results that clients have not read
 INCARNATION_BITS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class MemoryLimits:
-    """The bounds on the memory of calls, in bytes."""
+    """The limits on the memory for calls, in bytes."""
 
     pending_bodies: int
     queued_output: int
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ComposedService:
-    """Every part that ``Service`` runs, each built with its collaborators."""
+    """All parts that ``Service`` runs."""
 
     state: ServiceState
     parts: ServiceParts
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Freshness:
-    """The gate in front of all sending, and the two objects that it shares with the discovery client."""
+    """The send gate, and the two objects that it shares with the discovery client."""
 
     schedule: PollSchedule
     queries: QueryTracker
@@ -83,7 +84,7 @@
     dispatcher: Dispatcher
     workers: WorkerConnections
     platform: PlatformServer
-    invoke: InvokeServer | None  # None where the invoke API is off
+    invoke: InvokeServer | None  # None if the invoke API is disabled
     descriptor_budget: DescriptorBudget
 
 
@@ -96,10 +97,10 @@
     """Build all parts of one router, on the running event loop.
 
     Args:
-        config: The configuration at the start.
-        invoke_config: The configuration of the invoke API; None where the API is off.
-        load_config: Loads the configuration again at SIGHUP; None: the configuration never changes.
-        fleet_files: The files of the operators' declarations for the whole fleet.
+        config: The configuration at startup.
+        invoke_config: The configuration of the invoke API; None if the API is disabled.
+        load_config: Reloads the configuration on SIGHUP; None: the configuration never changes.
+        fleet_files: The paths of the operators' fleet file and of the store.
     """
     state = ServiceState(config)
     flusher = Flusher()
@@ -130,7 +131,7 @@
 
 
 def _compose_freshness(config: Config) -> _Freshness:
-    """Build the gate and the objects that say how fresh the endpoint list is."""
+    """Build the send gate and the objects that track how fresh the endpoint list is."""
     schedule = PollSchedule()
     queries = QueryTracker(random.SystemRandom().random, config.settings.rules.drain_grace_ms / 1000.0)
     return _Freshness(schedule, queries, FreshnessGate(schedule, queries))
@@ -162,7 +163,7 @@
         config.settings,
         config.seed,
         max_pending_body_bytes=memory.pending_bodies,
-        # Not from the seed, because the seed may be the same at each start of the process.
+        # Not derived from the seed, because the seed may be the same at each start of the process.
         incarnation=secrets.randbits(INCARNATION_BITS),
         flush_output=flusher.flush_all,
         send_gate=gate,
@@ -184,7 +185,7 @@
 
 
 def compute_memory_limits(memory_bytes: int) -> MemoryLimits:
-    """Return the bounds under the configured memory of the process."""
+    """Return the memory limits for the configured memory of the process."""
     available_bytes = max(memory_bytes - BASE_MEMORY_BYTES, memory_bytes // 4)
     return MemoryLimits(
         pending_bodies=int(BODY_MEMORY_FRACTION * available_bytes),
@@ -216,7 +217,7 @@
     platform: PlatformServer,
     budget: DescriptorBudget,
 ) -> InvokeServer:
-    """Build the server of the invoke API, and load its modules with TLS only where the API is on."""
+    """Build the invoke API server; its modules, including TLS, are only imported if the API is enabled."""
     from cedarthread.protocols.invoke.server import InvokeServer
 
     return InvokeServer(
--- a/cedarthread/lifecycle/endpoint_updates.py
+++ b/cedarthread/lifecycle/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""The updates of the endpoint list, from the configuration and from discovery."""
+"""Updates of the endpoint list from the configuration and from discovery."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 
 class EndpointUpdates:
-    """The endpoint list of this router with the start times of its workers; owns both.
+    """Owner of the router's endpoint list and of the start times of its workers.
 
     Each change of the list is applied to the worker connections first and to the dispatcher second, so that
-    the dispatcher decides only on workers that have a connection pool.
+    the dispatcher only selects workers that have a connection pool.
 
     Args:
-        settings: The settings, which name zones and kinds of workers.
-        queries: The queries to discovery, which say how fresh the list is.
-        workers: The connections that follow the list.
-        dispatcher: The dispatcher that follows the list.
+        settings: The settings, which define zones and kinds of workers.
+        queries: Tracks the discovery queries, and thereby the freshness of the list.
+        workers: The worker connections, which are updated from the list.
+        dispatcher: The dispatcher, which is updated from the list.
     """
 
     def __init__(
@@ -52,9 +52,9 @@
         """Apply a newer list of workers.
 
         Args:
-            serial: The serial number of the list; a list that is not newer is ignored.
+            serial: The serial number of the list; a list without a newer serial number is ignored.
             records: All workers, or the workers that changed.
-            is_complete: Whether ``records`` has all workers.
+            is_complete: Whether ``records`` contains all workers.
         """
         event = self.endpoint_list.apply_update(
             serial, self._with_corrected_starts(records), is_snapshot=is_complete
@@ -67,9 +67,9 @@
         self._on_list_changed(serial, event)
 
     def apply_partial_list(self, partial: PartialList) -> bool:
-        """Treat workers as draining that an otherwise unusable list has as draining, or does not have.
+        """Mark workers as draining if an otherwise unusable list shows them as draining or omits them.
 
-        Return whether there are such workers among those that were ready.
+        Return whether any ready worker was marked.
         """
         listed = partial.listed_names
         event = self.endpoint_list.demote(
@@ -86,14 +86,14 @@
         return self._start_times.correct_list(records, now_ms, self._fresh_as_of_ms(now_ms))
 
     def _fresh_as_of_ms(self, now_ms: float) -> float | None:
-        """Return the time until which the list was up to date, on the dispatcher's clock; None before any."""
+        """Return when the list was last known to be current, on the dispatcher's clock; None: never."""
         fresh_as_of_s = self._queries.fresh_as_of_s
         if fresh_as_of_s == -math.inf:
             return None
         return now_ms - 1000.0 * (asyncio.get_running_loop().time() - fresh_as_of_s)
 
     def _on_list_changed(self, serial: int, event: EndpointUpdate | None) -> None:
-        """Log and apply the change; None where the list has not changed."""
+        """Log and apply a change of the list; ``event`` is None if the list has not changed."""
         if event is None:
             return
         changed = len(event.endpoints)
--- a/cedarthread/lifecycle/freshness_gate.py
+++ b/cedarthread/lifecycle/freshness_gate.py
@@ -18,20 +18,21 @@
 
 log = logging.getLogger(__name__)
 
-MIN_STALL_S = 0.05  # a discovery query that is later than this shows a stall, not the work of one loop pass
-READING_WINDOW_S = 0.03  # after a stall; within this time the process reads all input that waited in sockets
+MIN_STALL_S = 0.05  # a query delayed by more than this indicates a stall, not one long loop iteration
+READING_WINDOW_S = 0.03  # time after a stall within which all input that waited in sockets is read
 
 
 class FreshnessGate:
-    """A ``SendGate`` that closes when a discovery query is overdue, which shows that the process stalled.
+    """A ``SendGate`` that closes when a discovery query is overdue, which indicates a stall of the process.
 
-    After a stall the endpoint list may lack a drain, so that a request could be sent to a worker that has
-    already ended. The gate opens again when discovery has confirmed the list or after a fraction of the drain
-    grace. The gate is a ``PollObserver`` of the discovery client. Times are loop seconds.
+    After a stall the endpoint list may lack a recent drain, so that a request could be sent to a worker that
+    has already terminated. The gate reopens when discovery has confirmed the list, or after a fraction of the
+    drain grace. The gate is a ``PollObserver`` of the discovery client. Times are in seconds on the event
+    loop's clock.
 
     Args:
-        schedule: The schedule of the discovery client.
-        queries: The queries of the discovery client, from which the freshness of the endpoint list follows.
+        schedule: The poll schedule of the discovery client.
+        queries: Tracks the discovery queries, and thereby the freshness of the endpoint list.
     """
 
     def __init__(self, schedule: PollSchedule, queries: QueryTracker) -> None:
@@ -44,13 +45,13 @@
         self._loop = asyncio.get_running_loop()
 
     def add_waiter(self, resume: Callable[[], None]) -> None:
-        """Call ``resume`` whenever the gate opens again; waiters are called in the order they were added."""
+        """Register ``resume`` to be called whenever the gate reopens; callbacks run in registration order."""
         self._waiters.append(resume)
 
     def is_open(self) -> bool:
-        """Return whether events may be processed and requests sent now.
+        """Return whether events may be processed and requests may be sent now.
 
-        The first call after a stall closes the gate and sends a query to discovery.
+        The first call after a stall closes the gate and sends a discovery query.
         """
         if not self._schedule.is_polling:
             return True
@@ -65,7 +66,7 @@
         self._close_if_stalled(due_at_s)
 
     def input_delay_ms(self) -> float:
-        """Return how long the input that is read now may have waited unread, because of a stall."""
+        """Return how long the input that is read now may have waited unread during a stall, in ms."""
         now_s = self._loop.time()
         due_at_s = self._schedule.next_poll_at_s
         if now_s > due_at_s + MIN_STALL_S:
@@ -75,7 +76,7 @@
         return 0.0
 
     def _close_if_stalled(self, due_at_s: float) -> bool:
-        """Close the gate if the query due at that time is overdue; return whether the gate has closed."""
+        """Close the gate if the query due at ``due_at_s`` is overdue; return whether the gate was closed."""
         now_s = self._loop.time()
         if now_s > due_at_s + MIN_STALL_S:
             self._stalled_since_s = due_at_s
@@ -88,7 +89,7 @@
         return True
 
     def on_fresh(self) -> None:
-        """Open the gate if the endpoint list is now known to be newer than the stall."""
+        """Open the gate if the endpoint list has been confirmed since the stall."""
         if self._hold.on_fresh(self._queries.fresh_as_of_s):
             self._open()
 
--- a/cedarthread/lifecycle/listeners.py
+++ b/cedarthread/lifecycle/listeners.py
@@ -1,7 +1,7 @@
-"""The listeners for operators and for other routers, without which the service can serve calls.
+"""The listeners for operators and for other routers, which the service does not need to serve calls.
 
-Where one of their addresses cannot be listened on, the service serves calls and the listener retries, because
-at an upgrade the old process occupies the addresses for a while.
+If an address is in use, the service still serves calls and the listener retries, because during an upgrade
+the old process keeps the addresses for a while.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 
 class ControlListener:
-    """The listening socket for operators, opened at the start or as soon as the address is free.
+    """The listening socket for operators, opened at startup or as soon as the address is free.
 
     Args:
         control: The server that replies to operators.
-        state: The state of the service, with the configured address.
+        state: The service state, which contains the configured address.
     """
 
     def __init__(self, control: ControlServer, state: ServiceState) -> None:
@@ -40,7 +40,7 @@
         """Listen on the configured address, or retry later if the address is in use.
 
         Raises:
-            socket.gaierror: The host name of the address is unknown. There is no retry, because each lookup
+            socket.gaierror: The host name of the address is unknown. This is not retried, because each lookup
                 blocks the event loop.
         """
         address = self._state.config.control_address
@@ -59,11 +59,11 @@
 
 
 class PeerListener:
-    """The socket for other routers; connects the dispatcher to the socket.
+    """The listener for other routers, which connects the dispatcher to the peer socket.
 
     Args:
         dispatcher: The dispatcher that receives and sends the messages.
-        state: The state of the service, with the configured addresses; this listener sets ``state.peers``.
+        state: The service state, which contains the configured addresses; this listener sets ``state.peers``.
     """
 
     def __init__(self, dispatcher: Dispatcher, state: ServiceState) -> None:
@@ -72,7 +72,7 @@
         self._is_failure_logged = False
 
     async def listen(self) -> None:
-        """Open the socket if the settings allow gossip and the addresses are configured, or retry later."""
+        """Open the socket if gossip is allowed and the addresses are configured; retry later on failure."""
         state = self._state
         addresses = state.config.peer_addresses
         is_allowed = state.config.settings.limits.allows_gossip and not state.shutdown_requested.is_set()
--- a/cedarthread/lifecycle/maintenance.py
+++ b/cedarthread/lifecycle/maintenance.py
@@ -1,4 +1,4 @@
-"""The periodic work of the service: sweeps of connections, ticks of the store, log lines, file checks."""
+"""The periodic tasks of the service: connection sweeps, store ticks, log lines and file checks."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 SWEEP_PERIOD_S = 0.25  # between sweeps of idle and silent connections
 REPORT_PERIOD_S = 10.0  # between log lines with the counts of calls
-INVOKE_FILES_PERIOD_S = 1.0  # between checks whether the invoke API's files have changed
+INVOKE_FILES_PERIOD_S = 1.0  # between checks for changes of the invoke API's files
 # A sweep or tick that is due within this time runs together with a discovery poll, because each wakeup of an
-# idle process costs about 0.2 ms of CPU.
+# idle process costs about 0.2 ms of CPU time.
 EARLY_WAKEUP_S = 0.1
 
 
 class DroppedDatagrams(NamedTuple):
-    """The datagrams of other routers dropped since the start, under the names of the log line's fields."""
+    """Datagrams from or to other routers dropped since startup; the field names are those of the log line."""
 
     unknown_sender: int
     malformed: int
@@ -36,14 +36,14 @@
 
 
 class Maintenance:
-    """The timers of the periodic work; owns the timer of the next sweep.
+    """Scheduler of the periodic tasks; owns the timer of the next sweep.
 
     Args:
-        dispatcher: The dispatcher that is ticked and reported on.
-        workers: The connections to workers that are swept.
-        platform: The connections of clients that are swept.
-        invoke: The invoke API that is swept; None where the API is off.
-        state: The state of the service, with the store and the socket for other routers.
+        dispatcher: The dispatcher that is ticked and whose counters are logged.
+        workers: The worker connections to sweep.
+        platform: The client connections to sweep.
+        invoke: The invoke API connections to sweep; None if the API is disabled.
+        state: The service state, which contains the store and the socket for other routers.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         """Start the timers.
 
         Args:
-            reload_invoke_files: Called at each check of the invoke API's files.
+            reload_invoke_files: Called periodically to check the invoke API's files for changes.
         """
         loop = asyncio.get_running_loop()
         self.sweep_timer = loop.call_later(SWEEP_PERIOD_S, self.sweep)
@@ -86,7 +86,7 @@
         self.sweep_timer = loop.call_later(SWEEP_PERIOD_S, self.sweep)
 
     def on_discovery_poll(self) -> None:
-        """Run a tick and a sweep that are due soon, because the process is awake to poll discovery."""
+        """Run a tick and a sweep that are due soon, because the process is awake for a discovery poll."""
         self._dispatcher.tick_early(EARLY_WAKEUP_S * 1000.0)
         soon_s = asyncio.get_running_loop().time() + EARLY_WAKEUP_S
         if self.sweep_timer is not None and self.sweep_timer.when() <= soon_s:
@@ -94,7 +94,7 @@
             self.sweep()
 
     def log_counts(self) -> None:
-        """Log the calls by result and the dropped datagrams, and set the timer of the next log lines."""
+        """Log the calls by result and the dropped datagrams, and schedule the next report."""
         open_calls = len(self._dispatcher.pending_calls)
         log.info(format_event("call_counts", **self._dispatcher.result_counts, open=open_calls))
         dropped = self._dropped_datagrams()
--- a/cedarthread/lifecycle/reload.py
+++ b/cedarthread/lifecycle/reload.py
@@ -1,4 +1,4 @@
-"""The reload at SIGHUP: each file is accepted as a whole, or rejected as a whole with a log line."""
+"""The reload on SIGHUP: each file is either applied as a whole, or rejected as a whole and logged."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetFiles:
-    """The file of the operators' declarations for the whole fleet, and the folder for this router's state."""
+    """The path of the operators' fleet file, and the folder for this router's persistent state."""
 
-    fleet_file: Path | None  # None: nothing is declared, and the fleet's modules are not loaded
-    store_folder: str | None  # replaces the folder that the fleet file names
+    fleet_file: Path | None  # None: nothing is declared, and the fleet modules are not imported
+    store_folder: str | None  # overrides the folder from the fleet file
 
 
 class Reloader:
-    """The reload of all files. A pending call stays under the settings in force when the call was accepted.
+    """Reloader of all files. A pending call keeps the request class under which it was accepted.
 
     Args:
-        parts: The parts that follow new settings.
-        state: The state of the service; the reloader sets ``config``, the counts of reloads and the store.
-        peer_listener: Opens the socket for other routers where new settings allow gossip.
-        fleet_files: The files of the operators' declarations for the whole fleet.
-        load_config: Loads the configuration again; None: the configuration never changes.
+        parts: The parts to which new settings are applied.
+        state: The service state; the reloader sets ``config``, the reload counters and the store.
+        peer_listener: Opens the socket for other routers if new settings allow gossip.
+        fleet_files: The paths of the operators' fleet file and of the store.
+        load_config: Reloads the configuration; None: the configuration never changes.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._fleet_files = fleet_files
 
     def reload(self) -> None:
-        """Load certificates, fleet file and configuration again, and apply the changes."""
+        """Reload certificates, fleet file and configuration, and apply the changes."""
         self.reload_invoke_files()
         self.load_fleet_config()
         if self.load_config is None:
@@ -70,7 +70,7 @@
         self._apply_config(loaded)
 
     def _apply_config(self, loaded: Config) -> None:
-        """Apply new settings and a new discovery address; the other addresses never change."""
+        """Apply new settings and a new discovery address; a reload changes no other address."""
         state = self._state
         self._parts.workers.update_settings(self._parts.dispatcher.update_settings(loaded.settings))
         self._parts.discovery.queries.update_drain_grace(loaded.settings.rules.drain_grace_ms / 1000.0)
@@ -88,7 +88,7 @@
             self._parts.discovery.start_polling(*loaded.discovery_address)
 
     def reload_invoke_files(self) -> None:
-        """Load the invoke API's certificates again if they changed."""
+        """Reload the invoke API's certificates if they have changed."""
         if self._parts.invoke is not None:
             self._state.start_task(self._parts.invoke.reload_if_changed())
 
@@ -97,9 +97,8 @@
         fleet_file = self._fleet_files.fleet_file
         if fleet_file is None:
             return
-        from cedarthread import (
-            fleet_config,
-        )  # loads msgspec, which a router without a fleet file does not need
+        # Imported here, because this loads msgspec, which a router without a fleet file does not need.
+        from cedarthread import fleet_config
 
         try:
             loaded = fleet_config.load_fleet_config(fleet_file, self._fleet_files.store_folder)
@@ -114,7 +113,7 @@
         )
 
     def _open_store(self, loaded: FleetConfig) -> None:
-        """Open the store that the fleet file names, if no store is open yet."""
+        """Open the store that the fleet file configures, unless a store is already open."""
         dispatcher = self._parts.dispatcher
         state = self._state
         fleet_components = dispatcher.node.fleet_components
--- a/cedarthread/lifecycle/shutdown.py
+++ b/cedarthread/lifecycle/shutdown.py
@@ -1,7 +1,7 @@
-"""The graceful shutdown: every accepted call gets its result before the process ends.
+"""The graceful shutdown, during which every accepted call gets its result before the process exits.
 
-The platform sends SIGKILL some time after SIGTERM. The bounds below end the process before SIGKILL; they are
-measured from SIGTERM and depend on the longest deadline of the request classes.
+The platform sends SIGKILL some time after SIGTERM. The time limits below make the process exit before that;
+they are measured from SIGTERM and depend on the longest deadline of the request classes.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 log = logging.getLogger(__name__)
 
 SHUTDOWN_GRACE_S = 0.75  # after SIGTERM, during which new calls are still accepted
-# A longer deadline counts as this one, because the earliest SIGKILL does not wait for longer deadlines.
+# Longer deadlines are capped to this value, because the earliest SIGKILL does not wait for them.
 MAX_SHUTDOWN_DEADLINE_S = 3.0
-# From the longest deadline until every call is complete, half a second before SIGKILL.
+# Time from the longest deadline until every call is complete, which is half a second before SIGKILL.
 SHUTDOWN_COMPLETION_SLACK_S = 0.2
-SHUTDOWN_EXIT_SLACK_S = 0.45  # from the longest deadline until the process ends, even with pending calls
-DRAIN_POLL_S = 0.01  # between checks whether everything is drained
+SHUTDOWN_EXIT_SLACK_S = 0.45  # from the longest deadline until the process exits, even with pending calls
+DRAIN_POLL_S = 0.01  # between checks for the end of the drain
 
 
 async def shut_down(parts: ServiceParts, state: ServiceState, log_counts: Callable[[], None]) -> None:
     """Report not ready, complete every accepted call, and return when the last result has been sent.
 
     Args:
-        parts: The parts that are drained and closed.
-        state: The state of the service, with the settings, the socket for other routers and the store.
-        log_counts: Logs the counts of calls after the last result.
+        parts: The parts to drain and close.
+        state: The service state, which contains the settings, the socket for other routers and the store.
+        log_counts: Logs the call counts after the last result.
     """
     loop = asyncio.get_running_loop()
     dispatcher = parts.dispatcher
@@ -58,7 +58,7 @@
 
 
 def _is_drained(parts: ServiceParts) -> bool:
-    """Return whether every call has a result and every client has received the results."""
+    """Return whether every call has a result and all results have been sent."""
     are_servers_drained = parts.platform.is_drained() and (parts.invoke is None or parts.invoke.is_drained())
     return are_servers_drained and not parts.dispatcher.pending_calls
 
--- a/cedarthread/lifecycle/state.py
+++ b/cedarthread/lifecycle/state.py
@@ -1,4 +1,4 @@
-"""The parts of a running service, and the state that changes while the service runs."""
+"""The parts of a running service, and its mutable state."""
 
 from __future__ import annotations
 
@@ -19,42 +19,42 @@
     from cedarthread.protocols.platform.server import PlatformServer
     from cedarthread.protocols.worker.connections import WorkerConnections
 
-LISTEN_RETRY_S = 0.5  # between attempts to listen on an address that another process still uses
+LISTEN_RETRY_S = 0.5  # between attempts to listen on an address that is still in use
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceParts:
-    """The parts that exist from construction to the end of the process."""
+    """The parts that exist from construction until the process exits."""
 
     dispatcher: Dispatcher
     workers: WorkerConnections
     platform: PlatformServer
-    invoke: InvokeServer | None  # None where the invoke API is off
+    invoke: InvokeServer | None  # None if the invoke API is disabled
     discovery: DiscoveryClient
     control: ControlServer
 
 
 @dataclass(eq=False, slots=True)
 class ServiceState:
-    """The state that changes while the service runs.
+    """The mutable state of a running service.
 
-    ``Service`` writes ``is_serving`` and ``shutdown_requested``, ``PeerListener`` writes ``peers``, and
-    ``Reloader`` writes the other fields.
+    ``Service`` sets ``is_serving`` and ``shutdown_requested``, ``PeerListener`` sets ``peers``, and
+    ``Reloader`` sets the other fields.
     """
 
     config: Config  # the configuration in force
-    is_serving: bool = False  # the configured endpoints are applied and the clients' port is open
+    is_serving: bool = False  # the initial endpoints are applied and the client port is open
     shutdown_requested: asyncio.Event = field(default_factory=asyncio.Event)
-    peers: PeerTransport | None = None  # None until its socket is open, or where gossip is off
-    event_loop_store: EventLoopStore | None = None  # None where the fleet file names no disk
-    reloads: int = 0  # configuration files accepted at SIGHUP
-    reload_errors: int = 0  # configuration files and fleet files rejected at SIGHUP or at the start
+    peers: PeerTransport | None = None  # None until its socket is open, or if gossip is disabled
+    event_loop_store: EventLoopStore | None = None  # None if the fleet file has no [disk] section
+    reloads: int = 0  # configuration files accepted on SIGHUP
+    reload_errors: int = 0  # configuration files and fleet files rejected on SIGHUP or at startup
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     def start_task(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine as a task, and reference the task until the task is done.
+        """Run a coroutine as a task, and keep a reference to the task until it is done.
 
-        The event loop itself has only a weak reference to a task.
+        The event loop itself only keeps a weak reference to a task.
         """
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
--- a/cedarthread/lifecycle/status.py
+++ b/cedarthread/lifecycle/status.py
@@ -1,4 +1,4 @@
-"""The replies to operators at the control address."""
+"""The replies to operators on the control address."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class StatusReport:
-    """The replies to PING and INFO, with the figures under the operators' names.
+    """The replies to PING and INFO, with the figures under the names that operators use.
 
     Args:
-        dispatcher: The dispatcher with the counts of calls.
-        endpoint_list: The workers that are known.
-        state: The state of the service.
-        has_fleet: Whether a fleet file is named, so that INFO has the fleet's figures.
+        dispatcher: The dispatcher, which provides the call counts.
+        endpoint_list: The known workers.
+        state: The service state.
+        has_fleet: Whether a fleet file is configured, so that INFO includes the fleet figures.
     """
 
     def __init__(
@@ -32,16 +32,16 @@
         self._has_fleet = has_fleet
 
     def ping(self) -> ControlReply:
-        """Reply to PING: return whether this router is ready for calls, and no lines."""
+        """Reply to PING with whether this router is ready for calls, and without lines."""
         is_ready = self._state.is_serving and not self._state.shutdown_requested.is_set()
         return ControlReply(is_ready, [])
 
     def info(self) -> ControlReply:
-        """Reply to INFO: return yes and all figures."""
+        """Reply to INFO with yes and all figures."""
         return ControlReply(is_yes=True, lines=[*self.lines(), "END"])
 
     def lines(self) -> list[str]:
-        """Return all figures, one ``name=value`` per line."""
+        """Return all figures as lines of the form ``name=value``."""
         lines = [*self._class_lines(), *self._router_lines()]
         if self._has_fleet:
             lines += self._fleet_lines()
@@ -65,9 +65,8 @@
             "load_errors": self._state.reload_errors,
         }
         violations = self._dispatcher.send_audit.violations
-        if (
-            violations
-        ):  # without violations the line is left out, because the platform does not know the figure
+        # Without violations the line is omitted, because the platform does not know this figure.
+        if violations:
             figures["rule_violations"] = violations.total()
         return [f"router.{name}={value}" for name, value in figures.items()]
 
