--- a/cedarthread/__main__.py
+++ b/cedarthread/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m cedarthread``."""
+"""Entry point of ``python -m cedarthread``."""
 
 import sys
 
--- a/cedarthread/cli.py
+++ b/cedarthread/cli.py
@@ -45,14 +45,14 @@
 
 EXIT_OK = 0
 EXIT_CANNOT_SERVE = 1  # an address cannot be listened on, or there are too few file descriptors
-EXIT_BAD_INPUT = 2  # a file or the environment cannot be used, or a tool is not installed
+EXIT_BAD_INPUT = 2  # a file or the environment is invalid, or a tool is not installed
 
 _TOOL_COMMANDS = ("fuzz", "cluster", "rig", "drill")
 _TOOLS_PACKAGE = "cedarthread.testing"  # not deployed with the program
 _SERVING_REQUIREMENTS = "requirements.txt"
 _DEVELOPMENT_REQUIREMENTS = "requirements-dev.txt"
 _TOOL_REQUIREMENTS = "requirements-tools.txt"
-# The file that installs a package which the tools import, by the package's name in Python.
+# The requirements file that installs a package that the tools import, by the import name of the package.
 _REQUIREMENTS_BY_PACKAGE = {
     "apsw": _SERVING_REQUIREMENTS,
     "cryptography": _SERVING_REQUIREMENTS,
@@ -93,16 +93,16 @@
 
 
 def _fail(problem: object, exit_code: int = EXIT_BAD_INPUT) -> int:
-    """Print to standard error what is wrong, and return the exit code."""
+    """Print a problem to standard error, and return the exit code."""
     print(f"cedarthread: {problem}", file=sys.stderr)
     return exit_code
 
 
 def run_tool(arguments: list[str]) -> int:
-    """Run a test tool and return its exit code; serving never loads the modules of the tools.
+    """Run a test tool and return its exit code; the tool modules are only imported here, never to serve.
 
     Args:
-        arguments: The name of the tool and the arguments of the tool.
+        arguments: The name of the tool, followed by its arguments.
     """
     try:
         if arguments[0] == "fuzz":
@@ -120,7 +120,7 @@
 
 
 def _missing_package_problem(module_name: str) -> str | None:
-    """Return what to install for a module that a tool imports; None where the module is a part of a tool."""
+    """Return what to install for a missing module, or None if the module is part of the tool itself."""
     if module_name == _TOOLS_PACKAGE:
         return "the test tools are not part of this installation; run the command in a checkout of the source"
     package = module_name.partition(".")[0]
@@ -131,7 +131,7 @@
 
 
 def read_invoke_config(path: str | None) -> InvokeConfig | None:
-    """Return the configuration of the invoke API; None where no file is named."""
+    """Return the configuration of the invoke API, or None if no file is given."""
     if path is None:
         return None
     from cedarthread.protocols.invoke import config as invoke_config
@@ -140,7 +140,7 @@
 
 
 def check_fleet_config(path: Path) -> str | None:
-    """Return what is wrong with the fleet file; None where the file can be used."""
+    """Return the problem with the fleet file, or None if the file is valid."""
     from cedarthread import fleet_config
 
     try:
@@ -151,7 +151,7 @@
 
 
 def describe(loaded_config: config.Config) -> str:
-    """Return a configuration in one line, for ``check-config``."""
+    """Return a one-line summary of a configuration, for ``check-config``."""
     classes = ", ".join(
         f"{request_class.name} ({request_class.idempotency.value})"
         for request_class in loaded_config.settings.classes
@@ -167,7 +167,7 @@
 
 
 def _configure_logging(level_name: str) -> None:
-    """Log to standard error, at level info where the level is unknown."""
+    """Configure logging to standard error; an unknown level name selects level info."""
     logging.basicConfig(
         level=getattr(logging, level_name.upper(), logging.INFO),
         stream=sys.stderr,
@@ -182,10 +182,10 @@
     fleet_file: Path | None = None,
     store_folder: str | None = None,
 ) -> int:
-    """Serve until a signal ends the process, and return the exit code."""
+    """Serve until a signal requests shutdown, and return the exit code."""
     from cedarthread.service import Service
 
-    # Without this, a SIGHUP that arrives before the event loop has its handler would end the process.
+    # Otherwise a SIGHUP that arrives before the event loop has its handler would terminate the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
     async def run() -> None:
--- a/cedarthread/config.py
+++ b/cedarthread/config.py
@@ -19,9 +19,9 @@
 
     from cedarthread.model.settings import RouterSettings
 
-ConfigError = ConfigurationError  # the name under which other packages catch an error of the configuration
+ConfigError = ConfigurationError  # alias that other packages catch
 
-# Environment variables: the path of the file, and values that replace the values in the file.
+# Environment variables: the path of the file, and values that override those in the file.
 CONFIG_PATH_VARIABLE = "BALANCER_CONFIG"
 LISTEN_VARIABLE = "BALANCER_LISTEN"
 NAME_VARIABLE = "BALANCER_NAME"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration of one router. Addresses are pairs of host and port."""
+    """The configuration of one router. Addresses are (host, port) pairs."""
 
     router_name: str
     host: str  # where clients connect
@@ -48,14 +48,14 @@
     memory_bytes: int
     discovery_address: tuple[str, int] | None  # None: the endpoint list never changes
     settings: RouterSettings
-    # Updates of the endpoint list by their serial numbers; the first one is complete.
+    # Updates of the endpoint list, each with its serial number; the first contains all endpoints.
     initial_endpoints: tuple[tuple[int, tuple[EndpointRecord, ...]], ...]
     control_address: tuple[str, int] | None = None  # where operators connect
-    peer_addresses: PeerAddresses | None = None  # of the other routers; None: the router runs without gossip
+    peer_addresses: PeerAddresses | None = None  # of this router and its peers; None: gossip is disabled
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """Return the configuration that the environment names.
+    """Return the configuration from the file and the variables that the environment specifies.
 
     Raises:
         ConfigurationError: The configuration cannot be used.
@@ -71,12 +71,12 @@
 
 
 def decode(raw: bytes, environ: Mapping[str, str], source: str = "") -> Config:
-    """Return the configuration in the bytes of a file.
+    """Return the configuration from the content of a file.
 
     Args:
-        raw: The bytes of the file.
-        environ: The environment variables, which replace values in the file.
-        source: The path of the file, for errors.
+        raw: The content of the file.
+        environ: The environment variables, which override values in the file.
+        source: The path of the file, for error messages.
 
     Raises:
         ConfigurationError: The configuration cannot be used.
@@ -84,7 +84,7 @@
     document = parse_json(raw, source)
     try:
         return _parse_document(ConfigValue(document, source, "").section(), environ)
-    except RecursionError:  # while a nested list or object is written as a text
+    except RecursionError:  # while a nested list or object is converted to a string
         raise ConfigurationError("lists or objects are nested too deeply", source=source) from None
 
 
@@ -108,7 +108,7 @@
 
 
 def _variable(environ: Mapping[str, str], name: str) -> ConfigValue | None:
-    """Return the value of an environment variable; None where the variable is not set or empty."""
+    """Return the value of an environment variable, or None if the variable is unset or empty."""
     text = environ.get(name)
     return ConfigValue(text, f"environment variable {name}", "") if text else None
 
@@ -118,14 +118,14 @@
 
 
 def _parse_address(address: ConfigValue) -> tuple[str, int]:
-    """Return host and port of an address, which is a text."""
+    """Return host and port of an address, which must be a string."""
     if not isinstance(address.value, str):
         raise address.error(_ADDRESS_WORDS)
     return _parse_address_of_any_type(address)
 
 
 def _parse_address_of_any_type(address: ConfigValue) -> tuple[str, int]:
-    """Return host and port of an address that is converted to a text first."""
+    """Return host and port of an address of any type, which is converted to a string first."""
     return address.convert(_ADDRESS_WORDS, lambda value: parse_address(str(value)))
 
 
@@ -158,13 +158,13 @@
 
 
 def _parse_control_address(document: ConfigSection, environ: Mapping[str, str]) -> tuple[str, int] | None:
-    """Return the operators' address; None where it is missing, null or an empty text."""
+    """Return the control address, or None if it is missing, null or empty."""
     address = _variable(environ, CONTROL_VARIABLE) or document.optional("control", None)
     return None if address.value in (None, "") else _parse_address(address)
 
 
 def _parse_peer_addresses(document: ConfigSection) -> PeerAddresses | None:
-    """Return the addresses of the routers; None where the document lacks the peers or the own address."""
+    """Return the gossip addresses, or None if those of the peers or of this router are missing."""
     if not document.has("peer_listen") or not document.has("peers"):
         return None
     peers = document.required("peers")
--- a/cedarthread/config_section.py
+++ b/cedarthread/config_section.py
@@ -1,7 +1,8 @@
-"""One JSON object of a configuration, read key by key; each error names file, key path, found and wanted.
+"""Typed access to the JSON objects of a configuration.
 
-The conversions accept what Python's own ``float``, ``int`` and ``str`` accept, so that a number may also be
-written as a text. Keys that nothing reads are ignored.
+Each error states the file, the key path, the value found and the value expected. The conversions accept what
+Python's ``float``, ``int`` and ``str`` accept, so that a number may also be given as a string. Unknown keys
+are ignored.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 EnumT = TypeVar("EnumT", bound=Enum)
 ParsedT = TypeVar("ParsedT")
 
-MAX_QUOTED_CHARACTERS = 80  # of a value that an error quotes
+MAX_QUOTED_CHARACTERS = 80  # of a value that an error message quotes
 
-# What the conversions of a value raise where the value is of the wrong type or out of range.
+# The exceptions that the conversions raise for a value of the wrong type or out of range.
 _CONVERSION_ERRORS = (TypeError, ValueError, ArithmeticError)
 
 
 class _Convertible(Protocol):
-    """A value that ``float`` or ``int`` may accept; both raise ``TypeError`` where they do not."""
+    """A value to pass to ``float`` or ``int``; both raise ``TypeError`` if they do not accept it."""
 
     def __float__(self) -> float: ...
 
@@ -37,15 +38,15 @@
 
 
 def parse_json(raw: bytes, source: str = "", key_path: str = "") -> object:
-    """Return the value of a JSON text.
+    """Return the value that a JSON document contains.
 
     Args:
-        raw: The text.
-        source: The file, for errors.
-        key_path: The key that the text is the value of, for errors.
+        raw: The document.
+        source: The file, for error messages.
+        key_path: The key whose value the document is, for error messages.
 
     Raises:
-        ConfigurationError: The text is not JSON.
+        ConfigurationError: The document is not valid JSON.
     """
     try:
         return cast("object", json.loads(raw))
@@ -55,13 +56,13 @@
         problem = f"not valid JSON: byte {error.start} is not part of a {error.encoding} text"
     except RecursionError:
         problem = "not usable: lists or objects are nested too deeply"
-    except ValueError:  # Python bounds the digits of an integer
+    except ValueError:  # Python limits the number of digits of an integer
         problem = "not usable: a number has too many digits"
     raise ConfigurationError(problem, source=source, key_path=key_path)
 
 
 def describe_value(value: object) -> str:
-    """Return a value as JSON, shortened, for an error that says what was found."""
+    """Return a shortened JSON form of a value, for error messages."""
     if isinstance(value, str):
         quoted = json.dumps(value[:MAX_QUOTED_CHARACTERS])
         return quoted if len(value) <= MAX_QUOTED_CHARACTERS else f"{quoted}..."
@@ -79,14 +80,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigValue:
-    """One value of a configuration and its place."""
+    """One value of a configuration and its location."""
 
     value: object
-    source: str  # the file; empty where the caller does not know the file
-    key_path: str  # ``settings.classes[0].deadline``; empty for the whole file
+    source: str  # the file; empty if unknown
+    key_path: str  # for example ``settings.classes[0].deadline``; empty for the whole file
 
     def error(self, wanted: str) -> ConfigurationError:
-        """Return the error that this value is not what is wanted: "a number above 0"."""
+        """Return the error for a value that is not as expected, for example not "a number above 0"."""
         problem = f"must be {wanted}, found {describe_value(self.value)}"
         return ConfigurationError(problem, source=self.source, key_path=self.key_path)
 
@@ -94,7 +95,7 @@
         """Return the converted value.
 
         Raises:
-            ConfigurationError: The conversion raises an error for this value.
+            ConfigurationError: The conversion fails for this value.
         """
         try:
             return conversion(self.value)
@@ -102,13 +103,13 @@
             raise self.error(wanted) from None
 
     def section(self) -> ConfigSection:
-        """Return the value as an object with keys."""
+        """Return the value, which must be an object."""
         if not isinstance(self.value, Mapping):
             raise self.error("an object")
         return ConfigSection(self.value, self.source, self.key_path)
 
     def entries(self) -> Iterator[ConfigValue]:
-        """Yield the entries of the value, which is a list."""
+        """Yield the entries of the value, which must be a list."""
         if not isinstance(self.value, Iterable):
             raise self.error("a list")
         for index, entry in enumerate(self.value):
@@ -129,7 +130,7 @@
         return number
 
     def finite_number(self) -> float:
-        """Return the value as a number of either sign that is neither infinite nor NaN."""
+        """Return the value as a number of any sign that is neither infinite nor NaN."""
         wanted = "a number"
         number = self.convert(wanted, lambda value: float(cast("_Convertible", value)))
         if not math.isfinite(number):
@@ -137,7 +138,7 @@
         return number
 
     def integer(self) -> int:
-        """Return the value as an integer; a fraction is dropped."""
+        """Return the value as an integer; a fractional part is truncated."""
         return self.convert("an integer", lambda value: int(cast("_Convertible", value)))
 
     def positive_number_or_none(self) -> float | None:
@@ -145,14 +146,14 @@
         return self.convert(f"a number up to {MAX_NUMBER:g}", positive_or_none)
 
     def member_of(self, members: type[EnumT]) -> EnumT:
-        """Return the member of an enumeration that has this value."""
+        """Return the enum member with this value."""
         try:
             return members(self.value)
         except ValueError:
             raise self.error(one_of(member.value for member in members)) from None
 
     def value_in(self, choices: Mapping[str, ParsedT]) -> ParsedT:
-        """Return what the choices have under this value."""
+        """Return the choice that has this value as its key."""
         if not isinstance(self.value, str) or self.value not in choices:
             raise self.error(one_of(choices))
         return choices[self.value]
@@ -160,14 +161,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigSection:
-    """One JSON object of a configuration and its place."""
+    """One JSON object of a configuration and its location."""
 
     values: Mapping[str, object]
-    source: str = ""  # the file; empty where the caller does not know the file
-    key_path: str = ""  # the key of this object, with the keys above it; empty for the whole file
+    source: str = ""  # the file; empty if unknown
+    key_path: str = ""  # path of keys to this object; empty for the whole file
 
     def has(self, key: str) -> bool:
-        """Return whether the key is there with a value other than null, false, 0 or an empty one."""
+        """Return whether the key is present with a value that is not null, false, 0 or empty."""
         return bool(self.values.get(key))
 
     def required(self, key: str) -> ConfigValue:
@@ -182,39 +183,39 @@
         return self.optional(key, None)
 
     def optional(self, key: str, default: object) -> ConfigValue:
-        """Return the value of a key, or the default where the key is missing."""
+        """Return the value of a key, or the default if the key is missing."""
         key_path = f"{self.key_path}.{key}" if self.key_path else key
         return ConfigValue(self.values.get(key, default), self.source, key_path)
 
     def optional_section(self, key: str) -> ConfigSection:
-        """Return the object under a key; an empty one where the key is missing."""
+        """Return the object of a key, or an empty object if the key is missing."""
         return self.optional(key, {}).section()
 
     def number(self, key: str, default: float = 0.0, minimum: float = 0.0) -> float:
-        """Return the number under a key from ``minimum`` to ``MAX_NUMBER``, or the default."""
+        """Return the number of a key, from ``minimum`` to ``MAX_NUMBER``, or the default if it is missing."""
         return self.optional(key, default).number(minimum)
 
     def number_unless_empty(self, key: str, default: float = 0.0, minimum: float = 0.0) -> float:
-        """Return the number under a key; the default where the key is missing, null, 0 or empty."""
+        """Return the number of a key, or the default if the key is missing, null, 0 or empty."""
         return self.required(key).number(minimum) if self.has(key) else float(default)
 
     def flag(self, key: str) -> bool:
-        """Return the truth of the value under a key; false where the key is missing."""
+        """Return the truth value of a key; false if the key is missing."""
         return self.has(key)
 
     def text(self, key: str) -> str:
-        """Return the value under a key as a text; an empty text where the key is missing."""
+        """Return the value of a key as a string; empty if the key is missing."""
         return str(self.values.get(key, ""))
 
     def required_text(self, key: str) -> str:
-        """Return the value under a key that must be there, as a text."""
+        """Return the value of a required key as a string."""
         return str(self.required(key).value)
 
     def texts(self, key: str) -> tuple[str, ...]:
-        """Return the entries of the list under a key as texts; none where the key is missing."""
+        """Return the entries of the list of a key as strings; empty if the key is missing."""
         return tuple(str(entry.value) for entry in self.optional(key, ()).entries())
 
 
 def one_of(choices: Iterable[object]) -> str:
-    """Return the words that name the choices of a value: ``one of "a", "b"``."""
+    """Return the list of valid choices for an error message, for example ``one of "a", "b"``."""
     return "one of " + ", ".join(describe_value(choice) for choice in choices)
--- a/cedarthread/fleet_config.py
+++ b/cedarthread/fleet_config.py
@@ -1,7 +1,7 @@
 """The operators' fleet file ``fleet.toml``, which is accepted or rejected as a whole.
 
-Field names are the keys of the file, which has them in kebab case. ``parse_fleet_config`` checks the rules
-that the types do not express. An error names the place in the file and the fault.
+The field names are the keys of the file, which are in kebab case there. ``parse_fleet_config`` checks the
+rules that the types do not express. Error messages state the location in the file and the problem.
 """
 
 from __future__ import annotations
@@ -18,55 +18,56 @@
     from pathlib import Path
 
 FrozenAction = Literal["first-copy", "order", "unload", "homes", "retune"]
-MAX_WINDOW_SECONDS = 12 * 3600.0  # of a freeze window; also how far a deviating wall clock may widen one
-MAX_NAME_BYTES = 64  # what a replicated entry's name may have
+# The longest freeze window, and the most by which a deviating wall clock may extend one.
+MAX_WINDOW_SECONDS = 12 * 3600.0
+MAX_NAME_BYTES = 64  # limit for the names of replicated entries
 FUNCTION_ID_DIGITS = 16  # hexadecimal
 
 
 class FleetConfigError(CedarthreadError):
-    """An unusable fleet file; the message names the place and the fault."""
+    """An invalid fleet file; the message states the location and the problem."""
 
 
 class _StrictSection(msgspec.Struct, forbid_unknown_fields=True, rename="kebab", frozen=True):
-    """A section that rejects unknown keys, so that a misspelt floor does not count as a missing one."""
+    """A section that rejects unknown keys, so that a misspelt ``floor`` is not taken for a missing one."""
 
 
 class SharingConfig(_StrictSection, frozen=True):
-    """Parameters of the replicated store, times in ms."""
+    """Parameters of the replicated store; times are in ms."""
 
     period: float = 400.0  # between two sync requests of a router
-    fresh: float = 0.0  # freshness window; 0: by the formula of the design page
+    fresh: float = 0.0  # freshness window; 0: computed by the formula in the design page
     clock_rate: float = 0.001  # fraction by which a steady clock may run fast or slow
-    clock_error: float = 500.0  # by which wall clocks may differ
+    clock_error: float = 500.0  # maximum difference between wall clocks
 
 
 class DiskConfig(_StrictSection, frozen=True):
-    """The folder of persisted state, and the condition under which a write counts as done."""
+    """The folder for persistent state, and the sync mode that determines when a write is durable."""
 
     folder: str
     sync: Literal["each", "group", "none"] = "group"
-    group: float = 5.0  # ms for which writes are gathered into one commit
+    group: float = 5.0  # time in ms for which writes are batched into one commit
 
 
 class TierConfig(_StrictSection, frozen=True):
-    """One priority tier; the first in the file is preempted last."""
+    """One priority tier; the first tier in the file is preempted last."""
 
     name: str
 
 
 class OverloadConfig(_StrictSection, frozen=True):
-    """The thresholds of overload: fractions of the fleet's capacity, and the seconds that each must last."""
+    """Overload thresholds as fractions of the fleet's capacity, and how long in s each must be crossed."""
 
     onset: float = 1.1
     end: float = 0.9
     dwell: float = 3.0
-    preempts: float = 20.0  # calls a second that the whole fleet preempts at most
+    preempts: float = 20.0  # maximum number of calls per second that the whole fleet preempts
 
 
 class ContractConfig(_StrictSection, frozen=True):
     """The contract of one tenant.
 
-    ``rate`` is in calls per second; ``floor`` is the fraction of these that is never preempted.
+    ``rate`` is in calls per second; ``floor`` is the fraction of that rate that is never preempted.
     """
 
     tenant: str
@@ -99,7 +100,7 @@
 
 
 class BreakGlassConfig(_StrictSection, frozen=True):
-    """The declaration that lifts a freeze window for some time; the log names the author and reason."""
+    """The declaration that lifts a freeze window until ``end``; author and reason are logged."""
 
     freeze: str
     author: str
@@ -108,7 +109,7 @@
 
 
 class FleetConfig(_StrictSection, frozen=True):
-    """The content of the file."""
+    """The content of the fleet file."""
 
     sharing: SharingConfig = SharingConfig()
     disk: DiskConfig | None = None
@@ -125,10 +126,10 @@
 
     Args:
         path: The file.
-        store: Replaces the folder of ``[disk]``.
+        store: Overrides the folder of the ``[disk]`` section.
 
     Raises:
-        FleetConfigError: The file is unusable; the message begins with the path.
+        FleetConfigError: The file is invalid; the message begins with the path.
     """
     try:
         fleet = parse_fleet_config(path.read_bytes())
@@ -141,10 +142,10 @@
 
 
 def parse_fleet_config(raw: bytes) -> FleetConfig:
-    """Decode and check the file's bytes.
+    """Decode and check the content of the file.
 
     Raises:
-        FleetConfigError: The file is unusable.
+        FleetConfigError: The content is invalid.
     """
     try:
         fleet = msgspec.toml.decode(raw, type=FleetConfig)
@@ -220,7 +221,7 @@
 
 
 def _check_window_changes(fleet: FleetConfig) -> None:
-    """Check the sections that revoke or lift a window."""
+    """Check the sections that revoke or lift a freeze window."""
     _check_unique_names("revoke", [revocation.freeze for revocation in fleet.revoke])
     _check_unique_names("break-glass", [break_glass.freeze for break_glass in fleet.break_glass])
     window_ids = {window.id for window in fleet.freeze}
--- a/cedarthread/lifecycle/state.py
+++ b/cedarthread/lifecycle/state.py
@@ -46,7 +46,7 @@
     is_serving: bool = False  # the initial endpoints are applied and the client port is open
     shutdown_requested: asyncio.Event = field(default_factory=asyncio.Event)
     peers: PeerTransport | None = None  # None until its socket is open, or if gossip is disabled
-    event_loop_store: EventLoopStore | None = None  # None if the fleet file has no [disk] section
+    event_loop_store: EventLoopStore | None = None  # None until opened, or if no store is configured
     reloads: int = 0  # configuration files accepted on SIGHUP
     reload_errors: int = 0  # configuration files and fleet files rejected on SIGHUP or at startup
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
--- a/cedarthread/logs.py
+++ b/cedarthread/logs.py
@@ -1,10 +1,10 @@
-"""Log lines for people and for programs that read them: a stable event name, then ``key=value`` fields.
+"""Structured log lines in logfmt: a stable event name, followed by ``key=value`` fields.
 
-The form is logfmt: values with spaces, quotes or equals signs, and empty ones, stand in double quotes with
-JSON's escapes; a bool is ``true`` or ``false``. Pure components return their lines as
-:class:`~cedarthread.model.actions.LogMessage`; modules with I/O hand them to :mod:`logging`. Each event has a
-line in ``docs/ON-CALL.md`` (``tests/unit/test_log_events.py``). A logging library of the same form was
-measured first: its import alone cost half as much processor time as starting the program does.
+Values that are empty, or contain whitespace, quotes, backslashes or equals signs, are in double quotes with
+JSON escapes; a bool is ``true`` or ``false``. Components without I/O return their lines as
+:class:`~cedarthread.model.actions.LogMessage`; modules with I/O pass them to :mod:`logging`. Each event is
+documented in ``docs/ON-CALL.md``, which ``tests/unit/test_log_events.py`` checks. This module does not use a
+logging library for this format, because importing one cost half as much CPU time as starting the program.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def format_event(event: str, **fields: object) -> str:
-    """One log line. ``event`` is snake_case and stays the same between versions; fields keep their order."""
+    """Return one log line with the fields in order; ``event`` is snake_case and stable across versions."""
     return " ".join([event, *(f"{name}={_format_value(value)}" for name, value in fields.items())])
 
 
--- a/cedarthread/number_checks.py
+++ b/cedarthread/number_checks.py
@@ -1,11 +1,11 @@
-"""Checks of numbers from outside: settings, endpoint lists, requests."""
+"""Validation of numbers from external input: settings, endpoint lists and requests."""
 
 from __future__ import annotations
 
 import math
 
-# The largest valid number. A larger number added to a clock in ms can leave the clock's value unchanged, and
-# a timer that is set to the sum would fire in an endless loop.
+# The largest valid number. Adding a larger number to a clock value in ms can leave the clock value unchanged,
+# and a timer that is set to the sum would fire in an endless loop.
 MAX_NUMBER = 1e15
 
 
@@ -24,8 +24,8 @@
     """Return the value as a number from ``minimum`` to ``MAX_NUMBER``.
 
     Raises:
-        TypeError: The value is neither a number nor a text, whatever its annotation promised.
-        ValueError: The value is a text without a number, not a number (NaN), or outside the bounds.
+        TypeError: The value is neither a number nor a string, contrary to its annotation.
+        ValueError: The value is a string that is not a number, NaN, or out of range.
         OverflowError: The value is an integer that is too large for a float.
     """
     number = float(value)
--- a/cedarthread/service.py
+++ b/cedarthread/service.py
@@ -1,4 +1,4 @@
-"""The running function router, from the start of its listeners to the last result."""
+"""The function router service, from the start of its listeners to its last result."""
 
 from __future__ import annotations
 
@@ -24,20 +24,19 @@
 
 log = logging.getLogger(__name__)
 
-# Thresholds of the garbage collector's generations: with these the collector runs rarely, and each of its
-# pauses stays short.
+# Thresholds of the garbage collector's generations, with which collections are rare and their pauses short.
 GC_THRESHOLDS = (20_000, 20, 50)
 
 
 class Service:
-    """One function router, built and run on one event loop; ``lifecycle.composition`` builds its parts.
+    """One function router, constructed and run on one event loop; ``lifecycle.composition`` builds its parts.
 
     Args:
-        config: The configuration at the start.
-        invoke: The configuration of the invoke API; None where the API is off.
-        load_config: Loads the configuration again at SIGHUP; None: the configuration never changes.
-        fleet_file: The file of the operators' declarations for the whole fleet; None: there are none.
-        store_folder: The folder for this router's state; replaces the folder that the fleet file names.
+        config: The configuration at startup.
+        invoke: The configuration of the invoke API; None if the API is disabled.
+        load_config: Reloads the configuration on SIGHUP; None: the configuration never changes.
+        fleet_file: The file with the operators' declarations for the whole fleet; None: there are none.
+        store_folder: The folder for this router's persistent state; overrides the folder from the fleet file.
     """
 
     def __init__(
@@ -65,7 +64,7 @@
         self.peer_listener = composed.peer_listener
         self.reloader = composed.reloader
         self.port = 0  # the port for clients; 0 before ``start``
-        self.invoke_port = 0  # the port of the invoke API; 0 before ``start``, or where the API is off
+        self.invoke_port = 0  # the port of the invoke API; 0 before ``start``, or if the API is disabled
 
     @property
     def config(self) -> Config:
@@ -74,25 +73,25 @@
 
     @property
     def control_port(self) -> int:
-        """The port for operators; 0 until the service listens on the port."""
+        """The port for operators; 0 until the service listens on it."""
         return self.control_listener.port
 
     @property
     def event_loop_store(self) -> EventLoopStore | None:
-        """The store on disk; None where the fleet file names no disk."""
+        """The store on disk; None until it is opened, or if no store is configured."""
         return self.state.event_loop_store
 
     @property
     def endpoint_list(self) -> EndpointList:
-        """The workers, as the configuration or discovery last reported them."""
+        """The endpoint list, as last reported by the configuration or by discovery."""
         return self.endpoint_updates.endpoint_list
 
     def update_endpoints(self, serial: int, records: list[EndpointRecord], *, is_complete: bool) -> None:
-        """Apply a newer list of workers, see ``EndpointUpdates.update``."""
+        """Apply a newer list of workers; see ``EndpointUpdates.update``."""
         self.endpoint_updates.update(serial, records, is_complete=is_complete)
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then complete all accepted calls. SIGHUP reloads the files."""
+        """Serve until SIGTERM or SIGINT, then complete all accepted calls; SIGHUP reloads the files."""
         loop = asyncio.get_running_loop()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, self.request_shutdown)
@@ -102,10 +101,10 @@
         await self.shut_down()
 
     async def start(self) -> None:
-        """Apply the configured endpoints, listen for clients, and begin to poll discovery.
+        """Apply the initial endpoints, listen for clients, and start to poll discovery.
 
         Raises:
-            OSError: The clients' address cannot be listened on.
+            OSError: The client address cannot be listened on.
         """
         self.control_listener.listen()
         self._apply_initial_endpoints()
@@ -130,11 +129,11 @@
         self.discovery.last_serial = self.endpoint_list.version
 
     def request_shutdown(self) -> None:
-        """Have ``run`` shut the service down."""
+        """Make ``run`` shut the service down."""
         self.state.shutdown_requested.set()
 
     def reload(self) -> None:
-        """Load all files again, see ``Reloader``."""
+        """Reload all files; see ``Reloader``."""
         self.reloader.reload()
 
     async def shut_down(self) -> None:
@@ -161,9 +160,9 @@
 
 
 def _exclude_existing_objects_from_collection() -> None:
-    """Move all objects that exist now out of the garbage collector's lists, so that its pauses stay short.
+    """Exclude all existing objects from garbage collection, so that the collector's pauses stay short.
 
-    These objects exist until the process ends.
+    These objects live until the process exits.
     """
     gc.collect()
     gc.freeze()
--- a/cedarthread/settings_parser.py
+++ b/cedarthread/settings_parser.py
@@ -1,7 +1,7 @@
-"""The router's settings from a JSON object, as the platform and the simulator write them.
+"""The parser of the router's settings, from JSON objects that the platform and the simulator provide.
 
 This module maps the operators' key names (``send-cap``, ``goal-time``, ``stop-sending-within``, ...) to the
-names of ``model.settings``; no other module knows the key names. Keys that are not named here are ignored.
+names of ``model.settings``; no other module uses the key names. Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
     WeightMeaning,
 )
 
-SettingsError = ConfigurationError  # the name under which other packages catch an error of the settings
+SettingsError = ConfigurationError  # alias that other packages catch
 
-# The values of limits that the settings leave out or set to 0.
+# The values of limits that the settings omit or set to 0.
 DEFAULT_MAX_ATTEMPTS_PER_CONNECTION = 32
 DEFAULT_CONNECT_TIMEOUT_MS = 250
 DEFAULT_IDLE_TIMEOUT_MS = 30_000
@@ -43,7 +43,7 @@
 
 
 def parse_settings(raw: bytes) -> RouterSettings:
-    """Return the settings in a JSON text.
+    """Return the settings from a JSON document.
 
     Raises:
         ConfigurationError: The settings cannot be used.
@@ -52,7 +52,7 @@
 
 
 def settings_from_object(settings_object: object) -> RouterSettings:
-    """Return the settings in a parsed JSON object.
+    """Return the settings from a parsed JSON object.
 
     Raises:
         ConfigurationError: The settings cannot be used.
@@ -61,7 +61,7 @@
 
 
 def settings_from_section(top: ConfigSection) -> RouterSettings:
-    """Return the settings in one object of a configuration.
+    """Return the settings from a section of a configuration.
 
     Raises:
         ConfigurationError: The settings cannot be used.
--- a/cedarthread/statistics.py
+++ b/cedarthread/statistics.py
@@ -1,7 +1,7 @@
 """Statistics of recent events: moving averages, decaying counters and maxima, and a token bucket.
 
-The classes read no clock: callers pass the time in ms of a monotonic clock. A time constant is the time in
-ms in which a value decays to 1/e.
+The classes do not read a clock: callers pass the time of a monotonic clock in ms. A time constant is the time
+in ms in which a value decays to 1/e.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Ewma:
-    """An exponentially weighted moving average over values, not time.
+    """An exponentially weighted moving average over a number of values, not over time.
 
     The first ten values have equal weights, so that the first value does not dominate.
     """
@@ -32,7 +32,7 @@
 class DecayingCounter:
     """A value that decays exponentially.
 
-    If each event adds its amount, the value is the rate of amounts times the time constant.
+    If each event adds an amount, the value approaches the rate of these amounts times the time constant.
     """
 
     time_constant_ms: float
@@ -69,13 +69,13 @@
     updated_at_ms: float = 0.0
 
     def read(self, now_ms: float) -> float:
-        """Return the peak, decayed since the quantity fell from it."""
+        """Return the peak, decayed since the quantity fell below it."""
         if not self.value:
             return 0.0
         return self.value * math.exp((self.updated_at_ms - now_ms) / self.time_constant_ms)
 
     def on_change(self, now_ms: float, value: float, new_value: float) -> None:
-        """Store ``value`` as the peak if the quantity falls from it and it exceeds the decayed peak."""
+        """Store the old ``value`` as the peak if the quantity falls and ``value`` exceeds the decayed peak."""
         if new_value < value and value > self.read(now_ms):
             self.value = value
             self.updated_at_ms = now_ms
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A token bucket, which fills at a constant rate up to its capacity."""
+    """A token bucket that refills at a constant rate up to its capacity."""
 
     rate_per_second: float
     capacity: float
@@ -116,14 +116,14 @@
     updated_at_ms: float
 
     def refill(self, now_ms: float) -> float:
-        """Add the tokens earned since the last refill; return the tokens available."""
+        """Add the tokens earned since the last refill, and return the number of available tokens."""
         earned = self.rate_per_second * max(0.0, now_ms - self.updated_at_ms) / 1000.0
         self.tokens = min(self.capacity, self.tokens + earned)
         self.updated_at_ms = max(self.updated_at_ms, now_ms)
         return self.tokens
 
     def take(self, now_ms: float, amount: float = 1.0) -> bool:
-        """Take ``amount`` tokens and return True; return False and take none if fewer are available."""
+        """Take ``amount`` tokens and return True, or take none and return False if fewer are available."""
         if self.refill(now_ms) < amount:
             return False
         self.tokens -= amount
