--- a/cedarthread/statistics.py
+++ b/cedarthread/statistics.py
@@ -75,7 +75,7 @@
         return self.value * math.exp((self.updated_at_ms - now_ms) / self.time_constant_ms)
 
     def on_change(self, now_ms: float, value: float, new_value: float) -> None:
-        """Store the old ``value`` as the peak if the quantity falls and ``value`` exceeds the decayed peak."""
+        """Store the old ``value`` as the peak if the quantity falls and it exceeds the decayed peak."""
         if new_value < value and value > self.read(now_ms):
             self.value = value
             self.updated_at_ms = now_ms
