--- a/cedarthread/dispatch/call_table.py
+++ b/cedarthread/dispatch/call_table.py
@@ -45,15 +45,15 @@
         """Return the pending or completing call with this id, or None if the table does not contain it."""
         return self.pending.get(request_id) or self.completing.get(request_id)
 
-    def release(self, call: Call) -> None:
-        """Mark a pending call as complete; it stays in the table until ``forget_completed`` removes it."""
+    def mark_completed(self, call: Call) -> None:
+        """Mark a pending call as complete; it stays in the table until ``remove_completed`` removes it."""
         call.is_complete = True
         self.pending_body_bytes -= len(call.body)
         self.pending_ids.discard(call.call_id)
         del self.pending[call.request_id]
         self.completing[call.request_id] = call
 
-    def forget_completed(self) -> None:
+    def remove_completed(self) -> None:
         """Remove completed calls that have no attempt in flight."""
         for call in list(self.completing.values()):
             if all(attempt.is_ended for attempt in call.attempts):
--- a/cedarthread/dispatch/completion.py
+++ b/cedarthread/dispatch/completion.py
@@ -31,7 +31,7 @@
     from cedarthread.dispatch.call_table import CallTable
     from cedarthread.dispatch.context import DispatchContext
     from cedarthread.dispatch.deadlines import CallDeadlines
-    from cedarthread.dispatch.figures import CallFigures
+    from cedarthread.dispatch.figures import CallCounters
 
 log = logging.getLogger(__name__)
 
@@ -44,7 +44,7 @@
     Args:
         context: Settings, clock and worker transport of the dispatcher.
         calls: The table of all calls of the process.
-        figures: Counts each result.
+        counters: Counts each result.
         deadlines: Schedules the end of the grace period of an expired call.
         enqueue_event: Queues an event for the routing node.
     """
@@ -53,13 +53,13 @@
         self,
         context: DispatchContext,
         calls: CallTable,
-        figures: CallFigures,
+        counters: CallCounters,
         deadlines: CallDeadlines,
         enqueue_event: Callable[[Event], None],
     ) -> None:
         self._context = context
         self._calls = calls
-        self._figures = figures
+        self._counters = counters
         self._deadlines = deadlines
         self._enqueue_event = enqueue_event
 
@@ -102,7 +102,7 @@
         """End a pending call without a result, because its client has disconnected."""
         call.client_disconnected_at_ms = min(call.client_disconnected_at_ms, self._context.clock())
         if not call.is_complete:
-            self._figures.count_client_disconnected()
+            self._counters.count_client_disconnected()
             self._release(call)
             self._enqueue_event(ClientDisconnected(call.request_id))
 
@@ -166,14 +166,14 @@
     def _deliver(self, call: Call, result: CallResult) -> None:
         """Count a result and pass it to the protocol server."""
         call.is_complete = True
-        self._figures.count_result(call, result)
+        self._counters.count_result(call, result)
         try:
             call.on_result(result)
         except Exception:
             log.exception(format_event("result_delivery_failed"))
 
     def _release(self, call: Call) -> None:
-        self._calls.release(call)
+        self._calls.mark_completed(call)
         # Unsent attempts are withdrawn, because the call no longer needs a result. Written and partly written
         # ones are left to the router, which cancels them if the settings allow CANCEL.
         for attempt in call.attempts:
--- a/cedarthread/dispatch/deadlines.py
+++ b/cedarthread/dispatch/deadlines.py
@@ -44,7 +44,7 @@
         if at_ms < self._wakeup_at_ms:
             self._set_wakeup(at_ms)
 
-    def bring_forward(self, at_ms: float) -> None:
+    def cap_deadlines(self, at_ms: float) -> None:
         """Cap the deadline of each pending call at a time on the clock."""
         for call in list(self._calls.pending.values()):
             if call.deadline_ms > at_ms:
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -18,7 +18,7 @@
 from cedarthread.dispatch.completion import CallCompletion
 from cedarthread.dispatch.context import DispatchContext
 from cedarthread.dispatch.deadlines import CallDeadlines
-from cedarthread.dispatch.figures import CallFigures
+from cedarthread.dispatch.figures import CallCounters
 from cedarthread.dispatch.node_timers import NodeTimers
 from cedarthread.dispatch.request_classes import merge_request_classes
 from cedarthread.dispatch.send_audit import SendAudit
@@ -76,11 +76,11 @@
             request_class.name: index for index, request_class in enumerate(settings.classes)
         }
         self.calls = CallTable(max_pending_body_bytes)
-        self.figures = CallFigures(settings)
+        self.counters = CallCounters(settings)
         self.deadlines = CallDeadlines(self.context, self.calls, self._on_deadline)
         self.node_timers = NodeTimers(self.context, self._enqueue_event)
         self.completion = CallCompletion(
-            self.context, self.calls, self.figures, self.deadlines, self._enqueue_event
+            self.context, self.calls, self.counters, self.deadlines, self._enqueue_event
         )
         self._executor = ActionExecutor(self.context, self.calls, self.completion, self.node_timers)
         self.send_guard = SendGuard()
@@ -109,12 +109,12 @@
     @property
     def result_counts(self) -> dict[str, int]:
         """Return the counts of calls by result, for the log."""
-        return self.figures.by_result
+        return self.counters.by_result
 
     @property
-    def class_figures(self) -> dict[str, dict[str, int]]:
+    def class_counters(self) -> dict[str, dict[str, int]]:
         """Return the counters of the INFO report by request class name."""
-        return self.figures.by_class
+        return self.counters.by_class
 
     def connect_workers(self, transport: WorkerTransport) -> None:
         """Connect the transport that sends attempts to workers."""
@@ -169,7 +169,7 @@
         call.request_id = self._last_request_id
         call.accepted_at_ms = self.context.clock()
         call.class_name = self.context.settings.classes[call.class_index].name
-        self.figures.count_accepted()
+        self.counters.count_accepted()
 
     def fail_call(self, call: Call) -> None:
         """Fail a call whose client has sent invalid input since; the client still gets the result."""
@@ -223,7 +223,7 @@
 
     def count_attempt_written(self, attempt: Attempt) -> None:
         """Count an attempt that has been written completely to its worker."""
-        self.figures.count_attempt_written(attempt.call)
+        self.counters.count_attempt_written(attempt.call)
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
         """End an attempt; further ends of the same attempt have no effect."""
@@ -252,7 +252,7 @@
         self.context.settings = replace(new_settings, classes=merged.classes)
         self.current_class_index = merged.current_class_index
         self.node.update_settings(self.settings, self.clock())
-        self.figures.add_classes(new_settings)
+        self.counters.add_classes(new_settings)
         return self.settings
 
     def apply_fleet_config(self, fleet_config: FleetConfig) -> None:
@@ -264,7 +264,7 @@
     def complete_all_by(self, at_ms: float) -> None:
         """Cap the deadlines of all pending and future calls at a time, for the shutdown."""
         self.shutdown_deadline_ms = at_ms
-        self.deadlines.bring_forward(at_ms)
+        self.deadlines.cap_deadlines(at_ms)
 
     def tick_early(self, within_ms: float) -> None:
         """Run the tick of the node's components now if it is due within ``within_ms``, to save a wakeup."""
@@ -306,5 +306,5 @@
             except Exception:  # the affected calls are completed at their deadlines
                 log.exception(format_event("event_handler_failed", event_type=type(event).__name__))
         self._executor.execute(actions)
-        self.calls.forget_completed()
+        self.calls.remove_completed()
         self.flush_output()
--- a/cedarthread/dispatch/send_audit.py
+++ b/cedarthread/dispatch/send_audit.py
@@ -34,9 +34,9 @@
 
     DRAIN = "drain"  # nothing is sent to a worker that has not been ready for longer than the drain grace
     CLIENT_DISCONNECTED = "client_gone"  # no attempt starts after the client has disconnected or cancelled
-    AFTER_ANSWER = "after_answer"  # no attempt starts after its call is complete
-    TWO_ATTEMPTS = "two_attempts"  # at most one attempt of a call is in flight
-    UNSAFE_REPEAT = "unsafe_repeat"  # no retry of a call that is not idempotent and may have been executed
+    AFTER_COMPLETION = "after_answer"  # no attempt starts after its call is complete
+    CONCURRENT_ATTEMPTS = "two_attempts"  # at most one attempt of a call is in flight
+    UNSAFE_RETRY = "unsafe_repeat"  # no retry of a call that is not idempotent and may have been executed
 
 
 class SendAudit:
@@ -73,17 +73,17 @@
         call = attempt.call
         self._check_drain(now_ms, attempt.worker_id, call.call_id, settings.rules.drain_grace_ms)
         if call.is_complete:
-            self._report(SendRule.AFTER_ANSWER, attempt, 0.0)
+            self._report(SendRule.AFTER_COMPLETION, attempt, 0.0)
         if (late_ms := now_ms - call.client_disconnected_at_ms) > CLIENT_DISCONNECTED_SLACK_MS:
             self._report(SendRule.CLIENT_DISCONNECTED, attempt, late_ms)
         if not attempt.index:
             return
         earlier = [other for other in call.attempts if other is not attempt]
         if any(not other.is_ended for other in earlier):
-            self._report(SendRule.TWO_ATTEMPTS, attempt, 0.0)
+            self._report(SendRule.CONCURRENT_ATTEMPTS, attempt, 0.0)
         is_repeatable = settings.classes[call.class_index].idempotency is not Idempotency.NOT_IDEMPOTENT
         if not is_repeatable and any(other.may_have_executed() for other in earlier):
-            self._report(SendRule.UNSAFE_REPEAT, attempt, 0.0)
+            self._report(SendRule.UNSAFE_RETRY, attempt, 0.0)
 
     def _check_drain(self, now_ms: float, worker_id: int, request: str, grace_ms: float) -> None:
         since_ms = self._not_ready_since_ms.get(worker_id)
--- a/cedarthread/dispatch/stall_hold.py
+++ b/cedarthread/dispatch/stall_hold.py
@@ -3,7 +3,7 @@
 A process that was stopped, or that got no CPU time, has unread calls and responses in its sockets and an
 endpoint list from before the stall. It could send requests to workers that were drained during the stall.
 Therefore the process first polls discovery and waits for the reply. The wait is limited, because discovery
-may be down. Times are in seconds on the event loop's clock. The module does no I/O. Only ``StallHold``
+may be down. Times are in seconds on the event loop's clock. The module does no I/O. Only ``StallSuspension``
 modifies its state.
 """
 
@@ -15,14 +15,14 @@
 MAX_SUSPENSION_GRACE_FRACTION = 0.2  # fraction of the drain grace; maximum duration of a suspension
 
 
-class StallHold:
+class StallSuspension:
     """The start of a suspension of work after a stall, and the time by which it ends."""
 
     def __init__(self) -> None:
         self._suspended_since_s = math.inf
         self._suspended_until_s = -math.inf
 
-    def begin_if_stalled(self, now_s: float, query_due_at_s: float, drain_grace_s: float) -> float | None:
+    def start_if_stalled(self, now_s: float, query_due_at_s: float, drain_grace_s: float) -> float | None:
         """Start a suspension if a discovery poll is late enough to prove a stall.
 
         Args:
@@ -33,17 +33,17 @@
         Returns:
             The maximum duration of the new suspension in seconds, or None if no suspension started.
         """
-        if self.is_holding(now_s) or now_s <= query_due_at_s + STALL_GRACE_FRACTION * drain_grace_s:
+        if self.is_active(now_s) or now_s <= query_due_at_s + STALL_GRACE_FRACTION * drain_grace_s:
             return None
         self._suspended_since_s = now_s
         self._suspended_until_s = now_s + MAX_SUSPENSION_GRACE_FRACTION * drain_grace_s
         return self._suspended_until_s - now_s
 
-    def is_holding(self, now_s: float) -> bool:
+    def is_active(self, now_s: float) -> bool:
         """Return whether work is suspended at ``now_s``."""
         return now_s < self._suspended_until_s
 
-    def on_fresh(self, fresh_as_of_s: float) -> bool:
+    def end_if_fresh(self, fresh_as_of_s: float) -> bool:
         """End the suspension if the endpoint list is current as of its start or later.
 
         Returns:
--- a/cedarthread/lifecycle/freshness_gate.py
+++ b/cedarthread/lifecycle/freshness_gate.py
@@ -7,7 +7,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.stall_hold import StallHold
+from cedarthread.dispatch.stall_hold import StallSuspension
 from cedarthread.logs import format_event
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 MIN_STALL_S = 0.05  # a query delayed by more than this indicates a stall, not one long loop iteration
-READING_WINDOW_S = 0.03  # time after a stall within which all input that waited in sockets is read
+BACKLOG_READ_WINDOW_S = 0.03  # time after a stall within which all input that waited in sockets is read
 
 
 class FreshnessGate:
@@ -39,7 +39,7 @@
         self._schedule = schedule
         self._queries = queries
         self._waiters: list[Callable[[], None]] = []
-        self._hold = StallHold()
+        self._suspension = StallSuspension()
         self._stalled_since_s = -math.inf
         self._resumed_at_s = -math.inf
         self._loop = asyncio.get_running_loop()
@@ -59,7 +59,7 @@
         due_at_s = self._schedule.next_poll_at_s
         if now_s > due_at_s + MIN_STALL_S and self._close_if_stalled(due_at_s):
             self._schedule.poll_now()
-        return not self._hold.is_holding(now_s)
+        return not self._suspension.is_active(now_s)
 
     def on_poll_due(self, due_at_s: float) -> None:
         """Close the gate if the regular query that is sent next is overdue."""
@@ -71,7 +71,7 @@
         due_at_s = self._schedule.next_poll_at_s
         if now_s > due_at_s + MIN_STALL_S:
             return 1000.0 * (now_s - due_at_s)
-        if now_s < self._resumed_at_s + READING_WINDOW_S:
+        if now_s < self._resumed_at_s + BACKLOG_READ_WINDOW_S:
             return 1000.0 * (now_s - self._stalled_since_s)
         return 0.0
 
@@ -81,16 +81,16 @@
         if now_s > due_at_s + MIN_STALL_S:
             self._stalled_since_s = due_at_s
             self._resumed_at_s = now_s
-        hold_s = self._hold.begin_if_stalled(now_s, due_at_s, self._queries.drain_grace_s)
-        if hold_s is None:
+        suspension_s = self._suspension.start_if_stalled(now_s, due_at_s, self._queries.drain_grace_s)
+        if suspension_s is None:
             return False
         log.info(format_event("stall_detected", late_ms=round(1000.0 * (now_s - due_at_s))))
-        self._loop.call_later(hold_s, self._open)
+        self._loop.call_later(suspension_s, self._open)
         return True
 
     def on_fresh(self) -> None:
         """Open the gate if the endpoint list has been confirmed since the stall."""
-        if self._hold.on_fresh(self._queries.fresh_as_of_s):
+        if self._suspension.end_if_fresh(self._queries.fresh_as_of_s):
             self._open()
 
     def _open(self) -> None:
--- a/cedarthread/lifecycle/status.py
+++ b/cedarthread/lifecycle/status.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.figures import CLASS_FIGURES
+from cedarthread.dispatch.figures import CLASS_COUNTERS
 from cedarthread.protocols.control import ControlReply
 
 if TYPE_CHECKING:
@@ -49,15 +49,15 @@
 
     def _class_lines(self) -> list[str]:
         return [
-            f"router.handled.{class_name}.{figure}={counts[figure]}"
-            for class_name, counts in self._dispatcher.class_figures.items()
-            for figure in CLASS_FIGURES
+            f"router.handled.{class_name}.{counter}={counts[counter]}"
+            for class_name, counts in self._dispatcher.class_counters.items()
+            for counter in CLASS_COUNTERS
         ]
 
     def _router_lines(self) -> list[str]:
-        class_figures = self._dispatcher.class_figures.values()
+        class_counters = self._dispatcher.class_counters.values()
         figures = {
-            "upstream_tries": sum(counts["upstream_tries"] for counts in class_figures),
+            "upstream_tries": sum(counts["upstream_tries"] for counts in class_counters),
             "in_progress": len(self._dispatcher.pending_calls),
             "known_runners": len(self._endpoint_list.records),
             "skipped_runners": self._dispatcher.router.state.workers.skipped_count(),
--- a/cedarthread/testing/fuzzing/defective_calls.py
+++ b/cedarthread/testing/fuzzing/defective_calls.py
@@ -34,7 +34,7 @@
     from cedarthread.routing.retries import RetryPolicy
 
 _send_answer = PlatformCalls._send_answer
-_release = CallTable.release
+_mark_completed = CallTable.mark_completed
 _start_attempt = ActionExecutor._start_attempt
 _may_preload = PreloadPolicy.may_preload
 _is_eligible = WorkerSelector.is_eligible
@@ -48,14 +48,14 @@
 
 
 def retain_call_id(self: CallTable, call: Call) -> None:
-    """Release a call but retain its ID."""
-    _release(self, call)
+    """Mark a call as complete but retain its id."""
+    _mark_completed(self, call)
     self.pending_ids.add(call.call_id)
 
 
 def retain_body_bytes(self: CallTable, call: Call) -> None:
-    """Release a call but count the bytes of its body as pending."""
-    _release(self, call)
+    """Mark a call as complete but still count the bytes of its body as pending."""
+    _mark_completed(self, call)
     self.pending_body_bytes += len(call.body)
 
 
--- a/cedarthread/testing/fuzzing/injected_defects.py
+++ b/cedarthread/testing/fuzzing/injected_defects.py
@@ -66,8 +66,13 @@
         300,
         (Patch(ActionExecutor, "_start_attempt", defective_calls.start_attempt_twice),),
     ),
-    Defect("body-bytes-kept", "calls", 20, (Patch(CallTable, "release", defective_calls.retain_body_bytes),)),
-    Defect("names-kept", "calls", 20, (Patch(CallTable, "release", defective_calls.retain_call_id),)),
+    Defect(
+        "body-bytes-kept",
+        "calls",
+        20,
+        (Patch(CallTable, "mark_completed", defective_calls.retain_body_bytes),),
+    ),
+    Defect("names-kept", "calls", 20, (Patch(CallTable, "mark_completed", defective_calls.retain_call_id),)),
     Defect(
         "timer-leak", "calls", 20, (Patch(CallDeadlines, "_set_wakeup", defective_calls.set_extra_timer),)
     ),
--- a/tests/integration/termination_harness.py
+++ b/tests/integration/termination_harness.py
@@ -139,8 +139,8 @@
     counts = running.dispatcher.result_counts
     result_count = counts["served"] + counts["rejected"] + counts["failed"]
     result_counts_by_class = [
-        sum(figures[name] for name in ("passed", "dropped", "bad_gateway"))
-        for figures in running.dispatcher.class_figures.values()
+        sum(counters[name] for name in ("passed", "dropped", "bad_gateway"))
+        for counters in running.dispatcher.class_counters.values()
     ]
     return {
         "accepted calls without a result": counts["accepted"] - result_count - counts["abandoned"],
--- a/tests/integration/test_termination_accounting.py
+++ b/tests/integration/test_termination_accounting.py
@@ -47,7 +47,7 @@
             await worker.wait_until(lambda: len(worker.calls) == 1)
             caller.writer.write(b"\x91\x05")
             assert result_name(await caller.read()) == "failed"
-            assert running.dispatcher.class_figures["confirm"]["bad_gateway"] == 1
+            assert running.dispatcher.class_counters["confirm"]["bad_gateway"] == 1
             assert running.dispatcher.result_counts["failed"] == 1
             assert running.dispatcher.result_counts["abandoned"] == 0
 
--- a/tests/integration/test_termination_settings_reload.py
+++ b/tests/integration/test_termination_settings_reload.py
@@ -53,7 +53,7 @@
             if first == "response":
                 reload_settings(running, change)
             assert {call["fields"]["profile"] for worker in workers for call in worker.calls} == {"check"}
-            assert running.dispatcher.class_figures["check"]["passed"] == 1
+            assert running.dispatcher.class_counters["check"]["passed"] == 1
 
     asyncio.run(scenario())
 
--- a/tests/unit/dispatch/test_call_table.py
+++ b/tests/unit/dispatch/test_call_table.py
@@ -23,15 +23,15 @@
     call = make_call(1)
     calls.add(call)
     call.attempts.append(Attempt(call, 0, 1, 0.0))
-    calls.release(call)
+    calls.mark_completed(call)
     assert call.is_complete
     assert not calls.pending
     assert not calls.pending_ids
     assert calls.pending_body_bytes == 0
-    calls.forget_completed()
+    calls.remove_completed()
     assert calls.find(1) is call
     call.attempts[0].is_ended = True
-    calls.forget_completed()
+    calls.remove_completed()
     assert calls.find(1) is None
     assert not calls.completing
 
@@ -43,8 +43,8 @@
         call = make_call(1)
         calls.add(call)
         call.attempts.append(Attempt(call, 0, 1, 0.0, is_ended=True))
-        calls.release(call)
-        calls.forget_completed()
+        calls.mark_completed(call)
+        calls.remove_completed()
 
     def count_calls() -> int:
         return sum(isinstance(tracked, (Call, Attempt)) for tracked in gc.get_objects())
--- a/tests/unit/dispatch/test_deadlines.py
+++ b/tests/unit/dispatch/test_deadlines.py
@@ -63,7 +63,7 @@
 def test_a_completed_call_is_never_due() -> None:
     async def scenario(case: DeadlinesOnSetClock) -> None:
         call = case.add_call(1, 100.0)
-        case.calls.release(call)
+        case.calls.mark_completed(call)
         case.run_at(500.0)
         assert case.due == []
 
--- a/tests/unit/dispatch/test_send_audit.py
+++ b/tests/unit/dispatch/test_send_audit.py
@@ -61,7 +61,7 @@
     audit.on_attempt_sent(NOW_MS, concurrent[-1], RULE_SETTINGS)
     assert audit.violations == {
         SendRule.CLIENT_DISCONNECTED: 1,
-        SendRule.AFTER_ANSWER: 1,
-        SendRule.UNSAFE_REPEAT: 1,
-        SendRule.TWO_ATTEMPTS: 1,
+        SendRule.AFTER_COMPLETION: 1,
+        SendRule.UNSAFE_RETRY: 1,
+        SendRule.CONCURRENT_ATTEMPTS: 1,
     }
