--- a/cedarthread/config.py
+++ b/cedarthread/config.py
@@ -32,7 +32,7 @@
 BYTES_PER_MB = 2**20
 
 _SEED_BASE = 16
-_ADDRESS_WORDS = "an address in the form host:port"
+_ADDRESS_DESCRIPTION = "an address in the form host:port"
 _STATE_BY_NAME = {state.value: state for state in EndpointState}
 
 
@@ -93,7 +93,7 @@
     host, port = _parse_address(listen)
     limits = document.optional_section("limits")
     return Config(
-        router_name=environ.get(NAME_VARIABLE) or document.text("name"),
+        router_name=environ.get(NAME_VARIABLE) or document.string("name"),
         host=host,
         port=port,
         seed=document.optional("seed", "0").convert("a hexadecimal number", _parse_seed),
@@ -120,13 +120,13 @@
 def _parse_address(address: ConfigValue) -> tuple[str, int]:
     """Return host and port of an address, which must be a string."""
     if not isinstance(address.value, str):
-        raise address.error(_ADDRESS_WORDS)
+        raise address.error(_ADDRESS_DESCRIPTION)
     return _parse_address_of_any_type(address)
 
 
 def _parse_address_of_any_type(address: ConfigValue) -> tuple[str, int]:
     """Return host and port of an address of any type, which is converted to a string first."""
-    return address.convert(_ADDRESS_WORDS, lambda value: parse_address(str(value)))
+    return address.convert(_ADDRESS_DESCRIPTION, lambda value: parse_address(str(value)))
 
 
 def _parse_initial_endpoints(
@@ -145,11 +145,11 @@
 def _parse_endpoint(entry: ConfigSection) -> EndpointRecord:
     host, port = _parse_address_of_any_type(entry.required("address"))
     return EndpointRecord(
-        name=entry.required_text("name"),
+        name=entry.required_string("name"),
         host=host,
         port=port,
-        zone=entry.required_text("zone"),
-        kind=entry.required_text("type"),
+        zone=entry.required_string("zone"),
+        kind=entry.required_string("type"),
         cell=entry.optional("group", 0).integer(),
         state=entry.required("status").value_in(_STATE_BY_NAME),
         weight=entry.optional("weight", 1).finite_number(),
--- a/cedarthread/config_section.py
+++ b/cedarthread/config_section.py
@@ -73,8 +73,8 @@
     if isinstance(value, (list, tuple)):
         return "a list"
     if isinstance(value, (bool, int, float)):
-        written = json.dumps(value)
-        return written if len(written) <= MAX_QUOTED_CHARACTERS else f"a number of {len(written)} digits"
+        encoded = json.dumps(value)
+        return encoded if len(encoded) <= MAX_QUOTED_CHARACTERS else f"a number of {len(encoded)} digits"
     return "a value that is not JSON"
 
 
@@ -86,12 +86,12 @@
     source: str  # the file; empty if unknown
     key_path: str  # for example ``settings.classes[0].deadline``; empty for the whole file
 
-    def error(self, wanted: str) -> ConfigurationError:
+    def error(self, expected: str) -> ConfigurationError:
         """Return the error for a value that is not as expected, for example not "a number above 0"."""
-        problem = f"must be {wanted}, found {describe_value(self.value)}"
+        problem = f"must be {expected}, found {describe_value(self.value)}"
         return ConfigurationError(problem, source=self.source, key_path=self.key_path)
 
-    def convert(self, wanted: str, conversion: Callable[[object], ParsedT]) -> ParsedT:
+    def convert(self, expected: str, conversion: Callable[[object], ParsedT]) -> ParsedT:
         """Return the converted value.
 
         Raises:
@@ -100,7 +100,7 @@
         try:
             return conversion(self.value)
         except _CONVERSION_ERRORS:
-            raise self.error(wanted) from None
+            raise self.error(expected) from None
 
     def section(self) -> ConfigSection:
         """Return the value, which must be an object."""
@@ -131,10 +131,10 @@
 
     def finite_number(self) -> float:
         """Return the value as a number of any sign that is neither infinite nor NaN."""
-        wanted = "a number"
-        number = self.convert(wanted, lambda value: float(cast("_Convertible", value)))
+        expected = "a number"
+        number = self.convert(expected, lambda value: float(cast("_Convertible", value)))
         if not math.isfinite(number):
-            raise self.error(wanted)
+            raise self.error(expected)
         return number
 
     def integer(self) -> int:
@@ -150,12 +150,12 @@
         try:
             return members(self.value)
         except ValueError:
-            raise self.error(one_of(member.value for member in members)) from None
+            raise self.error(describe_choices(member.value for member in members)) from None
 
     def value_in(self, choices: Mapping[str, ParsedT]) -> ParsedT:
         """Return the choice that has this value as its key."""
         if not isinstance(self.value, str) or self.value not in choices:
-            raise self.error(one_of(choices))
+            raise self.error(describe_choices(choices))
         return choices[self.value]
 
 
@@ -203,19 +203,19 @@
         """Return the truth value of a key; false if the key is missing."""
         return self.has(key)
 
-    def text(self, key: str) -> str:
+    def string(self, key: str) -> str:
         """Return the value of a key as a string; empty if the key is missing."""
         return str(self.values.get(key, ""))
 
-    def required_text(self, key: str) -> str:
+    def required_string(self, key: str) -> str:
         """Return the value of a required key as a string."""
         return str(self.required(key).value)
 
-    def texts(self, key: str) -> tuple[str, ...]:
+    def strings(self, key: str) -> tuple[str, ...]:
         """Return the entries of the list of a key as strings; empty if the key is missing."""
         return tuple(str(entry.value) for entry in self.optional(key, ()).entries())
 
 
-def one_of(choices: Iterable[object]) -> str:
+def describe_choices(choices: Iterable[object]) -> str:
     """Return the list of valid choices for an error message, for example ``one of "a", "b"``."""
     return "one of " + ", ".join(describe_value(choice) for choice in choices)
--- a/cedarthread/settings_parser.py
+++ b/cedarthread/settings_parser.py
@@ -69,40 +69,40 @@
     limits = top.required("limits").section()
     rules = top.required("obligations").section()
     prices = top.optional_section("prices")
-    special = top.optional_section("specifics")
+    specifics = top.optional_section("specifics")
     report = top.optional_section("report")
     tenants = top.optional("tenants", ()).entries() if top.has("tenants") else ()
-    memory_by_kind = special.optional("memory-mb-by-kind", ())
+    memory_by_kind = specifics.optional("memory-mb-by-kind", ())
     return RouterSettings(
         classes=tuple(_parse_request_class(entry.section()) for entry in top.required("classes").entries()),
         tenants=tuple(_parse_tenant(entry.section()) for entry in tenants),
         limits=_parse_limits(limits),
-        rules=_parse_rules(rules, special),
-        prices=_parse_prices(prices, special),
+        rules=_parse_rules(rules, specifics),
+        prices=_parse_prices(prices, specifics),
         router_count=int(top.required("balancers").number()),
         router_index=int(top.number("ordinal")),
         zone=int(top.number("zone")),
         tick_ms=top.number("quantum"),
         discovery_mode=top.optional("membership-mode", "push").member_of(DiscoveryMode),
-        when_not_loaded=special.optional("on-miss", "load").member_of(NotLoadedBehavior),
-        allows_preloading=special.flag("may-order"),
-        keep_alive_ms=special.number("keep-alive"),
-        preload_timeout_ms=special.number("order-limit"),
-        reports_start_kind=special.flag("says-warm"),
-        reports_concurrency=special.flag("notes-peers-in-hand"),
+        when_not_loaded=specifics.optional("on-miss", "load").member_of(NotLoadedBehavior),
+        allows_preloading=specifics.flag("may-order"),
+        keep_alive_ms=specifics.number("keep-alive"),
+        preload_timeout_ms=specifics.number("order-limit"),
+        reports_start_kind=specifics.flag("says-warm"),
+        reports_concurrency=specifics.flag("notes-peers-in-hand"),
         over_quota_weight=top.number("over-share-worth", 1),
         load_report_source=report.optional("how", "none").member_of(LoadReportSource),
-        load_report_columns=report.texts("columns"),
+        load_report_columns=report.strings("columns"),
         memory_by_kind=tuple(memory_mb.number() for memory_mb in memory_by_kind.entries()),
         weight_meaning=top.optional("weight-source", "none").member_of(WeightMeaning),
-        zones=top.texts("localities"),
-        worker_kinds=top.texts("kinds"),
+        zones=top.strings("localities"),
+        worker_kinds=top.strings("kinds"),
     )
 
 
 def _parse_request_class(section: ConfigSection) -> RequestClass:
     return RequestClass(
-        name=section.text("name"),
+        name=section.string("name"),
         latency_objective_ms=section.required("goal-time").number(),
         deadline_ms=section.required("deadline").number(MIN_DEADLINE_MS),
         priority_weight=section.number("value", 1),
@@ -123,7 +123,7 @@
 
 def _parse_tenant(section: ConfigSection) -> Tenant:
     return Tenant(
-        name=section.text("name"),
+        name=section.string("name"),
         quota_fraction=section.number("share"),
         quota_per_second=section.optional("quota-per-s", None).positive_number_or_none(),
     )
@@ -147,7 +147,7 @@
     )
 
 
-def _parse_rules(section: ConfigSection, special: ConfigSection) -> RuleParameters:
+def _parse_rules(section: ConfigSection, specifics: ConfigSection) -> RuleParameters:
     return RuleParameters(
         answer_slack_ms=section.number("answer-slack"),
         drain_grace_ms=section.number("stop-sending-within"),
@@ -156,13 +156,13 @@
         collapse_multiple=section.number("overload-factor", 1),
         collapse_window_ms=section.number("fall"),
         max_poll_delay_ms=section.number("ask-every"),
-        preload_allowance=special.number("loads-anyway"),
-        preload_share=special.number("load-share"),
-        preload_window_ms=special.number_unless_empty("load-window", minimum=MIN_WINDOW_MS),
+        preload_allowance=specifics.number("loads-anyway"),
+        preload_share=specifics.number("load-share"),
+        preload_window_ms=specifics.number_unless_empty("load-window", minimum=MIN_WINDOW_MS),
     )
 
 
-def _parse_prices(section: ConfigSection, special: ConfigSection) -> Prices:
+def _parse_prices(section: ConfigSection, specifics: ConfigSection) -> Prices:
     return Prices(
         fetch=section.number("origin"),
         health_check=section.number("probe"),
@@ -170,5 +170,5 @@
         cross_zone=section.number("cross-zone"),
         wasted_work=section.number("waste"),
         late_failure=section.number("late-fail"),
-        idle_memory=special.number("idle-price"),
+        idle_memory=specifics.number("idle-price"),
     )
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration file: an error names file, key path, found and wanted; usable values are accepted."""
+"""The configuration file: an error names file, key path, found and expected; usable values are accepted."""
 
 from __future__ import annotations
 
@@ -198,7 +198,7 @@
     f"{ENDPOINT_PATH}.status": 'one of "ready", "draining", "gone"',
 }
 
-# Key path, value in its place, the value as the error quotes it, and what the error says is wanted.
+# Key path, value in its place, the value as the error quotes it, and what the error says is expected.
 INVALID_VALUES: list[tuple[str, object, str, str]] = [
     *((path, "soon", '"soon"', AMOUNT) for path in AMOUNT_PATHS),
     *((path, -1, "-1", AMOUNT) for path in AMOUNT_PATHS),
@@ -217,8 +217,8 @@
     *((path, "127.0.0.1", '"127.0.0.1"', ADDRESS) for path in ADDRESS_PATHS),
     *((path, "127.0.0.1:65536", '"127.0.0.1:65536"', ADDRESS) for path in ADDRESS_PATHS),
     *((path, ["h:1"], "a list", ADDRESS) for path in ("listen", "dns", "control")),
-    *((path, "sometimes", '"sometimes"', wanted) for path, wanted in CHOICES.items()),
-    *((path, ["all"], "a list", wanted) for path, wanted in CHOICES.items()),
+    *((path, "sometimes", '"sometimes"', expected) for path, expected in CHOICES.items()),
+    *((path, ["all"], "a list", expected) for path, expected in CHOICES.items()),
     ("seed", "xyz", '"xyz"', "a hexadecimal number"),
     ("seed", None, "null", "a hexadecimal number"),
     ("settings.limits.send-cap", "few", '"few"', AMOUNT),
@@ -311,12 +311,12 @@
     assert rejection(without_key(section_path, key)) == f'{place}: missing required key "{key}"'
 
 
-@pytest.mark.parametrize(("key_path", "value", "found", "wanted"), INVALID_VALUES)
+@pytest.mark.parametrize(("key_path", "value", "found", "expected"), INVALID_VALUES)
 def test_an_invalid_value_is_named_with_file_key_path_found_and_wanted(
-    key_path: str, value: object, found: str, wanted: str
+    key_path: str, value: object, found: str, expected: str
 ) -> None:
     problem = rejection(with_value(key_path, value))
-    assert problem == f"{FILE_NAME}: {key_path}: must be {wanted}, found {found}"
+    assert problem == f"{FILE_NAME}: {key_path}: must be {expected}, found {found}"
 
 
 @pytest.mark.parametrize(("key_path", "value"), ACCEPTED_VALUES)
