--- a/cedarthread/dispatch/send_audit.py
+++ b/cedarthread/dispatch/send_audit.py
@@ -56,11 +56,11 @@
         for worker_id in ready:
             self._not_ready_since_ms.pop(worker_id, None)
         # A removed worker is tracked as long as a connection to it could still be written to.
-        horizon_ms = now_ms - REMOVED_WORKER_RETENTION_MS
+        cutoff_ms = now_ms - REMOVED_WORKER_RETENTION_MS
         self._not_ready_since_ms = {
             worker_id: since_ms
             for worker_id, since_ms in self._not_ready_since_ms.items()
-            if worker_id in states or since_ms > horizon_ms
+            if worker_id in states or since_ms > cutoff_ms
         }
         self._ready_workers = ready
 
--- a/cedarthread/lifecycle/composition.py
+++ b/cedarthread/lifecycle/composition.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Freshness:
+class _SendGateParts:
     """The send gate, and the two objects that it shares with the discovery client."""
 
     schedule: PollSchedule
@@ -104,14 +104,14 @@
     """
     state = ServiceState(config)
     flusher = Flusher()
-    freshness = _compose_freshness(config)
-    call_path = _compose_call_path(config, invoke_config, flusher, freshness.gate)
+    gate_parts = _compose_send_gate(config)
+    call_path = _compose_call_path(config, invoke_config, flusher, gate_parts.gate)
     dispatcher = call_path.dispatcher
     workers = call_path.workers
     platform = call_path.platform
-    endpoint_updates = EndpointUpdates(config.settings, freshness.queries, workers, dispatcher)
+    endpoint_updates = EndpointUpdates(config.settings, gate_parts.queries, workers, dispatcher)
     maintenance = Maintenance(dispatcher, workers, platform, call_path.invoke, state)
-    discovery = _create_discovery_client(freshness, endpoint_updates, maintenance, workers)
+    discovery = _create_discovery_client(gate_parts, endpoint_updates, maintenance, workers)
     has_fleet = fleet_files.fleet_file is not None
     status = StatusReport(dispatcher, endpoint_updates.endpoint_list, state, has_fleet=has_fleet)
     control = _create_control_server(status, flusher, platform, call_path.descriptor_budget)
@@ -130,15 +130,15 @@
     )
 
 
-def _compose_freshness(config: Config) -> _Freshness:
+def _compose_send_gate(config: Config) -> _SendGateParts:
     """Build the send gate and the objects that track how fresh the endpoint list is."""
     schedule = PollSchedule()
     queries = QueryTracker(random.SystemRandom().random, config.settings.rules.drain_grace_ms / 1000.0)
-    return _Freshness(schedule, queries, FreshnessGate(schedule, queries))
+    return _SendGateParts(schedule, queries, FreshnessGate(schedule, queries))
 
 
 def _create_discovery_client(
-    freshness: _Freshness,
+    gate_parts: _SendGateParts,
     endpoint_updates: EndpointUpdates,
     maintenance: Maintenance,
     workers: WorkerConnections,
@@ -148,9 +148,9 @@
         maintenance.on_discovery_poll,
         workers.release_descriptor,
         on_partial_list=endpoint_updates.apply_partial_list,
-        observer=freshness.gate,
-        schedule=freshness.schedule,
-        queries=freshness.queries,
+        observer=gate_parts.gate,
+        schedule=gate_parts.schedule,
+        queries=gate_parts.queries,
     )
 
 
--- a/cedarthread/lifecycle/listeners.py
+++ b/cedarthread/lifecycle/listeners.py
@@ -1,7 +1,7 @@
 """The listeners for operators and for other routers, which the service does not need to serve calls.
 
-If an address is in use, the service still serves calls and the listener retries, because during an upgrade
-the old process keeps the addresses for a while.
+If one of their addresses cannot be listened on, the service still serves calls and the listener retries,
+because during an upgrade the old process keeps the addresses for a while.
 """
 
 from __future__ import annotations
--- a/cedarthread/lifecycle/status.py
+++ b/cedarthread/lifecycle/status.py
@@ -32,12 +32,12 @@
         self._has_fleet = has_fleet
 
     def ping(self) -> ControlReply:
-        """Reply to PING with whether this router is ready for calls, and without lines."""
+        """Reply to PING: yes if this router is ready for calls, otherwise no, without lines."""
         is_ready = self._state.is_serving and not self._state.shutdown_requested.is_set()
         return ControlReply(is_ready, [])
 
     def info(self) -> ControlReply:
-        """Reply to INFO with yes and all figures."""
+        """Reply to INFO: yes, with all figures as lines."""
         return ControlReply(is_yes=True, lines=[*self.lines(), "END"])
 
     def lines(self) -> list[str]:
