--- a/cedarthread/dispatch/completion.py
+++ b/cedarthread/dispatch/completion.py
@@ -91,7 +91,7 @@
     def complete(self, call: Call, result: CallResult) -> None:
         """Complete a call with a result, unless the call is already complete."""
         if not call.is_complete:
-            self._release(call)
+            self._remove_from_pending(call)
             self._deliver(call, result)
 
     def reject_at_once(self, call: Call) -> None:
@@ -103,7 +103,7 @@
         call.client_disconnected_at_ms = min(call.client_disconnected_at_ms, self._context.clock())
         if not call.is_complete:
             self._counters.count_client_disconnected()
-            self._release(call)
+            self._remove_from_pending(call)
             self._enqueue_event(ClientDisconnected(call.request_id))
 
     def fail(self, call: Call) -> None:
@@ -172,7 +172,7 @@
         except Exception:
             log.exception(format_event("result_delivery_failed"))
 
-    def _release(self, call: Call) -> None:
+    def _remove_from_pending(self, call: Call) -> None:
         self._calls.mark_completed(call)
         # Unsent attempts are withdrawn, because the call no longer needs a result. Written and partly written
         # ones are left to the router, which cancels them if the settings allow CANCEL.
@@ -184,7 +184,7 @@
             self._context.call_at(call.deadline_ms, self._cancel_abandoned_attempts, call)
 
     def _cancel_abandoned_attempts(self, call: Call) -> None:
-        """Cancel the attempts of a released call at its deadline, where the settings forbid CANCEL.
+        """Cancel the attempts of a completed or abandoned call at its deadline, if CANCEL is forbidden.
 
         The transport then ends the attempts without sending CANCEL. Otherwise an attempt on a worker that
         never responds would occupy its connection, and count as in flight, for the lifetime of the process.
--- a/tests/unit/lifecycle/test_settings_reload.py
+++ b/tests/unit/lifecycle/test_settings_reload.py
@@ -55,7 +55,7 @@
             assert info["router.load_errors"] == 0
             assert info["router.handled.audit.passed"] == 1
             assert info["router.handled.confirm.passed"] == 1
-            assert info["router.handled.check.passed"] == 0  # a removed class keeps its figures
+            assert info["router.handled.check.passed"] == 0  # a removed class keeps its counters
 
     asyncio.run(test())
 
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -307,8 +307,8 @@
 
 @pytest.mark.parametrize(("section_path", "key"), REQUIRED_KEYS)
 def test_the_error_for_a_missing_key_states_file_section_and_key(section_path: str, key: str) -> None:
-    place = ": ".join(part for part in (FILE_NAME, section_path) if part)
-    assert rejection(without_key(section_path, key)) == f'{place}: missing required key "{key}"'
+    location = ": ".join(part for part in (FILE_NAME, section_path) if part)
+    assert rejection(without_key(section_path, key)) == f'{location}: missing required key "{key}"'
 
 
 @pytest.mark.parametrize(("key_path", "value", "found", "expected"), INVALID_VALUES)
