--- a/cedarthread/lifecycle/status.py
+++ b/cedarthread/lifecycle/status.py
@@ -1,10 +1,10 @@
-"""The replies to operators at the control address."""
+"""The replies to operators on the control address."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from cedarthread.dispatch.figures import CLASS_FIGURES
+from cedarthread.dispatch.figures import CLASS_COUNTERS
 from cedarthread.protocols.control import ControlReply
 
 if TYPE_CHECKING:
@@ -14,13 +14,13 @@
 
 
 class StatusReport:
-    """The replies to PING and INFO, with the figures under the operators' names.
+    """The replies to PING and INFO, with the figures under the names that operators use.
 
     Args:
-        dispatcher: The dispatcher with the counts of calls.
-        endpoint_list: The workers that are known.
-        state: The state of the service.
-        has_fleet: Whether a fleet file is named, so that INFO has the fleet's figures.
+        dispatcher: The dispatcher, which provides the call counts.
+        endpoint_list: The known workers.
+        state: The service state.
+        has_fleet: Whether a fleet file is configured, so that INFO includes the fleet figures.
     """
 
     def __init__(
@@ -32,16 +32,16 @@
         self._has_fleet = has_fleet
 
     def ping(self) -> ControlReply:
-        """Reply to PING: return whether this router is ready for calls, and no lines."""
+        """Reply to PING: yes if this router is ready for calls, otherwise no, without lines."""
         is_ready = self._state.is_serving and not self._state.shutdown_requested.is_set()
         return ControlReply(is_ready, [])
 
     def info(self) -> ControlReply:
-        """Reply to INFO: return yes and all figures."""
+        """Reply to INFO: yes, with all figures as lines."""
         return ControlReply(is_yes=True, lines=[*self.lines(), "END"])
 
     def lines(self) -> list[str]:
-        """Return all figures, one ``name=value`` per line."""
+        """Return all figures as lines of the form ``name=value``."""
         lines = [*self._class_lines(), *self._router_lines()]
         if self._has_fleet:
             lines += self._fleet_lines()
@@ -49,15 +49,15 @@
 
     def _class_lines(self) -> list[str]:
         return [
-            f"router.handled.{class_name}.{figure}={counts[figure]}"
-            for class_name, counts in self._dispatcher.class_figures.items()
-            for figure in CLASS_FIGURES
+            f"router.handled.{class_name}.{counter}={counts[counter]}"
+            for class_name, counts in self._dispatcher.class_counters.items()
+            for counter in CLASS_COUNTERS
         ]
 
     def _router_lines(self) -> list[str]:
-        class_figures = self._dispatcher.class_figures.values()
+        class_counters = self._dispatcher.class_counters.values()
         figures = {
-            "upstream_tries": sum(counts["upstream_tries"] for counts in class_figures),
+            "upstream_tries": sum(counts["upstream_tries"] for counts in class_counters),
             "in_progress": len(self._dispatcher.pending_calls),
             "known_runners": len(self._endpoint_list.records),
             "skipped_runners": self._dispatcher.router.state.workers.skipped_count(),
@@ -65,9 +65,8 @@
             "load_errors": self._state.reload_errors,
         }
         violations = self._dispatcher.send_audit.violations
-        if (
-            violations
-        ):  # without violations the line is left out, because the platform does not know the figure
+        # Without violations the line is omitted, because the platform does not know this figure.
+        if violations:
             figures["rule_violations"] = violations.total()
         return [f"router.{name}={value}" for name, value in figures.items()]
 
