--- a/cedarthread/routing/admission.py
+++ b/cedarthread/routing/admission.py
@@ -1,7 +1,7 @@
-"""Admission: which requests are shed or rejected, which wait in the router, and which are preempted.
+"""Admission control: decides which requests are shed, queued, preempted or rejected.
 
-All times are ms of the steady clock that the caller passes in. The policy has no state of its own except the
-mean latency objective of the settings.
+All times are ms on the monotonic clock, passed in by the caller. The policy is stateless except for the mean
+latency objective, which it derives from the settings.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
     from cedarthread.routing.selection import WorkerSelector
 
 CLIENT_RETRY_SHED_FACTOR = 3.0  # multiplies the shed probability of a client's retry
-MAX_SHED_PROBABILITY = 0.95  # some requests always pass, so that the end of an overload is noticed
+MAX_SHED_PROBABILITY = 0.95  # some requests always pass, so that the end of an overload is detected
 MIN_VALUE = 1e-6  # lower bound of a request's value, so that a class of weight 0 causes no division by zero
-QUOTA_FACTORS = 0.5, 2.0  # bounds of a tenant's use over its quota, before it is squared
-MIN_REMAINING_FRACTION = 0.5  # of its expected time: a request with less time left is shed
-MAX_QUEUED_FRACTION = 0.5  # of its time; a request that cannot have been executed is queued no longer
-MIN_PEER_COVERAGE = 0.5  # requests wait only if the gossip of this fraction of the other routers is recent
-RETRY_AFTER_RANGE = 0.05, 0.15  # range of a random Retry-After, as fractions of the longest one
+QUOTA_FACTORS = 0.5, 2.0  # bounds of a tenant's quota utilization, before it is squared
+MIN_REMAINING_FRACTION = 0.5  # fraction of the expected service time; a request with less time left is shed
+MAX_QUEUED_FRACTION = 0.5  # longest time in the queue before a first execution, over the request's time limit
+MIN_PEER_COVERAGE = 0.5  # requests wait only if this fraction of the other routers has gossiped recently
+RETRY_AFTER_RANGE = 0.05, 0.15  # range of the random Retry-After, as fractions of its maximum
 
 
 class AdmissionPolicy:
-    """The admission policy of one router: sheds, queues, preempts and rejects requests.
+    """The admission control policy of one router: sheds, queues, preempts and rejects requests.
 
     Args:
         state: The router's state, which all policies share.
-        selector: Reports whether another worker has an instance with capacity left.
+        selector: Reports whether another worker has an instance with spare capacity.
     """
 
     def __init__(self, state: RouterState, selector: WorkerSelector) -> None:
@@ -52,12 +52,13 @@
     # New requests.
 
     def should_shed(self, now_ms: float, pending: PendingRequest, quota_use: float) -> bool:
-        """Return whether to reject a new request early; draws at random and logs ``load_shed``.
+        """Return whether to shed a new request; the decision is random and logs ``load_shed``.
 
-        The probability depends on the value per ms of work and on the tenant's quota, or on its contract.
+        The shed probability depends on the request's value per ms of work and on the tenant's quota
+        utilization, or on the tenant's contract.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: Current time.
             pending: The new request.
             quota_use: The tenant's fraction of all calls, divided by its quota; 1.0 without a quota.
         """
@@ -95,7 +96,7 @@
     def _shed_probability_by_contract(
         self, now_ms: float, pending: PendingRequest, value: float
     ) -> float | None:
-        """Return the shed probability by the fleet's priority contracts; None: use the overload alone."""
+        """Return the shed probability by the fleet's priority contracts; None: use only the overload."""
         state = self.state
         if state.constraints is None:
             return None
@@ -104,11 +105,11 @@
         utilization = state.overload.utilization(now_ms, objective_ms)
         return state.constraints.shed_probability(now_ms, pending, value, utilization, overload)
 
-    # Requests that wait.
+    # Queueing.
 
     def may_queue(self, now_ms: float, pending: PendingRequest) -> bool:
-        """Return whether a request that cannot be sent now may wait until the next check of the queue."""
-        # A request that was never sent is rejected early, so that its client has time to try elsewhere.
+        """Return whether a request that cannot be sent now may stay queued until the next queue check."""
+        # A request that was never sent is rejected early, so that its client has time to retry elsewhere.
         arrived_at_ms = pending.arrived_at_ms
         deadline_ms = pending.request.deadline_ms
         if pending.possibly_executed():
@@ -120,7 +121,7 @@
     def should_wait_for_instance(self, now_ms: float, pending: PendingRequest, worker: WorkerRecord) -> bool:
         """Return whether to wait for a busy or loading instance rather than start one at the worker.
 
-        Retries never wait, and no request waits unless the gossip of enough peers is recent.
+        Retries never wait, and no request waits unless enough peers have gossiped recently.
         """
         state = self.state
         function = pending.function
@@ -166,7 +167,7 @@
         has_spare_instance = self.selector.has_spare_instance(now_ms, pending, is_idempotent=is_idempotent)
         return constraints.may_load(now_ms, pending, worker, has_alternative=has_spare_instance)
 
-    # Requests that end here.
+    # Preemption and final answers.
 
     def preempted_by(
         self, now_ms: float, pending: PendingRequest, worker: WorkerRecord | None
--- a/cedarthread/routing/attempt_tracker.py
+++ b/cedarthread/routing/attempt_tracker.py
@@ -1,7 +1,7 @@
 """Attempt tracking: updates the tables and estimators of a router when an attempt starts and ends.
 
-Bookkeeping only: the policies decide which attempt starts and how to react to its end. All times are ms of
-the steady clock that the caller passes in.
+This module only keeps records: the policies decide which attempts start and how to react to their end. All
+times are ms on the monotonic clock, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
     from cedarthread.routing.feedback import OutcomeFeedback
     from cedarthread.routing.router_state import RouterState
 
-AFFINITY_GAIN = 0.03  # fraction of affinity that an attempt moves from the other workers to its own
+AFFINITY_GAIN = 0.03  # fraction of affinity that an attempt moves from other workers to its worker
 # Outcomes that prove that the worker, and so its zone, is reachable.
 RESPONSES = (Outcome.OK, Outcome.OVERLOADED, Outcome.ERROR, Outcome.NOT_LOADED)
 
 
 class AttemptTracker:
-    """The bookkeeping of one router's attempts; it owns no state but writes ``state``.
+    """The tracker of one router's attempts; it has no state of its own and updates ``state``.
 
     Args:
         state: The router's state.
-        feedback: Learns from each outcome.
+        feedback: Updates records and estimators from each outcome.
     """
 
     def __init__(self, state: RouterState, feedback: OutcomeFeedback) -> None:
@@ -35,7 +35,7 @@
         self.feedback = feedback
 
     def on_started(self, now_ms: float, pending: PendingRequest, worker: WorkerRecord) -> Attempt:
-        """Record that an attempt of the request starts at the worker now, and return the attempt."""
+        """Record an attempt of the request that starts at the worker now, and return the attempt."""
         state = self.state
         function = pending.function
         request = pending.request
@@ -69,7 +69,7 @@
         return attempt
 
     def on_ended(self, now_ms: float, event: AttemptEnded) -> PendingRequest | None:
-        """Record an outcome and return its request; None: the request is closed or the attempt is unknown."""
+        """Record the end of an attempt and return its request; None: request closed or attempt unknown."""
         state = self.state
         outcome = event.outcome
         pending, attempt = state.requests.end_attempt(event)
--- a/cedarthread/routing/collaborators.py
+++ b/cedarthread/routing/collaborators.py
@@ -1,6 +1,6 @@
 """Protocols of the components that the router uses; ``gossip/`` and ``node/`` implement them.
 
-All times are ms of the router's steady clock.
+All times are ms on the router's monotonic clock.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 
 
 class PeerLoad(Protocol):
-    """Load and warm instances as the other routers report them (``gossip/load_gossip.py``)."""
+    """The load and the warm instances that the other routers report (``gossip/load_gossip.py``)."""
 
     def peer_coverage(self, now_ms: float) -> float:
-        """Return the fraction of the other routers whose gossip arrived recently, 0 to 1."""
+        """Return the fraction, 0 to 1, of the other routers whose gossip was received recently."""
 
     def instances(self, now_ms: float, function_id: int) -> dict[int, InstanceLoad]:
-        """Return load and warm instances of a function by worker id: own attempts and peers' reports."""
+        """Return a function's load and warm instances by worker id, from own attempts and peers' reports."""
 
     def forget_worker(self, worker_id: int) -> None:
         """Drop all instances of a worker that was removed or restarted."""
 
 
 class RoutingConstraints(Protocol):
-    """Constraints of contracts, change freezes and restart recovery (``node/constraints.py``).
+    """The constraints of contracts, change freezes and restart recovery (``node/constraints.py``).
 
-    The router calls the constraints and decides; they never act on their own.
+    The constraints are passive: the router queries them and makes the decision.
     """
 
     limits_loading: bool  # whether a change freeze or the recovery limits new instances
@@ -57,11 +57,11 @@
         """Return whether the request may be sent to the worker.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: Current time.
             pending: The request.
             worker: The candidate.
             is_loaded: An instance of the function is known at the worker.
-            has_alternative: An instance is known at another worker that has capacity left.
+            has_alternative: An instance is known at another worker with spare capacity.
         """
 
     def may_load(
@@ -70,7 +70,7 @@
         """Return whether the request may start a first instance at the worker.
 
         The router calls this after all other checks, because True may consume one exception of the change
-        freeze and one load of the recovery's pacing.
+        freeze and one load of the recovery's rate limit.
         """
 
     def home_workers(
@@ -79,21 +79,21 @@
         """Return the workers in placement order and the number of homes, adjusted for a change freeze."""
 
     def retry_after_range(self, now_ms: float) -> tuple[float, float]:
-        """Return the fractions of the longest Retry-After between which that of a rejection is drawn."""
+        """Return the range of the random Retry-After of a rejection, as fractions of its maximum."""
 
     def shed_probability(
         self, now_ms: float, pending: PendingRequest, value: float, utilization: float, shed_fraction: float
     ) -> float | None:
-        """Assign the request its priority and return the probability of shedding such requests.
+        """Assign the request its priority and return the shed probability of that priority.
 
         None: shed with ``shed_fraction``, the fraction of all requests that must be shed.
         """
 
     def on_rejected(self, now_ms: float, pending: PendingRequest) -> None:
-        """Count a rejected request towards the floor of its tenant."""
+        """Count a rejected request against the floor of its tenant's contract."""
 
     def overload_level(self, now_ms: float) -> int:
-        """Return how overloaded the fleet is; 0: not overloaded, or not known."""
+        """Return the overload level of the fleet; 0: not overloaded, or unknown."""
 
     def preemption_victim(
         self,
@@ -107,10 +107,10 @@
         """Return the id of the request to preempt for this one; None: there is none.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: Current time.
             pending: The request that needs capacity.
             worker: The worker that would receive it.
             expected_ms: Its expected service time there.
             pending_requests: All pending requests by id.
-            queue: The queued ones by id.
+            queue: The queued requests by id.
         """
--- a/cedarthread/routing/discovery_polling.py
+++ b/cedarthread/routing/discovery_polling.py
@@ -1,4 +1,4 @@
-"""The subscription of a router to the endpoint list, with a backoff after failures."""
+"""The subscription of a router to the endpoint list, with exponential backoff after failures."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 if TYPE_CHECKING:
     import random
 
-FIRST_BACKOFF_FRACTION = 1 / 16  # the first backoff as a fraction of the longest one
+FIRST_BACKOFF_FRACTION = 1 / 16  # the initial backoff, as a fraction of the maximum
 BACKOFF_JITTER = 0.5, 1.0  # fractions of the backoff between which the delay is drawn
 
 
 class DiscoveryPolling:
-    """The state of one router's subscription and of the backoff between its polls; times are ms."""
+    """The state of one router's subscription and the backoff between polls; times are ms."""
 
     def __init__(self) -> None:
         self.is_subscribed = False
@@ -34,14 +34,14 @@
         self.backoff_ms = 0.0
 
     def should_subscribe(self, now_ms: float, mode: DiscoveryMode) -> bool:
-        """Return whether polling needs its first subscription; if so, make the subscription due now."""
+        """Return whether polling mode has no subscription yet; if so, make the subscription due now."""
         if mode is not DiscoveryMode.POLL or self.is_subscribed:
             return False
         self.poll_at_ms = now_ms
         return True
 
     def is_due(self, now_ms: float) -> bool:
-        """Return whether the subscription must be sent now; if so, it counts as sent."""
+        """Return whether the subscription must be sent now; if so, mark it as sent."""
         if now_ms < self.poll_at_ms:
             return False
         self.poll_at_ms = math.inf
--- a/cedarthread/routing/estimators.py
+++ b/cedarthread/routing/estimators.py
@@ -1,7 +1,7 @@
-"""Estimators of one router: service times, call rates by class and tenant, and load that workers report.
+"""Estimators of one router: service times, call rates by class and tenant, and reported load of workers.
 
-The estimators learn from the router's own calls and the load reports of workers, and decide nothing. All
-times are ms of the steady clock that the caller passes in; rates are per ms.
+The estimators are updated from the router's own calls and from load reports of workers; they contain no
+policy. All times are ms on the monotonic clock, passed in by the caller; rates are per ms.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
     from cedarthread.model.settings import RequestClass, RouterSettings
     from cedarthread.routing.worker_table import WorkerTable
 
-RATE_WINDOW_MS = 5000.0  # time constant of rates: several windows of rule 4, and well below a slow start
-INITIAL_SERVICE_DIVISOR = 4.0  # the objective over this is the service time assumed before the first response
-MAX_LOAD_TIME_CONSTANT_MS = 12000.0  # longest time constant of a worker's load observations
-RESPONSES_PER_TIME_CONSTANT = 4.0  # own calls to one worker that the time constant spans, within its bounds
+RATE_WINDOW_MS = 5000.0  # time constant of rates: several windows of rule 4, but much less than a slow start
+INITIAL_SERVICE_DIVISOR = 4.0  # latency objective over the service time assumed before the first response
+MAX_LOAD_TIME_CONSTANT_MS = 12000.0  # upper bound of the time constant of a worker's load observations
+RESPONSES_PER_TIME_CONSTANT = 4.0  # own calls to one worker per time constant, within its bounds
 REPORT_PRIOR_COUNT = 0.01  # weight of the prior 0: negligible after the first report
-REPORTED_LOAD_WEIGHT = 0.05  # weight of one reported request in flight, relative to an own one
+REPORTED_LOAD_WEIGHT = 0.05  # weight of a reported request in flight, relative to one of this router
 MIN_QUOTA_FRACTION = 0.01  # lower bound of a tenant's quota
 
 
 class ServiceTimeEstimator:
-    """The service times of warm calls by function, class and hinted work, and the extra time of cold ones.
+    """The service times of warm calls by function, class and work hint, and the extra latency of cold starts.
 
     Args:
         settings: The settings of the router, for the classes and their latency objectives.
@@ -71,7 +71,7 @@
         return self.class_ms(request.class_index)
 
     def expected_cold_start_ms(self, pending: PendingRequest) -> float:
-        """Return the extra time of a cold call: the observed or hinted load time, else the objective."""
+        """Return the extra latency of a cold start: the observed or hinted load time, else the objective."""
         hinted_ms = pending.request.load_time_ms
         return self.cold_start_ms.mean or hinted_ms or pending.request_class.latency_objective_ms
 
@@ -89,7 +89,7 @@
 
 
 class TrafficEstimator:
-    """The rates of the router's own calls, and the time constants that follow from how rare they are.
+    """The rates of the router's own calls, and the time constants derived from these rates.
 
     Args:
         settings: The settings of the router, for the tenants and classes.
@@ -117,8 +117,8 @@
     def on_call(self, now_ms: float, function: FunctionRecord, worker_count: int) -> None:
         """Count a call and update the call rate and the call rarity.
 
-        The rate is divided by the fraction of the window since the first call, so that it is right soon after
-        the start.
+        The rate is divided by the fraction of the window since the first call, so that it is unbiased soon
+        after the start.
         """
         self.popularity.on_call(now_ms, function.recent_calls, self.calls_per_ms)
         self.recent_calls.add(now_ms, 1.0)
@@ -142,7 +142,7 @@
         return fraction / max(settings.tenants[tenant_index].quota_fraction, MIN_QUOTA_FRACTION)
 
     def on_load_report(self, now_ms: float, in_flight_of_others: float) -> None:
-        """Record the requests of other routers that a worker reported in flight."""
+        """Record the requests of other routers that a worker reported as in flight."""
         self.reported_in_flight.add(now_ms, in_flight_of_others, RATE_WINDOW_MS)
 
     def on_admitted(self, now_ms: float, class_index: int) -> None:
@@ -153,12 +153,12 @@
         self, now_ms: float, capacity: float, service_times: ServiceTimeEstimator, workers: WorkerTable
     ) -> float:
         """Return the work (ms per ms) that this router sends to a worker with this capacity (0 to 1)."""
-        # Multiplied by the current service times, because the initial guess may be several times too high.
+        # Uses the current service times, because the initial estimate may be several times too high.
         demand = sum(
             admitted.read(now_ms) * service_times.class_ms(class_index)
             for class_index, admitted in enumerate(self.admitted_by_class)
         )
-        # The recent peak, because after workers leave, the demand per remaining one exceeds its capacity.
+        # The recent peak, because after workers leave, the demand per remaining worker exceeds its capacity.
         ready = max(1.0, workers.ready_count, workers.ready_peak.read(now_ms))
         return capacity * demand / RATE_WINDOW_MS / ready
 
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -1,6 +1,6 @@
 """Outcome feedback: updates worker and function records and estimators from the outcomes of attempts.
 
-All times are ms of the steady clock that the caller passes in.
+All times are ms on the monotonic clock, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
     from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
     from cedarthread.routing.router_state import RouterState
 
-REPORT_TIME_CONSTANT_FRACTION = 0.25  # of load_time_constant_ms, because reports change with every call
+REPORT_TIME_CONSTANT_FRACTION = 0.25  # of load_time_constant_ms, because reports change with each call
 CONCURRENCY_WEIGHT = 0.25  # weight of another router's request in flight: a worker has several cores
 REJECTION_TIME_CONSTANT_MS = 3000.0  # time constant of a worker's rejections of a class and tenant
-REJECTION_GAIN = 0.5  # gain by which one response moves the rejections of a class and tenant...
-REJECTION_PENALTY = 2.0  # ...towards this placement cost if it was a rejection, else towards 0
+REJECTION_GAIN = 0.5  # gain of one response on the rejection penalty of a class and tenant...
+REJECTION_PENALTY = 2.0  # ...which moves towards this placement cost after a rejection, else towards 0
 
 MIN_PRELOAD_BACKOFF_MS = 1.0  # backoff after a failed preload if no load time is known
 PRELOAD_BACKOFF_JITTER = 0.5, 1.0  # fractions of the backoff between which the delay is drawn
 
 
 class OutcomeFeedback:
-    """The learning of one router from attempts and preloads that ended; ejects workers that fail.
+    """The updater of one router's records from ended attempts and preloads; ejects failing workers.
 
     Args:
         state: The router's state.
@@ -60,7 +60,7 @@
         max_ejected_fraction: float = MAX_EJECTED_FRACTION,
         gain: float = FAILURE_GAIN,
     ) -> None:
-        """Add an observation of a worker, 0 healthy to 1 failed; it may eject the worker or readmit it."""
+        """Add an observation of a worker, 0 healthy to 1 failed; may eject the worker or end its ejection."""
         workers = self.state.workers.by_id.values()
         if outlier_detection.observe(worker, workers, failure, max_ejected_fraction, gain):
             outlier_detection.eject(worker, now_ms, self.state.traffic.call_rarity, self.state.rng)
@@ -69,7 +69,7 @@
     def observe_silence(self, now_ms: float, attempt: Attempt) -> bool:
         """Return whether the worker has not responded at all since the attempt started.
 
-        If the attempt is also overdue, the silence counts once as a failure of the worker.
+        If the attempt is also overdue, this counts once as a failure of the worker.
         """
         worker = self.state.workers.by_id.get(attempt.endpoint.worker_id)
         if worker is None:
@@ -82,7 +82,7 @@
         return is_silent
 
     def learn_worker(self, now_ms: float, event: AttemptEnded, attempt: Attempt) -> None:
-        """Update the worker's record from one outcome.
+        """Update the worker's record from the outcome of an attempt.
 
         Right after a stall of the process the event is stale, so load and outlier scores are not updated.
         """
@@ -109,7 +109,7 @@
     def _learn_success(
         self, now_ms: float, worker: WorkerRecord, event: AttemptEnded, attempt: Attempt
     ) -> None:
-        """Record a response: the load that its latency and reported concurrency show, and good health."""
+        """Record a response: good health, and the load implied by its latency and reported concurrency."""
         if (rejections := worker.rejections.get(attempt.class_and_tenant)) is not None:
             rejections.move_towards(now_ms, REJECTION_GAIN, 0.0)
         if not attempt.is_cold:
@@ -121,7 +121,7 @@
         self.observe_health(now_ms, worker, 0.0)
 
     def _learn_overloaded(self, now_ms: float, worker: WorkerRecord, attempt: Attempt) -> None:
-        """Record a rejection: of the class and tenant, and a load of at least one latency objective."""
+        """Record a rejection of the class and tenant, and a load of at least one latency objective."""
         rejections = worker.rejections.setdefault(
             attempt.class_and_tenant, DecayingCounter(REJECTION_TIME_CONSTANT_MS)
         )
@@ -147,7 +147,7 @@
     def _learn_load_report(
         self, now_ms: float, worker: WorkerRecord, load_report: tuple[float | None, ...]
     ) -> None:
-        """Record the requests of other routers at the worker, most of its load in a fleet of many routers."""
+        """Record the requests of other routers at the worker, which are most of its load in a large fleet."""
         reported = self._reported_in_flight(load_report)
         if reported is not None:
             others = max(0.0, reported - worker.in_flight)
@@ -158,13 +158,13 @@
             traffic.on_load_report(now_ms, others)
 
     def _reported_in_flight(self, load_report: tuple[float | None, ...]) -> float | None:
-        """Return the requests in flight by a load report; None: not reported."""
+        """Return the requests in flight from a load report; None: not reported."""
         if 0 <= self.in_flight_column < len(load_report):
             return load_report[self.in_flight_column]
         return None
 
     def reported_load(self, event: AttemptEnded) -> tuple[float, float] | None:
-        """Return the calls that a worker reports in flight, and how many of them this router sent."""
+        """Return the calls in flight that a worker reports, and how many of them this router sent."""
         worker = self.state.workers.by_id.get(event.worker_id)
         reported = self._reported_in_flight(event.load_report)
         return None if worker is None or reported is None else (reported, float(worker.in_flight))
@@ -172,7 +172,7 @@
     def learn_function(
         self, now_ms: float, event: AttemptEnded, attempt: Attempt, pending: PendingRequest
     ) -> None:
-        """Update the function's instances and service times from one outcome."""
+        """Update the function's instances and service times from the outcome of an attempt."""
         function = pending.function
         worker_id = event.worker_id
         if event.outcome is not Outcome.OK:
@@ -197,7 +197,7 @@
                 self.observe_health(now_ms, worker, 1.0, gain=MAX_FAILURE_GAIN)
 
     def learn_preload(self, now_ms: float, event: PreloadEnded) -> bool:
-        """Record how a preload ended; return False if no such preload is in flight."""
+        """Record the result of a preload; return False if no such preload is in flight."""
         state = self.state
         worker_id = event.worker_id
         function = state.functions.by_id.get(event.function_id)
--- a/cedarthread/routing/function_table.py
+++ b/cedarthread/routing/function_table.py
@@ -1,4 +1,4 @@
-"""The functions that one router was called for recently, and the preloads in flight for them."""
+"""The table of functions that were called recently at one router, and of their preloads in flight."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class FunctionTable:
-    """The function records of one router by function id, the least recently called first."""
+    """The function records of one router by function id, least recently called first."""
 
     def __init__(self) -> None:
         self.by_id: dict[int, FunctionRecord] = {}
@@ -16,7 +16,7 @@
     def on_call(
         self, now_ms: float, function_id: int, concurrency: float, expiry_ms: float
     ) -> FunctionRecord:
-        """Return the record of a called function; a new one evicts records not called for ``expiry_ms``."""
+        """Return the record of a called function; a new record evicts those not called for ``expiry_ms``."""
         function = self.by_id.pop(function_id, None)
         if function is None:
             function = FunctionRecord(hash64(function_id))
--- a/cedarthread/routing/instance_queue.py
+++ b/cedarthread/routing/instance_queue.py
@@ -1,9 +1,9 @@
-"""The queue of one function: calls that wait for a busy or loading instance rather than start another load.
+"""The queue of one function: calls that wait for a busy or loading instance instead of starting another one.
 
 A worker with only busy instances starts another load for each call that arrives, and all loads use the same
-store. With gossip a router knows the requests that all routers have in flight, and so whether an instance
-becomes free, or finishes loading, before a new load would end. In that case the call waits in the router, at
-most for a fixed multiple of the load time.
+store. From gossip a router knows the requests that all routers have in flight, and can predict whether an
+instance becomes free, or finishes loading, before a new load would. In that case the call waits in the
+router, for at most a fixed multiple of the load time.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 if TYPE_CHECKING:
     from cedarthread.model.instance_load import InstanceLoad
 
-MAX_AHEAD_FRACTION = 0.3  # of the load time: longest total service time of the calls ahead
-MAX_BUSY_WAIT_FRACTION = 0.3  # of the load time: longest wait for a busy instance
-MAX_LOADING_WAIT_FRACTION = 2.0  # of the load time: longest wait for a loading instance
+MAX_AHEAD_FRACTION = 0.3  # of the load time: maximum total service time of the calls ahead
+MAX_BUSY_WAIT_FRACTION = 0.3  # of the load time: maximum wait for a busy instance
+MAX_LOADING_WAIT_FRACTION = 2.0  # of the load time: maximum wait for a loading instance
 MAX_INSTANCES = 8  # upper bound of the known instances of a function at one worker
 
 
 class WaitTimes(NamedTuple):
-    """The durations, in ms, on which the decision to wait is based."""
+    """The durations, in ms, that determine whether a call waits."""
 
     waited_ms: float  # since the request arrived
     service_ms: float  # of a warm call
@@ -32,8 +32,8 @@
 class InstanceQueue:
     """The calls of one function that wait in this router, and its known instances by worker."""
 
-    instances: dict[int, int] = field(default_factory=dict)  # number by worker id, from own responses
-    waiting_requests: dict[int, None] = field(default_factory=dict)  # request ids, the first to wait first
+    instances: dict[int, int] = field(default_factory=dict)  # count by worker id, from own responses
+    waiting_requests: dict[int, None] = field(default_factory=dict)  # request ids in queue order
 
     def on_response(self, worker_id: int, *, was_cold: bool) -> None:
         """Count the instance that served a call: a new one if the call was cold, else an existing one."""
@@ -41,7 +41,7 @@
         self.instances[worker_id] = min(known_count + 1, MAX_INSTANCES) if was_cold else max(known_count, 1)
 
     def remove(self, request_id: int) -> None:
-        """Remove a request from the queue, if it waits."""
+        """Remove a request from the queue, if present."""
         self.waiting_requests.pop(request_id, None)
 
     def should_wait(
@@ -85,7 +85,7 @@
         return True
 
     def _position(self, request_id: int) -> int:
-        """Return the number of requests ahead of this one in the queue, or of all if it does not wait."""
+        """Return the number of requests ahead of this one; if it is not queued, the queue length."""
         if request_id in self.waiting_requests:
             return list(self.waiting_requests).index(request_id)
         return len(self.waiting_requests)
--- a/cedarthread/routing/log_throttle.py
+++ b/cedarthread/routing/log_throttle.py
@@ -7,11 +7,11 @@
 from cedarthread.logs import format_event
 from cedarthread.model.actions import LogMessage
 
-LOG_INTERVAL_MS = 5000.0  # shortest time between two log lines of one event
+LOG_INTERVAL_MS = 5000.0  # minimum time between two log lines of the same event
 
 
 class LogThrottle:
-    """The time of the last log line of each event."""
+    """The throttle of one router's log, with the time of the last line of each event."""
 
     def __init__(self) -> None:
         self.logged_at_ms: dict[str, float] = {}
--- a/cedarthread/routing/outlier_detection.py
+++ b/cedarthread/routing/outlier_detection.py
@@ -1,8 +1,8 @@
-"""Outlier detection: a score for each worker, 0 healthy to 1 failed, updated by failures and by silence.
+"""Outlier detection: a score for each worker, 0 healthy to 1 failed, raised by failures and lost responses.
 
-A circuit breaker (Nygard, Release It!, 2007) opens when the score is high: the worker is ejected, in Envoy's
-term. After the ejection time one half-open trial may be sent. The functions here write the outlier fields of
-``WorkerRecord``. All times are ms of the steady clock that the caller passes in.
+A worker with a high score is ejected (Envoy's term), like an open circuit breaker (Nygard, Release It!,
+2007). After the ejection time one half-open trial may be sent. The functions here write the outlier fields of
+``WorkerRecord``. All times are ms on the monotonic clock, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
     from cedarthread.model.events import AttemptEnded
 
-FAILURE_GAIN = 0.3  # for a worker with many own calls: two failures in a row eject it, one does not
-MAX_FAILURE_GAIN = 0.6  # for a worker with few own calls: one failure ejects it, the next is seconds away
+FAILURE_GAIN = 0.3  # if own calls to the worker are frequent: two failures in a row eject it, one does not
+MAX_FAILURE_GAIN = 0.6  # if they are rare: one failure ejects it, because the next call is seconds away
 EJECTION_THRESHOLD = 0.5  # a worker with a higher score is ejected
 RECOVERY_THRESHOLD = EJECTION_THRESHOLD / 2  # the ejection ends below this score
-MAX_EJECTED_FRACTION = 0.4  # largest ejected fraction: if more workers fail, the cause is common to all
-MAX_SILENT_EJECTED_FRACTION = 0.8  # the same for workers that do not respond: no call there succeeds
-MAX_EJECTION_MS = 12000.0  # longest time until the half-open trial; the time doubles at each relapse
-EJECTION_JITTER = 0.75, 1.25  # factors of the ejection time between which it is drawn
+MAX_EJECTED_FRACTION = 0.4  # maximum ejected fraction: if more workers fail, they share the cause
+MAX_SILENT_EJECTED_FRACTION = 0.8  # the same for unresponsive workers, where no call succeeds
+MAX_EJECTION_MS = 12000.0  # maximum time until the half-open trial; it doubles with each ejection
+EJECTION_JITTER = 0.75, 1.25  # range of the random factor of the ejection time
 OVERDUE_MULTIPLE = 4.0  # an attempt is overdue after this multiple of its expected time
 
 _FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.TIMEOUT)
@@ -34,12 +34,12 @@
 class FailureWeight(NamedTuple):
     """The effect of one failure on the outlier score of its worker."""
 
-    max_ejected_fraction: float  # largest fraction of ejected workers up to which the failure may eject one
+    max_ejected_fraction: float  # the failure may eject the worker only up to this ejected fraction
     gain: float  # fraction of the distance to 1 by which the score rises
 
 
 def is_available(worker: WorkerRecord, now_ms: float, *, is_idempotent: bool) -> bool:
-    """Return whether the worker is not ejected, or half-open and free for a trial by this request.
+    """Return whether the worker is not ejected, or is half-open and may receive this request as a trial.
 
     Only an idempotent request may be a trial, and only one trial is in flight at a time.
     """
@@ -89,7 +89,7 @@
     """Set the time of the first half-open trial of an ejected worker.
 
     The ejection time grows with ``call_rarity`` (1 and up, higher if own calls to one worker are rare), so
-    that the trials that a failed worker receives do not grow with the number of routers in the fleet.
+    that the number of trials at a failed worker does not grow with the number of routers in the fleet.
     """
     ejection_ms = min(worker.ejection_ms * call_rarity, MAX_EJECTION_MS)
     worker.ejected_until_ms = now_ms + ejection_ms * rng.uniform(*EJECTION_JITTER)
@@ -101,7 +101,7 @@
 ) -> FailureWeight | None:
     """Return the effect of a failed attempt on its worker's outlier score; None: no effect.
 
-    The function also records a broken connection, an unreachable worker and a suspect error.
+    Also records a broken connection, an unreachable worker or a suspect error.
     """
     outcome = event.outcome
     if outcome not in _FAILURES or event.is_local or _is_excused(event, attempt):
@@ -110,7 +110,7 @@
         attempt.has_suspect_error = True
         return None  # the client may have caused it, unless another worker serves the request
     if outcome is Outcome.CONNECT_FAILED and event.is_unreachable:
-        # Set only here, because a broken connection is no sign of a restart: some break every day.
+        # Set only here, because a broken connection does not indicate a restart: some break every day.
         worker.unreachable_at_ms = now_ms
     elif outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
         if worker.connection_broken_at_ms == now_ms:
@@ -125,8 +125,8 @@
 def _is_excused(event: AttemptEnded, attempt: Attempt) -> bool:
     """Return whether the failure does not count against the worker.
 
-    Excused are a failed load of the instance, a timeout that ``observe_silence`` has counted, and a timeout
-    of a client that set a short deadline.
+    These are a failed load of the instance, a timeout that ``observe_silence`` has already counted, and a
+    timeout due to a short deadline of the client.
     """
     if event.start_kind is StartKind.LOAD_FAILED:
         return True
--- a/cedarthread/routing/overload.py
+++ b/cedarthread/routing/overload.py
@@ -1,9 +1,9 @@
-"""The overload estimator: how overloaded the workers are, from the router's own calls (Little's law, 1961).
+"""Overload estimation: how overloaded the workers are, from the router's own calls by Little's law (1961).
 
-The time that calls take is the number in flight over the completions per ms. This shows an overload as it
+The latency of calls is the number in flight over the completions per ms. This detects an overload as it
 grows, whereas response times show it a second late and for a second after its end. Calls that wait for a cold
-start are left out: they use no core, and at new workers all calls wait. All times are ms of the steady clock
-that the caller passes in.
+start are excluded: they use no core, and at new workers all calls wait. All times are ms on the monotonic
+clock, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-OVERLOAD_START = 0.25  # an overload starts when calls take this fraction of the latency objective...
-OVERLOAD_SPAN = 0.2  # ...and all calls are shed when they take this much more of it
-CHANCE_DEVIATIONS = 1.0  # standard deviations of calls in flight that count as chance
-TYPICAL_WORKER_FRACTION = 0.75  # the least loaded of the workers: the others may be slow or silent on any day
+OVERLOAD_START = 0.25  # an overload starts when latency reaches this fraction of the latency objective...
+OVERLOAD_SPAN = 0.2  # ...and all calls are shed when latency exceeds that by this fraction
+CHANCE_DEVIATIONS = 1.0  # standard deviations of the calls in flight that count as random variation
+TYPICAL_WORKER_FRACTION = 0.75  # the least loaded workers; the others may be slow or unresponsive at any time
 RATE_WINDOW_MS = 2000.0  # time constant of the counts of calls and completions
-MIN_RATE_PER_MS = 1e-6  # lower bound of completions, so that none of them means a very long time
+MIN_RATE_PER_MS = 1e-6  # lower bound of completions, so that no completions means a very long latency
 
 
 class OverloadEstimator:
-    """The arrivals, completions and calls in flight of one router, without calls in a cold start."""
+    """The arrivals, completions and calls in flight of one router, except calls in a cold start."""
 
     def __init__(self) -> None:
         self.arrivals = DecayingCounter(RATE_WINDOW_MS)
@@ -54,7 +54,7 @@
             self.completions.add(now_ms, 1.0)
 
     def queueing_ms(self, now_ms: float, in_flight: float) -> float:
-        """Return the ms that this many calls in flight take to complete, less a margin for chance."""
+        """Return the ms until this many calls in flight complete, less a margin for random variation."""
         # For the part of the window before the first call, completions are assumed to equal arrivals.
         unseen_fraction = math.exp(min(0.0, self.first_call_at_ms - now_ms) / RATE_WINDOW_MS)
         seen_fraction = max(1.0 - unseen_fraction, 1.0 / RATE_WINDOW_MS)
@@ -66,7 +66,7 @@
         return beyond_chance / max(completions_per_ms, MIN_RATE_PER_MS)
 
     def utilization(self, now_ms: float, objective_ms: float) -> float:
-        """Return the time that calls take over the time at which an overload starts for this objective."""
+        """Return the latency of calls over the latency at which an overload starts for this objective."""
         return self.queueing_ms(now_ms, self.total_in_flight) / (OVERLOAD_START * objective_ms)
 
     def shed_probability(self, now_ms: float, objective_ms: float, worker_ids: Iterable[int]) -> float:
--- a/cedarthread/routing/preload_budget.py
+++ b/cedarthread/routing/preload_budget.py
@@ -1,7 +1,7 @@
-"""The preload budget of one router: its part of the fleet's concurrent preloads, and the limit of rule 5.
+"""The preload budget of one router: its share of the fleet's concurrent preloads, and the limit of rule 5.
 
 Rule 5 of the deployment allows a number of preloads per window, plus a fraction of the requests in the
-window. All times are ms of the steady clock that the caller passes in.
+window. All times are ms on the monotonic clock, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
         _drop_expired(now_ms, rules, self.request_times)
 
     def on_preload(self, now_ms: float) -> None:
-        """Record a preload that is requested now."""
+        """Record a preload that is started now."""
         self.preload_times.append(now_ms)
 
     def may_preload(
         self, now_ms: float, rules: RuleParameters, in_flight: int, workers_per_router: float
     ) -> bool:
-        """Return whether one more preload may be requested now.
+        """Return whether one more preload may start now.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: Current time.
             rules: The parameters of rule 5.
             in_flight: Preloads of this router that have not ended.
             workers_per_router: Listed workers over routers alive.
--- a/cedarthread/routing/preloading.py
+++ b/cedarthread/routing/preloading.py
@@ -1,7 +1,7 @@
-"""Preloading: whether to have a worker load a function, if workers reject calls of functions not loaded.
+"""Preloading: decides which worker loads a function, if workers reject calls of functions not loaded.
 
-All times are ms of the steady clock that the caller passes in. The policy writes the preload fields of
-``FunctionRecord`` by ``FunctionTable``, and the preload budget.
+All times are ms on the monotonic clock, passed in by the caller. The policy updates the preload fields of
+``FunctionRecord`` through ``FunctionTable``, and the preload budget.
 """
 
 from __future__ import annotations
--- a/cedarthread/routing/records.py
+++ b/cedarthread/routing/records.py
@@ -1,7 +1,8 @@
 """Records of one router: workers, functions, pending requests and their attempts.
 
-The records decide nothing. The tables own them; the attempt tracker, the outcome feedback, outlier detection
-and the policies write their fields. All times are ms of the steady clock that the caller passes in.
+The records contain no policy. The tables own them; the attempt tracker, the outcome feedback, outlier
+detection and the policies update their fields. All times are ms on the monotonic clock, passed in by the
+caller.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
     from cedarthread.model.instance_load import InstanceLoad
     from cedarthread.model.settings import RequestClass, RuleParameters
 
-MIN_LOAD_TIME_CONSTANT_MS = 4000.0  # shortest time constant of a worker's load observations
+MIN_LOAD_TIME_CONSTANT_MS = 4000.0  # lower bound of the time constant of a worker's load observations
 EXCESS_LOAD_PRIOR_COUNT = 0.5  # weight of the prior, in responses: a single response counts for two thirds
 BASE_EJECTION_MS = 1500.0  # ms until the first half-open trial of an ejected worker
 MIN_AFFINITY = 0.01  # an affinity below this is dropped
@@ -57,7 +58,7 @@
 
     endpoint: Endpoint
     hash: int
-    jitter: float  # random, 0 to 1: which routers may use a cold worker, and prefer which of several homes
+    jitter: float  # random, 0 to 1: spreads routers over cold workers and over several homes
     in_flight: int = 0
     peers_in_flight: float = 0.0  # attempts of other routers at the worker, by gossip
     slow_start_sends: deque[slow_start.SlowStartSend] = field(default_factory=deque)
@@ -67,7 +68,7 @@
     ejection_ms: float = BASE_EJECTION_MS  # duration of the next ejection
     has_trial_in_flight: bool = False
     last_response_at_ms: float = -math.inf
-    unreachable_at_ms: float = -math.inf  # last failed connect; the worker may have restarted since
+    unreachable_at_ms: float = -math.inf  # last failed connect; the worker may have restarted then
     connection_broken_at_ms: float = -math.inf  # attempts that fail with one connection count as one failure
     excess_load: DecayingMean = field(default_factory=lambda: DecayingMean(MIN_LOAD_TIME_CONSTANT_MS))
     reported_in_flight: DecayingMean = field(  # requests of other routers, by load reports
@@ -76,13 +77,14 @@
     rejections: dict[ClassAndTenant, DecayingCounter] = field(default_factory=dict)
 
     def read_excess_load(self, now_ms: float) -> float:
-        """Return the load beyond expectation, in requests in flight: a decaying mean over responses."""
+        """Return the load above the expected one, in requests in flight: a decaying mean over responses."""
         return self.excess_load.read(now_ms, EXCESS_LOAD_PRIOR_COUNT)
 
     def available_capacity(self, now_ms: float, rules: RuleParameters) -> float:
-        """Return the least fraction of its capacity that the worker has during slow start.
+        """Return the guaranteed fraction of the worker's capacity during slow start; 1.0 afterwards.
 
-        The start is the reported one or, if later, the last failed connect, which may have been a restart.
+        Slow start begins at the reported start or, if later, at the last failed connect, which may have been
+        a restart.
         """
         age_ms = now_ms - max(self.endpoint.started_at_ms or -math.inf, self.unreachable_at_ms)
         if age_ms >= rules.slow_start_ms:  # checked here, because this runs for each candidate of each call
@@ -100,7 +102,7 @@
     recent_calls: DecayingCounter = field(default_factory=lambda: DecayingCounter(MIN_WINDOW_MS))
     affinity: dict[int, float] = field(default_factory=dict)  # 0 cold to 1 warm
     last_sent_at_ms: dict[int, float] = field(default_factory=dict)
-    instance_seen_at_ms: dict[int, float] = field(default_factory=dict)  # last own response from an instance
+    instance_seen_at_ms: dict[int, float] = field(default_factory=dict)  # last response to this router
     service_ms: Ewma = field(default_factory=Ewma)
     placement_order: list[WorkerRecord] = field(default_factory=list)  # all workers by rendezvous score
     placement_epoch: int = -1  # epoch of the worker table for which placement_order was computed
@@ -111,18 +113,18 @@
     preload_backoff_ms: float = 0.0
 
     def forget_worker(self, worker_id: int) -> None:
-        """Drop the instances at a worker that restarted or left, and the time of the last send."""
+        """Remove the instances at a worker that restarted or left, and the time of the last send."""
         self.forget_instance(worker_id)
         self.last_sent_at_ms.pop(worker_id, None)
 
     def forget_instance(self, worker_id: int) -> None:
-        """Drop the instances at a worker, because a response showed that none runs there."""
+        """Remove the instances at a worker, because a response showed that none runs there."""
         self.affinity.pop(worker_id, None)
         self.instance_seen_at_ms.pop(worker_id, None)
         self.instance_queue.instances.pop(worker_id, None)
 
     def read_affinity(self, now_ms: float, worker_id: int, keep_alive_ms: float) -> float:
-        """Return the affinity to a worker; drop the affinity after the keep-alive time of the instance."""
+        """Return the affinity to a worker; the affinity expires after the keep-alive time of the instance."""
         affinity = self.affinity.get(worker_id, 0.0)
         if affinity and (affinity < MIN_AFFINITY or now_ms - self.last_sent_at_ms[worker_id] > keep_alive_ms):
             del self.affinity[worker_id], self.last_sent_at_ms[worker_id]
@@ -138,13 +140,13 @@
     def on_gossip(
         self, now_ms: float, instances: dict[int, InstanceLoad], workers: Container[int], affinity: float
     ) -> None:
-        """Store gossiped instances; raise affinity to workers where one ran after the last own attempt.
+        """Store gossiped instances; raise affinity to workers where one ran after this router's last attempt.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: Current time.
             instances: Load and warm instances by worker id.
             workers: Ids of the listed workers; affinity to others is not raised.
-            affinity: The least affinity to a worker with such an instance.
+            affinity: Minimum affinity to a worker with such an instance.
         """
         self.gossiped_instances = instances
         for worker_id, instance in instances.items():
@@ -154,11 +156,11 @@
                 self.last_sent_at_ms[worker_id] = warm_at_ms
 
     def has_seen_instance(self, now_ms: float, worker_id: int, keep_alive_ms: float) -> bool:
-        """Return whether an own response from an instance at the worker is within the keep-alive time."""
+        """Return whether this router has had a response from the worker within the keep-alive time."""
         return now_ms - self.instance_seen_at_ms.get(worker_id, -math.inf) <= keep_alive_ms
 
     def has_instance(self, now_ms: float, worker_id: int, keep_alive_ms: float) -> bool:
-        """Return whether an instance is known at the worker, by own calls or by gossip."""
+        """Return whether an instance is known at the worker, from own calls or gossip."""
         gossiped = self.gossiped_instances.get(worker_id)
         return self.has_seen_instance(now_ms, worker_id, keep_alive_ms) or (
             gossiped is not None and gossiped.warm_age_ms is not None
--- a/cedarthread/routing/rendezvous.py
+++ b/cedarthread/routing/rendezvous.py
@@ -1,4 +1,4 @@
-"""Weighted rendezvous hashing (Thaler and Ravishankar, 1998): the same worker order at all routers."""
+"""Weighted rendezvous hashing (Thaler and Ravishankar, 1998): all routers compute the same worker order."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 _GOLDEN_GAMMA = 0x9E3779B97F4A7C15  # this and the two multipliers are the constants of SplitMix64
 _MULTIPLIER_1 = 0xBF58476D1CE4E5B9
 _MULTIPLIER_2 = 0x94D049BB133111EB
-_FLOAT_BITS = 53  # mantissa bits of a double: the upper hash bits become a number above 0 and up to 1
+_FLOAT_BITS = 53  # mantissa bits of a double: the upper hash bits are mapped to the interval (0, 1]
 
 
 def hash64(value: int) -> int:
@@ -25,7 +25,7 @@
 
 
 def rendezvous_score(function_hash: int, worker_hash: int, weight: float) -> float:
-    """Return the sort key of a worker for a function; with twice the weight it is first twice as often."""
+    """Return the sort key of a worker for a function; twice the weight makes it first twice as often."""
     mixed = ((function_hash ^ worker_hash) * _MULTIPLIER_2) & _MASK
     mixed = ((mixed ^ (mixed >> 29)) * _MULTIPLIER_1) & _MASK
     return -math.log(((mixed >> (64 - _FLOAT_BITS)) + 1) / 2**_FLOAT_BITS) / weight
--- a/cedarthread/routing/request_table.py
+++ b/cedarthread/routing/request_table.py
@@ -1,4 +1,4 @@
-"""The requests of one router without a final answer, and the attempts in flight of closed requests."""
+"""The table of one router's pending requests and of the attempts in flight of closed requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         self.check_queue_at_ms = math.inf
 
     def enqueue(self, now_ms: float, pending: PendingRequest, timers: TimerSchedule) -> None:
-        """Queue a request in the router until the next check of the queue."""
+        """Queue a request in the router until the next queue check."""
         if self.check_queue_at_ms == math.inf:
             self.check_queue_at_ms = now_ms + QUEUE_CHECK_MS
             timers.schedule(self.check_queue_at_ms)
@@ -40,8 +40,8 @@
     def end_attempt(self, event: AttemptEnded) -> tuple[PendingRequest | None, Attempt | None]:
         """Mark an attempt as ended and return its request and record.
 
-        The request is None if it is closed, the attempt is None if it is unknown or has ended before. A bare
-        tuple, because this runs for each attempt.
+        The request is None if it is closed; the attempt is None if it is unknown or has already ended. The
+        result is a plain tuple for speed, because this runs for each attempt.
         """
         pending = self.pending.get(event.request_id)
         if pending is None:  # closed, but the outcome still updates the worker
--- a/cedarthread/routing/retries.py
+++ b/cedarthread/routing/retries.py
@@ -1,7 +1,8 @@
-"""Retries and hedging: when a request gets another attempt, and how much retry budget that attempt costs.
+"""Retries and hedging: decides when a request gets another attempt, and how much retry budget it costs.
 
 A retry budget (as in Finagle; for hedged requests see *The Tail at Scale*, Dean and Barroso, 2013) bounds the
-load that retries add to a fleet with faults. All times are ms of the steady clock that the caller passes in.
+load that retries add to a fleet with faults. All times are ms on the monotonic clock, passed in by the
+caller.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
     from cedarthread.routing.router_state import RouterState
 
 HEDGE_AFTER_MULTIPLE = 2.5  # multiple of its expected time after which an attempt is hedged
-STALL_THRESHOLD_MS = 100.0  # a timer that fires later than this shows that the process stalled
+STALL_THRESHOLD_MS = 100.0  # a timer that fires later than this indicates that the process stalled
 MIN_REMAINING_MS = 20.0  # with less time before the deadline no retry starts
 
 
@@ -28,7 +29,7 @@
 
     Args:
         state: The router's state.
-        feedback: Counts silence of a worker as a failure.
+        feedback: Counts an unresponsive worker as failing.
     """
 
     def __init__(self, state: RouterState, feedback: OutcomeFeedback) -> None:
@@ -67,15 +68,16 @@
     def should_hedge(self, now_ms: float, pending: PendingRequest, attempt_index: int) -> bool:
         """Return whether to hedge an attempt that has been in flight for long, and spend the retry budget.
 
-        Silence since the attempt started counts as a failure of its worker. If no hedge is due, the worker is
-        ejected or removed, and attempts can be cancelled, cancel the attempt: its end then starts a retry.
+        A worker without a response since the attempt started counts as failing. If no hedge is due, the
+        worker is ejected or removed, and attempts can be cancelled, the attempt is cancelled: its end then
+        starts a retry.
         """
         attempt = pending.attempts[attempt_index]
         state = self.state
         if not attempt.is_in_flight or pending.is_streaming:
             return False
         request_id = pending.request.request_id
-        if now_ms == state.stalled_at_ms:  # this turn follows a stall: handle responses from before it first
+        if now_ms == state.stalled_at_ms:  # the process stalled: handle the responses that are waiting first
             state.timers.schedule(now_ms + STALL_THRESHOLD_MS, request_id, attempt_index)
             return False
         is_silent = self.feedback.observe_silence(now_ms, attempt)
@@ -98,7 +100,7 @@
         return False
 
     def _can_follow(self, pending: PendingRequest, attempt_index: int) -> bool:
-        """Return whether another attempt may replace this one, which was neither hedged nor cancelled yet."""
+        """Return whether another attempt may replace this one, if this was not hedged or cancelled yet."""
         return (
             self.state.retry_budget.tokens >= 1.0
             and self.has_remaining_attempts(pending)
@@ -106,19 +108,19 @@
         )
 
     def _is_hedge_due(self, now_ms: float, attempt: Attempt, *, is_silent: bool) -> bool:
-        """Return whether hedging is allowed and the attempt is slow or its worker silent."""
+        """Return whether hedging is allowed and the attempt is slow or its worker unresponsive."""
         age_ms = now_ms - attempt.started_at_ms
         return self.state.settings.limits.allows_hedging and (
             is_silent or age_ms >= HEDGE_AFTER_MULTIPLE * attempt.expected_ms
         )
 
     def follow_up_ms(self, expected_ms: float) -> float:
-        """Return how long after its start an attempt is checked by ``should_hedge``."""
+        """Return the delay from the start of an attempt to its check by ``should_hedge``."""
         hedges = self.state.settings.limits.allows_hedging
         return (HEDGE_AFTER_MULTIPLE if hedges else OVERDUE_MULTIPLE) * expected_ms
 
     def recall_from_unreachable_zones(self, now_ms: float) -> None:
-        """Cancel attempts in zones found unreachable, if the requests may be repeated in any zone."""
+        """Cancel attempts in newly unreachable zones whose requests may be retried in any zone."""
         state = self.state
         if now_ms == state.stalled_at_ms or not (zones := state.zones.find_unreachable(now_ms)):
             return
@@ -145,7 +147,7 @@
         return is_free and self.may_attempt(now_ms, pending)
 
     def _recall(self, pending: PendingRequest, attempt_index: int) -> None:
-        """Cancel an attempt so that its end starts a retry elsewhere, unless that has been done."""
+        """Cancel an attempt so that its end starts a retry elsewhere, unless already done."""
         if self.state.settings.limits.can_cancel and pending.last_cancelled_attempt < attempt_index:
             pending.last_cancelled_attempt = attempt_index
             self.state.actions.append(CancelAttempt(pending.request.request_id, attempt_index))
--- a/cedarthread/routing/retry_budget.py
+++ b/cedarthread/routing/retry_budget.py
@@ -1,12 +1,12 @@
-"""The retry budget: tokens that requests earn and retries spend, so that retries add little to an overload.
+"""The retry budget: tokens that requests earn and retries spend, so that retries do not amplify an overload.
 
 Modelled on Finagle's retry budget (https://twitter.github.io/finagle/guide/Clients.html), without its expiry.
 """
 
 from __future__ import annotations
 
-RETRY_BUDGET_PER_REQUEST = 0.15  # retries earned by each request
-MAX_RETRY_BUDGET = 10.0  # largest number of saved retries, and the initial one
+RETRY_BUDGET_PER_REQUEST = 0.15  # tokens earned by each request
+MAX_RETRY_BUDGET = 10.0  # maximum and initial number of tokens
 
 
 class RetryBudget:
--- a/cedarthread/routing/router.py
+++ b/cedarthread/routing/router.py
@@ -1,9 +1,9 @@
 """The router: handles the events of one node and returns the actions for its host to carry out, in order.
 
 Events and actions are defined in ``cedarthread/model/``; read those modules first. The router does no I/O;
-its host passes in the time, and a seed at the start. Each event has one handler here. The policies decide:
-``selection`` (which worker), ``admission`` (shed, queue, reject, preempt), ``retries`` (another attempt) and
-``preloading``. Their common state is in ``router_state``.
+its host passes in the time, and a seed at the start. Each type of event has one handler here. The policies
+make the decisions: ``selection`` (which worker), ``admission`` (shed, queue, reject, preempt), ``retries``
+(another attempt) and ``preloading``. They share the state in ``router_state``.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
     from cedarthread.model.settings import RouterSettings
     from cedarthread.routing.records import PendingRequest, WorkerRecord
 
-DEQUEUED_PER_RESPONSE = 2  # with one, the free instance would idle until its next call arrives
+DEQUEUED_PER_RESPONSE = 2  # with one, the free instance would be idle until its next call arrives
 
 
 class Router:
@@ -82,7 +82,7 @@
         state.actions = []
         if now_ms > state.timers.armed_at_ms + STALL_THRESHOLD_MS:
             # The armed timer is overdue, so the process stalled. Events at this time are stale; outlier
-            # detection skips them.
+            # detection ignores them.
             state.stalled_at_ms = now_ms
         # Peer messages and health checks have no handler: the node's components handle the former, and the
         # router requests none of the latter.
@@ -97,7 +97,7 @@
         for component in (self.state, self.feedback, self.selector, self.admission):
             component.update_settings(settings)
 
-    # Events.
+    # Event handlers.
 
     def _on_endpoint_update(self, now_ms: float, update: EndpointUpdate) -> None:
         """Apply an update of the endpoint list and dispatch the queue, or back off after a failed poll."""
@@ -123,7 +123,7 @@
         if self.admission.should_shed(now_ms, pending, quota_use):
             self._reject_or_fail(now_ms, pending)
             return
-        if not request.is_client_retry:  # its retries would use up the retry budget of others
+        if not request.is_client_retry:  # its retries would consume the retry budget of others
             state.retry_budget.earn()
             state.traffic.on_admitted(now_ms, request.class_index)
         self._dispatch(now_ms, pending)
@@ -146,7 +146,7 @@
             self._dispatch(now_ms, self.queued_requests[request_id])
 
     def _on_stream_started(self, now_ms: float, event: StreamStarted) -> None:
-        """Make the first stream of a request its response and cancel the other attempts."""
+        """Use the first stream of a request as its response and cancel the other attempts."""
         pending = self.pending_requests.get(event.request_id)
         if pending is not None and not pending.is_streaming:  # else: another stream was first
             pending.is_streaming = True
@@ -159,7 +159,7 @@
             self._complete(pending)
 
     def _on_preload_ended(self, now_ms: float, event: PreloadEnded) -> None:
-        """Dispatch the queue after the end of an own preload."""
+        """Dispatch the queue after the end of a preload of this router."""
         if self.feedback.learn_preload(now_ms, event):
             self._drain_queue(now_ms)
 
@@ -177,7 +177,7 @@
         if state.requests.is_queue_check_due(now_ms):
             self._drain_queue(now_ms)
 
-    # Requests, from their arrival to their final answer.
+    # Request lifecycle.
 
     def _dispatch(self, now_ms: float, pending: PendingRequest) -> None:
         """Send the request to the selected worker, queue it, or give its final answer."""
--- a/cedarthread/routing/router_state.py
+++ b/cedarthread/routing/router_state.py
@@ -1,7 +1,7 @@
 """The state of one router, which its policies share; each table and estimator is a class of its own.
 
-The policies (``selection``, ``admission``, ``retries``, ``preloading``) read the state and write it by the
-methods of the tables. The node's components set ``gossip``, ``constraints`` and ``live_router_count``.
+The policies (``selection``, ``admission``, ``retries``, ``preloading``) read the state and update it through
+the methods of the tables. The node's components set ``gossip``, ``constraints`` and ``live_router_count``.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     traffic: TrafficEstimator
     overload: OverloadEstimator
     zones: ZoneReachability
-    live_router_count: int  # routers of the fleet that count as alive
+    live_router_count: int  # routers of the fleet that are considered alive
     functions: FunctionTable = field(default_factory=FunctionTable)
     requests: RequestTable = field(default_factory=RequestTable)
     timers: TimerSchedule = field(default_factory=TimerSchedule)
@@ -94,12 +94,12 @@
         return pending
 
     def log(self, now_ms: float, event: str, **fields: object) -> None:
-        """Append a log line, unless the event was logged a short time ago."""
+        """Append a log line, unless the event was logged recently."""
         if (line := self.logs.line(now_ms, event, **fields)) is not None:
             self.actions.append(line)
 
     def forget_instances(self, worker_id: int) -> None:
-        """Drop all instances at a worker that restarted or left."""
+        """Remove all instances at a worker that restarted or left."""
         if self.gossip is not None:
             self.gossip.forget_worker(worker_id)
         self.functions.forget_worker(worker_id)
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -1,9 +1,9 @@
-"""Worker selection: the eligible worker with the least placement cost, ties at random.
+"""Worker selection: picks the eligible worker of lowest placement cost; ties are broken at random.
 
 Candidates are the workers with affinity to the function, its home workers by weighted rendezvous hashing, and
 the next eligible workers in that order (``SPARE_WORKERS``). The cost is a sum in units of affinity (0 cold to
 1 warm): 1 less the affinity, plus load, outlier score, rejections, crossing zones, and a penalty for the
-place in the order of candidates. All times are ms of the steady clock that the caller passes in.
+place in the order of candidates. All times are ms on the monotonic clock, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
     from cedarthread.routing.router_state import RouterState
 
 # Home workers.
-MAX_HOMES_PER_WORKER_SHARE = 10.0  # a function with 1/10 of the calls has all workers as homes
+MAX_HOMES_PER_WORKER_SHARE = 10.0  # all workers are homes of a function with 1/10 of the calls
 MIN_CALLS_PER_HOME = 14.0  # calls by the fleet in a keep-alive time, because loading is expensive
-IDLE_MEMORY_WEIGHT = 10.0  # effect of the price of idle memory: a price of 0.1 halves the homes
-SPARE_WORKERS = 2  # places after the homes that are searched even if a worker was found
-HOME_JITTER = 0.1  # largest cost difference between homes by jitter; must not exceed 1 - HOME_AFFINITY
-HOME_AFFINITY = 0.9  # least affinity assumed at several homes and at gossiped instances: others call there
+IDLE_MEMORY_WEIGHT = 10.0  # weight of the price of idle memory: a price of 0.1 halves the number of homes
+SPARE_WORKERS = 2  # candidates after the homes that are considered even if a worker was found
+HOME_JITTER = 0.1  # maximum cost difference between homes by jitter; at most 1 - HOME_AFFINITY
+HOME_AFFINITY = 0.9  # minimum affinity assumed at several homes and gossiped instances: others call there
 
 # Placement cost.
 CROSS_ZONE_WEIGHT = 6.5  # cost of another zone per point of the cross-zone price: 0.3 at 0.046
 PLACEMENT_STEP = 0.25  # cost of each place after the homes: one request in flight
-PEER_LOAD_WEIGHT = 0.3  # weight of another router's request in flight, by gossip
+PEER_LOAD_WEIGHT = 0.3  # weight of another router's request in flight, from gossip
 LOAD_PER_AFFINITY = 4.0  # requests in flight per instance that cost as much as a cold instance
 TRIAL_BONUS = 0.5  # deducted from the cost of a half-open trial, so that it is preferred
 TIE = 1e-9  # costs that differ by no more count as equal
@@ -116,7 +116,7 @@
         return None
 
     def _cheapest(self, search: _Search) -> WorkerRecord | None:
-        """Return the candidate of least cost that may receive the call in this pass, ties at random."""
+        """Return the candidate of lowest cost that may receive the call in this pass, ties at random."""
         now_ms = search.now_ms
         pending = search.pending
         min_cost = math.inf
@@ -126,7 +126,7 @@
             if not self._can_take(search, worker):
                 continue
             cost = self.cost(now_ms, pending.function, worker, pending.class_and_tenant) + placement_penalty
-            if worker.is_ejected and not search.may_be_ejected:  # a trial, which its score would prevent
+            if worker.is_ejected and not search.may_be_ejected:  # a trial, which the score would prevent
                 cost -= worker.outlier_score + TRIAL_BONUS
             if cost < min_cost - TIE:
                 min_cost = cost
@@ -164,7 +164,7 @@
     def _candidates(self, now_ms: float, pending: PendingRequest) -> Iterator[tuple[WorkerRecord, float]]:
         """Yield workers with affinity, then the homes, then all others, each with its placement penalty.
 
-        Routers agree on the homes without communication, by rendezvous hashing. The number of homes follows
+        Rendezvous hashing gives all routers the same homes without communication. The number of homes follows
         the function's fraction of the calls, which each router estimates from its own traffic.
         """
         state = self.state
@@ -202,7 +202,7 @@
         """Return the number of home workers of a function, at least 1."""
         state = self.state
         fraction = state.traffic.popularity.call_fraction(now_ms, function.recent_calls)
-        if state.gossip is not None:  # which reports instances, so that fewer homes must be guessed
+        if state.gossip is not None:  # gossip reports instances, so that fewer homes are needed
             fraction *= 1.0 - state.gossip.peer_coverage(now_ms)
         fleet_calls_per_ms = state.traffic.calls_per_ms * state.live_router_count
         max_retained = fleet_calls_per_ms * state.settings.keep_alive_ms / MIN_CALLS_PER_HOME
@@ -252,7 +252,7 @@
         worker_id = worker.endpoint.worker_id
         in_flight = worker.in_flight + PEER_LOAD_WEIGHT * worker.peers_in_flight
         if (instance := function.gossiped_instances.get(worker_id)) is not None:
-            in_flight += instance.in_flight  # they use the concurrency of this function's instances
+            in_flight += instance.in_flight  # these use the concurrency of this function's instances
         load = (
             in_flight / function.concurrency
             + worker.read_excess_load(now_ms)
--- a/cedarthread/routing/slow_start.py
+++ b/cedarthread/routing/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start (Envoy's term): the work that may be sent to a worker that started recently.
 
-The functions have no state except the sends of ``WorkerRecord``. All times are ms of the steady clock that
-the caller passes in; work is ms of service time.
+The functions are stateless; ``WorkerRecord`` stores the sends. All times are ms on the monotonic clock,
+passed in by the caller; work is in ms of service time.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def available_capacity(rules: RuleParameters, age_ms: float) -> float:
-    """Return the least fraction of its capacity that a worker of this age has."""
+    """Return the guaranteed fraction of its capacity that a worker of this age has."""
     if age_ms >= rules.slow_start_ms:
         return 1.0
     min_capacity = rules.slow_start_min_capacity
@@ -42,13 +42,14 @@
 ) -> bool:
     """Return whether one more call fits this router's budget for a cold worker in the window of rule 4.
 
-    The budget follows the router's own demand, so that the budgets of all routers sum to that of the fleet.
+    The budget is proportional to the router's own demand, so that the budgets of all routers sum to that of
+    the fleet.
     If the budget is less than one call, only routers with a jitter below that fraction may send one; their
     number grows as the worker warms up.
 
     Args:
         rules: The parameters of rule 4.
-        now_ms: The steady clock.
+        now_ms: Current time.
         sends: The earlier sends; those before the window are dropped.
         jitter: The router's random number for the worker, 0 to 1.
         work_per_ms: This router's work per ready worker and ms, times the worker's fraction of its capacity.
--- a/cedarthread/routing/timers.py
+++ b/cedarthread/routing/timers.py
@@ -1,7 +1,7 @@
-"""The timer schedule of one router: a heap of due times, behind the single timer that the host fires.
+"""The timer schedule of one router: a heap of due times, served by a single timer of the host.
 
-The schedule reads no clock and arms the timer by an action that it returns. All times are ms of the steady
-clock that the caller passes in.
+The schedule does not read a clock; it arms the timer through an action that it returns. All times are ms on
+the monotonic clock, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
     from collections.abc import Iterator
 
 NO_REQUEST = -1  # the request id of a due time that belongs to no request
-MIN_DELAY_MS = 1.0  # shortest delay of the timer, also for an overdue entry
-ROUNDING_MS = 0.5  # the host rounds due times, so one this near counts as due
-TOKENS = 2**31  # tokens wrap below this; the node's own timer uses a token above
+MIN_DELAY_MS = 1.0  # minimum delay of the timer, also for an overdue entry
+ROUNDING_MS = 0.5  # the host rounds due times, so a time this close counts as due
+TOKENS = 2**31  # tokens wrap around below this; the timer of the node's components has a larger token
 
 
 class DueTime(NamedTuple):
-    """An entry of the heap; the serial number orders entries of the same time as they were scheduled."""
+    """An entry of the heap; the serial number keeps entries of the same time in scheduling order."""
 
     at_ms: float
     serial: int
@@ -40,7 +40,7 @@
         self.armed_at_ms = math.inf
 
     def schedule(self, at_ms: float, request_id: int = NO_REQUEST, attempt_index: int = 0) -> None:
-        """Add a due time, for the given attempt if a request is named."""
+        """Add a due time, for an attempt if a request is given."""
         self.serial += 1
         heapq.heappush(self.entries, DueTime(at_ms, self.serial, request_id, attempt_index))
 
--- a/cedarthread/routing/worker_table.py
+++ b/cedarthread/routing/worker_table.py
@@ -1,7 +1,7 @@
 """The worker table of one router: applies updates of the endpoint list to one record for each worker.
 
-Bookkeeping only; ``selection.py`` selects the worker of a request. All times are ms of the steady clock that
-the caller passes in.
+The table contains no policy; ``selection.py`` selects the worker of a request. All times are ms on the
+monotonic clock, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     Args:
         settings: The settings of the router.
         zones: Reachability of the zones; workers in unreachable zones are not ready.
-        rng: The router's random generator, for the jitter of each worker.
+        rng: The router's random number generator, for the jitter of each worker.
     """
 
     def __init__(self, settings: RouterSettings, zones: ZoneReachability, rng: random.Random) -> None:
@@ -43,7 +43,7 @@
         self.update_settings(settings)
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """Set the time constant of the ready peak to the slow start, during which replacements are cold."""
+        """Set the time constant of the ready peak to the slow start, while replacements are cold."""
         self.ready_peak.time_constant_ms = max(1.0, settings.rules.slow_start_ms)
 
     def apply(self, now_ms: float, update: EndpointUpdate) -> list[int]:
@@ -75,7 +75,7 @@
         return without_instances
 
     def _mark_unlisted_removed(self, update: EndpointUpdate) -> None:
-        """Mark the workers that a complete list lacks; each is dropped once nothing is in flight there."""
+        """Mark workers missing from a complete list as removed; one with nothing in flight is dropped."""
         listed = {endpoint.worker_id for endpoint in update.endpoints}
         for worker_id, worker in self.by_id.items():
             if worker_id not in listed:
--- a/cedarthread/routing/zone_reachability.py
+++ b/cedarthread/routing/zone_reachability.py
@@ -1,10 +1,10 @@
-"""Zone reachability: detects unreachable zones by the silence of all calls to a zone together.
+"""Zone reachability: detects an unreachable zone from missing responses to all calls to the zone together.
 
-A router in a large fleet calls each worker only every few seconds, so the silence of one worker may be
-noticed only when the outage of its zone is over. The calls to a zone together show it sooner. The surprise of
-a silence follows the phi accrual failure detector (Hayashibara et al., 2004): each call in flight adds its
-age since the last response from the zone, in units of the usual time of a call. All times are ms of the
-steady clock that the caller passes in.
+A router in a large fleet calls each worker only every few seconds, so an unresponsive worker may be detected
+only when the outage of its zone is over. The calls to a zone together show the outage sooner. The suspicion
+level follows the phi accrual failure detector (Hayashibara et al., 2004): each call in flight adds its age
+since the last response from the zone, in units of the expected time of a call. All times are ms on the
+monotonic clock, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-UNREACHABLE_SURPRISE = 6.0  # limit of a reachable zone; exceeded by chance once in 400 (natural logarithm)
-MAX_WORKER_SURPRISE = 3.0  # bound for one worker, because the fault may be its own
-MIN_SHARED_SURPRISE = 1.0  # bound below which a zone does not count among zones silent together
-CONNECT_FAILURE_SURPRISE = 3.0  # that one failed connect adds
-DEVIATIONS = 1.0  # mean deviations added to the usual time: cold starts make a long tail
-MIN_EXPECTED_MS = 100.0  # lower bound of the expected time: shorter silence may be a pause of this process
+UNREACHABLE_SURPRISE = 6.0  # threshold; a reachable zone exceeds it by chance once in 400 (natural logarithm)
+MAX_WORKER_SURPRISE = 3.0  # upper bound for one worker, because the fault may be its own
+MIN_SHARED_SURPRISE = 1.0  # lower bound for a zone to count among zones that are unresponsive together
+CONNECT_FAILURE_SURPRISE = 3.0  # added by one failed connect
+DEVIATIONS = 1.0  # mean deviations added to the expected time, because cold starts cause a long tail
+MIN_EXPECTED_MS = 100.0  # lower bound of the expected time: a shorter gap may be a pause of this process
 MIN_RESPONSES = 10  # responses needed before any zone counts as unreachable
 BASE_TRIAL_DELAY_MS = 1000.0  # time until a trial, doubled after each lost trial
 MAX_TRIAL_DELAY_MS = 8000.0
-MAX_LOST_ATTEMPTS = 64  # ended attempts without a response that count
+MAX_LOST_ATTEMPTS = 64  # number of ended attempts without a response that are kept
 
 AttemptId = tuple[int, int]  # request id and attempt index
 
@@ -55,7 +55,7 @@
 
 
 class ZoneReachability:
-    """The reachability of each zone for one router, and the router's attempts there.
+    """The reachability of each zone from one router, and the router's attempts there.
 
     Args:
         own_zone: The zone of the router.
@@ -76,7 +76,7 @@
         """Record an attempt that was sent; if the zone is due for a trial, the attempt is that trial.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: Current time.
             attempt: The attempt.
             worker_id: Its worker.
             zone: The zone of the worker.
@@ -137,10 +137,10 @@
         return outage.trial_attempt is None and now_ms >= trial_at_ms
 
     def find_unreachable(self, now_ms: float) -> list[int]:
-        """Mark zones as unreachable, and return them with the zones in which a trial was lost by silence.
+        """Mark zones as unreachable, and return them with the zones in which a trial got no response.
 
-        One zone is unreachable by its own silence; several zones other than the router's own are unreachable
-        if their surprises suffice together.
+        A zone is unreachable if its suspicion level reaches the threshold; several zones other than the
+        router's own are unreachable if the sum of their suspicion levels does.
         """
         if self.mean_ratio.count < MIN_RESPONSES:
             return []
@@ -171,11 +171,11 @@
         return newly_unreachable
 
     def _is_trial_lost(self, now_ms: float, attempt: AttemptId, tolerance: float) -> bool:
-        """Return whether the trial in flight has been silent for too long."""
+        """Return whether the trial in flight has been without a response for too long."""
         return self._surprise(now_ms, [self.in_flight[attempt]], tolerance) >= MAX_WORKER_SURPRISE
 
     def _zone_surprise(self, now_ms: float, zone: int, tolerance: float) -> float:
-        """Return the surprise of a zone's silence; 0 until the silence exceeds the usual time of a call."""
+        """Return the suspicion level of a zone; 0 if it responded within the expected time of a call."""
         responded_at_ms = self.last_response_at_ms[zone]
         if now_ms - responded_at_ms < MIN_EXPECTED_MS * tolerance:
             return 0.0
@@ -199,7 +199,7 @@
         tolerance: float,
         responded_at_ms: float = -math.inf,
     ) -> float:
-        """Return the surprise of attempts without a response, summed over workers and bounded for each."""
+        """Return the suspicion level of unanswered attempts, summed over workers and bounded for each."""
         by_worker: dict[int, float] = {}
         for attempt in attempts:
             if attempt.has_connect_failed:
@@ -212,7 +212,7 @@
 
     @staticmethod
     def _back_off(outage: _UnreachableZone, now_ms: float) -> None:
-        """Schedule the next trial, later, because the last one was lost."""
+        """Schedule the next trial with a longer delay, because the last one was lost."""
         outage.trial_delay_ms = min(2 * outage.trial_delay_ms, MAX_TRIAL_DELAY_MS)
         outage.trial_at_ms = now_ms + outage.trial_delay_ms
         outage.trial_attempt = None
