--- a/cedarthread/routing/admission.py
+++ b/cedarthread/routing/admission.py
@@ -54,8 +54,7 @@
     def should_shed(self, now_ms: float, pending: PendingRequest, quota_use: float) -> bool:
         """Return whether to shed a new request; the decision is random and logs ``load_shed``.
 
-        The shed probability depends on the request's value per ms of work and on the tenant's quota
-        utilization, or on the tenant's contract.
+        The probability depends on the value per ms of work and on the tenant's quota use or contract.
 
         Args:
             now_ms: Current time.
