--- a/cedarthread/model/__init__.py
+++ b/cedarthread/model/__init__.py
@@ -1,1 +1,1 @@
-"""The vocabulary that all other packages share: settings, endpoints, events, outcomes, actions. No logic."""
+"""Data types shared by all packages: settings, endpoints, events, outcomes and actions; no logic."""
--- a/cedarthread/model/actions.py
+++ b/cedarthread/model/actions.py
@@ -1,6 +1,6 @@
-"""The actions that a router returns. Its host carries them out in order.
+"""The actions that a router returns; its host executes them in order.
 
-Times are milliseconds on the steady clock that was passed in with the event.
+Times are milliseconds on the monotonic clock whose time was passed in with the event.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
     slots=True
 )  # not frozen: created on each call, and creating a frozen one costs three times as much
 class StartAttempt:
-    """The start of an attempt at a worker; without ``timeout_ms`` the limit is the request's deadline."""
+    """The start of an attempt at a worker; without ``timeout_ms`` the request's deadline applies."""
 
     request_id: int
     worker_id: int
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """A datagram to one other router, or to all of them if ``peer_index`` is None."""
+    """A datagram to one other router, or to all other routers if ``peer_index`` is None."""
 
     data: bytes
     peer_index: int | None = None
--- a/cedarthread/model/call_priority.py
+++ b/cedarthread/model/call_priority.py
@@ -13,9 +13,9 @@
 class CallPriority:
     """The position of one call in the table of tiers; 0 is the highest priority.
 
-    A router may know several versions of the contracts. ``worst_position`` decides whether the call preempts
-    another, ``best_position`` whether another preempts it, and ``position``, the worst of the known versions,
-    whether it may be rejected.
+    A router may know several versions of the contracts. ``worst_position`` determines whether the call
+    preempts another, ``best_position`` whether another preempts it, and ``position``, the worst of the known
+    versions, whether it may be rejected.
     """
 
     best_position: int
@@ -25,7 +25,7 @@
     is_within_quota: bool = False
 
     def outranks(self, other: CallPriority) -> bool:
-        """Return whether the call has priority over the other in each version that a router may apply."""
+        """Return whether the call has the higher priority in every version that a router may apply."""
         return self.worst_position < other.best_position
 
     def is_highest(self) -> bool:
@@ -33,5 +33,5 @@
         return self.position == 0
 
 
-# The priority of a call while no tiers are in effect; such a call preempts none and none preempts it.
+# The priority of a call while no tiers are in effect; such a call neither preempts nor is preempted.
 NO_PRIORITY = CallPriority(0, LOWEST_PRIORITY)
--- a/cedarthread/model/events.py
+++ b/cedarthread/model/events.py
@@ -1,6 +1,6 @@
 """The events that a router handles.
 
-Times are milliseconds on the steady clock that is passed in with each event.
+Times are milliseconds on the monotonic clock whose time is passed in with each event.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The start of a streamed response to an attempt; from now on the request has no deadline."""
+    """The start of a streamed response to an attempt; after it the request has no deadline."""
 
     request_id: int
     attempt_index: int
@@ -60,12 +60,12 @@
     reported_concurrency: int | None = None  # requests of the function in flight at the worker at that time
     load_report: tuple[float | None, ...] = ()
     is_unreachable: bool = True  # for CONNECT_FAILED: no connection was established; the worker may be down
-    is_local: bool = False  # not sent, for a cause in this process, so not a fault of the worker
+    is_local: bool = False  # not sent, for a reason in this process, so not a failure of the worker
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The disconnection of a client; the request needs no final answer any more."""
+    """The disconnection of a client; its request no longer needs a final answer."""
 
     request_id: int
 
--- a/cedarthread/model/instance_load.py
+++ b/cedarthread/model/instance_load.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceLoad:
-    """Attempts in flight and the age of the last warm instance of one function at one worker."""
+    """The attempts in flight of one function at one worker, and the age of its last warm response."""
 
-    in_flight: int  # attempts of all routers, those of this router included
-    warm_age_ms: float | None  # since another router's last warm response there; None: none recently
+    in_flight: int  # attempts of all routers, including this one
+    warm_age_ms: float | None  # time since another router's last warm response there; None: none recently
--- a/cedarthread/model/outcomes.py
+++ b/cedarthread/model/outcomes.py
@@ -27,7 +27,7 @@
     """The start of the function instance that served a request, as the response reports it."""
 
     UNKNOWN = "none"
-    WARM = "found"  # the instance was loaded already
+    WARM = "found"  # the instance was already loaded
     COLD = "began"  # this request started the load
     PENDING = "awaited"  # this request waited for a load that an earlier one started
     LOAD_FAILED = "load_failed"
--- a/cedarthread/model/settings.py
+++ b/cedarthread/model/settings.py
@@ -1,6 +1,6 @@
 """The settings of a router: request classes, tenants, limits, rule parameters and prices.
 
-Plain records without logic. All times are milliseconds; ``None`` means that a value is not configured.
+Plain data without logic. All times are milliseconds; ``None`` means that a value is not configured.
 ``cedarthread/settings_parser.py`` maps the operators' key names to these fields.
 """
 
@@ -11,7 +11,7 @@
 
 
 class Idempotency(Enum):
-    """The permission of a request class to be executed more than once."""
+    """The idempotency of a request class: whether a request may be executed more than once."""
 
     IDEMPOTENT = "safe"  # may be executed any number of times
     WITH_KEY = "keyed"  # workers deduplicate by idempotency key, within a scope and a window
@@ -27,21 +27,21 @@
 
 
 class NotLoadedBehavior(Enum):
-    """The reaction of a worker to a request for a function that it has not loaded."""
+    """The behavior of a worker that receives a request for a function it has not loaded."""
 
     LOAD = "load"  # load the function while the request waits
-    REJECT = "miss"  # respond NOT_LOADED; only a preload loads the function
+    REJECT = "miss"  # respond NOT_LOADED; functions are loaded only by preloads
 
 
 class DiscoveryMode(Enum):
-    """The way in which the router receives the endpoint list."""
+    """The mode in which the router receives the endpoint list."""
 
     PUSH = "push"
     POLL = "ask"
 
 
 class LoadReportSource(Enum):
-    """The messages in which workers report their load."""
+    """The messages that carry the load reports of workers."""
 
     NONE = "none"
     RESPONSES = "answers"
@@ -61,7 +61,7 @@
 class RequestClass:
     """A class of requests with the same latency objective, deadline and idempotency.
 
-    The priority weights are the points that a response earns: within the objective, and after it.
+    The priority weights are the points scored by a response: within the latency objective, and after it.
     """
 
     name: str
@@ -71,14 +71,14 @@
     late_priority_weight: float
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
-    deduplication_window_ms: float  # how long workers store an idempotency key
+    deduplication_window_ms: float  # how long workers remember an idempotency key
     is_streaming: bool
-    latency_objective_work_factor: float  # the objective grows by this multiple of the request's work
+    latency_objective_work_factor: float  # multiple of the request's work added to the objective
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and its quota of the service."""
+    """A tenant and its quota."""
 
     name: str
     quota_fraction: float
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """The limits of the deployment: bounds, and switches for mechanisms."""
+    """The limits of the deployment: upper bounds, and which mechanisms are enabled."""
 
     max_attempts: int
     max_pending_requests: int
@@ -108,10 +108,10 @@
 
     answer_slack_ms: float
     drain_grace_ms: float
-    slow_start_min_capacity: float  # least fraction of its capacity that a started worker has
-    slow_start_ms: float  # a worker has its full capacity after this time
+    slow_start_min_capacity: float  # guaranteed fraction of its capacity at the start of a worker
+    slow_start_ms: float  # time from its start after which a worker has its full capacity
     collapse_multiple: float  # a cold worker collapses above this multiple of its capacity
-    collapse_window_ms: float  # the window over which the load of a cold worker is counted
+    collapse_window_ms: float  # window over which the load of a cold worker is measured
     max_poll_delay_ms: float
     preload_allowance: float
     preload_share: float
