--- a/cedarthread/routing/admission.py
+++ b/cedarthread/routing/admission.py
@@ -168,7 +168,7 @@
 
     # Preemption and final answers.
 
-    def preempted_by(
+    def choose_preemption_victim(
         self, now_ms: float, pending: PendingRequest, worker: WorkerRecord | None
     ) -> PendingRequest | None:
         """Choose and log a request of lower priority that the caller must preempt for this one, or None."""
@@ -192,11 +192,11 @@
         A request is rejected if it was not executed or may be repeated safely; otherwise it fails.
         """
         request_class = pending.request_class
-        is_harmless = request_class.idempotency is Idempotency.IDEMPOTENT or (
+        is_repeatable = request_class.idempotency is Idempotency.IDEMPOTENT or (
             request_class.idempotency is Idempotency.WITH_KEY
             and request_class.deduplication_scope is DeduplicationScope.ALL
         )
-        if not is_harmless and pending.possibly_executed():
+        if not is_repeatable and pending.possibly_executed():
             return FailRequest(pending.request.request_id)
         state = self.state
         limits = self.state.settings.limits
--- a/cedarthread/routing/attempt_tracker.py
+++ b/cedarthread/routing/attempt_tracker.py
@@ -91,9 +91,9 @@
             has_connect_failed=has_connect_failed,
         ):
             state.workers.count_ready(now_ms)
-        self.feedback.learn_worker(now_ms, event, attempt)
+        self.feedback.update_worker(now_ms, event, attempt)
         if pending is not None:
-            self.feedback.learn_function(now_ms, event, attempt, pending)
+            self.feedback.update_function(now_ms, event, attempt, pending)
         return pending
 
     def on_stream_started(self, now_ms: float, event: StreamStarted) -> None:
--- a/cedarthread/routing/estimators.py
+++ b/cedarthread/routing/estimators.py
@@ -102,7 +102,7 @@
         self.request_value = Ewma()  # priority weight of a request per ms of its work
         self.calls_per_ms = 0.0
         self.load_time_constant_ms = MIN_LOAD_TIME_CONSTANT_MS  # of a worker's load observations
-        self.call_rarity = 1.0  # load_time_constant_ms over its minimum, 1 to 3; 3: own calls are rare
+        self.sparse_traffic_factor = 1.0  # load_time_constant_ms over its minimum; 1 to 3 (calls are rare)
         self.reported_in_flight = DecayingMean(RATE_WINDOW_MS)  # of other routers, over all workers
         self.mean_reported_in_flight = 0.0
         self.by_tenant = [DecayingCounter(RATE_WINDOW_MS) for _ in settings.tenants]
@@ -115,7 +115,7 @@
         self.admitted_by_class += [DecayingCounter(RATE_WINDOW_MS) for _ in added]
 
     def on_call(self, now_ms: float, function: FunctionRecord, worker_count: int) -> None:
-        """Count a call and update the call rate and the call rarity.
+        """Count a call and update the call rate and the sparse-traffic factor.
 
         The rate is divided by the fraction of the window since the first call, so that it is unbiased soon
         after the start.
@@ -127,7 +127,7 @@
         self.calls_per_ms = self.recent_calls.read(now_ms) / RATE_WINDOW_MS / known_fraction
         wanted_ms = RESPONSES_PER_TIME_CONSTANT * worker_count / self.calls_per_ms
         self.load_time_constant_ms = min(max(wanted_ms, MIN_LOAD_TIME_CONSTANT_MS), MAX_LOAD_TIME_CONSTANT_MS)
-        self.call_rarity = self.load_time_constant_ms / MIN_LOAD_TIME_CONSTANT_MS
+        self.sparse_traffic_factor = self.load_time_constant_ms / MIN_LOAD_TIME_CONSTANT_MS
         self.mean_reported_in_flight = self.reported_in_flight.read(now_ms, REPORT_PRIOR_COUNT)
 
     def on_tenant_call(self, now_ms: float, request: RequestArrived, settings: RouterSettings) -> float:
@@ -166,4 +166,4 @@
         """Return the weighted excess of reported requests at the worker over the mean; 0 without reports."""
         usual = self.mean_reported_in_flight
         excess = worker.reported_in_flight.read(now_ms, EXCESS_LOAD_PRIOR_COUNT, usual) - usual
-        return REPORTED_LOAD_WEIGHT * self.call_rarity * excess
+        return REPORTED_LOAD_WEIGHT * self.sparse_traffic_factor * excess
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -13,7 +13,7 @@
     FAILURE_GAIN,
     MAX_EJECTED_FRACTION,
     MAX_FAILURE_GAIN,
-    MAX_SILENT_EJECTED_FRACTION,
+    MAX_UNRESPONSIVE_EJECTED_FRACTION,
     OVERDUE_MULTIPLE,
     RECOVERY_THRESHOLD,
 )
@@ -63,10 +63,10 @@
         """Add an observation of a worker, 0 healthy to 1 failed; may eject the worker or end its ejection."""
         workers = self.state.workers.by_id.values()
         if outlier_detection.observe(worker, workers, failure, max_ejected_fraction, gain):
-            outlier_detection.eject(worker, now_ms, self.state.traffic.call_rarity, self.state.rng)
+            outlier_detection.eject(worker, now_ms, self.state.traffic.sparse_traffic_factor, self.state.rng)
             self.state.log(now_ms, "worker_ejected", worker_id=worker.endpoint.worker_id)
 
-    def observe_silence(self, now_ms: float, attempt: Attempt) -> bool:
+    def observe_unresponsiveness(self, now_ms: float, attempt: Attempt) -> bool:
         """Return whether the worker has not responded at all since the attempt started.
 
         If the attempt is also overdue, this counts once as a failure of the worker.
@@ -74,14 +74,14 @@
         worker = self.state.workers.by_id.get(attempt.endpoint.worker_id)
         if worker is None:
             return True
-        is_silent = worker.last_response_at_ms < attempt.started_at_ms
+        is_unresponsive = worker.last_response_at_ms < attempt.started_at_ms
         is_overdue = now_ms - attempt.started_at_ms >= OVERDUE_MULTIPLE * attempt.expected_ms
-        if is_silent and is_overdue and not attempt.is_overdue:
+        if is_unresponsive and is_overdue and not attempt.is_overdue:
             attempt.is_overdue = True
-            self.observe_health(now_ms, worker, 1.0, MAX_SILENT_EJECTED_FRACTION)
-        return is_silent
+            self.observe_health(now_ms, worker, 1.0, MAX_UNRESPONSIVE_EJECTED_FRACTION)
+        return is_unresponsive
 
-    def learn_worker(self, now_ms: float, event: AttemptEnded, attempt: Attempt) -> None:
+    def update_worker(self, now_ms: float, event: AttemptEnded, attempt: Attempt) -> None:
         """Update the worker's record from the outcome of an attempt.
 
         Right after a stall of the process the event is stale, so load and outlier scores are not updated.
@@ -89,7 +89,7 @@
         worker = self.state.workers.by_id.get(event.worker_id)
         if worker is None:
             return
-        self._learn_load_report(now_ms, worker, event.load_report)
+        self._record_load_report(now_ms, worker, event.load_report)
         worker.in_flight -= 1
         slow_start.on_attempt_ended(
             worker.slow_start_sends, attempt.started_at_ms, was_sent=not event.is_local
@@ -100,13 +100,13 @@
         if now_ms == self.state.stalled_at_ms:
             return
         if event.outcome is Outcome.OK:
-            self._learn_success(now_ms, worker, event, attempt)
+            self._record_success(now_ms, worker, event, attempt)
         elif event.outcome is Outcome.OVERLOADED:
-            self._learn_overloaded(now_ms, worker, attempt)
+            self._record_overloaded(now_ms, worker, attempt)
         else:
-            self._learn_failure(now_ms, worker, event, attempt)
+            self._record_failure(now_ms, worker, event, attempt)
 
-    def _learn_success(
+    def _record_success(
         self, now_ms: float, worker: WorkerRecord, event: AttemptEnded, attempt: Attempt
     ) -> None:
         """Record a response: good health, and the load implied by its latency and reported concurrency."""
@@ -120,7 +120,7 @@
             worker.outlier_score = min(worker.outlier_score, RECOVERY_THRESHOLD)
         self.observe_health(now_ms, worker, 0.0)
 
-    def _learn_overloaded(self, now_ms: float, worker: WorkerRecord, attempt: Attempt) -> None:
+    def _record_overloaded(self, now_ms: float, worker: WorkerRecord, attempt: Attempt) -> None:
         """Record a rejection of the class and tenant, and a load of at least one latency objective."""
         rejections = worker.rejections.setdefault(
             attempt.class_and_tenant, DecayingCounter(REJECTION_TIME_CONSTANT_MS)
@@ -132,19 +132,19 @@
         excess = max(worker.read_excess_load(now_ms), objective)
         worker.excess_load.add(now_ms, excess, self.state.traffic.load_time_constant_ms)
 
-    def _learn_failure(
+    def _record_failure(
         self, now_ms: float, worker: WorkerRecord, event: AttemptEnded, attempt: Attempt
     ) -> None:
         """Add a failure to the outlier score; a failed half-open trial ejects the worker for longer."""
-        call_rarity = self.state.traffic.call_rarity
-        weight = outlier_detection.failure_weight(worker, now_ms, event, attempt, call_rarity)
+        sparse_traffic_factor = self.state.traffic.sparse_traffic_factor
+        weight = outlier_detection.failure_weight(worker, now_ms, event, attempt, sparse_traffic_factor)
         if weight is None:
             return
         self.observe_health(now_ms, worker, 1.0, *weight)
         if attempt.is_trial and worker.is_ejected:
-            outlier_detection.eject(worker, now_ms, call_rarity, self.state.rng)
+            outlier_detection.eject(worker, now_ms, sparse_traffic_factor, self.state.rng)
 
-    def _learn_load_report(
+    def _record_load_report(
         self, now_ms: float, worker: WorkerRecord, load_report: tuple[float | None, ...]
     ) -> None:
         """Record the requests of other routers at the worker, which are most of its load in a large fleet."""
@@ -169,7 +169,7 @@
         reported = self._reported_in_flight(event.load_report)
         return None if worker is None or reported is None else (reported, float(worker.in_flight))
 
-    def learn_function(
+    def update_function(
         self, now_ms: float, event: AttemptEnded, attempt: Attempt, pending: PendingRequest
     ) -> None:
         """Update the function's instances and service times from the outcome of an attempt."""
@@ -177,7 +177,7 @@
         worker_id = event.worker_id
         if event.outcome is not Outcome.OK:
             if event.outcome is Outcome.NOT_LOADED or event.start_kind is StartKind.LOAD_FAILED:
-                function.forget_instance(worker_id)
+                function.remove_instances(worker_id)
             return
         function.instance_seen_at_ms[worker_id] = now_ms
         function.instance_queue.on_response(worker_id, was_cold=event.start_kind is StartKind.COLD)
@@ -196,7 +196,7 @@
             if attempt.has_suspect_error and worker is not None:
                 self.observe_health(now_ms, worker, 1.0, gain=MAX_FAILURE_GAIN)
 
-    def learn_preload(self, now_ms: float, event: PreloadEnded) -> bool:
+    def record_preload(self, now_ms: float, event: PreloadEnded) -> bool:
         """Record the result of a preload; return False if no such preload is in flight."""
         state = self.state
         worker_id = event.worker_id
--- a/cedarthread/routing/function_table.py
+++ b/cedarthread/routing/function_table.py
@@ -34,10 +34,10 @@
                 break
             self.preloads_in_flight -= len(self.by_id.pop(oldest_id).preloading_workers)
 
-    def forget_worker(self, worker_id: int) -> None:
+    def remove_worker(self, worker_id: int) -> None:
         """Drop all instances and preloads at a worker that restarted or left."""
         for function in self.by_id.values():
-            function.forget_worker(worker_id)
+            function.remove_worker(worker_id)
             self.end_preload(function, worker_id)
 
     def start_preload(self, function: FunctionRecord, worker_id: int) -> None:
--- a/cedarthread/routing/outlier_detection.py
+++ b/cedarthread/routing/outlier_detection.py
@@ -23,7 +23,7 @@
 EJECTION_THRESHOLD = 0.5  # a worker with a higher score is ejected
 RECOVERY_THRESHOLD = EJECTION_THRESHOLD / 2  # the ejection ends below this score
 MAX_EJECTED_FRACTION = 0.4  # maximum ejected fraction: if more workers fail, they share the cause
-MAX_SILENT_EJECTED_FRACTION = 0.8  # the same for unresponsive workers, where no call succeeds
+MAX_UNRESPONSIVE_EJECTED_FRACTION = 0.8  # the same for unresponsive workers, where no call succeeds
 MAX_EJECTION_MS = 12000.0  # maximum time until the half-open trial; it doubles with each ejection
 EJECTION_JITTER = 0.75, 1.25  # range of the random factor of the ejection time
 OVERDUE_MULTIPLE = 4.0  # an attempt is overdue after this multiple of its expected time
@@ -85,19 +85,20 @@
     return False
 
 
-def eject(worker: WorkerRecord, now_ms: float, call_rarity: float, rng: random.Random) -> None:
+def eject(worker: WorkerRecord, now_ms: float, sparse_traffic_factor: float, rng: random.Random) -> None:
     """Set the time of the first half-open trial of an ejected worker.
 
-    The ejection time grows with ``call_rarity`` (1 and up, higher if own calls to one worker are rare), so
-    that the number of trials at a failed worker does not grow with the number of routers in the fleet.
+    The ejection time grows with ``sparse_traffic_factor`` (1 and up, higher if own calls to one worker are
+    rare), so that the number of trials at a failed worker does not grow with the number of routers in the
+    fleet.
     """
-    ejection_ms = min(worker.ejection_ms * call_rarity, MAX_EJECTION_MS)
+    ejection_ms = min(worker.ejection_ms * sparse_traffic_factor, MAX_EJECTION_MS)
     worker.ejected_until_ms = now_ms + ejection_ms * rng.uniform(*EJECTION_JITTER)
     worker.ejection_ms = min(2 * worker.ejection_ms, MAX_EJECTION_MS)
 
 
 def failure_weight(
-    worker: WorkerRecord, now_ms: float, event: AttemptEnded, attempt: Attempt, call_rarity: float
+    worker: WorkerRecord, now_ms: float, event: AttemptEnded, attempt: Attempt, sparse_traffic_factor: float
 ) -> FailureWeight | None:
     """Return the effect of a failed attempt on its worker's outlier score; None: no effect.
 
@@ -116,17 +117,19 @@
         if worker.connection_broken_at_ms == now_ms:
             return None  # all attempts on one connection fail at once and count as one failure
         worker.connection_broken_at_ms = now_ms
-    gain = FAILURE_GAIN  # timeouts and resets may have other causes, so call rarity does not raise the gain
+    gain = FAILURE_GAIN  # also for sparse traffic after timeouts and resets, which may have other causes
     if outcome is Outcome.ERROR or event.is_unreachable:
-        gain = min(gain * call_rarity, MAX_FAILURE_GAIN)
-    return FailureWeight(MAX_SILENT_EJECTED_FRACTION if event.is_unreachable else MAX_EJECTED_FRACTION, gain)
+        gain = min(gain * sparse_traffic_factor, MAX_FAILURE_GAIN)
+    return FailureWeight(
+        MAX_UNRESPONSIVE_EJECTED_FRACTION if event.is_unreachable else MAX_EJECTED_FRACTION, gain
+    )
 
 
 def _is_excused(event: AttemptEnded, attempt: Attempt) -> bool:
     """Return whether the failure does not count against the worker.
 
-    These are a failed load of the instance, a timeout that ``observe_silence`` has already counted, and a
-    timeout due to a short deadline of the client.
+    These are a failed load of the instance, a timeout that ``observe_unresponsiveness`` has already
+    counted, and a timeout due to a short deadline of the client.
     """
     if event.start_kind is StartKind.LOAD_FAILED:
         return True
--- a/cedarthread/routing/overload.py
+++ b/cedarthread/routing/overload.py
@@ -18,7 +18,7 @@
 
 OVERLOAD_START = 0.25  # an overload starts when latency reaches this fraction of the latency objective...
 OVERLOAD_SPAN = 0.2  # ...and all calls are shed when latency exceeds that by this fraction
-CHANCE_DEVIATIONS = 1.0  # standard deviations of the calls in flight that count as random variation
+NOISE_DEVIATIONS = 1.0  # standard deviations of the calls in flight that count as random variation
 TYPICAL_WORKER_FRACTION = 0.75  # the least loaded workers; the others may be slow or unresponsive at any time
 RATE_WINDOW_MS = 2000.0  # time constant of the counts of calls and completions
 MIN_RATE_PER_MS = 1e-6  # lower bound of completions, so that no completions means a very long latency
@@ -53,7 +53,7 @@
         if is_success:
             self.completions.add(now_ms, 1.0)
 
-    def queueing_ms(self, now_ms: float, in_flight: float) -> float:
+    def time_in_system_ms(self, now_ms: float, in_flight: float) -> float:
         """Return the ms until this many calls in flight complete, less a margin for random variation."""
         # For the part of the window before the first call, completions are assumed to equal arrivals.
         unseen_fraction = math.exp(min(0.0, self.first_call_at_ms - now_ms) / RATE_WINDOW_MS)
@@ -62,22 +62,22 @@
         completions_per_ms = (
             self.completions.read(now_ms) / RATE_WINDOW_MS + unseen_fraction * arrivals_per_ms
         )
-        beyond_chance = max(0.0, in_flight - CHANCE_DEVIATIONS * math.sqrt(in_flight))
-        return beyond_chance / max(completions_per_ms, MIN_RATE_PER_MS)
+        excess_in_flight = max(0.0, in_flight - NOISE_DEVIATIONS * math.sqrt(in_flight))
+        return excess_in_flight / max(completions_per_ms, MIN_RATE_PER_MS)
 
     def utilization(self, now_ms: float, objective_ms: float) -> float:
         """Return the latency of calls over the latency at which an overload starts for this objective."""
-        return self.queueing_ms(now_ms, self.total_in_flight) / (OVERLOAD_START * objective_ms)
+        return self.time_in_system_ms(now_ms, self.total_in_flight) / (OVERLOAD_START * objective_ms)
 
     def shed_probability(self, now_ms: float, objective_ms: float, worker_ids: Iterable[int]) -> float:
         """Return the fraction of calls with this latency objective to shed: 0 without overload, may exceed 1.
 
         ``worker_ids`` are the workers that are not ejected; they are read only if there may be an overload.
         """
-        if self.queueing_ms(now_ms, self.total_in_flight) <= OVERLOAD_START * objective_ms:
+        if self.time_in_system_ms(now_ms, self.total_in_flight) <= OVERLOAD_START * objective_ms:
             return 0.0
         in_flight = sorted(self.in_flight.get(worker_id, 0) for worker_id in worker_ids)
         typical = in_flight[: math.ceil(TYPICAL_WORKER_FRACTION * len(in_flight))]
         typical_total = sum(typical) * len(in_flight) / max(1, len(typical))
-        queueing_ms = self.queueing_ms(now_ms, typical_total)
-        return max(0.0, (queueing_ms / objective_ms - OVERLOAD_START) / OVERLOAD_SPAN)
+        time_in_system_ms = self.time_in_system_ms(now_ms, typical_total)
+        return max(0.0, (time_in_system_ms / objective_ms - OVERLOAD_START) / OVERLOAD_SPAN)
--- a/cedarthread/routing/records.py
+++ b/cedarthread/routing/records.py
@@ -112,12 +112,12 @@
     preload_not_before_ms: float = 0.0
     preload_backoff_ms: float = 0.0
 
-    def forget_worker(self, worker_id: int) -> None:
+    def remove_worker(self, worker_id: int) -> None:
         """Remove the instances at a worker that restarted or left, and the time of the last send."""
-        self.forget_instance(worker_id)
+        self.remove_instances(worker_id)
         self.last_sent_at_ms.pop(worker_id, None)
 
-    def forget_instance(self, worker_id: int) -> None:
+    def remove_instances(self, worker_id: int) -> None:
         """Remove the instances at a worker, because a response showed that none runs there."""
         self.affinity.pop(worker_id, None)
         self.instance_seen_at_ms.pop(worker_id, None)
--- a/cedarthread/routing/retries.py
+++ b/cedarthread/routing/retries.py
@@ -80,15 +80,15 @@
         if now_ms == state.stalled_at_ms:  # the process stalled: handle the responses that are waiting first
             state.timers.schedule(now_ms + STALL_THRESHOLD_MS, request_id, attempt_index)
             return False
-        is_silent = self.feedback.observe_silence(now_ms, attempt)
+        is_unresponsive = self.feedback.observe_unresponsiveness(now_ms, attempt)
         expected_ms = state.service_times.expected_ms(pending)
         if (
             pending.request.deadline_ms - now_ms <= expected_ms
             or pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
         ):
             return False
-        if self._can_follow(pending, attempt_index):
-            if self._is_hedge_due(now_ms, attempt, is_silent=is_silent):
+        if self._may_replace(pending, attempt_index):
+            if self._is_hedge_due(now_ms, attempt, is_unresponsive=is_unresponsive):
                 pending.last_cancelled_attempt = attempt_index
                 return self.may_attempt(now_ms, pending) and state.retry_budget.spend(1.0)
             worker = state.workers.by_id.get(attempt.endpoint.worker_id)
@@ -99,7 +99,7 @@
         state.timers.schedule(now_ms + max(expected_ms, MIN_REMAINING_MS), request_id, attempt_index)
         return False
 
-    def _can_follow(self, pending: PendingRequest, attempt_index: int) -> bool:
+    def _may_replace(self, pending: PendingRequest, attempt_index: int) -> bool:
         """Return whether another attempt may replace this one, if this was not hedged or cancelled yet."""
         return (
             self.state.retry_budget.tokens >= 1.0
@@ -107,19 +107,19 @@
             and pending.last_cancelled_attempt < attempt_index
         )
 
-    def _is_hedge_due(self, now_ms: float, attempt: Attempt, *, is_silent: bool) -> bool:
+    def _is_hedge_due(self, now_ms: float, attempt: Attempt, *, is_unresponsive: bool) -> bool:
         """Return whether hedging is allowed and the attempt is slow or its worker unresponsive."""
         age_ms = now_ms - attempt.started_at_ms
         return self.state.settings.limits.allows_hedging and (
-            is_silent or age_ms >= HEDGE_AFTER_MULTIPLE * attempt.expected_ms
+            is_unresponsive or age_ms >= HEDGE_AFTER_MULTIPLE * attempt.expected_ms
         )
 
-    def follow_up_ms(self, expected_ms: float) -> float:
+    def hedge_check_delay_ms(self, expected_ms: float) -> float:
         """Return the delay from the start of an attempt to its check by ``should_hedge``."""
         hedges = self.state.settings.limits.allows_hedging
         return (HEDGE_AFTER_MULTIPLE if hedges else OVERDUE_MULTIPLE) * expected_ms
 
-    def recall_from_unreachable_zones(self, now_ms: float) -> None:
+    def cancel_in_unreachable_zones(self, now_ms: float) -> None:
         """Cancel attempts in newly unreachable zones whose requests may be retried in any zone."""
         state = self.state
         if now_ms == state.stalled_at_ms or not (zones := state.zones.find_unreachable(now_ms)):
@@ -133,20 +133,20 @@
                 and last.is_in_flight
                 and last.endpoint.zone in zones
                 and not pending.is_streaming
-                and self._can_repeat_anywhere(now_ms, pending)
+                and self._may_retry_anywhere(now_ms, pending)
             ):
-                self._recall(pending, len(pending.attempts) - 1)
+                self._cancel_to_retry(pending, len(pending.attempts) - 1)
 
-    def _can_repeat_anywhere(self, now_ms: float, pending: PendingRequest) -> bool:
+    def _may_retry_anywhere(self, now_ms: float, pending: PendingRequest) -> bool:
         """Return whether rule 2 permits another attempt now, at any worker."""
         request_class = pending.request_class
-        is_free = (
+        is_unrestricted = (
             request_class.idempotency is Idempotency.IDEMPOTENT
             or request_class.deduplication_scope is DeduplicationScope.ALL
         )
-        return is_free and self.may_attempt(now_ms, pending)
+        return is_unrestricted and self.may_attempt(now_ms, pending)
 
-    def _recall(self, pending: PendingRequest, attempt_index: int) -> None:
+    def _cancel_to_retry(self, pending: PendingRequest, attempt_index: int) -> None:
         """Cancel an attempt so that its end starts a retry elsewhere, unless already done."""
         if self.state.settings.limits.can_cancel and pending.last_cancelled_attempt < attempt_index:
             pending.last_cancelled_attempt = attempt_index
--- a/cedarthread/routing/router.py
+++ b/cedarthread/routing/router.py
@@ -109,10 +109,10 @@
             return
         polling.on_update()
         for worker_id in state.workers.apply(now_ms, update):
-            state.forget_instances(worker_id)
+            state.remove_instances(worker_id)
         if polling.should_subscribe(now_ms, state.settings.discovery_mode):
             state.timers.schedule(now_ms)
-        self._drain_queue(now_ms)
+        self._dispatch_queue(now_ms)
 
     def _on_request(self, now_ms: float, request: RequestArrived) -> None:
         """Shed or dispatch a new request."""
@@ -160,8 +160,8 @@
 
     def _on_preload_ended(self, now_ms: float, event: PreloadEnded) -> None:
         """Dispatch the queue after the end of a preload of this router."""
-        if self.feedback.learn_preload(now_ms, event):
-            self._drain_queue(now_ms)
+        if self.feedback.record_preload(now_ms, event):
+            self._dispatch_queue(now_ms)
 
     def _on_timer(self, now_ms: float, event: TimerFired) -> None:
         """Check the attempts that are due for hedging, the subscription and the queue."""
@@ -175,7 +175,7 @@
         if state.polling.is_due(now_ms):
             state.actions.append(SubscribeEndpoints(is_enabled=True))
         if state.requests.is_queue_check_due(now_ms):
-            self._drain_queue(now_ms)
+            self._dispatch_queue(now_ms)
 
     # Request lifecycle.
 
@@ -189,7 +189,7 @@
         worker = self.selector.select(now_ms, pending)
         if worker is not None:
             worker = self.preloads.warm_worker(now_ms, pending, worker)
-        if (preempted := self.admission.preempted_by(now_ms, pending, worker)) is not None:
+        if (preempted := self.admission.choose_preemption_victim(now_ms, pending, worker)) is not None:
             self._reject_or_fail(now_ms, preempted)
         if (
             worker is not None
@@ -205,7 +205,7 @@
             return
         state.requests.enqueue(now_ms, pending, state.timers)
 
-    def _drain_queue(self, now_ms: float) -> None:
+    def _dispatch_queue(self, now_ms: float) -> None:
         """Dispatch each queued request; one that still cannot be sent is queued again or rejected."""
         for pending in list(self.queued_requests.values()):
             self._dispatch(now_ms, pending)
@@ -215,8 +215,8 @@
         attempt = self.tracker.on_started(now_ms, pending, worker)
         request_id = pending.request.request_id
         self.state.actions.append(StartAttempt(request_id, worker.endpoint.worker_id))
-        follow_up_at_ms = now_ms + self.retries.follow_up_ms(attempt.expected_ms)
-        self.state.timers.schedule(follow_up_at_ms, request_id, len(pending.attempts) - 1)
+        hedge_check_at_ms = now_ms + self.retries.hedge_check_delay_ms(attempt.expected_ms)
+        self.state.timers.schedule(hedge_check_at_ms, request_id, len(pending.attempts) - 1)
 
     def _reject_or_fail(self, now_ms: float, pending: PendingRequest) -> None:
         """Give the final answer of a request that gets no further attempt."""
--- a/cedarthread/routing/router_state.py
+++ b/cedarthread/routing/router_state.py
@@ -98,8 +98,8 @@
         if (line := self.logs.line(now_ms, event, **fields)) is not None:
             self.actions.append(line)
 
-    def forget_instances(self, worker_id: int) -> None:
+    def remove_instances(self, worker_id: int) -> None:
         """Remove all instances at a worker that restarted or left."""
         if self.gossip is not None:
             self.gossip.forget_worker(worker_id)
-        self.functions.forget_worker(worker_id)
+        self.functions.remove_worker(worker_id)
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -1,8 +1,8 @@
 """Worker selection: picks the eligible worker of lowest placement cost; ties are broken at random.
 
 Candidates are the workers with affinity to the function, its home workers by weighted rendezvous hashing, and
-the next eligible workers in that order (``SPARE_WORKERS``). The cost is a sum in units of affinity (0 cold to
-1 warm): 1 less the affinity, plus load, outlier score, rejections, crossing zones, and a penalty for the
+the next eligible workers in that order (``EXTRA_CANDIDATES``). The cost is a sum in units of affinity (0 cold
+to 1 warm): 1 less the affinity, plus load, outlier score, rejections, crossing zones, and a penalty for the
 place in the order of candidates. All times are ms on the monotonic clock, passed in by the caller.
 """
 
@@ -30,7 +30,7 @@
 MAX_HOMES_PER_WORKER_SHARE = 10.0  # all workers are homes of a function with 1/10 of the calls
 MIN_CALLS_PER_HOME = 14.0  # calls by the fleet in a keep-alive time, because loading is expensive
 IDLE_MEMORY_WEIGHT = 10.0  # weight of the price of idle memory: a price of 0.1 halves the number of homes
-SPARE_WORKERS = 2  # candidates after the homes that are considered even if a worker was found
+EXTRA_CANDIDATES = 2  # candidates after the homes that are considered even if a worker was found
 HOME_JITTER = 0.1  # maximum cost difference between homes by jitter; at most 1 - HOME_AFFINITY
 HOME_AFFINITY = 0.9  # minimum affinity assumed at several homes and gossiped instances: others call there
 
@@ -39,8 +39,8 @@
 PLACEMENT_STEP = 0.25  # cost of each place after the homes: one request in flight
 PEER_LOAD_WEIGHT = 0.3  # weight of another router's request in flight, from gossip
 LOAD_PER_AFFINITY = 4.0  # requests in flight per instance that cost as much as a cold instance
-TRIAL_BONUS = 0.5  # deducted from the cost of a half-open trial, so that it is preferred
-TIE = 1e-9  # costs that differ by no more count as equal
+TRIAL_DISCOUNT = 0.5  # deducted from the cost of a half-open trial, so that it is preferred
+COST_TOLERANCE = 1e-9  # costs that differ by no more count as equal
 WEIGHTED = (WeightMeaning.NOMINAL, WeightMeaning.APPROXIMATE)  # weights that scale how often a worker is home
 
 
@@ -107,7 +107,7 @@
             constraints,
             constraints is not None and self.has_spare_instance(now_ms, pending, is_idempotent=is_idempotent),
         )
-        self.retries.recall_from_unreachable_zones(now_ms)
+        self.retries.cancel_in_unreachable_zones(now_ms)
         for may_be_repeated, may_be_ejected in ((False, False), (True, False), (True, True)):
             search.may_be_repeated = may_be_repeated
             search.may_be_ejected = may_be_ejected
@@ -123,24 +123,24 @@
         ties = 0
         cheapest: WorkerRecord | None = None
         for worker, placement_penalty in self._candidates(now_ms, pending):
-            if not self._can_take(search, worker):
+            if not self._may_receive(search, worker):
                 continue
             cost = self.cost(now_ms, pending.function, worker, pending.class_and_tenant) + placement_penalty
             if worker.is_ejected and not search.may_be_ejected:  # a trial, which the score would prevent
-                cost -= worker.outlier_score + TRIAL_BONUS
-            if cost < min_cost - TIE:
+                cost -= worker.outlier_score + TRIAL_DISCOUNT
+            if cost < min_cost - COST_TOLERANCE:
                 min_cost = cost
                 ties = 1
                 cheapest = worker
-            elif cost <= min_cost + TIE:
+            elif cost <= min_cost + COST_TOLERANCE:
                 ties += 1
                 if self.state.rng.random() * ties < 1.0:  # reservoir sampling: all ties are equally likely
                     cheapest = worker
-            if placement_penalty > SPARE_WORKERS * PLACEMENT_STEP and min_cost < math.inf:
+            if placement_penalty > EXTRA_CANDIDATES * PLACEMENT_STEP and min_cost < math.inf:
                 break
         return cheapest
 
-    def _can_take(self, search: _Search, worker: WorkerRecord) -> bool:
+    def _may_receive(self, search: _Search, worker: WorkerRecord) -> bool:
         """Return whether the worker may receive the call in this pass."""
         now_ms = search.now_ms
         pending = search.pending
@@ -191,7 +191,7 @@
                 continue
             place += 1
             if place > home_count:
-                yield worker, min(place - home_count, SPARE_WORKERS + 1) * PLACEMENT_STEP
+                yield worker, min(place - home_count, EXTRA_CANDIDATES + 1) * PLACEMENT_STEP
             elif home_count > 1:
                 affinity = function.affinity.get(worker.endpoint.worker_id, 0.0)
                 yield worker, HOME_JITTER * (worker.jitter - 1.0) - max(0.0, HOME_AFFINITY - affinity)
--- a/cedarthread/routing/zone_reachability.py
+++ b/cedarthread/routing/zone_reachability.py
@@ -19,11 +19,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-UNREACHABLE_SURPRISE = 6.0  # threshold; a reachable zone exceeds it by chance once in 400 (natural logarithm)
-MAX_WORKER_SURPRISE = 3.0  # upper bound for one worker, because the fault may be its own
-MIN_SHARED_SURPRISE = 1.0  # lower bound for a zone to count among zones that are unresponsive together
-CONNECT_FAILURE_SURPRISE = 3.0  # added by one failed connect
-DEVIATIONS = 1.0  # mean deviations added to the expected time, because cold starts cause a long tail
+SUSPICION_THRESHOLD = 6.0  # threshold; a reachable zone exceeds it by chance once in 400 (natural logarithm)
+MAX_WORKER_SUSPICION = 3.0  # upper bound for one worker, because the fault may be its own
+MIN_SHARED_SUSPICION = 1.0  # lower bound for a zone to count among zones that are unresponsive together
+CONNECT_FAILURE_SUSPICION = 3.0  # added by one failed connect
+DEVIATION_MULTIPLE = 1.0  # mean deviations added to the expected time, because cold starts cause a long tail
 MIN_EXPECTED_MS = 100.0  # lower bound of the expected time: a shorter gap may be a pause of this process
 MIN_RESPONSES = 10  # responses needed before any zone counts as unreachable
 BASE_TRIAL_DELAY_MS = 1000.0  # time until a trial, doubled after each lost trial
@@ -145,7 +145,7 @@
         if self.mean_ratio.count < MIN_RESPONSES:
             return []
         # At least 1, because a tolerance below 1 would undercut ``MIN_EXPECTED_MS``.
-        tolerance = max(1.0, self.mean_ratio.mean + DEVIATIONS * self.ratio_deviation.mean)
+        tolerance = max(1.0, self.mean_ratio.mean + DEVIATION_MULTIPLE * self.ratio_deviation.mean)
         newly_unreachable: list[int] = []
         for zone, outage in self.unreachable.items():
             if outage.trial_attempt is not None and self._is_trial_lost(
@@ -153,28 +153,28 @@
             ):
                 self._back_off(outage, now_ms)
                 newly_unreachable.append(zone)
-        surprises = {
-            zone: self._zone_surprise(now_ms, zone, tolerance)
+        suspicions = {
+            zone: self._zone_suspicion(now_ms, zone, tolerance)
             for zone in self.last_response_at_ms
             if zone not in self.unreachable
         }
         other_zones = {
-            zone: surprise
-            for zone, surprise in surprises.items()
-            if zone != self.own_zone and surprise >= MIN_SHARED_SURPRISE
+            zone: suspicion
+            for zone, suspicion in suspicions.items()
+            if zone != self.own_zone and suspicion >= MIN_SHARED_SUSPICION
         }
-        are_others_silent = sum(other_zones.values()) >= UNREACHABLE_SURPRISE
-        for zone, surprise in surprises.items():
-            if surprise >= UNREACHABLE_SURPRISE or (are_others_silent and zone in other_zones):
+        are_others_unresponsive = sum(other_zones.values()) >= SUSPICION_THRESHOLD
+        for zone, suspicion in suspicions.items():
+            if suspicion >= SUSPICION_THRESHOLD or (are_others_unresponsive and zone in other_zones):
                 newly_unreachable.append(zone)
                 self.unreachable[zone] = _UnreachableZone(now_ms + BASE_TRIAL_DELAY_MS)
         return newly_unreachable
 
     def _is_trial_lost(self, now_ms: float, attempt: AttemptId, tolerance: float) -> bool:
         """Return whether the trial in flight has been without a response for too long."""
-        return self._surprise(now_ms, [self.in_flight[attempt]], tolerance) >= MAX_WORKER_SURPRISE
+        return self._suspicion_level(now_ms, [self.in_flight[attempt]], tolerance) >= MAX_WORKER_SUSPICION
 
-    def _zone_surprise(self, now_ms: float, zone: int, tolerance: float) -> float:
+    def _zone_suspicion(self, now_ms: float, zone: int, tolerance: float) -> float:
         """Return the suspicion level of a zone; 0 if it responded within the expected time of a call."""
         responded_at_ms = self.last_response_at_ms[zone]
         if now_ms - responded_at_ms < MIN_EXPECTED_MS * tolerance:
@@ -184,15 +184,15 @@
             for attempt in (*self.in_flight.values(), *self.lost_attempts)
             if attempt.zone == zone and attempt.ended_at_ms > responded_at_ms
         ]
-        silent_since_ms = min(
+        unanswered_since_ms = min(
             (max(attempt.started_at_ms, responded_at_ms) for attempt in attempts), default=now_ms
         )
         expected_ms = sum(attempt.expected_ms for attempt in attempts) / max(1, len(attempts))
-        if now_ms - silent_since_ms < expected_ms * tolerance:
+        if now_ms - unanswered_since_ms < expected_ms * tolerance:
             return 0.0
-        return self._surprise(now_ms, attempts, tolerance, responded_at_ms)
+        return self._suspicion_level(now_ms, attempts, tolerance, responded_at_ms)
 
-    def _surprise(
+    def _suspicion_level(
         self,
         now_ms: float,
         attempts: Iterable[_TrackedAttempt],
@@ -203,12 +203,12 @@
         by_worker: dict[int, float] = {}
         for attempt in attempts:
             if attempt.has_connect_failed:
-                surprise = CONNECT_FAILURE_SURPRISE
+                suspicion = CONNECT_FAILURE_SUSPICION
             else:
                 age_ms = min(now_ms, attempt.ended_at_ms) - max(attempt.started_at_ms, responded_at_ms)
-                surprise = age_ms / (attempt.expected_ms * tolerance)
-            by_worker[attempt.worker_id] = by_worker.get(attempt.worker_id, 0.0) + surprise
-        return sum(min(surprise, MAX_WORKER_SURPRISE) for surprise in by_worker.values())
+                suspicion = age_ms / (attempt.expected_ms * tolerance)
+            by_worker[attempt.worker_id] = by_worker.get(attempt.worker_id, 0.0) + suspicion
+        return sum(min(suspicion, MAX_WORKER_SUSPICION) for suspicion in by_worker.values())
 
     @staticmethod
     def _back_off(outage: _UnreachableZone, now_ms: float) -> None:
--- a/tests/simulation/priority_fleet.py
+++ b/tests/simulation/priority_fleet.py
@@ -91,7 +91,7 @@
         mean_objective_ms = sum(any_class.latency_objective_ms for any_class in CLASSES) / len(CLASSES)
         self.overload.on_call(now_ms)
         objective_ms = math.sqrt(request_class.latency_objective_ms * mean_objective_ms * value / mean_value)
-        utilization = self.overload.queueing_ms(now_ms, self.overload.total_in_flight) / (
+        utilization = self.overload.time_in_system_ms(now_ms, self.overload.total_in_flight) / (
             OVERLOAD_START * mean_objective_ms
         )
         call.priority = self.component.on_arrival(
--- a/tests/simulation/test_slow_start_fleet.py
+++ b/tests/simulation/test_slow_start_fleet.py
@@ -123,7 +123,7 @@
     driver.feed(PreloadEnded(1, 7, Outcome.OK, 1, 100.0), after_ms=100.0)
     driver.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 2, (worker(2, started=driver.now_ms),)))
     function = driver.router.functions[7]
-    function.forget_worker(1)  # as if the warm worker had unloaded its instance
+    function.remove_worker(1)  # as if the warm worker had unloaded its instance
     function.affinity[2] = 1.0
     function.last_sent_at_ms[2] = driver.now_ms
     start_attempt = driver.router._start_attempt
--- a/tests/unit/routing/test_records.py
+++ b/tests/unit/routing/test_records.py
@@ -14,7 +14,7 @@
     FAILURE_GAIN,
     MAX_EJECTED_FRACTION,
     MAX_EJECTION_MS,
-    MAX_SILENT_EJECTED_FRACTION,
+    MAX_UNRESPONSIVE_EJECTED_FRACTION,
 )
 from cedarthread.routing.preload_budget import PreloadBudget
 from cedarthread.routing.records import BASE_EJECTION_MS, Attempt, FunctionRecord, WorkerRecord
@@ -74,7 +74,7 @@
     [
         (Outcome.ERROR, False, True, 1.0, MAX_EJECTED_FRACTION),
         (Outcome.ERROR, False, False, 1.0, None),
-        (Outcome.CONNECT_FAILED, True, True, 1.0, MAX_SILENT_EJECTED_FRACTION),
+        (Outcome.CONNECT_FAILED, True, True, 1.0, MAX_UNRESPONSIVE_EJECTED_FRACTION),
         (Outcome.TIMEOUT, False, True, 39.0, None),
         (Outcome.TIMEOUT, False, True, 41.0, MAX_EJECTED_FRACTION),
         (Outcome.OK, False, True, 1.0, None),
@@ -121,7 +121,7 @@
         function.instance_queue.instances,
     ):
         by_worker.update({1: 1, 2: 1})
-    function.forget_worker(1)
+    function.remove_worker(1)
     assert function.instance_queue.instances == {2: 1}
     assert [2] == list(function.affinity) == list(function.instance_seen_at_ms)
     assert list(function.last_sent_at_ms) == [2]
--- a/tests/unit/routing/test_router_outliers.py
+++ b/tests/unit/routing/test_router_outliers.py
@@ -112,7 +112,7 @@
     for worker_id in range(1, 5):  # four of six are silent
         for _ in range(3):
             observe_health(
-                driver.now_ms, by_id[worker_id], 1.0, outlier_detection.MAX_SILENT_EJECTED_FRACTION
+                driver.now_ms, by_id[worker_id], 1.0, outlier_detection.MAX_UNRESPONSIVE_EJECTED_FRACTION
             )
     assert sum(record.is_ejected for record in by_id.values()) == 4
     for worker_id in (5, 6):  # the others fail, and the bound for errors is reached already
--- a/tests/unit/routing/test_tables.py
+++ b/tests/unit/routing/test_tables.py
@@ -157,7 +157,7 @@
     function = functions.on_call(0.0, 1, 1.0, 100.0)
     functions.start_preload(function, 5)
     for _ in range(2):
-        functions.forget_worker(5)
+        functions.remove_worker(5)
         assert functions.preloads_in_flight == 0
         assert not function.preloading_workers
 
@@ -241,9 +241,9 @@
         frequent.on_call(10.0 * number, FunctionRecord(1), 1)
         rare.on_call(10.0 * number, FunctionRecord(1), 500)
     assert frequent.calls_per_ms == rare.calls_per_ms == pytest.approx(0.1, rel=0.1)
-    assert frequent.call_rarity == 1.0
+    assert frequent.sparse_traffic_factor == 1.0
     assert rare.load_time_constant_ms == estimators.MAX_LOAD_TIME_CONSTANT_MS
-    assert rare.call_rarity == 3.0
+    assert rare.sparse_traffic_factor == 3.0
 
 
 def test_quota_use_is_the_fraction_of_calls_over_the_quota() -> None:
--- a/tests/unit/routing/test_zone_reachability.py
+++ b/tests/unit/routing/test_zone_reachability.py
@@ -6,11 +6,11 @@
 
 from cedarthread.routing.zone_reachability import (
     BASE_TRIAL_DELAY_MS,
-    CONNECT_FAILURE_SURPRISE,
+    CONNECT_FAILURE_SUSPICION,
     MAX_TRIAL_DELAY_MS,
-    MAX_WORKER_SURPRISE,
+    MAX_WORKER_SUSPICION,
     MIN_RESPONSES,
-    UNREACHABLE_SURPRISE,
+    SUSPICION_THRESHOLD,
     ZoneReachability,
 )
 from tests.helpers import RouterDriver, sends, worker
@@ -46,7 +46,7 @@
 def test_a_zone_is_unreachable_by_the_silence_of_several_workers_alone(worker_count: int) -> None:
     zones = zones_with_responses()
     start_attempts(zones, 5, worker_count=worker_count)
-    is_reachable = worker_count * MAX_WORKER_SURPRISE < UNREACHABLE_SURPRISE
+    is_reachable = worker_count * MAX_WORKER_SUSPICION < SUSPICION_THRESHOLD
     assert zones.find_unreachable(START_MS + USUAL_MS / 2) == []
     assert zones.find_unreachable(START_MS + 50 * USUAL_MS) == ([] if is_reachable else [ZONE])
     assert zones.may_send(9000.0, OTHER_ZONE, is_idempotent=False)
@@ -76,7 +76,7 @@
     for number in range(2):
         zones.on_attempt_started(START_MS, (100 + number, 0), number, ZONE, USUAL_MS)
         zones.on_attempt_ended(1250.0, (100 + number, 0), 250.0, is_response=False, has_connect_failed=True)
-    assert 2 * CONNECT_FAILURE_SURPRISE >= UNREACHABLE_SURPRISE
+    assert 2 * CONNECT_FAILURE_SUSPICION >= SUSPICION_THRESHOLD
     assert zones.find_unreachable(1300.0) == [ZONE]
 
 
