--- a/tests/unit/routing/builders.py
+++ b/tests/unit/routing/builders.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests of a router: actions by kind, and states that several tests start from."""
+"""Helpers for router tests: filters of actions by kind, and setup of common states."""
 
 from __future__ import annotations
 
@@ -38,20 +38,20 @@
 
 
 def last_worker_of(driver: RouterDriver, request_id: int) -> int:
-    """Return the worker of the last attempt of a request."""
+    """Return the worker id of the last attempt of a request."""
     starts = [action for action in driver.actions if isinstance(action, StartAttempt)]
     return [action.worker_id for action in starts if action.request_id == request_id][-1]
 
 
 def call_other_functions(driver: RouterDriver, function_count: int = 40) -> None:
-    """Call many other functions, so that one more function is a small fraction of the calls."""
+    """Call many other functions, so that the function under test is a small fraction of the calls."""
     for function_id in range(100, 100 + function_count):
         (worker_id,) = sends(driver.send_request(function_id))
         driver.end_attempt(driver.last_request_id, worker_id, after_ms=1.0)
 
 
 def make_warm(driver: RouterDriver, affinity: dict[int, float], concurrency: float = 1.0) -> FunctionRecord:
-    """Give the default function these affinities by worker id, as if it had just been called there."""
+    """Set the default function's affinities by worker id, as if it had just been called there."""
     function = driver.router.functions.setdefault(
         FUNCTION_ID, FunctionRecord(hash64(FUNCTION_ID), concurrency)
     )
@@ -62,7 +62,7 @@
 
 
 def serve_calls(driver: RouterDriver, count: int = 200, class_count: int = 1, **fields: Any) -> None:
-    """Send calls one after the other, each of which is served after 20 ms."""
+    """Send calls sequentially; each is served after 20 ms."""
     for number in range(count):
         driver.send_request(class_index=number % class_count, **fields)
         driver.end_attempt(driver.last_request_id, sends(driver.actions)[-1], after_ms=20.0)
@@ -77,7 +77,7 @@
     is_unreachable: bool,
     after_ms: float = 10.0,
 ) -> None:
-    """End the first attempt of a request by a reset or a failed connect."""
+    """End the first attempt of a request with a reset or a failed connect."""
     event = AttemptEnded(
         request_id,
         0,
--- a/tests/unit/routing/rule_checking_world.py
+++ b/tests/unit/routing/rule_checking_world.py
@@ -1,4 +1,4 @@
-"""A world of random clients and workers around one router, which checks the rules 1, 2, 3 and 5."""
+"""A simulation of random clients and workers around one router that checks rules 1, 2, 3 and 5."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass
 class StartedAttempt:
-    """One attempt as the world sees it."""
+    """The state of one attempt in the simulation."""
 
     worker_id: int
     started_at_ms: float
@@ -54,10 +54,10 @@
 
 
 class RuleCheckingWorld:
-    """Random legal events for one router, and assertions of the rules at each of its actions.
+    """A generator of random valid events for one router that asserts the rules for each action.
 
     Args:
-        seed: Seed of the world and of the router.
+        seed: Seed of the simulation and of the router.
         changes: Settings that differ from those of ``tests.helpers.settings``.
     """
 
@@ -71,7 +71,7 @@
         self.open: dict[int, OpenRequest] = {}
         self.class_index_by_request: dict[int, int] = {}
         self.attempts: dict[int, list[StartedAttempt]] = {}
-        self.streaming: dict[int, int] = {}  # index of the attempt that streams, by request id
+        self.streaming: dict[int, int] = {}  # index of the streaming attempt, by request id
         self.worker_states = dict.fromkeys(range(WORKER_COUNT), EndpointState.READY)
         self.preload_times: list[float] = []
         self.request_times: list[float] = []
@@ -89,12 +89,12 @@
         return tuple(self.endpoint(worker_id) for worker_id in range(WORKER_COUNT) if worker_id != removed_id)
 
     def schedule(self, after_ms: float, event: Event) -> None:
-        """Deliver an event after this time."""
+        """Schedule the delivery of an event after this delay."""
         self.event_count += 1
         heapq.heappush(self.events, (self.now_ms + after_ms, self.event_count, event))
 
     def run(self, request_count: int) -> None:
-        """Schedule random requests and changes of the endpoint list, and play them to their end."""
+        """Schedule random requests and endpoint updates, and run until no event is left."""
         after_ms = 0.0
         for request_id in range(request_count):
             after_ms += self.rng.expovariate(1 / 40)
@@ -125,7 +125,7 @@
     # Events.
 
     def deliver(self, event: Event) -> None:
-        """Update the world by an event and pass the event to the router, unless the event is obsolete."""
+        """Apply an event to the simulation and pass it to the router, unless the event is obsolete."""
         if isinstance(event, RequestArrived):
             self.request_times.append(self.now_ms)
             self.open[event.request_id] = OpenRequest(event.class_index, event.deadline_ms)
@@ -170,7 +170,7 @@
         return update
 
     def feed(self, event: Event) -> None:
-        """Pass an event to the router and carry out the actions."""
+        """Pass an event to the router and execute the actions."""
         for action in self.router.handle(self.now_ms, event):
             self.carry_out(action)
 
--- a/tests/unit/routing/test_instance_queue.py
+++ b/tests/unit/routing/test_instance_queue.py
@@ -1,4 +1,4 @@
-"""The queue of calls that wait for a busy or loading instance, alone and in a router with gossip."""
+"""The queue of calls that wait for a busy or loading instance, in isolation and in a router with gossip."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 def node_with_gossip_of_a_peer(*, allows_gossip: bool = True) -> RoutingNode:
-    """Return a node with eight workers that has just received gossip of the only other router."""
+    """Return a node with eight workers that has just received gossip from the only other router."""
     node = RoutingNode(settings(limits=dataclasses.replace(LIMITS, allows_gossip=allows_gossip)), seed=3)
     endpoints = tuple(worker(worker_id) for worker_id in range(1, 9))
     node.handle(0.0, EndpointUpdate(EndpointUpdateKind.CACHED, 1, endpoints))
@@ -105,7 +105,7 @@
     assert sends(send_request(without_gossip, 2, 20.0))
     with_old_gossip = node_with_gossip_of_a_peer()
     assert sends(send_request(with_old_gossip, 1, 60_000.0))
-    assert sends(send_request(with_old_gossip, 2, 60_010.0)), "the gossip of the peer is old"
+    assert sends(send_request(with_old_gossip, 2, 60_010.0)), "the peer's gossip is stale"
 
 
 def test_a_waiting_call_is_rejected_by_half_of_its_time_if_no_instance_loads() -> None:
--- a/tests/unit/routing/test_policies.py
+++ b/tests/unit/routing/test_policies.py
@@ -1,4 +1,4 @@
-"""The policies of a router, each alone with a state that the test sets up."""
+"""Unit tests of the policies of a router, with a state that each test sets up."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
     assert policies.retries.may_attempt(now_ms, pending) is is_permitted
     pending.attempts[0].is_in_flight = False
     pending.attempts[0].may_have_executed = False
-    assert policies.retries.may_attempt(now_ms, pending), "the attempt is proved not to have executed"
+    assert policies.retries.may_attempt(now_ms, pending), "the attempt provably did not execute"
 
 
 @pytest.mark.parametrize(
@@ -107,7 +107,7 @@
     state = policies.state
     pending.function.instance_seen_at_ms[1] = 0.0  # a warm worker, so no cold start is expected
     policies.attempt(pending, 1)
-    state.workers.by_id[1].last_response_at_ms = 1.0  # the worker is slow, not silent
+    state.workers.by_id[1].last_response_at_ms = 1.0  # the worker is slow, but responsive
     slow_at_ms = HEDGE_AFTER_MULTIPLE * pending.attempts[0].expected_ms
     initial_tokens = state.retry_budget.tokens
     assert not policies.retries.should_hedge(slow_at_ms - 1.0, pending, 0)
@@ -164,7 +164,7 @@
     workers = policies.state.workers.by_id
     cost = policies.selector.cost
     costs = [cost(0.0, pending.function, workers[worker_id], (0, None)) for worker_id in (1, 2)]
-    assert costs[0] == pytest.approx(costs[1] + policies.selector.cross_zone_penalty), "the own zone is 0"
+    assert costs[0] == pytest.approx(costs[1] + policies.selector.cross_zone_penalty), "the local zone is 0"
     pending.function.affinity[2] = 1.0
     assert cost(0.0, pending.function, workers[2], (0, None)) == pytest.approx(0.0)
     workers[2].in_flight = 2
--- a/tests/unit/routing/test_policy_size.py
+++ b/tests/unit/routing/test_policy_size.py
@@ -1,4 +1,4 @@
-"""The size of the policy files that deploy/balancer.toml names: they choose a worker, retry or refuse."""
+"""Size limits of the policy files listed in deploy/balancer.toml: worker selection, retries, admission."""
 
 from __future__ import annotations
 
--- a/tests/unit/routing/test_popularity.py
+++ b/tests/unit/routing/test_popularity.py
@@ -1,4 +1,4 @@
-"""The popularity of functions at a router with few calls: chance makes no function popular."""
+"""Popularity estimates at a router with few calls, where chance must not make a function popular."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def estimated_fractions(
     calls_per_second: float, call_fractions: list[float], duration_s: float, seed: int
 ) -> list[float]:
-    """Return the call fractions that a router estimates from random calls with the given fractions."""
+    """Return a router's estimates of the call fractions, from random calls with the given fractions."""
     rng = random.Random(seed)
     estimator = Popularity()
     now_ms = 0.0
@@ -57,7 +57,7 @@
 
 
 def test_hundreds_of_routers_with_few_calls_give_rare_functions_few_homes() -> None:
-    """Functions called twice by chance once counted as popular: the fleet loaded what no call needed."""
+    """Guards against functions called twice by chance counting as popular, which loads unneeded instances."""
     max_home_counts: list[int] = []
     for seed in range(12):
         endpoints = [worker(worker_id) for worker_id in range(40)]
--- a/tests/unit/routing/test_records.py
+++ b/tests/unit/routing/test_records.py
@@ -1,4 +1,4 @@
-"""The records of a router, outlier detection and the preload budget, each alone."""
+"""Unit tests of a router's records, outlier detection and preload budget."""
 
 from __future__ import annotations
 
--- a/tests/unit/routing/test_router.py
+++ b/tests/unit/routing/test_router.py
@@ -1,4 +1,4 @@
-"""A router's handling of events: retries, timers, the queue, preloads, discovery, streams, stale events."""
+"""Event handling of a router: retries, timers, the queue, preloads, discovery, streams and stale events."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
 
 
 def test_a_timer_that_fires_early_by_rounding_counts() -> None:
-    """A due time rounded to microseconds once stopped all later timers."""
+    """Guards against a due time rounded to microseconds that stops all later timers."""
     driver = RouterDriver()
     driver.send_request()
     timer = timers(driver.actions)[0]
@@ -102,7 +102,7 @@
 
 
 def test_no_timer_is_set_while_nothing_is_due() -> None:
-    """A timer that was set again at every event once flooded the host."""
+    """Guards against setting the timer again at every event, which floods the host."""
     driver = RouterDriver(worker(1), worker(2))
     (worker_id,) = sends(driver.send_request())
     driver.end_attempt(1, worker_id)
@@ -113,7 +113,7 @@
 
 
 def test_the_queue_is_checked_once_per_interval() -> None:
-    """Each check once set two timers, so that their number doubled until the end of the day."""
+    """Guards against checks that each set two timers, so that the number of timers doubles indefinitely."""
     driver = RouterDriver()
     for _ in range(5):
         driver.send_request()
@@ -219,7 +219,7 @@
 
 
 def test_a_second_stream_of_a_hedged_request_does_not_cancel_the_first() -> None:
-    """The cancellation of the second attempt may be too late; the client reads the first stream."""
+    """The cancellation of the second attempt may arrive too late; the client reads the first stream."""
     driver = RouterDriver(worker(1), worker(2), limits=dataclasses.replace(LIMITS, allows_hedging=True))
     (home,) = sends(driver.send_request(class_index=STREAMING_CLASS))
     driver.end_attempt(1, home)
--- a/tests/unit/routing/test_router_outliers.py
+++ b/tests/unit/routing/test_router_outliers.py
@@ -1,4 +1,4 @@
-"""A router's reaction to failing workers: ejection, half-open trials, and what is no fault of a worker."""
+"""Outlier detection of a router: ejection, half-open trials, and failures not caused by the worker."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     driver = RouterDriver(*workers(3))
     driver.send_request()
     home = sends(driver.actions)[0]
-    driver.end_attempt(1, home)  # after a response of the function, an error is a fault of the worker
+    driver.end_attempt(1, home)  # after a response of the function, an error counts against the worker
     driver.actions.clear()
     driver.send_request()
     for request_id in range(2, 5):
@@ -72,7 +72,7 @@
 
 
 def test_an_ejected_worker_gets_its_trial_though_others_cost_less() -> None:
-    """Its outlier score once prevented the trial, so that a healthy worker remained ejected."""
+    """Guards against an outlier score that prevents the trial, so that a healthy worker remains ejected."""
     driver = RouterDriver(worker(1), worker(2))
     (home,) = sends(driver.send_request())
     driver.end_attempt(1, home)
@@ -102,27 +102,27 @@
 
 
 def test_more_silent_workers_are_ejected_than_failing_ones_but_never_all() -> None:
-    """With the bound for errors, silent workers continued to receive calls that got no response."""
+    """With the limit for errors, unresponsive workers would continue to receive calls."""
     driver = RouterDriver(*workers(6))
     for request_id in range(1, 7):
         driver.send_request(function_id=request_id, class_index=NOT_IDEMPOTENT_CLASS)
         driver.end_attempt(request_id, sends(driver.actions)[-1])
     by_id = driver.router.workers
     observe_health = driver.router.feedback.observe_health
-    for worker_id in range(1, 5):  # four of six are silent
+    for worker_id in range(1, 5):  # four of six are unresponsive
         for _ in range(3):
             observe_health(
                 driver.now_ms, by_id[worker_id], 1.0, outlier_detection.MAX_UNRESPONSIVE_EJECTED_FRACTION
             )
     assert sum(record.is_ejected for record in by_id.values()) == 4
-    for worker_id in (5, 6):  # the others fail, and the bound for errors is reached already
+    for worker_id in (5, 6):  # the others fail, and the limit for errors is already reached
         for _ in range(3):
             observe_health(driver.now_ms, by_id[worker_id], 1.0)
     assert sum(record.is_ejected for record in by_id.values()) == 4
 
 
 def test_as_many_workers_are_ejected_as_refuse_connections() -> None:
-    """At the loss of a zone, the bound for errors left the rest of the zone in use, call after call."""
+    """With the limit for errors, the rest of a lost zone would remain in use and fail call after call."""
     driver = RouterDriver(*workers(10))
     for function_id in range(300):
         worker_id = sends(driver.send_request(function_id, after_ms=10.0))[0]
@@ -152,7 +152,7 @@
 def test_a_failing_worker_costs_each_router_few_calls(
     router_count: int, worker_count: int, interval_ms: float
 ) -> None:
-    """Each of 40 routers once lost two calls before the ejection, and then a trial every few seconds."""
+    """Guards against 40 routers each losing two calls before the ejection, then a trial every few seconds."""
     driver = RouterDriver(*workers(worker_count), router_count=router_count)
     for number in range(400):
         driver.advance_to(driver.now_ms + interval_ms)
@@ -171,11 +171,11 @@
     assert lost_count <= 2 + duration_ms / records.BASE_EJECTION_MS / rarity_divisor / 2
 
 
-# Outcomes that are no fault of a worker.
+# Outcomes that do not count against the worker.
 
 
 def test_a_class_that_a_worker_rejects_goes_elsewhere_and_others_stay() -> None:
-    """A worker may limit the rate of one class, so its rejections are no sign of an outlier."""
+    """A worker may rate-limit one class, so its rejections do not indicate an outlier."""
     driver = RouterDriver(*workers(3))
     (home,) = sends(driver.send_request(class_index=1))
     driver.end_attempt(1, home, Outcome.OVERLOADED, after_ms=200.0)
@@ -241,7 +241,7 @@
 
 
 def test_a_broken_connection_is_no_sign_of_a_restart() -> None:
-    """Each reset once made its worker count as cold, until all did and every call waited to its deadline."""
+    """Guards against resets that make their workers count as cold, until every call waits to its deadline."""
     driver = RouterDriver(worker(1))
     record = driver.router.workers[1]
     for outcome in (Outcome.RESET, Outcome.CONNECT_FAILED):
@@ -254,7 +254,7 @@
 
 
 def test_a_worker_that_was_unreachable_starts_slowly_before_the_endpoint_list_reports_a_restart() -> None:
-    """Twelve workers once restarted unreported and collapsed under the calls of 85 routers."""
+    """Guards against the collapse of twelve workers that restarted unreported, under calls of 85 routers."""
     driver = RouterDriver(worker(1), worker(2))
     assert driver.router.workers[1].available_capacity(driver.now_ms, RULES) == 1.0
     driver.send_request()
--- a/tests/unit/routing/test_router_overload.py
+++ b/tests/unit/routing/test_router_overload.py
@@ -1,4 +1,4 @@
-"""A router under overload: which calls it sheds, for how long, and what is no overload."""
+"""Load shedding of a router: which calls are shed, for how long, and what does not count as overload."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_calls_that_cannot_be_in_time_are_shed_until_the_overload_ends() -> None:
-    """By response times alone, an overload shows too late: shedding swung from hardly any to nearly all."""
+    """Response times alone detect an overload too late: shedding oscillates between almost none and all."""
     driver = RouterDriver(*workers(3))
     serve_calls(driver)
     answers = [finals(driver.send_request(after_ms=1.0)) for _ in range(200)]  # no attempt ends
@@ -32,7 +32,7 @@
 
 
 def test_calls_of_higher_priority_weight_are_shed_later_and_less() -> None:
-    """Before, 0.38 of the calls of high weight were shed against 0.60 of the others."""
+    """Guards against shedding 0.38 of the calls of high weight against 0.60 of the others."""
     classes = (
         dataclasses.replace(SAFE, priority_weight=3.0),
         SAFE,
@@ -54,7 +54,7 @@
 
 
 def test_calls_that_wait_for_cold_starts_are_no_overload() -> None:
-    """New workers load every function called; a router once shed 95% of its calls during a release."""
+    """New workers load every called function; as overload this shed 95% of a router's calls in a release."""
     driver = RouterDriver(*workers(6))
     serve_calls(driver)
     assert not any(
@@ -64,7 +64,7 @@
 
 
 def test_few_simultaneous_calls_are_no_overload() -> None:
-    """One router of hundreds gets a few calls a second, so three at once are chance."""
+    """One router of hundreds receives a few calls per second, so three at once are random variation."""
     driver = RouterDriver(*workers(3))
     for _ in range(20):
         driver.send_request(after_ms=400.0)
@@ -73,7 +73,7 @@
 
 
 def test_a_silent_worker_is_no_overload() -> None:
-    """One silent worker once made the router shed the calls of all others."""
+    """Guards against one unresponsive worker making the router shed the calls of all others."""
     driver = RouterDriver(*workers(6))
     serve_calls(driver)
     overload = driver.router.state.overload
--- a/tests/unit/routing/test_router_placement.py
+++ b/tests/unit/routing/test_router_placement.py
@@ -1,4 +1,4 @@
-"""A router's placement of calls: affinity, home workers, load, zones and slow start."""
+"""Call placement of a router: affinity, home workers, load, zones and slow start."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 
 
 def test_of_two_warm_workers_the_one_in_the_own_zone_is_selected_until_it_is_busy() -> None:
-    """Without the penalty, two thirds of all attempts cross zones by chance, and each of them costs."""
+    """Without the penalty, two thirds of all attempts cross zones by chance, and each incurs a cost."""
     prices = dataclasses.replace(PRICES, cross_zone=0.05)
     driver = RouterDriver(worker(1, zone=1), worker(2), prices=prices)
     driver.send_request()
@@ -119,7 +119,7 @@
     assert 1 in [sends(driver.send_request())[0] for _ in range(4)]
     del function.affinity[2]
     del function.last_sent_at_ms[2]
-    # A warm worker in another zone still costs less than a cold one in the own zone.
+    # A warm worker in another zone still costs less than a cold one in the router's zone.
     assert driver.router.selector.cross_zone_penalty < 1.0
 
 
@@ -182,7 +182,7 @@
 def test_each_home_gets_enough_calls_of_the_fleet_to_stay_loaded(
     router_count: int, worker_count: int, interval_ms: float
 ) -> None:
-    """Homes once multiplied with the fleet: at 40 routers a popular function had 28, some of them idle."""
+    """Guards against homes that multiply with the fleet: at 40 routers a function had 28, some idle."""
     driver = RouterDriver(*workers(worker_count), router_count=router_count, keep_alive_ms=4700.0)
     for number in range(300):
         function_id = FUNCTION_ID if number % 4 == 0 else 1000 + number % 50
@@ -195,7 +195,7 @@
 
 
 def test_a_function_that_turns_popular_at_all_routers_at_once_is_no_hotspot_for_long() -> None:
-    """Every router once continued to send to the first home, however busy that worker was."""
+    """Guards against routers that continue to send to the first home, however busy that worker is."""
     fleet = [RouterDriver(*workers(20), seed=seed, router_count=40) for seed in range(40)]
     max_calls_at_one_worker = []
     for _ in range(20):
@@ -226,7 +226,7 @@
 
 
 def test_load_observations_decay_later_where_responses_are_rare() -> None:
-    """A router gets a response of each of 40 workers every few seconds, so a short memory is useless."""
+    """A router gets a response from each of 40 workers every few seconds, so a short memory is useless."""
     remaining = {}
     for worker_count, interval_ms in ((2, 50.0), (12, 24.0), (40, 85.0)):
         driver = RouterDriver(*workers(worker_count), router_count=worker_count)
@@ -242,7 +242,7 @@
 
 @pytest.mark.parametrize(("router_count", "worker_count"), [(1, 3), (3, 12), (40, 40)])
 def test_calls_move_away_from_a_worker_that_reports_high_load(router_count: int, worker_count: int) -> None:
-    """In a large fleet most load of a worker is of other routers, and only load reports show it in time."""
+    """In a large fleet most load of a worker is from other routers; only load reports show it in time."""
     driver = RouterDriver(
         *workers(worker_count), router_count=router_count, load_report_columns=("inflight", "x1")
     )
@@ -280,7 +280,7 @@
 
 @pytest.mark.parametrize(("router_count", "worker_count"), [(1, 4), (3, 12), (40, 40)])
 def test_draining_workers_do_not_reduce_the_slow_start_budget(router_count: int, worker_count: int) -> None:
-    """During a release up to 24 of 64 workers drain; they once counted among those that share the load."""
+    """During a release up to 24 of 64 workers drain; these must not count among those that share the load."""
     ready = [*workers(worker_count - 1), worker(worker_count, started=1000.0)]
     draining = [worker(worker_id, EndpointState.DRAINING) for worker_id in range(100, 100 + worker_count)]
     fits = []
--- a/tests/unit/routing/test_tables.py
+++ b/tests/unit/routing/test_tables.py
@@ -1,4 +1,4 @@
-"""The tables, schedules and estimators of a router, each alone."""
+"""Unit tests of the tables, schedules and estimators of a router."""
 
 from __future__ import annotations
 
--- a/tests/unit/routing/test_zone_reachability.py
+++ b/tests/unit/routing/test_zone_reachability.py
@@ -1,4 +1,4 @@
-"""The reachability of zones: the detector alone, and a router that uses it."""
+"""Zone reachability: the detector in isolation, and a router that uses it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def zones_with_responses(zone_count: int = 3) -> ZoneReachability:
-    """Return a detector that has had the responses it needs from each zone, at time 0."""
+    """Return a detector with the required number of responses from each zone, at time 0."""
     zones = ZoneReachability(own_zone=0)
     for number in range(MIN_RESPONSES * zone_count):
         zones.on_attempt_started(0.0, (number, 0), number, number % zone_count, USUAL_MS)
@@ -64,7 +64,7 @@
 
 
 def test_zones_other_than_the_own_one_are_unreachable_by_their_common_silence() -> None:
-    """One call to each zone would not suffice for any of them."""
+    """One call to each zone would not suffice for any zone by itself."""
     zones = zones_with_responses()
     for number, zone in enumerate((ZONE, OTHER_ZONE)):
         zones.on_attempt_started(START_MS, (100 + number, 0), number, zone, USUAL_MS)
