--- a/tests/unit/routing/test_instance_queue.py
+++ b/tests/unit/routing/test_instance_queue.py
@@ -42,7 +42,7 @@
     )
 
 
-def test_a_call_waits_for_a_busy_instance_but_not_for_long_nor_behind_many() -> None:
+def test_a_call_waits_for_a_busy_instance_within_limits_of_time_and_queue_length() -> None:
     queue = InstanceQueue()
     queue.on_response(WORKER_ID, was_cold=True)
     assert not should_wait(queue, 1, IDLE)
@@ -108,7 +108,7 @@
     assert sends(send_request(with_old_gossip, 2, 60_010.0)), "the peer's gossip is stale"
 
 
-def test_a_waiting_call_is_rejected_by_half_of_its_time_if_no_instance_loads() -> None:
+def test_a_waiting_call_is_rejected_after_half_of_its_time_limit_if_no_instance_loads() -> None:
     node = node_with_gossip_of_a_peer()
     (worker_id,) = sends(send_request(node, 1, 10.0))
     assert not sends(send_request(node, 2, 20.0))
--- a/tests/unit/routing/test_policies.py
+++ b/tests/unit/routing/test_policies.py
@@ -158,7 +158,7 @@
     assert policies.selector.select(1.0, pending) in workers.values()
 
 
-def test_affinity_load_and_zones_make_up_the_cost() -> None:
+def test_the_cost_depends_on_affinity_load_and_zone() -> None:
     policies = Policies()
     pending = policies.request()
     workers = policies.state.workers.by_id
@@ -181,7 +181,7 @@
         (WITH_KEY_IN_ZONE, True, FailRequest),
     ],
 )
-def test_a_request_that_may_have_executed_is_rejected_only_if_a_repeat_is_harmless(
+def test_a_request_that_may_have_executed_is_rejected_only_if_it_is_safe_to_retry(
     class_index: int, may_have_executed: bool, final_answer: type
 ) -> None:
     policies = Policies()
@@ -191,7 +191,7 @@
     assert type(policies.admission.final_answer(1.0, pending)) is final_answer
 
 
-def test_a_request_without_an_attempt_waits_for_a_fraction_of_its_time_only() -> None:
+def test_a_request_without_an_attempt_waits_for_only_a_fraction_of_its_time_limit() -> None:
     policies = Policies()
     pending = policies.request()
     latest_ms = MAX_QUEUED_FRACTION * 3000.0 - QUEUE_CHECK_MS
@@ -209,7 +209,7 @@
     assert not policies.admission.should_shed(999.0, pending, 1.0)
 
 
-def test_a_selected_cold_worker_is_preloaded_once_and_after_a_failure_with_backoff() -> None:
+def test_a_selected_cold_worker_is_preloaded_once_and_again_after_a_failure_and_backoff() -> None:
     policies = Policies(when_not_loaded=NotLoadedBehavior.REJECT)
     pending = policies.request()
     state = policies.state
--- a/tests/unit/routing/test_policy_size.py
+++ b/tests/unit/routing/test_policy_size.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("path", POLICY, ids=[path.name for path in POLICY])
-def test_a_policy_file_keeps_to_the_size_of_a_module_with_one_job(path: Path) -> None:
+def test_policy_files_stay_within_the_size_limits(path: Path) -> None:
     source = path.read_text()
     functions = [node for node in ast.walk(ast.parse(source)) if isinstance(node, ast.FunctionDef)]
     assert 0 < len(source.splitlines()) <= MAX_FILE_LINES
@@ -31,12 +31,12 @@
 
 
 @pytest.mark.parametrize("path", POLICY, ids=[path.name for path in POLICY])
-def test_a_policy_file_exists_and_is_no_stub(path: Path) -> None:
+def test_policy_files_exist_and_are_not_empty(path: Path) -> None:
     assert path.is_file()
     assert any(line.strip() for line in path.read_text().splitlines())
 
 
-def test_each_policy_module_is_named_once() -> None:
+def test_each_policy_module_is_listed_once() -> None:
     assert len(set(POLICY)) == len(POLICY)
     assert ROUTER in POLICY
     required = {"admission.py", "preloading.py", "retries.py", "router.py", "selection.py"}
--- a/tests/unit/routing/test_popularity.py
+++ b/tests/unit/routing/test_popularity.py
@@ -29,7 +29,9 @@
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize("calls_per_second", [2.0, 4.0, 20.0, 200.0])
-def test_rare_functions_stay_rare_however_few_calls_arrive(calls_per_second: float, seed: int) -> None:
+def test_rare_functions_are_not_estimated_as_popular_at_any_call_rate(
+    calls_per_second: float, seed: int
+) -> None:
     call_fractions = [0.2, *([0.8 / 160] * 160)]
     estimated = estimated_fractions(calls_per_second, call_fractions, 40.0, seed)
     assert sum(estimated[1:]) < 0.6, "together they would get homes for more than all calls"
--- a/tests/unit/routing/test_records.py
+++ b/tests/unit/routing/test_records.py
@@ -37,7 +37,7 @@
     ]
 
 
-def test_an_ejection_lets_one_idempotent_trial_pass_and_ends() -> None:
+def test_an_ejected_worker_gets_one_idempotent_trial_and_recovers() -> None:
     outlier = record()
     assert observe(outlier, [outlier], FAILED, count=3) == [False, True, False]
     outlier_detection.eject(outlier, 1000.0, 1.0, random.Random(1))
@@ -53,7 +53,7 @@
     assert not outlier.has_trial_in_flight
 
 
-def test_ejections_are_limited_and_relapses_wait_longer_up_to_a_maximum() -> None:
+def test_ejections_are_limited_and_get_longer_up_to_a_maximum() -> None:
     fleet = [record(worker_id) for worker_id in range(10)]
     assert sum(any(observe(outlier, fleet, FAILED, count=4)) for outlier in fleet) == 4
     outlier = fleet[0]
@@ -80,7 +80,7 @@
         (Outcome.OK, False, True, 1.0, None),
     ],
 )
-def test_the_weight_of_a_failure(
+def test_the_weight_of_a_failure_depends_on_its_outcome(
     outcome: Outcome,
     is_unreachable: bool,
     is_function_known: bool,
@@ -112,7 +112,7 @@
     assert not budget.may_preload(300.0, rules, 4, 8.0)
 
 
-def test_a_worker_is_dropped_from_every_record_of_a_function() -> None:
+def test_a_removed_worker_is_dropped_from_all_fields_of_a_function_record() -> None:
     function = FunctionRecord(1)
     for by_worker in (
         function.affinity,
--- a/tests/unit/routing/test_router.py
+++ b/tests/unit/routing/test_router.py
@@ -164,7 +164,7 @@
     assert len(preloads(driver.actions)) == preload_budget.PRELOADS_PER_WORKER * 8 / 2
 
 
-def test_a_worker_that_rejects_what_is_not_loaded_is_preloaded_and_the_call_follows() -> None:
+def test_a_call_of_a_function_not_loaded_is_sent_after_its_preload() -> None:
     driver = RouterDriver(worker(1), worker(2), when_not_loaded=NotLoadedBehavior.REJECT)
     actions = driver.send_request()
     (preload,) = preloads(actions)
--- a/tests/unit/routing/test_router_outliers.py
+++ b/tests/unit/routing/test_router_outliers.py
@@ -22,7 +22,7 @@
 NOT_IDEMPOTENT_CLASS = 1
 
 
-def test_a_silent_worker_is_ejected_and_its_idempotent_calls_are_retried() -> None:
+def test_an_unresponsive_worker_is_ejected_and_its_idempotent_calls_are_cancelled() -> None:
     driver = RouterDriver(*workers(3))
     for _ in range(6):
         (worker_id,) = sends(driver.send_request())
@@ -101,7 +101,7 @@
     assert [record.is_ejected for record in driver.router.workers.values()] == [True, False]
 
 
-def test_more_silent_workers_are_ejected_than_failing_ones_but_never_all() -> None:
+def test_more_unresponsive_workers_are_ejected_than_failing_ones_but_never_all() -> None:
     """With the limit for errors, unresponsive workers would continue to receive calls."""
     driver = RouterDriver(*workers(6))
     for request_id in range(1, 7):
@@ -121,7 +121,7 @@
     assert sum(record.is_ejected for record in by_id.values()) == 4
 
 
-def test_as_many_workers_are_ejected_as_refuse_connections() -> None:
+def test_all_workers_that_refuse_connections_are_ejected() -> None:
     """With the limit for errors, the rest of a lost zone would remain in use and fail call after call."""
     driver = RouterDriver(*workers(10))
     for function_id in range(300):
@@ -197,7 +197,7 @@
     assert driver.router.workers[worker_id].read_excess_load(driver.now_ms) == 0.0
 
 
-def test_a_timeout_of_a_client_with_little_time_is_no_failure_of_the_worker() -> None:
+def test_a_timeout_due_to_a_short_deadline_does_not_count_against_the_worker() -> None:
     driver = RouterDriver(worker(1))
     for _ in range(3):
         driver.send_request()
@@ -209,7 +209,7 @@
     assert driver.router.workers[1].outlier_score == 0.0
 
 
-def test_an_error_of_a_function_without_a_response_is_no_failure_of_the_worker() -> None:
+def test_an_error_of_a_function_without_a_response_does_not_count_against_the_worker() -> None:
     driver = RouterDriver(worker(1))
     for _ in range(4):
         (worker_id, *_) = sends(driver.send_request(class_index=NOT_IDEMPOTENT_CLASS, function_id=99))
@@ -240,7 +240,7 @@
     assert not driver.router.workers[1].is_ejected
 
 
-def test_a_broken_connection_is_no_sign_of_a_restart() -> None:
+def test_a_broken_connection_does_not_indicate_a_restart() -> None:
     """Guards against resets that make their workers count as cold, until every call waits to its deadline."""
     driver = RouterDriver(worker(1))
     record = driver.router.workers[1]
@@ -253,7 +253,7 @@
     assert record.available_capacity(driver.now_ms, RULES) < 1.0
 
 
-def test_a_worker_that_was_unreachable_starts_slowly_before_the_endpoint_list_reports_a_restart() -> None:
+def test_an_unreachable_worker_is_in_slow_start_before_the_endpoint_list_reports_a_restart() -> None:
     """Guards against the collapse of twelve workers that restarted unreported, under calls of 85 routers."""
     driver = RouterDriver(worker(1), worker(2))
     assert driver.router.workers[1].available_capacity(driver.now_ms, RULES) == 1.0
--- a/tests/unit/routing/test_router_overload.py
+++ b/tests/unit/routing/test_router_overload.py
@@ -53,7 +53,7 @@
     assert first_shed[1] < first_shed[2] < first_shed[0]
 
 
-def test_calls_that_wait_for_cold_starts_are_no_overload() -> None:
+def test_calls_that_wait_for_cold_starts_do_not_count_as_overload() -> None:
     """New workers load every called function; as overload this shed 95% of a router's calls in a release."""
     driver = RouterDriver(*workers(6))
     serve_calls(driver)
@@ -63,7 +63,7 @@
     assert not any(finals(driver.send_request(function_id=FUNCTION_ID, after_ms=10.0)) for _ in range(5))
 
 
-def test_few_simultaneous_calls_are_no_overload() -> None:
+def test_few_simultaneous_calls_do_not_count_as_overload() -> None:
     """One router of hundreds receives a few calls per second, so three at once are random variation."""
     driver = RouterDriver(*workers(3))
     for _ in range(20):
@@ -72,7 +72,7 @@
     assert not any(finals(driver.send_request()) for _ in range(3))
 
 
-def test_a_silent_worker_is_no_overload() -> None:
+def test_an_unresponsive_worker_does_not_count_as_overload() -> None:
     """Guards against one unresponsive worker making the router shed the calls of all others."""
     driver = RouterDriver(*workers(6))
     serve_calls(driver)
--- a/tests/unit/routing/test_router_placement.py
+++ b/tests/unit/routing/test_router_placement.py
@@ -108,7 +108,7 @@
         driver.end_attempt(driver.last_request_id, 17)
 
 
-def test_of_two_warm_workers_the_one_in_the_own_zone_is_selected_until_it_is_busy() -> None:
+def test_of_two_warm_workers_the_one_in_the_local_zone_is_selected_until_it_is_busy() -> None:
     """Without the penalty, two thirds of all attempts cross zones by chance, and each incurs a cost."""
     prices = dataclasses.replace(PRICES, cross_zone=0.05)
     driver = RouterDriver(worker(1, zone=1), worker(2), prices=prices)
@@ -126,7 +126,9 @@
 # Home workers.
 
 
-def test_the_cost_is_computed_for_the_homes_only_not_for_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_cost_is_computed_only_for_the_candidates_not_for_the_fleet(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     driver = RouterDriver(*workers(500))
     call_other_functions(driver)
     computed = []
@@ -194,7 +196,7 @@
     assert fleet_calls_in_keep_alive / home_count > selection.MIN_CALLS_PER_HOME / 2
 
 
-def test_a_function_that_turns_popular_at_all_routers_at_once_is_no_hotspot_for_long() -> None:
+def test_the_hotspot_of_a_suddenly_popular_function_disperses() -> None:
     """Guards against routers that continue to send to the first home, however busy that worker is."""
     fleet = [RouterDriver(*workers(20), seed=seed, router_count=40) for seed in range(40)]
     max_calls_at_one_worker = []
@@ -217,7 +219,7 @@
 # Load of workers.
 
 
-def test_long_work_that_was_hinted_does_not_count_as_load_of_the_worker() -> None:
+def test_long_service_times_that_were_hinted_do_not_count_as_load_of_the_worker() -> None:
     driver = RouterDriver(worker(1))
     for request_id in range(1, 12):
         driver.send_request(work=10.0 * request_id)
--- a/tests/unit/routing/test_router_rules.py
+++ b/tests/unit/routing/test_router_rules.py
@@ -44,7 +44,7 @@
     allows_hedging=st.booleans(),
     max_attempts=st.integers(1, 4),
 )
-def test_rules_1_2_3_5_hold_on_legal_sequences(
+def test_rules_1_2_3_5_hold_on_valid_event_sequences(
     seed: int, rejects_not_loaded: bool, allows_hedging: bool, max_attempts: int
 ) -> None:
     world = RuleCheckingWorld(
@@ -59,7 +59,7 @@
 
 @given_settings(max_examples=25, derandomize=True, deadline=None, database=None)
 @given(seed=st.integers(0, 2**32), interval_ms=st.floats(2.0, 60.0), router_count=st.integers(1, 6))
-def test_rule_4_a_cold_worker_gets_no_more_than_its_part(
+def test_rule_4_a_cold_worker_gets_no_more_than_its_share(
     seed: int, interval_ms: float, router_count: int
 ) -> None:
     """In any window it gets less than the multiple of its share of a warm worker's calls, or one call."""
--- a/tests/unit/routing/test_tables.py
+++ b/tests/unit/routing/test_tables.py
@@ -226,7 +226,7 @@
     assert times.expected_cold_start_ms(pending) == pytest.approx(300.0)
 
 
-def test_new_classes_leave_earlier_estimates() -> None:
+def test_new_classes_do_not_change_earlier_estimates() -> None:
     times = estimators.ServiceTimeEstimator(settings(classes=CLASSES[:1]))
     times.by_class[0].add(40.0)
     times.update_settings(settings())
@@ -284,7 +284,7 @@
     assert not function.has_seen_instance(1000.0, 1, KEEP_ALIVE_MS)
 
 
-def test_placement_orders_agree_and_follow_weights_only_if_that_is_configured() -> None:
+def test_placement_orders_agree_and_equal_weights_do_not_change_them() -> None:
     workers = list(worker_table(*range(40)).by_id.values())
     order = placement_order(77, workers, is_weighted=False)
     assert (
--- a/tests/unit/routing/test_zone_reachability.py
+++ b/tests/unit/routing/test_zone_reachability.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("worker_count", [1, 2, 5])
-def test_a_zone_is_unreachable_by_the_silence_of_several_workers_alone(worker_count: int) -> None:
+def test_a_zone_is_unreachable_only_if_several_workers_do_not_respond(worker_count: int) -> None:
     zones = zones_with_responses()
     start_attempts(zones, 5, worker_count=worker_count)
     is_reachable = worker_count * MAX_WORKER_SUSPICION < SUSPICION_THRESHOLD
@@ -63,7 +63,7 @@
     assert zones.find_unreachable(response_ms) == []
 
 
-def test_zones_other_than_the_own_one_are_unreachable_by_their_common_silence() -> None:
+def test_remote_zones_that_stop_responding_together_are_unreachable() -> None:
     """One call to each zone would not suffice for any zone by itself."""
     zones = zones_with_responses()
     for number, zone in enumerate((ZONE, OTHER_ZONE)):
@@ -80,7 +80,7 @@
     assert zones.find_unreachable(1300.0) == [ZONE]
 
 
-def test_fast_responses_do_not_make_a_short_pause_a_silence() -> None:
+def test_a_short_pause_after_fast_responses_does_not_make_a_zone_unreachable() -> None:
     zones = ZoneReachability(own_zone=0)
     for number in range(MIN_RESPONSES):
         zones.on_attempt_started(0.0, (number, 0), number, ZONE, 1.0)
@@ -109,7 +109,7 @@
     assert zones.may_send(lost_ms, ZONE, is_idempotent=False)
 
 
-def test_idempotent_calls_are_recalled_from_an_unreachable_zone() -> None:
+def test_idempotent_calls_in_an_unreachable_zone_are_cancelled() -> None:
     """With 200 routers no worker of an unreachable zone is called twice, so none is ejected in time."""
     endpoints = [worker(worker_id, zone=worker_id % 3) for worker_id in range(1, 31)]
     driver = RouterDriver(*endpoints, router_count=200)
