--- a/tests/simulation/slow_start_fleet.py
+++ b/tests/simulation/slow_start_fleet.py
@@ -1,8 +1,8 @@
-"""Simulates a fleet of routers without gossip and workers of which some start late, on one virtual clock.
+"""Simulation of routers without gossip and workers, some of which start late, on one virtual clock.
 
-Each worker records the work that it receives, in any window of rule 4, from routers that know of its start.
+Each worker records the work that it receives in each window of rule 4 from routers that know of its start.
 The result compares this load with the budget of the rule. ``python -m tests.simulation.slow_start_fleet``
-prints the table of all scenarios. Times are ms, rates are calls per second.
+prints a table of all scenarios. Times are ms, rates are calls per second.
 """
 
 from __future__ import annotations
@@ -48,14 +48,14 @@
 BURST_END_MS = TRANSITION_AT_MS + 7000.0
 ZONES = 3
 RETURNING_ZONE = 1
-FUNCTIONS = range(1, 61)  # functions that are called besides the hot one
+FUNCTIONS = range(1, 61)  # functions that are called in addition to the hot function
 CLIENT_RETRY_DELAY_MS = 200.0
-ALLOWED_WORK_STEP_MS = 100.0  # the budget over a worker's life is summed in these steps
-STATE_ORDER = list(EndpointState)  # the order in which a worker passes through its states
+ALLOWED_WORK_STEP_MS = 100.0  # step width of the sum of a worker's budget over its lifetime
+STATE_ORDER = list(EndpointState)  # the order of the states in a worker's lifecycle
 
 
 class Call(NamedTuple):
-    """A call that has no final answer yet."""
+    """A call without a final answer."""
 
     router_index: int
     function: int
@@ -65,7 +65,7 @@
 
 
 class Fleet:
-    """The simulation of one scenario: routers, workers, calls, and a queue of events."""
+    """The simulation of one scenario: routers, workers, calls and an event queue."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -89,8 +89,8 @@
         self.event_queue: list[tuple[float, int, Callable[[float], None]]] = []
         self.request_ids = itertools.count(1)
         self.calls: dict[int, Call] = {}  # by request id
-        self.first_requests = 0  # requests from the transition on, without retries of clients
-        self.rejected_requests = 0  # of these
+        self.first_requests = 0  # requests after the transition, without client retries
+        self.rejected_requests = 0  # of the first requests
         self.cold_calls = 0  # calls that count against a budget
         self.function_weights = [1.0 / (rank + 3.0) ** 1.3 for rank in range(len(FUNCTIONS))]
         self.incarnations = [0] * scenario.router_count
@@ -108,17 +108,17 @@
     def schedule(self, at_ms: float, callback: Callable[[float], None]) -> None:
         heapq.heappush(self.event_queue, (at_ms, next(self.event_serial), callback))
 
-    # Endpoint lists, and starts and stops of workers and routers.
+    # Endpoint lists, and the lifecycle of workers and routers.
 
     def publish(self, number: int, state: EndpointState, now_ms: float) -> None:
-        """Change the endpoint list; each router receives the change after its own delay."""
+        """Update the endpoint list; each router receives the update after a random delay."""
         endpoint = self.endpoints[number] = self.endpoint(number, state)
         for index in range(len(self.routers)):
             known_at_ms = now_ms + self.rng.uniform(0.0, self.scenario.propagation_ms)
             self.schedule(known_at_ms, partial(self.on_endpoint_changed, index, endpoint))
 
     def on_endpoint_changed(self, index: int, endpoint: Endpoint, now_ms: float) -> None:
-        """Let a router handle a change of the endpoint list, unless the router has a later one already."""
+        """Pass an endpoint update to a router, unless the router already has a later one."""
         known = self.known_endpoints[index].get(endpoint.worker_id)
         if known is not None and (known.started_at_ms or 0.0) > (endpoint.started_at_ms or 0.0):
             return
@@ -143,7 +143,7 @@
             self.publish(number, EndpointState.REMOVED, now_ms)
 
     def restart_router(self, index: int, now_ms: float) -> None:
-        """Start a new incarnation of a router, which loses its calls."""
+        """Restart a router as a new incarnation, which loses its calls."""
         self.incarnations[index] += 1
         self.calls = {key: call for key, call in self.calls.items() if call.router_index != index}
         self.routers[index] = self.create_router(index, self.incarnations[index])
@@ -155,7 +155,7 @@
         self.feed(index, update, now_ms)
 
     def schedule_transition(self) -> None:
-        """Schedule the transition of the workers, and the restarts of routers."""
+        """Schedule the transition of the workers and the restarts of routers."""
         scenario = self.scenario
         transitions = {
             Transition.JOIN: self._join,
@@ -192,14 +192,14 @@
             self.schedule(starts_at_ms, partial(self.start_worker, number))
 
     def _fail_others(self) -> None:
-        """Let all other workers refuse connections, while the endpoint list has them as ready."""
+        """Make all other workers refuse connections while the endpoint list shows them as ready."""
         self._join()
         for number in list(self.workers):
             lost_at_ms = TRANSITION_AT_MS + self.scenario.others_lost_at_ms
             self.schedule(lost_at_ms, partial(self.stop_worker, number, is_published=False))
 
     def _drain_others(self) -> None:
-        """Drain a part of the other workers; only one new worker starts."""
+        """Drain a fraction of the other workers; only one new worker starts."""
         self._join()
         drained = round(self.scenario.drained_fraction * self.scenario.worker_count)
         for number in list(self.workers)[:drained]:
@@ -207,7 +207,7 @@
             self.schedule(drains_at_ms, partial(self.publish, number, EndpointState.DRAINING))
 
     def function_with_home(self, worker_number: int) -> int:
-        """Return a function with this first home worker in the fleet after the transition."""
+        """Return a function whose first home after the transition is this worker."""
         numbers = [*self.workers, *self.scenario.new_workers()]
         for function in range(5000, 9000):
             scores = {number: rendezvous_score(hash64(function), hash64(number), 1.0) for number in numbers}
@@ -218,7 +218,7 @@
     # Calls.
 
     def rate(self, now_ms: float) -> float:
-        """Return the calls per second of the whole fleet."""
+        """Return the call rate of the whole fleet, per second."""
         is_burst = BURST_START_MS <= now_ms < BURST_END_MS
         burst_factor = self.scenario.burst_factor if is_burst else 1.0
         return (
@@ -231,7 +231,7 @@
         )
 
     def on_arrival(self, now_ms: float) -> None:
-        """Send a new call, and schedule the next one."""
+        """Send a new call and schedule the next one."""
         self.schedule(now_ms + self.rng.expovariate(self.rate(now_ms) / 1000.0), self.on_arrival)
         index = self.rng.choices(range(len(self.routers)), self.router_weights)[0]
         function = self.rng.choices(FUNCTIONS, self.function_weights)[0]
@@ -261,7 +261,7 @@
         self.feed(call.router_index, request, now_ms)
 
     def feed(self, index: int, event: Event, now_ms: float) -> None:
-        """Let a router handle an event, and execute its actions."""
+        """Pass an event to a router and execute the actions."""
         router = self.routers[index]
         incarnation = self.incarnations[index]
         for action in router.handle(now_ms, event):
@@ -291,7 +291,7 @@
         self.send_request(now_ms, retry)
 
     def start_attempt(self, index: int, action: StartAttempt, now_ms: float) -> None:
-        """Let the worker serve an attempt, and schedule its end."""
+        """Start an attempt at its worker and schedule the end of the attempt."""
         call = self.calls[action.request_id]
         worker = self.workers[action.worker_id]
         is_start_known = self.known_endpoints[index][action.worker_id].started_at_ms == worker.started_at_ms
@@ -325,7 +325,7 @@
         self.feed(index, ended, now_ms)
 
     def run(self) -> Result:
-        """Run the simulation; at its start all functions are loaded at all workers."""
+        """Run the simulation; initially all functions are loaded at all workers."""
         for index in range(len(self.routers)):
             self.feed_all_endpoints(index, 0.0)
         for worker in self.workers.values():
@@ -364,8 +364,8 @@
 def main() -> None:
     """Print the table: ``python -m tests.simulation.slow_start_fleet [SEEDS [ROUTERS... [WORDS...]]]``.
 
-    SEEDS is the number of seeds, ROUTERS are numbers of routers. With WORDS, only scenarios with one of the
-    words in their name are run.
+    SEEDS is the number of seeds, ROUTERS are router counts. With WORDS, only scenarios whose name contains
+    one of the words are run.
     """
     seed_count = int(sys.argv[1]) if len(sys.argv) > 1 else 3
     router_counts = [int(argument) for argument in sys.argv[2:] if argument.isdigit()] or [3, 20, 30, 200]
@@ -388,7 +388,7 @@
 
 
 def _run(scenario: Scenario, router_count: int, seed: int) -> Result:
-    """Run a scenario; with every other seed the routers know the number of routers."""
+    """Run a scenario; with every other seed the routers know the fleet size."""
     seeded_scenario = dataclasses.replace(
         scenario, router_count=router_count, seed=seed, is_fleet_size_known=seed % 2 == 0
     )
--- a/tests/simulation/slow_start_scenarios.py
+++ b/tests/simulation/slow_start_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of the slow-start simulation, and the form of its results.
+"""Scenarios and results of the slow-start simulation.
 
 In each scenario workers start while others serve, fail or leave.
 """
@@ -16,14 +16,14 @@
 
 
 class Transition(Enum):
-    """What happens to the workers; all transitions start at the same time of the simulation."""
+    """The change to the workers; all transitions start at the same simulated time."""
 
     JOIN = auto()  # a new worker starts
     ZONE_RETURNS = auto()  # all workers of a zone stop, and start again 4 s later
-    UNLISTED_RESTART = auto()  # two workers restart, and the endpoint list shows only the new start
+    UNLISTED_RESTART = auto()  # two workers restart; the endpoint list shows only the new start
     REPLACE = auto()  # most workers are drained in turn, and a new worker starts for each
     OTHERS_FAIL = auto()  # a new worker starts; the others refuse connections but are still listed as ready
-    OTHERS_LEAVE = auto()  # a new worker starts; a part of the others is drained
+    OTHERS_LEAVE = auto()  # a new worker starts; a fraction of the others is drained
 
 
 @dataclass(frozen=True)
@@ -33,21 +33,21 @@
     router_count: int
     transition: Transition = Transition.JOIN
     seed: int = 1
-    is_fleet_size_known: bool = True  # whether the routers' settings contain the number of routers
+    is_fleet_size_known: bool = True  # whether the routers' settings contain the router count
     worker_count: int = 12
     cores: int = CORES  # of each worker
     load: float = 0.6  # fraction of the warm capacity of all workers
-    hot_function_fraction: float = 0.0  # fraction of the calls; the function's home is a worker that starts
+    hot_function_fraction: float = 0.0  # fraction of the calls; the function's home is a starting worker
     is_hot_function_heavy: bool = False  # whether the hot function is of a class with the most work
-    hot_function_delay_ms: float = 0.0  # the hot function is called from this time after the transition
-    burst_factor: float = 1.0  # factor of the rate, for 6 s from 1 s after the transition
-    client_retries: int = 0  # retries of clients after a rejection, marked as such
-    restarted_routers: float = 0.0  # fraction of the routers that restart without memory
-    restart_delay_ms: float = -300.0  # routers restart at this time after the transition
-    propagation_ms: float = 1500.0  # a router receives each change of the endpoint list within this time
+    hot_function_delay_ms: float = 0.0  # time from the transition to the first call of the hot function
+    burst_factor: float = 1.0  # factor of the call rate, for 6 s, starting 1 s after the transition
+    client_retries: int = 0  # retries by the client after a rejection, marked as such
+    restarted_routers: float = 0.0  # fraction of the routers that restart without state
+    restart_delay_ms: float = -300.0  # time from the transition to the router restarts
+    propagation_ms: float = 1500.0  # maximum delay until a router receives an endpoint update
     drained_fraction: float = 0.6  # fraction of the other workers that are drained in OTHERS_LEAVE
-    slowdown: float = 1.0  # factor of the work of each call until the transition
-    others_lost_at_ms: float = 0.0  # OTHERS_FAIL, OTHERS_LEAVE: this time after the transition
+    slowdown: float = 1.0  # factor of the work of each call before the transition
+    others_lost_at_ms: float = 0.0  # time after the transition, for OTHERS_FAIL and OTHERS_LEAVE
     duration_ms: float = 14000.0  # time from the transition to the end of the simulation
 
     def new_workers(self) -> list[int]:
@@ -62,13 +62,13 @@
 
 @dataclass(frozen=True)
 class Result:
-    """The fullest window of any worker that started late, and the service in one simulation."""
+    """The fullest window of any late-started worker, and the fraction of rejected requests."""
 
     fullest_window: float  # load of the window over its upper bound
     total: float  # load of the window in calls of mean work
     budget: float  # budget of the window
-    received_work: float  # all work that the workers received, over the sum of their budgets
-    rejected_requests: float  # fraction of the first requests from the transition on
+    received_work: float  # total work received by late-started workers, over the sum of their budgets
+    rejected_requests: float  # fraction of the first requests after the transition
 
 
 SMALL_FLEET = Scenario(0, worker_count=6, cores=1, duration_ms=6000.0)
--- a/tests/simulation/slow_start_worker.py
+++ b/tests/simulation/slow_start_worker.py
@@ -1,7 +1,7 @@
-"""The fake workers of the slow-start simulation, and the load that they are simulated under.
+"""Fake workers of the slow-start simulation, and their simulated load.
 
-By rule 4 of the operators, all routers together may send a worker that started lately only a budget of work
-in each window. The budget grows with the worker's capacity. A fake worker records its fullest window.
+By rule 4 of the operators, all routers together may send a recently started worker only a budget of work in
+each window. The budget grows with the worker's capacity. A fake worker records its fullest window.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 CLASS_WORK_MS = (100.0, 170.0, 170.0)  # mean time on a core, by class
 MEAN_WORK_MS = sum(fraction * work for fraction, work in zip(CLASS_FRACTIONS, CLASS_WORK_MS, strict=True))
 CORES = 3
-MAX_QUEUED = 15  # calls that wait at a worker before the worker rejects more
+MAX_QUEUED = 15  # queue length above which a worker rejects calls
 COLD_START_MS = 1300.0
 CONNECT_FAILURE_MS = 5.0  # latency of an attempt at a worker that is down
 REJECTION_MS = 1.0  # latency of a rejection
@@ -59,13 +59,13 @@
 
 
 def upper_bound(budget: float) -> float:
-    """Return the greatest load of a window that chance explains for routers that respect the budget."""
+    """Return the maximum load of a window by random variation if the routers respect the budget."""
     return budget + 2.0 * math.sqrt(budget) + 2.0
 
 
 @dataclass
 class FakeWorker:
-    """A worker with cores, a bounded queue and instances that are loaded on demand; records the load."""
+    """A worker with cores, a bounded queue and instances loaded on demand; it records its load."""
 
     number: int
     zone: int
@@ -79,7 +79,7 @@
     received_work: float = 0.0  # calls of mean work
 
     def capacity(self, now_ms: float) -> float:
-        """Return the fraction of the warm capacity by rule 4, which grows linearly from the start."""
+        """Return the fraction of the warm capacity by rule 4; it grows linearly from the start."""
         age_ms = now_ms - self.started_at_ms
         growth = (1.0 - RULES.slow_start_min_capacity) * age_ms / RULES.slow_start_ms
         return min(1.0, RULES.slow_start_min_capacity + growth)
@@ -95,7 +95,7 @@
         )
 
     def record_send(self, now_ms: float, weight: float) -> None:
-        """Record a call of a router that knows of the start; ``weight`` is in calls of mean work."""
+        """Record a call from a router that knows of the start; ``weight`` is in calls of mean work."""
         while self.window_sends and self.window_sends[0][0] <= now_ms - RULES.collapse_window_ms:
             self.window_weight -= self.window_sends.popleft()[1]
         self.window_sends.append((now_ms, weight))
@@ -106,7 +106,7 @@
         self.fullest_window = max(self.fullest_window, window)
 
     def serve(self, now_ms: float, function: int, work_ms: float) -> ServedCall:
-        """Execute a call on the core that is free first, and return how the call ends."""
+        """Execute a call on the first core to become free, and return the end of the call."""
         if not self.is_up:
             return ServedCall(now_ms + CONNECT_FAILURE_MS, Outcome.CONNECT_FAILED, StartKind.UNKNOWN)
         if min(self.core_free_at_ms) > now_ms + MAX_QUEUED * MEAN_WORK_MS / CORES:
--- a/tests/simulation/test_slow_start_fleet.py
+++ b/tests/simulation/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""Routers that do not know each other's calls respect the budget of a worker that started lately."""
+"""Routers without knowledge of each other's calls respect the budget of a recently started worker."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 def test_the_work_of_all_routers_stays_inside_the_budget_of_a_warming_worker(
     name: str, router_count: int, is_fleet_size_known: bool
 ) -> None:
-    """The limit is 0.7 of the upper bound, so that chance with other seeds does not exceed the bound."""
+    """The limit is 0.7 of the upper bound, so that random variation with other seeds stays in the bound."""
     scenario = dataclasses.replace(
         SCENARIOS[name],
         router_count=router_count,
@@ -64,7 +64,7 @@
 
 
 def router_with_traffic() -> RouterDriver:
-    """Return such a router after 40 calls of 100 ms."""
+    """Return the same router after 40 calls of 100 ms each."""
     driver = idle_router()
     for number in range(40):
         driver.send_request(number, after_ms=20.0)
@@ -73,7 +73,7 @@
 
 
 def greatest_permitted_work_ms(driver: RouterDriver) -> float:
-    """Return the greatest work in ms of a call that the router may send to the warming worker."""
+    """Return the maximum work in ms of a call that the router may send to the warming worker."""
     record = driver.router.workers[7]
     record.jitter = 0.999999
     record.slow_start_sends.clear()
@@ -102,7 +102,7 @@
 
 
 def test_the_budget_in_calls_does_not_grow_when_calls_are_cheaper_than_estimated() -> None:
-    """Before the first answer the router estimates three times the true work of a call."""
+    """Before the first response the router overestimates the work of a call by a factor of three."""
     driver = idle_router()
     for number in range(20):
         driver.send_request(number, after_ms=1.0)
