--- a/tests/simulation/slow_start_fleet.py
+++ b/tests/simulation/slow_start_fleet.py
@@ -213,7 +213,7 @@
             scores = {number: rendezvous_score(hash64(function), hash64(number), 1.0) for number in numbers}
             if min(numbers, key=scores.__getitem__) == worker_number:
                 return function
-        raise AssertionError("no such function")
+        raise AssertionError("no function has this worker as its first home")
 
     # Calls.
 
@@ -370,7 +370,7 @@
     seed_count = int(sys.argv[1]) if len(sys.argv) > 1 else 3
     router_counts = [int(argument) for argument in sys.argv[2:] if argument.isdigit()] or [3, 20, 30, 200]
     words = [argument for argument in sys.argv[2:] if not argument.isdigit()] or [""]
-    print("| transition | routers | worst of its bound | its sum | N | used of budgets | rejected |")
+    print("| scenario | routers | max load/bound | load | budget | budget used | rejected |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for name, scenario in SCENARIOS.items():
         if not any(word in name for word in words):
--- a/tests/simulation/slow_start_scenarios.py
+++ b/tests/simulation/slow_start_scenarios.py
@@ -80,7 +80,7 @@
     "popular home": Scenario(0, hot_function_fraction=0.4),
     "popular home, heavy class": Scenario(0, hot_function_fraction=0.4, is_hot_function_heavy=True),
     "popular from 5 s on": Scenario(0, hot_function_fraction=0.6, hot_function_delay_ms=5000.0, load=0.9),
-    "burst of 2.0, repeats": Scenario(
+    "burst of 2.0, client retries": Scenario(
         0, load=0.9, burst_factor=2.0, client_retries=3, hot_function_fraction=0.4
     ),
     "zone returns": Scenario(0, Transition.ZONE_RETURNS, hot_function_fraction=0.3),
@@ -92,7 +92,7 @@
     "routers restart, heavy class, load 0.9": Scenario(
         0, restarted_routers=0.9, hot_function_fraction=0.4, is_hot_function_heavy=True, load=0.9
     ),
-    "untold start": Scenario(0, Transition.UNLISTED_RESTART, hot_function_fraction=0.3),
+    "unlisted restart": Scenario(0, Transition.UNLISTED_RESTART, hot_function_fraction=0.3),
     "all others fail": OTHERS_FAIL,
     "all others fail, load 0.9": dataclasses.replace(OTHERS_FAIL, load=0.9),
     "all others fail, routers restarted": dataclasses.replace(
--- a/tests/simulation/test_slow_start_fleet.py
+++ b/tests/simulation/test_slow_start_fleet.py
@@ -139,7 +139,7 @@
     for _ in range(60):
         driver.send_request(function_id=7, after_ms=30.0)
     assert fits_budget
-    assert all(fits_budget), f"{fits_budget.count(False)} of {len(fits_budget)} sends beyond the budget"
+    assert all(fits_budget), f"{fits_budget.count(False)} of {len(fits_budget)} sends exceed the budget"
 
 
 def test_without_slow_start_a_worker_serves_again_after_draining() -> None:
