--- a/tests/simulation/slow_start_fleet.py
+++ b/tests/simulation/slow_start_fleet.py
@@ -166,7 +166,7 @@
             Transition.OTHERS_LEAVE: self._drain_others,
         }
         transitions[scenario.transition]()
-        for index in range(round(scenario.restarted_routers * scenario.router_count)):
+        for index in range(round(scenario.restarted_fraction * scenario.router_count)):
             restart_at_ms = TRANSITION_AT_MS + scenario.restart_delay_ms + index * 0.5
             self.schedule(restart_at_ms, partial(self.restart_router, index))
 
@@ -195,7 +195,7 @@
         """Make all other workers refuse connections while the endpoint list shows them as ready."""
         self._join()
         for number in list(self.workers):
-            lost_at_ms = TRANSITION_AT_MS + self.scenario.others_lost_at_ms
+            lost_at_ms = TRANSITION_AT_MS + self.scenario.others_lost_delay_ms
             self.schedule(lost_at_ms, partial(self.stop_worker, number, is_published=False))
 
     def _drain_others(self) -> None:
@@ -203,7 +203,7 @@
         self._join()
         drained = round(self.scenario.drained_fraction * self.scenario.worker_count)
         for number in list(self.workers)[:drained]:
-            drains_at_ms = TRANSITION_AT_MS + self.scenario.others_lost_at_ms
+            drains_at_ms = TRANSITION_AT_MS + self.scenario.others_lost_delay_ms
             self.schedule(drains_at_ms, partial(self.publish, number, EndpointState.DRAINING))
 
     def function_with_home(self, worker_number: int) -> int:
@@ -378,8 +378,8 @@
         for router_count in router_counts:
             results = [_run(scenario, router_count, seed) for seed in range(seed_count)]
             worst = max(results, key=lambda result: result.fullest_window)
-            used = sum(result.received_work for result in results) / seed_count
-            rejected = sum(result.rejected_requests for result in results) / seed_count
+            used = sum(result.budget_used for result in results) / seed_count
+            rejected = sum(result.rejected_fraction for result in results) / seed_count
             print(
                 f"| {name} | {router_count} | {worst.fullest_window:.2f} | {worst.total:.1f} "
                 f"| {worst.budget:.1f} | {used:.2f} | {rejected:.3f} |",
--- a/tests/simulation/slow_start_scenarios.py
+++ b/tests/simulation/slow_start_scenarios.py
@@ -42,12 +42,12 @@
     hot_function_delay_ms: float = 0.0  # time from the transition to the first call of the hot function
     burst_factor: float = 1.0  # factor of the call rate, for 6 s, starting 1 s after the transition
     client_retries: int = 0  # retries by the client after a rejection, marked as such
-    restarted_routers: float = 0.0  # fraction of the routers that restart without state
+    restarted_fraction: float = 0.0  # fraction of the routers that restart without state
     restart_delay_ms: float = -300.0  # time from the transition to the router restarts
     propagation_ms: float = 1500.0  # maximum delay until a router receives an endpoint update
     drained_fraction: float = 0.6  # fraction of the other workers that are drained in OTHERS_LEAVE
     slowdown: float = 1.0  # factor of the work of each call before the transition
-    others_lost_at_ms: float = 0.0  # time after the transition, for OTHERS_FAIL and OTHERS_LEAVE
+    others_lost_delay_ms: float = 0.0  # time after the transition, for OTHERS_FAIL and OTHERS_LEAVE
     duration_ms: float = 14000.0  # time from the transition to the end of the simulation
 
     def new_workers(self) -> list[int]:
@@ -67,8 +67,8 @@
     fullest_window: float  # load of the window over its upper bound
     total: float  # load of the window in calls of mean work
     budget: float  # budget of the window
-    received_work: float  # total work received by late-started workers, over the sum of their budgets
-    rejected_requests: float  # fraction of the first requests after the transition
+    budget_used: float  # total work received by late-started workers, over the sum of their budgets
+    rejected_fraction: float  # fraction of the first requests after the transition
 
 
 SMALL_FLEET = Scenario(0, worker_count=6, cores=1, duration_ms=6000.0)
@@ -88,24 +88,24 @@
     "six in ten replaced, load 0.9": Scenario(
         0, Transition.REPLACE, hot_function_fraction=0.3, load=0.9, client_retries=2
     ),
-    "routers restart before": Scenario(0, restarted_routers=0.9, hot_function_fraction=0.4),
+    "routers restart before": Scenario(0, restarted_fraction=0.9, hot_function_fraction=0.4),
     "routers restart, heavy class, load 0.9": Scenario(
-        0, restarted_routers=0.9, hot_function_fraction=0.4, is_hot_function_heavy=True, load=0.9
+        0, restarted_fraction=0.9, hot_function_fraction=0.4, is_hot_function_heavy=True, load=0.9
     ),
     "unlisted restart": Scenario(0, Transition.UNLISTED_RESTART, hot_function_fraction=0.3),
     "all others fail": OTHERS_FAIL,
     "all others fail, load 0.9": dataclasses.replace(OTHERS_FAIL, load=0.9),
     "all others fail, routers restarted": dataclasses.replace(
-        OTHERS_FAIL, load=0.9, restarted_routers=0.9, restart_delay_ms=-1500.0, hot_function_fraction=0.5
+        OTHERS_FAIL, load=0.9, restarted_fraction=0.9, restart_delay_ms=-1500.0, hot_function_fraction=0.5
     ),
     "all others fail, burst of 2.4": dataclasses.replace(OTHERS_FAIL, burst_factor=2.4),
     "six in ten leave": dataclasses.replace(OTHERS_LEAVE, hot_function_fraction=0.4),
     "five in six leave": dataclasses.replace(OTHERS_LEAVE, hot_function_fraction=0.4, drained_fraction=0.84),
     "all others leave": dataclasses.replace(OTHERS_LEAVE, drained_fraction=1.0),
     "all others leave later, load 0.9": dataclasses.replace(
-        OTHERS_LEAVE, drained_fraction=1.0, load=0.9, others_lost_at_ms=2500.0
+        OTHERS_LEAVE, drained_fraction=1.0, load=0.9, others_lost_delay_ms=2500.0
     ),
     "all others leave, routers restart after": dataclasses.replace(
-        OTHERS_LEAVE, drained_fraction=1.0, restarted_routers=0.9, restart_delay_ms=2500.0
+        OTHERS_LEAVE, drained_fraction=1.0, restarted_fraction=0.9, restart_delay_ms=2500.0
     ),
 }
--- a/tests/simulation/test_slow_start_fleet.py
+++ b/tests/simulation/test_slow_start_fleet.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(("name", "router_count", "is_fleet_size_known"), SIMULATIONS)
-def test_the_work_of_all_routers_stays_inside_the_budget_of_a_warming_worker(
+def test_the_work_of_all_routers_stays_within_the_budget_of_a_worker_in_slow_start(
     name: str, router_count: int, is_fleet_size_known: bool
 ) -> None:
     """The limit is 0.7 of the upper bound, so that random variation with other seeds stays in the bound."""
@@ -72,49 +72,49 @@
     return driver
 
 
-def greatest_permitted_work_ms(driver: RouterDriver) -> float:
+def max_permitted_work_ms(driver: RouterDriver) -> float:
     """Return the maximum work in ms of a call that the router may send to the warming worker."""
     record = driver.router.workers[7]
     record.jitter = 0.999999
     record.slow_start_sends.clear()
     permitted_ms = 0.0
-    refused_ms = 20000.0
-    while refused_ms - permitted_ms > 0.01:
-        middle_ms = (permitted_ms + refused_ms) / 2
+    forbidden_ms = 20000.0
+    while forbidden_ms - permitted_ms > 0.01:
+        middle_ms = (permitted_ms + forbidden_ms) / 2
         if driver.router.selector.fits_slow_start(driver.now_ms, record, middle_ms):
             permitted_ms = middle_ms
         else:
-            refused_ms = middle_ms
+            forbidden_ms = middle_ms
     return permitted_ms
 
 
-def test_the_budget_of_a_warming_worker_does_not_grow_when_other_workers_leave() -> None:
+def test_the_slow_start_budget_does_not_grow_when_other_workers_leave() -> None:
     """The capacity of the worker stays the same, although it is the only one left for all calls."""
     driver = router_with_traffic()
-    before_ms = greatest_permitted_work_ms(driver)
+    before_ms = max_permitted_work_ms(driver)
     assert before_ms > 0.0
     draining = tuple(worker(number, EndpointState.DRAINING) for number in range(1, 7))
     driver.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 2, draining))
-    assert greatest_permitted_work_ms(driver) == pytest.approx(before_ms, rel=0.01)
+    assert max_permitted_work_ms(driver) == pytest.approx(before_ms, rel=0.01)
     removed = tuple(worker(number, EndpointState.REMOVED) for number in range(1, 7))
     driver.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 3, removed))
-    assert greatest_permitted_work_ms(driver) == pytest.approx(before_ms, rel=0.01)
+    assert max_permitted_work_ms(driver) == pytest.approx(before_ms, rel=0.01)
 
 
-def test_the_budget_in_calls_does_not_grow_when_calls_are_cheaper_than_estimated() -> None:
+def test_the_slow_start_budget_in_calls_does_not_grow_when_calls_take_less_work_than_estimated() -> None:
     """Before the first response the router overestimates the work of a call by a factor of three."""
     driver = idle_router()
     for number in range(20):
         driver.send_request(number, after_ms=1.0)
     estimated_ms = CLASSES[0].latency_objective_ms / 4.0
     true_ms = estimated_ms / 3.0
-    calls_before_answer = greatest_permitted_work_ms(driver) / estimated_ms
+    calls_before_response = max_permitted_work_ms(driver) / estimated_ms
     driver.router.state.service_times.by_class[0].add(true_ms)
-    calls_after_answer = greatest_permitted_work_ms(driver) / true_ms
-    assert calls_after_answer == pytest.approx(calls_before_answer, rel=0.01)
+    calls_after_response = max_permitted_work_ms(driver) / true_ms
+    assert calls_after_response == pytest.approx(calls_before_response, rel=0.01)
 
 
-def test_a_warm_instance_on_a_warming_worker_receives_no_more_than_the_slow_start_budget(
+def test_a_warm_instance_at_a_worker_in_slow_start_receives_no_more_than_the_budget(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A call that would wait for a load elsewhere goes to the loaded instance only within the budget."""
@@ -152,7 +152,7 @@
     assert sends(driver.send_request()) == [1]
 
 
-def test_a_windowed_maximum_stays_while_its_quantity_stays_and_decays_after_it_falls() -> None:
+def test_a_windowed_maximum_is_constant_while_its_input_is_and_decays_after_it_falls() -> None:
     peak = WindowedMaximum(1000.0)
     peak.on_change(0.0, 6.0, 0.0)
     peak.on_change(50000.0, 6.0, 0.0)
@@ -163,7 +163,7 @@
     assert peak.read(60000.0) == 1.0
 
 
-def test_an_attempt_that_was_never_sent_uses_no_budget_of_a_warming_worker() -> None:
+def test_an_attempt_that_was_never_sent_uses_no_slow_start_budget() -> None:
     driver = RouterDriver(worker(1, started=900.0), now_ms=1000.0, router_count=1)
     record = driver.router.workers[1]
     record.jitter = 0.0
