--- a/cedarthread/model/actions.py
+++ b/cedarthread/model/actions.py
@@ -8,9 +8,8 @@
 from dataclasses import dataclass, field
 
 
-@dataclass(
-    slots=True
-)  # not frozen: created on each call, and creating a frozen one costs three times as much
+# Not frozen: created for each call, and creating a frozen instance costs three times as much.
+@dataclass(slots=True)
 class StartAttempt:
     """The start of an attempt at a worker; without ``timeout_ms`` the request's deadline applies."""
 
@@ -94,9 +93,8 @@
     worker_id: int
 
 
-@dataclass(
-    slots=True
-)  # not frozen: created on each call, and creating a frozen one costs three times as much
+# Not frozen: created for each call, and creating a frozen instance costs three times as much.
+@dataclass(slots=True)
 class SetTimer:
     """A request for one ``TimerFired`` with this token at this time."""
 
--- a/cedarthread/model/events.py
+++ b/cedarthread/model/events.py
@@ -11,9 +11,8 @@
 from cedarthread.model.outcomes import Outcome, StartKind
 
 
-@dataclass(
-    slots=True
-)  # not frozen: created on each call, and creating a frozen one costs three times as much
+# Not frozen: created for each call, and creating a frozen instance costs three times as much.
+@dataclass(slots=True)
 class RequestArrived:
     """The arrival of a client's request, to which the router must give exactly one final answer.
 
@@ -44,9 +43,8 @@
     latency_ms: float
 
 
-@dataclass(
-    slots=True
-)  # not frozen: created on each call, and creating a frozen one costs three times as much
+# Not frozen: created for each call, and creating a frozen instance costs three times as much.
+@dataclass(slots=True)
 class AttemptEnded:
     """The end of one attempt."""
 
--- a/cedarthread/routing/estimators.py
+++ b/cedarthread/routing/estimators.py
@@ -102,7 +102,7 @@
         self.request_value = Ewma()  # priority weight of a request per ms of its work
         self.calls_per_ms = 0.0
         self.load_time_constant_ms = MIN_LOAD_TIME_CONSTANT_MS  # of a worker's load observations
-        self.sparse_traffic_factor = 1.0  # load_time_constant_ms over its minimum; 1 to 3 (calls are rare)
+        self.sparse_traffic_factor = 1.0  # load_time_constant_ms over its minimum, 1 to 3; 3: rare calls
         self.reported_in_flight = DecayingMean(RATE_WINDOW_MS)  # of other routers, over all workers
         self.mean_reported_in_flight = 0.0
         self.by_tenant = [DecayingCounter(RATE_WINDOW_MS) for _ in settings.tenants]
--- a/cedarthread/routing/outlier_detection.py
+++ b/cedarthread/routing/outlier_detection.py
@@ -117,7 +117,7 @@
         if worker.connection_broken_at_ms == now_ms:
             return None  # all attempts on one connection fail at once and count as one failure
         worker.connection_broken_at_ms = now_ms
-    gain = FAILURE_GAIN  # also for sparse traffic after timeouts and resets, which may have other causes
+    gain = FAILURE_GAIN  # timeouts and resets may have other causes, so sparse traffic does not raise it
     if outcome is Outcome.ERROR or event.is_unreachable:
         gain = min(gain * sparse_traffic_factor, MAX_FAILURE_GAIN)
     return FailureWeight(
