--- a/cedarthread/routing/overload.py
+++ b/cedarthread/routing/overload.py
@@ -17,7 +17,7 @@
     from collections.abc import Iterable
 
 OVERLOAD_START = 0.25  # an overload starts when latency reaches this fraction of the latency objective...
-OVERLOAD_SPAN = 0.2  # ...and all calls are shed when latency exceeds that by this fraction
+OVERLOAD_SPAN = 0.2  # ...and all calls are shed when it exceeds that by this fraction of the objective
 NOISE_DEVIATIONS = 1.0  # standard deviations of the calls in flight that count as random variation
 TYPICAL_WORKER_FRACTION = 0.75  # the least loaded workers; the others may be slow or unresponsive at any time
 RATE_WINDOW_MS = 2000.0  # time constant of the counts of calls and completions
--- a/cedarthread/routing/records.py
+++ b/cedarthread/routing/records.py
@@ -68,7 +68,7 @@
     ejection_ms: float = BASE_EJECTION_MS  # duration of the next ejection
     has_trial_in_flight: bool = False
     last_response_at_ms: float = -math.inf
-    unreachable_at_ms: float = -math.inf  # last failed connect; the worker may have restarted then
+    unreachable_at_ms: float = -math.inf  # last failed connect; the worker may have restarted since
     connection_broken_at_ms: float = -math.inf  # attempts that fail with one connection count as one failure
     excess_load: DecayingMean = field(default_factory=lambda: DecayingMean(MIN_LOAD_TIME_CONSTANT_MS))
     reported_in_flight: DecayingMean = field(  # requests of other routers, by load reports
@@ -156,7 +156,7 @@
                 self.last_sent_at_ms[worker_id] = warm_at_ms
 
     def has_seen_instance(self, now_ms: float, worker_id: int, keep_alive_ms: float) -> bool:
-        """Return whether this router has had a response from the worker within the keep-alive time."""
+        """Return whether an instance at the worker responded to this router within the keep-alive time."""
         return now_ms - self.instance_seen_at_ms.get(worker_id, -math.inf) <= keep_alive_ms
 
     def has_instance(self, now_ms: float, worker_id: int, keep_alive_ms: float) -> bool:
--- a/cedarthread/routing/retries.py
+++ b/cedarthread/routing/retries.py
@@ -120,7 +120,7 @@
         return (HEDGE_AFTER_MULTIPLE if hedges else OVERDUE_MULTIPLE) * expected_ms
 
     def cancel_in_unreachable_zones(self, now_ms: float) -> None:
-        """Cancel attempts in newly unreachable zones whose requests may be retried in any zone."""
+        """Find unreachable zones and cancel the attempts there that may be retried in any zone."""
         state = self.state
         if now_ms == state.stalled_at_ms or not (zones := state.zones.find_unreachable(now_ms)):
             return
--- a/cedarthread/routing/zone_reachability.py
+++ b/cedarthread/routing/zone_reachability.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-SUSPICION_THRESHOLD = 6.0  # threshold; a reachable zone exceeds it by chance once in 400 (natural logarithm)
+SUSPICION_THRESHOLD = 6.0  # a reachable zone exceeds it by chance once in 400 (natural logarithm)
 MAX_WORKER_SUSPICION = 3.0  # upper bound for one worker, because the fault may be its own
 MIN_SHARED_SUSPICION = 1.0  # lower bound for a zone to count among zones that are unresponsive together
 CONNECT_FAILURE_SUSPICION = 3.0  # added by one failed connect
@@ -175,7 +175,7 @@
         return self._suspicion_level(now_ms, [self.in_flight[attempt]], tolerance) >= MAX_WORKER_SUSPICION
 
     def _zone_suspicion(self, now_ms: float, zone: int, tolerance: float) -> float:
-        """Return the suspicion level of a zone; 0 if it responded within the expected time of a call."""
+        """Return a zone's suspicion level; 0 until the expected time of a call passes without response."""
         responded_at_ms = self.last_response_at_ms[zone]
         if now_ms - responded_at_ms < MIN_EXPECTED_MS * tolerance:
             return 0.0
