--- a/cedarthread/model/actions.py
+++ b/cedarthread/model/actions.py
@@ -1,6 +1,6 @@
-"""The actions that a router returns. Its host carries them out in order.
+"""The actions that a router returns; its host executes them in order.
 
-Times are milliseconds on the steady clock that was passed in with the event.
+Times are milliseconds on the monotonic clock whose time was passed in with the event.
 """
 
 from __future__ import annotations
@@ -8,11 +8,10 @@
 from dataclasses import dataclass, field
 
 
-@dataclass(
-    slots=True
-)  # not frozen: created on each call, and creating a frozen one costs three times as much
+# Not frozen: created for each call, and creating a frozen instance costs three times as much.
+@dataclass(slots=True)
 class StartAttempt:
-    """The start of an attempt at a worker; without ``timeout_ms`` the limit is the request's deadline."""
+    """The start of an attempt at a worker; without ``timeout_ms`` the request's deadline applies."""
 
     request_id: int
     worker_id: int
@@ -69,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """A datagram to one other router, or to all of them if ``peer_index`` is None."""
+    """A datagram to one other router, or to all other routers if ``peer_index`` is None."""
 
     data: bytes
     peer_index: int | None = None
@@ -94,9 +93,8 @@
     worker_id: int
 
 
-@dataclass(
-    slots=True
-)  # not frozen: created on each call, and creating a frozen one costs three times as much
+# Not frozen: created for each call, and creating a frozen instance costs three times as much.
+@dataclass(slots=True)
 class SetTimer:
     """A request for one ``TimerFired`` with this token at this time."""
 
--- a/tests/unit/routing/test_policies.py
+++ b/tests/unit/routing/test_policies.py
@@ -1,4 +1,4 @@
-"""The policies of a router, each alone with a state that the test sets up."""
+"""Unit tests of the policies of a router, with a state that each test sets up."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
     assert policies.retries.may_attempt(now_ms, pending) is is_permitted
     pending.attempts[0].is_in_flight = False
     pending.attempts[0].may_have_executed = False
-    assert policies.retries.may_attempt(now_ms, pending), "the attempt is proved not to have executed"
+    assert policies.retries.may_attempt(now_ms, pending), "the attempt provably did not execute"
 
 
 @pytest.mark.parametrize(
@@ -107,7 +107,7 @@
     state = policies.state
     pending.function.instance_seen_at_ms[1] = 0.0  # a warm worker, so no cold start is expected
     policies.attempt(pending, 1)
-    state.workers.by_id[1].last_response_at_ms = 1.0  # the worker is slow, not silent
+    state.workers.by_id[1].last_response_at_ms = 1.0  # the worker is slow, but responsive
     slow_at_ms = HEDGE_AFTER_MULTIPLE * pending.attempts[0].expected_ms
     initial_tokens = state.retry_budget.tokens
     assert not policies.retries.should_hedge(slow_at_ms - 1.0, pending, 0)
@@ -158,13 +158,13 @@
     assert policies.selector.select(1.0, pending) in workers.values()
 
 
-def test_affinity_load_and_zones_make_up_the_cost() -> None:
+def test_the_cost_depends_on_affinity_load_and_zone() -> None:
     policies = Policies()
     pending = policies.request()
     workers = policies.state.workers.by_id
     cost = policies.selector.cost
     costs = [cost(0.0, pending.function, workers[worker_id], (0, None)) for worker_id in (1, 2)]
-    assert costs[0] == pytest.approx(costs[1] + policies.selector.cross_zone_penalty), "the own zone is 0"
+    assert costs[0] == pytest.approx(costs[1] + policies.selector.cross_zone_penalty), "the local zone is 0"
     pending.function.affinity[2] = 1.0
     assert cost(0.0, pending.function, workers[2], (0, None)) == pytest.approx(0.0)
     workers[2].in_flight = 2
@@ -181,7 +181,7 @@
         (WITH_KEY_IN_ZONE, True, FailRequest),
     ],
 )
-def test_a_request_that_may_have_executed_is_rejected_only_if_a_repeat_is_harmless(
+def test_a_request_that_may_have_executed_is_rejected_only_if_it_is_safe_to_retry(
     class_index: int, may_have_executed: bool, final_answer: type
 ) -> None:
     policies = Policies()
@@ -191,7 +191,7 @@
     assert type(policies.admission.final_answer(1.0, pending)) is final_answer
 
 
-def test_a_request_without_an_attempt_waits_for_a_fraction_of_its_time_only() -> None:
+def test_a_request_without_an_attempt_waits_for_only_a_fraction_of_its_time_limit() -> None:
     policies = Policies()
     pending = policies.request()
     latest_ms = MAX_QUEUED_FRACTION * 3000.0 - QUEUE_CHECK_MS
@@ -209,7 +209,7 @@
     assert not policies.admission.should_shed(999.0, pending, 1.0)
 
 
-def test_a_selected_cold_worker_is_preloaded_once_and_after_a_failure_with_backoff() -> None:
+def test_a_selected_cold_worker_is_preloaded_once_and_again_after_a_failure_and_backoff() -> None:
     policies = Policies(when_not_loaded=NotLoadedBehavior.REJECT)
     pending = policies.request()
     state = policies.state
@@ -218,15 +218,15 @@
         assert policies.preloads.warm_worker(0.0, pending, selected) is None, "no worker is warm"
     assert state.actions == [PreloadFunction(2, 7, 1)]
     assert state.functions.preloads_in_flight == 1
-    assert policies.feedback.learn_preload(50.0, PreloadEnded(2, 7, Outcome.TIMEOUT, 0, 50.0))
+    assert policies.feedback.record_preload(50.0, PreloadEnded(2, 7, Outcome.TIMEOUT, 0, 50.0))
     assert pending.function.preload_not_before_ms > 50.0
     assert policies.preloads.warm_worker(50.0, pending, selected) is None
     assert len(state.actions) == 1
     assert policies.preloads.warm_worker(60.0, pending, selected) is None
     assert len(state.actions) == 2
-    assert policies.feedback.learn_preload(90.0, PreloadEnded(2, 7, Outcome.OK, 1, 30.0))
+    assert policies.feedback.record_preload(90.0, PreloadEnded(2, 7, Outcome.OK, 1, 30.0))
     assert policies.preloads.warm_worker(90.0, pending, selected) is selected
     assert policies.preloads.warm_worker(90.0, pending, state.workers.by_id[3]) is selected, "the warm worker"
-    assert not policies.feedback.learn_preload(99.0, PreloadEnded(1, 7, Outcome.OK, 1, 30.0)), (
+    assert not policies.feedback.record_preload(99.0, PreloadEnded(1, 7, Outcome.OK, 1, 30.0)), (
         "no such preload is in flight"
     )
--- a/tests/unit/routing/test_tables.py
+++ b/tests/unit/routing/test_tables.py
@@ -1,4 +1,4 @@
-"""The tables, schedules and estimators of a router, each alone."""
+"""Unit tests of the tables, schedules and estimators of a router."""
 
 from __future__ import annotations
 
@@ -157,7 +157,7 @@
     function = functions.on_call(0.0, 1, 1.0, 100.0)
     functions.start_preload(function, 5)
     for _ in range(2):
-        functions.forget_worker(5)
+        functions.remove_worker(5)
         assert functions.preloads_in_flight == 0
         assert not function.preloading_workers
 
@@ -226,7 +226,7 @@
     assert times.expected_cold_start_ms(pending) == pytest.approx(300.0)
 
 
-def test_new_classes_leave_earlier_estimates() -> None:
+def test_new_classes_do_not_change_earlier_estimates() -> None:
     times = estimators.ServiceTimeEstimator(settings(classes=CLASSES[:1]))
     times.by_class[0].add(40.0)
     times.update_settings(settings())
@@ -241,9 +241,9 @@
         frequent.on_call(10.0 * number, FunctionRecord(1), 1)
         rare.on_call(10.0 * number, FunctionRecord(1), 500)
     assert frequent.calls_per_ms == rare.calls_per_ms == pytest.approx(0.1, rel=0.1)
-    assert frequent.call_rarity == 1.0
+    assert frequent.sparse_traffic_factor == 1.0
     assert rare.load_time_constant_ms == estimators.MAX_LOAD_TIME_CONSTANT_MS
-    assert rare.call_rarity == 3.0
+    assert rare.sparse_traffic_factor == 3.0
 
 
 def test_quota_use_is_the_fraction_of_calls_over_the_quota() -> None:
@@ -284,7 +284,7 @@
     assert not function.has_seen_instance(1000.0, 1, KEEP_ALIVE_MS)
 
 
-def test_placement_orders_agree_and_follow_weights_only_if_that_is_configured() -> None:
+def test_placement_orders_agree_and_equal_weights_do_not_change_them() -> None:
     workers = list(worker_table(*range(40)).by_id.values())
     order = placement_order(77, workers, is_weighted=False)
     assert (
