--- a/cedarthread/gossip/codec.py
+++ b/cedarthread/gossip/codec.py
@@ -24,11 +24,11 @@
 from cedarthread.components.messages import MessageType
 
 MESSAGE_TYPE = MessageType.GOSSIP
-FLAG_REQUEST_FULL_STATE = 1  # set by a router that has just started and has no reports of its peers
+FLAG_REQUEST_FULL_STATE = 1  # set by a router that has just started and has no reports from its peers
 AGE_UNIT_MS = 100.0
 AGE_UNKNOWN = 255  # the sender found no warm instance, or found one more than MAX_AGE_MS ago
 MAX_AGE_MS = (AGE_UNKNOWN - 1) * AGE_UNIT_MS
-MAX_COUNT = 255  # a larger number of in-flight calls is encoded as this number
+MAX_COUNT = 255  # largest encodable number of in-flight calls; larger numbers are clamped
 
 _HEADER = struct.Struct("<BIIB")
 _WORKER_RECORD = struct.Struct("<IBB")
@@ -44,7 +44,8 @@
 
     function_hash: int  # see ``fold_function_id``
     in_flight: int  # calls of the function that the sender has in flight at the worker
-    warm_age_ms: float | None  # time since the sender last found a warm instance; None: unknown, or too long
+    # Time since the sender last found a warm instance; None: unknown, or over ``MAX_AGE_MS``.
+    warm_age_ms: float | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +68,7 @@
 
 
 def fold_function_id(function_id: int) -> int:
-    """Fold a 64-bit function id to the 32 bits of the wire; a collision costs at most a needless load."""
+    """Fold a 64-bit function id into the 32 bits on the wire; a collision causes at most an unneeded load."""
     return (function_id ^ (function_id >> 32)) & 0xFFFFFFFF
 
 
@@ -105,7 +106,7 @@
 
 
 def decode(data: bytes) -> LoadUpdate | MalformedDatagram:
-    """Decode a datagram. Invalid bytes return a ``MalformedDatagram``; no input raises."""
+    """Decode a datagram; invalid input returns a ``MalformedDatagram`` and raises no exception."""
     if not HEADER_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
         return MalformedDatagram(f"{len(data)} bytes")
     message_type, incarnation, sequence_number, flags = _HEADER.unpack_from(data)
--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -34,24 +34,24 @@
 
 
 class LoadGossip:
-    """Both directions of load gossip for one router.
+    """The sender and receiver of load gossip in one router.
 
-    ``changed_workers`` has the peers' in-flight calls at each worker where they changed, by worker id; the
-    host reads and clears the dictionary.
+    ``changed_workers`` maps a worker id to the peers' in-flight calls there, for each worker where they have
+    changed; the host reads and clears the dictionary.
 
     Args:
         settings: The settings of this router.
         seed: The seed of all random decisions.
         incarnation: A random number that the caller draws at each start of the process; None: the number is
             drawn from the seed. With an unchanged seed, peers would drop this router's datagrams after a
-            restart as older than those before.
+            restart as older than those they have already merged.
     """
 
     message_types = frozenset({MessageType.GOSSIP})
 
     def __init__(self, settings: RouterSettings, seed: int, incarnation: int | None = None) -> None:
         self.rng = random.Random(seed ^ _RNG_SALT)
-        drawn = self.rng.getrandbits(32)  # even if not needed, so that the later random sequence is the same
+        drawn = self.rng.getrandbits(32)  # drawn even if unused, so that the later sequence is the same
         self.incarnation = drawn if incarnation is None else incarnation & 0xFFFFFFFF  # 32 bits on the wire
         self.sequence_number = 0
         self._use_settings(settings)
@@ -73,7 +73,7 @@
         self.keep_alive_ms = min(settings.keep_alive_ms, codec.MAX_AGE_MS)
 
     def on_notification(self, now_ms: float, notification: Notification) -> list[OutboundMessage]:
-        """Adopt a new set of alive peers, unless the set is empty, or new settings."""
+        """Apply a new set of alive peers, unless the set is empty, or new settings."""
         if isinstance(notification, PeersChanged):
             self.peers = list(notification.alive_peers) or self.peers
             self.fanout = min(MAX_FANOUT, len(self.peers))
@@ -106,7 +106,7 @@
         return {"talk.heard": f"{coverage:.2f}", "talk.unreadable": str(self.malformed_datagrams)}
 
     def on_first_attempt(self) -> None:
-        """Add to the send budget for a call's first attempt."""
+        """Credit the send budget for a call's first attempt."""
         self.budget.earn_call()
 
     def on_attempt_sent(self, worker_id: int, function_id: int) -> None:
@@ -119,7 +119,7 @@
         """Remove an attempt that ended from the in-flight calls, and record whether an instance is warm.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: The monotonic time.
             worker_id: The worker that received the attempt.
             function_id: The function of the attempt.
             is_loaded: Whether the worker has a warm instance after the attempt; None: unknown. If False, the
@@ -144,10 +144,10 @@
         return self.peer_views.coverage(now_ms, len(self.peers))
 
     def instances(self, now_ms: float, function_id: int) -> dict[int, InstanceLoad]:
-        """Return load and warm instances of a function by worker id.
+        """Return the in-flight calls and the warm age of a function's instances, by worker id.
 
-        In-flight calls are the sum of own calls and peers' reports. Warm ages are from peers' reports only,
-        and the youngest age counts.
+        In-flight calls are the sum of this router's calls and the peers' reports. Warm ages come from the
+        peers' reports only; the lowest age is returned.
         """
         function_hash = codec.fold_function_id(function_id)
         loads = dict[int, InstanceLoad]()
@@ -209,8 +209,8 @@
     ) -> SendToPeer:
         """Encode one datagram and deduct its bytes from the budget.
 
-        Without ``peer_index`` the datagram is for all peers, or for a random one of more than
-        ``MAX_FANOUT`` peers.
+        Without ``peer_index`` the datagram is addressed to all peers, or to one at random if there are more
+        than ``MAX_FANOUT``.
         """
         self.sequence_number += 1
         update = codec.LoadUpdate(self.incarnation, self.sequence_number, requests_full_state, workers)
--- a/cedarthread/gossip/local_load.py
+++ b/cedarthread/gossip/local_load.py
@@ -1,8 +1,8 @@
 """This router's own load: its in-flight calls, its warm instances, and the entries to gossip next.
 
-Gossip sends the current state of an entry, not the change. So a datagram that is lost, late, duplicated or
-out of order leaves no wrong count at the receiver. ``LoadGossip`` writes the table. Times are ms on this
-router's steady clock.
+Gossip sends the current state of an entry and not the change, so that a lost, late, duplicated or reordered
+datagram causes no lasting error in the receiver's counts. ``LoadGossip`` updates the table. Times are ms on
+this router's monotonic clock.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 class LocalLoadTable:
     """The load that this router observed through its own calls, by worker and function.
 
-    ``dirty`` has the entries that changed since they were last sent, by worker id and then by function
+    ``dirty`` holds the entries that changed since they were last sent, by worker id and then by function
     hash. Workers are in the order of their first unsent change.
     """
 
     def __init__(self) -> None:
         self.in_flight_by_worker: dict[int, int] = {}
         self.instances: dict[InstanceKey, LocalInstance] = {}
-        self.workers_by_function: dict[int, set[int]] = {}  # workers with own in-flight calls of the function
+        self.workers_by_function: dict[int, set[int]] = {}  # workers with in-flight calls of this router
         self.dirty: dict[int, dict[int, None]] = {}
 
     def record_start(self, worker_id: int, function_hash: int) -> None:
@@ -49,7 +49,7 @@
         """Remove an attempt that ended from the in-flight calls, and record whether an instance is warm.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: The monotonic time.
             worker_id: The worker that received the attempt.
             function_hash: The function of the attempt.
             is_loaded: Whether the worker has a warm instance after the attempt; None: unknown, so that the
--- a/cedarthread/gossip/peer_views.py
+++ b/cedarthread/gossip/peer_views.py
@@ -2,7 +2,8 @@
 
 A report replaces an earlier one only if its sequence number is higher within the same incarnation of the
 sender. In-flight calls expire ``IN_FLIGHT_EXPIRY_MS`` after their last report; warm instances expire after
-the workers' keep-alive time. ``LoadGossip`` writes the views. Times are ms on this router's steady clock.
+the workers' keep-alive time. ``LoadGossip`` updates the views. Times are ms on this router's monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 REFRESH_INTERVAL_MS = 1000.0  # interval at which a router resends unchanged entries with in-flight calls
 IN_FLIGHT_EXPIRY_MS = 2.5 * REFRESH_INTERVAL_MS  # so that one lost refresh does not expire an entry
-MAX_IN_FLIGHT_PER_PEER = 64  # limit on the calls at one worker that count for one peer, against false reports
+MAX_IN_FLIGHT_PER_PEER = 64  # cap on one peer's reported calls at one worker, against false reports
 FULL_STATE_INTERVAL_MS = 1000.0  # shortest interval between two full states sent to one peer
 COVERAGE_CACHE_MS = 50.0  # lifetime of a computed peer coverage, because each call reads it several times
 MAX_PAST_INCARNATIONS = 4  # past incarnations of a peer to remember, in order to drop their late datagrams
@@ -147,7 +148,7 @@
 
     def expire(self, now_ms: float, keep_alive_ms: float) -> dict[int, float]:
         """Drop expired reports; return the remaining in-flight calls at each worker that lost one."""
-        changed_workers: dict[int, None] = {}  # a dictionary, because it retains the order
+        changed_workers: dict[int, None] = {}  # a dictionary, because it preserves the order
         for view in self.views.values():
             expired = [
                 worker_id
