--- a/cedarthread/membership/codec.py
+++ b/cedarthread/membership/codec.py
@@ -84,7 +84,7 @@
 
 
 def decode(data: bytes) -> SwimMessage | MalformedDatagram:
-    """Decode a datagram. Invalid bytes return a ``MalformedDatagram``; no input raises."""
+    """Decode a datagram; invalid input returns a ``MalformedDatagram`` and raises no exception."""
     records = read_records(data, _HEADER.size, _UPDATE_RECORD)
     if isinstance(records, MalformedDatagram):
         return records
--- a/cedarthread/membership/dissemination.py
+++ b/cedarthread/membership/dissemination.py
@@ -4,7 +4,7 @@
 4.1 of the SWIM paper, see ``swim``). Each update is sent a number of times that is logarithmic in the size
 of the group, the least sent update first, so that the update reaches all members with high probability. The
 byte budget bounds the traffic if updates cause further updates. ``MemberTable`` adds updates;
-``SwimMembership`` removes them.
+``SwimMembership`` takes them for its messages.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from cedarthread.membership import codec
 
 RETRANSMIT_MULTIPLIER = 3.0  # transmissions of an update, divided by the binary logarithm of the group size
-BUDGET_BYTES_PER_MS = 0.5  # fill rate of the budget for updates
+BUDGET_BYTES_PER_MS = 0.5  # refill rate of the budget for updates
 BURST_BYTES = 1000.0  # capacity of the budget
 MIN_BATCH_UPDATES = 8  # a separate message is sent only if the budget covers this many updates
 
@@ -22,7 +22,7 @@
 class DisseminationBuffer:
     """The members with an update to send, and the byte budget for updates.
 
-    ``pending`` has the remaining transmissions of each update, by member index.
+    ``pending`` maps a member index to the remaining transmissions of the member's update.
     """
 
     def __init__(self, router_count: int, now_ms: float) -> None:
@@ -32,11 +32,11 @@
         self._refilled_at_ms = now_ms
 
     def add(self, member_index: int) -> None:
-        """Queue the update of a member with changed state for the full number of transmissions."""
+        """Queue a changed member's update for the full number of transmissions."""
         self.pending[member_index] = self._transmissions
 
     def refill(self, now_ms: float) -> None:
-        """Add the bytes that the budget earned since the last refill."""
+        """Add the bytes accrued since the last refill."""
         earned = BUDGET_BYTES_PER_MS * (now_ms - self._refilled_at_ms)
         self._available_bytes = min(self._available_bytes + earned, BURST_BYTES)
         self._refilled_at_ms = now_ms
--- a/cedarthread/membership/failure_detector.py
+++ b/cedarthread/membership/failure_detector.py
@@ -1,7 +1,7 @@
 """SWIM's failure detector: probes the members, directly and through other members.
 
-Source: sections 3.1 and 4.3 of the SWIM paper (see ``swim``). Members are probed round-robin, in a random
-order that is drawn again for each round. Any datagram from a member shows that the member is alive, so
+Source: sections 3.1 and 4.3 of the SWIM paper (see ``swim``). Members are probed round-robin, in an
+order that is shuffled for each round. Any datagram from a member shows that the member is alive, so
 members that send other datagrams often enough are not probed. Occasionally a member with status dead is
 pinged, so that the two sides of a partition discover each other after the partition heals.
 """
@@ -56,12 +56,12 @@
 
 
 class FailureDetector:
-    """The prober of one router, which suspects a member that does not acknowledge in time.
+    """The failure detector of one router; suspects a member that does not acknowledge a probe in time.
 
     Args:
         table: The members; the detector sets a member's status to suspect.
-        rng: The source of the probe order, jitter and the choice of helpers.
-        now_ms: The steady clock.
+        rng: The random source for the probe order, the jitter and the choice of relays.
+        now_ms: The monotonic time.
     """
 
     def __init__(self, table: MemberTable, rng: random.Random, now_ms: float) -> None:
@@ -124,7 +124,7 @@
         return self._last_nonce
 
     def _start_probe(self, now_ms: float) -> list[OutgoingMessage]:
-        """Return a ping to the next member that sent no datagram recently, or in turn to a dead member."""
+        """Return a ping to the next member without recent datagrams, or periodically to a dead member."""
         self._probes_started += 1
         dead = self._table.dead_peers()
         if dead and self._probes_started % PROBES_PER_DEAD_PROBE == 0:
--- a/cedarthread/membership/member_table.py
+++ b/cedarthread/membership/member_table.py
@@ -2,8 +2,8 @@
 
 The rules are SWIM's (section 4.2 of the paper, see ``swim``). A higher incarnation overrides a lower one.
 At the same incarnation, dead overrides suspect, and suspect overrides alive. Only a member itself raises
-its incarnation, in order to refute updates about itself. ``SwimMembership`` and ``FailureDetector`` write
-the table. Times are ms on the router's steady clock.
+its incarnation, in order to refute updates about itself. ``SwimMembership`` and ``FailureDetector`` update
+the table. Times are ms on the router's monotonic clock.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 class MemberTable:
     """The state of all other members, and this router's own incarnation.
 
-    ``status_changes`` has the changes that are not logged yet; the host logs and clears the list.
+    ``status_changes`` holds the changes that are not logged yet; the host logs and clears the list.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
             self.set_status(now_ms, update.member_index, update.status)
 
     def _refute(self, update: MemberUpdate) -> None:
-        """Raise the own incarnation if an update about this router is of an earlier start or not alive."""
+        """Raise this router's incarnation to refute an update of an earlier run or a status other than alive."""
         is_from_earlier_start = update.incarnation > self.incarnation
         is_accused = update.status is not MemberStatus.ALIVE and update.incarnation == self.incarnation
         if update.incarnation > self.incarnation + MAX_INCARNATION_STEP:
@@ -109,7 +109,7 @@
             self._dissemination.add(self.router_index)
 
     def raise_incarnation(self) -> None:
-        """Raise the own incarnation, so that peers replace their state of this router by alive."""
+        """Raise this router's incarnation, so that peers override its status with alive."""
         self.incarnation += 1
         self._dissemination.add(self.router_index)
 
--- a/cedarthread/membership/swim.py
+++ b/cedarthread/membership/swim.py
@@ -26,7 +26,7 @@
 from cedarthread.membership.member_table import MemberTable
 from cedarthread.model.actions import SendToPeer
 
-# Probe intervals of a suspicion, for each factor 10 of the group size; at least as for a group of 10.
+# Duration of a suspicion in probe intervals, for each factor of 10 in the group size; at least as for 10.
 SUSPICION_INTERVALS = 6.0
 PAUSE_THRESHOLD_MS = 2000.0  # a longer time between two ticks or messages counts as a pause of this router
 DISSEMINATION_FANOUT = 1  # separate messages with updates at each tick
@@ -37,13 +37,13 @@
 class SwimMembership:
     """The membership component of one router.
 
-    ``status_changes`` has the changes that are not logged yet; the host logs and clears the list.
+    ``status_changes`` holds the changes that are not logged yet; the host logs and clears the list.
 
     Args:
-        router_index: This router.
-        router_count: The configured routers.
+        router_index: The index of this router.
+        router_count: The number of configured routers.
         seed: The seed of all random decisions.
-        now_ms: The steady clock.
+        now_ms: The monotonic time.
     """
 
     message_types = frozenset({MessageType.MEMBERSHIP})
@@ -127,12 +127,12 @@
                 return []
 
     def _correct(self, now_ms: float, member_index: int, incarnation: int) -> list[SendToPeer]:
-        """Return a correction for a member that just sent a datagram, if its entry here is wrong.
+        """Return a correction for a member that just sent a datagram, if this router's entry for it is wrong.
 
         At most one correction is returned in ``CORRECTION_INTERVAL_MS``.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: The monotonic time.
             member_index: The member.
             incarnation: The incarnation that the member last sent.
         """
@@ -180,7 +180,7 @@
         ]
 
     def _detect_pause(self, now_ms: float) -> None:
-        """Detect a pause of this router; after a pause, restart all suspicions and raise the own incarnation.
+        """Detect a pause of this router; after one, restart all suspicions and raise the incarnation.
 
         After a pause, the last datagram of every member seems old, and peers may have declared this router
         dead.
