--- a/cedarthread/transport/acceptor.py
+++ b/cedarthread/transport/acceptor.py
@@ -1,7 +1,7 @@
-"""Accepts connections from a listening socket: a few per iteration of the event loop, each counted first.
+"""Accepts connections from a listening socket, a bounded number per iteration of the event loop.
 
-asyncio's own server accepts up to its complete backlog in one iteration without a connection limit, and
-pauses for a second when no descriptor is free.
+Each connection is counted before it is set up. asyncio's own server accepts up to its complete backlog in one
+iteration without a connection limit, and pauses for a second when no descriptor is free.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
     Args:
         host: The address.
-        port: The port; 0 for any free one.
+        port: The port; 0: any free port.
         backlog: The length of the listen queue.
         reuse_port: Allow other processes to listen on the same address, for example at an upgrade.
 
@@ -70,7 +70,7 @@
 ) -> socket.socket:
     """Create a listening socket; retry while the host is short of descriptors or memory.
 
-    Otherwise a short shortage would end the start of the process.
+    Without retries, a brief shortage would abort the start of the process.
 
     Raises:
         OSError: The address cannot be used, or the shortage lasts over ``LISTEN_RETRY_LIMIT_S``.
@@ -94,14 +94,14 @@
     """Accepts the connections of one listening socket, which it owns.
 
     Args:
-        name: Of the peers, for the log.
-        listening_socket: The socket.
+        name: The name of the listener in log lines.
+        listening_socket: The socket, which must be non-blocking.
         max_accepts_per_pass: Connections accepted per iteration of the event loop.
         create_protocol: Counts a connection and returns its protocol; None at the connection limit, and then
             the connection is closed.
         on_setup_failed: Called with the protocol of a connection that was not established.
         release_descriptor: Called when no descriptor is free; returns whether one was freed.
-        tls_context: For TLS.
+        tls_context: The TLS settings; None: no TLS.
     """
 
     def __init__(
@@ -198,7 +198,7 @@
             self._setup_tasks.pop(protocol, None)
 
     def cancel_setup(self, protocol: ProtocolT) -> None:
-        """Close a connection in its handshake that is no longer counted."""
+        """Cancel the setup of a connection that is no longer counted, and close the connection."""
         if (task := self._setup_tasks.get(protocol)) is not None:
             task.cancel()
 
--- a/cedarthread/transport/connection.py
+++ b/cedarthread/transport/connection.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-LINGER_S = 1.0  # time in which input is discarded after the last response
+LINGER_S = 1.0  # time for which input is discarded after the last response
 LINGER_MAX_BYTES = 4 * 2**20  # limit of the discarded input
 _DISCARD_BUFFER = bytearray(64 * 1024)  # receives discarded input of all connections
 
@@ -187,7 +187,7 @@
             self.transport.abort()
 
     def lingering_close(self) -> None:
-        """Flush, close the sending side, discard further input for some time, then close.
+        """Flush, close the sending side, discard further input for ``LINGER_S``, then close.
 
         A close with unread input would reset the connection, and a reset would discard the response before
         the peer has read it (RFC 9112, section 9.6).
--- a/cedarthread/transport/descriptor_budget.py
+++ b/cedarthread/transport/descriptor_budget.py
@@ -1,7 +1,7 @@
-"""The budget of file descriptors: the limit, the reserved ones, and the fractions of the others.
+"""The budget of file descriptors: the limit, the reserved descriptors, and the division of the others.
 
-Clients may use all of theirs, because log, event loop, discovery, control address and worker connections have
-descriptors of their own.
+Clients may use all of their descriptors, because the log, the event loop, discovery, the control address and
+worker connections have separate ones.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 import resource
 from dataclasses import dataclass
 
-CLIENT_FRACTION = 0.5  # of all descriptors: client connections
-INVOKE_FRACTION = 0.5  # limit for callers of the invoke API, of the rest for callers and workers
+CLIENT_FRACTION = 0.5  # fraction of all descriptors for client connections
+INVOKE_FRACTION = 0.5  # largest fraction for invoke API callers of what they share with workers
 MAX_OPERATOR_CONNECTIONS = 16
 CLIENT_ACCEPTS_PER_PASS = 16  # client connections accepted per iteration of the event loop
 SMALL_ACCEPTS_PER_PASS = 4  # connections of operators, and of invoke callers, per iteration
-# Under a small limit: descriptors per operator connection, and per accepted connection of an iteration.
+# Under a small limit: descriptors for each operator connection, and for each accept of an iteration.
 DESCRIPTORS_PER_RESERVATION = 32
 MIN_RESERVATIONS = 2
-LISTENING_SOCKETS = 3  # clients', operators', invoke callers'
-DISCOVERY_SOCKETS = 2  # the socket in use, and a second one while the address changes
+LISTENING_SOCKETS = 3  # for clients, operators and invoke API callers
+DISCOVERY_SOCKETS = 2  # the current socket, and a second one while the address changes
 PEER_SOCKETS = 1
 OPEN_FILES = 4  # configuration, certificates or store, during a reload
 UNKNOWN_OPEN_DESCRIPTORS = 6  # standard input, output and error, the loop's poll and its pair of sockets
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """Numbers of descriptors by purpose.
+    """The number of descriptors for each purpose.
 
     ``limit`` is the sum of ``reserved``, ``client_connections``, ``invoke_connections`` and
     ``worker_connections``.
@@ -55,7 +55,7 @@
 def count_open_descriptors() -> int:
     """Return the number of open descriptors of this process."""
     try:
-        return len(os.listdir("/proc/self/fd")) - 1  # without the descriptor of the listing
+        return len(os.listdir("/proc/self/fd")) - 1  # without the descriptor that lists the directory
     except OSError:
         return UNKNOWN_OPEN_DESCRIPTORS
 
@@ -63,7 +63,7 @@
 def compute_budget(
     configured_limit: int, invoke_connections: int, process_limit: int, already_open: int
 ) -> DescriptorBudget:
-    """Compute the budget under the smaller of two limits.
+    """Compute the budget for the smaller of two limits.
 
     Args:
         configured_limit: The limit of the configuration.
@@ -79,7 +79,7 @@
     operator_connections = min(MAX_OPERATOR_CONNECTIONS, small_limit)
     accepts_per_pass = min(CLIENT_ACCEPTS_PER_PASS, small_limit)
     small_accepts_per_pass = min(SMALL_ACCEPTS_PER_PASS, small_limit)
-    # An evicted connection is closed one iteration after the new one is accepted; both count until then.
+    # An evicted connection closes one iteration after the new one is accepted; until then both are open.
     evicted = accepts_per_pass + small_accepts_per_pass
     if invoke_connections:
         evicted += small_accepts_per_pass
--- a/cedarthread/transport/flusher.py
+++ b/cedarthread/transport/flusher.py
@@ -16,8 +16,8 @@
 class Flusher:
     """The connections with queued output; flushes them once per iteration, or earlier on request.
 
-    The dispatcher flushes as soon as it has processed its events. In a later iteration, responses would be
-    delayed by all the reading of that iteration whenever the CPU is short.
+    The dispatcher flushes as soon as it has processed its events. If responses waited for a later
+    iteration, all reads of that iteration would delay them whenever the CPU is saturated.
     """
 
     def __init__(self) -> None:
--- a/cedarthread/transport/read_buffer.py
+++ b/cedarthread/transport/read_buffer.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-INITIAL_BUFFER_BYTES = 8 * 1024  # enough for most messages; thousands of idle connections have one each
+INITIAL_BUFFER_BYTES = 8 * 1024  # enough for most messages; each of thousands of idle connections has one
 
 
 class ReadBuffer:
@@ -40,12 +40,12 @@
         return memoryview(self._data)[self._start : self._end]
 
     def find(self, delimiter: bytes, start: int) -> int:
-        """Return the index of the next delimiter at or after ``start``, as in ``peek``; -1 without one."""
+        """Return the index in ``peek`` of the next delimiter at or after ``start``; -1 if there is none."""
         found = self._data.find(delimiter, self._start + start, self._end)
         return found - self._start if found >= 0 else -1
 
     def consume(self, count: int) -> None:
-        """Drop ``count`` bytes from the front; shrink a grown buffer once it is empty."""
+        """Drop ``count`` bytes from the start; shrink a grown buffer once it is empty."""
         self._start += count
         if self._start == self._end and len(self._data) > INITIAL_BUFFER_BYTES:
             self._data = bytearray(INITIAL_BUFFER_BYTES)
--- a/cedarthread/transport/socket_reader.py
+++ b/cedarthread/transport/socket_reader.py
@@ -17,7 +17,7 @@
 class ReadStop(Enum):
     """The reason why a direct read ended."""
 
-    NO_MORE_INPUT = auto()  # the socket has no more input, or the caller has no more space
+    NO_MORE_INPUT = auto()  # the socket has no more input, or the caller no more buffer space
     END_OF_INPUT = auto()  # the peer has closed its sending side
     BROKEN = auto()  # the connection failed
 
@@ -45,7 +45,7 @@
     def has_input(self) -> bool:
         """Return whether data, the end of input or an error can be read.
 
-        This is one system call with a tenth of the cost of a read.
+        This is one system call at a tenth of the cost of a read.
         """
         return bool(self._poller.poll(0))
 
