--- a/cedarthread/gossip/codec.py
+++ b/cedarthread/gossip/codec.py
@@ -108,10 +108,10 @@
 def decode(data: bytes) -> LoadUpdate | MalformedDatagram:
     """Decode a datagram; invalid input returns a ``MalformedDatagram`` and raises no exception."""
     if not HEADER_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
-        return MalformedDatagram(f"{len(data)} bytes")
+        return MalformedDatagram(f"invalid datagram length: {len(data)} bytes")
     message_type, incarnation, sequence_number, flags = _HEADER.unpack_from(data)
     if message_type != MESSAGE_TYPE:
-        return MalformedDatagram(f"form {message_type}")
+        return MalformedDatagram(f"unexpected message type {message_type}")
     groups = read_record_groups(data, HEADER_BYTES, _WORKER_RECORD, _INSTANCE_RECORD)
     if isinstance(groups, MalformedDatagram):
         return groups
--- a/cedarthread/membership/codec.py
+++ b/cedarthread/membership/codec.py
@@ -90,10 +90,10 @@
         return records
     message_type, kind, incarnation, nonce, target_index = _HEADER.unpack_from(data)
     if message_type != MESSAGE_TYPE or kind not in MessageKind.__members__.values():
-        return MalformedDatagram(f"form {message_type}, kind {kind}")
+        return MalformedDatagram(f"unexpected message type {message_type} or unknown message kind {kind}")
     updates: list[MemberUpdate] = []
     for member_index, member_incarnation, status in records:
         if status not in MemberStatus.__members__.values():
-            return MalformedDatagram(f"status {status}")
+            return MalformedDatagram(f"unknown member status {status}")
         updates.append(MemberUpdate(member_index, member_incarnation, MemberStatus(status)))
     return SwimMessage(MessageKind(kind), incarnation, nonce, target_index, tuple(updates))
--- a/cedarthread/transport/descriptor_budget.py
+++ b/cedarthread/transport/descriptor_budget.py
@@ -90,7 +90,7 @@
     invoke_connections = max(0, min(invoke_connections, int(rest * INVOKE_FRACTION)))
     worker_connections = rest - invoke_connections
     if worker_connections < 1:
-        raise ValueError(f"{limit} descriptors leave none for runners")
+        raise ValueError(f"a limit of {limit} file descriptors leaves none for worker connections")
     return DescriptorBudget(
         limit,
         reserved,
--- a/tests/unit/transport/test_descriptor_budget.py
+++ b/tests/unit/transport/test_descriptor_budget.py
@@ -37,7 +37,7 @@
     with_106_open = descriptor_budget.compute_budget(1024, 0, 1024, already_open=106)
     with_6_open = descriptor_budget.compute_budget(1024, 0, 1024, already_open=6)
     assert with_6_open.worker_connections - with_106_open.worker_connections == 100
-    with pytest.raises(ValueError, match="40 descriptors leave none for runners"):
+    with pytest.raises(ValueError, match="a limit of 40 file descriptors leaves none for worker connections"):
         descriptor_budget.compute_budget(1024, 0, 40, already_open=6)
 
 
