--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -54,7 +54,7 @@
         drawn = self.rng.getrandbits(32)  # drawn even if unused, so that the later sequence is the same
         self.incarnation = drawn if incarnation is None else incarnation & 0xFFFFFFFF  # 32 bits on the wire
         self.sequence_number = 0
-        self._use_settings(settings)
+        self._apply_settings(settings)
         self.budget = SendBudget(settings.prices.peer_message, self.fanout)
         self.local = LocalLoadTable()
         self.peer_views = PeerViews()
@@ -65,7 +65,7 @@
         self._next_send_at_ms = 0.0
         self._next_refresh_at_ms = 0.0
 
-    def _use_settings(self, settings: RouterSettings) -> None:
+    def _apply_settings(self, settings: RouterSettings) -> None:
         self.router_count = settings.router_count
         self.router_index = settings.router_index
         self.peers = [index for index in range(settings.router_count) if index != settings.router_index]
@@ -79,7 +79,7 @@
             self.fanout = min(MAX_FANOUT, len(self.peers))
             self.peer_views.reset_coverage()
         elif isinstance(notification, SettingsChanged):
-            self._use_settings(notification.settings)
+            self._apply_settings(notification.settings)
             self.budget.configure(notification.settings.prices.peer_message, self.fanout)
         return []
 
@@ -107,7 +107,7 @@
 
     def on_first_attempt(self) -> None:
         """Credit the send budget for a call's first attempt."""
-        self.budget.earn_call()
+        self.budget.credit_call()
 
     def on_attempt_sent(self, worker_id: int, function_id: int) -> None:
         """Count an attempt that was sent to a worker."""
@@ -161,8 +161,8 @@
             if in_flight or warm_age_ms is not None:
                 known = loads.get(worker_id, _NO_LOAD)
                 ages_ms = [age_ms for age_ms in (known.warm_age_ms, warm_age_ms) if age_ms is not None]
-                youngest_ms = min(ages_ms) if ages_ms else None
-                loads[worker_id] = InstanceLoad(known.in_flight + in_flight, youngest_ms)
+                lowest_age_ms = min(ages_ms) if ages_ms else None
+                loads[worker_id] = InstanceLoad(known.in_flight + in_flight, lowest_age_ms)
         return loads
 
     def collect_due_datagrams(self, now_ms: float) -> list[SendToPeer]:
@@ -193,8 +193,8 @@
 
     def _build_full_state(self, now_ms: float, peer_index: int) -> Iterator[SendToPeer]:
         """Build the datagrams with this router's warm instances for a peer that has just started."""
-        smallest_record = codec.WORKER_BYTES + codec.INSTANCE_BYTES
-        records_per_datagram = (MAX_DATAGRAM_BYTES - codec.HEADER_BYTES) // smallest_record
+        min_update_bytes = codec.WORKER_BYTES + codec.INSTANCE_BYTES
+        records_per_datagram = (MAX_DATAGRAM_BYTES - codec.HEADER_BYTES) // min_update_bytes
         self.local.mark_warm_dirty(MAX_FULL_STATE_DATAGRAMS * records_per_datagram)
         for _ in range(MAX_FULL_STATE_DATAGRAMS):
             if self.local.dirty:
--- a/cedarthread/gossip/peer_views.py
+++ b/cedarthread/gossip/peer_views.py
@@ -115,11 +115,11 @@
     def coverage(self, now_ms: float, peer_count: int) -> float:
         """Return the fraction of the other routers that sent gossip recently, 0 to 1."""
         if now_ms >= self._coverage_valid_until_ms:
-            reporting = sum(
+            reporting_peers = sum(
                 now_ms - view.received_at_ms <= IN_FLIGHT_EXPIRY_MS for view in self.views.values()
             )
             self._coverage_valid_until_ms = now_ms + COVERAGE_CACHE_MS
-            self._coverage = reporting / max(1, peer_count)
+            self._coverage = reporting_peers / max(1, peer_count)
         return self._coverage
 
     def reset_coverage(self) -> None:
--- a/tests/unit/gossip/test_send_budget.py
+++ b/tests/unit/gossip/test_send_budget.py
@@ -7,8 +7,8 @@
 from cedarthread.components.datagram_fields import MAX_DATAGRAM_BYTES
 from cedarthread.gossip.send_budget import (
     BURST_DATAGRAMS,
-    FREE_BYTES_PER_MS,
     GOSSIP_COST_PER_CALL,
+    UNPRICED_BYTES_PER_MS,
     SendBudget,
 )
 
@@ -18,19 +18,19 @@
     before = budget.available_bytes
     budget.refill(1000.0)
     assert budget.available_bytes == before
-    budget.earn_call()
+    budget.credit_call()
     assert budget.available_bytes == pytest.approx(before + GOSSIP_COST_PER_CALL / 0.01 * MAX_DATAGRAM_BYTES)
 
 
 def test_a_budget_with_free_datagrams_fills_by_time_alone() -> None:
     budget = SendBudget(price=0.0, fanout=2)
     budget.spend(int(budget.available_bytes))
-    budget.earn_call()
+    budget.credit_call()
     assert budget.available_bytes == 0.0
     budget.refill(10.0)
-    assert budget.available_bytes == 10.0 * FREE_BYTES_PER_MS
+    assert budget.available_bytes == 10.0 * UNPRICED_BYTES_PER_MS
     budget.refill(15.0)
-    assert budget.available_bytes == 15.0 * FREE_BYTES_PER_MS, "each ms counts once"
+    assert budget.available_bytes == 15.0 * UNPRICED_BYTES_PER_MS, "each ms counts once"
 
 
 def test_no_more_bytes_than_the_burst_are_saved() -> None:
@@ -43,7 +43,7 @@
     budget = SendBudget(price=0.0, fanout=1)
     budget.spend(int(budget.available_bytes) + 100)
     budget.refill(5.0)
-    assert budget.available_bytes == 5.0 * FREE_BYTES_PER_MS - 100.0
+    assert budget.available_bytes == 5.0 * UNPRICED_BYTES_PER_MS - 100.0
 
 
 def test_new_settings_retain_the_saved_bytes() -> None:
