--- a/cedarthread/membership/dissemination.py
+++ b/cedarthread/membership/dissemination.py
@@ -37,8 +37,8 @@
 
     def refill(self, now_ms: float) -> None:
         """Add the bytes accrued since the last refill."""
-        earned = BUDGET_BYTES_PER_MS * (now_ms - self._refilled_at_ms)
-        self._available_bytes = min(self._available_bytes + earned, BURST_BYTES)
+        accrued = BUDGET_BYTES_PER_MS * (now_ms - self._refilled_at_ms)
+        self._available_bytes = min(self._available_bytes + accrued, BURST_BYTES)
         self._refilled_at_ms = now_ms
 
     def can_send_batch(self) -> bool:
@@ -51,12 +51,12 @@
         The message includes all ``required`` members, then as many pending updates as the size limit and
         the budget allow.
         """
-        rest = sorted(
+        optional = sorted(
             (member_index for member_index in self.pending if member_index not in required),
             key=lambda member_index: -self.pending[member_index],
         )
         affordable = int(self._available_bytes // codec.UPDATE_BYTES)
-        taken = (*required, *rest)[: max(len(required), min(codec.MAX_UPDATES, affordable))]
+        taken = (*required, *optional)[: max(len(required), min(codec.MAX_UPDATES, affordable))]
         for member_index in taken:
             self._available_bytes -= codec.UPDATE_BYTES
             self._count_sent(member_index)
--- a/cedarthread/membership/failure_detector.py
+++ b/cedarthread/membership/failure_detector.py
@@ -142,19 +142,19 @@
 
     def _on_ack_timeout(self, now_ms: float, probe: Probe) -> list[OutgoingMessage]:
         """Return ping requests after a direct ping timed out; suspect the member if these time out too."""
-        helpers = [index for index in self._table.alive_peers() if index != probe.member_index]
-        if not probe.is_indirect and helpers:
+        relays = [index for index in self._table.alive_peers() if index != probe.member_index]
+        if not probe.is_indirect and relays:
             probe.is_indirect = True
             probe.sent_at_ms = now_ms
-            chosen = self._rng.sample(helpers, min(INDIRECT_PROBES, len(helpers)))
+            chosen = self._rng.sample(relays, min(INDIRECT_PROBES, len(relays)))
             return [
                 OutgoingMessage(MessageKind.PING_REQUEST, index, probe.nonce, probe.member_index)
                 for index in chosen
             ]
         self._pending = None
         member = self._table.members[probe.member_index]
-        is_never_received = member.received_at_ms == -math.inf
-        is_excused = is_never_received and now_ms - self._started_at_ms < STARTUP_GRACE_MS
-        if member.status is MemberStatus.ALIVE and not is_excused:
+        has_never_sent = member.received_at_ms == -math.inf
+        is_in_startup_grace = has_never_sent and now_ms - self._started_at_ms < STARTUP_GRACE_MS
+        if member.status is MemberStatus.ALIVE and not is_in_startup_grace:
             self._table.set_status(now_ms, probe.member_index, MemberStatus.SUSPECT)
         return []
--- a/cedarthread/membership/member_table.py
+++ b/cedarthread/membership/member_table.py
@@ -100,11 +100,11 @@
 
     def _refute(self, update: MemberUpdate) -> None:
         """Raise this router's incarnation to refute an update that is from an earlier run or not alive."""
-        is_from_earlier_start = update.incarnation > self.incarnation
+        is_from_earlier_run = update.incarnation > self.incarnation
         is_accused = update.status is not MemberStatus.ALIVE and update.incarnation == self.incarnation
         if update.incarnation > self.incarnation + MAX_INCARNATION_STEP:
             self.implausible_updates += 1
-        elif is_from_earlier_start or is_accused:
+        elif is_from_earlier_run or is_accused:
             self.incarnation = update.incarnation + 1
             self._dissemination.add(self.router_index)
 
--- a/cedarthread/membership/swim.py
+++ b/cedarthread/membership/swim.py
@@ -106,7 +106,7 @@
         for update in message.updates:
             self.table.merge(now_ms, update)
         replies = [self._build_datagram(reply) for reply in self._replies(now_ms, sender_index, message)]
-        return replies + self._correct(now_ms, sender_index, message.incarnation)
+        return replies + self._build_corrections(now_ms, sender_index, message.incarnation)
 
     def _replies(self, now_ms: float, sender_index: int, message: SwimMessage) -> list[OutgoingMessage]:
         match message.kind:
@@ -126,7 +126,7 @@
             case MessageKind.UPDATE:
                 return []
 
-    def _correct(self, now_ms: float, member_index: int, incarnation: int) -> list[SendToPeer]:
+    def _build_corrections(self, now_ms: float, member_index: int, incarnation: int) -> list[SendToPeer]:
         """Return a correction for a member that just sent a datagram, if this router's entry for it is wrong.
 
         At most one correction is returned in ``CORRECTION_INTERVAL_MS``.
@@ -137,8 +137,8 @@
             incarnation: The incarnation that the member last sent.
         """
         member = self.table.members[member_index]
-        is_entry_right = member.status is MemberStatus.ALIVE and incarnation >= member.incarnation
-        if is_entry_right or now_ms - member.corrected_at_ms < CORRECTION_INTERVAL_MS:
+        is_entry_current = member.status is MemberStatus.ALIVE and incarnation >= member.incarnation
+        if is_entry_current or now_ms - member.corrected_at_ms < CORRECTION_INTERVAL_MS:
             return []
         member.corrected_at_ms = now_ms
         return [self._build_datagram(OutgoingMessage(MessageKind.UPDATE, member_index), (member_index,))]
@@ -166,7 +166,7 @@
             if member.status is MemberStatus.SUSPECT and is_overdue:
                 self.table.set_status(now_ms, index, MemberStatus.DEAD)
             if member.status is not MemberStatus.ALIVE and now_ms - member.received_at_ms < PROBE_INTERVAL_MS:
-                corrections += self._correct(now_ms, index, member.incarnation)
+                corrections += self._build_corrections(now_ms, index, member.incarnation)
         return corrections
 
     def _send_updates(self) -> list[SendToPeer]:
