--- a/cedarthread/transport/descriptor_budget.py
+++ b/cedarthread/transport/descriptor_budget.py
@@ -12,18 +12,20 @@
 from dataclasses import dataclass
 
 CLIENT_FRACTION = 0.5  # fraction of all descriptors for client connections
-INVOKE_FRACTION = 0.5  # largest fraction for invoke API callers of what they share with workers
+INVOKE_FRACTION = 0.5  # maximum for invoke API callers, of the descriptors for callers and workers
 MAX_OPERATOR_CONNECTIONS = 16
 CLIENT_ACCEPTS_PER_PASS = 16  # client connections accepted per iteration of the event loop
 SMALL_ACCEPTS_PER_PASS = 4  # connections of operators, and of invoke callers, per iteration
-# Under a small limit: descriptors for each operator connection, and for each accept of an iteration.
-DESCRIPTORS_PER_RESERVATION = 32
-MIN_RESERVATIONS = 2
+# Under a small limit, operator connections and accepts per iteration are each capped at one for every
+# ``DESCRIPTORS_PER_CAPPED_CONNECTION`` descriptors, but not below ``MIN_CONNECTION_CAP``.
+DESCRIPTORS_PER_CAPPED_CONNECTION = 32
+MIN_CONNECTION_CAP = 2
 LISTENING_SOCKETS = 3  # for clients, operators and invoke API callers
 DISCOVERY_SOCKETS = 2  # the current socket, and a second one while the address changes
 PEER_SOCKETS = 1
 OPEN_FILES = 4  # configuration, certificates or store, during a reload
-UNKNOWN_OPEN_DESCRIPTORS = 6  # standard input, output and error, the loop's poll and its pair of sockets
+# Used if counting fails: standard input, output and error, the loop's poll and its pair of sockets.
+ASSUMED_OPEN_DESCRIPTORS = 6
 UNLIMITED = 2**31
 # Errors of a system call when no descriptor, or no memory for one, is available.
 EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
@@ -57,7 +59,7 @@
     try:
         return len(os.listdir("/proc/self/fd")) - 1  # without the descriptor that lists the directory
     except OSError:
-        return UNKNOWN_OPEN_DESCRIPTORS
+        return ASSUMED_OPEN_DESCRIPTORS
 
 
 def compute_budget(
@@ -75,20 +77,20 @@
         ValueError: No descriptor is left for workers.
     """
     limit = min(configured_limit, process_limit)
-    small_limit = max(MIN_RESERVATIONS, limit // DESCRIPTORS_PER_RESERVATION)
-    operator_connections = min(MAX_OPERATOR_CONNECTIONS, small_limit)
-    accepts_per_pass = min(CLIENT_ACCEPTS_PER_PASS, small_limit)
-    small_accepts_per_pass = min(SMALL_ACCEPTS_PER_PASS, small_limit)
+    connection_cap = max(MIN_CONNECTION_CAP, limit // DESCRIPTORS_PER_CAPPED_CONNECTION)
+    operator_connections = min(MAX_OPERATOR_CONNECTIONS, connection_cap)
+    accepts_per_pass = min(CLIENT_ACCEPTS_PER_PASS, connection_cap)
+    small_accepts_per_pass = min(SMALL_ACCEPTS_PER_PASS, connection_cap)
     # An evicted connection closes one iteration after the new one is accepted; until then both are open.
-    evicted = accepts_per_pass + small_accepts_per_pass
+    evicted_connections = accepts_per_pass + small_accepts_per_pass
     if invoke_connections:
-        evicted += small_accepts_per_pass
-    fixed = LISTENING_SOCKETS + DISCOVERY_SOCKETS + PEER_SOCKETS + OPEN_FILES
-    reserved = already_open + fixed + operator_connections + evicted
+        evicted_connections += small_accepts_per_pass
+    fixed_descriptors = LISTENING_SOCKETS + DISCOVERY_SOCKETS + PEER_SOCKETS + OPEN_FILES
+    reserved = already_open + fixed_descriptors + operator_connections + evicted_connections
     client_connections = int(limit * CLIENT_FRACTION)
-    rest = limit - client_connections - reserved
-    invoke_connections = max(0, min(invoke_connections, int(rest * INVOKE_FRACTION)))
-    worker_connections = rest - invoke_connections
+    shared_descriptors = limit - client_connections - reserved
+    invoke_connections = max(0, min(invoke_connections, int(shared_descriptors * INVOKE_FRACTION)))
+    worker_connections = shared_descriptors - invoke_connections
     if worker_connections < 1:
         raise ValueError(f"a limit of {limit} file descriptors leaves none for worker connections")
     return DescriptorBudget(
