--- a/tests/unit/gossip/builders.py
+++ b/tests/unit/gossip/builders.py
@@ -1,4 +1,4 @@
-"""Load gossip components, routers with gossip, and the datagrams between them."""
+"""Builders for load gossip components, routers with gossip, and their datagrams."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 def make_gossip(router_index: int, router_count: int = 3, price: float = 0.01, seed: int = 5) -> LoadGossip:
-    """Return the gossip component of one router; ``price`` is that of a datagram, 0 for free ones."""
+    """Return the gossip component of one router; ``price`` is the price of a datagram, 0: free."""
     prices = dataclasses.replace(PRICES, peer_message=price)
     own_settings = settings(router_count=router_count, router_index=router_index, prices=prices)
     return LoadGossip(own_settings, seed + router_index)
 
 
 def deliver(sender: LoadGossip, receiver: LoadGossip, now_ms: float) -> None:
-    """Deliver the datagrams that are due."""
+    """Deliver the sender's due datagrams to the receiver."""
     for datagram in sender.collect_due_datagrams(now_ms):
         receiver.on_message(now_ms + 5.0, sender.router_index, datagram.data)
 
 
 def changed_by(gossip: LoadGossip, now_ms: float, sender_index: int, data: bytes) -> dict[int, float]:
-    """Return the workers that a datagram changes, with the peers' calls there."""
+    """Return the peers' in-flight calls at each worker that a datagram changes."""
     gossip.changed_workers.clear()
     gossip.on_message(now_ms, sender_index, data)
     return gossip.changed_workers
@@ -44,7 +44,7 @@
     *workers: WorkerUpdate,
     requests_full_state: bool = False,
 ) -> bytes:
-    """Return the datagram with the load of some workers."""
+    """Return a datagram with the load of these workers."""
     return codec.encode(LoadUpdate(incarnation, sequence_number, requests_full_state, workers))
 
 
@@ -54,7 +54,7 @@
 
 
 def node_pair(**changes: Any) -> list[RoutingNode]:
-    """Return two routers with the same eight workers; ``changes`` are of the settings."""
+    """Return two routers with the same eight workers; ``changes`` replace settings."""
     nodes = [
         RoutingNode(settings(router_index=router_index, **changes), seed=router_index + 1)
         for router_index in range(2)
@@ -65,6 +65,6 @@
 
 
 def gossip_of(node: RoutingNode) -> LoadGossip:
-    """Return the gossip component of a router that must have one."""
+    """Return the gossip component of a router; fail if there is none."""
     assert node.load_gossip is not None
     return node.load_gossip
--- a/tests/unit/gossip/test_gossip_in_routers.py
+++ b/tests/unit/gossip/test_gossip_in_routers.py
@@ -1,4 +1,4 @@
-"""Gossip inside routers: its effect on placement, removed workers, new settings and ended permission."""
+"""Gossip in complete routers: effect on placement, removed workers, new settings, and disabled gossip."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
             second.handle(now_ms + 60.0, AttemptEnded(function_id, 0, warm_worker, Outcome.OK, 50.0, True))
 
 
-def test_without_permission_to_gossip_no_datagram_is_sent_or_merged() -> None:
+def test_with_gossip_disabled_no_datagram_is_sent_or_merged() -> None:
     (node, _) = node_pair(limits=LIMITS_WITHOUT_GOSSIP)
     actions = send_request(node, 7, 1, 100.0)
     update = encoded_update(1, 1, WorkerUpdate(1, 9), requests_full_state=True)
@@ -52,7 +52,7 @@
     assert all(record.peers_in_flight == 0.0 for record in node.router.workers.values())
 
 
-def test_settings_that_forbid_gossip_end_it() -> None:
+def test_settings_that_disable_gossip_stop_it() -> None:
     first, second = node_pair()
     actions = send_request(first, 7, 1, 100.0) + first.handle(150.0, TimerFired(0))
     for datagram in [action for action in actions if isinstance(action, SendToPeer)]:
--- a/tests/unit/gossip/test_load_gossip.py
+++ b/tests/unit/gossip/test_load_gossip.py
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_lost_duplicated_and_reordered_datagrams_leave_no_wrong_counts(seed: int) -> None:
-    """Datagrams that carry events in place of state would leave wrong counts for good."""
+    """If datagrams carried changes instead of state, a lost one would leave the counts wrong for good."""
     rng = random.Random(seed)
     sender = make_gossip(0, price=0.0)
     receiver = make_gossip(1, price=0.0)
@@ -76,7 +76,7 @@
             assert (load.in_flight if load else 0) == in_flight.count((worker_id, function_id))
 
 
-def test_false_reports_of_a_peer_count_within_bounds() -> None:
+def test_false_reports_of_a_peer_are_capped_and_expire() -> None:
     gossip = make_gossip(0)
     false_report = WorkerUpdate(4, 255, (warm_instance(7, in_flight=255),))
     assert changed_by(gossip, 1000.0, 1, encoded_update(9, 1, false_report)) == {4: MAX_IN_FLIGHT_PER_PEER}
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("router_count", [3, 50, 400])
-def test_the_cost_of_gossip_does_not_grow_with_the_fleet(router_count: int) -> None:
+def test_the_cost_of_gossip_is_bounded_at_any_fleet_size(router_count: int) -> None:
     gossip = make_gossip(0, router_count, price=0.01)
     spent_bytes = 0.0
     calls = 3000
--- a/tests/unit/gossip/test_peer_transport.py
+++ b/tests/unit/gossip/test_peer_transport.py
@@ -28,8 +28,10 @@
         for transport in (first, second):
             transport.addresses = PeerAddresses(ANY_PORT, tuple(addresses), None)
             transport._peer_index_by_address = {address: index for index, address in enumerate(addresses)}
-        stranger, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, remote_addr=addresses[1])
-        stranger.sendto(b"x")
+        unknown_sender, _ = await loop.create_datagram_endpoint(
+            asyncio.DatagramProtocol, remote_addr=addresses[1]
+        )
+        unknown_sender.sendto(b"x")
         first.send(b"y" * 257, 1)
         first.send(b"z", 5)
         first.send(b"hello", 1)
@@ -38,7 +40,7 @@
         first.send(b"all", None)
         assert {await received.get(), await received.get()} == {(0, b"all")}
         assert second.unknown_sender_count == 1
-        stranger.close()
+        unknown_sender.close()
         first.stop()
         second.stop()
 
--- a/tests/unit/gossip/test_restarting_routers.py
+++ b/tests/unit/gossip/test_restarting_routers.py
@@ -47,21 +47,21 @@
         self.step = 0
         self.last_request_id = 0
         self.nodes = [self.start(router_index) for router_index in range(ROUTER_COUNT)]
-        self.answers: dict[int, int] = {}  # by request id
+        self.answers: dict[int, int] = {}  # number of answers by request id
         self.attempt_starts: list[AttemptStart] = []
-        self.lost_requests: set[int] = set()  # their router was killed
+        self.lost_requests: set[int] = set()  # in flight at a router when it restarted
         self.timers: list[Timer] = []
         self.events: deque[tuple[int, Event]] = deque()  # router index and event
 
     def start(self, router_index: int) -> RoutingNode:
-        """Start a router that has only its endpoint list."""
+        """Return a new router that knows only its endpoint list."""
         own_settings = settings(router_index=router_index, router_count=ROUTER_COUNT)
         node = RoutingNode(own_settings, seed=self.rng.getrandbits(32))
         node.handle(self.now_ms, EIGHT_WORKERS)
         return node
 
     def run_step(self, step: int) -> None:
-        """Restart a router if one is due, then handle one request, the due timers and all that follows."""
+        """Restart a router if due, then handle one request, the due timers and all resulting events."""
         self.step = step
         self.now_ms += STEP_MS
         if step in RESTART_STEPS:
@@ -132,5 +132,5 @@
         if start.step in range(560, 700)
     ]
     assert sum(was_known_warm) > 0.5 * len(was_known_warm), (
-        "the second router soon knew the others' instances"
+        "router 1 must learn the others' warm instances soon after its restart"
     )
--- a/tests/unit/gossip/test_send_budget.py
+++ b/tests/unit/gossip/test_send_budget.py
@@ -13,7 +13,7 @@
 )
 
 
-def test_a_budget_with_priced_datagrams_fills_by_calls_alone() -> None:
+def test_with_priced_datagrams_only_calls_refill_the_budget() -> None:
     budget = SendBudget(price=0.01, fanout=2)
     before = budget.available_bytes
     budget.refill(1000.0)
@@ -22,7 +22,7 @@
     assert budget.available_bytes == pytest.approx(before + GOSSIP_COST_PER_CALL / 0.01 * MAX_DATAGRAM_BYTES)
 
 
-def test_a_budget_with_free_datagrams_fills_by_time_alone() -> None:
+def test_with_free_datagrams_only_time_refills_the_budget() -> None:
     budget = SendBudget(price=0.0, fanout=2)
     budget.spend(int(budget.available_bytes))
     budget.credit_call()
@@ -33,7 +33,7 @@
     assert budget.available_bytes == 15.0 * UNPRICED_BYTES_PER_MS, "each ms counts once"
 
 
-def test_no_more_bytes_than_the_burst_are_saved() -> None:
+def test_the_balance_is_capped_at_the_burst() -> None:
     budget = SendBudget(price=0.0, fanout=3)
     budget.refill(1e9)
     assert budget.available_bytes == BURST_DATAGRAMS * MAX_DATAGRAM_BYTES * 3
@@ -46,7 +46,7 @@
     assert budget.available_bytes == 5.0 * UNPRICED_BYTES_PER_MS - 100.0
 
 
-def test_new_settings_retain_the_saved_bytes() -> None:
+def test_new_settings_retain_the_balance() -> None:
     budget = SendBudget(price=0.01, fanout=2)
     before = budget.available_bytes
     budget.configure(price=0.02, fanout=4)
--- a/tests/unit/membership/builders.py
+++ b/tests/unit/membership/builders.py
@@ -1,4 +1,4 @@
-"""A member table for the tests of its users."""
+"""Builder for member tables."""
 
 from __future__ import annotations
 
--- a/tests/unit/transport/test_descriptor_budget.py
+++ b/tests/unit/transport/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The descriptor budget: its parts add up to the limit; the process's own limit is read and not changed."""
+"""The descriptor budget: its parts add up to the limit, and the process limit is read but not changed."""
 
 from __future__ import annotations
 
