--- a/tests/simulation/test_membership.py
+++ b/tests/simulation/test_membership.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-TICK_MS = 250.0  # between the ticks of a router
+TICK_MS = 250.0  # interval between two ticks of a router
 NO_SENDER = -1
 
 
@@ -52,7 +52,7 @@
         self.longest_datagram_bytes = 0
         self.paused: dict[int, list[tuple[int, bytes]]] = {}  # senders and datagrams in their socket buffers
         self.stopped: set[int] = set()
-        self.is_cut: Callable[[int, int], bool] = lambda sender, receiver: False
+        self.is_partitioned: Callable[[int, int], bool] = lambda sender, receiver: False
         self.events: list[FleetEvent] = []
         for index in range(router_count):
             heapq.heappush(self.events, FleetEvent(self.rng.uniform(0, TICK_MS), index))
@@ -85,7 +85,7 @@
             assert receiver is not None
             self.sent_bytes += len(data)
             self.longest_datagram_bytes = max(self.longest_datagram_bytes, len(data))
-            if self.is_cut(sender, receiver):
+            if self.is_partitioned(sender, receiver):
                 continue
             for _ in range(self.rng.choice([1, 1, 1, 2])):
                 if self.rng.random() >= self.loss_rate:
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_when_seven_in_ten_stop_at_once_the_others_agree_on_the_alive_members(seed: int) -> None:
+def test_when_seventy_percent_stop_at_once_the_others_agree_on_the_alive_members(seed: int) -> None:
     fleet = Fleet(60, seed, loss_rate=0.1)
     fleet.run(5_000.0)
     fleet.stopped |= set(range(42))
@@ -160,7 +160,7 @@
 
 
 def test_a_pause_by_itself_ends_no_suspicion() -> None:
-    """Without the detection of pauses, all suspicions would be overdue at the first tick after the pause."""
+    """Without pause detection, all suspicions would be overdue at the first tick after the pause."""
     router = SwimMembership(0, 4, 1)
     router.on_message(0.0, 1, update_message(MemberUpdate(2, 0, MemberStatus.SUSPECT)))
     router.on_tick(100.0)
@@ -176,7 +176,7 @@
 def test_a_restarted_router_refutes_updates_of_its_earlier_start() -> None:
     fleet = Fleet(20, 1)
     fleet.run(3_000.0)
-    fleet.routers[4].table.incarnation = 5  # as after five refutations
+    fleet.routers[4].table.incarnation = 5  # the value after five refutations
     fleet.run(3_000.0)
     fleet.stopped.add(4)
     fleet.run(20_000.0)
@@ -194,18 +194,18 @@
 def test_the_halves_of_a_healed_partition_list_each_other_as_alive_again() -> None:
     fleet = Fleet(24, 2, loss_rate=0.05)
     fleet.run(3_000.0)
-    fleet.is_cut = lambda sender, receiver: (sender < 12) != (receiver < 12)
+    fleet.is_partitioned = lambda sender, receiver: (sender < 12) != (receiver < 12)
     fleet.run(40_000.0)
     assert fleet.alive_counts() == {12}
-    fleet.is_cut = lambda sender, receiver: False
+    fleet.is_partitioned = lambda sender, receiver: False
     fleet.run(30_000.0)
     assert fleet.alive_counts() == {24}
 
 
-def test_two_routers_cut_off_from_each_other_only_are_not_declared_dead() -> None:
+def test_two_routers_partitioned_only_from_each_other_are_not_declared_dead() -> None:
     """Without indirect probes, all routers would declare both dead."""
     fleet = Fleet(12, 3)
-    fleet.is_cut = lambda sender, receiver: {sender, receiver} == {2, 5}
+    fleet.is_partitioned = lambda sender, receiver: {sender, receiver} == {2, 5}
     fleet.run(40_000.0)
     assert fleet.alive_counts() == {12}
 
@@ -221,7 +221,7 @@
 
 
 @pytest.mark.parametrize("router_count", [10, 50, 200])
-def test_bytes_of_a_router_do_not_grow_with_the_fleet(router_count: int) -> None:
+def test_sent_bytes_of_a_router_are_bounded_at_any_fleet_size(router_count: int) -> None:
     fleet = Fleet(router_count, 4)
     fleet.run(10_000.0)
     assert fleet.sent_bytes / router_count / 10.0 < 200.0
@@ -339,17 +339,19 @@
 
 @pytest.mark.parametrize("router_count", [24, 96])
 def test_updates_do_not_cause_unbounded_further_updates_during_a_partition(router_count: int) -> None:
-    """Each datagram of a suspect once restarted its dissemination: 7,000 bytes/s for each of 200 routers."""
+    """Restarting dissemination at each datagram of a suspect cost 7,000 bytes/s for each of 200 routers."""
     fleet = Fleet(router_count, 5, loss_rate=0.1)
     fleet.run(3_000.0)
-    fleet.is_cut = lambda sender, receiver: (sender < router_count // 2) != (receiver < router_count // 2)
+    fleet.is_partitioned = lambda sender, receiver: (
+        (sender < router_count // 2) != (receiver < router_count // 2)
+    )
     fleet.sent_bytes = 0
     fleet.run(20_000.0)
     assert fleet.sent_bytes / router_count / 20.0 < 900.0
     for router in fleet.routers.values():
         for sender in range(router_count):
             if sender != router.router_index:
-                router.record_activity(fleet.now_ms, sender)  # gossip passes the partition
+                router.record_activity(fleet.now_ms, sender)  # as if load gossip still passed the partition
     fleet.sent_bytes = 0
     fleet.run(10_000.0)
     assert fleet.sent_bytes / router_count / 10.0 < 900.0
