--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -159,10 +159,10 @@
             if warm_age_ms is not None and warm_age_ms > self.keep_alive_ms:
                 warm_age_ms = None
             if in_flight or warm_age_ms is not None:
-                known = loads.get(worker_id, _NO_LOAD)
-                ages_ms = [age_ms for age_ms in (known.warm_age_ms, warm_age_ms) if age_ms is not None]
+                previous = loads.get(worker_id, _NO_LOAD)
+                ages_ms = [age_ms for age_ms in (previous.warm_age_ms, warm_age_ms) if age_ms is not None]
                 lowest_age_ms = min(ages_ms) if ages_ms else None
-                loads[worker_id] = InstanceLoad(known.in_flight + in_flight, lowest_age_ms)
+                loads[worker_id] = InstanceLoad(previous.in_flight + in_flight, lowest_age_ms)
         return loads
 
     def collect_due_datagrams(self, now_ms: float) -> list[SendToPeer]:
--- a/cedarthread/gossip/peer_views.py
+++ b/cedarthread/gossip/peer_views.py
@@ -89,8 +89,8 @@
         """Return the sender's view, new if its incarnation is new; None if the incarnation is a past one."""
         view = self.views.get(sender_index)
         if view is None or view.incarnation != incarnation:
-            known = view.past_incarnations if view is not None else ()
-            past_incarnations = deque(known, MAX_PAST_INCARNATIONS)
+            earlier = view.past_incarnations if view is not None else ()
+            past_incarnations = deque(earlier, MAX_PAST_INCARNATIONS)
             if incarnation in past_incarnations:
                 return None
             if view is not None:
@@ -163,8 +163,8 @@
 
 
 def _merge_worker(now_ms: float, view: PeerView, update: codec.WorkerUpdate, sequence_number: int) -> None:
-    known = view.workers.get(update.worker_id)
-    if sequence_number > (0 if known is None else known.sequence_number):
+    previous = view.workers.get(update.worker_id)
+    if sequence_number > (0 if previous is None else previous.sequence_number):
         in_flight = min(update.in_flight, MAX_IN_FLIGHT_PER_PEER)
         view.workers[update.worker_id] = WorkerReport(in_flight, sequence_number, now_ms)
     for instance in update.instances:
