--- a/cedarthread/transport/acceptor.py
+++ b/cedarthread/transport/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections from a listening socket, a bounded number per iteration of the event loop.
+"""An acceptor of connections from a listening socket: a bounded number per iteration of the event loop.
 
 Each connection is counted before it is set up. asyncio's own server accepts up to its complete backlog in one
 iteration without a connection limit, and pauses for a second when no descriptor is free.
@@ -25,7 +25,7 @@
 ACCEPT_PAUSE_S = 0.05  # pause in accepting when no descriptor is free
 LISTEN_RETRY_S = 0.05  # between attempts to listen while the host is short of descriptors
 LISTEN_RETRY_LIMIT_S = 5.0  # then listening fails; a router must be ready within 30 s
-MAX_DRAIN_PASSES = 256  # iterations in which the backlog is accepted before the socket is closed
+MAX_DRAIN_PASSES = 256  # most iterations in which the backlog is accepted before the socket is closed
 TLS_HANDSHAKE_TIMEOUT_S = 5.0
 TLS_SHUTDOWN_TIMEOUT_S = 1.0
 _TLS_TIMEOUTS = {
@@ -91,7 +91,7 @@
 
 
 class Acceptor(Generic[ProtocolT]):
-    """Accepts the connections of one listening socket, which it owns.
+    """The acceptor of the connections of one listening socket, which it owns.
 
     Args:
         name: The name of the listener in log lines.
--- a/cedarthread/transport/connection.py
+++ b/cedarthread/transport/connection.py
@@ -53,7 +53,7 @@
     def on_data(self, data: memoryview) -> int | None:
         """Process the complete messages at the start of the data.
 
-        Returns the bytes of these messages; None if the input is invalid.
+        Returns the number of bytes of these messages; None if the input is invalid.
         """
         raise NotImplementedError
 
--- a/cedarthread/transport/flusher.py
+++ b/cedarthread/transport/flusher.py
@@ -1,4 +1,4 @@
-"""Coalesces the writes of all connections into one flush per iteration of the event loop."""
+"""The coalescing of all connections' writes into one flush per iteration of the event loop."""
 
 from __future__ import annotations
 
--- a/cedarthread/transport/read_buffer.py
+++ b/cedarthread/transport/read_buffer.py
@@ -6,7 +6,7 @@
 
 
 class ReadBuffer:
-    """Received bytes that are not consumed, in one block that doubles up to ``max_bytes``."""
+    """Received bytes that are not consumed yet, in one block that doubles up to ``max_bytes``."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
