--- a/cedarthread/gossip/peer_views.py
+++ b/cedarthread/gossip/peer_views.py
@@ -2,7 +2,8 @@
 
 A report replaces an earlier one only if its sequence number is higher within the same incarnation of the
 sender. In-flight calls expire ``IN_FLIGHT_EXPIRY_MS`` after their last report; warm instances expire after
-the workers' keep-alive time. ``LoadGossip`` writes the views. Times are ms on this router's steady clock.
+the workers' keep-alive time. ``LoadGossip`` updates the views. Times are ms on this router's monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 REFRESH_INTERVAL_MS = 1000.0  # interval at which a router resends unchanged entries with in-flight calls
 IN_FLIGHT_EXPIRY_MS = 2.5 * REFRESH_INTERVAL_MS  # so that one lost refresh does not expire an entry
-MAX_IN_FLIGHT_PER_PEER = 64  # limit on the calls at one worker that count for one peer, against false reports
+MAX_IN_FLIGHT_PER_PEER = 64  # cap on one peer's reported calls at one worker, against false reports
 FULL_STATE_INTERVAL_MS = 1000.0  # shortest interval between two full states sent to one peer
 COVERAGE_CACHE_MS = 50.0  # lifetime of a computed peer coverage, because each call reads it several times
 MAX_PAST_INCARNATIONS = 4  # past incarnations of a peer to remember, in order to drop their late datagrams
@@ -88,8 +89,8 @@
         """Return the sender's view, new if its incarnation is new; None if the incarnation is a past one."""
         view = self.views.get(sender_index)
         if view is None or view.incarnation != incarnation:
-            known = view.past_incarnations if view is not None else ()
-            past_incarnations = deque(known, MAX_PAST_INCARNATIONS)
+            earlier = view.past_incarnations if view is not None else ()
+            past_incarnations = deque(earlier, MAX_PAST_INCARNATIONS)
             if incarnation in past_incarnations:
                 return None
             if view is not None:
@@ -114,11 +115,11 @@
     def coverage(self, now_ms: float, peer_count: int) -> float:
         """Return the fraction of the other routers that sent gossip recently, 0 to 1."""
         if now_ms >= self._coverage_valid_until_ms:
-            reporting = sum(
+            reporting_peers = sum(
                 now_ms - view.received_at_ms <= IN_FLIGHT_EXPIRY_MS for view in self.views.values()
             )
             self._coverage_valid_until_ms = now_ms + COVERAGE_CACHE_MS
-            self._coverage = reporting / max(1, peer_count)
+            self._coverage = reporting_peers / max(1, peer_count)
         return self._coverage
 
     def reset_coverage(self) -> None:
@@ -147,7 +148,7 @@
 
     def expire(self, now_ms: float, keep_alive_ms: float) -> dict[int, float]:
         """Drop expired reports; return the remaining in-flight calls at each worker that lost one."""
-        changed_workers: dict[int, None] = {}  # a dictionary, because it retains the order
+        changed_workers: dict[int, None] = {}  # a dictionary, because it preserves the order
         for view in self.views.values():
             expired = [
                 worker_id
@@ -162,8 +163,8 @@
 
 
 def _merge_worker(now_ms: float, view: PeerView, update: codec.WorkerUpdate, sequence_number: int) -> None:
-    known = view.workers.get(update.worker_id)
-    if sequence_number > (0 if known is None else known.sequence_number):
+    previous = view.workers.get(update.worker_id)
+    if sequence_number > (0 if previous is None else previous.sequence_number):
         in_flight = min(update.in_flight, MAX_IN_FLIGHT_PER_PEER)
         view.workers[update.worker_id] = WorkerReport(in_flight, sequence_number, now_ms)
     for instance in update.instances:
--- a/cedarthread/membership/swim.py
+++ b/cedarthread/membership/swim.py
@@ -26,7 +26,7 @@
 from cedarthread.membership.member_table import MemberTable
 from cedarthread.model.actions import SendToPeer
 
-# Probe intervals of a suspicion, for each factor 10 of the group size; at least as for a group of 10.
+# Duration of a suspicion in probe intervals, for each factor of 10 in the group size; at least as for 10.
 SUSPICION_INTERVALS = 6.0
 PAUSE_THRESHOLD_MS = 2000.0  # a longer time between two ticks or messages counts as a pause of this router
 DISSEMINATION_FANOUT = 1  # separate messages with updates at each tick
@@ -37,13 +37,13 @@
 class SwimMembership:
     """The membership component of one router.
 
-    ``status_changes`` has the changes that are not logged yet; the host logs and clears the list.
+    ``status_changes`` holds the changes that are not logged yet; the host logs and clears the list.
 
     Args:
-        router_index: This router.
-        router_count: The configured routers.
+        router_index: The index of this router.
+        router_count: The number of configured routers.
         seed: The seed of all random decisions.
-        now_ms: The steady clock.
+        now_ms: The monotonic time.
     """
 
     message_types = frozenset({MessageType.MEMBERSHIP})
@@ -106,7 +106,7 @@
         for update in message.updates:
             self.table.merge(now_ms, update)
         replies = [self._build_datagram(reply) for reply in self._replies(now_ms, sender_index, message)]
-        return replies + self._correct(now_ms, sender_index, message.incarnation)
+        return replies + self._build_corrections(now_ms, sender_index, message.incarnation)
 
     def _replies(self, now_ms: float, sender_index: int, message: SwimMessage) -> list[OutgoingMessage]:
         match message.kind:
@@ -126,19 +126,19 @@
             case MessageKind.UPDATE:
                 return []
 
-    def _correct(self, now_ms: float, member_index: int, incarnation: int) -> list[SendToPeer]:
-        """Return a correction for a member that just sent a datagram, if its entry here is wrong.
+    def _build_corrections(self, now_ms: float, member_index: int, incarnation: int) -> list[SendToPeer]:
+        """Return a correction for a member that just sent a datagram, if this router's entry for it is wrong.
 
         At most one correction is returned in ``CORRECTION_INTERVAL_MS``.
 
         Args:
-            now_ms: The steady clock.
+            now_ms: The monotonic time.
             member_index: The member.
             incarnation: The incarnation that the member last sent.
         """
         member = self.table.members[member_index]
-        is_entry_right = member.status is MemberStatus.ALIVE and incarnation >= member.incarnation
-        if is_entry_right or now_ms - member.corrected_at_ms < CORRECTION_INTERVAL_MS:
+        is_entry_current = member.status is MemberStatus.ALIVE and incarnation >= member.incarnation
+        if is_entry_current or now_ms - member.corrected_at_ms < CORRECTION_INTERVAL_MS:
             return []
         member.corrected_at_ms = now_ms
         return [self._build_datagram(OutgoingMessage(MessageKind.UPDATE, member_index), (member_index,))]
@@ -166,7 +166,7 @@
             if member.status is MemberStatus.SUSPECT and is_overdue:
                 self.table.set_status(now_ms, index, MemberStatus.DEAD)
             if member.status is not MemberStatus.ALIVE and now_ms - member.received_at_ms < PROBE_INTERVAL_MS:
-                corrections += self._correct(now_ms, index, member.incarnation)
+                corrections += self._build_corrections(now_ms, index, member.incarnation)
         return corrections
 
     def _send_updates(self) -> list[SendToPeer]:
@@ -180,7 +180,7 @@
         ]
 
     def _detect_pause(self, now_ms: float) -> None:
-        """Detect a pause of this router; after a pause, restart all suspicions and raise the own incarnation.
+        """Detect a pause of this router; after one, restart all suspicions and raise the incarnation.
 
         After a pause, the last datagram of every member seems old, and peers may have declared this router
         dead.
