--- a/cedarthread/persistence/database_folder.py
+++ b/cedarthread/persistence/database_folder.py
@@ -28,7 +28,7 @@
 
 
 class FileIdentity(NamedTuple):
-    """The numbers that identify a file or folder on this machine."""
+    """The device and inode numbers that identify a file or folder on this machine."""
 
     device: int
     inode: int
@@ -45,7 +45,7 @@
 
 
 def fault_from_error(error: BaseException, folder: Path) -> StoreFault:
-    """Return the fault that an error of SQLite or of the operating system indicates.
+    """Map an error of SQLite or of the operating system to a store fault.
 
     Args:
         error: the error that a call raised.
@@ -69,14 +69,14 @@
             return StoreFault.DISK_FULL
         case OSError() | apsw.IOError():
             return StoreFault.IO_ERROR
-    # The SQL statements never vary, so that any other error of SQLite is caused by the file's content.
+    # The SQL statements are fixed, so that any other SQLite error is caused by the file's content.
     return StoreFault.CORRUPTED
 
 
 class DatabaseFolder:
     """A store's folder, and the lock on it that excludes other processes.
 
-    The lock persists through faults, until ``release_lock``.
+    The lock is held until ``release_lock``, also while the store has a fault.
     """
 
     def __init__(self, path: Path) -> None:
@@ -130,7 +130,7 @@
                 Path(f"{self.database_file(other)}-journal").unlink(missing_ok=True)
 
     def quarantine(self, database: Path) -> None:
-        """Link a corrupted file to ``QUARANTINE_FILE``; log an error of the file system at debug level."""
+        """Hard-link a corrupted file to ``QUARANTINE_FILE``; log file system errors at debug level only."""
         try:
             (self.path / QUARANTINE_FILE).unlink(missing_ok=True)
             os.link(database, self.path / QUARANTINE_FILE)
--- a/cedarthread/persistence/disk_worker.py
+++ b/cedarthread/persistence/disk_worker.py
@@ -1,8 +1,8 @@
-"""The thread that makes all calls of one storage backend, because each of them may block on the disk.
+"""The thread that makes all calls to one storage backend, because each of them may block on the disk.
 
 The thread opens, commits and closes, and makes no decisions: it runs the next job, stores the job's
 completion, and calls ``wake``. The host's thread queues the jobs and handles the completions
-(``store_thread.py``). One condition's lock protects the state that both threads write.
+(``store_thread.py``). The lock of one condition variable protects the state that both threads write.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class OpenCompletion(NamedTuple):
-    """The result of an opening of the backend."""
+    """The result of opening the backend."""
 
     load_result: LoadResult
 
@@ -54,7 +54,7 @@
         backend: the storage, which only the thread uses. Its methods must raise nothing.
         sync_mode: with "each", a commit writes one key; otherwise a commit writes all pending keys.
         group_commit_ms: time for which writes are gathered before a commit; not used with "each".
-        clock: returns steady milliseconds.
+        clock: returns the time of a monotonic clock in ms.
         wake: called on the thread after each completion.
     """
 
@@ -74,7 +74,7 @@
         self._wake = wake
         self._is_writable = False  # used by the thread only
         self._completions: deque[Completion] = deque()  # filled by the thread, emptied by the host's thread
-        # Written under the condition's lock:
+        # Written only while the condition's lock is held:
         self._condition = threading.Condition()
         self._queue = WriteQueue()
         self._running_batch: WriteBatch | None = None
@@ -133,7 +133,7 @@
         return callbacks
 
     def _take_callbacks(self) -> list[WriteCallback]:
-        """Remove and return all callbacks; the caller must have the condition's lock."""
+        """Remove and return all callbacks; the caller must hold the condition's lock."""
         callbacks = self._queue.take_callbacks()
         if self._running_batch is not None:
             callbacks = self._running_batch.callbacks + callbacks
--- a/cedarthread/persistence/event_loop_store.py
+++ b/cedarthread/persistence/event_loop_store.py
@@ -1,6 +1,6 @@
 """The store of a router on its event loop, which never waits for the disk.
 
-State is changed on the event loop only. The store's thread schedules callbacks there.
+State is changed on the event loop only, where the store's thread schedules its callbacks.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 
 class EventLoopStore:
-    """The owner of a router's ``StoreThread``, which makes the writes of a ``StatePersister`` there.
+    """The adapter through which a router's ``StatePersister`` writes to a ``StoreThread``.
 
-    An instance must be created while the event loop runs.
+    It owns the ``StoreThread``. An instance must be created while the event loop runs.
 
     Args:
         config: the folder and the sync mode of the store.
         persister: decides which writes to make.
-        clock: returns steady milliseconds.
+        clock: returns the time of a monotonic clock in ms.
         seed: seed of the jitter between reopening attempts.
     """
 
@@ -79,7 +79,7 @@
         self.persister.on_write_completed(self.clock(), write, fault, self.store.generation)
 
     def figures(self) -> dict[str, str]:
-        """Return the figures for operators, by the names under which they are published."""
+        """Return the store's metrics for operators, by their published names."""
         statistics = self.store.statistics
         fault = self.store.fault
         return {
--- a/cedarthread/persistence/fault_switch.py
+++ b/cedarthread/persistence/fault_switch.py
@@ -1,4 +1,4 @@
-"""The faults that a faulty disk injects, and the switches that activate them while the disk is in use.
+"""The faults that a faulty disk injects, and the switches that activate the faults at run time.
 
 Tests and drills write the active fault; the faulty disk only reads it.
 """
@@ -20,7 +20,7 @@
 
 
 class InjectedFault(IntEnum):
-    """A fault of the disk; its number is the one in control files."""
+    """A fault of the disk. Control files contain these numbers."""
 
     NONE = 0
     UNSYNCED = 1  # syncs report success and write nothing
@@ -36,7 +36,7 @@
 
 
 class FaultSetting(NamedTuple):
-    """The active fault, as a number of ``InjectedFault``, and its parameter."""
+    """The number of the active ``InjectedFault``, and its parameter."""
 
     fault: int
     parameter: float
--- a/cedarthread/persistence/faulty_disk.py
+++ b/cedarthread/persistence/faulty_disk.py
@@ -1,8 +1,8 @@
-"""A faulty disk beneath SQLite, as a VFS of apsw. Only tests and drills load this module.
+"""A faulty disk for SQLite, implemented as an apsw VFS. Only tests and drills load this module.
 
-The real files represent the disk. Unsynced writes are in memory, in a simulated page cache, which reads use.
-Killing the process therefore acts as a power cut: unsynced writes are lost. The active fault is read from a
-switch (``fault_switch.py``).
+The real files hold what has reached the disk. A simulated page cache in memory serves all reads and holds
+the unsynced writes. Killing the process therefore has the effect of a power cut: unsynced writes are lost.
+The active fault is read from a switch (``fault_switch.py``).
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 VFS_NAME = "lying"
 """Name under which ``install`` registers the VFS with SQLite."""
 BASE_VFS = "unix"
-"""Name of SQLite's own VFS, to which the faulty one writes."""
+"""Name of SQLite's own VFS, to which the faulty VFS delegates."""
 EARLIER_CONTENT_SUFFIX = ".then"
-"""Suffix of the copy that has a file's content at an earlier opening."""
+"""Suffix of the copy of a file as it was at an earlier opening."""
 WAIT_POLL_S = 0.25
 """Interval in seconds at which a slow sync checks whether the fault is still active."""
 
@@ -82,7 +82,7 @@
             self.operations.append(operation)
 
     def add_mark(self, mark: object) -> None:
-        """Append a test's mark to ``operations``."""
+        """Append a mark to ``operations``, by which a test records its progress."""
         self.operations.append(DiskOperation("", mark=mark))
 
     def xOpen(self, name: str | apsw.URIFilename | None, flags: list[int]) -> apsw.VFSFile:
@@ -143,7 +143,7 @@
         try:
             return bytes(self.cached.content) == Path(self.path).read_bytes()
         except OSError:
-            return True  # the folder was deleted, so that no content is left to compare
+            return True  # the folder was deleted, so that there is no content to compare
 
     def xRead(self, amount: int, offset: int) -> bytes:
         """Read from the page cache."""
@@ -163,7 +163,7 @@
         self._apply(DiskOperation(self.path, offset, bytes(data)))
 
     def xTruncate(self, newsize: int) -> None:
-        """Truncate in the page cache."""
+        """Truncate the file in the page cache."""
         self._check_writable()
         self._apply(DiskOperation(self.path, newsize))
 
@@ -238,7 +238,7 @@
 
 
 def install(control: Path, seed: int = 0) -> str:
-    """Put a faulty disk beneath each database of this process and return the name of the VFS.
+    """Register a faulty disk as the default VFS of this process and return the name of the VFS.
 
     Args:
         control: the control file of ``fault_switch.set_fault``, which is created if missing.
--- a/cedarthread/persistence/persisted_components.py
+++ b/cedarthread/persistence/persisted_components.py
@@ -38,7 +38,7 @@
 
     @property
     def is_voter(self) -> bool:
-        """Return whether this router counts for majorities of the replicated store."""
+        """Return whether this router counts towards majorities of the replicated store."""
 
     @property
     def revision(self) -> int:
@@ -48,7 +48,7 @@
         """Set whether an entry is confirmed to peers only after ``mark_persisted``."""
 
     def restore(self, entries: Iterable[Entry], *, is_voter: bool, now_ms: float) -> None:
-        """Add entries of the previous incarnation; ``is_voter``: whether none of its entries is missing."""
+        """Add entries of the previous incarnation; ``is_voter`` states that no entry is missing."""
 
     def snapshot(self) -> tuple[Entry, ...]:
         """Return all entries."""
@@ -74,7 +74,7 @@
         """Return the encoded state to write, or None if no write is due."""
 
     def mark_written(self, now_ms: float) -> None:
-        """Handle the success of the write of the last image."""
+        """Record that the last image was written."""
 
     def mark_write_failed(self) -> None:
-        """Handle the failure of the write of the last image."""
+        """Record that the last image could not be written."""
--- a/cedarthread/persistence/power_cut.py
+++ b/cedarthread/persistence/power_cut.py
@@ -1,4 +1,4 @@
-"""A model of the files that a power cut leaves on a disk, after each operation of a recorded run."""
+"""A model of the file contents on a disk after a power cut, at each operation of a recorded run."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     import random
 
 SECTOR_BYTES = 512
-"""Number of bytes that a disk writes completely or not at all."""
+"""Size in bytes of the unit that a disk writes atomically."""
 SECTOR_SURVIVAL = 0.5
 """Probability that a sector of a torn write is on the disk."""
 
@@ -24,7 +24,7 @@
     data: bytes | None = None
     sync: bool = False
     failed: bool = False  # a failed sync: its writes may be on the disk or not, and are never retried
-    mark: object = None  # if set, no operation but a test's record of its progress at this point
+    mark: object = None  # if set, this is no operation but a test's record of its progress
 
 
 def apply_operation(content: bytearray, operation: DiskOperation) -> None:
@@ -38,7 +38,7 @@
 
 
 class PowerCutImage(NamedTuple):
-    """The marks until a power cut, and the content of each file after the cut, by path."""
+    """The marks recorded before a power cut, and the content of each file after it, by path."""
 
     marks: list[object]
     contents: dict[str, bytes]
--- a/cedarthread/persistence/recovered_image.py
+++ b/cedarthread/persistence/recovered_image.py
@@ -147,11 +147,11 @@
 
 
 def assess_content(loaded: LoadResult, peer_generations: Iterable[int]) -> ContentVerdict:
-    """Return how much of the content the router may use.
+    """Decide how much of the content the router may use.
 
     Peers are notified of a generation only after its write was acknowledged. A lower generation on the disk
-    therefore proves that the disk returned stale content. Without a peer that remembers a generation, the
-    disk's content is not contradicted.
+    therefore proves that the disk returned stale content. If no peer remembers a generation, nothing
+    contradicts the disk's content.
 
     Args:
         loaded: the content as read from the disk.
--- a/cedarthread/persistence/reopen_policy.py
+++ b/cedarthread/persistence/reopen_policy.py
@@ -1,6 +1,6 @@
 """The policy that decides when a faulted store is reopened, and which changes of its state are logged.
 
-A state machine without I/O. Times are milliseconds on a steady clock.
+A state machine without I/O. Times are in milliseconds of a monotonic clock.
 
     HEALTHY --failure--> FAULTED --due--> REOPENING --failure--> FAULTED ... --the MAX_ATTEMPTS-th--> GIVEN_UP
     REOPENING --opened--> HEALTHY;  GIVEN_UP --due, after its pause--> REOPENING
@@ -55,7 +55,7 @@
         self.fault: StoreFault | None = None
         self.faulted_since_ms = 0.0
         self.next_attempt_at_ms = 0.0
-        self.failed_attempts = 0  # in a row
+        self.failed_attempts = 0  # consecutive
 
     def take_due_attempt(self, now_ms: float) -> bool:
         """Return whether a reopening attempt is due now, and if so enter REOPENING."""
@@ -88,9 +88,9 @@
         return format_event("store_fault", fault=fault.value) if is_another_fault else None
 
     def on_timeout(self, now_ms: float) -> str | None:
-        """Handle a response timeout: enter SLOW, unless a fault is known already.
+        """Handle a response timeout: enter SLOW, unless the store already has a fault.
 
-        In SLOW no reopening is due until the disk has responded to the present request.
+        In SLOW no reopening is due until the disk has responded to the pending request.
         """
         is_first_opening = self.state is StoreState.REOPENING and self.fault is None
         if self.state is not StoreState.HEALTHY and not is_first_opening:
--- a/cedarthread/persistence/sqlite_database.py
+++ b/cedarthread/persistence/sqlite_database.py
@@ -1,8 +1,8 @@
-"""An open database file of a store: its pragmas, its tables, and how they are read, verified and written.
+"""An open database file of a store: its pragmas and tables, and reading, verifying and writing them.
 
 The file has one table of rows and one head. SQLite uses a rollback journal, because a flipped bit in a
-write-ahead log silently discards all later commits. With a rollback journal, content stays in its place in
-the file, so that checksums detect each corruption (docs/design/persistence.md).
+write-ahead log silently discards all later commits. With a rollback journal, committed content is in the
+database file itself, so that checksums detect each corruption (docs/design/persistence.md).
 """
 
 from __future__ import annotations
@@ -83,7 +83,7 @@
         return list(self._connection.execute(statement, bindings))
 
     def is_in_place(self) -> bool:
-        """Return whether the open file is still the one in its folder; otherwise, writes to it are lost."""
+        """Return whether the open file is still the one at its path; if it is not, writes to it are lost."""
         return database_folder.device_and_inode(self.path) == self._device_and_inode
 
     def roll_back_unfinished(self) -> bool:
@@ -123,7 +123,7 @@
         generation = 0
         try:
             cursor = self._connection.execute(_SELECT_ROWS)
-            while (row := cursor.fetchone()) is not None:  # one by one, to salvage the rows before an error
+            while (row := cursor.fetchone()) is not None:  # one by one, to keep the rows read before an error
                 rows.append(row)
         except (apsw.Error, OSError) as error:
             if log.isEnabledFor(logging.DEBUG):
--- a/cedarthread/persistence/sqlite_store.py
+++ b/cedarthread/persistence/sqlite_store.py
@@ -80,7 +80,7 @@
                 return self._quarantine_and_rewrite()
             if load_result.generation:
                 return load_result
-            self._disconnect()  # the file is not complete, because a power cut interrupted its creation
+            self._disconnect()  # incomplete, because a power cut interrupted the creation of the file
         self._rewrite({}, 0)
         return LoadResult({}, self.generation)
 
--- a/cedarthread/persistence/state_persister.py
+++ b/cedarthread/persistence/state_persister.py
@@ -1,4 +1,4 @@
-"""Decides when a router writes its state, and how much of the stored state it uses after a restart.
+"""The policy for when a router writes its state, and how much stored state it uses after a restart.
 
 No function here accesses a disk: the host makes the writes that ``StatePersister`` returns.
 
@@ -108,7 +108,7 @@
         self._start_when_assessable(now_ms)
 
     def _start_when_assessable(self, now_ms: float) -> None:
-        """Start if enough peers have reported their generation, or if the time to wait for them is over."""
+        """Start once enough peers have reported a generation, or the time to wait for them has elapsed."""
         if self.load_result is None:
             if now_ms - self.started_at_ms >= OPEN_TIMEOUT_MS:
                 self._log(format_event("store_open_timeout", timeout_ms=f"{OPEN_TIMEOUT_MS:.0f}"))
@@ -133,7 +133,7 @@
             self._log(format_event("store_values_rejected", count=self.image.rejected_count))
 
     def _start_without_store(self, now_ms: float) -> None:
-        """Start in degraded mode, because the store is not open in time."""
+        """Start in degraded mode, because the store did not open in time."""
         self.has_started = True
         self._enter_degraded_mode(now_ms)
         self.start_escrow(now_ms, None)
--- a/cedarthread/persistence/store.py
+++ b/cedarthread/persistence/store.py
@@ -9,7 +9,7 @@
 
 
 class StoreFault(Enum):
-    """A fault of a store's disk or content. The values appear in log lines and figures for operators."""
+    """A fault of a store's disk or content. The values appear in log lines and in metrics for operators."""
 
     DISK_FULL = "no space left"
     IO_ERROR = "input or output failed"  # a read, write or sync failed
--- a/cedarthread/persistence/store_thread.py
+++ b/cedarthread/persistence/store_thread.py
@@ -1,7 +1,7 @@
-"""A store that uses its disk on a separate thread, so that the event loop never waits for the disk.
+"""A store that accesses its disk on a separate thread, so that the event loop never waits for the disk.
 
-``disk_worker.py`` has the thread. All code here but ``_GuardedBackend`` runs on the host's thread. A host
-with an event loop opens a store by::
+``disk_worker.py`` implements the thread. All code here but ``_GuardedBackend`` runs on the host's thread. To
+open a store on an event loop::
 
     host = StoreHost(wake=lambda: loop.call_soon_threadsafe(lambda: store.run_callbacks()), ...)
     store = open_store(folder, "group", host=host)
@@ -45,16 +45,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreHost:
-    """The functions of its host that a ``StoreThread`` calls."""
+    """The functions through which a ``StoreThread`` calls its host."""
 
     clock: Callable[[], float]
-    """Returns steady milliseconds; called on both threads."""
+    """Returns the time of a monotonic clock in ms; called on both threads."""
     wake: Callable[[], object]
     """Called on the store's thread when ``run_callbacks`` has work to do."""
     on_opened: Callable[[LoadResult], object]
     """Receives the result of an opening, on the host's thread.
 
-    Called after the first opening in any case, and when the first opening exceeds the response timeout.
+    Always called after the first opening, and also when the first opening exceeds the response timeout.
     Called after a later opening only if the store is writable; the host then puts the values that the result
     lacks.
     """
--- a/cedarthread/persistence/synchronous_store.py
+++ b/cedarthread/persistence/synchronous_store.py
@@ -1,4 +1,4 @@
-"""A store on the caller's thread, for tools and tests, which may wait for a disk."""
+"""A store that runs on the caller's thread, for tools and tests, which may block on the disk."""
 
 from __future__ import annotations
 
