--- a/tests/contracts/store_fixtures.py
+++ b/tests/contracts/store_fixtures.py
@@ -1,6 +1,6 @@
 """Stores on fake hosts and recording disks, for the tests of the store's contract and of its parts.
 
-A new backend joins the contract's tests by a line in ``BACKENDS``, a new kind of store by one in ``HOSTS``.
+To run the contract's tests on a new backend, add it to ``BACKENDS``; on a new kind of store, to ``HOSTS``.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class HostedStoreThread(StoreThread):
-    """A store thread with a fake host of its own, on which writes are not gathered."""
+    """A store thread with its own fake host and without a group commit delay."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
 
 
 class Mark(NamedTuple):
-    """A record among the disk's operations: the start or the acknowledgement of the write of this number."""
+    """A mark among the disk's operations: the write with this number was started or acknowledged."""
 
     event: str
     number: int
@@ -163,7 +163,7 @@
         return [operation.mark for operation in self.disk.operations if operation.mark is not None]
 
     def recover(self, image: dict[str, bytes]) -> LoadResult:
-        """Return what a restart reads from files as a power cut left them.
+        """Return what a restart reads from the files that a power cut left.
 
         The files are read by a SQLite backend without faults, in another folder. The result is cached,
         because many power cuts leave the same files.
--- a/tests/contracts/store_rules.py
+++ b/tests/contracts/store_rules.py
@@ -1,8 +1,8 @@
 """The rules of the store's contract, each as a function of one store.
 
 The rules are functions rather than tests, so that injected defects can be checked against the same rules.
-They use their own record of writes and acknowledgements, replay power cuts from the operations that the disk
-recorded, and rely on no statement of the store about itself except its fault and its generation.
+They use their own record of writes and acknowledgements, and replay power cuts from the operations that the
+disk recorded. Of what the store reports about itself, they use only its fault and its generation.
 """
 
 from __future__ import annotations
@@ -124,7 +124,7 @@
 
 
 def end_fault(test: StoreUnderTest) -> None:
-    """Repair the disk, and let the store reopen."""
+    """Clear the disk's fault, and let the store reopen."""
     test.switch.fault = InjectedFault.NONE
     store = test.store
     if isinstance(store, SynchronousStore):
@@ -270,7 +270,7 @@
 
 
 def rule_an_unresponsive_disk_does_not_block_the_host(test: StoreUnderTest) -> None:
-    """Check that during an endless sync no write is acknowledged, and the host is notified and can close."""
+    """Check that while a sync hangs no write is acknowledged, and the host is notified and can close."""
     test.store.close()
     store = opened_thread(SqliteBackend(test.folder, vfs=test.vfs), close_timeout_ms=20.0)
     test.store = store
--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -106,7 +106,7 @@
     rule(StoreUnderTest(tmp_path, backend, host))
 
 
-# Injected defects: each breaks one part of the implementation, and the named rule finds the defect.
+# Each injected defect breaks one part of the implementation, and the named rule must detect it.
 
 
 class Patch(NamedTuple):
@@ -118,7 +118,7 @@
 
 
 class InjectedDefect(NamedTuple):
-    """The patches that cause a defect, and the rule that finds it."""
+    """The patches that cause a defect, and the rule that detects it."""
 
     rule: Rule
     patches: tuple[Patch, ...]
--- a/tests/simulation/test_persistence_restarts.py
+++ b/tests/simulation/test_persistence_restarts.py
@@ -149,7 +149,7 @@
 def test_the_used_part_of_an_exception_budget_is_not_granted_again(
     is_complete: bool, opened_after_ms: float
 ) -> None:
-    """A complete disk has the used part; with a corrupted disk the router loses its reserved amount."""
+    """A complete disk records the used part; with a corrupted disk the router loses its reserved amount."""
     fleet = settled_fleet()
     fleet.run(560_000.0)  # inside the window
     fleet.call_from_all(0)
--- a/tests/unit/persistence/test_faulty_disk.py
+++ b/tests/unit/persistence/test_faulty_disk.py
@@ -1,4 +1,4 @@
-"""The faulty disk: faults that another process switches, and damage that the next start detects."""
+"""The faulty disk: faults set by another process, and corruption that the next start detects."""
 
 from __future__ import annotations
 
