--- a/cedarthread/persistence/faulty_disk.py
+++ b/cedarthread/persistence/faulty_disk.py
@@ -88,7 +88,7 @@
     def xOpen(self, name: str | apsw.URIFilename | None, flags: list[int]) -> apsw.VFSFile:
         """Open a file and read its content into the page cache."""
         if self.is_fault_active(InjectedFault.FOLDER_MISSING):
-            raise apsw.CantOpenError("the folder can't be reached")
+            raise apsw.CantOpenError("injected fault: the database folder is missing")
         path = str(name.filename() if isinstance(name, apsw.URIFilename) else name)
         if flags[0] & apsw.SQLITE_OPEN_MAIN_DB and path not in self.cached_files:
             self._swap_earlier_content(Path(path))
@@ -157,7 +157,7 @@
         """Write into the page cache."""
         self._check_writable()
         if self.disk.is_fault_active(InjectedFault.DISK_FULL):
-            raise apsw.FullError("no space left")
+            raise apsw.FullError("injected fault: no space left on the disk")
         if self.disk.is_fault_active(InjectedFault.EIO_WRITE):
             raise _io_error(apsw.SQLITE_IOERR_WRITE)
         self._apply(DiskOperation(self.path, offset, bytes(data)))
@@ -169,7 +169,7 @@
 
     def _check_writable(self) -> None:
         if self.disk.is_fault_active(InjectedFault.READ_ONLY):
-            raise apsw.ReadOnlyError("read-only")
+            raise apsw.ReadOnlyError("injected fault: the file system is read-only")
         if self.disk.is_fault_active(InjectedFault.FOLDER_MISSING):
             raise _io_error(apsw.SQLITE_IOERR)
 
@@ -221,7 +221,7 @@
 
 
 def _io_error(extended_result: int) -> apsw.IOError:
-    error: Any = apsw.IOError("input or output failed")
+    error: Any = apsw.IOError("injected fault: I/O error")
     error.extendedresult = extended_result
     return cast("apsw.IOError", error)
 
--- a/cedarthread/persistence/sqlite_database.py
+++ b/cedarthread/persistence/sqlite_database.py
@@ -105,16 +105,18 @@
         heads = self.execute(_SELECT_HEAD)
         rows = checksums.verify_rows(self.execute(_SELECT_ROWS))
         if rows.rejected_count:
-            raise DatabaseCorruptedError(f"{self.path}: {rows.rejected_count} rows have wrong checksums")
+            raise DatabaseCorruptedError(
+                f"{self.path}: {rows.rejected_count} rows have invalid values, checksums or duplicate keys"
+            )
         if len(heads) != 1:
-            raise DatabaseCorruptedError(f"{self.path}: {len(heads)} heads")
+            raise DatabaseCorruptedError(f"{self.path}: {len(heads)} rows in table head, expected 1")
         head = checksums.verify_head(heads[0])
         if head is None:
-            raise DatabaseCorruptedError(f"{self.path}: the head has a wrong checksum")
+            raise DatabaseCorruptedError(f"{self.path}: invalid values or checksum in table head")
         if head.total != checksums.total_checksum(rows.row_checksums.values()):
-            raise DatabaseCorruptedError(f"{self.path}: rows are missing or of an earlier commit")
+            raise DatabaseCorruptedError(f"{self.path}: rows are missing or belong to an earlier commit")
         if head.generation < rows.max_generation:
-            raise DatabaseCorruptedError(f"{self.path}: a row is newer than the head")
+            raise DatabaseCorruptedError(f"{self.path}: a row has a higher generation than the head")
         return StoreContents(rows.values, rows.row_checksums, head.generation)
 
     def salvage(self) -> SalvagedRows:
--- a/cedarthread/persistence/sqlite_store.py
+++ b/cedarthread/persistence/sqlite_store.py
@@ -156,7 +156,9 @@
             contents.row_checksums.update(self._row_checksums)
         database.write(contents, writes, clear=above_generation is not None)
         if not database.is_in_place():
-            raise FileNotFoundError(errno.ENOENT, "no longer in its folder", str(database.path))
+            raise FileNotFoundError(
+                errno.ENOENT, "the open database file is no longer at its path", str(database.path)
+            )
         self._adopt(contents)
 
     def _disconnect(self) -> None:
--- a/cedarthread/persistence/state_persister.py
+++ b/cedarthread/persistence/state_persister.py
@@ -225,7 +225,7 @@
         if write.kind is WriteKind.ESCROW and self.escrow is not None:
             self.escrow.mark_write_failed()
         if not self.is_degraded:
-            self._log(format_event("store_degraded", fault=fault.value, effect="changes are not kept"))
+            self._log(format_event("store_degraded", fault=fault.value, effect="changes are not persisted"))
             self._enter_degraded_mode(now_ms)
 
     def _on_write_succeeded(self, now_ms: float, write: PendingWrite, generation: int) -> None:
--- a/cedarthread/persistence/store_thread.py
+++ b/cedarthread/persistence/store_thread.py
@@ -148,7 +148,9 @@
         )
         if sync_mode == "none":
             host.log(
-                format_event("store_sync_disabled", warning="acknowledged writes MAY BE LOST at a power cut")
+                format_event(
+                    "store_sync_disabled", warning="acknowledged writes may be lost on power failure"
+                )
             )
         self._worker.start()
 
--- a/tests/unit/persistence/test_store_thread.py
+++ b/tests/unit/persistence/test_store_thread.py
@@ -50,7 +50,7 @@
         self.commits.append(list(writes))
         self._wait_if_gated("commit")
         if self.raises:
-            raise RuntimeError("a defect of the backend")
+            raise RuntimeError("injected backend exception")
         return super().commit(writes, above_generation)
 
 
@@ -166,5 +166,5 @@
 
 def test_writing_without_sync_is_logged_as_a_risk() -> None:
     store = opened_thread(MemoryBackend(), sync_mode="none")
-    assert any("MAY BE LOST" in line for line in store.fake_host.lines)
+    assert any("acknowledged writes may be lost" in line for line in store.fake_host.lines)
     store.close()
