--- a/tests/contracts/store_fixtures.py
+++ b/tests/contracts/store_fixtures.py
@@ -74,7 +74,9 @@
     store.run_callbacks()
     while not is_reached():
         if not isinstance(store, HostedStoreThread):
-            raise TypeError("a synchronous store completes writes at once, so that waiting is useless")
+            raise TypeError(
+                "a synchronous store completes writes immediately, so that the condition cannot become true"
+            )
         store.fake_host.wakes.get(timeout=TEST_TIMEOUT_S)
         store.run_callbacks()
 
@@ -145,7 +147,7 @@
         self.disk.add_mark(Mark(STARTED, number))
 
         def on_completed(fault: StoreFault | None) -> None:
-            assert number not in self.results, "a callback runs once"
+            assert number not in self.results, "the callback of a write ran twice"
             self.results[number] = fault
             if fault is None:
                 self.disk.add_mark(Mark(ACKNOWLEDGED, number))
--- a/tests/contracts/store_rules.py
+++ b/tests/contracts/store_rules.py
@@ -49,7 +49,9 @@
     allowed = allowed_values(writes, marks)
     assert set(load_result.values) <= set(allowed), "a key that was never written"
     for key, values in allowed.items():
-        assert load_result.values.get(key) in values, f"{key}: neither acknowledged nor later"
+        assert load_result.values.get(key) in values, (
+            f"{key}: value is neither the last acknowledged one nor a later one"
+        )
 
 
 def check_power_cuts(test: StoreUnderTest, since: int = 0) -> int:
@@ -64,10 +66,10 @@
             if number < since:
                 continue
             load_result = test.recover(image)
-            assert load_result.fault is None, "a power cut on a disk without faults causes no fault"
+            assert load_result.fault is None, "a power cut on a disk without faults must cause no fault"
             check_content(test.writes, marks, load_result)
             acknowledged = sum(isinstance(mark, Mark) and mark.event == ACKNOWLEDGED for mark in marks)
-            assert load_result.generation >= max(acknowledged, min_generation), "it only increases"
+            assert load_result.generation >= max(acknowledged, min_generation), "the generation decreased"
             min_generation = load_result.generation if model in exact_models else 0
             replayed += 1
     return replayed
@@ -131,7 +133,7 @@
         store.reopen()
         return
     if not isinstance(store, HostedStoreThread):
-        raise TypeError(f"no host for a {type(store).__name__}")
+        raise TypeError(f"unsupported type of store: {type(store).__name__}")
     host = store.fake_host
     host.now_ms += GIVEN_UP_PAUSE_MS
     count = len(host.openings)
@@ -220,7 +222,7 @@
         if load_result.fault is None:
             check_content(test.writes, test.marks(), load_result)
         for write in load_result.values.items():
-            assert write in test.writes, "a value that was never written must not be returned"
+            assert write in test.writes, "a value that was never written"
         assert load_result.is_writable, "the valid rows stay usable"
     assert reported > flip_count // 4
 
@@ -279,14 +281,14 @@
     test.start_write("key 1", b"in the endless sync")
     assert test.has_sync_started.wait(TEST_TIMEOUT_S)
     store.run_callbacks()
-    assert not test.results, "no callback runs before the commit"
+    assert not test.results, "a callback ran before the commit"
     host.now_ms += RESPONSE_TIMEOUT_MS
     store.run_callbacks()
     assert test.results == {0: StoreFault.UNRESPONSIVE}
     assert store.fault is StoreFault.UNRESPONSIVE
     assert test.write("key 2", b"pending") is StoreFault.UNRESPONSIVE
     store.close()
-    assert store._worker.thread.is_alive(), "closing did not wait for the disk"
+    assert store._worker.thread.is_alive(), "close waited for the disk"
     assert sum("no answer" in line for line in host.lines) == 1
     test.may_sync_end.set()
     store._worker.thread.join(TEST_TIMEOUT_S)
