--- a/cedarthread/persistence/database_folder.py
+++ b/cedarthread/persistence/database_folder.py
@@ -59,8 +59,8 @@
         case apsw.BusyError() | apsw.LockedError() | OSError(errno=errno.EAGAIN):
             return StoreFault.LOCKED
         case apsw.CantOpenError():
-            is_sealed = folder.is_dir() and not os.access(folder, os.W_OK)
-            return StoreFault.READ_ONLY if is_sealed else StoreFault.FOLDER_MISSING
+            is_folder_read_only = folder.is_dir() and not os.access(folder, os.W_OK)
+            return StoreFault.READ_ONLY if is_folder_read_only else StoreFault.FOLDER_MISSING
         case OSError(errno=errno.ENOENT | errno.ENOTDIR | errno.ESTALE):
             return StoreFault.FOLDER_MISSING
         case OSError(errno=errno.EROFS):
@@ -81,7 +81,7 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._handle: int | None = None  # descriptor of the folder, open and locked
+        self._locked_descriptor: int | None = None  # of the open and locked folder
 
     def acquire_lock(self) -> None:
         """Lock the folder. If another folder has replaced the locked one at the same path, lock that one.
@@ -89,29 +89,29 @@
         Raises:
             OSError: another process has locked the folder, or the folder cannot be opened.
         """
-        if self._handle is not None:
-            if device_and_inode(self.path) == device_and_inode(self._handle):
+        if self._locked_descriptor is not None:
+            if device_and_inode(self.path) == device_and_inode(self._locked_descriptor):
                 return
-            os.close(self._handle)
-            self._handle = None
-        handle = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
+            os.close(self._locked_descriptor)
+            self._locked_descriptor = None
+        descriptor = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(handle)
+            os.close(descriptor)
             raise
-        self._handle = handle
+        self._locked_descriptor = descriptor
 
     def release_lock(self) -> None:
         """Release the lock, so that another process can open the store."""
-        if self._handle is not None:
-            os.close(self._handle)
-            self._handle = None
+        if self._locked_descriptor is not None:
+            os.close(self._locked_descriptor)
+            self._locked_descriptor = None
 
     def sync(self) -> None:
         """Sync the folder, so that the names of new files are durable."""
-        if self._handle is not None:
-            os.fsync(self._handle)
+        if self._locked_descriptor is not None:
+            os.fsync(self._locked_descriptor)
 
     def database_file(self, number: int) -> Path:
         """Return the path of the database file with this number."""
--- a/cedarthread/persistence/faulty_disk.py
+++ b/cedarthread/persistence/faulty_disk.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-VFS_NAME = "lying"
+VFS_NAME = "faulty"
 """Name under which ``install`` registers the VFS with SQLite."""
 BASE_VFS = "unix"
 """Name of SQLite's own VFS, to which the faulty VFS delegates."""
@@ -91,10 +91,10 @@
             raise apsw.CantOpenError("injected fault: the database folder is missing")
         path = str(name.filename() if isinstance(name, apsw.URIFilename) else name)
         if flags[0] & apsw.SQLITE_OPEN_MAIN_DB and path not in self.cached_files:
-            self._swap_earlier_content(Path(path))
+            self._save_or_restore_content(Path(path))
         return _FaultyFile(self, name, path, flags)
 
-    def _swap_earlier_content(self, path: Path) -> None:
+    def _save_or_restore_content(self, path: Path) -> None:
         """Copy a file for later openings, or restore its earlier copy if STALE_CONTENT is active."""
         earlier = path.with_name(path.name + EARLIER_CONTENT_SUFFIX)
         if not self.is_fault_active(InjectedFault.STALE_CONTENT):
--- a/cedarthread/persistence/power_cut.py
+++ b/cedarthread/persistence/power_cut.py
@@ -11,7 +11,7 @@
 
 SECTOR_BYTES = 512
 """Size in bytes of the unit that a disk writes atomically."""
-SECTOR_SURVIVAL = 0.5
+SECTOR_WRITTEN_PROBABILITY = 0.5
 """Probability that a sector of a torn write is on the disk."""
 
 
@@ -65,7 +65,7 @@
         choice = rng.randrange(4)
         if choice == 0 and operation.data:
             for start in range(0, len(operation.data), SECTOR_BYTES):
-                if rng.random() < SECTOR_SURVIVAL:
+                if rng.random() < SECTOR_WRITTEN_PROBABILITY:
                     sector = operation.data[start : start + SECTOR_BYTES]
                     yield DiskOperation(operation.path, operation.offset + start, sector)
         elif choice != 1:
--- a/cedarthread/persistence/reopen_policy.py
+++ b/cedarthread/persistence/reopen_policy.py
@@ -70,7 +70,7 @@
             self.faulted_since_ms = now_ms
         if self.state is StoreState.REOPENING:
             self.failed_attempts += 1
-        is_another_fault = fault is not self.fault
+        has_fault_changed = fault is not self.fault
         self.fault = fault
         if self.failed_attempts >= MAX_ATTEMPTS:
             self.state = StoreState.GIVEN_UP
@@ -85,7 +85,7 @@
         backoff_ms = min(INITIAL_BACKOFF_MS * 2.0**self.failed_attempts, MAX_BACKOFF_MS)
         self.state = StoreState.FAULTED
         self.next_attempt_at_ms = now_ms + backoff_ms * self.rng.uniform(*BACKOFF_JITTER)
-        return format_event("store_fault", fault=fault.value) if is_another_fault else None
+        return format_event("store_fault", fault=fault.value) if has_fault_changed else None
 
     def on_timeout(self, now_ms: float) -> str | None:
         """Handle a response timeout: enter SLOW, unless the store already has a fault.
--- a/cedarthread/persistence/sqlite_store.py
+++ b/cedarthread/persistence/sqlite_store.py
@@ -92,7 +92,7 @@
         if not is_writable:
             self._disconnect()
             return LoadResult(contents.values, contents.generation, StoreFault.READ_ONLY)
-        self._adopt(contents)
+        self._set_acknowledged(contents)
         if contents.generation:
             self._folder.delete_databases_except(number)
         return LoadResult(dict(contents.values), contents.generation)
@@ -103,7 +103,7 @@
         self._database.configure(self.sync_mode)
         return self._database
 
-    def _adopt(self, contents: StoreContents) -> None:
+    def _set_acknowledged(self, contents: StoreContents) -> None:
         """Replace the copy of the acknowledged content."""
         self._acknowledged = contents.values
         self._row_checksums = contents.row_checksums
@@ -159,7 +159,7 @@
             raise FileNotFoundError(
                 errno.ENOENT, "the open database file is no longer at its path", str(database.path)
             )
-        self._adopt(contents)
+        self._set_acknowledged(contents)
 
     def _disconnect(self) -> None:
         database = self._database
--- a/cedarthread/persistence/state_persister.py
+++ b/cedarthread/persistence/state_persister.py
@@ -92,7 +92,7 @@
         self.image = RecoveredImage()
         self.queued_writes: list[PendingWrite] = []
         self.last_snapshot_at_ms = now_ms
-        self.was_voter = False  # whether the router was a voter in the last incarnation record written
+        self.last_recorded_is_voter = False  # is_voter of the last incarnation record written
         self.reset_above_generation: int | None = None  # set to request a reset; the host clears it
         self.log_messages: list[OutboundMessage] = []
         replicated_store.set_durable(is_durable=True)
@@ -177,9 +177,9 @@
 
     def _queue_incarnation(self) -> None:
         is_voter = self.replicated_store.is_voter
-        if is_voter is self.was_voter:
+        if is_voter is self.last_recorded_is_voter:
             return
-        self.was_voter = is_voter
+        self.last_recorded_is_voter = is_voter
         incarnation = RouterIncarnation(
             router_index=self.replicated_store.router_index,
             process_incarnation=self.replicated_store.incarnation,
@@ -254,7 +254,7 @@
         if not (self.is_degraded and load_result.is_writable):
             return
         self.is_degraded = False
-        self.was_voter = False
+        self.last_recorded_is_voter = False
         self.reset_above_generation = self.replicated_store.store_generation
         self._log(format_event("store_rewritten", above_generation=self.reset_above_generation))
         for entry in self.replicated_store.snapshot():
--- a/cedarthread/persistence/store_thread.py
+++ b/cedarthread/persistence/store_thread.py
@@ -186,7 +186,7 @@
             if not is_queued:
                 fault = StoreFault.UNRESPONSIVE
         if fault is not None:
-            _call_back([] if callback is None else [callback], fault)
+            _invoke_callbacks([] if callback is None else [callback], fault)
             self._rejected += 1
 
     def reset(self, above_generation: int, callback: WriteCallback | None = None) -> None:
@@ -252,10 +252,10 @@
             self.generation = completion.generation
             self._acknowledged += len(batch.values)
             self._log_line(self.policy.on_write_succeeded(self._host.clock()))
-            _call_back(batch.callbacks, None)
+            _invoke_callbacks(batch.callbacks, None)
         else:
             self._log_line(self.policy.on_failure(self._host.clock(), fault))
-            _call_back(batch.callbacks, fault)
+            _invoke_callbacks(batch.callbacks, fault)
             self._fail_pending(fault)
 
     def _on_response_timeout(self, now_ms: float) -> None:
@@ -272,14 +272,14 @@
 
     def _reject(self, callbacks: list[WriteCallback], fault: StoreFault) -> None:
         self._rejected += len(callbacks)
-        _call_back(callbacks, fault)
+        _invoke_callbacks(callbacks, fault)
 
     def _log_line(self, line: str | None) -> None:
         if line is not None:
             self._host.log(line)
 
 
-def _call_back(callbacks: list[WriteCallback], fault: StoreFault | None) -> None:
+def _invoke_callbacks(callbacks: list[WriteCallback], fault: StoreFault | None) -> None:
     for callback in callbacks:
         callback(fault)
 
