--- a/tests/contracts/store_fixtures.py
+++ b/tests/contracts/store_fixtures.py
@@ -81,7 +81,7 @@
         store.run_callbacks()
 
 
-def opened_thread(
+def open_store_thread(
     backend: StorageBackend, *, sync_mode: SyncMode = "group", close_timeout_ms: float = CLOSE_TIMEOUT_MS
 ) -> HostedStoreThread:
     """Return a store thread after its first opening."""
@@ -193,6 +193,6 @@
 }
 HOSTS: dict[str, Callable[[StoreUnderTest], Store]] = {
     "synchronous": lambda test: SynchronousStore(test.make_backend(test)),
-    "thread": lambda test: opened_thread(test.make_backend(test)),
-    "thread, each": lambda test: opened_thread(test.make_backend(test), sync_mode="each"),
+    "thread": lambda test: open_store_thread(test.make_backend(test)),
+    "thread, each": lambda test: open_store_thread(test.make_backend(test), sync_mode="each"),
 }
--- a/tests/contracts/store_rules.py
+++ b/tests/contracts/store_rules.py
@@ -24,7 +24,7 @@
     TEST_TIMEOUT_S,
     HostedStoreThread,
     Mark,
-    opened_thread,
+    open_store_thread,
     wait_until,
 )
 
@@ -56,7 +56,7 @@
 
 def check_power_cuts(test: StoreUnderTest, since: int = 0) -> int:
     """Check the content after a power cut at each operation from ``since`` on; return the number of cuts."""
-    replayed = 0
+    cut_count = 0
     exact_models = (power_cut.lose_unsynced, power_cut.keep_unsynced)
     torn_models = (power_cut.tear_unsynced(random.Random(seed)) for seed in range(5))
     for model in (*exact_models, *torn_models):
@@ -69,10 +69,10 @@
             assert load_result.fault is None, "a power cut on a disk without faults must cause no fault"
             check_content(test.writes, marks, load_result)
             acknowledged = sum(isinstance(mark, Mark) and mark.event == ACKNOWLEDGED for mark in marks)
-            assert load_result.generation >= max(acknowledged, min_generation), "the generation decreased"
+            assert load_result.generation >= max(acknowledged, min_generation), "the generation is too low"
             min_generation = load_result.generation if model in exact_models else 0
-            replayed += 1
-    return replayed
+            cut_count += 1
+    return cut_count
 
 
 def run_workload(test: StoreUnderTest, write_count: int, seed: int = 3) -> None:
@@ -125,7 +125,7 @@
     assert check_power_cuts(test) > 400
 
 
-def end_fault(test: StoreUnderTest) -> None:
+def clear_fault_and_reopen(test: StoreUnderTest) -> None:
     """Clear the disk's fault, and let the store reopen."""
     test.switch.fault = InjectedFault.NONE
     store = test.store
@@ -172,7 +172,7 @@
     assert test.store.fault is case.reported
     assert test.store.generation == generation
     since = len(test.disk.operations)
-    end_fault(test)
+    clear_fault_and_reopen(test)
     assert test.store.fault is None
     assert test.write("key 0", b"after") is None
     check_power_cuts(test, since)
@@ -191,7 +191,7 @@
         assert test.store.fault is StoreFault.FOLDER_MISSING
     assert not test.folder.exists(), "the store must not create the mount point of a missing volume"
     test.folder.mkdir()
-    end_fault(test)
+    clear_fault_and_reopen(test)
     assert test.write("key 9", b"after") is None
     check_content(test.writes, test.marks(), test.restart())
 
@@ -253,7 +253,7 @@
     if injected is InjectedFault.UNSYNCED:
         test.switch.fault = injected
     run_workload(test, 4, seed=8)
-    remembered = test.store.generation
+    peer_generation = test.store.generation
     test.store.close()
     if injected is InjectedFault.UNSYNCED:
         test.disk.cached_files.clear()  # a power cut: the unsynced writes in the page cache are lost
@@ -262,19 +262,19 @@
     load_result = test.open().load()
     test.switch.fault = InjectedFault.NONE
     assert load_result.fault is None and load_result.values, "the disk alone does not show the content stale"
-    assert recovered_image.assess_content(load_result, [3, remembered]) is ContentVerdict.REJECTED
+    assert recovered_image.assess_content(load_result, [3, peer_generation]) is ContentVerdict.REJECTED
     results: list[StoreFault | None] = []
-    test.store.reset(remembered, results.append)
+    test.store.reset(peer_generation, results.append)
     wait_until(test.store, lambda: bool(results))
     load_result = test.restart()
     assert not load_result.values
-    assert recovered_image.assess_content(load_result, [remembered]) is ContentVerdict.TRUSTED
+    assert recovered_image.assess_content(load_result, [peer_generation]) is ContentVerdict.TRUSTED
 
 
 def rule_an_unresponsive_disk_does_not_block_the_host(test: StoreUnderTest) -> None:
     """Check that while a sync hangs no write is acknowledged, and the host is notified and can close."""
     test.store.close()
-    store = opened_thread(SqliteBackend(test.folder, vfs=test.vfs), close_timeout_ms=20.0)
+    store = open_store_thread(SqliteBackend(test.folder, vfs=test.vfs), close_timeout_ms=20.0)
     test.store = store
     host = store.fake_host
     test.switch.fault = InjectedFault.SLOW_SYNC
--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -173,7 +173,7 @@
         rule_a_power_cut_at_any_operation_loses_no_acknowledged_write,
         (Patch(SqliteBackend, "__init__", init_without_sync),),
     ),
-    "trusts what the system reads of a file after its sync failed": InjectedDefect(
+    "reads a file again after its sync failed": InjectedDefect(
         partial(
             rule_after_a_fault_no_write_is_acknowledged_and_no_acknowledged_write_is_lost,
             case=FaultCase(InjectedFault.EIO_SYNC, 3.0, StoreFault.IO_ERROR),
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize("name", INJECTED_DEFECTS)
-def test_a_rule_finds_each_injected_defect(
+def test_a_rule_detects_each_injected_defect(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str
 ) -> None:
     defect = INJECTED_DEFECTS[name]
--- a/tests/unit/persistence/test_faulty_disk.py
+++ b/tests/unit/persistence/test_faulty_disk.py
@@ -75,12 +75,12 @@
 @pytest.mark.parametrize(
     ("fault", "parameter"), [(InjectedFault.TORN_WRITE, 0.0), (InjectedFault.BIT_FLIP, 1.0)]
 )
-def test_a_write_that_the_disk_damaged_is_detected_at_the_next_start(
+def test_a_write_that_the_disk_corrupted_is_detected_at_the_next_start(
     tmp_path: Path, fault: InjectedFault, parameter: float
 ) -> None:
     switch = ManualSwitch()
     rng = random.Random(2)
-    vfs = f"damage{fault}"
+    vfs = f"corrupting{fault}"
     disk = FaultyDisk(vfs, switch, 5, lambda ms: None)
     backend = SqliteBackend(tmp_path, vfs=vfs)
     backend.open()
--- a/tests/unit/persistence/test_reopen_policy.py
+++ b/tests/unit/persistence/test_reopen_policy.py
@@ -36,7 +36,7 @@
     return attempts
 
 
-def test_attempts_back_off_are_bounded_and_logged_once() -> None:
+def test_attempts_back_off_and_are_bounded_and_logged_once() -> None:
     policy = ReopenPolicy(seed=4)
     assert policy.on_opened(0.0) is None and policy.state is StoreState.HEALTHY
     line = policy.on_failure(0.0, StoreFault.IO_ERROR)
@@ -58,7 +58,7 @@
     assert line is not None and line.startswith("store_recovered ") and policy.fault is None
 
 
-def test_routers_on_one_disk_do_not_reopen_at_once() -> None:
+def test_routers_on_one_disk_do_not_reopen_at_the_same_time() -> None:
     policies = [ReopenPolicy(seed) for seed in range(10)]
     for policy in policies:
         policy.on_failure(0.0, StoreFault.IO_ERROR)
--- a/tests/unit/persistence/test_store_thread.py
+++ b/tests/unit/persistence/test_store_thread.py
@@ -10,7 +10,7 @@
 from cedarthread.persistence.reopen_policy import MAX_BACKOFF_MS
 from cedarthread.persistence.store import KeyValueWrite, LoadResult, StoreFault
 from cedarthread.persistence.store_thread import RESPONSE_TIMEOUT_MS
-from tests.contracts.store_fixtures import TEST_TIMEOUT_S, HostedStoreThread, opened_thread, wait_until
+from tests.contracts.store_fixtures import TEST_TIMEOUT_S, HostedStoreThread, open_store_thread, wait_until
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -20,44 +20,44 @@
 Results = list[StoreFault | None]
 
 
-class GatedBackend(MemoryBackend):
+class BlockingBackend(MemoryBackend):
     """A memory backend that blocks in one method until the test releases it.
 
     Args:
-        gated: name of the method that blocks.
+        blocking_method: the name of that method.
     """
 
-    def __init__(self, gated: str = "commit") -> None:
+    def __init__(self, blocking_method: str = "commit") -> None:
         super().__init__()
-        self.gated = gated
+        self.blocking_method = blocking_method
         self.entered = threading.Semaphore(0)
         self.released = threading.Semaphore(0)
         self.commits: list[list[KeyValueWrite]] = []
         self.raises = False
 
-    def _wait_if_gated(self, method: str) -> None:
-        if method == self.gated:
+    def _wait_if_blocking(self, method: str) -> None:
+        if method == self.blocking_method:
             self.entered.release()
             assert self.released.acquire(timeout=TEST_TIMEOUT_S)
 
     def open(self) -> LoadResult:
-        self._wait_if_gated("open")
+        self._wait_if_blocking("open")
         return super().open()
 
     def commit(
         self, writes: Sequence[KeyValueWrite], above_generation: int | None = None
     ) -> StoreFault | None:
         self.commits.append(list(writes))
-        self._wait_if_gated("commit")
+        self._wait_if_blocking("commit")
         if self.raises:
             raise RuntimeError("injected backend exception")
         return super().commit(writes, above_generation)
 
 
 def test_pending_writes_share_a_commit_and_a_newer_one_replaces_an_older() -> None:
-    backend = GatedBackend()
+    backend = BlockingBackend()
     results: list[tuple[int, StoreFault | None]] = []
-    store = opened_thread(backend)
+    store = open_store_thread(backend)
 
     def write(number: int, key: str) -> None:
         store.put(key, b"%d" % number, lambda fault: results.append((number, fault)))
@@ -77,7 +77,7 @@
 
 
 def test_with_sync_each_every_key_has_a_commit() -> None:
-    backend = GatedBackend(gated="open")
+    backend = BlockingBackend(blocking_method="open")
     results = Results()
     store = HostedStoreThread(backend, sync_mode="each")
     for number in range(3):
@@ -91,7 +91,7 @@
 def test_a_full_queue_rejects_writes_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(write_queue, "MAX_PENDING_WRITES", 3)
     monkeypatch.setattr(write_queue, "MAX_PENDING_BYTES", 100)
-    backend = GatedBackend(gated="open")
+    backend = BlockingBackend(blocking_method="open")
     results = Results()
     store = HostedStoreThread(backend)
     store.put("large", bytes(200), results.append)
@@ -106,7 +106,7 @@
 
 
 def test_the_first_opening_of_an_unresponsive_disk_does_not_block_the_host() -> None:
-    backend = GatedBackend(gated="open")
+    backend = BlockingBackend(blocking_method="open")
     results = Results()
     backend.commit([("earlier", b"before")])
     store = HostedStoreThread(backend)
@@ -132,9 +132,9 @@
 
 
 def test_an_exception_of_the_backend_is_a_fault_and_does_not_end_the_thread() -> None:
-    backend = GatedBackend(gated="no method")
+    backend = BlockingBackend(blocking_method="no method")
     results = Results()
-    store = opened_thread(backend)
+    store = open_store_thread(backend)
     backend.raises = True
     store.put("a", b"1", results.append)
     wait_until(store, lambda: bool(results))
@@ -149,10 +149,10 @@
     assert results[2] is StoreFault.UNRESPONSIVE, "the store is closed"
 
 
-def test_writes_behind_a_failed_commit_fail_with_its_fault() -> None:
-    backend = GatedBackend()
+def test_writes_queued_behind_a_failed_commit_fail_with_its_fault() -> None:
+    backend = BlockingBackend()
     results = Results()
-    store = opened_thread(backend)
+    store = open_store_thread(backend)
     store.put("a", b"1", results.append)
     assert backend.entered.acquire(timeout=TEST_TIMEOUT_S)
     backend.raises = True
@@ -165,6 +165,6 @@
 
 
 def test_writing_without_sync_is_logged_as_a_risk() -> None:
-    store = opened_thread(MemoryBackend(), sync_mode="none")
+    store = open_store_thread(MemoryBackend(), sync_mode="none")
     assert any("acknowledged writes may be lost" in line for line in store.fake_host.lines)
     store.close()
