--- a/cedarthread/persistence/faulty_disk.py
+++ b/cedarthread/persistence/faulty_disk.py
@@ -1,8 +1,8 @@
-"""A faulty disk beneath SQLite, as a VFS of apsw. Only tests and drills load this module.
+"""A faulty disk for SQLite, implemented as an apsw VFS. Only tests and drills load this module.
 
-The real files represent the disk. Unsynced writes are in memory, in a simulated page cache, which reads use.
-Killing the process therefore acts as a power cut: unsynced writes are lost. The active fault is read from a
-switch (``fault_switch.py``).
+The real files hold what has reached the disk. A simulated page cache in memory serves all reads and holds
+the unsynced writes. Killing the process therefore has the effect of a power cut: unsynced writes are lost.
+The active fault is read from a switch (``fault_switch.py``).
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-VFS_NAME = "lying"
+VFS_NAME = "faulty"
 """Name under which ``install`` registers the VFS with SQLite."""
 BASE_VFS = "unix"
-"""Name of SQLite's own VFS, to which the faulty one writes."""
+"""Name of SQLite's own VFS, to which the faulty VFS delegates."""
 EARLIER_CONTENT_SUFFIX = ".then"
-"""Suffix of the copy that has a file's content at an earlier opening."""
+"""Suffix of the copy of a file as it was at an earlier opening."""
 WAIT_POLL_S = 0.25
 """Interval in seconds at which a slow sync checks whether the fault is still active."""
 
@@ -82,19 +82,19 @@
             self.operations.append(operation)
 
     def add_mark(self, mark: object) -> None:
-        """Append a test's mark to ``operations``."""
+        """Append a mark to ``operations``, by which a test records its progress."""
         self.operations.append(DiskOperation("", mark=mark))
 
     def xOpen(self, name: str | apsw.URIFilename | None, flags: list[int]) -> apsw.VFSFile:
         """Open a file and read its content into the page cache."""
         if self.is_fault_active(InjectedFault.FOLDER_MISSING):
-            raise apsw.CantOpenError("the folder can't be reached")
+            raise apsw.CantOpenError("injected fault: the database folder is missing")
         path = str(name.filename() if isinstance(name, apsw.URIFilename) else name)
         if flags[0] & apsw.SQLITE_OPEN_MAIN_DB and path not in self.cached_files:
-            self._swap_earlier_content(Path(path))
+            self._save_or_restore_content(Path(path))
         return _FaultyFile(self, name, path, flags)
 
-    def _swap_earlier_content(self, path: Path) -> None:
+    def _save_or_restore_content(self, path: Path) -> None:
         """Copy a file for later openings, or restore its earlier copy if STALE_CONTENT is active."""
         earlier = path.with_name(path.name + EARLIER_CONTENT_SUFFIX)
         if not self.is_fault_active(InjectedFault.STALE_CONTENT):
@@ -143,7 +143,7 @@
         try:
             return bytes(self.cached.content) == Path(self.path).read_bytes()
         except OSError:
-            return True  # the folder was deleted, so that no content is left to compare
+            return True  # the folder was deleted, so that there is no content to compare
 
     def xRead(self, amount: int, offset: int) -> bytes:
         """Read from the page cache."""
@@ -157,19 +157,19 @@
         """Write into the page cache."""
         self._check_writable()
         if self.disk.is_fault_active(InjectedFault.DISK_FULL):
-            raise apsw.FullError("no space left")
+            raise apsw.FullError("injected fault: no space left on the disk")
         if self.disk.is_fault_active(InjectedFault.EIO_WRITE):
             raise _io_error(apsw.SQLITE_IOERR_WRITE)
         self._apply(DiskOperation(self.path, offset, bytes(data)))
 
     def xTruncate(self, newsize: int) -> None:
-        """Truncate in the page cache."""
+        """Truncate the file in the page cache."""
         self._check_writable()
         self._apply(DiskOperation(self.path, newsize))
 
     def _check_writable(self) -> None:
         if self.disk.is_fault_active(InjectedFault.READ_ONLY):
-            raise apsw.ReadOnlyError("read-only")
+            raise apsw.ReadOnlyError("injected fault: the file system is read-only")
         if self.disk.is_fault_active(InjectedFault.FOLDER_MISSING):
             raise _io_error(apsw.SQLITE_IOERR)
 
@@ -221,7 +221,7 @@
 
 
 def _io_error(extended_result: int) -> apsw.IOError:
-    error: Any = apsw.IOError("input or output failed")
+    error: Any = apsw.IOError("injected fault: I/O error")
     error.extendedresult = extended_result
     return cast("apsw.IOError", error)
 
@@ -238,7 +238,7 @@
 
 
 def install(control: Path, seed: int = 0) -> str:
-    """Put a faulty disk beneath each database of this process and return the name of the VFS.
+    """Register a faulty disk as the default VFS of this process and return the name of the VFS.
 
     Args:
         control: the control file of ``fault_switch.set_fault``, which is created if missing.
--- a/cedarthread/persistence/sqlite_database.py
+++ b/cedarthread/persistence/sqlite_database.py
@@ -1,8 +1,8 @@
-"""An open database file of a store: its pragmas, its tables, and how they are read, verified and written.
+"""An open database file of a store: its pragmas and tables, and reading, verifying and writing them.
 
 The file has one table of rows and one head. SQLite uses a rollback journal, because a flipped bit in a
-write-ahead log silently discards all later commits. With a rollback journal, content stays in its place in
-the file, so that checksums detect each corruption (docs/design/persistence.md).
+write-ahead log silently discards all later commits. With a rollback journal, committed content is in the
+database file itself, so that checksums detect each corruption (docs/design/persistence.md).
 """
 
 from __future__ import annotations
@@ -83,7 +83,7 @@
         return list(self._connection.execute(statement, bindings))
 
     def is_in_place(self) -> bool:
-        """Return whether the open file is still the one in its folder; otherwise, writes to it are lost."""
+        """Return whether the open file is still the one at its path; if it is not, writes to it are lost."""
         return database_folder.device_and_inode(self.path) == self._device_and_inode
 
     def roll_back_unfinished(self) -> bool:
@@ -105,16 +105,18 @@
         heads = self.execute(_SELECT_HEAD)
         rows = checksums.verify_rows(self.execute(_SELECT_ROWS))
         if rows.rejected_count:
-            raise DatabaseCorruptedError(f"{self.path}: {rows.rejected_count} rows have wrong checksums")
+            raise DatabaseCorruptedError(
+                f"{self.path}: {rows.rejected_count} rows have invalid values, checksums or duplicate keys"
+            )
         if len(heads) != 1:
-            raise DatabaseCorruptedError(f"{self.path}: {len(heads)} heads")
+            raise DatabaseCorruptedError(f"{self.path}: {len(heads)} rows in table head, expected 1")
         head = checksums.verify_head(heads[0])
         if head is None:
-            raise DatabaseCorruptedError(f"{self.path}: the head has a wrong checksum")
+            raise DatabaseCorruptedError(f"{self.path}: invalid values or checksum in table head")
         if head.total != checksums.total_checksum(rows.row_checksums.values()):
-            raise DatabaseCorruptedError(f"{self.path}: rows are missing or of an earlier commit")
+            raise DatabaseCorruptedError(f"{self.path}: rows are missing or belong to an earlier commit")
         if head.generation < rows.max_generation:
-            raise DatabaseCorruptedError(f"{self.path}: a row is newer than the head")
+            raise DatabaseCorruptedError(f"{self.path}: a row has a higher generation than the head")
         return StoreContents(rows.values, rows.row_checksums, head.generation)
 
     def salvage(self) -> SalvagedRows:
@@ -123,7 +125,7 @@
         generation = 0
         try:
             cursor = self._connection.execute(_SELECT_ROWS)
-            while (row := cursor.fetchone()) is not None:  # one by one, to salvage the rows before an error
+            while (row := cursor.fetchone()) is not None:  # one by one, to keep the rows read before an error
                 rows.append(row)
         except (apsw.Error, OSError) as error:
             if log.isEnabledFor(logging.DEBUG):
--- a/cedarthread/persistence/sqlite_store.py
+++ b/cedarthread/persistence/sqlite_store.py
@@ -80,7 +80,7 @@
                 return self._quarantine_and_rewrite()
             if load_result.generation:
                 return load_result
-            self._disconnect()  # the file is not complete, because a power cut interrupted its creation
+            self._disconnect()  # incomplete, because a power cut interrupted the creation of the file
         self._rewrite({}, 0)
         return LoadResult({}, self.generation)
 
@@ -92,7 +92,7 @@
         if not is_writable:
             self._disconnect()
             return LoadResult(contents.values, contents.generation, StoreFault.READ_ONLY)
-        self._adopt(contents)
+        self._set_acknowledged(contents)
         if contents.generation:
             self._folder.delete_databases_except(number)
         return LoadResult(dict(contents.values), contents.generation)
@@ -103,7 +103,7 @@
         self._database.configure(self.sync_mode)
         return self._database
 
-    def _adopt(self, contents: StoreContents) -> None:
+    def _set_acknowledged(self, contents: StoreContents) -> None:
         """Replace the copy of the acknowledged content."""
         self._acknowledged = contents.values
         self._row_checksums = contents.row_checksums
@@ -156,8 +156,10 @@
             contents.row_checksums.update(self._row_checksums)
         database.write(contents, writes, clear=above_generation is not None)
         if not database.is_in_place():
-            raise FileNotFoundError(errno.ENOENT, "no longer in its folder", str(database.path))
-        self._adopt(contents)
+            raise FileNotFoundError(
+                errno.ENOENT, "the open database file is no longer at its path", str(database.path)
+            )
+        self._set_acknowledged(contents)
 
     def _disconnect(self) -> None:
         database = self._database
--- a/cedarthread/persistence/state_persister.py
+++ b/cedarthread/persistence/state_persister.py
@@ -1,4 +1,4 @@
-"""Decides when a router writes its state, and how much of the stored state it uses after a restart.
+"""The policy for when a router writes its state, and how much stored state it uses after a restart.
 
 No function here accesses a disk: the host makes the writes that ``StatePersister`` returns.
 
@@ -92,7 +92,7 @@
         self.image = RecoveredImage()
         self.queued_writes: list[PendingWrite] = []
         self.last_snapshot_at_ms = now_ms
-        self.was_voter = False  # whether the router was a voter in the last incarnation record written
+        self.last_recorded_is_voter = False  # is_voter of the last incarnation record written
         self.reset_above_generation: int | None = None  # set to request a reset; the host clears it
         self.log_messages: list[OutboundMessage] = []
         replicated_store.set_durable(is_durable=True)
@@ -108,7 +108,7 @@
         self._start_when_assessable(now_ms)
 
     def _start_when_assessable(self, now_ms: float) -> None:
-        """Start if enough peers have reported their generation, or if the time to wait for them is over."""
+        """Start once enough peers have reported a generation, or the time to wait for them has elapsed."""
         if self.load_result is None:
             if now_ms - self.started_at_ms >= OPEN_TIMEOUT_MS:
                 self._log(format_event("store_open_timeout", timeout_ms=f"{OPEN_TIMEOUT_MS:.0f}"))
@@ -133,7 +133,7 @@
             self._log(format_event("store_values_rejected", count=self.image.rejected_count))
 
     def _start_without_store(self, now_ms: float) -> None:
-        """Start in degraded mode, because the store is not open in time."""
+        """Start in degraded mode, because the store did not open in time."""
         self.has_started = True
         self._enter_degraded_mode(now_ms)
         self.start_escrow(now_ms, None)
@@ -177,9 +177,9 @@
 
     def _queue_incarnation(self) -> None:
         is_voter = self.replicated_store.is_voter
-        if is_voter is self.was_voter:
+        if is_voter is self.last_recorded_is_voter:
             return
-        self.was_voter = is_voter
+        self.last_recorded_is_voter = is_voter
         incarnation = RouterIncarnation(
             router_index=self.replicated_store.router_index,
             process_incarnation=self.replicated_store.incarnation,
@@ -225,7 +225,7 @@
         if write.kind is WriteKind.ESCROW and self.escrow is not None:
             self.escrow.mark_write_failed()
         if not self.is_degraded:
-            self._log(format_event("store_degraded", fault=fault.value, effect="changes are not kept"))
+            self._log(format_event("store_degraded", fault=fault.value, effect="changes are not persisted"))
             self._enter_degraded_mode(now_ms)
 
     def _on_write_succeeded(self, now_ms: float, write: PendingWrite, generation: int) -> None:
@@ -254,7 +254,7 @@
         if not (self.is_degraded and load_result.is_writable):
             return
         self.is_degraded = False
-        self.was_voter = False
+        self.last_recorded_is_voter = False
         self.reset_above_generation = self.replicated_store.store_generation
         self._log(format_event("store_rewritten", above_generation=self.reset_above_generation))
         for entry in self.replicated_store.snapshot():
--- a/cedarthread/persistence/store_thread.py
+++ b/cedarthread/persistence/store_thread.py
@@ -1,7 +1,7 @@
-"""A store that uses its disk on a separate thread, so that the event loop never waits for the disk.
+"""A store that accesses its disk on a separate thread, so that the event loop never waits for the disk.
 
-``disk_worker.py`` has the thread. All code here but ``_GuardedBackend`` runs on the host's thread. A host
-with an event loop opens a store by::
+``disk_worker.py`` implements the thread. All code here but ``_GuardedBackend`` runs on the host's thread. To
+open a store on an event loop::
 
     host = StoreHost(wake=lambda: loop.call_soon_threadsafe(lambda: store.run_callbacks()), ...)
     store = open_store(folder, "group", host=host)
@@ -45,16 +45,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreHost:
-    """The functions of its host that a ``StoreThread`` calls."""
+    """The functions through which a ``StoreThread`` calls its host."""
 
     clock: Callable[[], float]
-    """Returns steady milliseconds; called on both threads."""
+    """Returns the time of a monotonic clock in ms; called on both threads."""
     wake: Callable[[], object]
     """Called on the store's thread when ``run_callbacks`` has work to do."""
     on_opened: Callable[[LoadResult], object]
     """Receives the result of an opening, on the host's thread.
 
-    Called after the first opening in any case, and when the first opening exceeds the response timeout.
+    Always called after the first opening, and also when the first opening exceeds the response timeout.
     Called after a later opening only if the store is writable; the host then puts the values that the result
     lacks.
     """
@@ -148,7 +148,9 @@
         )
         if sync_mode == "none":
             host.log(
-                format_event("store_sync_disabled", warning="acknowledged writes MAY BE LOST at a power cut")
+                format_event(
+                    "store_sync_disabled", warning="acknowledged writes may be lost on power failure"
+                )
             )
         self._worker.start()
 
@@ -184,7 +186,7 @@
             if not is_queued:
                 fault = StoreFault.UNRESPONSIVE
         if fault is not None:
-            _call_back([] if callback is None else [callback], fault)
+            _invoke_callbacks([] if callback is None else [callback], fault)
             self._rejected += 1
 
     def reset(self, above_generation: int, callback: WriteCallback | None = None) -> None:
@@ -250,10 +252,10 @@
             self.generation = completion.generation
             self._acknowledged += len(batch.values)
             self._log_line(self.policy.on_write_succeeded(self._host.clock()))
-            _call_back(batch.callbacks, None)
+            _invoke_callbacks(batch.callbacks, None)
         else:
             self._log_line(self.policy.on_failure(self._host.clock(), fault))
-            _call_back(batch.callbacks, fault)
+            _invoke_callbacks(batch.callbacks, fault)
             self._fail_pending(fault)
 
     def _on_response_timeout(self, now_ms: float) -> None:
@@ -270,14 +272,14 @@
 
     def _reject(self, callbacks: list[WriteCallback], fault: StoreFault) -> None:
         self._rejected += len(callbacks)
-        _call_back(callbacks, fault)
+        _invoke_callbacks(callbacks, fault)
 
     def _log_line(self, line: str | None) -> None:
         if line is not None:
             self._host.log(line)
 
 
-def _call_back(callbacks: list[WriteCallback], fault: StoreFault | None) -> None:
+def _invoke_callbacks(callbacks: list[WriteCallback], fault: StoreFault | None) -> None:
     for callback in callbacks:
         callback(fault)
 
--- a/tests/contracts/store_fixtures.py
+++ b/tests/contracts/store_fixtures.py
@@ -1,6 +1,6 @@
 """Stores on fake hosts and recording disks, for the tests of the store's contract and of its parts.
 
-A new backend joins the contract's tests by a line in ``BACKENDS``, a new kind of store by one in ``HOSTS``.
+To run the contract's tests on a new backend, add it to ``BACKENDS``; on a new kind of store, to ``HOSTS``.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class HostedStoreThread(StoreThread):
-    """A store thread with a fake host of its own, on which writes are not gathered."""
+    """A store thread with its own fake host and without a group commit delay."""
 
     def __init__(
         self,
@@ -74,12 +74,14 @@
     store.run_callbacks()
     while not is_reached():
         if not isinstance(store, HostedStoreThread):
-            raise TypeError("a synchronous store completes writes at once, so that waiting is useless")
+            raise TypeError(
+                "a synchronous store completes writes immediately, so that the condition cannot become true"
+            )
         store.fake_host.wakes.get(timeout=TEST_TIMEOUT_S)
         store.run_callbacks()
 
 
-def opened_thread(
+def open_store_thread(
     backend: StorageBackend, *, sync_mode: SyncMode = "group", close_timeout_ms: float = CLOSE_TIMEOUT_MS
 ) -> HostedStoreThread:
     """Return a store thread after its first opening."""
@@ -89,7 +91,7 @@
 
 
 class Mark(NamedTuple):
-    """A record among the disk's operations: the start or the acknowledgement of the write of this number."""
+    """A mark among the disk's operations: the write with this number was started or acknowledged."""
 
     event: str
     number: int
@@ -145,7 +147,7 @@
         self.disk.add_mark(Mark(STARTED, number))
 
         def on_completed(fault: StoreFault | None) -> None:
-            assert number not in self.results, "a callback runs once"
+            assert number not in self.results, "the callback of a write ran twice"
             self.results[number] = fault
             if fault is None:
                 self.disk.add_mark(Mark(ACKNOWLEDGED, number))
@@ -163,7 +165,7 @@
         return [operation.mark for operation in self.disk.operations if operation.mark is not None]
 
     def recover(self, image: dict[str, bytes]) -> LoadResult:
-        """Return what a restart reads from files as a power cut left them.
+        """Return what a restart reads from the files that a power cut left.
 
         The files are read by a SQLite backend without faults, in another folder. The result is cached,
         because many power cuts leave the same files.
@@ -191,6 +193,6 @@
 }
 HOSTS: dict[str, Callable[[StoreUnderTest], Store]] = {
     "synchronous": lambda test: SynchronousStore(test.make_backend(test)),
-    "thread": lambda test: opened_thread(test.make_backend(test)),
-    "thread, each": lambda test: opened_thread(test.make_backend(test), sync_mode="each"),
+    "thread": lambda test: open_store_thread(test.make_backend(test)),
+    "thread, each": lambda test: open_store_thread(test.make_backend(test), sync_mode="each"),
 }
--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -106,7 +106,7 @@
     rule(StoreUnderTest(tmp_path, backend, host))
 
 
-# Injected defects: each breaks one part of the implementation, and the named rule finds the defect.
+# Each injected defect breaks one part of the implementation, and the named rule must detect it.
 
 
 class Patch(NamedTuple):
@@ -118,7 +118,7 @@
 
 
 class InjectedDefect(NamedTuple):
-    """The patches that cause a defect, and the rule that finds it."""
+    """The patches that cause a defect, and the rule that detects it."""
 
     rule: Rule
     patches: tuple[Patch, ...]
@@ -173,7 +173,7 @@
         rule_a_power_cut_at_any_operation_loses_no_acknowledged_write,
         (Patch(SqliteBackend, "__init__", init_without_sync),),
     ),
-    "trusts what the system reads of a file after its sync failed": InjectedDefect(
+    "reads a file again after its sync failed": InjectedDefect(
         partial(
             rule_after_a_fault_no_write_is_acknowledged_and_no_acknowledged_write_is_lost,
             case=FaultCase(InjectedFault.EIO_SYNC, 3.0, StoreFault.IO_ERROR),
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize("name", INJECTED_DEFECTS)
-def test_a_rule_finds_each_injected_defect(
+def test_a_rule_detects_each_injected_defect(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str
 ) -> None:
     defect = INJECTED_DEFECTS[name]
