--- a/cedarthread/model/actions.py
+++ b/cedarthread/model/actions.py
@@ -44,7 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PreloadFunction:
-    """The load of at least this many instances of a function at a worker; 0 only queries their number."""
+    """A request to load at least this many instances of a function at a worker.
+
+    With 0 instances it only queries their number.
+    """
 
     worker_id: int
     function_id: int
@@ -53,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnloadFunction:
-    """The unload of a worker's idle instances of a function."""
+    """A request to a worker to unload its idle instances of a function."""
 
     worker_id: int
     function_id: int
@@ -76,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscribeEndpoints:
-    """The start or the end of the subscription to updates of the endpoint list."""
+    """The start or, if ``is_enabled`` is false, the end of the subscription to endpoint list updates."""
 
     is_enabled: bool = True
 
--- a/cedarthread/model/events.py
+++ b/cedarthread/model/events.py
@@ -16,7 +16,9 @@
 class RequestArrived:
     """The arrival of a client's request, to which the router must give exactly one final answer.
 
-    ``concurrency``, ``memory``, ``load_time_ms`` and ``work`` are hints of the platform about the function.
+    The platform's hints are ``concurrency`` (requests that one instance serves at a time), ``memory`` (MB)
+    and ``load_time_ms`` of the function, and ``work``, to which the service time of the request is expected
+    to be proportional.
     """
 
     request_id: int
--- a/cedarthread/model/settings.py
+++ b/cedarthread/model/settings.py
@@ -106,15 +106,15 @@
 class RuleParameters:
     """The parameters of the operators' rules: retries, draining, slow start, polling, preloads."""
 
-    answer_slack_ms: float
-    drain_grace_ms: float
+    answer_slack_ms: float  # how long after its deadline a request may still get its final answer
+    drain_grace_ms: float  # how long after a worker starts to drain it may still receive calls
     slow_start_min_capacity: float  # guaranteed fraction of its capacity at the start of a worker
     slow_start_ms: float  # time from its start after which a worker has its full capacity
     collapse_multiple: float  # a cold worker collapses above this multiple of its capacity
     collapse_window_ms: float  # window over which the load of a cold worker is measured
     max_poll_delay_ms: float
-    preload_allowance: float
-    preload_share: float
+    preload_allowance: float  # preloads allowed in each window...
+    preload_share: float  # ...in addition to this fraction of the requests in the window
     preload_window_ms: float  # 0: preloads are unlimited
 
 
--- a/cedarthread/routing/admission.py
+++ b/cedarthread/routing/admission.py
@@ -25,7 +25,7 @@
 MIN_VALUE = 1e-6  # lower bound of a request's value, so that a class of weight 0 causes no division by zero
 QUOTA_FACTORS = 0.5, 2.0  # bounds of a tenant's quota utilization, before it is squared
 MIN_REMAINING_FRACTION = 0.5  # fraction of the expected service time; a request with less time left is shed
-MAX_QUEUED_FRACTION = 0.5  # longest time in the queue before a first execution, over the request's time limit
+MAX_QUEUED_FRACTION = 0.5  # longest queueing if not executed yet, over the time from arrival to deadline
 MIN_PEER_COVERAGE = 0.5  # requests wait only if this fraction of the other routers has gossiped recently
 RETRY_AFTER_RANGE = 0.05, 0.15  # range of the random Retry-After, as fractions of its maximum
 
--- a/cedarthread/routing/collaborators.py
+++ b/cedarthread/routing/collaborators.py
@@ -86,7 +86,14 @@
     ) -> float | None:
         """Assign the request its priority and return the shed probability of that priority.
 
-        None: shed with ``shed_fraction``, the fraction of all requests that must be shed.
+        None: the priority does not determine it; the router decides by its own overload estimate.
+
+        Args:
+            now_ms: Current time.
+            pending: The new request.
+            value: Its priority weight per ms of work.
+            utilization: Latency of calls over the latency at which an overload starts.
+            shed_fraction: The fraction of all requests that must be shed.
         """
 
     def on_rejected(self, now_ms: float, pending: PendingRequest) -> None:
--- a/cedarthread/routing/estimators.py
+++ b/cedarthread/routing/estimators.py
@@ -152,7 +152,7 @@
     def worker_share(
         self, now_ms: float, capacity: float, service_times: ServiceTimeEstimator, workers: WorkerTable
     ) -> float:
-        """Return the work (ms per ms) that this router sends to a worker with this capacity (0 to 1)."""
+        """Return the part of this router's work (ms per ms) for one worker with this capacity (0 to 1)."""
         # Uses the current service times, because the initial estimate may be several times too high.
         demand = sum(
             admitted.read(now_ms) * service_times.class_ms(class_index)
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -26,7 +26,7 @@
     from cedarthread.routing.router_state import RouterState
 
 REPORT_TIME_CONSTANT_FRACTION = 0.25  # of load_time_constant_ms, because reports change with each call
-CONCURRENCY_WEIGHT = 0.25  # weight of another router's request in flight: a worker has several cores
+CONCURRENCY_WEIGHT = 0.25  # of another request in flight; below 1, because a worker has several cores
 REJECTION_TIME_CONSTANT_MS = 3000.0  # time constant of a worker's rejections of a class and tenant
 REJECTION_GAIN = 0.5  # gain of one response on the rejection penalty of a class and tenant...
 REJECTION_PENALTY = 2.0  # ...which moves towards this placement cost after a rejection, else towards 0
@@ -121,7 +121,10 @@
         self.observe_health(now_ms, worker, 0.0)
 
     def _record_overloaded(self, now_ms: float, worker: WorkerRecord, attempt: Attempt) -> None:
-        """Record a rejection of the class and tenant, and a load of at least one latency objective."""
+        """Record a rejection of the class and tenant, and an excess load of at least the latency objective.
+
+        The objective is in multiples of the expected time, as the excess load is.
+        """
         rejections = worker.rejections.setdefault(
             attempt.class_and_tenant, DecayingCounter(REJECTION_TIME_CONSTANT_MS)
         )
--- a/cedarthread/routing/instance_queue.py
+++ b/cedarthread/routing/instance_queue.py
@@ -1,9 +1,9 @@
 """The queue of one function: calls that wait for a busy or loading instance instead of starting another one.
 
 A worker with only busy instances starts another load for each call that arrives, and all loads use the same
-store. From gossip a router knows the requests that all routers have in flight, and can predict whether an
-instance becomes free, or finishes loading, before a new load would. In that case the call waits in the
-router, for at most a fixed multiple of the load time.
+package store, which gets slower with each. From gossip a router knows the requests that all routers have in
+flight, and can predict whether an instance becomes free, or finishes loading, before a new load would. In
+that case the call waits in the router, for at most a fixed multiple of the load time.
 """
 
 from __future__ import annotations
--- a/cedarthread/routing/records.py
+++ b/cedarthread/routing/records.py
@@ -47,7 +47,7 @@
     is_function_known: bool  # the function has had a warm response before
     is_in_flight: bool = True
     may_have_executed: bool = True
-    is_overdue: bool = False
+    is_overdue: bool = False  # was counted as a failure of its worker for lack of any response
     has_suspect_error: bool = False  # the attempt ended in an error that the client may have caused
     retry_cost: float = 0.0  # retry budget that the attempt has spent
 
@@ -178,7 +178,7 @@
     arrived_at_ms: float
     attempts: list[Attempt] = field(default_factory=list)
     is_streaming: bool = False
-    last_cancelled_attempt: int = -1  # index of the last attempt hedged or cancelled for another; -1: none
+    last_cancelled_attempt: int = -1  # index of the last attempt hedged or cancelled to be retried; -1: none
     next_attempt_cost: float = 0.0  # retry budget already spent on the next attempt
     call_priority: CallPriority | None = None  # by the contract of its tenant
     preemption_reason: str = ""  # reason for the client; "": the request was not preempted
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -28,15 +28,15 @@
 
 # Home workers.
 MAX_HOMES_PER_WORKER_SHARE = 10.0  # all workers are homes of a function with 1/10 of the calls
-MIN_CALLS_PER_HOME = 14.0  # calls by the fleet in a keep-alive time, because loading is expensive
+MIN_CALLS_PER_HOME = 14.0  # of the function, fleet-wide in a keep-alive time, because loading is expensive
 IDLE_MEMORY_WEIGHT = 10.0  # weight of the price of idle memory: a price of 0.1 halves the number of homes
 EXTRA_CANDIDATES = 2  # candidates after the homes that are considered even if a worker was found
 HOME_JITTER = 0.1  # maximum cost difference between homes by jitter; at most 1 - HOME_AFFINITY
-HOME_AFFINITY = 0.9  # minimum affinity assumed at several homes and gossiped instances: others call there
+HOME_AFFINITY = 0.9  # minimum affinity where other routers call too: several homes, gossiped instances
 
 # Placement cost.
 CROSS_ZONE_WEIGHT = 6.5  # cost of another zone per point of the cross-zone price: 0.3 at 0.046
-PLACEMENT_STEP = 0.25  # cost of each place after the homes: one request in flight
+PLACEMENT_STEP = 0.25  # cost of each place after the homes, the same as of one request in flight
 PEER_LOAD_WEIGHT = 0.3  # weight of another router's request in flight, from gossip
 LOAD_PER_AFFINITY = 4.0  # requests in flight per instance that cost as much as a cold instance
 TRIAL_DISCOUNT = 0.5  # deducted from the cost of a half-open trial, so that it is preferred
@@ -70,7 +70,7 @@
     def __init__(self, state: RouterState, retries: RetryPolicy) -> None:
         self.state = state
         self.retries = retries
-        self.homes_per_worker = 0.0
+        self.homes_per_worker = 0.0  # for a function with all the calls; scaled by its fraction of the calls
         self.cross_zone_penalty = 0.0
         self.update_settings(state.settings)
 
@@ -252,7 +252,7 @@
         worker_id = worker.endpoint.worker_id
         in_flight = worker.in_flight + PEER_LOAD_WEIGHT * worker.peers_in_flight
         if (instance := function.gossiped_instances.get(worker_id)) is not None:
-            in_flight += instance.in_flight  # these use the concurrency of this function's instances
+            in_flight += instance.in_flight  # in full, because calls of this function occupy its instances
         load = (
             in_flight / function.concurrency
             + worker.read_excess_load(now_ms)
--- a/cedarthread/routing/slow_start.py
+++ b/cedarthread/routing/slow_start.py
@@ -43,16 +43,15 @@
     """Return whether one more call fits this router's budget for a cold worker in the window of rule 4.
 
     The budget is proportional to the router's own demand, so that the budgets of all routers sum to that of
-    the fleet.
-    If the budget is less than one call, only routers with a jitter below that fraction may send one; their
-    number grows as the worker warms up.
+    the fleet. If the budget is less than one call, only routers with a jitter below that fraction may send
+    one; their number grows as the worker warms up.
 
     Args:
         rules: The parameters of rule 4.
         now_ms: Current time.
         sends: The earlier sends; those before the window are dropped.
         jitter: The router's random number for the worker, 0 to 1.
-        work_per_ms: This router's work per ready worker and ms, times the worker's fraction of its capacity.
+        work_per_ms: This router's work per ms and ready worker, times the worker's available capacity.
         work_ms: The work of the call.
     """
     while sends and sends[0].at_ms <= now_ms - rules.collapse_window_ms:
--- a/cedarthread/routing/worker_table.py
+++ b/cedarthread/routing/worker_table.py
@@ -43,7 +43,7 @@
         self.update_settings(settings)
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """Set the time constant of the ready peak to the slow start, while replacements are cold."""
+        """Set the time constant of the ready peak to the slow-start time, in which replacements are cold."""
         self.ready_peak.time_constant_ms = max(1.0, settings.rules.slow_start_ms)
 
     def apply(self, now_ms: float, update: EndpointUpdate) -> list[int]:
@@ -75,7 +75,7 @@
         return without_instances
 
     def _mark_unlisted_removed(self, update: EndpointUpdate) -> None:
-        """Mark workers missing from a complete list as removed; one with nothing in flight is dropped."""
+        """Mark workers missing from a complete list as removed; ``apply`` drops those that are idle."""
         listed = {endpoint.worker_id for endpoint in update.endpoints}
         for worker_id, worker in self.by_id.items():
             if worker_id not in listed:
--- a/cedarthread/routing/zone_reachability.py
+++ b/cedarthread/routing/zone_reachability.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-SUSPICION_THRESHOLD = 6.0  # a reachable zone exceeds it by chance once in 400 (natural logarithm)
+SUSPICION_THRESHOLD = 6.0  # natural logarithm: a reachable zone exceeds it by chance once in 400
 MAX_WORKER_SUSPICION = 3.0  # upper bound for one worker, because the fault may be its own
 MIN_SHARED_SUSPICION = 1.0  # lower bound for a zone to count among zones that are unresponsive together
 CONNECT_FAILURE_SUSPICION = 3.0  # added by one failed connect
@@ -137,7 +137,7 @@
         return outage.trial_attempt is None and now_ms >= trial_at_ms
 
     def find_unreachable(self, now_ms: float) -> list[int]:
-        """Mark zones as unreachable, and return them with the zones in which a trial got no response.
+        """Mark zones as unreachable; return these and the unreachable zones in which a trial got no response.
 
         A zone is unreachable if its suspicion level reaches the threshold; several zones other than the
         router's own are unreachable if the sum of their suspicion levels does.
--- a/tests/unit/routing/test_instance_queue.py
+++ b/tests/unit/routing/test_instance_queue.py
@@ -58,7 +58,7 @@
 
 
 def test_a_call_waits_while_its_function_loads_at_any_worker() -> None:
-    """Otherwise each call that arrives while the store is slow starts a load at one more worker."""
+    """Otherwise each call that arrives while the package store is slow starts a load at one more worker."""
     queue = InstanceQueue()
     loading_elsewhere = {9: InstanceLoad(1, None)}
     warm_elsewhere = {9: InstanceLoad(0, 1.0)}
