--- a/cedarthread/routing/estimators.py
+++ b/cedarthread/routing/estimators.py
@@ -12,7 +12,7 @@
 from cedarthread.routing.popularity import Popularity
 from cedarthread.routing.records import (
     EXCESS_LOAD_PRIOR_COUNT,
-    MIN_LOAD_TIME_CONSTANT_MS,
+    MIN_LOAD_DECAY_MS,
     FunctionRecord,
     PendingRequest,
     WorkerRecord,
@@ -26,7 +26,7 @@
 
 RATE_WINDOW_MS = 5000.0  # time constant of rates: several windows of rule 4, but much less than a slow start
 INITIAL_SERVICE_DIVISOR = 4.0  # latency objective over the service time assumed before the first response
-MAX_LOAD_TIME_CONSTANT_MS = 12000.0  # upper bound of the time constant of a worker's load observations
+MAX_LOAD_DECAY_MS = 12000.0  # upper bound of the time constant of a worker's load observations
 RESPONSES_PER_TIME_CONSTANT = 4.0  # own calls to one worker per time constant, within its bounds
 REPORT_PRIOR_COUNT = 0.01  # weight of the prior 0: negligible after the first report
 REPORTED_LOAD_WEIGHT = 0.05  # weight of a reported request in flight, relative to one of this router
@@ -101,8 +101,8 @@
         self.first_call_at_ms = math.inf
         self.request_value = Ewma()  # priority weight of a request per ms of its work
         self.calls_per_ms = 0.0
-        self.load_time_constant_ms = MIN_LOAD_TIME_CONSTANT_MS  # of a worker's load observations
-        self.sparse_traffic_factor = 1.0  # load_time_constant_ms over its minimum, 1 to 3; 3: rare calls
+        self.load_decay_ms = MIN_LOAD_DECAY_MS  # time constant of a worker's load observations
+        self.sparse_traffic_factor = 1.0  # load_decay_ms over its minimum, 1 to 3; 3: rare calls
         self.reported_in_flight = DecayingMean(RATE_WINDOW_MS)  # of other routers, over all workers
         self.mean_reported_in_flight = 0.0
         self.by_tenant = [DecayingCounter(RATE_WINDOW_MS) for _ in settings.tenants]
@@ -126,8 +126,8 @@
         known_fraction = 1.0 - math.exp(-max(1.0, now_ms - self.first_call_at_ms) / RATE_WINDOW_MS)
         self.calls_per_ms = self.recent_calls.read(now_ms) / RATE_WINDOW_MS / known_fraction
         wanted_ms = RESPONSES_PER_TIME_CONSTANT * worker_count / self.calls_per_ms
-        self.load_time_constant_ms = min(max(wanted_ms, MIN_LOAD_TIME_CONSTANT_MS), MAX_LOAD_TIME_CONSTANT_MS)
-        self.sparse_traffic_factor = self.load_time_constant_ms / MIN_LOAD_TIME_CONSTANT_MS
+        self.load_decay_ms = min(max(wanted_ms, MIN_LOAD_DECAY_MS), MAX_LOAD_DECAY_MS)
+        self.sparse_traffic_factor = self.load_decay_ms / MIN_LOAD_DECAY_MS
         self.mean_reported_in_flight = self.reported_in_flight.read(now_ms, REPORT_PRIOR_COUNT)
 
     def on_tenant_call(self, now_ms: float, request: RequestArrived, settings: RouterSettings) -> float:
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -25,7 +25,7 @@
     from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
     from cedarthread.routing.router_state import RouterState
 
-REPORT_TIME_CONSTANT_FRACTION = 0.25  # of load_time_constant_ms, because reports change with each call
+REPORT_DECAY_FRACTION = 0.25  # of load_decay_ms, because reports change with each call
 CONCURRENCY_WEIGHT = 0.25  # of another request in flight; below 1, because a worker has several cores
 REJECTION_TIME_CONSTANT_MS = 3000.0  # time constant of a worker's rejections of a class and tenant
 REJECTION_GAIN = 0.5  # gain of one response on the rejection penalty of a class and tenant...
@@ -115,7 +115,7 @@
         if not attempt.is_cold:
             others = CONCURRENCY_WEIGHT * max(0, (event.reported_concurrency or 0) - 1)
             excess = max(event.latency_ms / max(attempt.expected_ms, 1.0) - 1.0, others)
-            worker.excess_load.add(now_ms, excess, self.state.traffic.load_time_constant_ms)
+            worker.excess_load.add(now_ms, excess, self.state.traffic.load_decay_ms)
         if attempt.is_trial:
             worker.outlier_score = min(worker.outlier_score, RECOVERY_THRESHOLD)
         self.observe_health(now_ms, worker, 0.0)
@@ -133,7 +133,7 @@
         request_class = self.state.settings.classes[class_index]
         objective = max(request_class.latency_objective_ms, 1.0) / max(attempt.expected_ms, 1.0)
         excess = max(worker.read_excess_load(now_ms), objective)
-        worker.excess_load.add(now_ms, excess, self.state.traffic.load_time_constant_ms)
+        worker.excess_load.add(now_ms, excess, self.state.traffic.load_decay_ms)
 
     def _record_failure(
         self, now_ms: float, worker: WorkerRecord, event: AttemptEnded, attempt: Attempt
@@ -155,9 +155,7 @@
         if reported is not None:
             others = max(0.0, reported - worker.in_flight)
             traffic = self.state.traffic
-            worker.reported_in_flight.add(
-                now_ms, others, REPORT_TIME_CONSTANT_FRACTION * traffic.load_time_constant_ms
-            )
+            worker.reported_in_flight.add(now_ms, others, REPORT_DECAY_FRACTION * traffic.load_decay_ms)
             traffic.on_load_report(now_ms, others)
 
     def _reported_in_flight(self, load_report: tuple[float | None, ...]) -> float | None:
--- a/cedarthread/routing/records.py
+++ b/cedarthread/routing/records.py
@@ -26,7 +26,7 @@
     from cedarthread.model.instance_load import InstanceLoad
     from cedarthread.model.settings import RequestClass, RuleParameters
 
-MIN_LOAD_TIME_CONSTANT_MS = 4000.0  # lower bound of the time constant of a worker's load observations
+MIN_LOAD_DECAY_MS = 4000.0  # lower bound of the time constant of a worker's load observations
 EXCESS_LOAD_PRIOR_COUNT = 0.5  # weight of the prior, in responses: a single response counts for two thirds
 BASE_EJECTION_MS = 1500.0  # ms until the first half-open trial of an ejected worker
 MIN_AFFINITY = 0.01  # an affinity below this is dropped
@@ -70,9 +70,9 @@
     last_response_at_ms: float = -math.inf
     unreachable_at_ms: float = -math.inf  # last failed connect; the worker may have restarted since
     connection_broken_at_ms: float = -math.inf  # attempts that fail with one connection count as one failure
-    excess_load: DecayingMean = field(default_factory=lambda: DecayingMean(MIN_LOAD_TIME_CONSTANT_MS))
+    excess_load: DecayingMean = field(default_factory=lambda: DecayingMean(MIN_LOAD_DECAY_MS))
     reported_in_flight: DecayingMean = field(  # requests of other routers, by load reports
-        default_factory=lambda: DecayingMean(MIN_LOAD_TIME_CONSTANT_MS)
+        default_factory=lambda: DecayingMean(MIN_LOAD_DECAY_MS)
     )
     rejections: dict[ClassAndTenant, DecayingCounter] = field(default_factory=dict)
 
@@ -178,7 +178,7 @@
     arrived_at_ms: float
     attempts: list[Attempt] = field(default_factory=list)
     is_streaming: bool = False
-    last_cancelled_attempt: int = -1  # index of the last attempt hedged or cancelled to be retried; -1: none
+    last_replaced_attempt: int = -1  # index of the last attempt hedged or cancelled to be retried; -1: none
     next_attempt_cost: float = 0.0  # retry budget already spent on the next attempt
     call_priority: CallPriority | None = None  # by the contract of its tenant
     preemption_reason: str = ""  # reason for the client; "": the request was not preempted
--- a/cedarthread/routing/retries.py
+++ b/cedarthread/routing/retries.py
@@ -89,11 +89,11 @@
             return False
         if self._may_replace(pending, attempt_index):
             if self._is_hedge_due(now_ms, attempt, is_unresponsive=is_unresponsive):
-                pending.last_cancelled_attempt = attempt_index
+                pending.last_replaced_attempt = attempt_index
                 return self.may_attempt(now_ms, pending) and state.retry_budget.spend(1.0)
             worker = state.workers.by_id.get(attempt.endpoint.worker_id)
             if state.settings.limits.can_cancel and (worker is None or worker.is_ejected):
-                pending.last_cancelled_attempt = attempt_index
+                pending.last_replaced_attempt = attempt_index
                 state.actions.append(CancelAttempt(request_id, attempt_index))
                 return False
         state.timers.schedule(now_ms + max(expected_ms, MIN_REMAINING_MS), request_id, attempt_index)
@@ -104,7 +104,7 @@
         return (
             self.state.retry_budget.tokens >= 1.0
             and self.has_remaining_attempts(pending)
-            and pending.last_cancelled_attempt < attempt_index
+            and pending.last_replaced_attempt < attempt_index
         )
 
     def _is_hedge_due(self, now_ms: float, attempt: Attempt, *, is_unresponsive: bool) -> bool:
@@ -148,8 +148,8 @@
 
     def _cancel_to_retry(self, pending: PendingRequest, attempt_index: int) -> None:
         """Cancel an attempt so that its end starts a retry elsewhere, unless already done."""
-        if self.state.settings.limits.can_cancel and pending.last_cancelled_attempt < attempt_index:
-            pending.last_cancelled_attempt = attempt_index
+        if self.state.settings.limits.can_cancel and pending.last_replaced_attempt < attempt_index:
+            pending.last_replaced_attempt = attempt_index
             self.state.actions.append(CancelAttempt(pending.request.request_id, attempt_index))
 
     def cancel_attempts(self, pending: PendingRequest, excluded_index: int | None = None) -> None:
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -27,7 +27,7 @@
     from cedarthread.routing.router_state import RouterState
 
 # Home workers.
-MAX_HOMES_PER_WORKER_SHARE = 10.0  # all workers are homes of a function with 1/10 of the calls
+MAX_HOMES_PER_WORKER = 10.0  # all workers are homes of a function with 1/10 of the calls
 MIN_CALLS_PER_HOME = 14.0  # of the function, fleet-wide in a keep-alive time, because loading is expensive
 IDLE_MEMORY_WEIGHT = 10.0  # weight of the price of idle memory: a price of 0.1 halves the number of homes
 EXTRA_CANDIDATES = 2  # candidates after the homes that are considered even if a worker was found
@@ -77,7 +77,7 @@
     def update_settings(self, settings: RouterSettings) -> None:
         """Compute the number of homes and the cross-zone penalty from prices in the new settings."""
         prices = settings.prices
-        self.homes_per_worker = MAX_HOMES_PER_WORKER_SHARE / (1.0 + IDLE_MEMORY_WEIGHT * prices.idle_memory)
+        self.homes_per_worker = MAX_HOMES_PER_WORKER / (1.0 + IDLE_MEMORY_WEIGHT * prices.idle_memory)
         self.cross_zone_penalty = CROSS_ZONE_WEIGHT * prices.cross_zone
 
     def select(self, now_ms: float, pending: PendingRequest) -> WorkerRecord | None:
--- a/tests/unit/routing/test_router_placement.py
+++ b/tests/unit/routing/test_router_placement.py
@@ -236,7 +236,7 @@
             driver.send_request(after_ms=interval_ms)
             driver.end_attempt(driver.last_request_id, sends(driver.actions)[-1], after_ms=0.0)
         record = records.WorkerRecord(worker(99), 0, 0.0)
-        record.excess_load.add(driver.now_ms, 4.0, driver.router.state.traffic.load_time_constant_ms)
+        record.excess_load.add(driver.now_ms, 4.0, driver.router.state.traffic.load_decay_ms)
         later = record.read_excess_load(driver.now_ms + 8000.0)
         remaining[worker_count] = later / record.read_excess_load(driver.now_ms)
     assert remaining[2] == remaining[12] < 0.35 < 0.7 < remaining[40]
--- a/tests/unit/routing/test_tables.py
+++ b/tests/unit/routing/test_tables.py
@@ -242,7 +242,7 @@
         rare.on_call(10.0 * number, FunctionRecord(1), 500)
     assert frequent.calls_per_ms == rare.calls_per_ms == pytest.approx(0.1, rel=0.1)
     assert frequent.sparse_traffic_factor == 1.0
-    assert rare.load_time_constant_ms == estimators.MAX_LOAD_TIME_CONSTANT_MS
+    assert rare.load_decay_ms == estimators.MAX_LOAD_DECAY_MS
     assert rare.sparse_traffic_factor == 3.0
 
 
