--- a/cedarthread/routing/outlier_detection.py
+++ b/cedarthread/routing/outlier_detection.py
@@ -86,7 +86,7 @@
 
 
 def eject(worker: WorkerRecord, now_ms: float, sparse_traffic_factor: float, rng: random.Random) -> None:
-    """Set the time of the first half-open trial of an ejected worker.
+    """Set the time of the next half-open trial of an ejected worker.
 
     The ejection time grows with ``sparse_traffic_factor`` (1 and up, higher if own calls to one worker are
     rare), so that the number of trials at a failed worker does not grow with the number of routers in the
--- a/cedarthread/routing/preloading.py
+++ b/cedarthread/routing/preloading.py
@@ -43,7 +43,8 @@
     ) -> WorkerRecord | None:
         """Return the worker to send to now; None: none is warm.
 
-        If the selected worker is cold, request a preload there and return the cheapest warm worker instead.
+        If the selected worker is cold and cannot load on demand, request a preload there and return the
+        cheapest warm worker instead. Without preloading, return the selected worker.
         """
         state = self.state
         function = pending.function
--- a/tests/unit/routing/test_router_rules.py
+++ b/tests/unit/routing/test_router_rules.py
@@ -62,7 +62,7 @@
 def test_rule_4_a_cold_worker_gets_no_more_than_its_share(
     seed: int, interval_ms: float, router_count: int
 ) -> None:
-    """In any window it gets less than the multiple of its share of a warm worker's calls, or one call."""
+    """In any window it gets at most ``collapse_multiple`` times the calls for its capacity, or one call."""
     rng = random.Random(seed)
     now_ms = 100000.0
     router = Router(settings(router_count=router_count), seed)
