--- a/cedarthread/simulator/decoder.py
+++ b/cedarthread/simulator/decoder.py
@@ -1,7 +1,7 @@
 """Decodes the simulator's request frames into the clock and the events of each router instance.
 
 A frame contains one batch. All numbers are little-endian. A batch starts with its length in bytes, the clock
-in ms and the number of records; each record starts with its code. ``Decoder`` writes the only state: the
+in ms and the number of records; each record starts with its code. ``Decoder`` holds the only state: the
 endpoint tables, and whether an instance has tenants.
 """
 
@@ -61,12 +61,12 @@
 
 
 class SimulatorProtocolError(CedarthreadError):
-    """A malformed frame; the message contains the record and the byte of the fault."""
+    """A malformed frame; the message contains the record and the byte offset of the fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """The start of a router instance without any state from before."""
+    """The start of a router instance, which has no earlier state."""
 
     seed: int
     settings: RouterSettings
@@ -78,7 +78,8 @@
 
 
 HostEvent = Event | InstanceStarted | InstanceKilled
-InstanceEvent = tuple[int, HostEvent]  # instance id and event; a bare tuple because one is made per event
+# Instance id and event; a plain tuple, because one is created per event.
+InstanceEvent = tuple[int, HostEvent]
 
 
 class Batch(NamedTuple):
@@ -93,7 +94,7 @@
 
 
 def _check_time(time_ms: float) -> float:
-    """Return a time or a duration in ms, unless it is NaN or its absolute value exceeds ``MAX_NUMBER``."""
+    """Return a time or a duration in ms; reject NaN and absolute values over ``MAX_NUMBER``."""
     if not abs(time_ms) <= MAX_NUMBER:
         raise SimulatorProtocolError(f"{time_ms} ms is no time")
     return time_ms
@@ -168,7 +169,7 @@
         """Return the batch that a frame contains, with its events in order.
 
         Raises:
-            SimulatorProtocolError: The header is malformed. ``events`` raises it at a malformed record.
+            SimulatorProtocolError: The header is malformed. ``events`` raises it for a malformed record.
         """
         if len(frame) < BATCH_HEADER.size:
             raise SimulatorProtocolError(f"batch header cut short: {len(frame)} bytes")
--- a/cedarthread/simulator/event_layouts.py
+++ b/cedarthread/simulator/event_layouts.py
@@ -48,8 +48,8 @@
 HAS_WORK = 1
 IS_CLIENT_RETRY = 2
 IS_WRITE = 4
-# The remark of an ended attempt: the low three bits are the start kind of the instance, the next five bits
-# are the concurrency that the worker reports.
+# The packed instance information of an ended attempt: the low three bits are the start kind of the instance,
+# the next five bits are the concurrency that the worker reports.
 START_KIND_MASK = 7
 CONCURRENCY_SHIFT = 3
 CONCURRENCY_MASK = 31
--- a/cedarthread/simulator/host.py
+++ b/cedarthread/simulator/host.py
@@ -1,7 +1,7 @@
 """Hosts router instances for the operators' simulator.
 
 The program reads request frames from standard input and writes one reply frame for each to standard output.
-``SimulatorHost`` writes the only state: the running instances.
+``SimulatorHost`` holds the only state: the running instances.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 LENGTH_BYTES = 4  # size of the length field of a frame; the length includes the field
 MIN_FRAME_BYTES = 16  # size of the header of a batch
 
-# Each kind of event in the words of a failure record, which names no Python type because operators read it.
+# Descriptions of event kinds for failure records, which name no Python types because operators read them.
 _EVENT_DESCRIPTIONS: dict[type, str] = {
     EndpointUpdate: "an endpoint update",
     RequestArrived: "a request that arrived",
@@ -55,9 +55,9 @@
         self.nodes: dict[int, RoutingNode] = {}  # by instance id
 
     def handle_frame(self, frame: bytes) -> bytes:
-        """Let the instances handle the events of a frame, and return the reply frame with their actions.
+        """Pass the events of a frame to their instances, and return the reply frame with the actions.
 
-        An event for an instance that does not run is ignored.
+        An event for an instance that is not running is ignored.
 
         Raises:
             SimulatorProtocolError: The frame is malformed.
--- a/tests/unit/simulator/frames.py
+++ b/tests/unit/simulator/frames.py
@@ -1,4 +1,4 @@
-"""Frames of the simulator and their records, put together byte by byte."""
+"""Builders of the simulator's request frames and their records, byte by byte."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def select_instance(instance_id: int) -> bytes:
-    """Return the record that names the router instance of the next records."""
+    """Return the record that selects the router instance of the next records."""
     return struct.pack("<BI", 13, instance_id)
 
 
@@ -38,7 +38,7 @@
 
 
 def endpoint_table(number: int, *entries: bytes) -> bytes:
-    """Return an endpoint list, under a number for later updates to refer to."""
+    """Return the record that defines a numbered endpoint list, which later updates refer to."""
     return struct.pack("<BII", 12, number, len(entries)) + b"".join(entries)
 
 
--- a/tests/unit/simulator/test_decoder.py
+++ b/tests/unit/simulator/test_decoder.py
@@ -1,4 +1,4 @@
-"""The simulator's decoder against byte layouts put together by hand."""
+"""Tests of the simulator's decoder against hand-written byte layouts."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def decode_event(record: bytes) -> HostEvent:
-    """Decode a frame with this event record alone, and return the event."""
+    """Decode a frame that contains only this event record, and return the event."""
     _, events = Decoder().decode_batch(frame(select_instance(INSTANCE_ID), record))
     ((instance_id, event),) = list(events)
     assert instance_id == INSTANCE_ID
--- a/tests/unit/simulator/test_encoder.py
+++ b/tests/unit/simulator/test_encoder.py
@@ -1,4 +1,4 @@
-"""The simulator's encoder against byte layouts put together by hand."""
+"""Tests of the simulator's encoder against hand-written byte layouts."""
 
 from __future__ import annotations
 
--- a/tests/unit/simulator/test_host.py
+++ b/tests/unit/simulator/test_host.py
@@ -1,4 +1,4 @@
-"""Request frames in, reply frames out: the host of router instances, and its settings."""
+"""Tests of the simulator's host of router instances: request frames, reply frames and settings."""
 
 from __future__ import annotations
 
