--- a/cedarthread/simulator/decoder.py
+++ b/cedarthread/simulator/decoder.py
@@ -96,7 +96,7 @@
 def _check_time(time_ms: float) -> float:
     """Return a time or a duration in ms; reject NaN and absolute values over ``MAX_NUMBER``."""
     if not abs(time_ms) <= MAX_NUMBER:
-        raise SimulatorProtocolError(f"{time_ms} ms is no time")
+        raise SimulatorProtocolError(f"{time_ms} ms is not a valid time")
     return time_ms
 
 
@@ -113,7 +113,7 @@
         zone,
         kind,
         cell,
-        _lookup(ENDPOINT_STATES, state, "status"),
+        _lookup(ENDPOINT_STATES, state, "endpoint state"),
         positive_or_none(weight),
         positive_or_none(started_at_ms),
     )
@@ -128,14 +128,14 @@
 
     def unpack(self, layout: struct.Struct) -> tuple[Any, ...]:
         if self.offset + layout.size > len(self.data):
-            raise SimulatorProtocolError(f"record cut short at byte {self.offset} of {len(self.data)}")
+            raise SimulatorProtocolError(f"record truncated at byte {self.offset} of {len(self.data)}")
         fields = layout.unpack_from(self.data, self.offset)
         self.offset += layout.size
         return fields
 
     def take(self, count: int) -> bytes:
         if self.offset + count > len(self.data):
-            raise SimulatorProtocolError(f"record cut short at byte {self.offset} of {len(self.data)}")
+            raise SimulatorProtocolError(f"record truncated at byte {self.offset} of {len(self.data)}")
         self.offset += count
         return self.data[self.offset - count : self.offset]
 
@@ -172,10 +172,10 @@
             SimulatorProtocolError: The header is malformed. ``events`` raises it for a malformed record.
         """
         if len(frame) < BATCH_HEADER.size:
-            raise SimulatorProtocolError(f"batch header cut short: {len(frame)} bytes")
+            raise SimulatorProtocolError(f"batch header truncated: {len(frame)} bytes")
         length, now_ms, count = BATCH_HEADER.unpack_from(frame)
         if length != len(frame):
-            raise SimulatorProtocolError(f"batch says {length} bytes and has {len(frame)}")
+            raise SimulatorProtocolError(f"batch declares a length of {length} bytes but has {len(frame)}")
         _check_time(now_ms)
         return Batch(now_ms, self._decode_records(_FrameReader(frame, BATCH_HEADER.size), count))
 
@@ -189,7 +189,7 @@
             elif code == RecordCode.ENDPOINT_TABLE:
                 self._decode_endpoint_table(reader)
             elif instance_id is None:
-                raise SimulatorProtocolError(f"event record {index} at byte {start} names no instance")
+                raise SimulatorProtocolError(f"event record {index} at byte {start} has no selected instance")
             else:
                 try:
                     event = self._decode_event(reader, code, instance_id)
@@ -221,10 +221,10 @@
 
     def _endpoint_update(self, reader: _FrameReader, instance_id: int) -> HostEvent:
         kind_code, version, table_number = reader.unpack(ENDPOINT_UPDATE)
-        kind = _lookup(UPDATE_KINDS, kind_code, "list kind")
+        kind = _lookup(UPDATE_KINDS, kind_code, "endpoint update kind")
         if kind is EndpointUpdateKind.FAILED:
             return EndpointUpdate(kind, version, ())
-        return EndpointUpdate(kind, version, _lookup(self.endpoint_tables, table_number, "table"))
+        return EndpointUpdate(kind, version, _lookup(self.endpoint_tables, table_number, "endpoint table"))
 
     def _request_arrived(self, reader: _FrameReader, instance_id: int) -> HostEvent:
         (
@@ -260,7 +260,7 @@
     def _attempt_ended(self, reader: _FrameReader, instance_id: int) -> HostEvent:
         fields = reader.unpack(ATTEMPT_ENDED)
         request_id, worker_id, latency_ms, remark, attempt_index, verdict, is_final = fields
-        outcome = _lookup(OUTCOME_BY_VERDICT, verdict, "verdict")
+        outcome = _lookup(OUTCOME_BY_VERDICT, verdict, "status code")
         start_code = remark & START_KIND_MASK
         start_kind = START_KINDS[start_code] if start_code < len(START_KINDS) else StartKind.UNKNOWN
         return AttemptEnded(
@@ -283,7 +283,7 @@
 
     def _health_check_ended(self, reader: _FrameReader, instance_id: int) -> HostEvent:
         latency_ms, worker_id, verdict = reader.unpack(HEALTH_CHECK_ENDED)
-        outcome = _lookup(OUTCOME_BY_VERDICT, verdict, "verdict")
+        outcome = _lookup(OUTCOME_BY_VERDICT, verdict, "status code")
         return HealthCheckEnded(worker_id, outcome, _check_time(latency_ms), reader.read_load_report())
 
     def _peer_message(self, reader: _FrameReader, instance_id: int) -> HostEvent:
@@ -295,5 +295,5 @@
 
     def _preload_ended(self, reader: _FrameReader, instance_id: int) -> HostEvent:
         instances, worker_id, function_id, verdict, latency_ms = reader.unpack(PRELOAD_ENDED)
-        outcome = _lookup(OUTCOME_BY_VERDICT, verdict, "verdict")
+        outcome = _lookup(OUTCOME_BY_VERDICT, verdict, "status code")
         return PreloadEnded(worker_id, function_id, outcome, instances, _check_time(latency_ms))
--- a/cedarthread/simulator/host.py
+++ b/cedarthread/simulator/host.py
@@ -103,13 +103,13 @@
     if not head:
         return None
     if len(head) < LENGTH_BYTES:
-        raise SimulatorProtocolError(f"frame length cut short: {len(head)} of 4 bytes")
+        raise SimulatorProtocolError(f"frame length truncated: got {len(head)} of 4 bytes")
     length = int.from_bytes(head, "little")
     if length < MIN_FRAME_BYTES:
-        raise SimulatorProtocolError(f"frame length {length} is under the header's 16 bytes")
+        raise SimulatorProtocolError(f"frame length {length} is less than the 16 bytes of the header")
     body = source.read(length - LENGTH_BYTES)
     if len(body) < length - LENGTH_BYTES:
-        raise SimulatorProtocolError(f"frame cut short: {LENGTH_BYTES + len(body)} of {length} bytes")
+        raise SimulatorProtocolError(f"frame truncated: got {LENGTH_BYTES + len(body)} of {length} bytes")
     return head + body
 
 
