--- a/cedarthread/simulator/decoder.py
+++ b/cedarthread/simulator/decoder.py
@@ -41,7 +41,7 @@
     INSTANCE_STARTED,
     IS_CLIENT_RETRY,
     IS_WRITE,
-    OUTCOME_BY_VERDICT,
+    OUTCOME_BY_STATUS_CODE,
     PEER_MESSAGE,
     PRELOAD_ENDED,
     REQUEST_ARRIVED,
@@ -259,9 +259,9 @@
 
     def _attempt_ended(self, reader: _FrameReader, instance_id: int) -> HostEvent:
         fields = reader.unpack(ATTEMPT_ENDED)
-        request_id, worker_id, latency_ms, remark, attempt_index, verdict, is_final = fields
-        outcome = _lookup(OUTCOME_BY_VERDICT, verdict, "status code")
-        start_code = remark & START_KIND_MASK
+        request_id, worker_id, latency_ms, instance_info, attempt_index, status_code, is_final = fields
+        outcome = _lookup(OUTCOME_BY_STATUS_CODE, status_code, "status code")
+        start_code = instance_info & START_KIND_MASK
         start_kind = START_KINDS[start_code] if start_code < len(START_KINDS) else StartKind.UNKNOWN
         return AttemptEnded(
             request_id,
@@ -271,7 +271,7 @@
             _check_time(latency_ms),
             bool(is_final),
             start_kind,
-            (remark >> CONCURRENCY_SHIFT) & CONCURRENCY_MASK,
+            (instance_info >> CONCURRENCY_SHIFT) & CONCURRENCY_MASK,
             reader.read_load_report(),
         )
 
@@ -282,8 +282,8 @@
         return TimerFired(*reader.unpack(U32))
 
     def _health_check_ended(self, reader: _FrameReader, instance_id: int) -> HostEvent:
-        latency_ms, worker_id, verdict = reader.unpack(HEALTH_CHECK_ENDED)
-        outcome = _lookup(OUTCOME_BY_VERDICT, verdict, "status code")
+        latency_ms, worker_id, status_code = reader.unpack(HEALTH_CHECK_ENDED)
+        outcome = _lookup(OUTCOME_BY_STATUS_CODE, status_code, "status code")
         return HealthCheckEnded(worker_id, outcome, _check_time(latency_ms), reader.read_load_report())
 
     def _peer_message(self, reader: _FrameReader, instance_id: int) -> HostEvent:
@@ -294,6 +294,6 @@
         return InstanceKilled()
 
     def _preload_ended(self, reader: _FrameReader, instance_id: int) -> HostEvent:
-        instances, worker_id, function_id, verdict, latency_ms = reader.unpack(PRELOAD_ENDED)
-        outcome = _lookup(OUTCOME_BY_VERDICT, verdict, "status code")
+        instances, worker_id, function_id, status_code, latency_ms = reader.unpack(PRELOAD_ENDED)
+        outcome = _lookup(OUTCOME_BY_STATUS_CODE, status_code, "status code")
         return PreloadEnded(worker_id, function_id, outcome, instances, _check_time(latency_ms))
--- a/tests/unit/simulator/frames.py
+++ b/tests/unit/simulator/frames.py
@@ -5,7 +5,7 @@
 import json
 import struct
 
-SIMULATOR_INFO = {
+SIMULATOR_SETTINGS = {
     "balancers": 3,
     "classes": [
         {"name": "x", "goal-time": 500.0, "deadline": 2000.0, "effect": "retryable", "value": 2.0},
@@ -27,8 +27,8 @@
     return struct.pack("<BI", 13, instance_id)
 
 
-def instance_started(info: object = SIMULATOR_INFO) -> bytes:
-    text = json.dumps(info).encode()
+def instance_started(settings: object = SIMULATOR_SETTINGS) -> bytes:
+    text = json.dumps(settings).encode()
     return struct.pack("<BQI", 1, 99, len(text)) + text
 
 
--- a/tests/unit/simulator/test_decoder.py
+++ b/tests/unit/simulator/test_decoder.py
@@ -52,7 +52,7 @@
     assert len(request_arrived(9)) == 47
 
 
-def test_invalid_numbers_count_as_absent() -> None:
+def test_invalid_numbers_are_decoded_as_absent() -> None:
     record = struct.pack("<BIfdQHffdHH", 3, 9, float("nan"), 1.0, 77, 0, -1.0, float("inf"), 12.0, 3, 0xFFF2)
     event = decode_event(record)
     assert isinstance(event, RequestArrived)
@@ -85,7 +85,7 @@
     assert decode_event(record) == event
 
 
-def test_a_table_number_refers_to_the_list_that_was_defined_last() -> None:
+def test_a_table_number_refers_to_its_latest_definition() -> None:
     records = (
         select_instance(1),
         endpoint_table(0, endpoint_entry(4)),
--- a/tests/unit/simulator/test_encoder.py
+++ b/tests/unit/simulator/test_encoder.py
@@ -25,7 +25,7 @@
 from cedarthread.simulator.encoder import encode_action, encode_reply
 
 
-def test_reply_without_records_is_its_length_alone() -> None:
+def test_reply_without_records_contains_only_its_length() -> None:
     assert encode_reply([]) == bytes.fromhex("04000000")
 
 
--- a/tests/unit/simulator/test_host.py
+++ b/tests/unit/simulator/test_host.py
@@ -15,7 +15,7 @@
 from cedarthread.simulator import host as simulator_host
 from cedarthread.simulator.host import SimulatorHost, main
 from tests.unit.simulator.frames import (
-    SIMULATOR_INFO,
+    SIMULATOR_SETTINGS,
     endpoint_entry,
     endpoint_table,
     endpoint_update,
@@ -36,7 +36,7 @@
 
 
 def test_settings_are_parsed_and_unknown_keys_ignored() -> None:
-    settings = parse_settings(json.dumps(SIMULATOR_INFO).encode())
+    settings = parse_settings(json.dumps(SIMULATOR_SETTINGS).encode())
     assert [request_class.idempotency for request_class in settings.classes] == [
         Idempotency.IDEMPOTENT,
         Idempotency.WITH_KEY,
@@ -70,7 +70,7 @@
         frame() + b"\x40",
     ],
 )
-def test_malformed_input_is_one_log_line_and_a_failing_exit(
+def test_malformed_input_prints_one_line_and_exits_with_an_error(
     malformed_input: bytes, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(io.BytesIO(malformed_input), io.BytesIO()) != 0
