--- a/tests/contracts/conftest.py
+++ b/tests/contracts/conftest.py
@@ -1,4 +1,4 @@
-"""Registration of the helpers with pytest, so that their failed assertions show the compared values."""
+"""Registration of helper modules with pytest, so that their failed assertions show the compared values."""
 
 from __future__ import annotations
 
--- a/tests/contracts/router_harness.py
+++ b/tests/contracts/router_harness.py
@@ -1,4 +1,4 @@
-"""What the contract of the routers' protocols needs: a client and two workers, under one interface.
+"""The interface of the test harnesses of the router contract: a router, a client and two workers.
 
 ``simulator_harness.py`` and ``socket_harness.py`` implement it.
 """
@@ -36,7 +36,7 @@
 
     call_number: int
     worker: int  # 1 or 2
-    handle: Any  # by which the harness identifies the attempt
+    handle: Any  # identifies the attempt in the harness
 
 
 class WorkerAction(Enum):
@@ -67,7 +67,7 @@
     async def serve_call(self, number: int) -> int:
         """Send a call, serve it, and return the worker that received it.
 
-        All that was sent before the call has arrived when this returns.
+        Everything that was sent before the call has arrived when this returns.
         """
         self.call(number, "check")
         attempt = await self.first_attempt(number)
@@ -93,8 +93,8 @@
 
     @abstractmethod
     def drain(self, worker: int) -> None:
-        """Update the endpoint list: this worker drains."""
+        """Mark a worker as draining in the endpoint list."""
 
     @abstractmethod
     async def wait_until(self, condition: Callable[[], bool]) -> None:
-        """Let events happen until a condition is true."""
+        """Process events until a condition is true."""
--- a/tests/contracts/simulator_harness.py
+++ b/tests/contracts/simulator_harness.py
@@ -1,4 +1,4 @@
-"""The simulator's protocol under the contract of the routers' protocols, on a virtual clock."""
+"""The test harness of the router contract for the simulator's protocol, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class ActionCode(IntEnum):
-    """The first byte of a record in a reply."""
+    """Codes of the records of a reply: the first byte of each record."""
 
     CLOSE_IDLE_CONNECTIONS = 66
     SET_TIMER = 67
@@ -50,7 +50,7 @@
     CANCEL_ATTEMPT = 79
 
 
-# Of the records of a fixed length, without their code.
+# Layouts of the records of a fixed length, without the record's code.
 LAYOUTS = {
     ActionCode.CLOSE_IDLE_CONNECTIONS: "<I",
     ActionCode.SET_TIMER: "<dI",
@@ -71,7 +71,7 @@
         self.host = SimulatorHost()
         self.now_ms = 1000.0
         self.list_version = 0
-        self.due: list[tuple[float, bytes]] = []  # heap of future records, by time in ms
+        self.due: list[tuple[float, bytes]] = []  # heap of scheduled records, by time in ms
         self.worker_states = {1: READY, 2: READY}
         self.deadlines_ms: dict[int, float] = {}  # of the calls that wait for an answer
         self._feed(instance_started(SETTINGS))
--- a/tests/contracts/socket_harness.py
+++ b/tests/contracts/socket_harness.py
@@ -1,4 +1,4 @@
-"""The platform protocol and the invoke API under the contract of the routers' protocols, on loopback."""
+"""The test harnesses of the router contract for the platform protocol and the invoke API, on loopback."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     """A complete router and two workers on loopback; the body of a call is its number."""
 
     async def open(self, stack: AsyncExitStack, authority: Authority) -> None:
-        self.has_progress = asyncio.Event()  # a message of a worker or an answer arrived
+        self.has_progress = asyncio.Event()  # set when a message of a worker or an answer arrives
         self.worker_states = [EndpointState.READY] * 2
         self.workers = [ScriptedWorker(self._receive_attempt) for _ in range(2)]
         for worker in self.workers:
@@ -85,7 +85,7 @@
 
 
 class PlatformHarness(SocketHarness):
-    """The connection of one platform client carries all calls."""
+    """A harness with one platform client, whose connection carries all calls."""
 
     async def open(self, stack: AsyncExitStack, authority: Authority) -> None:
         await super().open(stack, authority)
@@ -112,7 +112,7 @@
 
 
 class InvokeHarness(SocketHarness):
-    """Each call has a connection of its own to the invoke API, with mutual TLS."""
+    """A harness in which each call has its own connection to the invoke API, with mutual TLS."""
 
     async def open(self, stack: AsyncExitStack, authority: Authority) -> None:
         await super().open(stack, authority)
--- a/tests/contracts/test_fronts.py
+++ b/tests/contracts/test_fronts.py
@@ -1,4 +1,4 @@
-"""The contract between a router and its clients, for each protocol in ``ROUTERS``."""
+"""Tests of the contract between a router and its clients, for each protocol in ``ROUTERS``."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 async def a_call_gets_exactly_one_answer(router: RouterHarness) -> None:
-    """Check one answer although an attempt ends twice, by two responses or by a response and a break."""
+    """Check one answer although an attempt ends twice, by two responses or by one and a broken connection."""
     for number, actions in (
         (1, (WorkerAction.SERVE, WorkerAction.SERVE, WorkerAction.REJECT)),
         (2, (WorkerAction.SERVE, WorkerAction.BREAK_CONNECTION)),
@@ -44,7 +44,7 @@
 
 
 async def a_disconnected_client_gets_no_answer_and_its_attempt_is_cancelled(router: RouterHarness) -> None:
-    """Check that after a cancel neither a later response nor the deadline produces an answer."""
+    """Check that after a cancellation neither a later response nor the deadline produces an answer."""
     for number, timeout_ms in ((1, 900), (2, 400)):
         router.call(number, "confirm", timeout_ms)
         await router.first_attempt(number)
@@ -86,7 +86,7 @@
 
 
 async def each_call_is_answered_by_its_own_deadline(router: RouterHarness) -> None:
-    """Check each deadline; the call that is sent last has the earliest one."""
+    """Check the deadline of each call; the call that is sent last has the earliest deadline."""
     for number, timeout_ms in ((1, 900), (2, 300)):
         router.call(number, "confirm", timeout_ms)
         await router.first_attempt(number)
--- a/tests/contracts/test_golden.py
+++ b/tests/contracts/test_golden.py
@@ -1,4 +1,4 @@
-"""Wires and stored values against the golden files, which an earlier version of the router has written."""
+"""Tests of wire formats and stored values against golden files, which an earlier router version wrote."""
 
 from __future__ import annotations
 
@@ -94,11 +94,11 @@
         assert sample.rewrite(data) == data
 
 
-# The store's folder.
+# Folders of the store.
 
 
 def golden_folder(mode: str) -> dict[str, Json]:
-    """Return what the golden file has for the folder that was written in this mode."""
+    """Return the golden file's record of the folder that was written in this mode."""
     return golden_record(STORE_FOLDERS, mode)
 
 
@@ -127,7 +127,7 @@
 
 
 def read_database(folder: Path) -> DatabaseContent:
-    """Read the folder's database without the code of the store."""
+    """Read the folder's database without using the store's code."""
     file_names = sorted(path.name for path in folder.iterdir())
     connection = sqlite3.connect(folder / next(name for name in file_names if name.endswith(".db")))
     try:
@@ -142,7 +142,7 @@
 
 
 def load_store(folder: Path) -> LoadResult:
-    """Open the store in this folder in the mode "each" and close it again; return what it has read."""
+    """Open the store in this folder in sync mode "each", close it, and return what it read."""
     store = SqliteBackend(folder, "each")
     loaded = store.open()
     store.close()
@@ -231,7 +231,7 @@
 
 
 def test_a_router_believes_a_kept_folder_and_puts_the_same_again(tmp_path: Path) -> None:
-    """A whole router restores its entries, quota balances and warm state from a golden folder."""
+    """Check that a router restores its entries, quota balances and warm state from a golden folder."""
     loaded = load_store(unpack_folder("each", tmp_path))
     limits = dataclasses.replace(settings().limits, allows_gossip=False)
     router = RoutingNode(settings(router_count=1, limits=limits), 3, 4)
--- a/tests/contracts/test_paths.py
+++ b/tests/contracts/test_paths.py
@@ -1,4 +1,4 @@
-"""The contract of a path between routers (``fakes/peer_transport.py``), for each path in ``PATHS``."""
+"""Tests of the contract of paths between routers (``fakes/peer_transport.py``), for each of ``PATHS``."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     """The paths of three routers over the cluster's simulated network.
 
     Attributes:
-        ends: The ends of the routers 0 to 2.
-        outsiders: Ends that can send to the routers; the first is unknown to them.
+        ends: The path ends of routers 0 to 2.
+        outsiders: Further ends that can send to the routers; the routers do not know the first.
         received: What each end received, by its number.
     """
 
@@ -59,15 +59,15 @@
         self.received[receiver].append((sender, data))
 
     async def deliver_all(self) -> None:
-        """Let every datagram that was sent arrive."""
+        """Deliver every datagram that was sent."""
         self.network.deliver_all()
 
 
 class UdpWorld(MemoryWorld):
     """The paths of three routers over UDP on loopback.
 
-    Loopback keeps the order of datagrams to one socket, so a marker arrives after all that was sent before.
-    The routers know the end 3, which sends the markers; they do not know the end 4.
+    Loopback keeps the order of datagrams to one socket, so a marker arrives after everything sent before it.
+    The routers know end 3, which sends the markers; they do not know end 4.
     """
 
     async def start(self) -> None:
@@ -131,7 +131,7 @@
 
 
 def check_datagrams(kind: PathKind, sent: ReceivedDatagrams, received: ReceivedDatagrams) -> None:
-    """Check rules 1 to 3 at one end, to which each datagram was sent once and no two are equal."""
+    """Check rules 1 to 3 at one end, to which each datagram was sent once; no two datagrams are equal."""
     arrivals = Counter(received)
     assert set(arrivals) <= set(sent)
     assert not kind.is_reliable or set(arrivals) == set(sent)
