--- a/tests/contracts/simulator_harness.py
+++ b/tests/contracts/simulator_harness.py
@@ -117,7 +117,9 @@
 
     def _on_answer(self, request_id: int, answer: Answer) -> None:
         deadline_ms = self.deadlines_ms.pop(request_id, 0.0)
-        assert self.now_ms <= deadline_ms, "an answer is for a client that waits, and within its deadline"
+        assert self.now_ms <= deadline_ms, (
+            "a call was answered after its deadline, or after its client stopped waiting"
+        )
         self.answers.append((request_id, answer))
 
     def _attempt_ended(self, attempt: Attempt, verdict: int) -> bytes:
@@ -161,8 +163,10 @@
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
         while not condition():
-            assert self.due, "no event is due, so the condition stays false"
-            assert self.due[0][0] < MAX_SIMULATED_MS, "the condition is false for too long"
+            assert self.due, "no event is scheduled, so the condition stays false"
+            assert self.due[0][0] < MAX_SIMULATED_MS, (
+                "the condition is still false at the simulated time limit"
+            )
             at_ms, record = heapq.heappop(self.due)
             self.now_ms = max(self.now_ms, at_ms)
             self._feed(record)
--- a/tests/contracts/test_paths.py
+++ b/tests/contracts/test_paths.py
@@ -135,7 +135,9 @@
     arrivals = Counter(received)
     assert set(arrivals) <= set(sent)
     assert not kind.is_reliable or set(arrivals) == set(sent)
-    assert max(arrivals.values()) == kind.max_arrivals, "the limit is kept, and it is reached"
+    assert max(arrivals.values()) == kind.max_arrivals, (
+        "some datagram must arrive the maximum number of times, and none more often"
+    )
     assert not kind.is_ordered or received == sent
 
 
