--- a/tests/contracts/simulator_harness.py
+++ b/tests/contracts/simulator_harness.py
@@ -29,8 +29,8 @@
 DRAINING = 1
 READY = 2
 SNAPSHOT = 3
-VERDICTS = {WorkerAction.SERVE: 200, WorkerAction.REJECT: 429, WorkerAction.BREAK_CONNECTION: 520}
-TIMEOUT_VERDICT = 408
+STATUS_CODES = {WorkerAction.SERVE: 200, WorkerAction.REJECT: 429, WorkerAction.BREAK_CONNECTION: 520}
+TIMEOUT_STATUS_CODE = 408
 LATENCY_MS = 5.0
 MAX_SIMULATED_MS = 60_000.0
 
@@ -71,13 +71,13 @@
         self.host = SimulatorHost()
         self.now_ms = 1000.0
         self.list_version = 0
-        self.due: list[tuple[float, bytes]] = []  # heap of scheduled records, by time in ms
+        self.scheduled_records: list[tuple[float, bytes]] = []  # heap, by time in ms
         self.worker_states = {1: READY, 2: READY}
         self.deadlines_ms: dict[int, float] = {}  # of the calls that wait for an answer
-        self._feed(instance_started(SETTINGS))
+        self._handle_records(instance_started(SETTINGS))
         self._update_endpoints()
 
-    def _feed(self, *records: bytes) -> None:
+    def _handle_records(self, *records: bytes) -> None:
         reply = self.host.handle_frame(frame(select_instance(INSTANCE_ID), *records, now_ms=self.now_ms))
         offset = 4
         while offset < len(reply):
@@ -101,7 +101,7 @@
                     self.cancelled.add(request_id)
                 case ActionCode.SET_TIMER:
                     at_ms, token = fields
-                    heapq.heappush(self.due, (at_ms, struct.pack("<BI", 7, token)))
+                    heapq.heappush(self.scheduled_records, (at_ms, struct.pack("<BI", 7, token)))
 
     def _on_attempt_started(self, request_id: int, worker_id: int, timeout_ms: float) -> None:
         attempt_index = sum(attempt.call_number == request_id for attempt in self.attempts)
@@ -109,11 +109,11 @@
         self.attempts.append(attempt)
         times_out_at_ms = self.now_ms + timeout_ms if timeout_ms else self.deadlines_ms[request_id]
         if self.is_rejecting:
-            rejected = self._attempt_ended(attempt, VERDICTS[WorkerAction.REJECT])
-            heapq.heappush(self.due, (self.now_ms, rejected))
+            rejected = self._attempt_ended(attempt, STATUS_CODES[WorkerAction.REJECT])
+            heapq.heappush(self.scheduled_records, (self.now_ms, rejected))
         else:
-            timed_out = self._attempt_ended(attempt, TIMEOUT_VERDICT)
-            heapq.heappush(self.due, (times_out_at_ms, timed_out))
+            timed_out = self._attempt_ended(attempt, TIMEOUT_STATUS_CODE)
+            heapq.heappush(self.scheduled_records, (times_out_at_ms, timed_out))
 
     def _on_answer(self, request_id: int, answer: Answer) -> None:
         deadline_ms = self.deadlines_ms.pop(request_id, 0.0)
@@ -122,18 +122,18 @@
         )
         self.answers.append((request_id, answer))
 
-    def _attempt_ended(self, attempt: Attempt, verdict: int) -> bytes:
+    def _attempt_ended(self, attempt: Attempt, status_code: int) -> bytes:
         request_id, worker_id, attempt_index = attempt
         is_final = request_id not in self.deadlines_ms
         return struct.pack(
-            "<BIIdIHHBB", 5, request_id, worker_id, LATENCY_MS, 0, attempt_index, verdict, is_final, 0
+            "<BIIdIHHBB", 5, request_id, worker_id, LATENCY_MS, 0, attempt_index, status_code, is_final, 0
         )
 
     def call(self, number: int, class_name: str, timeout_ms: int = 3000) -> None:
         deadline_ms = self.now_ms + timeout_ms
         self.deadlines_ms[number] = deadline_ms
-        class_index = [each["name"] for each in SETTINGS["classes"]].index(class_name)
-        self._feed(
+        class_index = [request_class["name"] for request_class in SETTINGS["classes"]].index(class_name)
+        self._handle_records(
             struct.pack(
                 "<BIfdQHffdHH", 3, number, 1.0, deadline_ms, 77, class_index, 384.0, 900.0, 12.0, 0, 0
             )
@@ -141,13 +141,13 @@
 
     def disconnect(self, number: int) -> None:
         del self.deadlines_ms[number]
-        self._feed(struct.pack("<BI", 6, number))
+        self._handle_records(struct.pack("<BI", 6, number))
 
     def respond(self, attempt: Attempt, action: WorkerAction) -> None:
         self.now_ms += LATENCY_MS
         if action is WorkerAction.SERVE and self.deadlines_ms.pop(attempt.call_number, None) is not None:
             self.answers.append((attempt.call_number, Answer(AnswerKind.SERVED)))
-        self._feed(self._attempt_ended(attempt, VERDICTS[action]))
+        self._handle_records(self._attempt_ended(attempt, STATUS_CODES[action]))
 
     def drain(self, worker: int) -> None:
         self.worker_states[worker] = DRAINING
@@ -156,17 +156,17 @@
     def _update_endpoints(self) -> None:
         self.list_version += 1
         entries = [endpoint_entry(worker, state) for worker, state in self.worker_states.items()]
-        self._feed(
+        self._handle_records(
             endpoint_table(self.list_version, *entries),
             endpoint_update(self.list_version, SNAPSHOT, self.list_version),
         )
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
         while not condition():
-            assert self.due, "no event is scheduled, so the condition stays false"
-            assert self.due[0][0] < MAX_SIMULATED_MS, (
+            assert self.scheduled_records, "no event is scheduled, so the condition stays false"
+            assert self.scheduled_records[0][0] < MAX_SIMULATED_MS, (
                 "the condition is still false at the simulated time limit"
             )
-            at_ms, record = heapq.heappop(self.due)
+            at_ms, record = heapq.heappop(self.scheduled_records)
             self.now_ms = max(self.now_ms, at_ms)
-            self._feed(record)
+            self._handle_records(record)
--- a/tests/contracts/socket_harness.py
+++ b/tests/contracts/socket_harness.py
@@ -40,11 +40,11 @@
     """A complete router and two workers on loopback; the body of a call is its number."""
 
     async def open(self, stack: AsyncExitStack, authority: Authority) -> None:
-        self.has_progress = asyncio.Event()  # set when a message of a worker or an answer arrives
+        self.progress_event = asyncio.Event()  # set when a message of a worker or an answer arrives
         self.worker_states = [EndpointState.READY] * 2
         self.workers = [ScriptedWorker(self._receive_attempt) for _ in range(2)]
         for worker in self.workers:
-            worker.message_received = self.has_progress
+            worker.message_received = self.progress_event
         router = service(*self.workers, invoke=read_invoke_config(authority))
         self.running = await stack.enter_async_context(router)
 
@@ -64,16 +64,16 @@
     def drain(self, worker: int) -> None:
         self.worker_states[worker - 1] = EndpointState.DRAINING
         records = [
-            endpoint_record(each, number, self.worker_states[number - 1])
-            for number, each in enumerate(self.workers, 1)
+            endpoint_record(scripted_worker, number, self.worker_states[number - 1])
+            for number, scripted_worker in enumerate(self.workers, 1)
         ]
         self.running.update_endpoints(self.running.endpoint_list.version + 1, records, is_complete=True)
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not condition():
-                self.has_progress.clear()
-                await self.has_progress.wait()
+                self.progress_event.clear()
+                await self.progress_event.wait()
                 cancelled_ids = {call_id for worker in self.workers for call_id in worker.cancelled_ids}
                 self.cancelled |= {
                     attempt.call_number for attempt in self.attempts if attempt.handle["id"] in cancelled_ids
@@ -81,7 +81,7 @@
 
     def on_answer(self, number: int, answer: Answer) -> None:
         self.answers.append((number, answer))
-        self.has_progress.set()
+        self.progress_event.set()
 
 
 class PlatformHarness(SocketHarness):
@@ -135,8 +135,8 @@
                 self.on_answer(number, answer)
 
     def call(self, number: int, class_name: str, timeout_ms: int = 3000) -> None:
-        conversation = self._send_and_read_answers(number, class_name, timeout_ms)
-        self.tasks[number] = asyncio.create_task(conversation)
+        exchange = self._send_and_read_answers(number, class_name, timeout_ms)
+        self.tasks[number] = asyncio.create_task(exchange)
 
     def disconnect(self, number: int) -> None:
         self.tasks[number].cancel()
--- a/tests/contracts/test_fronts.py
+++ b/tests/contracts/test_fronts.py
@@ -59,9 +59,9 @@
 
 
 async def a_draining_worker_gets_no_calls(router: RouterHarness) -> None:
-    home = await router.serve_call(1)
-    router.drain(home)
-    assert {await router.serve_call(number) for number in range(2, 8)} == {3 - home}
+    first_worker = await router.serve_call(1)
+    router.drain(first_worker)
+    assert {await router.serve_call(number) for number in range(2, 8)} == {3 - first_worker}
 
 
 async def a_call_that_all_workers_reject_is_rejected_with_a_retry_time(router: RouterHarness) -> None:
--- a/tests/contracts/test_golden.py
+++ b/tests/contracts/test_golden.py
@@ -65,25 +65,25 @@
 ]
 
 
-def test_each_file_has_its_builder_and_each_builder_its_file() -> None:
+def test_golden_files_and_builders_match_one_to_one() -> None:
     file_names = {path.name for path in GOLDEN_FOLDER.iterdir()}
     assert file_names == {f"{name}.json" for name in (*BUILDERS, STORE_FOLDERS)}
 
 
 @pytest.mark.parametrize("name", BUILDERS)
-def test_a_file_is_made_again_byte_for_byte(name: str) -> None:
+def test_a_golden_file_is_reproduced_byte_for_byte(name: str) -> None:
     assert file_text(name).encode() == golden_path(name).read_bytes()
 
 
 @pytest.mark.parametrize(("name", "sample_name"), GOLDEN_SAMPLES)
-def test_a_sample_is_made_again_byte_for_byte(name: str, sample_name: str) -> None:
+def test_a_sample_is_reproduced_byte_for_byte(name: str, sample_name: str) -> None:
     record = golden_record(name, sample_name)
     assert sample_name in built_samples(name)
     assert built_samples(name)[sample_name].data == golden_bytes(record)
 
 
 @pytest.mark.parametrize(("name", "sample_name"), GOLDEN_SAMPLES)
-def test_kept_bytes_are_read_as_they_were_and_written_the_same(name: str, sample_name: str) -> None:
+def test_golden_bytes_are_decoded_and_encoded_as_before(name: str, sample_name: str) -> None:
     record = golden_record(name, sample_name)
     data = golden_bytes(record)
     sample = built_samples(name)[sample_name]
@@ -149,14 +149,14 @@
     return loaded
 
 
-def test_each_mode_is_kept() -> None:
+def test_each_mode_has_a_golden_folder_with_all_values() -> None:
     assert list(golden_file(STORE_FOLDERS)) == list(MODES)
     for mode in MODES:
         assert golden_values(mode) == store_values()
 
 
 @pytest.mark.parametrize("mode", MODES)
-def test_a_kept_folder_is_read_and_goes_on(mode: str, tmp_path: Path) -> None:
+def test_a_golden_folder_is_read_and_accepts_commits(mode: str, tmp_path: Path) -> None:
     folder = unpack_folder(mode, tmp_path)
     sync = MODES[mode].sync
     assert golden_folder(mode)["whole"] is True
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("mode", MODES)
-def test_a_new_folder_has_the_rows_of_the_kept_one(mode: str, tmp_path: Path) -> None:
+def test_a_new_folder_has_the_rows_of_the_golden_folder(mode: str, tmp_path: Path) -> None:
     old = tmp_path / "old"
     old.mkdir()
     new = tmp_path / "new"
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("mode", MODES)
-def test_a_kept_folder_is_read_on_the_stores_thread(mode: str, tmp_path: Path) -> None:
+def test_a_golden_folder_is_read_on_the_store_thread(mode: str, tmp_path: Path) -> None:
     callback_due = threading.Event()
     results: list[LoadResult] = []
     host = StoreHost(
@@ -209,7 +209,7 @@
     assert results[0].fault is None
 
 
-def test_the_torn_folder_lacks_its_content_until_its_journal_is_played_back(tmp_path: Path) -> None:
+def test_a_torn_folder_without_its_journal_is_reported_as_corrupted(tmp_path: Path) -> None:
     folder = unpack_folder("group, torn", tmp_path)
     (folder / "state-1.db-journal").unlink()
     store = SqliteBackend(folder, "group")
@@ -219,7 +219,7 @@
     assert dict(loaded.values) != golden_values("group, torn")
 
 
-def test_a_damaged_byte_in_a_kept_folder_shows(tmp_path: Path) -> None:
+def test_a_damaged_byte_in_a_golden_folder_is_detected(tmp_path: Path) -> None:
     folder = unpack_folder("each", tmp_path)
     database = bytearray((folder / "state-1.db").read_bytes())
     database[database.index(b"best-effort")] ^= 1
@@ -230,7 +230,7 @@
     assert dict(loaded.values).items() <= golden_values("each").items()
 
 
-def test_a_router_believes_a_kept_folder_and_puts_the_same_again(tmp_path: Path) -> None:
+def test_a_router_restores_a_golden_folder_and_encodes_the_same_values(tmp_path: Path) -> None:
     """Check that a router restores its entries, quota balances and warm state from a golden folder."""
     loaded = load_store(unpack_folder("each", tmp_path))
     limits = dataclasses.replace(settings().limits, allows_gossip=False)
@@ -259,7 +259,7 @@
     assert len(components.recovery.warm_state.digest(10.0)) == 5
 
 
-def test_what_is_kept_is_not_written_over(capsys: pytest.CaptureFixture[str]) -> None:
+def test_existing_golden_files_are_not_overwritten(capsys: pytest.CaptureFixture[str]) -> None:
     before = {path.name: path.read_bytes() for path in GOLDEN_FOLDER.iterdir()}
     assert main(["--write"]) == 1
     assert "not written over" in capsys.readouterr().err
--- a/tests/contracts/test_paths.py
+++ b/tests/contracts/test_paths.py
@@ -27,12 +27,12 @@
 ReceivedDatagrams = list[tuple[int, bytes]]  # with the number of the sender
 
 
-class MemoryWorld:
+class MemoryTestbed:
     """The paths of three routers over the cluster's simulated network.
 
     Attributes:
         ends: The path ends of routers 0 to 2.
-        outsiders: Further ends that can send to the routers; the routers do not know the first.
+        extra_ends: Further ends that can send to the routers; the routers do not know the first.
         received: What each end received, by its number.
     """
 
@@ -53,7 +53,7 @@
             MemoryPath(self.network, number, partial(self.on_datagram, number))
             for number in range(ROUTER_COUNT + 1)
         ]
-        self.outsiders = [self.ends.pop()]
+        self.extra_ends = [self.ends.pop()]
 
     def on_datagram(self, receiver: int, sender: int, data: bytes) -> None:
         self.received[receiver].append((sender, data))
@@ -63,7 +63,7 @@
         self.network.deliver_all()
 
 
-class UdpWorld(MemoryWorld):
+class UdpTestbed(MemoryTestbed):
     """The paths of three routers over UDP on loopback.
 
     Loopback keeps the order of datagrams to one socket, so a marker arrives after everything sent before it.
@@ -72,9 +72,9 @@
 
     async def start(self) -> None:
         self.sockets = [socket.socket(type=socket.SOCK_DGRAM) for _ in range(5)]
-        for each in self.sockets:
-            each.bind(("127.0.0.1", 0))
-        addresses = tuple(each.getsockname() for each in self.sockets)
+        for udp_socket in self.sockets:
+            udp_socket.bind(("127.0.0.1", 0))
+        addresses = tuple(udp_socket.getsockname() for udp_socket in self.sockets)
         transports = [
             PeerTransport(
                 PeerAddresses(addresses[number], addresses[:4], None), partial(self.on_datagram, number)
@@ -82,26 +82,26 @@
             for number in range(5)
         ]
         loop = asyncio.get_running_loop()
-        for transport, each in zip(transports, self.sockets, strict=True):
-            await loop.create_datagram_endpoint(partial(_identity, transport), sock=each)
+        for transport, udp_socket in zip(transports, self.sockets, strict=True):
+            await loop.create_datagram_endpoint(partial(_identity, transport), sock=udp_socket)
         self.ends = [*transports[:ROUTER_COUNT]]
-        self.outsiders = [transports[4], transports[MARKER_SENDER]]
-        self.has_received = asyncio.Event()
+        self.extra_ends = [transports[4], transports[MARKER_SENDER]]
+        self.received_event = asyncio.Event()
 
     def on_datagram(self, receiver: int, sender: int, data: bytes) -> None:
         super().on_datagram(receiver, sender, data)
-        self.has_received.set()
+        self.received_event.set()
 
     async def deliver_all(self) -> None:
         await asyncio.sleep(0)  # a socket closes in the next iteration of the event loop
         open_ends = [number for number in range(ROUTER_COUNT) if self.sockets[number].fileno() >= 0]
         marker = (MARKER_SENDER, MARKER)
         for number in open_ends:
-            self.outsiders[1].send(MARKER, number)
+            self.extra_ends[1].send(MARKER, number)
         async with asyncio.timeout(10):
             while not all(marker in self.received[number] for number in open_ends):
-                self.has_received.clear()
-                await self.has_received.wait()
+                self.received_event.clear()
+                await self.received_event.wait()
         for number in open_ends:
             self.received[number].remove(marker)
 
@@ -114,18 +114,18 @@
 class PathKind:
     """A path and its properties."""
 
-    make: Callable[[], MemoryWorld]
+    make: Callable[[], MemoryTestbed]
     max_arrivals: int = 1  # of one datagram
     is_ordered: bool = False
     is_reliable: bool = True  # in these tests no datagram is lost, so a missing one is a fault of the path
 
 
 PATHS = {
-    "memory": PathKind(MemoryWorld, is_ordered=True),
-    "udp": PathKind(UdpWorld),
-    "faults": PathKind(partial(MemoryWorld, "loss", "reorder"), is_reliable=False),
+    "memory": PathKind(MemoryTestbed, is_ordered=True),
+    "udp": PathKind(UdpTestbed),
+    "faults": PathKind(partial(MemoryTestbed, "loss", "reorder"), is_reliable=False),
     "faults, doubled": PathKind(
-        partial(MemoryWorld, "loss", "double", "reorder"), max_arrivals=2, is_reliable=False
+        partial(MemoryTestbed, "loss", "double", "reorder"), max_arrivals=2, is_reliable=False
     ),
 }
 
@@ -141,50 +141,50 @@
     assert not kind.is_ordered or received == sent
 
 
-async def datagrams_arrive_complete_with_their_sender(kind: PathKind, world: MemoryWorld) -> None:
+async def datagrams_arrive_complete_with_their_sender(kind: PathKind, testbed: MemoryTestbed) -> None:
     # The lengths are up to 256 bytes.
     sent = [(number % 2, bytes((number,)) * (1 + number % 16 * 17)) for number in range(60)]
     for sender, data in sent:
-        world.ends[sender].send(data, 2)
-    await world.deliver_all()
-    check_datagrams(kind, sent, world.received[2])
-    assert world.received[:2] == [[], []]
-    assert not any(end.unsent_count + end.unknown_sender_count for end in world.ends)
+        testbed.ends[sender].send(data, 2)
+    await testbed.deliver_all()
+    check_datagrams(kind, sent, testbed.received[2])
+    assert testbed.received[:2] == [[], []]
+    assert not any(end.unsent_count + end.unknown_sender_count for end in testbed.ends)
 
 
-async def a_datagram_to_all_arrives_at_each_other_router(kind: PathKind, world: MemoryWorld) -> None:
+async def a_datagram_to_all_arrives_at_each_other_router(kind: PathKind, testbed: MemoryTestbed) -> None:
     sent = [(1, bytes((number,))) for number in range(30)]
     for _, data in sent:
-        world.ends[1].send(data, None)
-    await world.deliver_all()
-    check_datagrams(kind, sent, world.received[0])
-    check_datagrams(kind, sent, world.received[2])
+        testbed.ends[1].send(data, None)
+    await testbed.deliver_all()
+    check_datagrams(kind, sent, testbed.received[0])
+    check_datagrams(kind, sent, testbed.received[2])
 
 
-async def invalid_datagrams_and_unknown_senders_are_counted(kind: PathKind, world: MemoryWorld) -> None:
+async def invalid_datagrams_and_unknown_senders_are_counted(kind: PathKind, testbed: MemoryTestbed) -> None:
     too_long = b"x" * (MAX_DATAGRAM_BYTES + 1)
     for data, peer in ((too_long, 1), (too_long, None), (b"x", 43), (b"x", -1)) * 10:
-        world.ends[0].send(data, peer)
-        world.outsiders[0].send(b"x", 1)
-    await world.deliver_all()
-    assert world.received[:3] == [[], [], []]
-    assert world.ends[0].unsent_count == 40
+        testbed.ends[0].send(data, peer)
+        testbed.extra_ends[0].send(b"x", 1)
+    await testbed.deliver_all()
+    assert testbed.received[:3] == [[], [], []]
+    assert testbed.ends[0].unsent_count == 40
     min_count = 40 if kind.is_reliable else 1
-    assert min_count <= world.ends[1].unknown_sender_count <= 40 * kind.max_arrivals
+    assert min_count <= testbed.ends[1].unknown_sender_count <= 40 * kind.max_arrivals
 
 
-async def a_stopped_end_neither_sends_nor_receives(kind: PathKind, world: MemoryWorld) -> None:
+async def a_stopped_end_neither_sends_nor_receives(kind: PathKind, testbed: MemoryTestbed) -> None:
     sent = [(1, bytes((number,))) for number in range(30)]
-    world.ends[1].send(b"under way", 0)
-    world.ends[0].stop()
-    world.ends[0].stop()
+    testbed.ends[1].send(b"under way", 0)
+    testbed.ends[0].stop()
+    testbed.ends[0].stop()
     for _, data in sent:
         for sender, receiver in ((0, 2), (1, 0), (1, 2)):
-            world.ends[sender].send(data, receiver)
-        await world.deliver_all()
-    assert world.received[0] == []
-    assert world.ends[1].unsent_count == 0
-    check_datagrams(kind, sent, world.received[2])
+            testbed.ends[sender].send(data, receiver)
+        await testbed.deliver_all()
+    assert testbed.received[0] == []
+    assert testbed.ends[1].unsent_count == 0
+    check_datagrams(kind, sent, testbed.received[2])
 
 
 RULES = [
@@ -198,15 +198,15 @@
 @pytest.mark.parametrize("rule", RULES, ids=lambda rule: rule.__name__)
 @pytest.mark.parametrize("kind", PATHS.values(), ids=list(PATHS))
 def test_the_contract_holds(
-    kind: PathKind, rule: Callable[[PathKind, MemoryWorld], Coroutine[Any, Any, None]]
+    kind: PathKind, rule: Callable[[PathKind, MemoryTestbed], Coroutine[Any, Any, None]]
 ) -> None:
     async def scenario() -> None:
-        world = kind.make()
-        await world.start()
+        testbed = kind.make()
+        await testbed.start()
         try:
-            await rule(kind, world)
+            await rule(kind, testbed)
         finally:
-            for end in world.ends + world.outsiders:
+            for end in testbed.ends + testbed.extra_ends:
                 end.stop()
             await asyncio.sleep(0)
 
