--- a/tests/golden_builders/__init__.py
+++ b/tests/golden_builders/__init__.py
@@ -1,1 +1,1 @@
-"""Deterministic builders of the golden samples, one module per wire or store."""
+"""Deterministic builders of the golden samples, one module per wire format or kind of stored data."""
--- a/tests/golden_builders/config_files.py
+++ b/tests/golden_builders/config_files.py
@@ -1,4 +1,4 @@
-"""Files that operators and the platform write."""
+"""Configuration files that operators and the platform write."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 def build_config_files() -> list[Sample]:
-    """Return each file with all keys and with the fewest, and what the router reads in them."""
+    """Return each file with all keys and with the fewest keys, and what the router reads from it."""
     sharing = FLEET_FILE.replace(b"clock-error", b"fresh = 9000\nclock-rate = 0.002\nclock-error")
     fleet_file = sharing.replace(b'sync = "each"', b'sync = "none"\ngroup = 7.5')
     platform_file = json.dumps(PLATFORM_FILE | {"settings": FULL_SETTINGS}).encode()
--- a/tests/golden_builders/control_front.py
+++ b/tests/golden_builders/control_front.py
@@ -1,4 +1,4 @@
-"""Replies of the control address of a whole router, on loopback."""
+"""Replies from the control address of a complete router, on loopback."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 async def _replies(name: str, running: Service) -> list[Sample]:
-    """Return the names in each reply without their figures, because the figures vary from run to run."""
+    """Return the names in each reply without their values, because the values vary from run to run."""
     samples: list[Sample] = []
     await running.start()
     for request in REQUEST_LINES:
--- a/tests/golden_builders/discovery.py
+++ b/tests/golden_builders/discovery.py
@@ -15,7 +15,7 @@
 
 
 def build_discovery() -> list[Sample]:
-    """Return the router's query, and replies that are whole, empty, cut short, truncated or refusals."""
+    """Return the router's query, and replies: complete, empty, cut off, marked truncated, or errors."""
     query = dns.encode_query(0xBEEF, SERVICE_NAME)
     workers = (
         discovery_server.ListedWorker("s-00000001", 9001, False, 0.0),
--- a/tests/golden_builders/escrow.py
+++ b/tests/golden_builders/escrow.py
@@ -15,7 +15,7 @@
 
 
 def build_escrow() -> list[Sample]:
-    """Return requests and responses, with ordinary and with extreme figures."""
+    """Return requests and responses, with ordinary and with extreme values."""
     pool = codec.pool_key("tenant/shop")
     return ESCROW_CODEC.samples(
         {
--- a/tests/golden_builders/fleet.py
+++ b/tests/golden_builders/fleet.py
@@ -1,4 +1,4 @@
-"""Datagrams and actions of a small fleet of whole routers that runs in one process."""
+"""Datagrams and actions of a small fleet of complete routers that runs in one process."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 STEP_MS = 50.0
 SAMPLES_PER_KIND = 4
-# Datagrams of the other types have the kind of message in their second byte.
+# Datagrams of the other types contain the message kind in their second byte.
 TYPES_WITHOUT_KINDS = (MessageType.GOSSIP, MessageType.LOAD_PRESSURE)
 
 # A record is in the simulator's form: the router's index (``encode_instance``), then the action.
@@ -62,7 +62,7 @@
 
 
 class QueuedTimer(NamedTuple):
-    """A timer of a router that has not fired yet; timers fire in this order."""
+    """A timer of a router that has not fired yet; timers fire in the order of these fields."""
 
     at_ms: float
     router_index: int
@@ -70,12 +70,12 @@
 
 
 class Fleet:
-    """Routers under one clock; a datagram arrives at the step after its sending.
+    """Routers with one shared clock; a datagram arrives one step after it is sent.
 
     Each router has six ready workers and the same fleet file, but no store.
 
     Args:
-        count: How many routers.
+        count: The number of routers.
     """
 
     def __init__(self, count: int) -> None:
@@ -104,7 +104,7 @@
             self._execute(index, actions)
 
     def run(self, steps: int) -> None:
-        """Advance the clock by so many steps; at every second step a call arrives."""
+        """Advance the clock by ``steps`` steps; a call arrives at every second step."""
         for step in range(steps):
             self.now_ms += STEP_MS
             arriving = self._queued_datagrams
--- a/tests/golden_builders/fronts.py
+++ b/tests/golden_builders/fronts.py
@@ -1,4 +1,4 @@
-"""Bytes that whole routers send on loopback; those that vary from run to run are masked or left out."""
+"""Bytes that complete routers send on loopback; bytes that vary from run to run are masked or omitted."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def build_fronts() -> list[Sample]:
-    """Return the samples of the invoke API, of the control address and of the platform's wire."""
+    """Return the samples of the invoke API, of the control address and of the platform protocol."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(_build(Path(folder)))
 
--- a/tests/golden_builders/gossip.py
+++ b/tests/golden_builders/gossip.py
@@ -17,7 +17,7 @@
 
 
 def build_gossip() -> list[Sample]:
-    """Return a datagram of each form, then all datagrams of an exchange between two routers."""
+    """Return one datagram of each form, then all datagrams of an exchange between two routers."""
     instances = (
         InstanceUpdate(codec.fold_function_id(FUNCTION_ID), 3, 1250.0),
         InstanceUpdate(1, 300, None),
--- a/tests/golden_builders/invoke_front.py
+++ b/tests/golden_builders/invoke_front.py
@@ -1,4 +1,4 @@
-"""Responses of the invoke API of a whole router, over TLS on loopback."""
+"""Responses of the invoke API of a complete router, over TLS on loopback."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from pathlib import Path
 
 CALL_PATH = re.compile(rb"/v1/calls/[A-Za-z0-9_-]+")
-MASKED_CALL_PATH = b"/v1/calls/MASKED"  # A call's name is random, so samples have this path instead.
+MASKED_CALL_PATH = b"/v1/calls/MASKED"  # Call ids in paths are random, so samples contain this path.
 
 
 class Exchange(NamedTuple):
@@ -56,7 +56,7 @@
 
 
 async def build_invoke_front(folder: Path) -> list[Sample]:
-    """Return the responses to an allowed caller, to one that is not allowed, and of a router that drains."""
+    """Return the responses to an authorized and an unauthorized caller, and those of a draining router."""
     authority = Authority(folder)
     authority.svid("svid", "spiffe://gaz.example/router")
     (folder / "invoke.toml").write_text(INVOKE_FILE)
--- a/tests/golden_builders/local_service.py
+++ b/tests/golden_builders/local_service.py
@@ -1,4 +1,4 @@
-"""A whole router of this process that listens on loopback."""
+"""A complete router that runs in this process and listens on loopback."""
 
 from __future__ import annotations
 
--- a/tests/golden_builders/membership.py
+++ b/tests/golden_builders/membership.py
@@ -16,7 +16,7 @@
 
 
 def build_membership() -> list[Sample]:
-    """Return a message of each kind; the last one has as many updates as a datagram may have."""
+    """Return a message of each kind; the last one has the maximum number of updates of a datagram."""
     updates = tuple(MemberUpdate(index, 1000 + index, STATUSES[index % 3]) for index in range(5))
     full = tuple(MemberUpdate(index, index, STATUSES[index % 3]) for index in range(codec.MAX_UPDATES))
     return MEMBERSHIP_CODEC.samples(
--- a/tests/golden_builders/platform_front.py
+++ b/tests/golden_builders/platform_front.py
@@ -1,4 +1,4 @@
-"""Calls through a whole router on loopback: the responses to the client, and the lines to the worker."""
+"""Calls through a complete router on loopback: the responses to the client, and the lines to the worker."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ClientCall(NamedTuple):
-    """A call of the client, and the fields that it has beyond the common ones."""
+    """A call of the client, with its fields in addition to the common ones."""
 
     name: str
     class_name: str
@@ -48,7 +48,7 @@
 
 
 class RecordingWorker:
-    """A worker that records each line and responds to it by the line's body."""
+    """A worker that records each line and chooses its response by the line's body."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
@@ -66,7 +66,7 @@
         self.ended.set()
 
     async def wait_for_lines(self, count: int) -> None:
-        """Wait until the worker has received so many lines."""
+        """Wait until the worker has received ``count`` lines."""
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             while len(self.lines) < count:
                 await asyncio.sleep(0.005)
@@ -122,7 +122,7 @@
 
 
 async def _end_unanswered_call(worker: RecordingWorker, writer: asyncio.StreamWriter) -> None:
-    """Send a call that the worker leaves unanswered, and interrupt the call once the worker has it.
+    """Send a call that the worker does not answer, and interrupt it once the worker has received it.
 
     The class of the call forbids a second attempt, and its deadline is far away, so that only the client's
     interrupt ends the call.
--- a/tests/golden_builders/platform_settings.py
+++ b/tests/golden_builders/platform_settings.py
@@ -1,4 +1,4 @@
-"""Settings in the platform's form: all keys, and the fewest that are accepted."""
+"""Settings in the platform's format: with all keys, and with the fewest that are accepted."""
 
 from __future__ import annotations
 
@@ -99,7 +99,7 @@
 
 
 def minimal_settings_with(name: str, value: str) -> dict[str, object]:
-    """Return the minimal settings with one more key, which is named as in ``SETTING_TEXTS``."""
+    """Return the minimal settings with one additional key, which is named as in ``SETTING_TEXTS``."""
     section, _, key = name.partition(".")
     if section == "classes":
         request_class = {"goal-time": 500.0, "deadline": 2000.0, "effect": "dedup", key: value}
--- a/tests/golden_builders/platform_wire.py
+++ b/tests/golden_builders/platform_wire.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from tests.golden_builders.sample import Json
 
-CLASS_INDEXES = {"a": 0, "c": 2}  # Places of the request classes in ``tests.helpers.settings``.
+CLASS_INDEXES = {"a": 0, "c": 2}  # Indexes of the request classes in ``tests.helpers.settings``.
 UINT_BOUNDARIES = (0, 127, 128, 255, 256, 65535, 65536, 2**32 - 1, 2**32, 2**64 - 1)
 
 
--- a/tests/golden_builders/priority.py
+++ b/tests/golden_builders/priority.py
@@ -22,7 +22,7 @@
 
 
 def build_pressure() -> list[Sample]:
-    """Return a datagram of one router and one with as many routers as a datagram may have."""
+    """Return a datagram with one router and one with the maximum number of routers."""
     full = [
         RouterPressure(index, index / 10, 1.7**index if index < 20 else 1e6, 333.0 * index)
         for index in range(codec.MAX_ENTRIES)
--- a/tests/golden_builders/recovery.py
+++ b/tests/golden_builders/recovery.py
@@ -1,4 +1,4 @@
-"""Datagrams of the recovery after a restart."""
+"""Datagrams of the recovery protocol that a router runs after a restart."""
 
 from __future__ import annotations
 
--- a/tests/golden_builders/replicated_entries.py
+++ b/tests/golden_builders/replicated_entries.py
@@ -83,7 +83,7 @@
 
 
 def declared_entries() -> list[Entry]:
-    """Return the entries that the fleet file declares, each with a version of its own."""
+    """Return the entries that the fleet file declares, each with its own version."""
     config = fleet_config.parse_fleet_config(FLEET_FILE)
     bodies: list[tuple[EntryKind, str, bytes]] = [
         *contract_entries.entries_from_config(config),
--- a/tests/golden_builders/sample.py
+++ b/tests/golden_builders/sample.py
@@ -1,4 +1,4 @@
-"""The golden sample, the plain form of decoded values, and the samples of a datagram codec."""
+"""Golden samples, the plain form of decoded values, and the samples of a datagram codec."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """Bytes of a wire or of a store, under the name that a golden file has for them.
+    """Bytes of a wire format or of a store, under their name in a golden file.
 
     Args:
         name: Key of the sample in its golden file.
         data: The bytes.
-        read: Decodes the bytes to plain values; None where the router never reads such bytes.
-        rewrite: Decodes the bytes and encodes the result; None where no such way back exists.
+        read: Decodes the bytes to plain values; None if the router never reads such bytes.
+        rewrite: Decodes the bytes and encodes the result; None if the decoded value cannot be encoded again.
     """
 
     name: str
@@ -88,13 +88,13 @@
 
 @dataclass(frozen=True)
 class DatagramCodec(Generic[Message]):
-    """The two functions of a codec of datagrams between routers."""
+    """The encoder and the decoder of datagrams between routers."""
 
     encode: Callable[[Message], bytes]
     decode: Callable[[bytes], Message | MalformedDatagram]
 
     def read(self, data: bytes) -> Json:
-        """Return the decoded message in plain values."""
+        """Return the decoded message as plain values."""
         return to_plain(require_well_formed(self.decode(data)))
 
     def rewrite(self, data: bytes) -> bytes:
--- a/tests/golden_builders/simulator_events.py
+++ b/tests/golden_builders/simulator_events.py
@@ -1,4 +1,4 @@
-"""Frames from the simulator, and the events that the router reads in them."""
+"""Frames from the simulator, and the events that the router decodes from them."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 if TYPE_CHECKING:
     from tests.golden_builders.sample import Json
 
-# The names that the golden file has for the kinds of events.
+# The names of the event kinds in the golden file.
 EVENT_NAMES: tuple[tuple[type[object], str], ...] = (
     (EndpointUpdate, "list"),
     (RequestArrived, "request"),
@@ -97,7 +97,7 @@
 
 
 def _endpoint_lists() -> list[bytes]:
-    """Return two tables, one of them with each state and with invalid figures, and updates of each kind."""
+    """Return two tables, one of them with each state and with invalid numbers, and updates of each kind."""
     states = struct.pack("<BII", 12, 1, 3) + b"".join(
         struct.pack("<IBHHBfd", state, 0, 1, 2, state, -1.0, math.nan) for state in range(3)
     )
--- a/tests/golden_builders/simulator_host.py
+++ b/tests/golden_builders/simulator_host.py
@@ -1,4 +1,4 @@
-"""Frames of the simulator to one process with two routers, and the process's replies."""
+"""Frames that the simulator sends to one process with two routers, and the process's replies."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     timer_fired,
 )
 
-COMPONENT_TIMER_TOKEN = 2**32 - 1  # Of the timer of the routing node's components.
+COMPONENT_TIMER_TOKEN = 2**32 - 1  # Token of the timer of the routing node's components.
 
 
 def build_simulator_host() -> list[Sample]:
--- a/tests/golden_builders/simulator_records.py
+++ b/tests/golden_builders/simulator_records.py
@@ -13,7 +13,7 @@
 
 
 def select_instance(router_index: int) -> bytes:
-    """Return the record that says for which router the next records are."""
+    """Return the record that selects the router of the next records."""
     return struct.pack("<BI", 13, router_index)
 
 
@@ -24,7 +24,7 @@
 
 
 def endpoint_table(table_number: int, *worker_ids: int) -> bytes:
-    """Return the record with a table of these workers; properties of a worker are computed from its id."""
+    """Return the record with a table of these workers; a worker's properties are computed from its id."""
     rows = b"".join(
         struct.pack(
             "<IBHHBfd", worker_id, worker_id % 2, worker_id % 2, worker_id % 3, 2, 1.0, 10.0 * worker_id
@@ -35,7 +35,7 @@
 
 
 def endpoint_update(table_number: int, kind: int = 1, version: int = 1) -> bytes:
-    """Return the record that refers to a table as an update of the endpoint list."""
+    """Return the record that updates the endpoint list from a table."""
     return struct.pack("<BBQI", 2, kind, version, table_number)
 
 
@@ -67,7 +67,7 @@
     Args:
         request_id: The request of the attempt.
         worker_id: The worker of the attempt.
-        status: The status code of the simulator's outcome.
+        status: The status code of the outcome.
         note: The concurrency that the worker reports, times 8, plus the code of the start kind.
         is_final: 1 if the client has received its response, else 0.
     """
--- a/tests/golden_builders/store_folders.py
+++ b/tests/golden_builders/store_folders.py
@@ -1,4 +1,4 @@
-"""Folders of the store, each written in one sync mode and left closed, open or in the middle of a commit."""
+"""Store folders, each written in one sync mode and left closed, open or in the middle of a commit."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True)
 class FolderMode:
-    """The way in which a folder is written and left.
+    """The sync mode in which a folder is written, and the state in which it is left.
 
     Args:
         sync: When the store synchronizes its file with the disk.
-        left: "closed", "open" as by a killed process, or "torn" as by a power cut during a commit.
+        left: "closed", "open" as after a killed process, or "torn" as after a power failure during a commit.
     """
 
     sync: SyncMode
@@ -40,7 +40,7 @@
 
 
 class FolderContent(NamedTuple):
-    """The content that the store reads in a folder; ``is_intact`` is False if the store reports a fault."""
+    """The content that the store reads from a folder; ``is_intact`` is False if the store reports a fault."""
 
     values: dict[str, bytes]
     generation: int
@@ -48,7 +48,7 @@
 
 
 def build_store_folders() -> dict[str, Json]:
-    """Return the folder of each mode: its files in base64, and what the store reads in them."""
+    """Return the folder of each mode: its files in base64, and the content that the store reads from them."""
     folders: dict[str, Json] = {}
     for name, mode in MODES.items():
         with tempfile.TemporaryDirectory() as folder:
@@ -84,7 +84,7 @@
 
 
 def read_folder(folder: Path, sync: SyncMode) -> FolderContent:
-    """Open the store in this folder and close it again; return what it has read."""
+    """Open the store in this folder, close it, and return the content that it read."""
     store = SqliteBackend(folder, sync)
     loaded = store.open()
     store.close()
@@ -96,7 +96,7 @@
 
 
 def _tear(folder: Path) -> dict[str, bytes]:
-    """Return the files as a power cut during a commit leaves them: SQLite's journal has to be played back."""
+    """Return the files as a power failure during a commit leaves them: SQLite must replay its journal."""
     connection = sqlite3.connect(folder / "state-1.db", isolation_level=None)
     try:
         connection.execute("PRAGMA journal_mode=PERSIST")
@@ -104,7 +104,7 @@
         connection.execute("BEGIN IMMEDIATE")
         connection.execute("UPDATE rows SET value = x'00'")
         connection.execute("CREATE TABLE more(value BLOB)")
-        for _ in range(50):  # Enough that SQLite moves the changed rows from its cache to the file.
+        for _ in range(50):  # Enough rows that SQLite writes the changed pages from its cache to the file.
             connection.execute("INSERT INTO more VALUES(?)", (b"x" * 3000,))
         return _read_files(folder)
     finally:
--- a/tests/golden_builders/stored_values.py
+++ b/tests/golden_builders/stored_values.py
@@ -1,4 +1,4 @@
-"""Values in the store of a router, by key."""
+"""Values in a router's store, by key."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 
 def _escrow_image() -> bytes:
-    """Return what a router without peers stores after a request for 3 units of a pool."""
+    """Return the image that a router without peers stores after a request for 3 units of a pool."""
     escrow = _escrow(9)
     escrow.open_pool(POOL, POOL_SIZE, is_consumable=True, ends_at_ms=None)
     escrow.request(0.0, POOL, 3)
@@ -90,12 +90,12 @@
 
 
 def _rewrite_escrow(image: bytes) -> bytes:
-    """Return the snapshot of the next incarnation before it has used anything of the pool."""
+    """Return the snapshot of the next incarnation before it has used any units of the pool."""
     return _restored_escrow(image).snapshot()
 
 
 def _read_escrow(image: bytes) -> Json:
-    """Return what the next incarnation may use at once, its next image, and what it may use afterwards."""
+    """Return what the next incarnation may use at once, its next image, and what it may use after that."""
     escrow = _restored_escrow(image)
     escrow.open_pool(POOL, POOL_SIZE, is_consumable=True, ends_at_ms=None)
     available_at_once = escrow.available(0.0, POOL)
--- a/tests/golden_builders/worker_lines.py
+++ b/tests/golden_builders/worker_lines.py
@@ -1,4 +1,4 @@
-"""Lines between router and worker."""
+"""Lines of the worker protocol, between router and worker."""
 
 from __future__ import annotations
 
--- a/tests/golden_log_lines.py
+++ b/tests/golden_log_lines.py
@@ -1,9 +1,9 @@
-"""The wording that the router's log lines had when the golden files were written.
+"""Conversion of log lines to the wording that they had when the golden files were written.
 
-``tests/golden/fleet.json`` has a digest of all actions of a small fleet, and log lines are among the actions.
-Since then log lines have become events with fields. This module rebuilds each old sentence from the fields of
-its event alone, so that the digest still covers every action, the order of the actions, and every value in a
-log line.
+``tests/golden/fleet.json`` contains a digest of all actions of a small fleet, and log lines are among the
+actions. Since then log lines have become events with fields. This module rebuilds each earlier message from
+the fields of its event alone, so that the digest still covers every action, the order of the actions, and
+every value in a log line.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 # A field of a logfmt line: its name, and its value with or without quotes.
 _FIELD = re.compile(r' ([a-z_]+)=("(?:[^"\\]|\\.)*"|[^\s"=\\]+)')
-# Old words for values of fields; other values have not changed.
+# Earlier spellings of field values; other values have not changed.
 _STATES = {"pending": "due", "in_force": "in force", "lifted": "broken open"}
 _PHASES = {"peer_query": "asking", "in_service": "in service"}
 _CAUSES = {"timeout": "time"}
@@ -43,7 +43,7 @@
     )
 
 
-# The old sentence of each event, from its fields.
+# The earlier message of each event, from its fields.
 _SENTENCES: dict[str, Callable[[Fields], str]] = {
     "change_freeze_hold_ended": lambda fields: "freeze: no more frozen for what may be missed",
     "change_freeze_window_declared": _window_declared,
@@ -68,11 +68,11 @@
 
 
 def old_sentence(line: str) -> str:
-    """Return the old wording of a log line.
+    """Return the earlier wording of a log line.
 
     Raises:
         ValueError: The line is not logfmt.
-        KeyError: The event has no old wording here.
+        KeyError: The event has no earlier wording in this module.
     """
     event, _, field_text = line.partition(" ")
     found = _FIELD.findall(f" {field_text}" if field_text else "")
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -1,8 +1,8 @@
 """The golden files of ``tests/golden``, one per builder of ``tests/golden_builders``.
 
-A golden file has the bytes of each sample, and the values that the router reads in them. The values are
-without names of classes, fields and members, so that a renaming does not change the file.
-``tests/contracts/test_golden.py`` compares the files with the present code.
+A golden file contains the bytes of each sample, and the values that the router decodes from them. The values
+omit the names of classes, fields and members, so that a renaming does not change the file.
+``tests/contracts/test_golden.py`` compares the files with the current code.
 ``python -m tests.golden_samples --write`` writes the files.
 """
 
@@ -62,7 +62,7 @@
     "fronts": build_fronts,
     "files": build_config_files,
 }
-STORE_FOLDERS = "store-folders"  # The golden file that has folders of the store instead of samples.
+STORE_FOLDERS = "store-folders"  # The golden file that contains store folders instead of samples.
 
 
 def golden_path(name: str) -> Path:
@@ -71,7 +71,7 @@
 
 
 def golden_record(sample: Sample) -> dict[str, Json]:
-    """Return what a golden file has for a sample: printable ASCII as text, other bytes in hexadecimal."""
+    """Return the record of a sample in a golden file: printable ASCII as text, other bytes in hexadecimal."""
     record: dict[str, Json] = {}
     if sample.data.isascii() and all(byte >= 32 or byte in b"\r\n" for byte in sample.data):
         record["text"] = sample.data.decode("ascii")
@@ -110,7 +110,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Write the golden files; change nothing if one of them exists and ``--force`` is absent."""
+    """Write the golden files; without ``--force``, change nothing if one of them exists."""
     parser = argparse.ArgumentParser(prog="tests.golden_samples")
     parser.add_argument("--write", action="store_true", required=True)
     parser.add_argument("--force", action="store_true")
