--- a/tests/contracts/test_golden.py
+++ b/tests/contracts/test_golden.py
@@ -262,5 +262,5 @@
 def test_existing_golden_files_are_not_overwritten(capsys: pytest.CaptureFixture[str]) -> None:
     before = {path.name: path.read_bytes() for path in GOLDEN_FOLDER.iterdir()}
     assert main(["--write"]) == 1
-    assert "not written over" in capsys.readouterr().err
+    assert "not overwritten without --force" in capsys.readouterr().err
     assert {path.name: path.read_bytes() for path in GOLDEN_FOLDER.iterdir()} == before
--- a/tests/golden_builders/invoke.py
+++ b/tests/golden_builders/invoke.py
@@ -100,7 +100,7 @@
 def _read_call_request(data: bytes) -> Json:
     head = http.parse_head(memoryview(data), MAX_BODY_BYTES)
     if not isinstance(head, http.RequestHead):
-        raise ValueError("no head")
+        raise ValueError("incomplete or invalid request head")
     router_settings = settings()
     class_indexes = {request_class.name: index for index, request_class in enumerate(router_settings.classes)}
     request = parse_call_request(router_settings, class_indexes, head, data[head.head_bytes :])
--- a/tests/golden_builders/platform_wire.py
+++ b/tests/golden_builders/platform_wire.py
@@ -74,7 +74,7 @@
 def _parse(data: bytes) -> msgpack.ParsedValue:
     parsed = msgpack.parse(memoryview(data))
     if not isinstance(parsed, msgpack.ParsedValue):
-        raise ValueError("no whole value")
+        raise ValueError("incomplete or malformed msgpack value")
     return parsed
 
 
--- a/tests/golden_builders/sample.py
+++ b/tests/golden_builders/sample.py
@@ -72,7 +72,7 @@
         return {str(to_plain(key)): to_plain(item) for key, item in value.items()}
     if isinstance(value, (list, tuple)):
         return [to_plain(item) for item in value]
-    raise TypeError(f"no plain value: {type(value)}")
+    raise TypeError(f"cannot convert to a plain value: {type(value)}")
 
 
 def require_well_formed(message: Message | MalformedDatagram) -> Message:
--- a/tests/golden_builders/store_folders.py
+++ b/tests/golden_builders/store_folders.py
@@ -74,7 +74,7 @@
     ]
     for changes in commits:
         if store.commit(changes) is not None:
-            raise OSError("not written")
+            raise OSError("the store did not commit the changes")
     if mode.left == "open":
         files = _read_files(folder)
         store.close()
--- a/tests/golden_builders/stored_values.py
+++ b/tests/golden_builders/stored_values.py
@@ -61,7 +61,7 @@
     """
     image = recovered_image.decode_image(values)
     if image.rejected_count or image.incarnation is None or image.warm_state is None or image.escrow is None:
-        raise ValueError(f"{image.rejected_count} left out")
+        raise ValueError(f"{image.rejected_count} values rejected, or a required value is missing")
     key, value = recovered_image.encode_incarnation(image.incarnation)
     entries = dict(recovered_image.encode_entry(entry) for entry in image.entries)
     return entries | {key: value, "warm": image.warm_state, "grants": image.escrow}
@@ -78,14 +78,14 @@
     escrow.request(0.0, POOL, 3)
     image = escrow.image_to_write(0.0)
     if image is None:
-        raise ValueError("nothing to write")
+        raise ValueError("the escrow has no image to write")
     return image
 
 
 def _restored_escrow(image: bytes) -> Escrow:
     escrow = _escrow(10)
     if not escrow.restore(image):
-        raise ValueError("not read")
+        raise ValueError("the escrow rejected the image")
     return escrow
 
 
@@ -117,7 +117,7 @@
 def _snapshot(recovery: RecoveryComponent, now_ms: float) -> bytes:
     image = recovery.snapshot(now_ms)
     if image is None:
-        raise ValueError("no wall clock")
+        raise ValueError("no snapshot: the wall clock was not read")
     return image
 
 
--- a/tests/golden_log_lines.py
+++ b/tests/golden_log_lines.py
@@ -77,6 +77,6 @@
     event, _, field_text = line.partition(" ")
     found = _FIELD.findall(f" {field_text}" if field_text else "")
     if field_text and "".join(f" {name}={value}" for name, value in found) != f" {field_text}":
-        raise ValueError(f"no logfmt: {line!r}")
+        raise ValueError(f"not a logfmt line: {line!r}")
     fields = {name: json.loads(value) if value.startswith('"') else value for name, value in found}
     return _SENTENCES[event](fields)
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -90,7 +90,7 @@
         return text.encode("ascii")
     if isinstance(hexadecimal, str):
         return bytes.fromhex(hexadecimal)
-    raise ValueError("neither text nor hex")
+    raise ValueError("the record has neither text nor hex")
 
 
 def file_text(name: str) -> str:
@@ -101,7 +101,7 @@
     """
     samples = BUILDERS[name]()
     if len({sample.name for sample in samples}) < len(samples):
-        raise ValueError(f"{name}: a name is there twice")
+        raise ValueError(f"{name}: duplicate sample name")
     return _to_json({sample.name: golden_record(sample) for sample in samples})
 
 
@@ -117,7 +117,7 @@
     options = parser.parse_args(arguments)
     existing = [name for name in (*BUILDERS, STORE_FOLDERS) if golden_path(name).exists()]
     if existing and not options.force:
-        print(f"there already, not written over without --force: {', '.join(existing)}", file=sys.stderr)
+        print(f"already exist, not overwritten without --force: {', '.join(existing)}", file=sys.stderr)
         return 1
     GOLDEN_FOLDER.mkdir(exist_ok=True)
     for name in BUILDERS:
