--- a/tests/golden_builders/fleet.py
+++ b/tests/golden_builders/fleet.py
@@ -26,7 +26,7 @@
 from tests.golden_builders.replicated_entries import FLEET_FILE
 from tests.golden_builders.replication import REPLICATION_CODEC
 from tests.golden_builders.sample import FUNCTION_ID, WALL_CLOCK_MS, Sample, text_sample
-from tests.golden_log_lines import old_sentence
+from tests.golden_log_lines import legacy_message
 from tests.helpers import settings, worker
 
 if TYPE_CHECKING:
@@ -123,7 +123,9 @@
 
     def _execute(self, router_index: int, actions: Sequence[Action]) -> None:
         for action in actions:
-            recorded = LogMessage(old_sentence(action.message)) if isinstance(action, LogMessage) else action
+            recorded = (
+                LogMessage(legacy_message(action.message)) if isinstance(action, LogMessage) else action
+            )
             self.records.append(encode_instance(router_index) + encode_action(recorded))
             if isinstance(action, SendToPeer):
                 self.datagrams.append(action.data)
--- a/tests/golden_builders/invoke.py
+++ b/tests/golden_builders/invoke.py
@@ -32,10 +32,10 @@
 
 
 def _call_requests() -> dict[str, bytes]:
-    figures = ("Call-Timeout-Ms: 700", "Call-Lanes: 2", "Call-Memory-Mb: 512")
+    numeric_headers = ("Call-Timeout-Ms: 700", "Call-Lanes: 2", "Call-Memory-Mb: 512")
     return {
         "call": _post(FUNCTION_PATH + "a"),
-        "keyed call": _post(FUNCTION_PATH + "c", 'Idempotency-Key: "k1"', *figures),
+        "keyed call": _post(FUNCTION_PATH + "c", 'Idempotency-Key: "k1"', *numeric_headers),
         "no such class": _post(FUNCTION_PATH + "nosuch"),
         "bad key": _post(FUNCTION_PATH + "c", "Idempotency-Key: a b"),
         "no key": _post(FUNCTION_PATH + "c"),
--- a/tests/golden_builders/invoke_front.py
+++ b/tests/golden_builders/invoke_front.py
@@ -63,22 +63,24 @@
     deferred_path = ""
     samples: list[Sample] = []
     async with service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running:
-        async with Caller(running, authority.caller(DESK_ID)) as desk:
+        async with Caller(running, authority.caller(DESK_ID)) as allowed_caller:
             for exchange in EXCHANGES:
-                desk.send(exchange.method, exchange.target or deferred_path, b"body", **exchange.fields)
-                response = await _read_response(desk.reader)
+                allowed_caller.send(
+                    exchange.method, exchange.target or deferred_path, b"body", **exchange.fields
+                )
+                response = await _read_response(allowed_caller.reader)
                 if (found := CALL_PATH.search(response)) is not None:
                     deferred_path = found[0].decode()
                 masked = CALL_PATH.sub(MASKED_CALL_PATH, response)
                 samples.append(Sample(f"invoke {exchange.name}", masked))
-        async with Caller(running, authority.caller("spiffe://gaz.example/other")) as stranger:
-            stranger.send("GET", "/v1/ready")
-            samples.append(Sample("invoke not let in", await _read_response(stranger.reader)))
-        async with Caller(running, authority.caller(DESK_ID)) as desk:
+        async with Caller(running, authority.caller("spiffe://gaz.example/other")) as unauthorized_caller:
+            unauthorized_caller.send("GET", "/v1/ready")
+            samples.append(Sample("invoke not let in", await _read_response(unauthorized_caller.reader)))
+        async with Caller(running, authority.caller(DESK_ID)) as allowed_caller:
             if running.invoke is not None:
                 running.invoke.is_ready = False
-            desk.send("GET", "/v1/ready")
-            samples.append(Sample("invoke draining", await _read_response(desk.reader)))
+            allowed_caller.send("GET", "/v1/ready")
+            samples.append(Sample("invoke draining", await _read_response(allowed_caller.reader)))
     return samples
 
 
--- a/tests/golden_builders/simulator_events.py
+++ b/tests/golden_builders/simulator_events.py
@@ -68,17 +68,20 @@
             select,
             request_arrived(9, 2250.0),
             request_arrived(10, 99.5, 1, 7),
-            _request_with_odd_figures(),
+            _request_with_invalid_numbers(),
         ),
         "requests with tenants": (select, start_instance(FULL_SETTINGS), request_arrived(9, 2250.0, 1, 2)),
         "attempts end": (
             select,
             *(
-                attempt_ended(number, 4, status, 8 * number + number % 6, number % 2)
-                for number, status in enumerate(STATUS_CODES)
+                attempt_ended(number, 4, status_code, 8 * number + number % 6, number % 2)
+                for number, status_code in enumerate(STATUS_CODES)
             ),
         ),
-        "probes end": (select, *(struct.pack("<BdIHB", 8, 2.5, 4, status, 0) for status in STATUS_CODES)),
+        "probes end": (
+            select,
+            *(struct.pack("<BdIHB", 8, 2.5, 4, status_code, 0) for status_code in STATUS_CODES),
+        ),
         "others": (
             select,
             struct.pack("<BIHId", 4, 9, 1, 4, 2.5),
@@ -110,7 +113,7 @@
     ]
 
 
-def _request_with_odd_figures() -> bytes:
+def _request_with_invalid_numbers() -> bytes:
     return struct.pack("<BIfdQHffdHH", 3, 9, math.nan, 1.0, 77, 0, -1.0, math.inf, 12.0, 3, 0xFFF2)
 
 
--- a/tests/golden_builders/simulator_records.py
+++ b/tests/golden_builders/simulator_records.py
@@ -60,18 +60,20 @@
 
 
 def attempt_ended(
-    request_id: int, worker_id: int, status: int = 200, note: int = 8 * 6 + 1, is_final: int = 1
+    request_id: int, worker_id: int, status_code: int = 200, instance_info: int = 8 * 6 + 1, is_final: int = 1
 ) -> bytes:
     """Return the record of an attempt that ends.
 
     Args:
         request_id: The request of the attempt.
         worker_id: The worker of the attempt.
-        status: The status code of the outcome.
-        note: The concurrency that the worker reports, times 8, plus the code of the start kind.
+        status_code: The status code of the outcome.
+        instance_info: The concurrency that the worker reports, times 8, plus the code of the start kind.
         is_final: 1 if the client has received its response, else 0.
     """
-    head = struct.pack("<BIIdIHHBB", 5, request_id, worker_id, 26.0, note, 0, status, is_final, 2)
+    head = struct.pack(
+        "<BIIdIHHBB", 5, request_id, worker_id, 26.0, instance_info, 0, status_code, is_final, 2
+    )
     return head + struct.pack("<2f", 0.5, -1.0)
 
 
--- a/tests/golden_builders/store_folders.py
+++ b/tests/golden_builders/store_folders.py
@@ -23,11 +23,12 @@
 
     Args:
         sync: When the store synchronizes its file with the disk.
-        left: "closed", "open" as after a killed process, or "torn" as after a power failure during a commit.
+        final_state: "closed", "open" as after a killed process, or "torn" as after a power failure during a
+            commit.
     """
 
     sync: SyncMode
-    left: Literal["closed", "open", "torn"] = "closed"
+    final_state: Literal["closed", "open", "torn"] = "closed"
 
 
 MODES: dict[str, FolderMode] = {
@@ -75,12 +76,12 @@
     for changes in commits:
         if store.commit(changes) is not None:
             raise OSError("the store did not commit the changes")
-    if mode.left == "open":
+    if mode.final_state == "open":
         files = _read_files(folder)
         store.close()
         return files
     store.close()
-    return _tear(folder) if mode.left == "torn" else _read_files(folder)
+    return _interrupt_commit(folder) if mode.final_state == "torn" else _read_files(folder)
 
 
 def read_folder(folder: Path, sync: SyncMode) -> FolderContent:
@@ -95,7 +96,7 @@
     return {path.name: path.read_bytes() for path in sorted(folder.iterdir())}
 
 
-def _tear(folder: Path) -> dict[str, bytes]:
+def _interrupt_commit(folder: Path) -> dict[str, bytes]:
     """Return the files as a power failure during a commit leaves them: SQLite must replay its journal."""
     connection = sqlite3.connect(folder / "state-1.db", isolation_level=None)
     try:
--- a/tests/golden_log_lines.py
+++ b/tests/golden_log_lines.py
@@ -44,7 +44,7 @@
 
 
 # The earlier message of each event, from its fields.
-_SENTENCES: dict[str, Callable[[Fields], str]] = {
+_LEGACY_MESSAGES: dict[str, Callable[[Fields], str]] = {
     "change_freeze_hold_ended": lambda fields: "freeze: no more frozen for what may be missed",
     "change_freeze_window_declared": _window_declared,
     "change_freeze_window_state_changed": lambda fields: (
@@ -67,7 +67,7 @@
 }
 
 
-def old_sentence(line: str) -> str:
+def legacy_message(line: str) -> str:
     """Return the earlier wording of a log line.
 
     Raises:
@@ -79,4 +79,4 @@
     if field_text and "".join(f" {name}={value}" for name, value in found) != f" {field_text}":
         raise ValueError(f"not a logfmt line: {line!r}")
     fields = {name: json.loads(value) if value.startswith('"') else value for name, value in found}
-    return _SENTENCES[event](fields)
+    return _LEGACY_MESSAGES[event](fields)
