--- a/cedarthread/simulator/event_layouts.py
+++ b/cedarthread/simulator/event_layouts.py
@@ -48,13 +48,13 @@
 HAS_WORK = 1
 IS_CLIENT_RETRY = 2
 IS_WRITE = 4
-# The remark of an ended attempt: the low three bits are the start kind of the instance, the next five bits
-# are the concurrency that the worker reports.
+# The packed instance information of an ended attempt: the low three bits are the start kind of the instance,
+# the next five bits are the concurrency that the worker reports.
 START_KIND_MASK = 7
 CONCURRENCY_SHIFT = 3
 CONCURRENCY_MASK = 31
 
-OUTCOME_BY_VERDICT = {
+OUTCOME_BY_STATUS_CODE = {
     200: Outcome.OK,
     502: Outcome.ERROR,
     429: Outcome.OVERLOADED,
--- a/tests/golden_builders/invoke.py
+++ b/tests/golden_builders/invoke.py
@@ -32,10 +32,10 @@
 
 
 def _call_requests() -> dict[str, bytes]:
-    figures = ("Call-Timeout-Ms: 700", "Call-Lanes: 2", "Call-Memory-Mb: 512")
+    numeric_headers = ("Call-Timeout-Ms: 700", "Call-Lanes: 2", "Call-Memory-Mb: 512")
     return {
         "call": _post(FUNCTION_PATH + "a"),
-        "keyed call": _post(FUNCTION_PATH + "c", 'Idempotency-Key: "k1"', *figures),
+        "keyed call": _post(FUNCTION_PATH + "c", 'Idempotency-Key: "k1"', *numeric_headers),
         "no such class": _post(FUNCTION_PATH + "nosuch"),
         "bad key": _post(FUNCTION_PATH + "c", "Idempotency-Key: a b"),
         "no key": _post(FUNCTION_PATH + "c"),
@@ -100,7 +100,7 @@
 def _read_call_request(data: bytes) -> Json:
     head = http.parse_head(memoryview(data), MAX_BODY_BYTES)
     if not isinstance(head, http.RequestHead):
-        raise ValueError("no head")
+        raise ValueError("incomplete or invalid request head")
     router_settings = settings()
     class_indexes = {request_class.name: index for index, request_class in enumerate(router_settings.classes)}
     request = parse_call_request(router_settings, class_indexes, head, data[head.head_bytes :])
--- a/tests/golden_builders/simulator_events.py
+++ b/tests/golden_builders/simulator_events.py
@@ -1,4 +1,4 @@
-"""Frames from the simulator, and the events that the router reads in them."""
+"""Frames from the simulator, and the events that the router decodes from them."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 if TYPE_CHECKING:
     from tests.golden_builders.sample import Json
 
-# The names that the golden file has for the kinds of events.
+# The names of the event kinds in the golden file.
 EVENT_NAMES: tuple[tuple[type[object], str], ...] = (
     (EndpointUpdate, "list"),
     (RequestArrived, "request"),
@@ -68,17 +68,20 @@
             select,
             request_arrived(9, 2250.0),
             request_arrived(10, 99.5, 1, 7),
-            _request_with_odd_figures(),
+            _request_with_invalid_numbers(),
         ),
         "requests with tenants": (select, start_instance(FULL_SETTINGS), request_arrived(9, 2250.0, 1, 2)),
         "attempts end": (
             select,
             *(
-                attempt_ended(number, 4, status, 8 * number + number % 6, number % 2)
-                for number, status in enumerate(STATUS_CODES)
+                attempt_ended(number, 4, status_code, 8 * number + number % 6, number % 2)
+                for number, status_code in enumerate(STATUS_CODES)
             ),
         ),
-        "probes end": (select, *(struct.pack("<BdIHB", 8, 2.5, 4, status, 0) for status in STATUS_CODES)),
+        "probes end": (
+            select,
+            *(struct.pack("<BdIHB", 8, 2.5, 4, status_code, 0) for status_code in STATUS_CODES),
+        ),
         "others": (
             select,
             struct.pack("<BIHId", 4, 9, 1, 4, 2.5),
@@ -97,7 +100,7 @@
 
 
 def _endpoint_lists() -> list[bytes]:
-    """Return two tables, one of them with each state and with invalid figures, and updates of each kind."""
+    """Return two tables, one of them with each state and with invalid numbers, and updates of each kind."""
     states = struct.pack("<BII", 12, 1, 3) + b"".join(
         struct.pack("<IBHHBfd", state, 0, 1, 2, state, -1.0, math.nan) for state in range(3)
     )
@@ -110,7 +113,7 @@
     ]
 
 
-def _request_with_odd_figures() -> bytes:
+def _request_with_invalid_numbers() -> bytes:
     return struct.pack("<BIfdQHffdHH", 3, 9, math.nan, 1.0, 77, 0, -1.0, math.inf, 12.0, 3, 0xFFF2)
 
 
--- a/tests/golden_builders/simulator_records.py
+++ b/tests/golden_builders/simulator_records.py
@@ -13,7 +13,7 @@
 
 
 def select_instance(router_index: int) -> bytes:
-    """Return the record that says for which router the next records are."""
+    """Return the record that selects the router of the next records."""
     return struct.pack("<BI", 13, router_index)
 
 
@@ -24,7 +24,7 @@
 
 
 def endpoint_table(table_number: int, *worker_ids: int) -> bytes:
-    """Return the record with a table of these workers; properties of a worker are computed from its id."""
+    """Return the record with a table of these workers; a worker's properties are computed from its id."""
     rows = b"".join(
         struct.pack(
             "<IBHHBfd", worker_id, worker_id % 2, worker_id % 2, worker_id % 3, 2, 1.0, 10.0 * worker_id
@@ -35,7 +35,7 @@
 
 
 def endpoint_update(table_number: int, kind: int = 1, version: int = 1) -> bytes:
-    """Return the record that refers to a table as an update of the endpoint list."""
+    """Return the record that updates the endpoint list from a table."""
     return struct.pack("<BBQI", 2, kind, version, table_number)
 
 
@@ -60,18 +60,20 @@
 
 
 def attempt_ended(
-    request_id: int, worker_id: int, status: int = 200, note: int = 8 * 6 + 1, is_final: int = 1
+    request_id: int, worker_id: int, status_code: int = 200, instance_info: int = 8 * 6 + 1, is_final: int = 1
 ) -> bytes:
     """Return the record of an attempt that ends.
 
     Args:
         request_id: The request of the attempt.
         worker_id: The worker of the attempt.
-        status: The status code of the simulator's outcome.
-        note: The concurrency that the worker reports, times 8, plus the code of the start kind.
+        status_code: The status code of the outcome.
+        instance_info: The concurrency that the worker reports, times 8, plus the code of the start kind.
         is_final: 1 if the client has received its response, else 0.
     """
-    head = struct.pack("<BIIdIHHBB", 5, request_id, worker_id, 26.0, note, 0, status, is_final, 2)
+    head = struct.pack(
+        "<BIIdIHHBB", 5, request_id, worker_id, 26.0, instance_info, 0, status_code, is_final, 2
+    )
     return head + struct.pack("<2f", 0.5, -1.0)
 
 
--- a/tests/golden_builders/stored_values.py
+++ b/tests/golden_builders/stored_values.py
@@ -1,4 +1,4 @@
-"""Values in the store of a router, by key."""
+"""Values in a router's store, by key."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     """
     image = recovered_image.decode_image(values)
     if image.rejected_count or image.incarnation is None or image.warm_state is None or image.escrow is None:
-        raise ValueError(f"{image.rejected_count} left out")
+        raise ValueError(f"{image.rejected_count} values rejected, or a required value is missing")
     key, value = recovered_image.encode_incarnation(image.incarnation)
     entries = dict(recovered_image.encode_entry(entry) for entry in image.entries)
     return entries | {key: value, "warm": image.warm_state, "grants": image.escrow}
@@ -72,30 +72,30 @@
 
 
 def _escrow_image() -> bytes:
-    """Return what a router without peers stores after a request for 3 units of a pool."""
+    """Return the image that a router without peers stores after a request for 3 units of a pool."""
     escrow = _escrow(9)
     escrow.open_pool(POOL, POOL_SIZE, is_consumable=True, ends_at_ms=None)
     escrow.request(0.0, POOL, 3)
     image = escrow.image_to_write(0.0)
     if image is None:
-        raise ValueError("nothing to write")
+        raise ValueError("the escrow has no image to write")
     return image
 
 
 def _restored_escrow(image: bytes) -> Escrow:
     escrow = _escrow(10)
     if not escrow.restore(image):
-        raise ValueError("not read")
+        raise ValueError("the escrow rejected the image")
     return escrow
 
 
 def _rewrite_escrow(image: bytes) -> bytes:
-    """Return the snapshot of the next incarnation before it has used anything of the pool."""
+    """Return the snapshot of the next incarnation before it has used any units of the pool."""
     return _restored_escrow(image).snapshot()
 
 
 def _read_escrow(image: bytes) -> Json:
-    """Return what the next incarnation may use at once, its next image, and what it may use afterwards."""
+    """Return what the next incarnation may use at once, its next image, and what it may use after that."""
     escrow = _restored_escrow(image)
     escrow.open_pool(POOL, POOL_SIZE, is_consumable=True, ends_at_ms=None)
     available_at_once = escrow.available(0.0, POOL)
@@ -117,7 +117,7 @@
 def _snapshot(recovery: RecoveryComponent, now_ms: float) -> bytes:
     image = recovery.snapshot(now_ms)
     if image is None:
-        raise ValueError("no wall clock")
+        raise ValueError("no snapshot: the wall clock was not read")
     return image
 
 
