--- a/cedarthread/protocols/worker/__init__.py
+++ b/cedarthread/protocols/worker/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol towards workers: pooled connections that carry calls, preloads and unloads."""
+"""The worker protocol: pooled connections that carry calls, preloads and unloads."""
--- a/cedarthread/protocols/worker/codec.py
+++ b/cedarthread/protocols/worker/codec.py
@@ -1,7 +1,7 @@
-"""Codec of the workers' protocol: one JSON object per line, in both directions.
+"""Codec of the worker protocol: one JSON object per line, in both directions.
 
 Requests are ``CALL``, ``CANCEL``, ``LOAD`` and ``UNLOAD``. A response has the id of its request and one of
-``HIT``, ``NONE``, ``SHED``, ``FAULT`` and ``LATE``. No other module uses these words of the wire.
+``HIT``, ``NONE``, ``SHED``, ``FAULT`` and ``LATE``. No other module uses these protocol keywords.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from cedarthread.dispatch.calls import AttemptResult, Call
 from cedarthread.model.outcomes import Outcome, StartKind
 
-MAX_LINE_BYTES = 384 * 1024  # a response: a body of 256 KiB is 349,528 bytes in base64, then its fields
-MAX_REPORTED_CONCURRENCY = 30  # calls of one function; larger counts in a response are capped
+MAX_LINE_BYTES = 384 * 1024  # of a response: a 256 KiB body is 349,528 bytes in base64, plus the fields
+MAX_REPORTED_CONCURRENCY = 30  # concurrent calls of one function; larger counts in a response are capped
 _OUTCOME_BY_OP = {
     "HIT": Outcome.OK,
     "NONE": Outcome.NOT_LOADED,
@@ -41,13 +41,13 @@
 def encode_call(call: Call, class_name_json: str, timeout_ms: float) -> bytes:
     """Encode the line that starts an attempt.
 
-    The shape is fixed, so only strings from outside pass through the JSON encoder, which is on the path of
-    every call.
+    The structure is fixed, so only externally supplied strings go through the JSON encoder. This function is
+    on the path of every call.
 
     Args:
         call: The call.
-        class_name_json: The name of its class, encoded as JSON in advance.
-        timeout_ms: The time until its deadline.
+        class_name_json: The name of the call's class, encoded as JSON in advance.
+        timeout_ms: The time until the call's deadline.
     """
     key = "" if call.idempotency_key is None else f',"replay":{json.dumps(call.idempotency_key)}'
     limit = max(1, int(timeout_ms))
@@ -63,7 +63,7 @@
 
 
 def encode_cancel(call_id: str) -> bytes:
-    """Encode the line that cancels an attempt. It has no response."""
+    """Encode the line that cancels an attempt. The worker sends no response to it."""
     return encode_message("CANCEL", call_id)
 
 
@@ -73,12 +73,12 @@
 
 
 def encode_unload(function_id: int) -> bytes:
-    """Encode the line that unloads idle instances of a function. It has no response."""
+    """Encode the line that unloads idle instances of a function. The worker sends no response to it."""
     return encode_message("UNLOAD", f"{function_id:016x}")
 
 
 def parse_line(line: memoryview) -> dict[str, Any] | None:
-    """Parse the message of one line; None if the line is not a JSON object."""
+    """Parse the message on one line; return None if the line is not a JSON object."""
     try:
         message = json.loads(str(line, "utf-8"))  # json does not accept a memoryview
     except (ValueError, RecursionError):
@@ -87,9 +87,9 @@
 
 
 def parse_call_response(message: dict[str, Any], report_columns: tuple[str, ...]) -> AttemptResult | None:
-    """Parse the response to a call; None if it is malformed.
+    """Parse the response to a call; return None if it is malformed.
 
-    After a malformed response, neither the execution of its call nor the following input can be determined.
+    A malformed response does not show whether its call was executed, and the input after it is undefined.
     """
     outcome = _OUTCOME_BY_OP.get(str(message.get("op")))
     fields = message.get("fields") or {}
@@ -117,8 +117,8 @@
 def parse_load_report(text: object, columns: tuple[str, ...]) -> tuple[float | None, ...]:
     """Parse a load report such as ``inflight:7;util:0.61``.
 
-    Returns the values in the order of the columns, None for a column that is not reported; an empty tuple
-    without a report.
+    Returns the values in the order of the columns, with None for a column that is not reported; an empty
+    tuple if there is no report.
     """
     if not isinstance(text, str) or not text:
         return ()
--- a/cedarthread/protocols/worker/connection.py
+++ b/cedarthread/protocols/worker/connection.py
@@ -23,14 +23,14 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ABANDONED_IDS = 512  # per connection; with more, it accepts no requests and the next sweep closes it
+MAX_ABANDONED_IDS = 512  # per connection; above it, it accepts no more requests and the next sweep closes it
 
 
 class WorkerConnection(BufferedConnection):
     """One connection to a worker. It owns the requests in flight on it and the lines queued for it."""
 
-    # asyncio pauses writing above this limit. With 0, each line is passed on only after the line before was
-    # written, so the written bytes are always known.
+    # asyncio pauses writing above this limit. With 0, each line is passed on only after the previous line was
+    # written, so the number of written bytes is always known.
     high_water = 0
 
     def __init__(self, pool: ConnectionPool[WorkerConnection]) -> None:
@@ -49,7 +49,7 @@
         self.created_at_ms = self.dispatcher.clock()
 
     def can_accept(self, message_id: str) -> bool:
-        """Return whether another request, of this id, may be sent on this connection."""
+        """Return whether another request, with this id, may be sent on this connection."""
         if self.is_retired or self.is_closed:
             return False
         if message_id in self.in_flight or message_id in self.abandoned_ids:
@@ -62,11 +62,11 @@
         return len(self.in_flight) < self.workers.settings.limits.max_attempts_per_connection
 
     def is_idle(self) -> bool:
-        """Return whether the connection is established, with nothing in flight and nothing to write."""
+        """Return whether the connection is established, has nothing in flight and nothing to write."""
         return self.transport is not None and not (self.in_flight or self.lines or self.is_write_paused)
 
     def send_attempt(self, attempt: Attempt) -> None:
-        """Queue an attempt. Its line has the remaining time, so it is encoded when it is written."""
+        """Queue an attempt. Its line states the remaining time, so it is encoded when it is written."""
         self.send_request(b"", attempt)
 
     def send_request(self, line: bytes, request: WorkerRequest) -> None:
@@ -86,7 +86,7 @@
         self.schedule_flush()
 
     def withdraw(self, request: WorkerRequest) -> bool:
-        """Remove a request that has not been passed to the transport; False if it has been."""
+        """Remove a request that has not been passed to the transport; return False if it has been."""
         if not self.lines.remove(request):
             return False
         self.in_flight.pop(message_id_of(request), None)
@@ -196,7 +196,7 @@
         return start
 
     def _handle_response(self, message: dict[str, Any]) -> bool:
-        """Process a response; False if it is malformed. Ignore a response whose id is not in flight."""
+        """Process a response; return False if it is malformed. Ignore one whose id is not in flight."""
         self.last_used_at = self._loop.time()
         message_id = message.get("id")
         if not isinstance(message_id, str):
@@ -222,14 +222,14 @@
         self.is_retired = self.is_retired or len(self.abandoned_ids) > MAX_ABANDONED_IDS
 
     def on_invalid_input(self) -> None:
-        """Abort after malformed input; the requests in flight end by their progress."""
+        """Abort after malformed input; the outcome of each request in flight follows from its progress."""
         log.warning(format_event("worker_response_invalid", worker=self.pool.endpoint.name))
         self.abort()
 
     def eof_received(self) -> bool:
-        """Abort after the worker closed its end, because no response can follow (called by asyncio).
+        """Abort after the worker closed its sending side, because no response can follow (called by asyncio).
 
-        A close would wait until the buffer is written, and the worker may not read it.
+        A graceful close would wait until the buffer is written, and the worker may not read it.
         """
         self._log_truncated_response()
         self.abort()
@@ -267,13 +267,13 @@
     def close_empty(self) -> None:
         """Close a connection without requests in flight.
 
-        A connection that is being established, or whose worker does not read, is aborted, because a close
-        would wait.
+        A connection that is being established, or whose worker is not reading, is aborted, because a graceful
+        close would wait.
         """
         self.abort() if self.transport is None or self.is_write_paused else self.close()
 
     def abort(self) -> None:
-        """Close at once, also a connection that is being established."""
+        """Close immediately, even if the connection is still being established."""
         self.is_retired = True
         if self.transport is not None:
             super().abort()
--- a/cedarthread/protocols/worker/connections.py
+++ b/cedarthread/protocols/worker/connections.py
@@ -1,6 +1,6 @@
 """The dispatcher's transport to the workers: JSON lines over pooled connections.
 
-The progress of an attempt decides its outcome when its connection breaks (``line_queue.py``).
+The progress of an attempt determines its outcome when its connection breaks (``line_queue.py``).
 """
 
 from __future__ import annotations
@@ -41,12 +41,12 @@
 
 # Time from writing CANCEL until the attempt counts as cancelled; by then the worker has received the line.
 CANCEL_SETTLE_S = 0.010
-SILENCE_S = 1.0  # without input; cancelling an attempt then retires its connection
+SILENCE_S = 1.0  # after this time without input, cancelling an attempt also retires its connection
 IDLE_CLOSE_FRACTION = 0.8  # of the worker's idle timeout; the router closes before the worker does
 
 
 class IdleClients(Protocol):
-    """The connections of clients, of which an idle one may be closed to free its descriptor."""
+    """Client connections, of which an idle one may be closed to free its descriptor."""
 
     def evict_idle(self) -> bool:
         """Close an idle connection; return False if there is none."""
@@ -73,7 +73,7 @@
         self.pools: dict[int, WorkerConnectionPool] = {}  # by worker id
         self.class_names_json: list[str] = []  # by class index
         send_gate.add_waiter(self.flush_held)
-        self.may_send: Callable[[], bool] = send_gate.is_open  # False: output waits until ``flush_held``
+        self.may_send: Callable[[], bool] = send_gate.is_open  # if False, output waits until ``flush_held``
         self._held: list[BufferedConnection] = []  # their output is suspended until ``flush_held``
         self.preloads = PreloadRequests(dispatcher)
         self.update_settings(settings)
@@ -81,14 +81,14 @@
         self._loop = asyncio.get_running_loop()
 
     def update_settings(self, settings: RouterSettings) -> None:
-        """Use new settings; class indexes stay the same."""
+        """Apply new settings; class indexes stay the same."""
         self.settings = settings
         self.class_names_json = [json.dumps(request_class.name) for request_class in settings.classes]
 
     def update_endpoints(self, endpoints: dict[int, EndpointRecord]) -> None:
-        """Apply a new endpoint list, by worker id.
+        """Apply a new endpoint list, keyed by worker id.
 
-        Connections to workers that were removed, moved or restarted are closed at once. Connections to
+        Connections to workers that were removed, moved or restarted are closed immediately. Connections to
         draining workers are closed once no request is in flight.
         """
         self.dispatcher.worker_states_changed(
@@ -102,7 +102,7 @@
             elif (endpoint.host, endpoint.port) != (pool.endpoint.host, pool.endpoint.port):
                 pool.retire(close_now=True)
             elif endpoint.started_at_ms != pool.endpoint.started_at_ms:
-                # The list shows a restart late: connections created after it lead to the new process.
+                # The list reports a restart late: connections created after it lead to the new process.
                 pool.retire(close_now=True, created_until_ms=endpoint.started_at_ms)
             if endpoint is not None and endpoint.state is not EndpointState.READY:
                 pool.retire(close_now=False)  # in addition: one list may show a restart and a drain
@@ -111,7 +111,7 @@
             pool.endpoint = endpoint
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt on a connection to its worker; end it at once if there is no connection."""
+        """Start an attempt on a connection to its worker; end it immediately if there is no connection."""
         pool = self.pools.get(attempt.worker_id)
         if pool is None:
             self.dispatcher.attempt_ended(attempt, connection_lost_result(attempt))
@@ -126,7 +126,7 @@
         connection.send_attempt(attempt)
 
     def encode_attempt(self, attempt: Attempt) -> bytes:
-        """Encode the line of an attempt with the time that is left until its deadline."""
+        """Encode the line of an attempt with the time remaining until its deadline."""
         call = attempt.call
         timeout_ms = call.deadline_ms - self.dispatcher.clock()
         return encode_call(call, self.class_names_json[call.class_index], timeout_ms)
@@ -139,7 +139,7 @@
             self.dispatcher.on_preload_sent(request.worker_id, request.message_id)
 
     def hold(self, connection: BufferedConnection) -> None:
-        """Flush a connection once requests may be sent again."""
+        """Register a connection to be flushed once requests may be sent again."""
         self._held.append(connection)
 
     def flush_held(self) -> None:
@@ -170,7 +170,7 @@
         if connection.withdraw(attempt):
             self.dispatcher.attempt_ended(attempt, connection_lost_result(attempt))
             return
-        # A connection to a host that crashed stays open without input: the next attempt needs a new one.
+        # A connection to a crashed host stays open without input: the next attempt needs a new connection.
         is_silent = self._loop.time() - connection.last_read_at > SILENCE_S
         connection.is_retired = connection.is_retired or is_silent
         if not self.settings.limits.can_cancel:  # the worker continues the attempt, whose response is ignored
@@ -200,7 +200,7 @@
         self.preloads.send(self.pools.get(worker_id), worker_id, function_id, instances, timeout_ms)
 
     def unload(self, worker_id: int, function_id: int) -> None:
-        """Request that a worker unloads idle instances of a function."""
+        """Request that a worker unload idle instances of a function."""
         pool = self.pools.get(worker_id)
         if pool is not None and (connection := pool.acquire("")) is not None:
             connection.send_line(encode_unload(function_id))
@@ -216,7 +216,7 @@
         self._end_request(request, end_of_attempt, Outcome.RESET)
 
     def on_unsent(self, request: WorkerRequest) -> None:
-        """End a request of which no byte was written.
+        """End a request of which no byte has been written.
 
         The request was withdrawn, or this host lacks a descriptor or port for its connection.
         """
@@ -235,20 +235,20 @@
             self.preloads.finish(request, preload_outcome)
 
     def on_preload_response(self, preload: PendingPreload, message: dict[str, Any]) -> None:
-        """End a preload by the worker's response."""
+        """End a preload with the worker's response."""
         self.preloads.on_response(preload, parse_preload_response(message))
 
     def on_call_response(self, attempt: Attempt, result: AttemptResult) -> None:
-        """End an attempt by the worker's response."""
+        """End an attempt with the worker's response."""
         self._connection_by_attempt.pop(attempt, None)
         self.dispatcher.attempt_ended(attempt, result)
 
     def idle_limit_s(self) -> float:
-        """Return the time without use after which a connection is closed, before the worker closes it."""
+        """Return the idle time after which a connection is closed, before the worker closes it."""
         return self.settings.limits.idle_timeout_ms / 1000.0 * IDLE_CLOSE_FRACTION
 
     def can_connect(self) -> bool:
-        """Return whether one more connection may be opened; at the limit, close an idle one for it."""
+        """Return whether one more connection may be opened; at the limit, close an idle one to make room."""
         count = sum(len(pool.connections) for pool in self.pools.values())
         if count < self.max_connections or self._close_longest_idle():
             return True
@@ -256,7 +256,7 @@
         return False
 
     def release_descriptor(self) -> bool:
-        """Close an idle connection of a client or worker; False if there is none.
+        """Close an idle connection of a client or worker; return False if there is none.
 
         The descriptor becomes free in the next iteration of the event loop.
         """
@@ -272,7 +272,7 @@
         return longest_idle is not None
 
     def sweep(self, now_s: float) -> None:
-        """Close connections that were idle for too long; ``now_s`` is the event loop's time."""
+        """Close connections that have been idle for too long; ``now_s`` is the event loop's time."""
         for pool in self.pools.values():
             pool.sweep(now_s, self.idle_limit_s())
 
--- a/cedarthread/protocols/worker/line_queue.py
+++ b/cedarthread/protocols/worker/line_queue.py
@@ -1,8 +1,8 @@
 """The send queue of one worker connection, and the progress of the requests in it.
 
-When a connection breaks, the progress of a request decides its outcome: a request that was not completely
+When a connection breaks, the progress of a request determines its outcome: a request that was not completely
 written was never executed; one that was written may have been. Therefore the queue records for each line
-whether it is queued, in the buffer of the transport, or written to the socket. It does no I/O.
+whether it is queued, in the buffer of the transport, or written to the socket. It performs no I/O.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class LineQueue:
-    """Outbound lines in order of sending: queued, then in the transport's buffer, then written.
+    """Outbound lines in the order of sending: queued, then in the transport's buffer, then written.
 
     Args:
         on_written: Called once per attempt, when its last byte has been written to the socket.
@@ -59,7 +59,7 @@
         return line not in self.queued and line not in self.buffered
 
     def on_connected(self) -> None:
-        """Record that the queued requests have a connection now."""
+        """Record that the connection of the queued requests is established."""
         for line in self.queued:
             self._record(line, Progress.UNWRITTEN)
 
@@ -67,14 +67,14 @@
         """Return the first queued line, or None.
 
         Args:
-            without_requests: Skip lines that carry a request.
+            without_requests: Skip the lines that carry a request.
         """
         if not without_requests:
             return self.queued[0] if self.queued else None
         return next((line for line in self.queued if line.request is None), None)
 
     def take(self, line: OutboundLine) -> None:
-        """Remove a line from the queue because it is passed to the transport."""
+        """Remove a line from the queue before it is passed to the transport."""
         self.queued.remove(line)
 
     def on_handed_over(self, line: OutboundLine, written_bytes: int) -> None:
@@ -82,7 +82,7 @@
 
         Args:
             line: The line.
-            written_bytes: The bytes of the line that the transport has already written to the socket.
+            written_bytes: How many bytes of the line the transport has already written to the socket.
         """
         if line.request is not None:
             self._on_first_byte(line.request)
--- a/cedarthread/protocols/worker/owners.py
+++ b/cedarthread/protocols/worker/owners.py
@@ -1,4 +1,4 @@
-"""Protocols of the objects that own a connection to a worker: its pool and the transport to all workers.
+"""Interfaces of the objects that own a connection to a worker: its pool and the transport to all workers.
 
 ``pool.py`` and ``connections.py`` implement them, so that no two modules import each other.
 """
@@ -30,28 +30,28 @@
         """Return whether requests may be sent; False after a stall, until the endpoint list is fresh."""
 
     def hold(self, connection: BufferedConnection) -> None:
-        """Flush a connection once requests may be sent again."""
+        """Register a connection to be flushed once requests may be sent again."""
 
     def idle_limit_s(self) -> float:
-        """Return the time without use after which a connection is closed."""
+        """Return the idle time after which a connection is closed."""
 
     def encode_attempt(self, attempt: Attempt) -> bytes:
-        """Encode the line of an attempt with the time that is left until its deadline."""
+        """Encode the line of an attempt with the time remaining until its deadline."""
 
     def on_first_byte(self, request: WorkerRequest) -> None:
         """Record that a request was passed to the transport."""
 
     def on_unsent(self, request: WorkerRequest) -> None:
-        """End a request of which no byte was written."""
+        """End a request of which no byte has been written."""
 
     def on_connection_broken(self, request: WorkerRequest, *, is_unreachable: bool) -> None:
         """End a request after its connection broke or could not be established."""
 
     def on_call_response(self, attempt: Attempt, result: AttemptResult) -> None:
-        """End an attempt by its response."""
+        """End an attempt with the worker's response."""
 
     def on_preload_response(self, preload: PendingPreload, message: dict[str, Any]) -> None:
-        """End a preload by its response."""
+        """End a preload with the worker's response."""
 
 
 class ConnectionPool(Protocol[ConnectionT_contra]):
@@ -74,4 +74,4 @@
         """Return whether one more connection may be opened."""
 
     def release_descriptor(self) -> bool:
-        """Close an idle connection to free its descriptor; False if there is none."""
+        """Close an idle connection to free its descriptor; return False if there is none."""
--- a/cedarthread/protocols/worker/pool.py
+++ b/cedarthread/protocols/worker/pool.py
@@ -19,16 +19,16 @@
 
 log = logging.getLogger(__name__)
 
-# Fraction of the drain grace in which a buffered line may still be written after the endpoint list showed a
-# drain. The rest allows for the age of the list: up to one poll and some retries.
+# Fraction of the drain grace period during which a buffered line may still be written after the endpoint list
+# reported a drain. The rest allows for the age of the list: up to one poll and some retries.
 DRAIN_FLUSH_GRACE_FRACTION = 0.4
-# A connect that failed because this host lacks a descriptor or a port is no fault of the worker.
+# A connect failure because this host lacks a descriptor or a port is not attributed to the worker.
 _LOCAL_ERRNOS = EXHAUSTION_ERRNOS | {errno.EADDRNOTAVAIL}
 
 
 @dataclass(eq=False, slots=True)
 class WorkerConnectionPool:
-    """The connections to one worker, those that are being established included."""
+    """The connections to one worker, including those being established."""
 
     worker_connections: PoolOwner
     endpoint: EndpointRecord
@@ -36,7 +36,7 @@
     connecting: dict[WorkerConnection, asyncio.Task[None]] = field(default_factory=dict)
 
     def acquire(self, message_id: str) -> WorkerConnection | None:
-        """Return a connection that accepts a request of this id, a new one if necessary.
+        """Return a connection that accepts a request with this id; open a new one if necessary.
 
         Returns None if the limit of worker connections is reached and none of them is idle.
         """
@@ -68,7 +68,7 @@
                 connection.abort()
 
     async def _connect(self, connection: WorkerConnection) -> None:
-        """Connect. Without a free descriptor, first close an idle connection: a call has precedence."""
+        """Connect; if no descriptor is free, first close an idle connection: a call takes precedence."""
         loop = asyncio.get_running_loop()
         while True:
             try:
@@ -99,11 +99,11 @@
         """Stop using the connections and close them.
 
         Queued requests are withdrawn, because a worker that reads slowly would receive them long after the
-        endpoint list showed its drain.
+        endpoint list reported its drain.
 
         Args:
-            close_now: Close at once; otherwise once no request is in flight.
-            created_until_ms: Only connections created until then, on the dispatcher's clock.
+            close_now: Close immediately; otherwise close once no request is in flight.
+            created_until_ms: Retire only connections created up to this time on the dispatcher's clock.
         """
         retiring = [
             connection for connection in self.connections if connection.created_at_ms <= created_until_ms
@@ -123,9 +123,9 @@
                 asyncio.get_running_loop().call_later(flush_s, connection.abort_if_unwritten, buffered)
 
     def sweep(self, now_s: float, idle_limit_s: float) -> None:
-        """Close connections that were idle for over ``idle_limit_s``.
+        """Close connections that have been idle for more than ``idle_limit_s``.
 
-        The router closes first, because a request could cross the close of the worker.
+        The router closes first, because otherwise a request could race with the worker's close.
         """
         for connection in list(self.connections):
             is_expired = connection.is_retired or now_s - connection.last_used_at > idle_limit_s
--- a/cedarthread/protocols/worker/preloads.py
+++ b/cedarthread/protocols/worker/preloads.py
@@ -15,11 +15,11 @@
     from cedarthread.protocols.worker.connection import WorkerConnection
     from cedarthread.protocols.worker.pool import WorkerConnectionPool
 
-PRELOAD_FLUSH_S = 0.5  # time until its first byte must be written; afterwards the request is withdrawn
+PRELOAD_FLUSH_S = 0.5  # a preload of which no byte has been written within this time is withdrawn
 
 
 class PreloadRequests:
-    """Sender of preload requests; reports the end of each to the dispatcher."""
+    """Sender of preload requests; reports the outcome of each to the dispatcher."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self._dispatcher = dispatcher
@@ -41,7 +41,7 @@
             worker_id: The worker.
             function_id: The function.
             instances: The number of instances wanted.
-            timeout_ms: The time for the response. Without a connection, the request fails at once.
+            timeout_ms: The response timeout. If no connection is available, the request fails immediately.
         """
         self._count += 1
         preload = PendingPreload(f"load-{self._count}", worker_id, function_id, self._dispatcher.clock())
@@ -58,23 +58,23 @@
     def _on_unsent(self, preload: PendingPreload, connection: WorkerConnection) -> None:
         """Withdraw a preload of which no byte has been written.
 
-        Preloads queued for a worker that reads slowly would otherwise reach it all at once, over the budget.
+        Otherwise preloads queued for a worker that reads slowly would reach it all at once, over the budget.
         """
         if connection.withdraw(preload):
             self.finish(preload, Outcome.CONNECT_FAILED)
 
     def _on_timeout(self, preload: PendingPreload, connection: WorkerConnection) -> None:
-        """End a preload without a response, so that its place in the preload budget becomes free."""
+        """End a preload that got no response, so that its slot in the preload budget is released."""
         if not connection.withdraw(preload):
             connection.in_flight.pop(preload.message_id, None)
         self.finish(preload, Outcome.TIMEOUT)
 
     def on_response(self, preload: PendingPreload, response: PreloadResponse) -> None:
-        """End a preload by the worker's response."""
+        """End a preload with the worker's response."""
         self.finish(preload, response.outcome, response.instances)
 
     def finish(self, preload: PendingPreload, outcome: Outcome, instances: int = 0) -> None:
-        """Report the end of a preload; ignore any later end of the same preload."""
+        """Report the outcome of a preload; ignore any later outcome of the same preload."""
         if not preload.is_finished:
             preload.is_finished = True
             for timer in preload.timers:
--- a/cedarthread/protocols/worker/requests.py
+++ b/cedarthread/protocols/worker/requests.py
@@ -13,13 +13,13 @@
 
 @dataclass(eq=False, slots=True)
 class PendingPreload:
-    """A preload request without a response yet."""
+    """A preload request that is waiting for its response."""
 
     message_id: str
     worker_id: int
     function_id: int
     sent_at_ms: float
-    is_finished: bool = False  # its end has been reported to the dispatcher
+    is_finished: bool = False  # its outcome has been reported to the dispatcher
     timers: list[asyncio.TimerHandle] = field(default_factory=list)  # cancelled once it is finished
 
 
@@ -33,7 +33,7 @@
 
 @dataclass(eq=False, slots=True)
 class OutboundLine:
-    """A line to send; `request` is None for a line without a response, such as a cancel."""
+    """A line to send; `request` is None for a line that has no response, such as a cancel."""
 
     data: bytes
     request: WorkerRequest | None = None
