--- a/cedarthread/protocols/worker/connection.py
+++ b/cedarthread/protocols/worker/connection.py
@@ -34,11 +34,11 @@
     high_water = 0
 
     def __init__(self, pool: ConnectionPool[WorkerConnection]) -> None:
-        self.workers = pool.worker_connections
-        self.dispatcher = self.workers.dispatcher
-        super().__init__(MAX_LINE_BYTES, self.workers.flusher)
+        self.worker_connections = pool.worker_connections
+        self.dispatcher = self.worker_connections.dispatcher
+        super().__init__(MAX_LINE_BYTES, self.worker_connections.flusher)
         self.pool = pool
-        self.lines = LineQueue(self.dispatcher.count_attempt_written, self.workers.on_first_byte)
+        self.lines = LineQueue(self.dispatcher.count_attempt_written, self.worker_connections.on_first_byte)
         self.in_flight: dict[str, WorkerRequest] = {}  # by message id
         self.abandoned_ids: set[str] = set()  # never used again: a late response must not end another request
         self.is_retired = False  # it accepts no more requests
@@ -56,10 +56,13 @@
             return False
         if self.transport is not None and self.transport.is_closing():
             return False
-        if not self.in_flight and self._loop.time() - self.last_used_at > self.workers.idle_limit_s():
+        if (
+            not self.in_flight
+            and self._loop.time() - self.last_used_at > self.worker_connections.idle_limit_s()
+        ):
             # A sweep is overdue, for example after a stall: the worker may have closed the connection.
             return False
-        return len(self.in_flight) < self.workers.settings.limits.max_attempts_per_connection
+        return len(self.in_flight) < self.worker_connections.settings.limits.max_attempts_per_connection
 
     def is_idle(self) -> bool:
         """Return whether the connection is established, has nothing in flight and nothing to write."""
@@ -95,7 +98,7 @@
     def withdraw_and_end(self, request: WorkerRequest) -> None:
         """Withdraw a request and end it as not sent; do nothing if it has been passed to the transport."""
         if self.withdraw(request):
-            self.workers.on_unsent(request)
+            self.worker_connections.on_unsent(request)
 
     def abandon(self, message_id: str) -> None:
         """Ignore the response to a request, and never use its id on this connection again."""
@@ -138,9 +141,9 @@
             return
         if self.transport.is_closing():
             return
-        is_holding = not self.workers.may_send()
+        is_holding = not self.worker_connections.may_send()
         if is_holding and self.lines.requests():
-            self.workers.hold(self)
+            self.worker_connections.hold(self)
         self._write_lines(self.transport, is_holding=is_holding)
 
     def _write_lines(self, transport: asyncio.Transport, *, is_holding: bool) -> None:
@@ -158,13 +161,13 @@
                 self.withdraw_and_end(line.request)
                 continue
             if not line.data and isinstance(line.request, Attempt):
-                line.data = self.workers.encode_attempt(line.request)
-            self.lines.take(line)
+                line.data = self.worker_connections.encode_attempt(line.request)
+            self.lines.dequeue(line)
             transport.write(line.data)
             if transport.is_closing():  # the write failed at once, before its first byte
                 return
             unwritten_bytes = transport.get_write_buffer_size()
-            self.lines.on_handed_over(line, len(line.data) - unwritten_bytes)
+            self.lines.on_passed_to_transport(line, len(line.data) - unwritten_bytes)
             if unwritten_bytes or self.is_write_paused:
                 return
 
@@ -177,7 +180,7 @@
     def refresh_progress(self) -> None:
         """Record which of the buffered lines have been written by now."""
         if self.transport is not None and self.lines.buffered:
-            self.lines.on_drained_to(self.transport.get_write_buffer_size())
+            self.lines.on_write_buffer_size(self.transport.get_write_buffer_size())
 
     def resume_writing(self) -> None:
         """Continue after the transport's buffer was written (called by asyncio)."""
@@ -203,7 +206,7 @@
             return False
         request = self.in_flight.get(message_id)
         if isinstance(request, Attempt):
-            result = parse_call_response(message, self.workers.settings.load_report_columns)
+            result = parse_call_response(message, self.worker_connections.settings.load_report_columns)
             if result is None:
                 return False
             del self.in_flight[message_id]
@@ -211,10 +214,10 @@
                 # A duplicate of this response must not end a later attempt of the same call.
                 self._add_abandoned_id(message_id)
             request.progress = Progress.RESPONSE_STARTED
-            self.workers.on_call_response(request, result)
+            self.worker_connections.on_call_response(request, result)
         elif request is not None:
             del self.in_flight[message_id]
-            self.workers.on_preload_response(request, message)
+            self.worker_connections.on_preload_response(request, message)
         return True
 
     def _add_abandoned_id(self, message_id: str) -> None:
@@ -254,9 +257,9 @@
         self.in_flight = {}
         for request in requests.values():
             if self.is_local_failure:
-                self.workers.on_unsent(request)
+                self.worker_connections.on_unsent(request)
             else:
-                self.workers.on_connection_broken(request, is_unreachable=self.is_unreachable)
+                self.worker_connections.on_connection_broken(request, is_unreachable=self.is_unreachable)
 
     def abort_if_unwritten(self, lines: list[OutboundLine]) -> None:
         """Abort if one of these lines is not completely written."""
@@ -264,7 +267,7 @@
         if not self.is_closed and any(line in self.lines.buffered for line in lines):
             self.abort()
 
-    def close_empty(self) -> None:
+    def close_unused(self) -> None:
         """Close a connection without requests in flight.
 
         A connection that is being established, or whose worker is not reading, is aborted, because a graceful
--- a/cedarthread/protocols/worker/connections.py
+++ b/cedarthread/protocols/worker/connections.py
@@ -41,7 +41,7 @@
 
 # Time from writing CANCEL until the attempt counts as cancelled; by then the worker has received the line.
 CANCEL_SETTLE_S = 0.010
-SILENCE_S = 1.0  # after this time without input, cancelling an attempt also retires its connection
+UNRESPONSIVE_AFTER_S = 1.0  # after this time without input, cancelling an attempt also retires its connection
 IDLE_CLOSE_FRACTION = 0.8  # of the worker's idle timeout; the router closes before the worker does
 
 
@@ -171,8 +171,8 @@
             self.dispatcher.attempt_ended(attempt, connection_lost_result(attempt))
             return
         # A connection to a crashed host stays open without input: the next attempt needs a new connection.
-        is_silent = self._loop.time() - connection.last_read_at > SILENCE_S
-        connection.is_retired = connection.is_retired or is_silent
+        is_unresponsive = self._loop.time() - connection.last_read_at > UNRESPONSIVE_AFTER_S
+        connection.is_retired = connection.is_retired or is_unresponsive
         if not self.settings.limits.can_cancel:  # the worker continues the attempt, whose response is ignored
             connection.abandon(attempt.call.call_id)
             self.dispatcher.attempt_ended(attempt, AttemptResult(Outcome.TIMEOUT))
@@ -212,8 +212,8 @@
 
     def on_connection_broken(self, request: WorkerRequest, *, is_unreachable: bool) -> None:
         """End a request after its connection broke or could not be established."""
-        end_of_attempt = partial(connection_lost_result, is_unreachable=is_unreachable)
-        self._end_request(request, end_of_attempt, Outcome.RESET)
+        result_of_attempt = partial(connection_lost_result, is_unreachable=is_unreachable)
+        self._end_request(request, result_of_attempt, Outcome.RESET)
 
     def on_unsent(self, request: WorkerRequest) -> None:
         """End a request of which no byte has been written.
@@ -225,12 +225,12 @@
     def _end_request(
         self,
         request: WorkerRequest,
-        end_of_attempt: Callable[[Attempt], AttemptResult],
+        result_of_attempt: Callable[[Attempt], AttemptResult],
         preload_outcome: Outcome,
     ) -> None:
         if isinstance(request, Attempt):
             self._connection_by_attempt.pop(request, None)
-            self.dispatcher.attempt_ended(request, end_of_attempt(request))
+            self.dispatcher.attempt_ended(request, result_of_attempt(request))
         else:
             self.preloads.finish(request, preload_outcome)
 
--- a/cedarthread/protocols/worker/line_queue.py
+++ b/cedarthread/protocols/worker/line_queue.py
@@ -73,11 +73,11 @@
             return self.queued[0] if self.queued else None
         return next((line for line in self.queued if line.request is None), None)
 
-    def take(self, line: OutboundLine) -> None:
+    def dequeue(self, line: OutboundLine) -> None:
         """Remove a line from the queue before it is passed to the transport."""
         self.queued.remove(line)
 
-    def on_handed_over(self, line: OutboundLine, written_bytes: int) -> None:
+    def on_passed_to_transport(self, line: OutboundLine, written_bytes: int) -> None:
         """Record that a line was passed to the transport.
 
         Args:
@@ -92,7 +92,7 @@
             self._record(line, Progress.PARTLY_WRITTEN)
             self.buffered.append(line)
 
-    def on_drained_to(self, unwritten_bytes: int) -> None:
+    def on_write_buffer_size(self, unwritten_bytes: int) -> None:
         """Record that all but the last ``unwritten_bytes`` bytes of the buffered lines were written."""
         while self.buffered and sum(len(line.data) for line in self.buffered[1:]) >= unwritten_bytes:
             self._record(self.buffered.pop(0), Progress.WRITTEN)
--- a/cedarthread/protocols/worker/pool.py
+++ b/cedarthread/protocols/worker/pool.py
@@ -115,7 +115,7 @@
             if close_now:
                 connection.abort()
             elif not connection.in_flight:
-                connection.close_empty()
+                connection.close_unused()
             elif connection.lines.buffered:
                 grace_s = self.worker_connections.settings.rules.drain_grace_ms / 1000.0
                 flush_s = DRAIN_FLUSH_GRACE_FRACTION * grace_s
@@ -130,4 +130,4 @@
         for connection in list(self.connections):
             is_expired = connection.is_retired or now_s - connection.last_used_at > idle_limit_s
             if is_expired and connection.transport is not None and not connection.in_flight:
-                connection.close_empty()
+                connection.close_unused()
--- a/cedarthread/protocols/worker/preloads.py
+++ b/cedarthread/protocols/worker/preloads.py
@@ -15,7 +15,7 @@
     from cedarthread.protocols.worker.connection import WorkerConnection
     from cedarthread.protocols.worker.pool import WorkerConnectionPool
 
-PRELOAD_FLUSH_S = 0.5  # a preload of which no byte has been written within this time is withdrawn
+PRELOAD_WRITE_TIMEOUT_S = 0.5  # a preload of which no byte has been written within this time is withdrawn
 
 
 class PreloadRequests:
@@ -51,11 +51,11 @@
             return
         connection.send_request(encode_preload(preload.message_id, function_id, instances), preload)
         preload.timers += (
-            self._loop.call_later(PRELOAD_FLUSH_S, self._on_unsent, preload, connection),
+            self._loop.call_later(PRELOAD_WRITE_TIMEOUT_S, self._on_write_timeout, preload, connection),
             self._loop.call_later(timeout_ms / 1000.0, self._on_timeout, preload, connection),
         )
 
-    def _on_unsent(self, preload: PendingPreload, connection: WorkerConnection) -> None:
+    def _on_write_timeout(self, preload: PendingPreload, connection: WorkerConnection) -> None:
         """Withdraw a preload of which no byte has been written.
 
         Otherwise preloads queued for a worker that reads slowly would reach it all at once, over the budget.
--- a/cedarthread/testing/fuzzing/defective_calls.py
+++ b/cedarthread/testing/fuzzing/defective_calls.py
@@ -122,12 +122,12 @@
         if line.request is not None and not self._may_write(line.request):
             self.withdraw_and_end(line.request)
             continue
-        line.data = line.data or self.workers.encode_attempt(cast("Attempt", line.request))
-        self.lines.take(line)
+        line.data = line.data or self.worker_connections.encode_attempt(cast("Attempt", line.request))
+        self.lines.dequeue(line)
         buffered_bytes = transport.get_write_buffer_size()
         transport.write(line.data)
         unwritten_bytes = transport.get_write_buffer_size() - buffered_bytes
-        self.lines.on_handed_over(line, len(line.data) - unwritten_bytes)
+        self.lines.on_passed_to_transport(line, len(line.data) - unwritten_bytes)
 
 
 def abandon_calls_and_close(self: PlatformConnection) -> None:
--- a/tests/integration/test_worker_connections.py
+++ b/tests/integration/test_worker_connections.py
@@ -111,7 +111,7 @@
             for line in harness.connection.lines.queued
             if isinstance(line.request, PendingPreload)
         ]
-        harness.workers.preloads._on_unsent(preload, harness.connection)
+        harness.workers.preloads._on_write_timeout(preload, harness.connection)
         assert [event.outcome for event in harness.dispatcher.preloads] == [Outcome.CONNECT_FAILED]
         written = harness.transport.written
         harness.transport.buffered_bytes = 0
--- a/tests/unit/protocols/worker/test_line_queue.py
+++ b/tests/unit/protocols/worker/test_line_queue.py
@@ -32,13 +32,13 @@
     return ConnectedQueue(queue, attempts, written)
 
 
-def hand_over(queue: LineQueue, accepted_bytes: int) -> list[OutboundLine]:
-    """Hand all queued lines over to a transport whose socket accepts some bytes; return the lines."""
+def pass_to_transport(queue: LineQueue, accepted_bytes: int) -> list[OutboundLine]:
+    """Pass all queued lines to a transport whose socket accepts ``accepted_bytes``; return the lines."""
     lines = []
     remaining_bytes = accepted_bytes
     while (line := queue.next_line()) is not None:
-        queue.take(line)
-        queue.on_handed_over(line, remaining_bytes)
+        queue.dequeue(line)
+        queue.on_passed_to_transport(line, remaining_bytes)
         remaining_bytes -= len(line.data)
         lines.append(line)
     return lines
@@ -52,24 +52,24 @@
     assert [attempt.progress for attempt in attempts] == [Progress.UNWRITTEN] * 2
 
 
-def test_a_queued_request_can_be_removed_and_one_handed_over_cannot() -> None:
+def test_a_queued_request_can_be_removed_and_one_passed_to_the_transport_cannot() -> None:
     queue, (first, second), _ = queue_with("a", "b")
     assert queue.remove(first)
     assert queue.requests() == [second]
-    hand_over(queue, 0)
+    pass_to_transport(queue, 0)
     assert not queue.remove(second)
     assert second.progress is Progress.PARTLY_WRITTEN
 
 
 def test_a_line_is_reported_as_written_once_with_its_last_byte() -> None:
     queue, attempts, written = queue_with("a", "b", "c")
-    lines = hand_over(queue, 2 * LINE_BYTES - 1)
+    lines = pass_to_transport(queue, 2 * LINE_BYTES - 1)
     assert [attempt.progress.name for attempt in attempts] == ["WRITTEN", "PARTLY_WRITTEN", "PARTLY_WRITTEN"]
     assert queue.is_written(lines[0])
     assert not queue.is_written(lines[1])
-    queue.on_drained_to(LINE_BYTES + 1)
+    queue.on_write_buffer_size(LINE_BYTES + 1)
     assert written == attempts[:1]
-    queue.on_drained_to(LINE_BYTES)
+    queue.on_write_buffer_size(LINE_BYTES)
     assert written == attempts[:2]
     queue.on_all_written()
     assert written == attempts
@@ -78,7 +78,7 @@
 
 def test_the_last_buffered_line_of_a_broken_connection_is_incomplete() -> None:
     queue, attempts, written = queue_with("a", "b")
-    hand_over(queue, 0)
+    pass_to_transport(queue, 0)
     queue.on_disconnected()
     assert [attempt.may_have_executed() for attempt in attempts] == [True, False]
     assert written == attempts[:1]
@@ -87,7 +87,7 @@
 
 def test_an_attempt_with_a_response_keeps_its_progress() -> None:
     queue, (attempt,), written = queue_with("a")
-    hand_over(queue, 0)
+    pass_to_transport(queue, 0)
     attempt.progress = Progress.RESPONSE_STARTED
     queue.on_all_written()
     assert attempt.progress is Progress.RESPONSE_STARTED
@@ -100,21 +100,21 @@
     queue.append(OutboundLine(b"x" * LINE_BYTES, preload))
     queue.append(OutboundLine(b"y" * LINE_BYTES))
     assert queue.requests() == [preload]
-    hand_over(queue, 2 * LINE_BYTES)
+    pass_to_transport(queue, 2 * LINE_BYTES)
     assert written == []
     assert not queue
 
 
-def test_a_line_without_a_request_may_overtake_requests_and_first_bytes_are_reported() -> None:
+def test_a_line_without_a_request_may_be_sent_before_requests_and_first_bytes_are_reported() -> None:
     started: list[object] = []
     queue = LineQueue(lambda attempt: None, started.append)
     preload = PendingPreload("load-1", 1, 7, 0.0)
     queue.append(OutboundLine(b"x" * LINE_BYTES, preload))
     queue.append(cancel := OutboundLine(b"y" * LINE_BYTES))
     assert queue.next_line(without_requests=True) is cancel
-    queue.take(cancel)
-    queue.on_handed_over(cancel, LINE_BYTES)
+    queue.dequeue(cancel)
+    queue.on_passed_to_transport(cancel, LINE_BYTES)
     assert queue.next_line(without_requests=True) is None
     assert started == []
-    hand_over(queue, 1)
+    pass_to_transport(queue, 1)
     assert started == [preload]
