--- a/cedarthread/protocols/control.py
+++ b/cedarthread/protocols/control.py
@@ -1,6 +1,6 @@
-"""The control address for operators: one command line per connection, one reply that begins with YES or NO.
+"""The control interface for operators: one command line per connection, one reply that begins with YES or NO.
 
-Commands only report. The service passes in the commands and their handlers.
+Commands are read-only. The service supplies the commands and their handlers.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
     from cedarthread.transport.flusher import Flusher
 
 MAX_LINE_BYTES = 256  # including the newline
-LINE_TIMEOUT_S = 1.0  # from the connection to its complete line
-MAX_CONNECTIONS = MAX_OPERATOR_CONNECTIONS  # for one more, the oldest is closed
+LINE_TIMEOUT_S = 1.0  # from the start of the connection to its complete line
+MAX_CONNECTIONS = MAX_OPERATOR_CONNECTIONS  # a further connection closes the oldest one
 LISTEN_BACKLOG = 64
 MAX_ECHOED_CHARACTERS = 32  # of an unknown command, in the reply
 
@@ -27,7 +27,7 @@
 class ControlReply(NamedTuple):
     """The reply to one command."""
 
-    is_yes: bool  # whether the first line is YES or NO
+    is_yes: bool  # whether the first line is YES; otherwise it is NO
     lines: list[str]  # the lines after the first
 
 
@@ -35,7 +35,7 @@
 
 
 class ControlConnection(BufferedConnection):
-    """One connection of an operator, with one command."""
+    """One connection of an operator, which carries one command."""
 
     def __init__(self, server: ControlServer) -> None:
         super().__init__(MAX_LINE_BYTES, server.flusher)
@@ -44,7 +44,7 @@
         self._line_timer: asyncio.TimerHandle | None = None
 
     def on_connected(self) -> None:
-        """Register with the server and start the timeout of the line."""
+        """Register with the server and start the timeout for the line."""
         if not self.server.register(self):
             self.abort()
             return
@@ -57,7 +57,7 @@
             self._line_timer.cancel()
 
     def on_data(self, data: memoryview) -> int | None:
-        """Handle the first complete line and discard all other input; return the processed bytes."""
+        """Handle the first complete line and discard all other input; return the count of processed bytes."""
         if self.has_replied:
             return len(data)
         end = self.buffer.find(b"\n", 0)
@@ -91,7 +91,7 @@
         self.reply(f"NO {reason}\n")
 
     def reply(self, text: str) -> None:
-        """Send the one reply, then close."""
+        """Send the reply, then close; ignore any further reply."""
         if self.has_replied:
             return
         self.has_replied = True
@@ -102,13 +102,13 @@
 
 
 class ControlServer:
-    """The listening socket at the control address and its few connections.
+    """The listening socket at the control address and its connections.
 
     Args:
         commands: The handler of each command, by name in upper case.
-        flusher: Writes the output of each iteration.
-        max_connections: The limit of connections.
-        release_descriptor: Closes a connection elsewhere to free a descriptor; False if it cannot.
+        flusher: Flushes the output once per iteration of the event loop.
+        max_connections: The maximum number of connections.
+        release_descriptor: Closes a connection elsewhere to free a descriptor; returns False if it cannot.
     """
 
     def __init__(
@@ -126,10 +126,10 @@
         self._acceptor: Acceptor[ControlConnection] | None = None
 
     def register(self, connection: ControlConnection) -> bool:
-        """Count a connection once.
+        """Register a connection; has no effect if it is registered already.
 
-        At the limit, close the oldest connection for it, so that a flood of idle connections cannot block an
-        operator. Returns False if no connection can be closed.
+        At the limit, close the oldest connection to make room, so that a flood of idle connections cannot
+        block an operator. Returns False if no connection can be closed.
         """
         if connection in self.connections:
             return True
@@ -145,7 +145,7 @@
         return True
 
     def listen(self, host: str, port: int) -> int:
-        """Accept operators and return the port.
+        """Accept connections of operators and return the port.
 
         Raises:
             OSError: The address cannot be used.
--- a/cedarthread/protocols/discovery/__init__.py
+++ b/cedarthread/protocols/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: polls the DNS server for the endpoint list of workers, and decides which list is in force."""
+"""Discovery: polls the DNS server for the list of worker endpoints, and decides which list is in use."""
--- a/cedarthread/protocols/discovery/client.py
+++ b/cedarthread/protocols/discovery/client.py
@@ -1,4 +1,4 @@
-"""The discovery client: polls the complete endpoint list by DNS over UDP and owns the sockets for it."""
+"""The discovery client: polls the complete endpoint list by DNS over UDP, and owns the sockets for this."""
 
 from __future__ import annotations
 
@@ -61,12 +61,12 @@
 
     Args:
         on_update: Applies the serial and the complete list of a newer usable reply.
-        on_poll: Called with each query, because the process is awake then.
-        release_descriptor: Frees a descriptor where none is left; returns whether it has freed one.
-        on_partial_list: Applies the drains that an unusable reply still shows; returns whether it has any.
-        observer: Follows regular queries and replies.
-        schedule: The time of the next query, shared with a freshness gate where there is one.
-        queries: The queries in flight and the freshness of the list, shared likewise.
+        on_poll: Called with each query, because the process is known to be running then.
+        release_descriptor: Frees a descriptor if none is left; returns whether it has freed one.
+        on_partial_list: Applies the drains found in an unusable reply; returns whether there were any.
+        observer: Notified of regular queries and of replies.
+        schedule: The time of the next query, shared with the freshness gate if there is one.
+        queries: The queries in flight and the freshness of the list, shared in the same way.
     """
 
     def __init__(
@@ -112,14 +112,14 @@
         self.acceptance.serial = serial
 
     async def connect(self, host: str, port: int) -> None:
-        """Open a socket to this address and poll it; the list in use stays until a newer one is confirmed."""
+        """Open a socket to this address and poll it; keep the list in use until a newer one is confirmed."""
         await self._loop.create_datagram_endpoint(lambda: DiscoverySocket(self), remote_addr=(host, port))
 
     def start_polling(self, host: str, port: int) -> None:
         """Poll this address as soon as its socket opens, and the previous address until this one replies.
 
         Neither the start of the process nor a reload waits for discovery or fails because of it, and replies
-        on their way are not lost.
+        in flight are not lost.
         """
         self._cancel_connecting()
         self._address = (host, port)
@@ -189,7 +189,8 @@
         query_id = int.from_bytes(data[:QUERY_ID_BYTES], "big")
         if not self.queries.accepts(query_id):
             return False
-        # Most replies repeat the last one. Parsing each took half of an idle router's CPU with many workers.
+        # Most replies repeat the last one. Parsing each of them took half of an idle router's CPU time with
+        # many workers.
         is_known = bool(self._last_payload) and data[QUERY_ID_BYTES:] == self._last_payload
         if is_known and self._is_settled:
             self._on_usable_reply(query_id)
@@ -235,7 +236,7 @@
         return True
 
     def _on_unconfirmed(self, reply: dns.Reply, serial: int) -> None:
-        """Demote the workers that an unconfirmed list shows as draining, so that they get no more calls."""
+        """Demote the workers that an unconfirmed list reports as draining, so that they get no more calls."""
         self._is_settled = False
         self.queries.on_unconfirmed_reply(self._loop.time())
         if not reply.srv_records:  # a corrupted reply must not remove every worker
--- a/cedarthread/protocols/discovery/endpoint_list.py
+++ b/cedarthread/protocols/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: the last report of each worker by discovery or by the configuration."""
+"""The endpoint list: the latest record of each worker, from discovery or from the configuration."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """One worker as reported. `kind` is the worker's type, `cell` its group within the zone."""
+    """One worker as listed. `kind` is the worker's type, `cell` its group within the zone."""
 
     name: str
     host: str
@@ -41,7 +41,7 @@
 
 
 def worker_id_from_name(name: str) -> int:
-    """Return the id of a worker, which is the same at every router because functions are placed by id."""
+    """Return the id of a worker; all routers derive the same id, because functions are placed by id."""
     match = _NUMBERED_NAME.match(name)
     return int(match[1], 16) if match else zlib.crc32(name.encode())
 
@@ -73,9 +73,9 @@
         """Apply a reported list.
 
         Args:
-            version: Of the list.
+            version: The version of the list.
             records: The reported workers.
-            is_snapshot: The list has all workers; otherwise the changed ones only.
+            is_snapshot: Whether the list has all workers; otherwise it has only the changed ones.
 
         Returns:
             The event for the dispatcher; None if the version is not newer.
@@ -102,7 +102,7 @@
         return EndpointUpdate(kind, version, tuple(self._to_endpoint(record) for record in changed))
 
     def replace_all(self, version: int, records: list[EndpointRecord]) -> EndpointUpdate | None:
-        """Apply a complete list even if its version is lower, because versions may be numbered anew.
+        """Apply a complete list even if its version is lower, because version numbering may restart.
 
         Returns the event for the dispatcher; None if the list has no change.
         """
@@ -117,7 +117,7 @@
         """Mark ready workers as draining until the next complete list.
 
         Args:
-            is_demoted: Whether to demote the worker of a name.
+            is_demoted: Returns whether to demote the worker with a given name.
 
         Returns:
             The event for the dispatcher; None if no worker was demoted.
@@ -135,7 +135,7 @@
         return EndpointUpdate(EndpointUpdateKind.DELTA, self.version, endpoints)
 
     def by_worker_id(self) -> dict[int, EndpointRecord]:
-        """Return the workers by id; of two names with the same id, the one listed first."""
+        """Return the workers by id; if two names have the same id, the first listed one takes precedence."""
         records: dict[int, EndpointRecord] = {}
         for record in self.records.values():
             first = records.setdefault(worker_id_from_name(record.name), record)
--- a/cedarthread/protocols/discovery/endpoint_records.py
+++ b/cedarthread/protocols/discovery/endpoint_records.py
@@ -1,4 +1,4 @@
-"""Conversion of a DNS reply of discovery to endpoint records."""
+"""Conversion of a DNS reply from the discovery server to endpoint records."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from cedarthread.protocols import dns
 
-SRV_WEIGHT_SCALE = 10  # an SRV weight is a whole number of tenths of an endpoint's weight
+SRV_WEIGHT_SCALE = 10  # an SRV weight is the endpoint's weight in tenths, as an integer
 READY_PRIORITY = 0  # of an SRV record; any other priority means draining
 
 
@@ -21,7 +21,7 @@
     """The usable part of an unusable reply: the workers that must get no more calls."""
 
     draining_names: frozenset[str]
-    listed_names: frozenset[str] | None  # of all workers; None if the list may be truncated
+    listed_names: frozenset[str] | None  # the names of all workers; None if the list may be truncated
 
 
 def endpoints_from_reply(reply: dns.Reply) -> list[EndpointRecord] | str:
@@ -37,12 +37,12 @@
 
 
 def partial_list(reply: dns.Reply, last_serial: int, *, is_answer_complete: bool) -> PartialList:
-    """Extract the draining and the listed workers from the service records of a reply.
+    """Extract the draining and the listed workers from the SRV records of a reply.
 
     Args:
         reply: The reply; its other records may be missing or wrong.
-        last_serial: The serial of the list in use. The workers missing in an older reply do not count.
-        is_answer_complete: The reply has all service records.
+        last_serial: The serial of the list in use. Workers missing from an older reply do not count as gone.
+        is_answer_complete: Whether the reply has all SRV records.
     """
     draining = [service for service in reply.srv_records if service.priority != READY_PRIORITY]
     listed = frozenset(map(_name_of, reply.srv_records))
--- a/cedarthread/protocols/discovery/list_acceptance.py
+++ b/cedarthread/protocols/discovery/list_acceptance.py
@@ -1,9 +1,9 @@
-"""Acceptance of endpoint lists: decides whether the list of a reply is the present one. No I/O; loop seconds.
+"""Acceptance of endpoint lists: decides whether the list in a reply is current.
 
-A single reply is not trusted. It may be old, and its serial may belong to another numbering, because
-discovery numbers events anew at each start of a router. In an incident, an old reply with a higher serial was
-accepted, and a later drain with the same serial was ignored. Therefore a list is accepted once the replies to
-two queries agree.
+Performs no I/O; times are event-loop seconds. A single reply is not trusted. It may be old, and its serial
+may belong to another numbering sequence, because discovery restarts its event numbering at each start of a
+router. In an incident, an old reply with a higher serial was accepted, and a later drain with the same serial
+was ignored. Therefore a list is accepted once the replies to two queries agree.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 if TYPE_CHECKING:
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 
-CONFIRMING_QUERIES = 2  # queries with the same list as reply, before it is accepted
-CANDIDATE_LIFETIME_S = 1.0  # time in which a list with a higher serial must be confirmed
-# A list with a lower serial than the list in use is old, unless no other list arrives for this time.
+CONFIRMING_QUERIES = 2  # queries that must return the same list before it is accepted
+CANDIDATE_LIFETIME_S = 1.0  # time within which a list with a higher serial must be confirmed
+# A list with a lower serial than the list in use counts as old, unless no other list arrives for this time.
 LOWER_SERIAL_CONFIRMATION_S = 2.0
 
 
 class ListVerdict(Enum):
     """The verdict on the list of a reply."""
 
-    KNOWN = auto()  # the list in use
-    NEW = auto()  # confirmed, so it becomes (or stays) the list in use
+    KNOWN = auto()  # equal to the list in use
+    NEW = auto()  # confirmed, so it becomes (or remains) the list in use
     UNCONFIRMED = auto()  # not accepted yet: it may be new or old
 
 
@@ -35,7 +35,7 @@
     records: frozenset[EndpointRecord]
     first_seen_at_s: float
     query_ids: set[int]
-    is_contradicted: bool = False  # the list in use arrived since, for example from another server
+    is_contradicted: bool = False  # the list in use arrived again since, for example from another server
 
 
 class ListAcceptance:
@@ -43,8 +43,8 @@
 
     def __init__(self) -> None:
         self.serial = -1  # of the list in use
-        self.must_confirm_again = False  # an unconfirmed list has demoted workers of the list in use
-        self._records: frozenset[EndpointRecord] | None = None  # None: no list was confirmed yet
+        self.must_confirm_again = False  # True after an unconfirmed list demoted workers of the list in use
+        self._records: frozenset[EndpointRecord] | None = None  # None until a list is confirmed
         self._candidate: _Candidate | None = None
 
     def consider(
--- a/cedarthread/protocols/discovery/poll_schedule.py
+++ b/cedarthread/protocols/discovery/poll_schedule.py
@@ -1,8 +1,8 @@
-"""The schedule of discovery queries, between the client that sends them and the gate that watches for stalls.
+"""The schedule of discovery queries, shared by the client that sends them and the gate that detects stalls.
 
-``DiscoveryClient`` writes the schedule. The freshness gate reads when the next query is due, because a query
-that is overdue shows that this process has stalled, and may then have a query sent at once. Times are loop
-seconds.
+``DiscoveryClient`` writes the schedule. The freshness gate reads when the next query is due, because an
+overdue query shows that this process has stalled, and may then request an immediate query. Times are
+event-loop seconds.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class PollObserver(Protocol):
-    """Follows the queries of a discovery client and their replies."""
+    """Observer of the queries of a discovery client and of their replies."""
 
     def on_poll_due(self, due_at_s: float) -> None:
         """Handle a regular query that was due at that time; the client sends the query right afterwards."""
@@ -26,7 +26,7 @@
 
 
 class NoPollObserver:
-    """Ignores all queries and replies."""
+    """Observer that ignores all queries and replies."""
 
     def on_poll_due(self, due_at_s: float) -> None:
         """Do nothing."""
@@ -36,7 +36,7 @@
 
 
 class PollSchedule:
-    """The time of the next regular query, and the way to send a query before then."""
+    """The time of the next regular query, and the means to send a query before then."""
 
     def __init__(self) -> None:
         self._send_query: Callable[[], None] | None = None  # None while no discovery socket is open
@@ -54,15 +54,15 @@
         return self._timer.when() if self._timer is not None else math.inf
 
     def start(self, send_query: Callable[[], None]) -> None:
-        """Begin polling through a discovery socket that has opened."""
+        """Start polling through a discovery socket that has opened."""
         self._send_query = send_query
 
     def stop(self) -> None:
-        """End polling, because no discovery socket is open any more."""
+        """Stop polling, because no discovery socket is open any more."""
         self._send_query = None
 
     def schedule(self, at_s: float, on_due: Callable[[], None]) -> None:
-        """Set the time of the next query in place of an earlier one."""
+        """Set the time of the next query; replaces the time set before."""
         self.cancel()
         self._timer = self._loop.call_at(at_s, on_due)
 
@@ -72,6 +72,6 @@
             self._timer.cancel()
 
     def poll_now(self) -> None:
-        """Send a query at once, for example after a stall, if a discovery socket is open."""
+        """Send a query immediately, for example after a stall, if a discovery socket is open."""
         if self._send_query is not None:
             self._send_query()
--- a/cedarthread/protocols/discovery/query_tracker.py
+++ b/cedarthread/protocols/discovery/query_tracker.py
@@ -1,8 +1,9 @@
-"""The schedule of discovery queries and the freshness of the endpoint list. No I/O; times are loop seconds.
+"""The outstanding discovery queries, the time of the next one, and the freshness of the endpoint list.
 
-Queries and replies are datagrams: some are lost, and some replies are unusable. A drain must be noticed
-within the drain grace, which regular polls alone would exceed after a few failures. Therefore a query without
-a usable reply is retried after a timeout that follows the round-trip time (RFC 6298).
+Performs no I/O; times are event-loop seconds. Queries and replies are datagrams: some are lost, and some
+replies are unusable. A drain must be detected within the drain grace period, which regular polls alone would
+exceed after a few failures. Therefore a query without a usable reply is retried after a timeout derived from
+the round-trip time (RFC 6298).
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
     from collections.abc import Callable
 
 MAX_POLL_INTERVAL_S = 0.2  # between regular polls
-DEFAULT_DRAIN_GRACE_S = 0.5  # if the settings have none
-# Fractions of the drain grace: two regular polls and their retries fit into it.
+DEFAULT_DRAIN_GRACE_S = 0.5  # if the settings specify none
+# Fractions of the drain grace period: two regular polls and their retries fit into it.
 POLL_GRACE_FRACTION = 0.4
-RETRY_GRACE_FRACTION = 0.06  # between retries, so that over a dozen fit into the grace
-MIN_RETRY_INTERVAL_S = 0.01  # however short the grace is
-RETRY_JITTER = 0.2  # random fraction of a retry interval, so that routers do not retry in step
-# Usable replies after a failed query until the regular interval applies again. A single one may be old.
+RETRY_GRACE_FRACTION = 0.06  # between retries, so that more than a dozen fit into the grace period
+MIN_RETRY_INTERVAL_S = 0.01  # applies however short the grace period is
+RETRY_JITTER = 0.2  # random fraction of a retry interval, so that routers do not retry in lockstep
+# Usable replies after a failed query until the regular interval applies again. A single one may be outdated.
 CONFIRMING_REPLIES = 2
-MAX_OUTSTANDING_QUERIES = 64  # the latest queries whose replies are still accepted: 12 s at the regular pace
+MAX_OUTSTANDING_QUERIES = 64  # latest queries whose replies are still accepted: 12 s at the regular interval
 
 # RFC 6298, section 2.
 RTT_GAIN = 1 / 8
@@ -40,7 +41,7 @@
 
 
 class RoundTripTime:
-    """A smoothed round-trip time and the timeout that follows from it (RFC 6298)."""
+    """A smoothed round-trip time and the timeout derived from it (RFC 6298)."""
 
     def __init__(self) -> None:
         self._smoothed_s: float | None = None
@@ -66,7 +67,7 @@
 
     Args:
         draw: Returns a random number from 0 to 1.
-        drain_grace_s: The time in which a drain must be noticed.
+        drain_grace_s: The time within which a drain must be detected.
     """
 
     def __init__(self, draw: Callable[[], float], drain_grace_s: float = DEFAULT_DRAIN_GRACE_S) -> None:
@@ -80,7 +81,7 @@
         self.update_drain_grace(drain_grace_s)
 
     def update_drain_grace(self, drain_grace_s: float) -> None:
-        """Use the drain grace of new settings."""
+        """Apply the drain grace period of new settings."""
         self.drain_grace_s = drain_grace_s if drain_grace_s > 0.0 else DEFAULT_DRAIN_GRACE_S
         self.poll_interval_s = min(MAX_POLL_INTERVAL_S, POLL_GRACE_FRACTION * self.drain_grace_s)
         self.retry_interval_s = max(MIN_RETRY_INTERVAL_S, RETRY_GRACE_FRACTION * self.drain_grace_s)
@@ -116,7 +117,7 @@
         self._on_failed(now_s)
 
     def on_unconfirmed_reply(self, now_s: float) -> None:
-        """Record a reply with a list that another reply must confirm."""
+        """Record a reply with a list that a further reply must confirm."""
         if not self._missing_confirmations:
             self._retrying_since_s = now_s
             self._missing_confirmations = 1
@@ -127,7 +128,7 @@
         self._missing_confirmations = CONFIRMING_REPLIES
 
     def next_query_at_s(self) -> float:
-        """Return when the next query is due unless a reply arrives before."""
+        """Return when the next query is due, unless a reply arrives first."""
         regular_s = self.last_sent_at_s + self.poll_interval_s
         if self._is_retrying():
             interval_s = max(self.retry_interval_s, self._reply_timeout_s())
@@ -138,7 +139,7 @@
         return regular_s
 
     def _is_retrying(self) -> bool:
-        """Return whether the retry interval applies: only for one drain grace, also in a longer outage."""
+        """Return whether the retry interval applies: for one drain grace period, even in a longer outage."""
         since_s = self._retrying_since_s
         return since_s is not None and self.last_sent_at_s < since_s + self.drain_grace_s
 
--- a/cedarthread/protocols/discovery/start_times.py
+++ b/cedarthread/protocols/discovery/start_times.py
@@ -1,9 +1,9 @@
-"""Start times of workers on this router's clock. It does no I/O; times are Unix ms.
+"""Start times of workers converted to this router's clock. Performs no I/O; times are Unix ms.
 
 Discovery reports the start of a worker by the clock of another machine. This router's clock is the Unix time
 at the start of its process, continued by the monotonic clock; it may be off by an hour as long as the process
-runs. Discovery lists a worker within some seconds of its start. Therefore the time of the first list that
-shows a start bounds the start, whatever the clocks say, and also shows the difference between the clocks.
+runs. Discovery lists a worker within a few seconds of its start. Therefore the arrival time of the first list
+that shows a start bounds the start time, regardless of the clocks, and also reveals the offset between them.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 if TYPE_CHECKING:
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 
-# From the start of a worker until discovery lists it: some seconds at the operators' sites, late lists
-# included.
+# From the start of a worker until discovery lists it: a few seconds at the operators' sites, including late
+# lists.
 MAX_LISTING_DELAY_MS = 8_000.0
-# Difference between synchronized clocks; a start may appear to be so far in the future.
+# Maximum difference between synchronized clocks; a start may appear to be this far in the future.
 MAX_CLOCK_DIFFERENCE_MS = 1_000.0
 USUAL_LISTING_DELAY_MS = 1_500.0  # assumed if only the time of the listing is known
 
@@ -29,7 +29,7 @@
 
 
 class StartTimes:
-    """Corrected start times by worker name, and the offset of discovery's clock."""
+    """Corrected start times by worker name, and the offset from discovery's clock to this router's."""
 
     def __init__(self) -> None:
         self._known: dict[str, _KnownStart] = {}
@@ -38,12 +38,12 @@
     def correct_list(
         self, records: list[EndpointRecord], now_ms: float, fresh_as_of_ms: float | None
     ) -> list[EndpointRecord]:
-        """Return the records of a new list with their starts on this router's clock.
+        """Return the records of a new list with their start times on this router's clock.
 
         Args:
             records: The records of the list.
             now_ms: When the list arrived.
-            fresh_as_of_ms: When the previous list was last known to be up to date; None: there is none.
+            fresh_as_of_ms: When the previous list was last known to be up to date; None if there is none.
         """
         return [
             replace(
@@ -54,10 +54,10 @@
         ]
 
     def _correct(self, name: str, reported_ms: float, now_ms: float, fresh_as_of_ms: float | None) -> float:
-        """Return the corrected start of one worker; 0 (no recent start) stays 0.
+        """Return the corrected start time of one worker; 0 (no recent start) stays 0.
 
-        The first list does not show when a start was listed. Its starts are taken by the clocks; a start in
-        the future counts as a start now.
+        The first list does not show when a start was listed. Its start times are taken as the clocks report
+        them; a start in the future counts as a start now.
         """
         if reported_ms <= 0.0:
             return reported_ms
--- a/cedarthread/protocols/dns.py
+++ b/cedarthread/protocols/dns.py
@@ -1,6 +1,6 @@
-"""Codec of DNS messages (RFC 1035, RFC 2782), as far as discovery uses them.
+"""Codec of DNS messages (RFC 1035, RFC 2782), limited to what discovery uses.
 
-A parse error is a value, never an exception.
+A parse error is returned as a value, never raised.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 MAX_NAME_BYTES = 255  # RFC 1035, section 2.3.4
 MAX_LABEL_BYTES = 63  # RFC 1035, section 2.3.4
 MAX_POINTERS = 16  # in one name; long chains in many records took seconds to parse
-_POINTER = 0xC0  # the two high bits of a length byte: the name continues at an offset in the message
+_POINTER = 0xC0  # if the two high bits of a length byte are set, the name continues at another offset
 _POINTER_HIGH_BITS = 0x3F
 _HEADER = struct.Struct(">6H")
 _RECORD_HEADER = struct.Struct(">HHIH")
@@ -54,11 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class UnusableReply:
-    """An unusable reply and the reason."""
+    """An unusable reply and the reason why it is unusable."""
 
     reason: str
-    partial: Reply | None = None  # the records before the fault
-    is_answer_complete: bool = False  # `partial` has the complete answer section
+    partial: Reply | None = None  # the records before the error
+    is_answer_complete: bool = False  # whether `partial` has the complete answer section
 
 
 @dataclass(slots=True)
@@ -80,7 +80,7 @@
 
 
 def parse(data: bytes) -> Reply | UnusableReply:
-    """Parse a reply; return why it is unusable if it is incomplete or reports an error."""
+    """Parse a reply; return the reason why it is unusable if it is incomplete or reports an error."""
     try:
         query_id, flags, question_count, *record_counts = _HEADER.unpack_from(data)
     except struct.error as error:
@@ -116,7 +116,10 @@
 
 
 def _parse_name(data: bytes, offset: int) -> tuple[str, int]:
-    """Parse a name and the offset of its end. Pointers must point backwards, so that they cannot loop."""
+    """Parse a name; return it with the offset of its end.
+
+    Compression pointers must point backwards, so that they cannot loop.
+    """
     labels: list[str] = []
     end = -1
     lowest = offset
@@ -141,7 +144,7 @@
 
 
 def _parse_record(data: bytes, offset: int, reply: Reply) -> int:
-    """Put one record into the reply; returns the offset at which it ends."""
+    """Parse one record into the reply; return the offset at which it ends."""
     name, offset = _parse_name(data, offset)
     record_type, _, _, data_bytes = _RECORD_HEADER.unpack_from(data, offset)
     offset += _RECORD_HEADER.size
--- a/cedarthread/protocols/peers.py
+++ b/cedarthread/protocols/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers, from ``peer_listen`` to the addresses in ``peers``; others are dropped."""
+"""Datagrams between routers, sent from ``peer_listen`` to the addresses in ``peers``; others are dropped."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAddresses:
-    """The address on which datagrams are received, and those of the peers by router index."""
+    """The address on which datagrams are received, and the addresses of the peers by router index."""
 
     listen_address: Address
     peer_addresses: tuple[Address, ...]
@@ -28,13 +28,13 @@
 
 
 class PeerTransport(asyncio.DatagramProtocol):
-    """The datagram socket between routers; passes received datagrams on with their sender's index."""
+    """The datagram socket between routers; forwards received datagrams with the index of their sender."""
 
     def __init__(self, addresses: PeerAddresses, on_datagram: Callable[[int, bytes], None]) -> None:
         self.addresses = addresses
         self.on_datagram = on_datagram
-        self.unknown_sender_count = 0  # datagrams from an address of no peer
-        self.unsent_count = 0  # datagrams that are too long or have no configured peer
+        self.unknown_sender_count = 0  # datagrams from addresses that are not configured as peers
+        self.unsent_count = 0  # datagrams that are too long or whose destination is not a configured peer
         self._peer_index_by_address = {
             address: index for index, address in enumerate(addresses.peer_addresses)
         }
@@ -72,7 +72,7 @@
         return [peers[peer_index]] if 0 <= peer_index < len(peers) else []
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Pass on a datagram of a peer, possibly late or duplicated (called by asyncio)."""
+        """Forward a datagram from a peer, possibly late or duplicated (called by asyncio)."""
         sender_index = self._peer_index_by_address.get((addr[0], addr[1]))
         if sender_index is None:
             self.unknown_sender_count += 1
