--- a/cedarthread/protocols/discovery/client.py
+++ b/cedarthread/protocols/discovery/client.py
@@ -219,7 +219,7 @@
             self._reject(reply)
             return False
         if reply.serial is None:
-            self._reject(dns.UnusableReply("no serial"))
+            self._reject(dns.UnusableReply("no SOA record with a serial"))
             return False
         records = endpoints_from_reply(reply)
         if isinstance(records, str):
--- a/cedarthread/protocols/discovery/endpoint_list.py
+++ b/cedarthread/protocols/discovery/endpoint_list.py
@@ -54,7 +54,7 @@
     """
     host, _, port = text.rpartition(":")
     if not (port.isascii() and port.isdigit() and len(port) <= MAX_PORT_DIGITS and int(port) <= MAX_PORT):
-        raise ValueError(f"{text[:MAX_ECHOED_CHARACTERS]!r} is no host:port")
+        raise ValueError(f"{text[:MAX_ECHOED_CHARACTERS]!r} is not an address of the form host:port")
     return host.removeprefix("[").removesuffix("]"), int(port)
 
 
--- a/cedarthread/protocols/discovery/endpoint_records.py
+++ b/cedarthread/protocols/discovery/endpoint_records.py
@@ -32,7 +32,7 @@
         if isinstance(record, str):
             return record
         if records.setdefault(record.name, record) != record:
-            return f"{record.name} is listed twice"
+            return f"{record.name} is listed twice with different records"
     return list(records.values())
 
 
@@ -60,14 +60,14 @@
     address = reply.addresses.get(service.target)
     texts = reply.texts.get(service.target)
     if address is None or texts is None:
-        return f"no address or text for {service.target}"
+        return f"no A or TXT record for {service.target}"
     try:
         cell = int(texts.get("cell", "0"))
         started_at_ms = float(texts.get("started", "0"))
     except ValueError:
-        return f"odd text for {service.target}"
+        return f"invalid TXT record of {service.target}"
     if not math.isfinite(started_at_ms):  # NaN is unequal to itself, so each reply would report a restart
-        return f"odd text for {service.target}"
+        return f"invalid TXT record of {service.target}"
     state = EndpointState.READY if service.priority == READY_PRIORITY else EndpointState.DRAINING
     zone = rest.partition(".")[0]
     kind = texts.get("kind", "")
--- a/cedarthread/protocols/dns.py
+++ b/cedarthread/protocols/dns.py
@@ -130,14 +130,14 @@
             target = (size & _POINTER_HIGH_BITS) << 8 | data[offset + 1]
             pointer_count += 1
             if target >= lowest or pointer_count > MAX_POINTERS:
-                raise _MalformedError("a pointer that leads forwards, or too many")
+                raise _MalformedError("a compression pointer that does not lead backwards, or too many")
             end = offset + 2 if end < 0 else end
             offset = target
             lowest = target
             continue
         name_bytes += 1 + size
         if size > MAX_LABEL_BYTES or name_bytes > MAX_NAME_BYTES:
-            raise _MalformedError("a bad label, or too long a name")
+            raise _MalformedError("an invalid label, or a name that is too long")
         labels.append(data[offset + 1 : offset + 1 + size].decode("ascii").lower())
         offset += 1 + size
     return ".".join(labels), offset + 1 if end < 0 else end
--- a/cedarthread/protocols/invoke/config.py
+++ b/cedarthread/protocols/invoke/config.py
@@ -102,7 +102,9 @@
     patterns = tuple(str(entry) for entry in entries)
     for pattern in patterns:
         if spiffe.parse_trust_domain(pattern.removesuffix("/*")) != trust_domain:
-            raise ValueError(f"allow: {pattern[:MAX_ECHOED_CHARACTERS]} is no SPIFFE ID of {trust_domain}")
+            raise ValueError(
+                f"allow: {pattern[:MAX_ECHOED_CHARACTERS]} is not a SPIFFE ID of trust domain {trust_domain}"
+            )
     return patterns
 
 
--- a/cedarthread/protocols/msgpack.py
+++ b/cedarthread/protocols/msgpack.py
@@ -128,7 +128,7 @@
         kind, length_bytes = length_prefixed
         count = int.from_bytes(_take_slice(data, offset, length_bytes), "big")
         return _parse_content(kind, data, offset + length_bytes, count, depth)
-    raise _MalformedError(f"code {code:#x} is not used here")
+    raise _MalformedError(f"unsupported type code {code:#x}")
 
 
 def _parse_content(kind: str, data: memoryview, offset: int, count: int, depth: int) -> tuple[Any, int]:
@@ -142,9 +142,9 @@
 
 def _check_limits(count: int, depth: int) -> None:
     if depth == 0:
-        raise _MalformedError("too deep")
+        raise _MalformedError("nested too deeply")
     if count > MAX_ITEMS:
-        raise _MalformedError("too many items")
+        raise _MalformedError("too many items in an array or map")
 
 
 def _parse_array(data: memoryview, offset: int, count: int, depth: int) -> tuple[list[Any], int]:
@@ -162,9 +162,9 @@
     for _ in range(count):
         key, offset = _parse_short_string(data, offset) or _parse_value(data, offset, depth - 1)
         if not isinstance(key, str):
-            raise _MalformedError("a map's key is not a string")
+            raise _MalformedError("a map key is not a string")
         if key in pairs:
-            raise _MalformedError("a map has a key twice")
+            raise _MalformedError("a map has a duplicate key")
         pairs[key], offset = _parse_short_string(data, offset) or _parse_value(data, offset, depth - 1)
     return pairs, offset
 
--- a/tests/unit/protocols/invoke/test_config.py
+++ b/tests/unit/protocols/invoke/test_config.py
@@ -52,13 +52,13 @@
 @pytest.mark.parametrize(
     ("key", "value", "message"),
     [
-        ("listen", '"nowhere"', "'nowhere' is no host:port"),
-        ("listen", '"127.0.0.1:65536"', "'127.0.0.1:65536' is no host:port"),
+        ("listen", '"nowhere"', "'nowhere' is not an address of the form host:port"),
+        ("listen", '"127.0.0.1:65536"', "'127.0.0.1:65536' is not an address of the form host:port"),
         ("allow", "7", 'key "allow" takes a list of SPIFFE IDs'),
         (
             "allow",
             '["spiffe://other.example/desk/*"]',
-            "allow: spiffe://other.example/desk/* is no SPIFFE ID of gaz.example",
+            "allow: spiffe://other.example/desk/* is not a SPIFFE ID of trust domain gaz.example",
         ),
         ("connections", '"many"', 'key "connections" takes a whole number'),
         ("connections", "[]", 'key "connections" takes a whole number'),
