--- a/cedarthread/protocols/control.py
+++ b/cedarthread/protocols/control.py
@@ -82,9 +82,9 @@
         if handler is None:
             self.reply_no(f"unknown command {command[:MAX_ECHOED_CHARACTERS]!r}")
             return
-        answer = handler()
-        first_line = "YES" if answer.is_yes else "NO"
-        self.reply("".join(f"{line}\n" for line in (first_line, *answer.lines)))
+        command_reply = handler()
+        first_line = "YES" if command_reply.is_yes else "NO"
+        self.reply("".join(f"{line}\n" for line in (first_line, *command_reply.lines)))
 
     def reply_no(self, reason: str) -> None:
         """Reply NO with a reason."""
--- a/cedarthread/protocols/discovery/client.py
+++ b/cedarthread/protocols/discovery/client.py
@@ -26,7 +26,7 @@
 SERVICE_NAME = "_back._tcp.pool.lan"
 CONNECT_RETRY_S = MAX_POLL_INTERVAL_S
 QUERY_ID_BYTES = 2  # the first field of a message
-QUERY_IDS = 1 << 16
+QUERY_ID_COUNT = 1 << 16
 
 
 class DiscoverySocket(asyncio.DatagramProtocol):
@@ -88,18 +88,18 @@
         self.acceptance = ListAcceptance()
         self.last_usable_reply_at = 0.0  # loop time in s
         self._random = random.SystemRandom()
-        self.queries = queries if queries is not None else QueryTracker(self._draw)
+        self.queries = queries if queries is not None else QueryTracker(self._random_fraction)
         self._address: tuple[str, int] | None = None  # of the server to poll
         self._connect_task: asyncio.Task[None] | None = None
         self._last_payload = b""  # the last reply with the list in use, without its query id
-        self._is_settled = False  # no reply with another list has arrived since
+        self._is_list_confirmed = False  # no reply with another list has arrived since
         self._transport: asyncio.DatagramTransport | None = None
         # The previous socket after a change of address; polled until the new server replies.
         self._previous_transport: asyncio.DatagramTransport | None = None
         self._has_transport_replied = False
         self._loop = asyncio.get_running_loop()
 
-    def _draw(self) -> float:
+    def _random_fraction(self) -> float:
         return self._random.random()
 
     @property
@@ -121,11 +121,11 @@
         Neither the start of the process nor a reload waits for discovery or fails because of it, and replies
         in flight are not lost.
         """
-        self._cancel_connecting()
+        self._cancel_connect()
         self._address = (host, port)
-        self._connect_task = self._loop.create_task(self._connect_until_up(host, port))
+        self._connect_task = self._loop.create_task(self._connect_with_retries(host, port))
 
-    async def _connect_until_up(self, host: str, port: int) -> None:
+    async def _connect_with_retries(self, host: str, port: int) -> None:
         is_logged = False
         while True:
             try:
@@ -138,7 +138,7 @@
                 has_released = error.errno in EXHAUSTION_ERRNOS and self.release_descriptor()
             await asyncio.sleep(0.0 if has_released else CONNECT_RETRY_S)
 
-    def _cancel_connecting(self) -> None:
+    def _cancel_connect(self) -> None:
         if self._connect_task is not None:
             self._connect_task.cancel()
             self._connect_task = None
@@ -169,7 +169,7 @@
 
     def _poll(self) -> None:
         assert self._transport is not None
-        query_id = self._random.randrange(QUERY_IDS)
+        query_id = self._random.randrange(QUERY_ID_COUNT)
         self.queries.on_sent(query_id, self._loop.time())
         self._schedule_poll()  # first, so that polling continues if the send fails
         query = dns.encode_query(query_id, SERVICE_NAME)
@@ -191,8 +191,8 @@
             return False
         # Most replies repeat the last one. Parsing each of them took half of an idle router's CPU time with
         # many workers.
-        is_known = bool(self._last_payload) and data[QUERY_ID_BYTES:] == self._last_payload
-        if is_known and self._is_settled:
+        is_repeated = bool(self._last_payload) and data[QUERY_ID_BYTES:] == self._last_payload
+        if is_repeated and self._is_list_confirmed:
             self._on_usable_reply(query_id)
             return True
         is_usable = self._handle_reply(dns.parse(data), query_id, data[QUERY_ID_BYTES:])
@@ -225,11 +225,11 @@
         if isinstance(records, str):
             self._reject(dns.UnusableReply(records, reply, is_answer_complete=True))
             return False
-        verdict = self.acceptance.consider(reply.serial, frozenset(records), query_id, self._loop.time())
+        verdict = self.acceptance.evaluate(reply.serial, frozenset(records), query_id, self._loop.time())
         if verdict is ListVerdict.UNCONFIRMED:
             self._on_unconfirmed(reply, reply.serial)
             return False
-        self._is_settled = True
+        self._is_list_confirmed = True
         self._last_payload = payload
         if verdict is ListVerdict.NEW:
             self.on_update(reply.serial, records)
@@ -237,7 +237,7 @@
 
     def _on_unconfirmed(self, reply: dns.Reply, serial: int) -> None:
         """Demote the workers that an unconfirmed list reports as draining, so that they get no more calls."""
-        self._is_settled = False
+        self._is_list_confirmed = False
         self.queries.on_unconfirmed_reply(self._loop.time())
         if not reply.srv_records:  # a corrupted reply must not remove every worker
             log.warning(format_event("discovery_response_empty", serial=serial))
@@ -248,7 +248,7 @@
     def _demote(self, partial: PartialList) -> None:
         if self.on_partial_list is not None and self.on_partial_list(partial):
             self.acceptance.must_confirm_again = True
-            self._is_settled = False
+            self._is_list_confirmed = False
 
     def _reject(self, reply: dns.UnusableReply) -> None:
         self.queries.on_unusable_reply(self._loop.time())
@@ -279,7 +279,7 @@
 
     def stop(self) -> None:
         """Stop polling and close the sockets."""
-        self._cancel_connecting()
+        self._cancel_connect()
         self._address = None
         self._schedule.cancel()
         _close(self._transport)
--- a/cedarthread/protocols/discovery/endpoint_records.py
+++ b/cedarthread/protocols/discovery/endpoint_records.py
@@ -45,13 +45,13 @@
         is_answer_complete: Whether the reply has all SRV records.
     """
     draining = [service for service in reply.srv_records if service.priority != READY_PRIORITY]
-    listed = frozenset(map(_name_of, reply.srv_records))
-    is_old = reply.serial is None or reply.serial < last_serial
-    is_complete = not is_old and is_answer_complete and bool(listed)
-    return PartialList(frozenset(map(_name_of, draining)), listed if is_complete else None)
+    listed = frozenset(map(_worker_name, reply.srv_records))
+    is_outdated = reply.serial is None or reply.serial < last_serial
+    is_complete = not is_outdated and is_answer_complete and bool(listed)
+    return PartialList(frozenset(map(_worker_name, draining)), listed if is_complete else None)
 
 
-def _name_of(service: dns.SrvRecord) -> str:
+def _worker_name(service: dns.SrvRecord) -> str:
     return service.target.partition(".")[0]
 
 
--- a/cedarthread/protocols/discovery/list_acceptance.py
+++ b/cedarthread/protocols/discovery/list_acceptance.py
@@ -47,7 +47,7 @@
         self._records: frozenset[EndpointRecord] | None = None  # None until a list is confirmed
         self._candidate: _Candidate | None = None
 
-    def consider(
+    def evaluate(
         self, serial: int, records: frozenset[EndpointRecord], query_id: int, now_s: float
     ) -> ListVerdict:
         """Return the verdict on the list in the reply to a query."""
--- a/cedarthread/protocols/discovery/query_tracker.py
+++ b/cedarthread/protocols/discovery/query_tracker.py
@@ -66,12 +66,14 @@
     """The outstanding queries of one router, and the time of the next one.
 
     Args:
-        draw: Returns a random number from 0 to 1.
+        random_fraction: Returns a random number from 0 to 1.
         drain_grace_s: The time within which a drain must be detected.
     """
 
-    def __init__(self, draw: Callable[[], float], drain_grace_s: float = DEFAULT_DRAIN_GRACE_S) -> None:
-        self._draw = draw
+    def __init__(
+        self, random_fraction: Callable[[], float], drain_grace_s: float = DEFAULT_DRAIN_GRACE_S
+    ) -> None:
+        self._random_fraction = random_fraction
         self.fresh_as_of_s = -math.inf  # the list in use was up to date at this time
         self.last_sent_at_s = -math.inf
         self._queries: deque[_Query] = deque(maxlen=MAX_OUTSTANDING_QUERIES)
@@ -132,7 +134,7 @@
         regular_s = self.last_sent_at_s + self.poll_interval_s
         if self._is_retrying():
             interval_s = max(self.retry_interval_s, self._reply_timeout_s())
-            interval_s *= 1.0 - RETRY_JITTER * self._draw()
+            interval_s *= 1.0 - RETRY_JITTER * self._random_fraction()
             return min(regular_s, self.last_sent_at_s + interval_s)
         if self._queries and not (self._queries[-1].is_answered or self._missing_confirmations):
             return min(regular_s, self.last_sent_at_s + self._reply_timeout_s())
--- a/cedarthread/protocols/dns.py
+++ b/cedarthread/protocols/dns.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class _Progress:
+class _ParseProgress:
     """The progress of parsing a reply."""
 
     is_answer_complete: bool = False
@@ -90,7 +90,7 @@
     if flags & _RESPONSE_CODE_MASK:
         return UnusableReply(f"code {flags & _RESPONSE_CODE_MASK}")
     reply = Reply(query_id)
-    progress = _Progress()
+    progress = _ParseProgress()
     try:
         _parse_sections(data, question_count, record_counts, reply, progress)
     except (_MalformedError, struct.error, IndexError, UnicodeDecodeError) as error:
@@ -101,7 +101,7 @@
 
 
 def _parse_sections(
-    data: bytes, question_count: int, record_counts: list[int], reply: Reply, progress: _Progress
+    data: bytes, question_count: int, record_counts: list[int], reply: Reply, progress: _ParseProgress
 ) -> None:
     offset = _HEADER.size
     for _ in range(question_count):
@@ -158,7 +158,7 @@
     elif record_type == TYPE_A and data_bytes == IPV4_BYTES:
         reply.addresses[name] = ".".join(str(octet) for octet in data[offset:end])
     elif record_type == TYPE_TXT:
-        reply.texts[name] = _parse_texts(data[offset:end])
+        reply.texts[name] = _parse_txt_data(data[offset:end])
     elif record_type == TYPE_SOA:
         _, offset = _parse_name(data, offset)
         _, offset = _parse_name(data, offset)
@@ -166,7 +166,7 @@
     return int(end)
 
 
-def _parse_texts(data: bytes) -> dict[str, str]:
+def _parse_txt_data(data: bytes) -> dict[str, str]:
     pairs = {}
     offset = 0
     while offset < len(data):
--- a/tests/unit/protocols/discovery/test_list_acceptance.py
+++ b/tests/unit/protocols/discovery/test_list_acceptance.py
@@ -46,7 +46,7 @@
         """Return the verdict on a reply to the next query, or to the same query if ``is_repeat``."""
         self.now_s += after_s
         self.query_id += not is_repeat
-        return self.acceptance.consider(serial, records, self.query_id, self.now_s)
+        return self.acceptance.evaluate(serial, records, self.query_id, self.now_s)
 
 
 def replies_with_accepted_list(serial: int = 1) -> Replies:
