--- a/cedarthread/protocols/__init__.py
+++ b/cedarthread/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""The protocols spoken on sockets: platform, workers, invoke API, discovery, control, peers."""
+"""The network protocols: platform, workers, invoke API, discovery, control, peers."""
--- a/cedarthread/protocols/http.py
+++ b/cedarthread/protocols/http.py
@@ -1,4 +1,4 @@
-"""Codec of HTTP/1.1 messages (RFC 9110, RFC 9112) for a server. A parse error is a value."""
+"""Codec of HTTP/1.1 messages (RFC 9110, RFC 9112) for a server. A parse error is returned as a value."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 MAX_HEAD_BYTES = 8 * 1024
 REQUEST_LINE_PARTS = 3  # method, target, version
-MAX_LENGTH_DIGITS = 12  # of Content-Length; a number with more digits is over any limit
+MAX_LENGTH_DIGITS = 12  # of Content-Length; a number with more digits exceeds any limit
 _HEAD_END = b"\r\n\r\n"
 _TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
 _TARGET = re.compile(rb"[\x21-\x7e]+\Z")
@@ -60,12 +60,12 @@
 
 @dataclass(frozen=True, slots=True)
 class IncompleteHead:
-    """A head that does not end in the received bytes."""
+    """A head whose end has not been received."""
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidRequest:
-    """An invalid request; the connection is closed after this response."""
+    """An invalid request; the connection is closed after the response with this status."""
 
     status: int
     reason: str
--- a/cedarthread/protocols/invoke/calls.py
+++ b/cedarthread/protocols/invoke/calls.py
@@ -21,7 +21,7 @@
 class InvokeCalls:
     """Creates the dispatcher's calls for requests and owns the stored calls.
 
-    Deferred calls are stored, and synchronous calls with an idempotency key, for client retries with the key.
+    Deferred calls are stored, as are synchronous calls with an idempotency key, for client retries with it.
 
     Args:
         dispatcher: Receives the calls.
@@ -40,7 +40,7 @@
         *,
         is_client_retry: bool = False,
     ) -> Call:
-        """Create the dispatcher's call for a request of this owner."""
+        """Create the dispatcher's call for a request from this owner."""
         request_class = self.dispatcher.settings.classes[request.class_index]
         key = request.idempotency_key
         needs_worker_key = request_class.idempotency is Idempotency.WITH_KEY
@@ -72,7 +72,7 @@
         A stored call that was rejected was not executed, so it is started again, as a client retry.
 
         Returns:
-            The stored call; a problem response if the key belongs to another call or the store is full.
+            The stored call, or a problem response if the key belongs to another call or the store is full.
         """
         limits = self.deferred_calls.limits
         retention_s = limits.retention_s if is_deferred else limits.retry_retention_s
--- a/cedarthread/protocols/invoke/config.py
+++ b/cedarthread/protocols/invoke/config.py
@@ -1,4 +1,4 @@
-"""The configuration file of the invoke API: its address, the router's identity, the allowed callers."""
+"""The configuration file of the invoke API: listen address, router identity, allowed callers."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     max_connections: int
 
     def create_tls_context(self) -> ssl.SSLContext:
-        """Create a TLS context from the present files."""
+        """Create a TLS context from the current content of the files."""
         return spiffe.create_server_context(self.svid_path, self.key_path, self.bundle_path)
 
     def file_times(self) -> tuple[float, ...]:
@@ -42,7 +42,7 @@
         return tuple(file.stat().st_mtime if file.exists() else 0.0 for file in files)
 
     def reread(self) -> InvokeConfig:
-        """Read the file again; the address stays."""
+        """Read the file again; the listen address stays the same."""
         return read(self.path, self.host, self.port)
 
 
@@ -51,8 +51,8 @@
 
     Args:
         path: The file.
-        host: Replaces the host of the file.
-        port: Replaces the port of the file.
+        host: Overrides the host in the file.
+        port: Overrides the port in the file.
 
     Raises:
         OSError: The file cannot be read.
@@ -65,7 +65,7 @@
     """Parse the file's bytes.
 
     Raises:
-        ValueError: Its text names the key, what was found and what is wanted.
+        ValueError: The file is invalid. The message names the key, the value found and the expected value.
     """
     try:
         content = tomllib.loads(raw.decode())
--- a/cedarthread/protocols/invoke/connection.py
+++ b/cedarthread/protocols/invoke/connection.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_TIMEOUT_S = 30.0  # without a request; then the connection is closed
+IDLE_TIMEOUT_S = 30.0  # a connection without a request for this time is closed
 REQUEST_TIMEOUT_S = 10.0  # from the first to the last byte of a request
 
 
@@ -36,7 +36,7 @@
 
 
 class InvokeConnection(BufferedConnection):
-    """One caller's connection. It serves one request at a time; further ones stay in the read buffer."""
+    """One caller's connection. It serves one request at a time; further requests stay in the read buffer."""
 
     def __init__(self, server: ConnectionServer[InvokeConnection]) -> None:
         super().__init__(http.MAX_HEAD_BYTES + MAX_BODY_BYTES, server.flusher)
@@ -83,14 +83,14 @@
         return self.transport is None or not self.transport.get_write_buffer_size()
 
     def on_buffer_full(self) -> None:
-        """Stop reading while further requests fill the buffer; close if one request is too long."""
+        """Stop reading while further requests fill the buffer; close if a single request is too long."""
         if self.is_busy and self.transport is not None:
             self.transport.pause_reading()
         elif not self.is_busy:
             self.close()
 
     def on_data(self, data: memoryview) -> int | None:
-        """Process the next request unless one is being served; return the processed bytes."""
+        """Process the next request unless one is being served; return the count of processed bytes."""
         offset = 0
         while not self.is_busy and offset < len(data):
             head = http.parse_head(data[offset:], MAX_BODY_BYTES)
--- a/cedarthread/protocols/invoke/handler.py
+++ b/cedarthread/protocols/invoke/handler.py
@@ -62,7 +62,7 @@
         self._loop = asyncio.get_running_loop()
 
     def handle(self, owner: str, head: http.RequestHead, body: bytes) -> None:
-        """Serve a request of this owner."""
+        """Serve a request from this owner."""
         call_id = deferred_call_id(head.target)
         if head.target == READY_PATH and head.method == "GET":
             self.respond(ready_response(is_ready=self.server.is_ready))
@@ -77,7 +77,7 @@
             self.respond(problem_response(404, "nothing here"))
 
     def detach(self) -> None:
-        """Drop the references to a closed connection, so that it needs no garbage collection."""
+        """Drop the references to a closed connection, so that it is freed without garbage collection."""
         self.respond = _ignore_response
         self.refresh_client_state = _do_nothing
 
@@ -134,7 +134,7 @@
         self._wait_for_result(deferred_call, wait_preference_s(head.preferences()), is_deferred=True)
 
     def _wait_for_result(self, deferred_call: DeferredCall, wait_s: float, *, is_deferred: bool) -> None:
-        """Respond with the result, or after ``wait_s`` seconds that the result is pending."""
+        """Respond with the result, or with the pending state after ``wait_s`` seconds."""
         if deferred_call.result is not None:
             self._respond_with_result(deferred_call)
             return
@@ -157,7 +157,7 @@
             self.respond(pending_response(deferred_call))
 
     def _respond_with_result(self, deferred_call: DeferredCall) -> None:
-        if deferred_call.result is None:  # it was cancelled while this request waited
+        if deferred_call.result is None:  # the call was cancelled while this request waited
             self.respond(problem_response(404, "the call was given up"))
             return
         deferred_call.is_collected = True
--- a/cedarthread/protocols/invoke/owners.py
+++ b/cedarthread/protocols/invoke/owners.py
@@ -1,4 +1,4 @@
-"""Protocols of the invoke server for its connections and their handlers; they keep imports acyclic."""
+"""Interfaces of the invoke server for its connections and their handlers, which keep imports acyclic."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
     connections: dict[ConnectionT, None]
 
     def register(self, connection: ConnectionT) -> bool:
-        """Count a connection; False if the limit is reached and no connection is idle."""
+        """Register a connection; return False if the limit is reached and no connection is idle."""
 
     def mark_used(self, connection: ConnectionT) -> None:
         """Make a connection the most recently used one."""
 
     def is_authorized(self, peer: spiffe.Identity) -> bool:
-        """Return whether this peer may call now."""
+        """Return whether this peer is currently authorized."""
--- a/cedarthread/protocols/invoke/requests.py
+++ b/cedarthread/protocols/invoke/requests.py
@@ -17,8 +17,8 @@
     from cedarthread.protocols import http
 
 MAX_BODY_BYTES = 16 * 1024
-MAX_WAIT_S = 30.0  # limit of the wait preference
-MAX_TIMEOUT_DIGITS = 9  # of Call-Timeout-Ms: 11 days
+MAX_WAIT_S = 30.0  # maximum of the wait preference
+MAX_TIMEOUT_DIGITS = 9  # of Call-Timeout-Ms; allows up to 11 days
 MAX_WAIT_DIGITS = 5  # of the wait preference in s; a longer wait counts as MAX_WAIT_S
 READY_PATH = "/v1/ready"
 _CALL_PATH = re.compile(r"/v1/functions/([0-9a-f]{16})/([^/]+)\Z")
@@ -39,12 +39,12 @@
     memory_mb: float | None
 
     def fingerprint(self) -> tuple[str, str, bytes]:
-        """Return the values that a retry with the same idempotency key must repeat."""
+        """Return the values that must be the same in a retry with the same idempotency key."""
         return str(self.class_index), self.function_hex, hashlib.sha256(self.body).digest()
 
 
 def is_call_path(path: str) -> bool:
-    """Return whether this is the path of a function's calls."""
+    """Return whether this is the path for calling a function."""
     return _CALL_PATH.match(path) is not None
 
 
@@ -57,10 +57,10 @@
 def parse_call_request(
     settings: RouterSettings, class_indexes: Mapping[str, int], head: http.RequestHead, body: bytes
 ) -> CallRequest | Response:
-    """Parse the call of a POST request.
+    """Parse the call in a POST request.
 
     Args:
-        settings: The settings in force.
+        settings: The current settings.
         class_indexes: The index of each class by name.
         head: The request's head.
         body: The request's body.
@@ -111,7 +111,7 @@
 
 
 def worker_idempotency_key(owner: str, key: str) -> str:
-    """Return the key for workers: a digest of owner and key, so that keys of two owners never collide."""
+    """Return the key sent to workers: a digest of owner and key, so that keys of two owners never collide."""
     return hashlib.sha256(f"{owner}\n{key}".encode()).hexdigest()[:32]
 
 
--- a/cedarthread/protocols/invoke/responses.py
+++ b/cedarthread/protocols/invoke/responses.py
@@ -1,4 +1,4 @@
-"""The responses of the invoke API."""
+"""Construction of the responses of the invoke API."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def render_answer(result: CallResult) -> Response:
-    """Render a call's result; ``repeat`` of a problem states whether the client may safely retry."""
+    """Render a call's result; ``repeat`` in a problem states whether the client may safely retry."""
     if isinstance(result, CallSucceeded):
         return Response(200, {"Content-Type": "application/octet-stream"}, result.body)
     if isinstance(result, CallRejected):
--- a/cedarthread/protocols/invoke/server.py
+++ b/cedarthread/protocols/invoke/server.py
@@ -5,7 +5,7 @@
     DELETE /v1/calls/NAME                 cancel a deferred call, or delete its result
     GET    /v1/ready                      200, or 503 once the process is shutting down
 
-All calls go through the dispatcher, under the same decisions and rules as those of the platform.
+All calls go through the dispatcher and are subject to the same decisions and rules as platform calls.
 """
 
 from __future__ import annotations
@@ -59,10 +59,10 @@
         self._file_times = config.file_times()
 
     def register(self, connection: InvokeConnection) -> bool:
-        """Count a connection once.
+        """Register a connection, once.
 
-        At the limit, evict for it the oldest connection in its handshake, or else the least recently used
-        idle one; return False if there is neither.
+        At the limit, evict the oldest connection that is still in its handshake, or else the least recently
+        used idle one; return False if there is neither.
         """
         if connection in self.connections:
             return True
@@ -79,7 +79,7 @@
         del self.connections[oldest]
         if oldest.transport is None and self._acceptor is not None:
             self._acceptor.cancel_setup(oldest)
-        # A close would wait up to a second for the caller, and use the descriptor uncounted.
+        # A graceful close would wait up to a second for the caller, and hold its descriptor uncounted.
         oldest.abort()
         return True
 
@@ -88,16 +88,17 @@
         self.connections[connection] = self.connections.pop(connection, None)
 
     def is_authorized(self, peer: spiffe.Identity) -> bool:
-        """Return whether this peer may call now.
+        """Return whether this peer is currently authorized.
 
-        The certificate may expire or be removed from the allow-list while its connection is open.
+        The certificate may expire, or its identity be removed from the allow-list, while the connection is
+        open.
         """
         if time.time() >= peer.expires_at_unix:
             return False
         return spiffe.is_allowed(peer, self.config.trust_domain, self.config.allowed_patterns)
 
     async def listen(self) -> int:
-        """Accept callers and return the port."""
+        """Accept connections of callers and return the port."""
         listening_socket = await create_listener_with_retries(
             self.config.host, self.config.port, LISTEN_BACKLOG, reuse_port=True
         )
@@ -121,9 +122,9 @@
         self.connections.pop(connection, None)
 
     async def reload(self) -> bool:
-        """Use a renewed certificate, trust bundle and allow-list.
+        """Load a renewed certificate, trust bundle and allow-list.
 
-        Returns False if they are unusable; then the previous ones stay in use.
+        Returns False if they are unusable; the previous ones then stay in use.
         """
         try:
             config = self.config.reread()
--- a/cedarthread/protocols/invoke/spiffe.py
+++ b/cedarthread/protocols/invoke/spiffe.py
@@ -51,7 +51,7 @@
 
 
 def parse_identity(certificate: bytes) -> Identity | Rejected:
-    """Parse the identity in a verified leaf certificate (DER), by the rules for X.509-SVIDs."""
+    """Parse the identity in a verified leaf certificate (DER), according to the rules for X.509-SVIDs."""
     try:
         return _parse_identity(x509.load_der_x509_certificate(certificate))
     except (ValueError, *_UNREADABLE_ERRORS) as error:
@@ -83,7 +83,7 @@
 def is_allowed(identity: Identity, trust_domain: str, patterns: tuple[str, ...]) -> bool:
     """Return whether a pattern allows this peer.
 
-    A pattern is a SPIFFE ID, or ends in ``/*`` for all ids below it.
+    A pattern is a SPIFFE ID, or a prefix ending in ``/*`` that matches all ids below it.
     """
     if identity.trust_domain != trust_domain:
         return False
--- a/cedarthread/protocols/msgpack.py
+++ b/cedarthread/protocols/msgpack.py
@@ -1,4 +1,4 @@
-"""Codec of MessagePack, as far as the platform's protocol uses it. A parse error is a value.
+"""Codec of MessagePack, limited to what the platform protocol uses. A parse error is returned as a value.
 
 Source: the MessagePack specification, https://github.com/msgpack/msgpack/blob/master/spec.md.
 """
@@ -11,19 +11,19 @@
 
 MAX_DEPTH = 4  # message, parameters, fields, a field
 MAX_ITEMS = 32  # of one array or map
-MAX_CONTENT_BYTES = 64 * 1024  # of one string or binary value; a longer one is rejected unread
+MAX_CONTENT_BYTES = 64 * 1024  # of one string or binary value; a longer one is rejected without reading it
 
 
 @dataclass(frozen=True, slots=True)
 class Incomplete:
-    """A value that does not end in the received bytes; it has at least ``needed_bytes``."""
+    """A value whose end has not been received; its length is at least ``needed_bytes``."""
 
     needed_bytes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """Bytes that are no value of the protocol."""
+    """Bytes that are not a valid value of the protocol."""
 
     reason: str
 
@@ -37,7 +37,7 @@
 
 
 class _IncompleteError(Exception):
-    """Raised with the offset up to which the value needs bytes."""
+    """Input that ends within a value; raised with the offset up to which the value needs bytes."""
 
 
 class _MalformedError(Exception):
@@ -54,7 +54,7 @@
         return Malformed(str(error))
 
 
-# The first byte of a value is its type; for a small value its low bits are the number or length.
+# The first byte of a value encodes its type; for a small value, its low bits encode the number or length.
 _FIXMAP = 0x80
 _FIXARRAY = 0x90
 _FIXSTR = 0xA0
@@ -69,7 +69,7 @@
 _UINT32 = 0xCE
 _UINT64 = 0xCF
 _STR8 = 0xD9
-# Types with a length after the first byte: their kind, and the number of bytes of the length.
+# Types with a length after the first byte: the kind of value, and the size of the length field in bytes.
 _LENGTH_PREFIXED = {
     _BIN8: ("bin", 1),
     _BIN16: ("bin", 2),
@@ -170,7 +170,7 @@
 
 
 def _parse_short_string(data: memoryview, offset: int) -> tuple[str, int] | None:
-    """Parse a complete string of under 32 bytes, the usual case, faster than ``_parse_value``."""
+    """Parse a complete string of under 32 bytes; a fast path, because this is the most frequent case."""
     if offset < len(data) and _FIXSTR <= (code := data[offset]) < _SMALL_VALUES_END:
         end = offset + 1 + (code & 31)
         if end <= len(data):
--- a/cedarthread/protocols/platform/__init__.py
+++ b/cedarthread/protocols/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: clients submit calls over TCP connections."""
+"""The platform protocol: clients submit calls over TCP connections."""
--- a/cedarthread/protocols/platform/calls.py
+++ b/cedarthread/protocols/platform/calls.py
@@ -1,4 +1,4 @@
-"""The open calls of one platform connection: submits requests as calls, responds with their results."""
+"""The open calls of one platform connection: submits requests as calls and responds with their results."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self.open: dict[int, Call] = {}  # by message id
 
     def handle_message(self, message: object) -> bool:
-        """Process one message; False if it is invalid and has no message id for a response."""
+        """Process one message; return False if it is invalid and has no message id for a response."""
         match message:
             case [0, int(message_id), str(method), list(params)] if _is_message_id(message_id):
                 return self._handle_request(message_id, method, params)
@@ -45,8 +45,8 @@
 
     def _handle_request(self, message_id: int, method: str, params: list[object]) -> bool:
         if message_id in self.open:
-            return False  # the client would take an error with this id for the response of the open call
-        # A class may have the name of the health check. Only a call has a body.
+            return False  # the client would mistake an error with this id for the response to the open call
+        # A class may have the same name as the health check. Only a call has a body.
         if method == "check" and len(params) < CALL_PARAMETERS:
             self.connection.write(encode_health(message_id, is_ready=self.server.is_ready))
             return True
@@ -83,12 +83,12 @@
             self.connection.write(encode_answer(message_id, result))
 
     def on_client_closing(self) -> None:
-        """Reject calls without an attempt in flight, because the client has closed its sending side."""
+        """Reject the calls without an attempt in flight, because the client has closed its sending side."""
         for call in list(self.open.values()):
             self.server.dispatcher.client_closing(call)
 
     def fail_all(self) -> None:
-        """Fail the open calls, so that each gets its response."""
+        """Fail the open calls, so that each gets a response."""
         for call in list(self.open.values()):
             self.server.dispatcher.fail_call(call)
 
--- a/cedarthread/protocols/platform/codec.py
+++ b/cedarthread/protocols/platform/codec.py
@@ -1,7 +1,7 @@
-"""Codec of the platform's protocol: MessagePack-RPC requests to calls, call results to responses.
+"""Codec of the platform protocol: MessagePack-RPC requests to calls, call results to responses.
 
-No other module uses the words of the wire (``txn``, ``item``, ``unique``, ``limit``, ``second``, ``props``;
-``Backoff``, ``Lost``, ``BadRequest``).
+No other module uses the field and error names of the protocol (``txn``, ``item``, ``unique``, ``limit``,
+``second``, ``props``; ``Backoff``, ``Lost``, ``BadRequest``).
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from cedarthread.protocols import msgpack
 
 MAX_BODY_BYTES = 16 * 1024
-MAX_LIMIT_DIGITS = 9  # of a time limit in ms: 11 days
+MAX_LIMIT_DIGITS = 9  # of a time limit in ms; allows up to 11 days
 _HEX_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
 _RESPONSE_START = b"\x94\x01"  # an array of four items: 1, id, error, result
 _RESULT_START = b"\xc0\x92"  # no error (nil); the result is an array of two
@@ -28,13 +28,13 @@
 
 
 class FunctionProperties(NamedTuple):
-    """Properties of a function as its request states them; None: not stated."""
+    """Properties of a function as stated in a request; None if not stated."""
 
     concurrency: float | None
     memory_mb: float | None
 
 
-@lru_cache(maxsize=4096)  # all calls of a function have the same text
+@lru_cache(maxsize=4096)  # all calls of a function carry the same text
 def parse_props(text: str) -> FunctionProperties:
     """Parse properties such as ``memory_mb:512;lanes:2``.
 
@@ -54,14 +54,14 @@
 def parse_call(
     class_index: int, settings: RouterSettings, fields: object, body: object, arrival_ms: float
 ) -> Call | str:
-    """Parse the call of a request; if it is invalid, return the reason for the client.
+    """Parse the call in a request; if it is invalid, return the reason to report to the client.
 
     Args:
-        class_index: The class that the request names.
-        settings: The settings in force.
+        class_index: The index of the class that the request names.
+        settings: The current settings.
         fields: The first parameter of the request.
-        body: The second parameter.
-        arrival_ms: The time from which the client's time limit counts, on the dispatcher's clock.
+        body: The second parameter of the request.
+        arrival_ms: The time at which the client's time limit starts, on the dispatcher's clock.
     """
     if not isinstance(fields, dict) or set(map(type, fields.values())) - {str}:
         return "the fields are no map of strings"
--- a/cedarthread/protocols/platform/connection.py
+++ b/cedarthread/protocols/platform/connection.py
@@ -1,7 +1,7 @@
 """One connection of a platform client: receives MessagePack-RPC messages, sends responses.
 
-Two limits protect the other clients: a connection processes a few messages per pass, and the server counts
-the bytes of responses that slow clients have not read.
+Two limits protect the other clients: a connection processes only a few messages per pass, and the server
+counts the bytes of responses that slow clients have not read.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_MESSAGE_BYTES = 64 * 1024  # a body of 16 KiB, and ample space for the fields
+MAX_MESSAGE_BYTES = 64 * 1024  # leaves ample space for the fields beside a body of 16 KiB
 MESSAGES_PER_PASS = 32  # of one connection, before other connections are processed
 
 
@@ -34,10 +34,10 @@
         self.calls = PlatformCalls(self)
         self.is_half_closed = False  # the client has closed its sending side
         self.message_started_at: float | None = None  # loop time in s of an incomplete message's first byte
-        self.needed_bytes = 0  # minimum length of the next message, as far as its parsed part shows
+        self.needed_bytes = 0  # minimum length of the next message, derived from its parsed part
         self.has_unprocessed_messages = False  # complete messages are left for the next pass
-        self.queued_bytes = 0  # of responses that the client has not read
-        self.invalid_reason = ""  # the fault of the message that ends the connection
+        self.queued_bytes = 0  # size of the responses that the client has not read
+        self.invalid_reason = ""  # why the message that ends the connection is invalid
 
     def on_connected(self) -> None:
         """Register with the server; abort if the connection limit is reached."""
@@ -75,9 +75,9 @@
         return any(unread_bytes)
 
     def can_evict(self) -> bool:
-        """Return whether the connection is idle and would close at once.
+        """Return whether the connection is idle and would close immediately.
 
-        A connection with unread responses would use its descriptor, uncounted, until they are sent.
+        A connection with unread responses would keep its descriptor, uncounted, until they are sent.
         """
         if not self.is_idle() or self.transport is None:
             return False
@@ -196,7 +196,7 @@
         super().write(data)
 
     def flush(self) -> None:
-        """Flush the responses. Close after the last one if the client or this server sends no more."""
+        """Flush the responses. Close after the last one if the client or this server will send no more."""
         super().flush()
         if not self.write_queue:
             self._clear_queued_bytes()
--- a/cedarthread/protocols/platform/owners.py
+++ b/cedarthread/protocols/platform/owners.py
@@ -1,4 +1,4 @@
-"""Protocols between a platform connection, its calls and the server, which keep their imports acyclic."""
+"""Interfaces between a platform connection, its calls and the server, which keep their imports acyclic."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
     is_draining: bool
 
     def register(self, connection: ConnectionT_contra) -> bool:
-        """Count a connection; False if the limit is reached and no connection is idle."""
+        """Register a connection; return False if the limit is reached and no connection is idle."""
 
     def unregister(self, connection: ConnectionT_contra) -> None:
-        """Stop counting a connection."""
+        """Remove a connection from the registered ones."""
 
     def mark_proven(self, connection: ConnectionT_contra) -> None:
         """Record that a connection has sent a valid message."""
--- a/cedarthread/protocols/platform/server.py
+++ b/cedarthread/protocols/platform/server.py
@@ -17,11 +17,11 @@
 log = logging.getLogger(__name__)
 
 LISTEN_BACKLOG = 512
-# For the first complete message of a connection, and for each message from its first to its last byte.
+# Applies to the first complete message of a connection, and to each message from its first to its last byte.
 MESSAGE_TIMEOUT_S = 2.0
-# Without input and without an open call; then the client counts as disconnected.
+# After this time without input and without an open call, the client counts as disconnected.
 SILENT_CLIENT_TIMEOUT_S = 120.0
-DEFAULT_MAX_QUEUED_BYTES = 32 * 2**20  # the service passes one that follows from the memory limit
+DEFAULT_MAX_QUEUED_BYTES = 32 * 2**20  # the service passes a value derived from the memory limit
 
 
 class PlatformServer:
@@ -31,10 +31,10 @@
 
     Args:
         dispatcher: Receives the calls.
-        max_connections: The limit of client connections.
-        flusher: Writes the output of each iteration.
-        max_queued_bytes: Above this many queued bytes, calls are rejected.
-        accepts_per_pass: Connections accepted per iteration of the event loop.
+        max_connections: The maximum number of client connections.
+        flusher: Flushes the output once per iteration of the event loop.
+        max_queued_bytes: Calls are rejected while more bytes than this are queued.
+        accepts_per_pass: Maximum number of connections accepted per iteration of the event loop.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         )
 
     def register(self, connection: PlatformConnection) -> bool:
-        """Count a connection once. At the limit, evict an idle one for it; False if none is idle."""
+        """Register a connection, once. At the limit, evict an idle one; return False if none is idle."""
         if connection in self.unproven_connections or connection in self.connections:
             return True
         count = len(self.connections) + len(self.unproven_connections)
@@ -72,7 +72,7 @@
         return True
 
     def evict_idle(self) -> bool:
-        """Close an idle connection, unproven ones first; False if there is none.
+        """Close an idle connection, unproven ones first; return False if there is none.
 
         Its descriptor becomes free in the next iteration of the event loop.
         """
@@ -89,12 +89,12 @@
         self.connections[connection] = None
 
     def unregister(self, connection: PlatformConnection) -> None:
-        """Stop counting a connection."""
+        """Remove a connection from the registered ones."""
         self.connections.pop(connection, None)
         self.unproven_connections.pop(connection, None)
 
     async def listen(self, host: str, port: int) -> int:
-        """Accept clients and return the port.
+        """Accept connections of clients and return the port.
 
         Another process may listen on the same address (SO_REUSEPORT).
         """
@@ -115,7 +115,7 @@
         return connection if self.register(connection) else None
 
     def stop_listening(self) -> None:
-        """Accept the connections in the listen queue, then no more."""
+        """Accept the connections in the listen queue, then stop listening."""
         if self._acceptor is not None:
             self._acceptor.drain_and_close()
             self._draining_acceptor = self._acceptor
@@ -124,7 +124,7 @@
     def drain(self) -> None:
         """Accept no more connections, and close each connection as soon as it is idle.
 
-        A call to a process that is shutting down would have less time than at another process.
+        A call sent to a process that is shutting down would have less time than at another process.
         """
         self.stop_listening()
         self.is_draining = True
@@ -133,7 +133,7 @@
                 connection.lingering_close()
 
     def sweep(self, now_s: float) -> None:
-        """Close connections with a late message, and silent ones without open calls.
+        """Close connections with an overdue message, and silent connections without open calls.
 
         Args:
             now_s: The event loop's time.
