--- a/cedarthread/protocols/invoke/handler.py
+++ b/cedarthread/protocols/invoke/handler.py
@@ -18,7 +18,7 @@
     DRAINING_DETAIL,
     pending_response,
     ready_response,
-    render_answer,
+    render_call_result,
 )
 
 if TYPE_CHECKING:
@@ -120,7 +120,7 @@
 
     def _on_result(self, result: CallResult) -> None:
         self.call = None
-        self.respond(render_answer(result))
+        self.respond(render_call_result(result))
 
     def _serve_deferred_call(self, owner: str, head: http.RequestHead, call_id: str) -> None:
         deferred_call = self.server.calls.deferred_calls.find(owner, call_id)
@@ -161,7 +161,7 @@
             self.respond(problem_response(404, "the call was given up"))
             return
         deferred_call.is_collected = True
-        self.respond(render_answer(deferred_call.result))
+        self.respond(render_call_result(deferred_call.result))
 
     def _stop_waiting(self) -> None:
         if self._wait_timer is not None:
--- a/cedarthread/protocols/invoke/responses.py
+++ b/cedarthread/protocols/invoke/responses.py
@@ -14,7 +14,7 @@
 DRAINING_DETAIL = "this process is about to end"
 
 
-def render_answer(result: CallResult) -> Response:
+def render_call_result(result: CallResult) -> Response:
     """Render a call's result; ``repeat`` in a problem states whether the client may safely retry."""
     if isinstance(result, CallSucceeded):
         return Response(200, {"Content-Type": "application/octet-stream"}, result.body)
--- a/cedarthread/protocols/platform/calls.py
+++ b/cedarthread/protocols/platform/calls.py
@@ -7,7 +7,12 @@
 from typing import TYPE_CHECKING
 
 from cedarthread.dispatch.calls import Call, CallResult
-from cedarthread.protocols.platform.codec import encode_answer, encode_bad_request, encode_health, parse_call
+from cedarthread.protocols.platform.codec import (
+    encode_bad_request,
+    encode_call_result,
+    encode_health,
+    parse_call,
+)
 
 if TYPE_CHECKING:
     from cedarthread.protocols.platform.owners import CallConnection
@@ -66,7 +71,7 @@
 
     def _submit(self, message_id: int, call: Call) -> None:
         dispatcher = self.server.dispatcher
-        call.on_result = partial(self._send_answer, message_id)
+        call.on_result = partial(self._send_call_result, message_id)
         # The first limit bounds memory when clients read slowly; the second protects clients from a flood.
         if self.server.queued_bytes > self.server.max_queued_bytes or len(self.open) >= MAX_OPEN_CALLS:
             dispatcher.reject_call(call)
@@ -77,10 +82,10 @@
         if self.connection.is_half_closed:
             dispatcher.client_closing(call)
 
-    def _send_answer(self, message_id: int, result: CallResult) -> None:
+    def _send_call_result(self, message_id: int, result: CallResult) -> None:
         self.open.pop(message_id, None)
         if not self.connection.is_closed:
-            self.connection.write(encode_answer(message_id, result))
+            self.connection.write(encode_call_result(message_id, result))
 
     def on_client_closing(self) -> None:
         """Reject the calls without an attempt in flight, because the client has closed its sending side."""
--- a/cedarthread/protocols/platform/codec.py
+++ b/cedarthread/protocols/platform/codec.py
@@ -98,7 +98,7 @@
     )
 
 
-def encode_answer(message_id: int, result: CallResult) -> bytes:
+def encode_call_result(message_id: int, result: CallResult) -> bytes:
     """Encode the response with the result of a call."""
     if isinstance(result, CallSucceeded):
         head = _RESPONSE_START + msgpack.pack_uint(message_id) + _RESULT_START
--- a/cedarthread/protocols/platform/connection.py
+++ b/cedarthread/protocols/platform/connection.py
@@ -109,7 +109,7 @@
             self.needed_bytes = 0
         if processed:
             self.message_started_at = None
-            self.server.mark_proven(self)
+            self.server.mark_validated(self)
         if offset < len(data) and self.message_started_at is None:
             self.message_started_at = self.last_read_at
         if processed == MESSAGES_PER_PASS and offset < len(data):
--- a/cedarthread/protocols/platform/owners.py
+++ b/cedarthread/protocols/platform/owners.py
@@ -33,7 +33,7 @@
     def unregister(self, connection: ConnectionT_contra) -> None:
         """Remove a connection from the registered ones."""
 
-    def mark_proven(self, connection: ConnectionT_contra) -> None:
+    def mark_validated(self, connection: ConnectionT_contra) -> None:
         """Record that a connection has sent a valid message."""
 
 
--- a/cedarthread/protocols/platform/server.py
+++ b/cedarthread/protocols/platform/server.py
@@ -20,7 +20,7 @@
 # Applies to the first complete message of a connection, and to each message from its first to its last byte.
 MESSAGE_TIMEOUT_S = 2.0
 # After this time without input and without an open call, the client counts as disconnected.
-SILENT_CLIENT_TIMEOUT_S = 120.0
+IDLE_CLIENT_TIMEOUT_S = 120.0
 DEFAULT_MAX_QUEUED_BYTES = 32 * 2**20  # the service passes a value derived from the memory limit
 
 
@@ -53,9 +53,9 @@
         self.is_ready = True  # reported to health checks
         self.is_draining = False  # connections close once they are idle
         self.queued_bytes = 0
-        # Both in order of use, least recent first. A connection is unproven until its first valid message.
+        # Both in order of use, least recent first. A connection is unvalidated until its first valid message.
         self.connections: dict[PlatformConnection, None] = {}
-        self.unproven_connections: dict[PlatformConnection, None] = {}
+        self.unvalidated_connections: dict[PlatformConnection, None] = {}
         self._acceptor: Acceptor[PlatformConnection] | None = None
         self._draining_acceptor: Acceptor[PlatformConnection] | None = (
             None  # accepts the connections in the listen queue
@@ -63,27 +63,27 @@
 
     def register(self, connection: PlatformConnection) -> bool:
         """Register a connection, once. At the limit, evict an idle one; return False if none is idle."""
-        if connection in self.unproven_connections or connection in self.connections:
+        if connection in self.unvalidated_connections or connection in self.connections:
             return True
-        count = len(self.connections) + len(self.unproven_connections)
+        count = len(self.connections) + len(self.unvalidated_connections)
         if count >= self.max_connections and not self.evict_idle():
             return False
-        self.unproven_connections[connection] = None
+        self.unvalidated_connections[connection] = None
         return True
 
     def evict_idle(self) -> bool:
-        """Close an idle connection, unproven ones first; return False if there is none.
+        """Close an idle connection, unvalidated ones first; return False if there is none.
 
         Its descriptor becomes free in the next iteration of the event loop.
         """
-        for connection in (*self.unproven_connections, *self.connections):
+        for connection in (*self.unvalidated_connections, *self.connections):
             if connection.can_evict():
                 self.unregister(connection)
                 connection.abort() if connection.discard_budget is not None else connection.close()
                 return True
         return False
 
-    def mark_proven(self, connection: PlatformConnection) -> None:
+    def mark_validated(self, connection: PlatformConnection) -> None:
         """Make a connection the most recently used one, because it has sent a valid message."""
         self.unregister(connection)
         self.connections[connection] = None
@@ -91,7 +91,7 @@
     def unregister(self, connection: PlatformConnection) -> None:
         """Remove a connection from the registered ones."""
         self.connections.pop(connection, None)
-        self.unproven_connections.pop(connection, None)
+        self.unvalidated_connections.pop(connection, None)
 
     async def listen(self, host: str, port: int) -> int:
         """Accept connections of clients and return the port.
@@ -128,7 +128,7 @@
         """
         self.stop_listening()
         self.is_draining = True
-        for connection in [*self.unproven_connections, *self.connections]:
+        for connection in [*self.unvalidated_connections, *self.connections]:
             if connection.is_idle():
                 connection.lingering_close()
 
@@ -138,10 +138,10 @@
         Args:
             now_s: The event loop's time.
         """
-        for connection in [*self.unproven_connections, *self.connections]:
+        for connection in [*self.unvalidated_connections, *self.connections]:
             started_at = connection.message_started_at
             is_late = started_at is not None and now_s - started_at > MESSAGE_TIMEOUT_S
-            is_silent = now_s - connection.last_read_at > SILENT_CLIENT_TIMEOUT_S
+            is_silent = now_s - connection.last_read_at > IDLE_CLIENT_TIMEOUT_S
             is_established = connection.transport is not None and connection.discard_budget is None
             if (
                 is_established
@@ -155,7 +155,7 @@
         """Return whether all queued connections were accepted and all responses are sent."""
         if self._draining_acceptor is not None and not self._draining_acceptor.is_finished():
             return False
-        connections = (*self.unproven_connections, *self.connections)
+        connections = (*self.unvalidated_connections, *self.connections)
         transports = [
             connection.transport
             for connection in connections
--- a/cedarthread/testing/fuzzing/defective_calls.py
+++ b/cedarthread/testing/fuzzing/defective_calls.py
@@ -33,7 +33,7 @@
     from cedarthread.routing.records import PendingRequest, WorkerRecord
     from cedarthread.routing.retries import RetryPolicy
 
-_send_answer = PlatformCalls._send_answer
+_send_call_result = PlatformCalls._send_call_result
 _release = CallTable.release
 _start_attempt = ActionExecutor._start_attempt
 _may_preload = PreloadPolicy.may_preload
@@ -42,9 +42,9 @@
 
 def send_failure_twice(self: PlatformCalls, number: int, answer: CallResult) -> None:
     """Answer a failed call twice."""
-    _send_answer(self, number, answer)
+    _send_call_result(self, number, answer)
     if isinstance(answer, CallFailed):
-        _send_answer(self, number, answer)
+        _send_call_result(self, number, answer)
 
 
 def retain_call_id(self: CallTable, call: Call) -> None:
--- a/cedarthread/testing/fuzzing/injected_defects.py
+++ b/cedarthread/testing/fuzzing/injected_defects.py
@@ -58,7 +58,7 @@
         "second-answer",
         "calls",
         300,
-        (Patch(PlatformCalls, "_send_answer", defective_calls.send_failure_twice),),
+        (Patch(PlatformCalls, "_send_call_result", defective_calls.send_failure_twice),),
     ),
     Defect(
         "two-attempts-out",
--- a/cedarthread/testing/fuzzing/router_under_test.py
+++ b/cedarthread/testing/fuzzing/router_under_test.py
@@ -186,7 +186,7 @@
             ),
             ("bytes of kept answers", abs(self.invoke.calls.deferred_calls.reserved_bytes)),
             ("kept answers", len(self.invoke.calls.deferred_calls)),
-            ("client connections", len(connections) + len(self.platform.unproven_connections)),
+            ("client connections", len(connections) + len(self.platform.unvalidated_connections)),
         ):
             self.checker.check_remaining(now_ms, resource, remaining)
         # Two timers are expected: the dispatcher's timer and the timer of this run's own sleep.
--- a/tests/golden_builders/invoke.py
+++ b/tests/golden_builders/invoke.py
@@ -7,7 +7,7 @@
 from cedarthread.dispatch import calls
 from cedarthread.protocols import http
 from cedarthread.protocols.invoke.requests import parse_call_request, worker_idempotency_key
-from cedarthread.protocols.invoke.responses import render_answer
+from cedarthread.protocols.invoke.responses import render_call_result
 from tests.golden_builders.sample import Sample, text_sample, to_plain
 from tests.helpers import settings
 
@@ -23,7 +23,7 @@
     samples = [Sample(f"request {name}", data, _read_call_request) for name, data in _call_requests().items()]
     samples += [Sample(f"head {name}", data, _read_head) for name, data in _heads().items()]
     for name, result in _call_results().items():
-        samples.append(Sample(f"answer {name}", render_answer(result).encode(keep_alive=True)))
+        samples.append(Sample(f"answer {name}", render_call_result(result).encode(keep_alive=True)))
     for status in sorted(http.REASON_PHRASES):
         response = http.problem_response(status, "why", {"Retry-After": "1"}, repeat="harmless")
         samples.append(Sample(f"problem {status}", response.encode(keep_alive=status % 2 == 0)))
--- a/tests/golden_builders/platform_wire.py
+++ b/tests/golden_builders/platform_wire.py
@@ -7,7 +7,7 @@
 
 from cedarthread.dispatch import calls
 from cedarthread.protocols import msgpack
-from cedarthread.protocols.platform.codec import encode_answer, encode_error, encode_health, parse_call
+from cedarthread.protocols.platform.codec import encode_call_result, encode_error, encode_health, parse_call
 from cedarthread.testing.fakes.client import pack_call, pack_health_check
 from tests.golden_builders.sample import Sample, to_plain
 from tests.helpers import settings
@@ -62,7 +62,7 @@
     }
     return [
         *(
-            Sample(f"response {name}", encode_answer(70_000, result), _read_message)
+            Sample(f"response {name}", encode_call_result(70_000, result), _read_message)
             for name, result in results.items()
         ),
         Sample("response no", encode_error(3, "BadRequest", {"reason": "x" * 40}), _read_message),
--- a/tests/integration/termination_harness.py
+++ b/tests/integration/termination_harness.py
@@ -116,7 +116,7 @@
 def _connection_state(running: Service) -> dict[str, Any]:
     platform = running.platform
     worker_connections = all_worker_connections(running)
-    client_connections = [*platform.connections, *platform.unproven_connections]
+    client_connections = [*platform.connections, *platform.unvalidated_connections]
     return {
         "connections of attempts": running.workers._connection_by_attempt,
         "calls in flight on worker connections": [
--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -31,7 +31,7 @@
 
 def router_connection(running: Service, client: BlockingClient) -> PlatformConnection:
     """Return the router's end of a client's connection."""
-    connections = [*running.platform.unproven_connections, *running.platform.connections]
+    connections = [*running.platform.unvalidated_connections, *running.platform.connections]
     return next(
         connection
         for connection in connections
--- a/tests/integration/test_descriptor_exhaustion.py
+++ b/tests/integration/test_descriptor_exhaustion.py
@@ -12,7 +12,7 @@
 import pytest
 
 from cedarthread.dispatch.calls import CallSucceeded
-from cedarthread.protocols.platform.codec import encode_answer
+from cedarthread.protocols.platform.codec import encode_call_result
 from cedarthread.testing.fakes.scripted import (
     ScriptedWorker,
     ask_control,
@@ -185,7 +185,7 @@
             assert len(platform.connections) == 1
             slow_client.reader._transport.resume_reading()  # type: ignore[attr-defined]
             result = CallSucceeded(b"ABC" * 65536)
-            total_bytes = sum(len(encode_answer(number, result)) for number in range(1, 33))
+            total_bytes = sum(len(encode_call_result(number, result)) for number in range(1, 33))
             async with asyncio.timeout(10):
                 received = await slow_client.reader.readexactly(total_bytes)
                 assert len(received) == total_bytes, "every response is delivered"
--- a/tests/integration/test_platform.py
+++ b/tests/integration/test_platform.py
@@ -9,7 +9,7 @@
 
 from cedarthread.dispatch.calls import CallSucceeded
 from cedarthread.model.endpoints import EndpointState
-from cedarthread.protocols.platform.codec import encode_answer
+from cedarthread.protocols.platform.codec import encode_call_result
 from cedarthread.testing.fakes.scripted import (
     ScriptedWorker,
     answer_with,
@@ -212,7 +212,7 @@
         worker = ScriptedWorker(serve_long)
         async with service(worker) as running, client(running) as caller:
             caller.writer.write(pack_call(1, "confirm", b"x"))
-            response = encode_answer(1, CallSucceeded(b"L" * 230_000))  # longer than a client may send
+            response = encode_call_result(1, CallSucceeded(b"L" * 230_000))  # longer than a client may send
             async with asyncio.timeout(10):
                 received = await caller.reader.read(len(response))
                 while len(received) < len(response) and (more := await caller.reader.read(len(response))):
--- a/tests/integration/test_platform_connections.py
+++ b/tests/integration/test_platform_connections.py
@@ -89,7 +89,7 @@
         ):
             assert await proven.call(1, "check", b"x") == [1, 1, None, [b"X", {}]]
             incomplete.writer.write(pack_call(1, "check", b"x")[:40])
-            while not any(connection.needed_bytes for connection in running.platform.unproven_connections):
+            while not any(connection.needed_bytes for connection in running.platform.unvalidated_connections):
                 await asyncio.sleep(0)
             running.platform.sweep(asyncio.get_running_loop().time() + 3.0)
             assert await silent.read() is None
@@ -151,7 +151,7 @@
                 remaining = weakref.ref(connection)
                 del connection
             async with asyncio.timeout(TIMEOUT_S):
-                while running.platform.connections or running.platform.unproven_connections:
+                while running.platform.connections or running.platform.unvalidated_connections:
                     await asyncio.sleep(0)
             for _ in range(3):  # the callbacks of the close run
                 await asyncio.sleep(0)
--- a/tests/integration/test_platform_input.py
+++ b/tests/integration/test_platform_input.py
@@ -103,7 +103,8 @@
             caller.writer.write(data)
             assert await caller.read() is None
             assert all(
-                len(connection.buffer._data) <= 8192 for connection in running.platform.unproven_connections
+                len(connection.buffer._data) <= 8192
+                for connection in running.platform.unvalidated_connections
             )
 
     asyncio.run(scenario())
--- a/tests/integration/test_termination_accounting.py
+++ b/tests/integration/test_termination_accounting.py
@@ -147,10 +147,10 @@
             running.platform.max_connections = 2
             async with client(running) as new_client:
                 await wait_until(
-                    lambda: running.platform.unproven_connections or new_client.reader.at_eof(),
+                    lambda: running.platform.unvalidated_connections or new_client.reader.at_eof(),
                     "the new client is accepted or rejected",
                 )
-                counted = [*running.platform.connections, *running.platform.unproven_connections]
+                counted = [*running.platform.connections, *running.platform.unvalidated_connections]
                 assert connection in counted or connection.is_closed, "the connection is open but not counted"
 
     asyncio.run(scenario())
