--- a/tests/unit/protocols/discovery/test_client.py
+++ b/tests/unit/protocols/discovery/test_client.py
@@ -1,4 +1,4 @@
-"""The discovery client and the replies of the fake discovery server."""
+"""The discovery client with the replies of the fake discovery server."""
 
 from __future__ import annotations
 
--- a/tests/unit/protocols/discovery/test_list_acceptance.py
+++ b/tests/unit/protocols/discovery/test_list_acceptance.py
@@ -1,4 +1,4 @@
-"""Which endpoint list is accepted: replies to two queries must agree; one alone confirms no serial."""
+"""Acceptance of endpoint lists: replies to two queries must agree; a single reply confirms no serial."""
 
 from __future__ import annotations
 
@@ -105,7 +105,7 @@
         assert sparse_replies.receive(2, ONE_WORKER, CANDIDATE_LIFETIME_S) is UNCONFIRMED
         assert sparse_replies.receive(1, BOTH_WORKERS, CANDIDATE_LIFETIME_S / 5, is_repeat=True) is KNOWN
         assert sparse_replies.receive(1, BOTH_WORKERS, CANDIDATE_LIFETIME_S) is KNOWN, (
-            "outdated replies far apart confirm nothing"
+            "outdated replies that arrive far apart confirm nothing"
         )
 
 
@@ -117,7 +117,7 @@
     assert [replies.receive(9, endpoint_list()), replies.receive(9, endpoint_list())] == [UNCONFIRMED, NEW]
 
 
-def test_a_list_that_an_unconfirmed_one_has_changed_must_be_confirmed_again() -> None:
+def test_a_list_whose_workers_were_demoted_by_an_unconfirmed_list_must_be_confirmed_again() -> None:
     replies = replies_with_accepted_list()
     replies.acceptance.must_confirm_again = True
     assert [
--- a/tests/unit/protocols/discovery/test_query_tracker.py
+++ b/tests/unit/protocols/discovery/test_query_tracker.py
@@ -1,4 +1,4 @@
-"""The times of discovery queries: regular, sooner after a failure, and regular in a long outage."""
+"""Times of discovery queries: regular, earlier after a failure, and regular again in a long outage."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         return [later - earlier for earlier, later in itertools.pairwise(times)]
 
 
-def test_while_replies_arrive_queries_are_regular() -> None:
+def test_while_replies_arrive_queries_are_sent_at_the_regular_interval() -> None:
     driver = Driver()
     for _ in range(20):
         driver.query(is_answered=True)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("grace_s", [0.1, 0.5, 2.0])
-def test_ten_queries_fit_into_the_grace_after_the_first_lost_reply(grace_s: float) -> None:
+def test_ten_queries_fit_into_the_grace_period_after_the_first_lost_reply(grace_s: float) -> None:
     driver = Driver(grace_s)
     for _ in range(5):
         driver.query(is_answered=True)
@@ -78,7 +78,7 @@
     assert len(short_intervals_s) == CONFIRMING_REPLIES - 1
 
 
-def test_after_an_unusable_reply_the_next_query_is_sent_sooner() -> None:
+def test_after_an_unusable_reply_the_next_query_is_sent_earlier() -> None:
     driver = Driver()
     driver.query(is_answered=True)
     driver.tracker.on_sent(7, driver.now_s)
--- a/tests/unit/protocols/discovery/test_start_times.py
+++ b/tests/unit/protocols/discovery/test_start_times.py
@@ -1,4 +1,4 @@
-"""Start times of workers with clocks that may be an hour off: the first list with a start bounds its time."""
+"""Start times of workers if clocks may be an hour off: the first list with a start bounds its start time."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 def corrected_starts(
     times: StartTimes, now_ms: float, previous_age_ms: float | None = 200.0, **reported_ms: float
 ) -> dict[str, float]:
-    """Return the corrected starts of a list, by the name of the worker.
+    """Return the corrected start times of a list, by the name of the worker.
 
     Args:
-        times: The corrections, with what earlier lists showed.
-        now_ms: The time of the list, by the router's clock.
+        times: The corrections, including the state from earlier lists.
+        now_ms: The arrival time of the list, by the router's clock.
         previous_age_ms: The time since the previous list was up to date; None if there is none.
-        reported_ms: The starts in the list, by the name of the worker.
+        reported_ms: The start times in the list, by the name of the worker.
     """
     fresh_as_of_ms = None if previous_age_ms is None else now_ms - previous_age_ms
     records = [
@@ -38,7 +38,7 @@
     }
 
 
-def test_with_synchronous_clocks_starts_are_as_reported() -> None:
+def test_with_synchronized_clocks_start_times_stay_as_reported() -> None:
     times = StartTimes()
     assert corrected_starts(times, NOW_MS, None, a=0.0, b=NOW_MS - 3000.0, c=NOW_MS - HOUR_MS) == {
         "a": 0.0,
@@ -57,7 +57,7 @@
 def test_a_worker_that_starts_while_the_router_runs_has_a_recent_start_for_every_clock_difference(
     ahead_ms: float,
 ) -> None:
-    """This router's clock is ``ahead_ms`` ahead of the clock of the reported times."""
+    """This router's clock is ``ahead_ms`` ahead of the clock by which start times are reported."""
     times = StartTimes()
     corrected_starts(times, NOW_MS, None, a=0.0, b=0.0)
     listed_ms = NOW_MS + 60_000.0
@@ -67,7 +67,7 @@
     assert later == {"a": corrected_ms}, "a known start does not change"
 
 
-def test_a_restart_shows_the_difference_of_the_clocks() -> None:
+def test_a_restart_reveals_the_offset_between_the_clocks() -> None:
     times = StartTimes()
     corrected_starts(times, NOW_MS, None, a=NOW_MS - 100_000.0 - HOUR_MS, b=0.0)
     listed_ms = NOW_MS + 60_000.0
--- a/tests/unit/protocols/dns_replies.py
+++ b/tests/unit/protocols/dns_replies.py
@@ -1,4 +1,4 @@
-"""DNS replies of a discovery server, put together byte by byte."""
+"""DNS replies of a discovery server, encoded byte by byte."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from cedarthread.protocols import dns
 
-QUERY_ID = 7  # of a reply as ``discovery_reply`` returns it
+QUERY_ID = 7  # of the replies that ``discovery_reply`` returns
 RESPONSE_FLAGS = 0x8400  # a response, authoritative
 TRUNCATED_FLAGS = 0x8600
 NAME_ERROR_FLAGS = 0x8403
--- a/tests/unit/protocols/invoke/test_config.py
+++ b/tests/unit/protocols/invoke/test_config.py
@@ -39,13 +39,13 @@
 
 
 @pytest.mark.parametrize("missing", VALID_LINES)
-def test_a_missing_key_is_named(missing: str) -> None:
+def test_an_error_names_the_missing_key(missing: str) -> None:
     lines = {key: value for key, value in VALID_LINES.items() if key != missing}
     with pytest.raises(ValueError, match=f'^missing required key "{missing}"$'):
         parse(lines)
 
 
-def test_a_missing_table_is_named() -> None:
+def test_an_error_names_the_missing_table() -> None:
     assert error_message(b"") == 'missing required key "invoke"'
 
 
@@ -67,7 +67,7 @@
         ("connections", "65536", "connections takes 1 to 65535, not 65536"),
     ],
 )
-def test_a_value_of_a_wrong_type_or_out_of_range_is_named(key: str, value: str, message: str) -> None:
+def test_an_error_names_a_value_of_a_wrong_type_or_out_of_range(key: str, value: str, message: str) -> None:
     with pytest.raises(ValueError, match=f"^{re.escape(message)}$"):
         parse(VALID_LINES | {key: value})
 
--- a/tests/unit/protocols/test_dns.py
+++ b/tests/unit/protocols/test_dns.py
@@ -34,12 +34,12 @@
 
 
 def test_a_truncated_reply_and_an_error_are_unusable() -> None:
-    """Otherwise the workers that they omit would count as removed."""
+    """Otherwise workers missing from them would count as removed."""
     assert isinstance(dns.parse(discovery_reply(TRUNCATED_FLAGS)), dns.UnusableReply)
     assert isinstance(dns.parse(discovery_reply(NAME_ERROR_FLAGS)), dns.UnusableReply)
 
 
-def test_a_compression_loop_is_unusable() -> None:
+def test_a_reply_with_a_loop_of_compression_pointers_is_unusable() -> None:
     reply = struct.pack(">6H", 7, 0x8400, 1, 0, 0, 0) + b"\xc0\x0c\0\x21\0\x01"
     assert isinstance(dns.parse(reply), dns.UnusableReply)
 
--- a/tests/unit/protocols/test_http.py
+++ b/tests/unit/protocols/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP heads: truncated ones, and garbage."""
+"""Parsing of HTTP heads that are truncated or contain garbage."""
 
 from __future__ import annotations
 
--- a/tests/unit/protocols/test_msgpack.py
+++ b/tests/unit/protocols/test_msgpack.py
@@ -102,7 +102,7 @@
     assert isinstance(msgpack.parse(memoryview(CALLS[3])[:received_bytes]), msgpack.Incomplete)
 
 
-def test_a_value_that_is_nested_too_deep_or_too_long_is_malformed() -> None:
+def test_a_value_that_is_nested_too_deeply_or_too_long_is_malformed() -> None:
     assert isinstance(msgpack.parse(memoryview(b"\x91" * 50)), msgpack.Malformed)
     assert isinstance(msgpack.parse(memoryview(b"\xdd\xff\xff\xff\xff")), msgpack.Malformed)
     assert feed(CallBodyCollector, b"\xc6\x00\xff\xff\xff" + b"x" * 70_000, []).is_rejected
--- a/tests/unit/protocols/worker/test_codec.py
+++ b/tests/unit/protocols/worker/test_codec.py
@@ -1,4 +1,4 @@
-"""Responses of workers to a call: malformed objects, and bodies."""
+"""Parsing of workers' responses to calls: malformed objects and bodies."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @fixed_examples
 @given(st.dictionaries(st.sampled_from(["op", "fields", "body", "id"]), st.from_type(type) | st.text()))
-def test_an_object_is_malformed_or_has_an_outcome(message: dict[str, Any]) -> None:
+def test_every_json_object_is_rejected_as_malformed_or_has_an_outcome(message: dict[str, Any]) -> None:
     result = parse_call_response(message, ("inflight",))
     assert result is None or result.outcome is not None
 
 
 def test_a_successful_response_needs_a_valid_body() -> None:
-    """A body that cannot be decoded must not reach the client as served."""
+    """A body that cannot be decoded must not be returned to the client as a success."""
     for malformed in (
         {"op": "HIT", "body": "%%%"},
         {"op": "HIT", "body": 7},
--- a/tests/unit/protocols/worker/test_line_queue.py
+++ b/tests/unit/protocols/worker/test_line_queue.py
@@ -1,4 +1,4 @@
-"""The progress of the requests on a worker's connection, which its line queue records."""
+"""The line queue of a worker connection, which records the progress of the requests in it."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     """A line queue of an established connection."""
 
     queue: LineQueue
-    attempts: list[Attempt]  # of the lines in the queue
+    attempts: list[Attempt]  # whose lines are in the queue
     written: list[Attempt]  # reported as written
 
 
 def queue_with(*call_ids: str) -> ConnectedQueue:
-    """Return a connected queue with one attempt for each call id."""
+    """Return the queue of an established connection with one attempt for each call id."""
     written: list[Attempt] = []
     queue = LineQueue(written.append)
     attempts = [
@@ -44,7 +44,7 @@
     return lines
 
 
-def test_attempts_in_a_connected_queue_are_unwritten() -> None:
+def test_attempts_queued_on_an_established_connection_are_unwritten() -> None:
     queue, attempts, written = queue_with("a", "b")
     assert queue.requests() == attempts
     assert bool(queue)
