--- a/cedarthread/protocols/invoke/calls.py
+++ b/cedarthread/protocols/invoke/calls.py
@@ -64,7 +64,7 @@
         known = self.deferred_calls.find_by_key(owner, key) if key is not None else None
         return known is not None and not isinstance(known.result, CallRejected)
 
-    def find_or_start_stored(
+    def find_or_start_stored_call(
         self, owner: str, request: CallRequest, *, is_deferred: bool
     ) -> DeferredCall | Response:
         """Return the stored call with the request's key, or start a new one.
@@ -93,7 +93,7 @@
         self.dispatcher.submit(call)
         return stored
 
-    def cancel_stored(self, stored: DeferredCall) -> None:
+    def cancel_stored_call(self, stored: DeferredCall) -> None:
         """Cancel a stored call, or delete its result, at the owner's request."""
         if stored.call is not None:
             self.dispatcher.abandon_call(stored.call)
--- a/cedarthread/protocols/invoke/handler.py
+++ b/cedarthread/protocols/invoke/handler.py
@@ -111,7 +111,7 @@
             self.call.refresh_client_state = self.refresh_client_state
             dispatcher.submit(self.call)
             return
-        stored = calls.find_or_start_stored(owner, request, is_deferred=is_deferred)
+        stored = calls.find_or_start_stored_call(owner, request, is_deferred=is_deferred)
         if isinstance(stored, Response):
             self.respond(stored)
             return
@@ -128,7 +128,7 @@
             self.respond(problem_response(404, "no such call of yours"))
             return
         if head.method == "DELETE":
-            self.server.calls.cancel_stored(deferred_call)
+            self.server.calls.cancel_stored_call(deferred_call)
             self.respond(Response(204, {}))
             return
         self._wait_for_result(deferred_call, wait_preference_s(head.preferences()), is_deferred=True)
