--- a/cedarthread/protocols/worker/connection.py
+++ b/cedarthread/protocols/worker/connection.py
@@ -38,7 +38,9 @@
         self.dispatcher = self.worker_connections.dispatcher
         super().__init__(MAX_LINE_BYTES, self.worker_connections.flusher)
         self.pool = pool
-        self.lines = LineQueue(self.dispatcher.count_attempt_written, self.worker_connections.on_first_byte)
+        self.line_queue = LineQueue(
+            self.dispatcher.count_attempt_written, self.worker_connections.on_first_byte
+        )
         self.in_flight: dict[str, WorkerRequest] = {}  # by message id
         self.abandoned_ids: set[str] = set()  # never used again: a late response must not end another request
         self.is_retired = False  # it accepts no more requests
@@ -66,7 +68,7 @@
 
     def is_idle(self) -> bool:
         """Return whether the connection is established, has nothing in flight and nothing to write."""
-        return self.transport is not None and not (self.in_flight or self.lines or self.is_write_paused)
+        return self.transport is not None and not (self.in_flight or self.line_queue or self.is_write_paused)
 
     def send_attempt(self, attempt: Attempt) -> None:
         """Queue an attempt. Its line states the remaining time, so it is encoded when it is written."""
@@ -85,12 +87,12 @@
 
     def _append(self, line: OutboundLine) -> None:
         self.last_used_at = self._loop.time()
-        self.lines.append(line)
+        self.line_queue.append(line)
         self.schedule_flush()
 
     def withdraw(self, request: WorkerRequest) -> bool:
         """Remove a request that has not been passed to the transport; return False if it has been."""
-        if not self.lines.remove(request):
+        if not self.line_queue.remove(request):
             return False
         self.in_flight.pop(message_id_of(request), None)
         return True
@@ -123,30 +125,30 @@
         if self.connect_timeout is not None and not self.connect_timeout.expired():
             # Disable the timeout, which could expire later in this iteration while a call is being written.
             self.connect_timeout.reschedule(None)
-        self.lines.on_connected()
+        self.line_queue.on_connected()
         self._withdraw_overdue()
         self.schedule_flush()
 
     def _withdraw_overdue(self) -> None:
         """Withdraw queued attempts that are past their write deadline."""
         now_ms = self.dispatcher.clock()
-        for request in self.lines.requests():
+        for request in self.line_queue.requests():
             if isinstance(request, Attempt) and now_ms > request.write_deadline_ms:
                 self.withdraw_and_end(request)
 
     def flush(self) -> None:
         """Pass queued lines to the transport and record how much of them was written."""
         self._is_flush_scheduled = False
-        if not self.lines.queued or self.is_write_paused or self.transport is None or self.is_closed:
+        if not self.line_queue.queued or self.is_write_paused or self.transport is None or self.is_closed:
             return
         if self.transport.is_closing():
             return
-        is_holding = not self.worker_connections.may_send()
-        if is_holding and self.lines.requests():
+        without_requests = not self.worker_connections.may_send()
+        if without_requests and self.line_queue.requests():
             self.worker_connections.hold(self)
-        self._write_lines(self.transport, is_holding=is_holding)
+        self._write_lines(self.transport, without_requests=without_requests)
 
-    def _write_lines(self, transport: asyncio.Transport, *, is_holding: bool) -> None:
+    def _write_lines(self, transport: asyncio.Transport, *, without_requests: bool) -> None:
         """Write line by line until the socket accepts only a part of one.
 
         A line in the transport's buffer cannot be withdrawn: it would be written whenever the worker reads
@@ -154,20 +156,20 @@
 
         Args:
             transport: The established transport.
-            is_holding: Write only lines that carry no request.
+            without_requests: Write only the lines that carry no request.
         """
-        while (line := self.lines.next_line(without_requests=is_holding)) is not None:
+        while (line := self.line_queue.next_line(without_requests=without_requests)) is not None:
             if line.request is not None and not self._may_write(line.request):
                 self.withdraw_and_end(line.request)
                 continue
             if not line.data and isinstance(line.request, Attempt):
                 line.data = self.worker_connections.encode_attempt(line.request)
-            self.lines.dequeue(line)
+            self.line_queue.dequeue(line)
             transport.write(line.data)
             if transport.is_closing():  # the write failed at once, before its first byte
                 return
             unwritten_bytes = transport.get_write_buffer_size()
-            self.lines.on_passed_to_transport(line, len(line.data) - unwritten_bytes)
+            self.line_queue.on_passed_to_transport(line, len(line.data) - unwritten_bytes)
             if unwritten_bytes or self.is_write_paused:
                 return
 
@@ -179,12 +181,12 @@
 
     def refresh_progress(self) -> None:
         """Record which of the buffered lines have been written by now."""
-        if self.transport is not None and self.lines.buffered:
-            self.lines.on_write_buffer_size(self.transport.get_write_buffer_size())
+        if self.transport is not None and self.line_queue.buffered:
+            self.line_queue.on_write_buffer_size(self.transport.get_write_buffer_size())
 
     def resume_writing(self) -> None:
         """Continue after the transport's buffer was written (called by asyncio)."""
-        self.lines.on_all_written()
+        self.line_queue.on_all_written()
         self._withdraw_overdue()
         super().resume_writing()
 
@@ -251,7 +253,7 @@
 
     def on_disconnected(self) -> None:
         """End every request in flight on this connection."""
-        self.lines.on_disconnected()
+        self.line_queue.on_disconnected()
         self.pool.remove(self)
         requests = self.in_flight
         self.in_flight = {}
@@ -264,7 +266,7 @@
     def abort_if_unwritten(self, lines: list[OutboundLine]) -> None:
         """Abort if one of these lines is not completely written."""
         self.refresh_progress()
-        if not self.is_closed and any(line in self.lines.buffered for line in lines):
+        if not self.is_closed and any(line in self.line_queue.buffered for line in lines):
             self.abort()
 
     def close_unused(self) -> None:
--- a/cedarthread/protocols/worker/connections.py
+++ b/cedarthread/protocols/worker/connections.py
@@ -190,7 +190,7 @@
 
         If the cancel line is not written, the connection is aborted, which cancels the attempt at the worker.
         """
-        if cancel_line is None or not connection.lines.is_written(cancel_line):
+        if cancel_line is None or not connection.line_queue.is_written(cancel_line):
             connection.abort()
         self.dispatcher.attempt_ended(attempt, AttemptResult(Outcome.CANCELLED))
 
--- a/cedarthread/protocols/worker/pool.py
+++ b/cedarthread/protocols/worker/pool.py
@@ -110,16 +110,16 @@
         ]
         for connection in retiring:
             connection.is_retired = True
-            for request in connection.lines.requests():
+            for request in connection.line_queue.requests():
                 connection.withdraw_and_end(request)
             if close_now:
                 connection.abort()
             elif not connection.in_flight:
                 connection.close_unused()
-            elif connection.lines.buffered:
+            elif connection.line_queue.buffered:
                 grace_s = self.worker_connections.settings.rules.drain_grace_ms / 1000.0
                 flush_s = DRAIN_FLUSH_GRACE_FRACTION * grace_s
-                buffered = list(connection.lines.buffered)
+                buffered = list(connection.line_queue.buffered)
                 asyncio.get_running_loop().call_later(flush_s, connection.abort_if_unwritten, buffered)
 
     def sweep(self, now_s: float, idle_limit_s: float) -> None:
--- a/cedarthread/testing/fuzzing/defective_calls.py
+++ b/cedarthread/testing/fuzzing/defective_calls.py
@@ -116,18 +116,18 @@
     )
 
 
-def write_all_lines(self: WorkerConnection, transport: asyncio.Transport, *, is_holding: bool) -> None:
+def write_all_lines(self: WorkerConnection, transport: asyncio.Transport, *, without_requests: bool) -> None:
     """Write all queued lines without waiting for the peer to accept the one before."""
-    while (line := self.lines.next_line()) is not None:
+    while (line := self.line_queue.next_line()) is not None:
         if line.request is not None and not self._may_write(line.request):
             self.withdraw_and_end(line.request)
             continue
         line.data = line.data or self.worker_connections.encode_attempt(cast("Attempt", line.request))
-        self.lines.dequeue(line)
+        self.line_queue.dequeue(line)
         buffered_bytes = transport.get_write_buffer_size()
         transport.write(line.data)
         unwritten_bytes = transport.get_write_buffer_size() - buffered_bytes
-        self.lines.on_passed_to_transport(line, len(line.data) - unwritten_bytes)
+        self.line_queue.on_passed_to_transport(line, len(line.data) - unwritten_bytes)
 
 
 def abandon_calls_and_close(self: PlatformConnection) -> None:
--- a/tests/integration/termination_harness.py
+++ b/tests/integration/termination_harness.py
@@ -125,7 +125,7 @@
         "unwritten lines to workers": [
             line
             for connection in worker_connections
-            for line in (*connection.lines.queued, *connection.lines.buffered)
+            for line in (*connection.line_queue.queued, *connection.line_queue.buffered)
         ],
         "open calls of clients": [
             number for connection in client_connections for number in connection.calls.open
--- a/tests/integration/test_platform.py
+++ b/tests/integration/test_platform.py
@@ -147,7 +147,7 @@
             pool = next(pool for pool in running.workers.pools.values() if pool.connections)
             pool.connections[0].is_write_paused = True  # as after a write that the socket does not accept
             caller.writer.write(pack_call(2, "confirm", b"x"))
-            while not pool.connections[0].lines.queued:
+            while not pool.connections[0].line_queue.queued:
                 await asyncio.sleep(0)
             slow, other = (first, second) if pool.endpoint.port == first.port else (second, first)
             records = [
--- a/tests/integration/test_termination_endpoint_updates.py
+++ b/tests/integration/test_termination_endpoint_updates.py
@@ -159,7 +159,7 @@
             pool.connections[0].is_write_paused = True
             caller.writer.write(pack_call(2, "confirm", b"x"))
             await wait_until(
-                lambda: pool.connections[0].lines.queued, "the call is queued for the slow worker"
+                lambda: pool.connections[0].line_queue.queued, "the call is queued for the slow worker"
             )
             states = [DRAINING if number == chosen_number else READY for number in (1, 2)]
             update_endpoint_list(
--- a/tests/integration/test_worker_connections.py
+++ b/tests/integration/test_worker_connections.py
@@ -108,7 +108,7 @@
         harness.workers.preload(1, 7, 1)
         (preload,) = [
             line.request
-            for line in harness.connection.lines.queued
+            for line in harness.connection.line_queue.queued
             if isinstance(line.request, PendingPreload)
         ]
         harness.workers.preloads._on_write_timeout(preload, harness.connection)
@@ -127,7 +127,7 @@
         harness = WorkerHarness(10)
         harness.send(FIRST_ID)
         harness.flush()
-        buffered = list(harness.connection.lines.buffered)
+        buffered = list(harness.connection.line_queue.buffered)
         harness.pool.retire(close_now=False)
         assert not harness.transport.is_aborted
         harness.connection.abort_if_unwritten(buffered)
