--- a/cedarthread/protocols/worker/connection.py
+++ b/cedarthread/protocols/worker/connection.py
@@ -23,7 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ABANDONED_IDS = 512  # per connection; above it, it accepts no more requests and the next sweep closes it
+MAX_ABANDONED_IDS = 512  # per connection; with more, no request is accepted and the next sweep closes it
 
 
 class WorkerConnection(BufferedConnection):
