--- a/cedarthread/protocols/discovery/endpoint_records.py
+++ b/cedarthread/protocols/discovery/endpoint_records.py
@@ -1,4 +1,4 @@
-"""Conversion of a DNS reply of discovery to endpoint records."""
+"""Conversion of a DNS reply from the discovery server to endpoint records."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from cedarthread.protocols import dns
 
-SRV_WEIGHT_SCALE = 10  # an SRV weight is a whole number of tenths of an endpoint's weight
+SRV_WEIGHT_SCALE = 10  # an SRV weight is the endpoint's weight in tenths, as an integer
 READY_PRIORITY = 0  # of an SRV record; any other priority means draining
 
 
@@ -21,7 +21,7 @@
     """The usable part of an unusable reply: the workers that must get no more calls."""
 
     draining_names: frozenset[str]
-    listed_names: frozenset[str] | None  # of all workers; None if the list may be truncated
+    listed_names: frozenset[str] | None  # the names of all workers; None if the list may be truncated
 
 
 def endpoints_from_reply(reply: dns.Reply) -> list[EndpointRecord] | str:
@@ -32,26 +32,26 @@
         if isinstance(record, str):
             return record
         if records.setdefault(record.name, record) != record:
-            return f"{record.name} is listed twice"
+            return f"{record.name} is listed twice with different records"
     return list(records.values())
 
 
 def partial_list(reply: dns.Reply, last_serial: int, *, is_answer_complete: bool) -> PartialList:
-    """Extract the draining and the listed workers from the service records of a reply.
+    """Extract the draining and the listed workers from the SRV records of a reply.
 
     Args:
         reply: The reply; its other records may be missing or wrong.
-        last_serial: The serial of the list in use. The workers missing in an older reply do not count.
-        is_answer_complete: The reply has all service records.
+        last_serial: The serial of the list in use. Workers missing from an older reply do not count as gone.
+        is_answer_complete: Whether the reply has all SRV records.
     """
     draining = [service for service in reply.srv_records if service.priority != READY_PRIORITY]
-    listed = frozenset(map(_name_of, reply.srv_records))
-    is_old = reply.serial is None or reply.serial < last_serial
-    is_complete = not is_old and is_answer_complete and bool(listed)
-    return PartialList(frozenset(map(_name_of, draining)), listed if is_complete else None)
+    listed = frozenset(map(_worker_name, reply.srv_records))
+    is_outdated = reply.serial is None or reply.serial < last_serial
+    is_complete = not is_outdated and is_answer_complete and bool(listed)
+    return PartialList(frozenset(map(_worker_name, draining)), listed if is_complete else None)
 
 
-def _name_of(service: dns.SrvRecord) -> str:
+def _worker_name(service: dns.SrvRecord) -> str:
     return service.target.partition(".")[0]
 
 
@@ -60,14 +60,14 @@
     address = reply.addresses.get(service.target)
     texts = reply.texts.get(service.target)
     if address is None or texts is None:
-        return f"no address or text for {service.target}"
+        return f"no A or TXT record for {service.target}"
     try:
         cell = int(texts.get("cell", "0"))
         started_at_ms = float(texts.get("started", "0"))
     except ValueError:
-        return f"odd text for {service.target}"
+        return f"invalid TXT record of {service.target}"
     if not math.isfinite(started_at_ms):  # NaN is unequal to itself, so each reply would report a restart
-        return f"odd text for {service.target}"
+        return f"invalid TXT record of {service.target}"
     state = EndpointState.READY if service.priority == READY_PRIORITY else EndpointState.DRAINING
     zone = rest.partition(".")[0]
     kind = texts.get("kind", "")
--- a/cedarthread/protocols/dns.py
+++ b/cedarthread/protocols/dns.py
@@ -1,6 +1,6 @@
-"""Codec of DNS messages (RFC 1035, RFC 2782), as far as discovery uses them.
+"""Codec of DNS messages (RFC 1035, RFC 2782), limited to what discovery uses.
 
-A parse error is a value, never an exception.
+A parse error is returned as a value, never raised.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 MAX_NAME_BYTES = 255  # RFC 1035, section 2.3.4
 MAX_LABEL_BYTES = 63  # RFC 1035, section 2.3.4
 MAX_POINTERS = 16  # in one name; long chains in many records took seconds to parse
-_POINTER = 0xC0  # the two high bits of a length byte: the name continues at an offset in the message
+_POINTER = 0xC0  # if the two high bits of a length byte are set, the name continues at another offset
 _POINTER_HIGH_BITS = 0x3F
 _HEADER = struct.Struct(">6H")
 _RECORD_HEADER = struct.Struct(">HHIH")
@@ -54,15 +54,15 @@
 
 @dataclass(frozen=True, slots=True)
 class UnusableReply:
-    """An unusable reply and the reason."""
+    """An unusable reply and the reason why it is unusable."""
 
     reason: str
-    partial: Reply | None = None  # the records before the fault
-    is_answer_complete: bool = False  # `partial` has the complete answer section
+    partial: Reply | None = None  # the records before the error
+    is_answer_complete: bool = False  # whether `partial` has the complete answer section
 
 
 @dataclass(slots=True)
-class _Progress:
+class _ParseProgress:
     """The progress of parsing a reply."""
 
     is_answer_complete: bool = False
@@ -80,7 +80,7 @@
 
 
 def parse(data: bytes) -> Reply | UnusableReply:
-    """Parse a reply; return why it is unusable if it is incomplete or reports an error."""
+    """Parse a reply; return the reason why it is unusable if it is incomplete or reports an error."""
     try:
         query_id, flags, question_count, *record_counts = _HEADER.unpack_from(data)
     except struct.error as error:
@@ -90,7 +90,7 @@
     if flags & _RESPONSE_CODE_MASK:
         return UnusableReply(f"code {flags & _RESPONSE_CODE_MASK}")
     reply = Reply(query_id)
-    progress = _Progress()
+    progress = _ParseProgress()
     try:
         _parse_sections(data, question_count, record_counts, reply, progress)
     except (_MalformedError, struct.error, IndexError, UnicodeDecodeError) as error:
@@ -101,7 +101,7 @@
 
 
 def _parse_sections(
-    data: bytes, question_count: int, record_counts: list[int], reply: Reply, progress: _Progress
+    data: bytes, question_count: int, record_counts: list[int], reply: Reply, progress: _ParseProgress
 ) -> None:
     offset = _HEADER.size
     for _ in range(question_count):
@@ -116,7 +116,10 @@
 
 
 def _parse_name(data: bytes, offset: int) -> tuple[str, int]:
-    """Parse a name and the offset of its end. Pointers must point backwards, so that they cannot loop."""
+    """Parse a name; return it with the offset of its end.
+
+    Compression pointers must point backwards, so that they cannot loop.
+    """
     labels: list[str] = []
     end = -1
     lowest = offset
@@ -127,21 +130,21 @@
             target = (size & _POINTER_HIGH_BITS) << 8 | data[offset + 1]
             pointer_count += 1
             if target >= lowest or pointer_count > MAX_POINTERS:
-                raise _MalformedError("a pointer that leads forwards, or too many")
+                raise _MalformedError("a compression pointer that does not lead backwards, or too many")
             end = offset + 2 if end < 0 else end
             offset = target
             lowest = target
             continue
         name_bytes += 1 + size
         if size > MAX_LABEL_BYTES or name_bytes > MAX_NAME_BYTES:
-            raise _MalformedError("a bad label, or too long a name")
+            raise _MalformedError("an invalid label, or a name that is too long")
         labels.append(data[offset + 1 : offset + 1 + size].decode("ascii").lower())
         offset += 1 + size
     return ".".join(labels), offset + 1 if end < 0 else end
 
 
 def _parse_record(data: bytes, offset: int, reply: Reply) -> int:
-    """Put one record into the reply; returns the offset at which it ends."""
+    """Parse one record into the reply; return the offset at which it ends."""
     name, offset = _parse_name(data, offset)
     record_type, _, _, data_bytes = _RECORD_HEADER.unpack_from(data, offset)
     offset += _RECORD_HEADER.size
@@ -155,7 +158,7 @@
     elif record_type == TYPE_A and data_bytes == IPV4_BYTES:
         reply.addresses[name] = ".".join(str(octet) for octet in data[offset:end])
     elif record_type == TYPE_TXT:
-        reply.texts[name] = _parse_texts(data[offset:end])
+        reply.texts[name] = _parse_txt_data(data[offset:end])
     elif record_type == TYPE_SOA:
         _, offset = _parse_name(data, offset)
         _, offset = _parse_name(data, offset)
@@ -163,7 +166,7 @@
     return int(end)
 
 
-def _parse_texts(data: bytes) -> dict[str, str]:
+def _parse_txt_data(data: bytes) -> dict[str, str]:
     pairs = {}
     offset = 0
     while offset < len(data):
--- a/cedarthread/protocols/invoke/handler.py
+++ b/cedarthread/protocols/invoke/handler.py
@@ -18,7 +18,7 @@
     DRAINING_DETAIL,
     pending_response,
     ready_response,
-    render_answer,
+    render_call_result,
 )
 
 if TYPE_CHECKING:
@@ -62,7 +62,7 @@
         self._loop = asyncio.get_running_loop()
 
     def handle(self, owner: str, head: http.RequestHead, body: bytes) -> None:
-        """Serve a request of this owner."""
+        """Serve a request from this owner."""
         call_id = deferred_call_id(head.target)
         if head.target == READY_PATH and head.method == "GET":
             self.respond(ready_response(is_ready=self.server.is_ready))
@@ -77,7 +77,7 @@
             self.respond(problem_response(404, "nothing here"))
 
     def detach(self) -> None:
-        """Drop the references to a closed connection, so that it needs no garbage collection."""
+        """Drop the references to a closed connection, so that it is freed without garbage collection."""
         self.respond = _ignore_response
         self.refresh_client_state = _do_nothing
 
@@ -111,7 +111,7 @@
             self.call.refresh_client_state = self.refresh_client_state
             dispatcher.submit(self.call)
             return
-        stored = calls.find_or_start_stored(owner, request, is_deferred=is_deferred)
+        stored = calls.find_or_start_stored_call(owner, request, is_deferred=is_deferred)
         if isinstance(stored, Response):
             self.respond(stored)
             return
@@ -120,7 +120,7 @@
 
     def _on_result(self, result: CallResult) -> None:
         self.call = None
-        self.respond(render_answer(result))
+        self.respond(render_call_result(result))
 
     def _serve_deferred_call(self, owner: str, head: http.RequestHead, call_id: str) -> None:
         deferred_call = self.server.calls.deferred_calls.find(owner, call_id)
@@ -128,13 +128,13 @@
             self.respond(problem_response(404, "no such call of yours"))
             return
         if head.method == "DELETE":
-            self.server.calls.cancel_stored(deferred_call)
+            self.server.calls.cancel_stored_call(deferred_call)
             self.respond(Response(204, {}))
             return
         self._wait_for_result(deferred_call, wait_preference_s(head.preferences()), is_deferred=True)
 
     def _wait_for_result(self, deferred_call: DeferredCall, wait_s: float, *, is_deferred: bool) -> None:
-        """Respond with the result, or after ``wait_s`` seconds that the result is pending."""
+        """Respond with the result, or with the pending state after ``wait_s`` seconds."""
         if deferred_call.result is not None:
             self._respond_with_result(deferred_call)
             return
@@ -157,11 +157,11 @@
             self.respond(pending_response(deferred_call))
 
     def _respond_with_result(self, deferred_call: DeferredCall) -> None:
-        if deferred_call.result is None:  # it was cancelled while this request waited
+        if deferred_call.result is None:  # the call was cancelled while this request waited
             self.respond(problem_response(404, "the call was given up"))
             return
         deferred_call.is_collected = True
-        self.respond(render_answer(deferred_call.result))
+        self.respond(render_call_result(deferred_call.result))
 
     def _stop_waiting(self) -> None:
         if self._wait_timer is not None:
--- a/cedarthread/protocols/platform/calls.py
+++ b/cedarthread/protocols/platform/calls.py
@@ -1,4 +1,4 @@
-"""The open calls of one platform connection: submits requests as calls, responds with their results."""
+"""The open calls of one platform connection: submits requests as calls and responds with their results."""
 
 from __future__ import annotations
 
@@ -7,7 +7,12 @@
 from typing import TYPE_CHECKING
 
 from cedarthread.dispatch.calls import Call, CallResult
-from cedarthread.protocols.platform.codec import encode_answer, encode_bad_request, encode_health, parse_call
+from cedarthread.protocols.platform.codec import (
+    encode_bad_request,
+    encode_call_result,
+    encode_health,
+    parse_call,
+)
 
 if TYPE_CHECKING:
     from cedarthread.protocols.platform.owners import CallConnection
@@ -31,7 +36,7 @@
         self.open: dict[int, Call] = {}  # by message id
 
     def handle_message(self, message: object) -> bool:
-        """Process one message; False if it is invalid and has no message id for a response."""
+        """Process one message; return False if it is invalid and has no message id for a response."""
         match message:
             case [0, int(message_id), str(method), list(params)] if _is_message_id(message_id):
                 return self._handle_request(message_id, method, params)
@@ -45,8 +50,8 @@
 
     def _handle_request(self, message_id: int, method: str, params: list[object]) -> bool:
         if message_id in self.open:
-            return False  # the client would take an error with this id for the response of the open call
-        # A class may have the name of the health check. Only a call has a body.
+            return False  # the client would mistake an error with this id for the response to the open call
+        # A class may have the same name as the health check. Only a call has a body.
         if method == "check" and len(params) < CALL_PARAMETERS:
             self.connection.write(encode_health(message_id, is_ready=self.server.is_ready))
             return True
@@ -66,7 +71,7 @@
 
     def _submit(self, message_id: int, call: Call) -> None:
         dispatcher = self.server.dispatcher
-        call.on_result = partial(self._send_answer, message_id)
+        call.on_result = partial(self._send_call_result, message_id)
         # The first limit bounds memory when clients read slowly; the second protects clients from a flood.
         if self.server.queued_bytes > self.server.max_queued_bytes or len(self.open) >= MAX_OPEN_CALLS:
             dispatcher.reject_call(call)
@@ -77,18 +82,18 @@
         if self.connection.is_half_closed:
             dispatcher.client_closing(call)
 
-    def _send_answer(self, message_id: int, result: CallResult) -> None:
+    def _send_call_result(self, message_id: int, result: CallResult) -> None:
         self.open.pop(message_id, None)
         if not self.connection.is_closed:
-            self.connection.write(encode_answer(message_id, result))
+            self.connection.write(encode_call_result(message_id, result))
 
     def on_client_closing(self) -> None:
-        """Reject calls without an attempt in flight, because the client has closed its sending side."""
+        """Reject the calls without an attempt in flight, because the client has closed its sending side."""
         for call in list(self.open.values()):
             self.server.dispatcher.client_closing(call)
 
     def fail_all(self) -> None:
-        """Fail the open calls, so that each gets its response."""
+        """Fail the open calls, so that each gets a response."""
         for call in list(self.open.values()):
             self.server.dispatcher.fail_call(call)
 
--- a/cedarthread/protocols/worker/connection.py
+++ b/cedarthread/protocols/worker/connection.py
@@ -23,22 +23,24 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ABANDONED_IDS = 512  # per connection; with more, it accepts no requests and the next sweep closes it
+MAX_ABANDONED_IDS = 512  # per connection; with more, no request is accepted and the next sweep closes it
 
 
 class WorkerConnection(BufferedConnection):
     """One connection to a worker. It owns the requests in flight on it and the lines queued for it."""
 
-    # asyncio pauses writing above this limit. With 0, each line is passed on only after the line before was
-    # written, so the written bytes are always known.
+    # asyncio pauses writing above this limit. With 0, each line is passed on only after the previous line was
+    # written, so the number of written bytes is always known.
     high_water = 0
 
     def __init__(self, pool: ConnectionPool[WorkerConnection]) -> None:
-        self.workers = pool.worker_connections
-        self.dispatcher = self.workers.dispatcher
-        super().__init__(MAX_LINE_BYTES, self.workers.flusher)
+        self.worker_connections = pool.worker_connections
+        self.dispatcher = self.worker_connections.dispatcher
+        super().__init__(MAX_LINE_BYTES, self.worker_connections.flusher)
         self.pool = pool
-        self.lines = LineQueue(self.dispatcher.count_attempt_written, self.workers.on_first_byte)
+        self.line_queue = LineQueue(
+            self.dispatcher.count_attempt_written, self.worker_connections.on_first_byte
+        )
         self.in_flight: dict[str, WorkerRequest] = {}  # by message id
         self.abandoned_ids: set[str] = set()  # never used again: a late response must not end another request
         self.is_retired = False  # it accepts no more requests
@@ -49,24 +51,27 @@
         self.created_at_ms = self.dispatcher.clock()
 
     def can_accept(self, message_id: str) -> bool:
-        """Return whether another request, of this id, may be sent on this connection."""
+        """Return whether another request, with this id, may be sent on this connection."""
         if self.is_retired or self.is_closed:
             return False
         if message_id in self.in_flight or message_id in self.abandoned_ids:
             return False
         if self.transport is not None and self.transport.is_closing():
             return False
-        if not self.in_flight and self._loop.time() - self.last_used_at > self.workers.idle_limit_s():
+        if (
+            not self.in_flight
+            and self._loop.time() - self.last_used_at > self.worker_connections.idle_limit_s()
+        ):
             # A sweep is overdue, for example after a stall: the worker may have closed the connection.
             return False
-        return len(self.in_flight) < self.workers.settings.limits.max_attempts_per_connection
+        return len(self.in_flight) < self.worker_connections.settings.limits.max_attempts_per_connection
 
     def is_idle(self) -> bool:
-        """Return whether the connection is established, with nothing in flight and nothing to write."""
-        return self.transport is not None and not (self.in_flight or self.lines or self.is_write_paused)
+        """Return whether the connection is established, has nothing in flight and nothing to write."""
+        return self.transport is not None and not (self.in_flight or self.line_queue or self.is_write_paused)
 
     def send_attempt(self, attempt: Attempt) -> None:
-        """Queue an attempt. Its line has the remaining time, so it is encoded when it is written."""
+        """Queue an attempt. Its line states the remaining time, so it is encoded when it is written."""
         self.send_request(b"", attempt)
 
     def send_request(self, line: bytes, request: WorkerRequest) -> None:
@@ -82,12 +87,12 @@
 
     def _append(self, line: OutboundLine) -> None:
         self.last_used_at = self._loop.time()
-        self.lines.append(line)
+        self.line_queue.append(line)
         self.schedule_flush()
 
     def withdraw(self, request: WorkerRequest) -> bool:
-        """Remove a request that has not been passed to the transport; False if it has been."""
-        if not self.lines.remove(request):
+        """Remove a request that has not been passed to the transport; return False if it has been."""
+        if not self.line_queue.remove(request):
             return False
         self.in_flight.pop(message_id_of(request), None)
         return True
@@ -95,7 +100,7 @@
     def withdraw_and_end(self, request: WorkerRequest) -> None:
         """Withdraw a request and end it as not sent; do nothing if it has been passed to the transport."""
         if self.withdraw(request):
-            self.workers.on_unsent(request)
+            self.worker_connections.on_unsent(request)
 
     def abandon(self, message_id: str) -> None:
         """Ignore the response to a request, and never use its id on this connection again."""
@@ -120,30 +125,30 @@
         if self.connect_timeout is not None and not self.connect_timeout.expired():
             # Disable the timeout, which could expire later in this iteration while a call is being written.
             self.connect_timeout.reschedule(None)
-        self.lines.on_connected()
+        self.line_queue.on_connected()
         self._withdraw_overdue()
         self.schedule_flush()
 
     def _withdraw_overdue(self) -> None:
         """Withdraw queued attempts that are past their write deadline."""
         now_ms = self.dispatcher.clock()
-        for request in self.lines.requests():
+        for request in self.line_queue.requests():
             if isinstance(request, Attempt) and now_ms > request.write_deadline_ms:
                 self.withdraw_and_end(request)
 
     def flush(self) -> None:
         """Pass queued lines to the transport and record how much of them was written."""
         self._is_flush_scheduled = False
-        if not self.lines.queued or self.is_write_paused or self.transport is None or self.is_closed:
+        if not self.line_queue.queued or self.is_write_paused or self.transport is None or self.is_closed:
             return
         if self.transport.is_closing():
             return
-        is_holding = not self.workers.may_send()
-        if is_holding and self.lines.requests():
-            self.workers.hold(self)
-        self._write_lines(self.transport, is_holding=is_holding)
+        without_requests = not self.worker_connections.may_send()
+        if without_requests and self.line_queue.requests():
+            self.worker_connections.hold(self)
+        self._write_lines(self.transport, without_requests=without_requests)
 
-    def _write_lines(self, transport: asyncio.Transport, *, is_holding: bool) -> None:
+    def _write_lines(self, transport: asyncio.Transport, *, without_requests: bool) -> None:
         """Write line by line until the socket accepts only a part of one.
 
         A line in the transport's buffer cannot be withdrawn: it would be written whenever the worker reads
@@ -151,20 +156,20 @@
 
         Args:
             transport: The established transport.
-            is_holding: Write only lines that carry no request.
+            without_requests: Write only the lines that carry no request.
         """
-        while (line := self.lines.next_line(without_requests=is_holding)) is not None:
+        while (line := self.line_queue.next_line(without_requests=without_requests)) is not None:
             if line.request is not None and not self._may_write(line.request):
                 self.withdraw_and_end(line.request)
                 continue
             if not line.data and isinstance(line.request, Attempt):
-                line.data = self.workers.encode_attempt(line.request)
-            self.lines.take(line)
+                line.data = self.worker_connections.encode_attempt(line.request)
+            self.line_queue.dequeue(line)
             transport.write(line.data)
             if transport.is_closing():  # the write failed at once, before its first byte
                 return
             unwritten_bytes = transport.get_write_buffer_size()
-            self.lines.on_handed_over(line, len(line.data) - unwritten_bytes)
+            self.line_queue.on_passed_to_transport(line, len(line.data) - unwritten_bytes)
             if unwritten_bytes or self.is_write_paused:
                 return
 
@@ -176,12 +181,12 @@
 
     def refresh_progress(self) -> None:
         """Record which of the buffered lines have been written by now."""
-        if self.transport is not None and self.lines.buffered:
-            self.lines.on_drained_to(self.transport.get_write_buffer_size())
+        if self.transport is not None and self.line_queue.buffered:
+            self.line_queue.on_write_buffer_size(self.transport.get_write_buffer_size())
 
     def resume_writing(self) -> None:
         """Continue after the transport's buffer was written (called by asyncio)."""
-        self.lines.on_all_written()
+        self.line_queue.on_all_written()
         self._withdraw_overdue()
         super().resume_writing()
 
@@ -196,14 +201,14 @@
         return start
 
     def _handle_response(self, message: dict[str, Any]) -> bool:
-        """Process a response; False if it is malformed. Ignore a response whose id is not in flight."""
+        """Process a response; return False if it is malformed. Ignore one whose id is not in flight."""
         self.last_used_at = self._loop.time()
         message_id = message.get("id")
         if not isinstance(message_id, str):
             return False
         request = self.in_flight.get(message_id)
         if isinstance(request, Attempt):
-            result = parse_call_response(message, self.workers.settings.load_report_columns)
+            result = parse_call_response(message, self.worker_connections.settings.load_report_columns)
             if result is None:
                 return False
             del self.in_flight[message_id]
@@ -211,10 +216,10 @@
                 # A duplicate of this response must not end a later attempt of the same call.
                 self._add_abandoned_id(message_id)
             request.progress = Progress.RESPONSE_STARTED
-            self.workers.on_call_response(request, result)
+            self.worker_connections.on_call_response(request, result)
         elif request is not None:
             del self.in_flight[message_id]
-            self.workers.on_preload_response(request, message)
+            self.worker_connections.on_preload_response(request, message)
         return True
 
     def _add_abandoned_id(self, message_id: str) -> None:
@@ -222,14 +227,14 @@
         self.is_retired = self.is_retired or len(self.abandoned_ids) > MAX_ABANDONED_IDS
 
     def on_invalid_input(self) -> None:
-        """Abort after malformed input; the requests in flight end by their progress."""
+        """Abort after malformed input; the outcome of each request in flight follows from its progress."""
         log.warning(format_event("worker_response_invalid", worker=self.pool.endpoint.name))
         self.abort()
 
     def eof_received(self) -> bool:
-        """Abort after the worker closed its end, because no response can follow (called by asyncio).
+        """Abort after the worker closed its sending side, because no response can follow (called by asyncio).
 
-        A close would wait until the buffer is written, and the worker may not read it.
+        A graceful close would wait until the buffer is written, and the worker may not read it.
         """
         self._log_truncated_response()
         self.abort()
@@ -248,32 +253,32 @@
 
     def on_disconnected(self) -> None:
         """End every request in flight on this connection."""
-        self.lines.on_disconnected()
+        self.line_queue.on_disconnected()
         self.pool.remove(self)
         requests = self.in_flight
         self.in_flight = {}
         for request in requests.values():
             if self.is_local_failure:
-                self.workers.on_unsent(request)
+                self.worker_connections.on_unsent(request)
             else:
-                self.workers.on_connection_broken(request, is_unreachable=self.is_unreachable)
+                self.worker_connections.on_connection_broken(request, is_unreachable=self.is_unreachable)
 
     def abort_if_unwritten(self, lines: list[OutboundLine]) -> None:
         """Abort if one of these lines is not completely written."""
         self.refresh_progress()
-        if not self.is_closed and any(line in self.lines.buffered for line in lines):
+        if not self.is_closed and any(line in self.line_queue.buffered for line in lines):
             self.abort()
 
-    def close_empty(self) -> None:
+    def close_unused(self) -> None:
         """Close a connection without requests in flight.
 
-        A connection that is being established, or whose worker does not read, is aborted, because a close
-        would wait.
+        A connection that is being established, or whose worker is not reading, is aborted, because a graceful
+        close would wait.
         """
         self.abort() if self.transport is None or self.is_write_paused else self.close()
 
     def abort(self) -> None:
-        """Close at once, also a connection that is being established."""
+        """Close immediately, even if the connection is still being established."""
         self.is_retired = True
         if self.transport is not None:
             super().abort()
--- a/cedarthread/testing/fuzzing/defective_calls.py
+++ b/cedarthread/testing/fuzzing/defective_calls.py
@@ -33,7 +33,7 @@
     from cedarthread.routing.records import PendingRequest, WorkerRecord
     from cedarthread.routing.retries import RetryPolicy
 
-_send_answer = PlatformCalls._send_answer
+_send_call_result = PlatformCalls._send_call_result
 _mark_completed = CallTable.mark_completed
 _start_attempt = ActionExecutor._start_attempt
 _may_preload = PreloadPolicy.may_preload
@@ -42,9 +42,9 @@
 
 def send_failure_twice(self: PlatformCalls, number: int, answer: CallResult) -> None:
     """Answer a failed call twice."""
-    _send_answer(self, number, answer)
+    _send_call_result(self, number, answer)
     if isinstance(answer, CallFailed):
-        _send_answer(self, number, answer)
+        _send_call_result(self, number, answer)
 
 
 def retain_call_id(self: CallTable, call: Call) -> None:
@@ -116,18 +116,18 @@
     )
 
 
-def write_all_lines(self: WorkerConnection, transport: asyncio.Transport, *, is_holding: bool) -> None:
+def write_all_lines(self: WorkerConnection, transport: asyncio.Transport, *, without_requests: bool) -> None:
     """Write all queued lines without waiting for the peer to accept the one before."""
-    while (line := self.lines.next_line()) is not None:
+    while (line := self.line_queue.next_line()) is not None:
         if line.request is not None and not self._may_write(line.request):
             self.withdraw_and_end(line.request)
             continue
-        line.data = line.data or self.workers.encode_attempt(cast("Attempt", line.request))
-        self.lines.take(line)
+        line.data = line.data or self.worker_connections.encode_attempt(cast("Attempt", line.request))
+        self.line_queue.dequeue(line)
         buffered_bytes = transport.get_write_buffer_size()
         transport.write(line.data)
         unwritten_bytes = transport.get_write_buffer_size() - buffered_bytes
-        self.lines.on_handed_over(line, len(line.data) - unwritten_bytes)
+        self.line_queue.on_passed_to_transport(line, len(line.data) - unwritten_bytes)
 
 
 def abandon_calls_and_close(self: PlatformConnection) -> None:
--- a/tests/integration/test_platform.py
+++ b/tests/integration/test_platform.py
@@ -9,7 +9,7 @@
 
 from cedarthread.dispatch.calls import CallSucceeded
 from cedarthread.model.endpoints import EndpointState
-from cedarthread.protocols.platform.codec import encode_answer
+from cedarthread.protocols.platform.codec import encode_call_result
 from cedarthread.testing.fakes.scripted import (
     ScriptedWorker,
     answer_with,
@@ -147,7 +147,7 @@
             pool = next(pool for pool in running.workers.pools.values() if pool.connections)
             pool.connections[0].is_write_paused = True  # as after a write that the socket does not accept
             caller.writer.write(pack_call(2, "confirm", b"x"))
-            while not pool.connections[0].lines.queued:
+            while not pool.connections[0].line_queue.queued:
                 await asyncio.sleep(0)
             slow, other = (first, second) if pool.endpoint.port == first.port else (second, first)
             records = [
@@ -212,7 +212,7 @@
         worker = ScriptedWorker(serve_long)
         async with service(worker) as running, client(running) as caller:
             caller.writer.write(pack_call(1, "confirm", b"x"))
-            response = encode_answer(1, CallSucceeded(b"L" * 230_000))  # longer than a client may send
+            response = encode_call_result(1, CallSucceeded(b"L" * 230_000))  # longer than a client may send
             async with asyncio.timeout(10):
                 received = await caller.reader.read(len(response))
                 while len(received) < len(response) and (more := await caller.reader.read(len(response))):
--- a/tests/unit/protocols/invoke/test_config.py
+++ b/tests/unit/protocols/invoke/test_config.py
@@ -39,26 +39,26 @@
 
 
 @pytest.mark.parametrize("missing", VALID_LINES)
-def test_a_missing_key_is_named(missing: str) -> None:
+def test_an_error_names_the_missing_key(missing: str) -> None:
     lines = {key: value for key, value in VALID_LINES.items() if key != missing}
     with pytest.raises(ValueError, match=f'^missing required key "{missing}"$'):
         parse(lines)
 
 
-def test_a_missing_table_is_named() -> None:
+def test_an_error_names_the_missing_table() -> None:
     assert error_message(b"") == 'missing required key "invoke"'
 
 
 @pytest.mark.parametrize(
     ("key", "value", "message"),
     [
-        ("listen", '"nowhere"', "'nowhere' is no host:port"),
-        ("listen", '"127.0.0.1:65536"', "'127.0.0.1:65536' is no host:port"),
+        ("listen", '"nowhere"', "'nowhere' is not an address of the form host:port"),
+        ("listen", '"127.0.0.1:65536"', "'127.0.0.1:65536' is not an address of the form host:port"),
         ("allow", "7", 'key "allow" takes a list of SPIFFE IDs'),
         (
             "allow",
             '["spiffe://other.example/desk/*"]',
-            "allow: spiffe://other.example/desk/* is no SPIFFE ID of gaz.example",
+            "allow: spiffe://other.example/desk/* is not a SPIFFE ID of trust domain gaz.example",
         ),
         ("connections", '"many"', 'key "connections" takes a whole number'),
         ("connections", "[]", 'key "connections" takes a whole number'),
@@ -67,7 +67,7 @@
         ("connections", "65536", "connections takes 1 to 65535, not 65536"),
     ],
 )
-def test_a_value_of_a_wrong_type_or_out_of_range_is_named(key: str, value: str, message: str) -> None:
+def test_an_error_names_a_value_of_a_wrong_type_or_out_of_range(key: str, value: str, message: str) -> None:
     with pytest.raises(ValueError, match=f"^{re.escape(message)}$"):
         parse(VALID_LINES | {key: value})
 
