--- a/cedarthread/dispatch/calls.py
+++ b/cedarthread/dispatch/calls.py
@@ -153,7 +153,7 @@
         """Send an attempt, and report its end by ``Dispatcher.attempt_ended``."""
 
     def refresh_progress(self, attempt: Attempt) -> None:
-        """Update ``attempt.progress`` to the bytes written so far."""
+        """Update ``attempt.progress`` from the number of bytes written so far."""
 
     def withdraw_unsent(self, attempt: Attempt) -> None:
         """End the attempt if none of its bytes have been sent; otherwise do nothing."""
--- a/cedarthread/dispatch/completion.py
+++ b/cedarthread/dispatch/completion.py
@@ -160,7 +160,7 @@
         self._deadlines.schedule(self._context.clock() + OVERDUE_GRACE_MS, call)
 
     def complete_overdue(self, call: Call) -> None:
-        """Complete a call that is still pending after the grace period, for example if the router raised."""
+        """Complete a call that is still pending after the grace period, for example after a router fault."""
         self.complete_locally(call, timed_out=True)
 
     def _deliver(self, call: Call, result: CallResult) -> None:
@@ -184,10 +184,11 @@
             self._context.call_at(call.deadline_ms, self._cancel_abandoned_attempts, call)
 
     def _cancel_abandoned_attempts(self, call: Call) -> None:
-        """Cancel the attempts of a completed or abandoned call at its deadline, if CANCEL is forbidden.
+        """End the attempts of a completed or abandoned call that are still in flight at its deadline.
 
-        The transport then ends the attempts without sending CANCEL. Otherwise an attempt on a worker that
-        never responds would occupy its connection, and count as in flight, for the lifetime of the process.
+        This is only scheduled if the settings forbid CANCEL; the transport then ends the attempts without
+        sending it. Otherwise an attempt on a worker that never responds would occupy its connection, and
+        count as in flight, for the lifetime of the process.
         """
         for attempt in call.attempts:
             if not attempt.is_ended:
--- a/cedarthread/dispatch/deferred.py
+++ b/cedarthread/dispatch/deferred.py
@@ -1,6 +1,8 @@
-"""The store of deferred calls and their results, which are retained for a limited time.
+"""The store of calls whose results are retained for a limited time, so that clients can fetch them later.
 
-The number and total size of the stored calls are limited. Only ``DeferredCalls`` adds and removes calls.
+The client fetches the result of a deferred call by the id of the call. A synchronous call with an idempotency
+key is stored too, for retries with the same key. The number and total size of the stored calls are limited.
+Only ``DeferredCalls`` adds and removes calls.
 """
 
 from __future__ import annotations
@@ -32,7 +34,7 @@
 
 @dataclass(eq=False, slots=True)
 class DeferredCall:
-    """Deferred call, with its result after completion."""
+    """Stored call, deferred or synchronous, with its result after completion."""
 
     call_id: str  # random; the owner fetches the result by this id
     owner: str  # identity of the client
@@ -42,13 +44,14 @@
     result: CallResult | None = None
     completed_at_s: float = 0.0
     size_bytes: int = 0  # reserved for the result; after completion, the size of the result body
-    is_collected: bool = False
+    is_collected: bool = False  # the result has been passed to the owner's connection
     retention_s: float = 0.0  # time from completion until the result is evicted
-    waiters: list[Callable[[], None]] = field(default_factory=list)  # called once, on completion
+    # Each is called once, on completion or cancellation.
+    waiters: list[Callable[[], None]] = field(default_factory=list)
 
 
 class DeferredCalls:
-    """Store of all deferred calls of the process.
+    """Store of all calls of the process whose results are retained.
 
     Results are evicted when their retention time has passed. Pending calls are never evicted.
 
@@ -136,5 +139,5 @@
                 self.remove(entry)
 
     def has_uncollected(self) -> bool:
-        """Return whether any stored call has not been collected by its owner."""
+        """Return whether the owner of any stored call has not fetched the result yet."""
         return any(not entry.is_collected for entry in self._calls_by_id.values())
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -172,7 +172,7 @@
         self.counters.count_accepted()
 
     def fail_call(self, call: Call) -> None:
-        """Fail a call whose client has sent invalid input since; the client still gets the result."""
+        """Fail a pending call because its client has sent invalid input; the client still gets the result."""
         self.completion.fail(call)
 
     def abandon_call(self, call: Call) -> None:
--- a/cedarthread/dispatch/stall_hold.py
+++ b/cedarthread/dispatch/stall_hold.py
@@ -2,16 +2,16 @@
 
 A process that was stopped, or that got no CPU time, has unread calls and responses in its sockets and an
 endpoint list from before the stall. It could send requests to workers that were drained during the stall.
-Therefore the process first polls discovery and waits for the reply. The wait is limited, because discovery
-may be down. Times are in seconds on the event loop's clock. The module does no I/O. Only ``StallSuspension``
-modifies its state.
+Therefore the process first sends a discovery query and waits for the reply. The wait is limited, because
+discovery may be down. Times are in seconds on the event loop's clock. The module does no I/O. Only
+``StallSuspension`` modifies its state.
 """
 
 from __future__ import annotations
 
 import math
 
-STALL_GRACE_FRACTION = 0.3  # fraction of the drain grace; a poll that is later than this proves a stall
+STALL_GRACE_FRACTION = 0.3  # fraction of the drain grace; a query that is later than this proves a stall
 MAX_SUSPENSION_GRACE_FRACTION = 0.2  # fraction of the drain grace; maximum duration of a suspension
 
 
@@ -23,11 +23,11 @@
         self._suspended_until_s = -math.inf
 
     def start_if_stalled(self, now_s: float, query_due_at_s: float, drain_grace_s: float) -> float | None:
-        """Start a suspension if a discovery poll is late enough to prove a stall.
+        """Start a suspension if a discovery query is late enough to prove a stall.
 
         Args:
             now_s: The current time.
-            query_due_at_s: When the discovery poll was due.
+            query_due_at_s: When the discovery query was due.
             drain_grace_s: How long requests may still be sent to a draining worker.
 
         Returns:
