--- a/cedarthread/fleet_config.py
+++ b/cedarthread/fleet_config.py
@@ -17,6 +17,9 @@
     from collections.abc import Sequence
     from pathlib import Path
 
+# The kinds of placement changes that a freeze window may forbid, in this order: a call loads its function at
+# a worker, a worker preloads a function, a worker unloads a function, other workers become the home workers
+# of a function, and new settings change where instances are placed.
 FrozenAction = Literal["first-copy", "order", "unload", "homes", "retune"]
 # The longest freeze window, and the most by which a deviating wall clock may extend one.
 MAX_WINDOW_SECONDS = 12 * 3600.0
@@ -36,8 +39,8 @@
     """Parameters of the replicated store; times are in ms."""
 
     period: float = 400.0  # between two sync requests of a router
-    fresh: float = 0.0  # freshness window; 0: computed by the formula in the design page
-    clock_rate: float = 0.001  # fraction by which a steady clock may run fast or slow
+    fresh: float = 0.0  # freshness window; 0: computed by the formula in docs/design/replication.md
+    clock_rate: float = 0.001  # fraction by which a monotonic clock may run fast or slow
     clock_error: float = 500.0  # maximum difference between wall clocks
 
 
@@ -56,7 +59,7 @@
 
 
 class OverloadConfig(_StrictSection, frozen=True):
-    """Overload thresholds as fractions of the fleet's capacity, and how long in s each must be crossed."""
+    """Overload thresholds as fractions of the fleet's capacity; each must stay crossed for ``dwell`` s."""
 
     onset: float = 1.1
     end: float = 0.9
@@ -84,7 +87,7 @@
     end: datetime
     author: str
     reason: str
-    rooms: tuple[str, ...] = ()
+    rooms: tuple[str, ...] = ()  # names of zones
     functions: tuple[str, ...] = ()  # ids of 16 hexadecimal digits
     tenants: tuple[str, ...] = ()
     frozen: tuple[FrozenAction, ...] = ("first-copy", "order", "unload", "homes", "retune")
@@ -94,7 +97,7 @@
 class RevocationConfig(_StrictSection, frozen=True):
     """The declaration that ends a freeze window early."""
 
-    freeze: str
+    freeze: str  # the id of the window
     author: str
     reason: str
 
@@ -102,7 +105,7 @@
 class BreakGlassConfig(_StrictSection, frozen=True):
     """The declaration that lifts a freeze window until ``end``; author and reason are logged."""
 
-    freeze: str
+    freeze: str  # the id of the window
     author: str
     reason: str
     end: datetime
--- a/cedarthread/lifecycle/freshness_gate.py
+++ b/cedarthread/lifecycle/freshness_gate.py
@@ -18,12 +18,14 @@
 
 log = logging.getLogger(__name__)
 
-MIN_STALL_S = 0.05  # a query delayed by more than this indicates a stall, not one long loop iteration
+# A query delayed by more than this indicates a stall, not one long loop iteration. ``input_delay_ms`` then
+# returns the delay; whether the gate closes too, ``StallSuspension`` decides by the drain grace.
+MIN_STALL_S = 0.05
 BACKLOG_READ_WINDOW_S = 0.03  # time after a stall within which all input that waited in sockets is read
 
 
 class FreshnessGate:
-    """A ``SendGate`` that closes when a discovery query is overdue, which indicates a stall of the process.
+    """A ``SendGate`` that closes when a discovery query is so late that the process must have stalled.
 
     After a stall the endpoint list may lack a recent drain, so that a request could be sent to a worker that
     has already terminated. The gate reopens when discovery has confirmed the list, or after a fraction of the
@@ -62,7 +64,7 @@
         return not self._suspension.is_active(now_s)
 
     def on_poll_due(self, due_at_s: float) -> None:
-        """Close the gate if the regular query that is sent next is overdue."""
+        """Close the gate if the regular query that is sent next is late enough to prove a stall."""
         self._close_if_stalled(due_at_s)
 
     def input_delay_ms(self) -> float:
@@ -76,7 +78,11 @@
         return 0.0
 
     def _close_if_stalled(self, due_at_s: float) -> bool:
-        """Close the gate if the query due at ``due_at_s`` is overdue; return whether the gate was closed."""
+        """Record a stall, and close the gate, if the query due at ``due_at_s`` is late enough for each.
+
+        Returns:
+            Whether the gate was closed now; False if it already was closed.
+        """
         now_s = self._loop.time()
         if now_s > due_at_s + MIN_STALL_S:
             self._stalled_since_s = due_at_s
--- a/cedarthread/lifecycle/shutdown.py
+++ b/cedarthread/lifecycle/shutdown.py
@@ -20,7 +20,7 @@
 log = logging.getLogger(__name__)
 
 SHUTDOWN_GRACE_S = 0.75  # after SIGTERM, during which new calls are still accepted
-# Longer deadlines are capped to this value, because the earliest SIGKILL does not wait for them.
+# Longer deadlines are capped to this value, because the platform may send SIGKILL before they have passed.
 MAX_SHUTDOWN_DEADLINE_S = 3.0
 # Time from the longest deadline until every call is complete, which is half a second before SIGKILL.
 SHUTDOWN_COMPLETION_SLACK_S = 0.2
@@ -31,6 +31,8 @@
 async def shut_down(parts: ServiceParts, state: ServiceState, log_counts: Callable[[], None]) -> None:
     """Report not ready, complete every accepted call, and return when the last result has been sent.
 
+    If calls are still pending, or results unsent, at the time limit, return then.
+
     Args:
         parts: The parts to drain and close.
         state: The service state, which contains the settings, the socket for other routers and the store.
--- a/tests/unit/lifecycle/test_freshness_gate.py
+++ b/tests/unit/lifecycle/test_freshness_gate.py
@@ -1,4 +1,4 @@
-"""The freshness gate, which closes when a discovery query is overdue and opens when the list is fresh."""
+"""The freshness gate, which closes when a discovery query is late by a stall and opens on a fresh list."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from collections.abc import Callable
 
 DRAIN_GRACE_S = 0.5
-STALL_S = 0.2  # longer than the fraction of the drain grace after which a query is overdue
+STALL_S = 0.2  # longer than the fraction of the drain grace by which a late query closes the gate
 POLL_DELAY_S = 0.01
 
 
