--- a/cedarthread/dispatch/call_table.py
+++ b/cedarthread/dispatch/call_table.py
@@ -29,7 +29,7 @@
         self.pending_ids: set[str] = set()  # ``Call.call_id`` of each pending call
         self.pending_body_bytes = 0
         self.max_body_bytes = max_body_bytes
-        self.completing: dict[int, Call] = {}  # by request id
+        self.completed: dict[int, Call] = {}  # by request id; removed when their attempts have ended
 
     def is_full(self, max_pending_calls: int) -> bool:
         """Return whether new calls must be rejected."""
@@ -42,8 +42,8 @@
         self.pending_body_bytes += len(call.body)
 
     def find(self, request_id: int) -> Call | None:
-        """Return the pending or completing call with this id, or None if the table does not contain it."""
-        return self.pending.get(request_id) or self.completing.get(request_id)
+        """Return the pending or completed call with this id, or None if the table does not contain it."""
+        return self.pending.get(request_id) or self.completed.get(request_id)
 
     def mark_completed(self, call: Call) -> None:
         """Mark a pending call as complete; it stays in the table until ``remove_completed`` removes it."""
@@ -51,13 +51,13 @@
         self.pending_body_bytes -= len(call.body)
         self.pending_ids.discard(call.call_id)
         del self.pending[call.request_id]
-        self.completing[call.request_id] = call
+        self.completed[call.request_id] = call
 
     def remove_completed(self) -> None:
         """Remove completed calls that have no attempt in flight."""
-        for call in list(self.completing.values()):
+        for call in list(self.completed.values()):
             if all(attempt.is_ended for attempt in call.attempts):
-                del self.completing[call.request_id]
+                del self.completed[call.request_id]
                 # A call and its attempts form a reference cycle. Break the cycle, because otherwise the call
                 # and its body stay in memory until the next garbage collection, thousands of calls later.
                 call.attempts.clear()
--- a/cedarthread/dispatch/clock.py
+++ b/cedarthread/dispatch/clock.py
@@ -9,7 +9,7 @@
     from collections.abc import Callable
 
 
-def steady_unix_clock_ms() -> Callable[[], float]:
+def monotonic_unix_clock_ms() -> Callable[[], float]:
     """Return a clock that starts at the current Unix time in ms and advances with the monotonic clock.
 
     Steps of the wall clock do not affect this clock. Otherwise calls would wait an hour past their deadlines
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -14,7 +14,7 @@
 
 from cedarthread.dispatch.actions import ActionExecutor
 from cedarthread.dispatch.call_table import DEFAULT_MAX_BODY_BYTES, CallTable
-from cedarthread.dispatch.clock import steady_unix_clock_ms, wall_clock_ms
+from cedarthread.dispatch.clock import monotonic_unix_clock_ms, wall_clock_ms
 from cedarthread.dispatch.completion import CallCompletion
 from cedarthread.dispatch.context import DispatchContext
 from cedarthread.dispatch.deadlines import CallDeadlines
@@ -67,7 +67,7 @@
         flush_output: Callable[[], None] = lambda: None,
         send_gate: SendGate = OPEN_SEND_GATE,
     ) -> None:
-        self.context = DispatchContext(settings, clock or steady_unix_clock_ms())
+        self.context = DispatchContext(settings, clock or monotonic_unix_clock_ms())
         self.node = RoutingNode(settings, seed, incarnation)
         self.router = self.node.router
         self.flush_output = flush_output
--- a/cedarthread/testing/fuzzing/model_run.py
+++ b/cedarthread/testing/fuzzing/model_run.py
@@ -180,7 +180,7 @@
         router = self.dispatcher.router
         now_ms = self.loop.unix_ms()
         calls = dispatcher.calls
-        open_calls = len(dispatcher.pending_calls) + len(calls.pending_ids) + len(calls.completing)
+        open_calls = len(dispatcher.pending_calls) + len(calls.pending_ids) + len(calls.completed)
         requests = len(router.pending_requests) + len(router.queued_requests) + len(router.orphaned_attempts)
         worker_loads = sum(abs(worker.in_flight) for worker in router.workers.values())
         loads = abs(router.state.functions.preloads_in_flight) + worker_loads
--- a/cedarthread/testing/fuzzing/router_under_test.py
+++ b/cedarthread/testing/fuzzing/router_under_test.py
@@ -175,7 +175,7 @@
             ("open calls", len(dispatcher.pending_calls)),
             ("names", len(calls.pending_ids)),
             ("bytes of bodies", abs(calls.pending_body_bytes)),
-            ("settled calls", len(calls.completing)),
+            ("settled calls", len(calls.completed)),
             ("attempts carried", len(self.worker_connections._connection_by_attempt)),
             ("bytes of answers", abs(self.platform.queued_bytes)),
             ("calls open in the decisions", len(router.pending_requests) + len(router.queued_requests)),
--- a/tests/integration/termination_harness.py
+++ b/tests/integration/termination_harness.py
@@ -88,7 +88,7 @@
     dispatcher = running.dispatcher
     return {
         "pending calls": dispatcher.pending_calls,
-        "completing calls": dispatcher.calls.completing,
+        "completed calls": dispatcher.calls.completed,
         "pending call ids": dispatcher.calls.pending_ids,
         "pending body bytes": dispatcher.calls.pending_body_bytes,
         "queued events": dispatcher._event_queue,
--- a/tests/integration/test_termination_accounting.py
+++ b/tests/integration/test_termination_accounting.py
@@ -265,7 +265,7 @@
                 await wait_until(lambda: running.dispatcher.pending_calls, "the call is pending")
                 caller.writer.write(INTERRUPT_PREFIX + bytes((number,)))
                 await wait_until(
-                    lambda: not running.dispatcher.pending_calls and not running.dispatcher.calls.completing,
+                    lambda: not running.dispatcher.pending_calls and not running.dispatcher.calls.completed,
                     "the call has ended",
                 )
             [view] = running.dispatcher.router.workers.values()
--- a/tests/unit/dispatch/test_call_table.py
+++ b/tests/unit/dispatch/test_call_table.py
@@ -1,4 +1,4 @@
-"""The table of pending and completing calls."""
+"""The table of pending and completed calls."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     call.attempts[0].is_ended = True
     calls.remove_completed()
     assert calls.find(1) is None
-    assert not calls.completing
+    assert not calls.completed
 
 
 def test_a_removed_call_is_freed_without_the_garbage_collector() -> None:
--- a/tests/unit/dispatch/test_clock.py
+++ b/tests/unit/dispatch/test_clock.py
@@ -11,12 +11,14 @@
     import pytest
 
 
-def test_a_step_of_the_wall_clock_does_not_change_the_steady_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_step_of_the_wall_clock_does_not_change_the_monotonic_clock(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     wall_s = [1_760_000_000.0]
     monotonic_s = [50.0]
     clocks = SimpleNamespace(time=lambda: wall_s[0], monotonic=lambda: monotonic_s[0])
     monkeypatch.setattr(clock_module, "time", clocks)
-    clock = clock_module.steady_unix_clock_ms()
+    clock = clock_module.monotonic_unix_clock_ms()
     assert clock() == 1_760_000_000_000.0
     monotonic_s[0] += 2.0
     for step_s in (-3600.0, 7200.0):
