--- a/cedarthread/fleet_config.py
+++ b/cedarthread/fleet_config.py
@@ -20,7 +20,7 @@
 # The kinds of placement changes that a freeze window may forbid, in this order: a call loads its function at
 # a worker, a worker preloads a function, a worker unloads a function, other workers become the home workers
 # of a function, and new settings change where instances are placed.
-FrozenAction = Literal["first-copy", "order", "unload", "homes", "retune"]
+FrozenChange = Literal["first-copy", "order", "unload", "homes", "retune"]
 # The longest freeze window, and the most by which a deviating wall clock may extend one.
 MAX_WINDOW_SECONDS = 12 * 3600.0
 MAX_NAME_BYTES = 64  # limit for the names of replicated entries
@@ -90,7 +90,7 @@
     rooms: tuple[str, ...] = ()  # names of zones
     functions: tuple[str, ...] = ()  # ids of 16 hexadecimal digits
     tenants: tuple[str, ...] = ()
-    frozen: tuple[FrozenAction, ...] = ("first-copy", "order", "unload", "homes", "retune")
+    frozen: tuple[FrozenChange, ...] = ("first-copy", "order", "unload", "homes", "retune")
     allowance: int = 0  # placement changes that the whole fleet may make as exceptions
 
 
--- a/cedarthread/statistics.py
+++ b/cedarthread/statistics.py
@@ -74,10 +74,10 @@
             return 0.0
         return self.value * math.exp((self.updated_at_ms - now_ms) / self.time_constant_ms)
 
-    def on_change(self, now_ms: float, value: float, new_value: float) -> None:
-        """Store the old ``value`` as the peak if the quantity falls and it exceeds the decayed peak."""
-        if new_value < value and value > self.read(now_ms):
-            self.value = value
+    def on_change(self, now_ms: float, old_value: float, new_value: float) -> None:
+        """Store ``old_value`` as the peak if the quantity falls below it and it exceeds the decayed peak."""
+        if new_value < old_value and old_value > self.read(now_ms):
+            self.value = old_value
             self.updated_at_ms = now_ms
 
 
--- a/tests/unit/change_freeze/test_window_entries.py
+++ b/tests/unit/change_freeze/test_window_entries.py
@@ -42,7 +42,7 @@
 
 
 def test_change_kinds_are_those_of_the_fleet_file_in_canonical_order() -> None:
-    assert [kind.value for kind in ALL_CHANGE_KINDS] == list(get_args(fleet_config.FrozenAction))
+    assert [kind.value for kind in ALL_CHANGE_KINDS] == list(get_args(fleet_config.FrozenChange))
 
 
 def test_fleet_file_round_trips_through_canonical_bodies() -> None:
