--- a/tests/unit/dispatch/test_dispatcher.py
+++ b/tests/unit/dispatch/test_dispatcher.py
@@ -48,9 +48,8 @@
             and not dispatcher.router.pending_requests
             and not dispatcher.router.orphaned_attempts
         )
-        for attempt in possibly_executed[
-            :-1
-        ]:  # no retry of a non-idempotent call before the attempt has ended
+        # A call that is not idempotent is only retried after the previous attempt has ended.
+        for attempt in possibly_executed[:-1]:
             assert attempt.is_ended
         assert all(not isinstance(result, CallSucceeded) or result.body == b"y" for result, *_ in results)
 
