--- a/cedarthread/components/component.py
+++ b/cedarthread/components/component.py
@@ -2,7 +2,7 @@
 
 ``RoutingNode`` (``node/routing_node.py``) hosts the components and passes datagrams, ticks and notifications
 to them. Components depend on each other only through the protocols of this package. They do no I/O. Times are
-ms of a steady clock, which the host passes in. Readings of the wall clock arrive as notifications.
+ms of a monotonic clock, which the host passes in. Readings of the wall clock arrive as notifications.
 """
 
 from __future__ import annotations
--- a/cedarthread/components/datagram_fields.py
+++ b/cedarthread/components/datagram_fields.py
@@ -15,7 +15,7 @@
     import struct
     from collections.abc import Iterable, Sequence
 
-MAX_DATAGRAM_BYTES = 256  # limit of the platform's protocol, which fails the whole run on a longer datagram
+MAX_DATAGRAM_BYTES = 256  # limit of the platform, which fails the whole run if a router sends more
 
 RecordFields = tuple[Any, ...]  # one record as unpacked by ``struct``
 
--- a/cedarthread/components/notifications.py
+++ b/cedarthread/components/notifications.py
@@ -22,7 +22,7 @@
     Args:
         alive_peers: Indexes of the other routers that are alive.
         router_count: Number of routers in the settings, including this one.
-        alive_for_ms: How long each live router has been alive in its current incarnation.
+        alive_for_ms: By peer, how long the peer has been alive in its current incarnation.
     """
 
     alive_peers: tuple[int, ...]
--- a/cedarthread/components/quota_escrow.py
+++ b/cedarthread/components/quota_escrow.py
@@ -22,7 +22,7 @@
             total: The fleet-wide total.
             is_consumable: Used amounts are consumed (a count). Otherwise the amounts are rates, which routers
                 return.
-            ends_at_ms: The end of the pool on the steady clock; None: the pool does not end.
+            ends_at_ms: The end of the pool on the monotonic clock; None: the pool does not end.
         """
 
     def available(self, now_ms: float, name: str) -> int:
--- a/cedarthread/components/replicated_state.py
+++ b/cedarthread/components/replicated_state.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicatedEntry:
-    """An entry as stored at one router. Times are on the steady clock of that router."""
+    """An entry as stored at one router. Times are on the monotonic clock of that router."""
 
     entry: Entry
     received_at_ms: float  # when this router first received it
--- a/cedarthread/node/attempt_observer.py
+++ b/cedarthread/node/attempt_observer.py
@@ -34,7 +34,9 @@
 
 
 class AttemptObserver:
-    """Observer that stores the function and tenant of each attempt in flight, which ``AttemptEnded`` lacks.
+    """Observer of attempts, which notifies the components when an attempt starts and ends.
+
+    Stores the function and tenant of each attempt in flight, because ``AttemptEnded`` does not contain them.
 
     Args:
         router: Supplies the function and tenant of the request when an attempt starts.
--- a/cedarthread/node/constraints.py
+++ b/cedarthread/node/constraints.py
@@ -2,7 +2,7 @@
 
 Contracts determine the priority of requests. Change freezes and restart recovery determine which instances
 may be started now. The components only answer the router, which selects workers, retries and rejects. Times
-are ms of the router's steady clock.
+are ms of the router's monotonic clock.
 """
 
 from __future__ import annotations
@@ -86,8 +86,8 @@
     ) -> bool:
         """Return whether the request may start a first instance at the worker.
 
-        The router calls this after all other checks, because True may consume one exception of the change
-        freeze and one load of the recovery's pacing.
+        The router calls this after all other checks, because True may consume an exception of each change
+        freeze window that covers the change, and tokens of the recovery's load pacing.
         """
         request = pending.request
         endpoint = worker.endpoint
@@ -128,9 +128,17 @@
     def shed_probability(
         self, now_ms: float, pending: PendingRequest, value: float, utilization: float, shed_fraction: float
     ) -> float | None:
-        """Assign the request its priority and return the probability of shedding such requests.
+        """Assign the request its priority, and return the probability of shedding requests of this priority.
 
-        None: shed with ``shed_fraction``, the fraction of all requests that must be shed.
+        None: the priority does not determine the probability; the router derives it from its own overload
+        estimate for this request.
+
+        Args:
+            now_ms: Current time.
+            pending: The request.
+            value: The priority weight of the request, divided by its expected work.
+            utilization: The expected latency, divided by the latency at which an overload starts.
+            shed_fraction: The fraction of all requests that the router must shed by its overload estimate.
         """
         request = pending.request
         tenant = request.caller if request.tenant_index is None else request.tenant_index
--- a/cedarthread/node/fleet_components.py
+++ b/cedarthread/node/fleet_components.py
@@ -43,7 +43,7 @@
     router_count: int
     incarnation: int
     seed: int
-    clock_rate: float  # maximum relative rate error of a steady clock
+    clock_rate: float  # maximum relative rate error of a monotonic clock
 
 
 def _router_identity(
@@ -68,7 +68,7 @@
         settings: The settings in force.
         seed: Seed of the random number generators of the components.
         incarnation: A random number that identifies this start of the process.
-        now_ms: Current time of the steady clock.
+        now_ms: Current time of the monotonic clock.
         wall_clock_ms: Reads the wall clock, Unix time in ms.
     """
 
@@ -217,7 +217,7 @@
         """Notify the fleet components of the end of an attempt.
 
         Args:
-            now_ms: Current time of the steady clock.
+            now_ms: Current time of the monotonic clock.
             event: The end of the attempt.
             function_id: The function of the request.
             tenant_index: The tenant of the request; None: of no tenant.
--- a/cedarthread/node/preemption_view.py
+++ b/cedarthread/node/preemption_view.py
@@ -1,6 +1,6 @@
 """Conversion of the router's records to the input of the preemption policy.
 
-The functions are pure. Times are ms of the router's steady clock.
+The functions are pure. Times are ms of the router's monotonic clock.
 """
 
 from __future__ import annotations
--- a/cedarthread/node/routing_node.py
+++ b/cedarthread/node/routing_node.py
@@ -76,7 +76,7 @@
             return self.router.handle(now_ms, event)
         actions: list[Action] = []
         if components.fleet is not None and now_ms - self._last_tick_at_ms > TICK_STALLED_MS:
-            actions += self._on_tick(now_ms)  # windows may have started or ended during the stall
+            actions += self._on_tick(now_ms)  # a change freeze may have started or ended meanwhile
             actions += components.fleet.on_entries_changed(now_ms)
         if type(event) is PeerMessageReceived:
             actions += components.on_peer_message(now_ms, event)
