--- a/cedarthread/recovery/admission.py
+++ b/cedarthread/recovery/admission.py
@@ -159,7 +159,7 @@
         return self.pacer.try_acquire(now_ms, PacedAction.DISCOVERY_QUERY)
 
     def try_acquire_release(self, now_ms: float) -> bool:
-        """Return whether a change that a freeze deferred may be applied now; consumes a token if so."""
+        """Return whether a change that a change freeze deferred may apply now; consumes a token if so."""
         was_granted = self.pacer.try_acquire(now_ms, PacedAction.RELEASE)
         if was_granted:
             self.pacer.record_result(PacedAction.RELEASE, succeeded=True)
@@ -174,5 +174,5 @@
         self.pacer.record_result(PacedAction.DISCOVERY_QUERY, succeeded=succeeded)
 
     def on_freeze_ended(self, now_ms: float) -> None:
-        """Reset the rate at which deferred changes are released, because a freeze ended."""
+        """Reset the rate at which deferred changes are released, because a change freeze ended."""
         self.pacer.on_freeze_ended(now_ms)
--- a/cedarthread/recovery/codec.py
+++ b/cedarthread/recovery/codec.py
@@ -3,8 +3,9 @@
     query:    message type u8, kind u8, nonce u32, segment u8, segment count u8
     response: message type u8, kind u8, nonce u32, part u8, part count u8,
               warm fraction u8 (in 1/254; 255: unknown), uptime u16 (in 0.1 s),
-              baseline loads u16, baseline connections u16 (in 0.01 a second; 65535: unknown);
-              then, for each incarnation of a worker: worker u32, start tag u32, observation count u8;
+              baseline loads u16, baseline connections u16 (in 0.01 per second; 65535: unknown);
+              then, for each incarnation of a worker: worker u32, start tag u32 (low bits of its start time),
+              observation count u8;
               then, for each of its observations: function hash u32, age u16 (in 50 ms, rounded up),
               flags u8 (bit 0: was warm; from bit 1 on: hops)
     busy:     message type u8, kind u8, nonce u32, retry after u16 (ms), suggested peer u16 (65535: none)
--- a/cedarthread/recovery/component.py
+++ b/cedarthread/recovery/component.py
@@ -53,7 +53,7 @@
     from cedarthread.model.settings import RouterSettings
 
 SUSPENSION_AFTER_PAUSE_MS = 500.0
-"""The warm state is not used for this time after a pause, because older responses may still arrive."""
+"""Time after a pause without use of the warm state, because responses from before it may still arrive."""
 LOAD_DEFERRAL_FRACTION = 0.25
 """Maximum wait of loads for peers in each phase before warming, as a fraction of the peer query's timeout."""
 
--- a/cedarthread/recovery/fleet_view.py
+++ b/cedarthread/recovery/fleet_view.py
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True)
 class WorkerReportView:
-    """The load that peers of a router without gossip send, inferred from the load reports of workers.
+    """The load that the peers send to the workers, inferred by a router without gossip from load reports.
 
     If N routers receive similar calls, each has about one Nth of the calls in flight. If the peers are
     absent, workers report few calls in flight besides this router's own. If all routers restarted at the same
--- a/cedarthread/recovery/pacing.py
+++ b/cedarthread/recovery/pacing.py
@@ -96,7 +96,7 @@
         return TokenBucket(rate_per_second=0.0, capacity=1.0, tokens=tokens, updated_at_ms=now_ms)
 
     def on_freeze_ended(self, now_ms: float) -> None:
-        """Restart the ramp of releases, because a freeze ends at all routers at the same moment."""
+        """Restart the ramp of releases, because a change freeze ends at all routers at the same moment."""
         self.ramp_levels[PacedAction.RELEASE] = INITIAL_RAMP_LEVEL
         self.buckets[PacedAction.RELEASE] = self._new_bucket(now_ms, PacedAction.RELEASE)
 
@@ -200,7 +200,7 @@
         return max(self.limits.connections_per_worker, max_events_per_window(mean_per_window))
 
     def record_unpaced(self, now_ms: float, action: PacedAction) -> None:
-        """Count an action that was performed without pacing towards the baseline."""
+        """Include an unpaced action in the measurement of the baseline."""
         self.baseline.record(now_ms, action)
 
     def grow_load_rate(self, now_ms: float) -> None:
--- a/cedarthread/recovery/pacing_limits.py
+++ b/cedarthread/recovery/pacing_limits.py
@@ -31,7 +31,7 @@
     CONNECT = 1  # to a worker, with the handshake
     DISCOVERY_QUERY = 2
     PEER_QUERY = 3
-    RELEASE = 4  # of a change that a freeze deferred
+    RELEASE = 4  # of a change that a change freeze deferred
 
 
 @dataclass(frozen=True, slots=True)
--- a/cedarthread/recovery/snapshot_exchange.py
+++ b/cedarthread/recovery/snapshot_exchange.py
@@ -16,13 +16,13 @@
 
 
 class WallClock(NamedTuple):
-    """A reading of the wall clock, with the time of the steady clock at that moment."""
+    """A reading of the wall clock, with the time of the monotonic clock at that moment."""
 
     unix_ms: float
     read_at_ms: float
 
     def at(self, now_ms: float) -> float:
-        """Return the Unix time in ms at a time on the steady clock."""
+        """Return the Unix time in ms at a time on the monotonic clock."""
         return self.unix_ms + now_ms - self.read_at_ms
 
 
--- a/cedarthread/recovery/warm_state.py
+++ b/cedarthread/recovery/warm_state.py
@@ -40,7 +40,7 @@
 class Observation:
     """An observation of a function at one incarnation of a worker."""
 
-    observed_at_ms: float  # on this process's steady clock
+    observed_at_ms: float  # on this process's monotonic clock
     is_warm: bool  # whether a warm instance was found
     source: ObservationSource
     hops: int  # routers that forwarded the observation
