--- a/cedarthread/recovery/codec.py
+++ b/cedarthread/recovery/codec.py
@@ -44,7 +44,7 @@
 UNKNOWN_RATE = 65535
 FRACTION_UNITS = 254
 UNKNOWN_FRACTION = 255
-MAX_RETRY_AFTER_MS = 65535
+MAX_ENCODED_RETRY_AFTER_MS = 65535
 NO_PEER = 0xFFFF
 MAX_PARTS = 6
 """Maximum number of datagrams of one response."""
@@ -143,7 +143,7 @@
             MessageType.RECOVERY,
             DatagramKind.BUSY,
             message.nonce,
-            int(min(message.retry_after_ms, MAX_RETRY_AFTER_MS)),
+            int(min(message.retry_after_ms, MAX_ENCODED_RETRY_AFTER_MS)),
             NO_PEER if message.suggested_peer is None else message.suggested_peer,
         )
     return _encode_response(message)
--- a/cedarthread/recovery/status.py
+++ b/cedarthread/recovery/status.py
@@ -70,22 +70,22 @@
     )
 
 
-def recovery_status(figures: RecoveryMetrics) -> Mapping[str, str]:
+def recovery_status(metrics: RecoveryMetrics) -> Mapping[str, str]:
     """Return the metrics by their names in ``INFO``, which must not change."""
-    baseline = figures.baseline_warm_fraction
+    baseline = metrics.baseline_warm_fraction
     return {
-        "return_phase": _PHASE_VALUES[figures.phase],
-        "return_phase_by": _CAUSE_VALUES[figures.cause],
-        "return_phase_ms": f"{figures.in_phase_ms:.0f}",
-        "return_bounded": str(int(figures.is_paced)),
-        "return_mass": str(int(figures.is_mass_restart)),
-        "return_places": str(figures.observation_count),
-        "return_warm": f"{figures.recent_warm_fraction:.2f}",
+        "return_phase": _PHASE_VALUES[metrics.phase],
+        "return_phase_by": _CAUSE_VALUES[metrics.cause],
+        "return_phase_ms": f"{metrics.in_phase_ms:.0f}",
+        "return_bounded": str(int(metrics.is_paced)),
+        "return_mass": str(int(metrics.is_mass_restart)),
+        "return_places": str(metrics.observation_count),
+        "return_warm": f"{metrics.recent_warm_fraction:.2f}",
         "return_warm_usual": "unknown" if baseline is None else f"{baseline:.2f}",
-        "return_asked": str(figures.sent_queries),
-        "return_answered": str(figures.answered_queries),
-        "return_put_off_peers": str(figures.rejected_queries),
-        "return_put_off_loads": str(figures.deferred_loads),
-        "return_put_off_connections": str(figures.deferred_connections),
-        "return_unreadable": str(figures.unreadable_count),
+        "return_asked": str(metrics.sent_queries),
+        "return_answered": str(metrics.answered_queries),
+        "return_put_off_peers": str(metrics.rejected_queries),
+        "return_put_off_loads": str(metrics.deferred_loads),
+        "return_put_off_connections": str(metrics.deferred_connections),
+        "return_unreadable": str(metrics.unreadable_count),
     }
--- a/tests/simulation/test_recovery_invariants.py
+++ b/tests/simulation/test_recovery_invariants.py
@@ -111,8 +111,8 @@
     return is_usable
 
 
-MERGE_REMOTE = WarmState.merge_remote
-RESTORE_OBSERVATION = snapshot.restore_observation
+ORIGINAL_MERGE_REMOTE = WarmState.merge_remote
+ORIGINAL_RESTORE_OBSERVATION = snapshot.restore_observation
 
 
 def merge_without_age(
@@ -122,13 +122,13 @@
     aged: AgedObservation,
     source: ObservationSource,
 ) -> bool:
-    return MERGE_REMOTE(warm_state, now_ms, now_ms, dataclasses.replace(aged, age_ms=0.0), source)
+    return ORIGINAL_MERGE_REMOTE(warm_state, now_ms, now_ms, dataclasses.replace(aged, age_ms=0.0), source)
 
 
 def restore_without_growth(
     warm_state: WarmState, now_ms: float, age_growth_ms: float, row: snapshot.ObservationRow
 ) -> bool:
-    return RESTORE_OBSERVATION(warm_state, now_ms, 0.0, row)
+    return ORIGINAL_RESTORE_OBSERVATION(warm_state, now_ms, 0.0, row)
 
 
 @dataclass(frozen=True)
--- a/tests/unit/recovery/test_component.py
+++ b/tests/unit/recovery/test_component.py
@@ -92,7 +92,7 @@
     assert recovery.warm_instances(9000.0, FUNCTION)
 
 
-def test_each_router_releases_changes_that_a_freeze_deferred_at_a_different_time() -> None:
+def test_each_router_has_its_own_time_to_release_changes_that_a_change_freeze_deferred() -> None:
     recoveries = [component_in_service() for _ in range(3)]
     for number, recovery in enumerate(recoveries):
         recovery.pacer.phase_offset = (number + 0.5) / 3
--- a/tests/unit/recovery/test_pacing.py
+++ b/tests/unit/recovery/test_pacing.py
@@ -36,7 +36,7 @@
     assert pacers[0].ramp_levels[action] == pacing.MIN_RAMP_LEVEL
 
 
-def test_a_call_that_may_start_a_load_consumes_its_probability_and_is_corrected_later() -> None:
+def test_a_call_that_may_start_a_load_consumes_part_of_a_token_and_is_corrected_later() -> None:
     for was_warm in (True, False):
         pacer = Pacer(0, 0.0, PacingLimits(loads=1.0), 1)
         granted_by_step = []
