--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -2,8 +2,8 @@
 
 Each code path that changes placements queries the gate before the change. docs/design/change-freeze.md lists
 these paths, and ``placement_paths`` checks the source against that list. ``ChangeFreezeComponent`` writes the
-gate's rules and flags; the router's queries update the remaining state. All times are ms on the steady
-clock.
+gate's rules and flags; the router's queries update the remaining state. All times are ms on the
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -109,7 +109,7 @@
         """Return whether a call may be sent to a worker; consumes no exception, but defers a denied change.
 
         Args:
-            now_ms: The time on the steady clock.
+            now_ms: The time on the monotonic clock.
             function_id: The function that is called.
             worker_id: The worker to which the call would be sent.
             zone_index: The worker's zone; None if unknown.
@@ -172,9 +172,9 @@
     ) -> RoutingDecision:
         """Apply ``call_routing.route_call`` under the rules in force.
 
-        A candidate that is not permitted yet counts as permitted if the placement table has the function
-        there, or if no rule freezes a load there and no such load is deferred. The load at the first ready
-        candidate that is not permitted and not selected is deferred.
+        A candidate that is not permitted yet counts as permitted if the placement table lists the
+        function there, or if no rule freezes a load there and no such load is deferred. The load at the
+        first ready candidate that is not permitted and not selected is deferred.
         """
 
         def load_change(candidate: PlacementCandidate, *, is_emergency: bool) -> PlacementChange:
--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -1,6 +1,6 @@
 """The change freeze component, which tracks the declared windows and sets the rules of the admission gate.
 
-The component is pure: the caller passes the steady clock (ms) and readings of the host's wall clock.
+The component is pure: the caller passes the monotonic clock (ms) and readings of the host's wall clock.
 Design: docs/design/change-freeze.md.
 """
 
@@ -58,11 +58,11 @@
         sharing: The fleet's limits of clock error and clock drift.
         replicated_state: Contains the entries that declare, revoke and lift windows.
         escrow: Contains the exception budgets of the windows.
-        now_ms: The time on the steady clock.
+        now_ms: The time on the monotonic clock.
         has_read_enough_peers: Returns whether the entries of several peers were read completely in this
             incarnation. If so, the entries known at the start count even without confirmation by a
             majority (docs/design/change-freeze.md, step 21).
-        acquire_release: Returns whether one deferred change may be released at a time on the steady clock,
+        acquire_release: Returns whether one deferred change may be released at a time on the monotonic clock,
             and consumes a token if so; None: a ``ReleaseRateLimiter`` of this component.
     """
 
--- a/cedarthread/change_freeze/deferred_changes.py
+++ b/cedarthread/change_freeze/deferred_changes.py
@@ -109,7 +109,7 @@
         Emergencies are released first, then the changes that were requested most often.
 
         Args:
-            now_ms: The time on the steady clock.
+            now_ms: The time on the monotonic clock.
             is_frozen: Returns whether a rule in force freezes a change.
             acquire_release: Returns whether one change may be released now; consumes a release token if so.
         """
--- a/cedarthread/change_freeze/exception_pools.py
+++ b/cedarthread/change_freeze/exception_pools.py
@@ -27,7 +27,7 @@
 
 
 class ExceptionPools:
-    """The exception pools that one router has opened, by window id. Times are ms on the steady clock.
+    """The exception pools that one router has opened, by window id. Times are ms on the monotonic clock.
 
     Args:
         escrow: Contains the pools.
--- a/cedarthread/change_freeze/home_workers.py
+++ b/cedarthread/change_freeze/home_workers.py
@@ -1,4 +1,7 @@
-"""The home workers of a function while home workers are frozen, as a pure function."""
+"""The home workers of a function while home workers are frozen, as a pure function.
+
+The calls of a function prefer its home workers.
+"""
 
 from __future__ import annotations
 
--- a/cedarthread/change_freeze/placement_table.py
+++ b/cedarthread/change_freeze/placement_table.py
@@ -30,7 +30,7 @@
     """The functions placed on each worker, according to the instances that this router has observed.
 
     During a window no placement expires, because an instance that was unloaded while idle may be loaded again
-    at its worker. All times are ms on the steady clock.
+    at its worker. All times are ms on the monotonic clock.
     """
 
     # Time by function id and worker id; the function that was recorded least recently is first.
--- a/cedarthread/change_freeze/stale_hold.py
+++ b/cedarthread/change_freeze/stale_hold.py
@@ -13,17 +13,18 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Since the router was last fresh in this incarnation, so that windows end even if no peer responds.
+# Counted from when the router was last fresh in this incarnation. The time is limited so that windows end
+# even if no peer responds.
 STALE_HOLD_MS = 60_000.0
-RESTART_HOLD_MS = 600_000.0  # since the start of a router that stores an entry about windows
-FIRST_START_HOLD_MS = 60_000.0  # since the start of a router that stores no entry about windows
+RESTART_HOLD_MS = 600_000.0  # counted from the start of a router that stores an entry about windows
+FIRST_START_HOLD_MS = 60_000.0  # counted from the start of a router that stores no such entry
 
 
 @dataclass(slots=True)
 class StaleHold:
     """The time-limited freeze of a router that may not have received a window.
 
-    All times are ms on the steady clock.
+    All times are ms on the monotonic clock.
     """
 
     started_at_ms: float
@@ -35,7 +36,7 @@
         """Return whether all placements must stay frozen, because this router may not have received a window.
 
         Args:
-            now_ms: The time on the steady clock.
+            now_ms: The time on the monotonic clock.
             is_fresh: Whether the replicated store is fresh.
             has_entries: Whether the router stores an entry about windows.
         """
--- a/cedarthread/change_freeze/wall_clock.py
+++ b/cedarthread/change_freeze/wall_clock.py
@@ -1,9 +1,9 @@
 """A wall clock that tolerates steps of the host's clock and detects its deviation from other routers' clocks.
 
-Freeze windows are declared in wall time. ``WallClock`` runs on the steady clock and slews toward the host's
-wall clock by no more than the drift that both clocks may have. While a window is declared, a step of the
-host's clock therefore does not end the window, and is applied only once other routers confirm it; without a
-window, a step is applied at once.
+Freeze windows are declared in wall time. ``WallClock`` runs on the monotonic clock and slews toward the
+host's wall clock by no more than the drift that both clocks may have. While a window is declared, a step of
+the host's clock therefore does not end the window, and is applied only once other routers confirm it; without
+a window, a step is applied at once.
 
 The offset to another router's clock is computed from a request and its response, as in NTP (Mills, RFC 5905);
 the median offset shows whether this router's clock deviates. The change freeze component passes the readings
@@ -48,13 +48,13 @@
 class _OffsetSample:
     """A comparison of this router's clock with another router's clock."""
 
-    offset_ms: float  # the other router's wall clock minus this router's steady clock
+    offset_ms: float  # the other router's wall clock minus this router's monotonic clock
     uncertainty_ms: float  # maximum error of the offset in either direction
     received_at_ms: float
 
 
 class WallClock:
-    """The wall time (Unix ms) as a function of the steady clock (ms). No method raises.
+    """The wall time (Unix ms) as a function of the monotonic clock (ms). No method raises.
 
     Args:
         router_count: Number of routers in the fleet, including this one.
@@ -66,7 +66,7 @@
         self.router_count = router_count
         self.max_error_ms = max_error_ms
         self.max_drift_rate = max_drift_rate
-        self.applied_offset_ms: float | None = None  # wall clock minus steady clock; None: no reading yet
+        self.applied_offset_ms: float | None = None  # wall clock minus monotonic clock; None: no reading yet
         self.read_at_ms = 0.0  # time of the last host reading
         self.unconfirmed_offset_ms: float | None = None  # of the host's clock after an unconfirmed step
         self.stepped_at_ms = 0.0  # when the unconfirmed step was first seen
@@ -78,7 +78,7 @@
         """Process a reading of the host's wall clock; return a log line at a step, or if a step was undone.
 
         Args:
-            now_ms: The time on the steady clock.
+            now_ms: The time on the monotonic clock.
             unix_ms: The host's wall time.
             has_window: Whether a window is known. If True, the clock applies a step only if other routers
                 confirm the step.
@@ -198,11 +198,11 @@
     def unix_ms_bounds(self, now_ms: float) -> UnixTimeBounds:
         """Return the range that contains the wall time.
 
-        A window starts when the latest reaches its start, and ends when the earliest reaches its end.
-        ``max_error_ms`` widens the range in both directions. A larger deviation of this router's clock
-        widens the range by the deviation. If the deviation exceeds the longest window, only the clocks of
-        the other routers count. A step that is not applied only raises the latest: a window may start
-        earlier, but never ends later than its end by the steady clock.
+        A window starts when the latest time of the range reaches its start, and ends when the earliest time
+        reaches its end. ``max_error_ms`` widens the range in both directions. A larger deviation of this
+        router's clock widens the range by the deviation. If the deviation exceeds the longest window, only
+        the clocks of the other routers count. A step that is not applied only raises the latest time: a
+        window may start earlier, but never ends later than its end by the monotonic clock.
         """
         if self.applied_offset_ms is None:
             return UNKNOWN_TIME
--- a/cedarthread/change_freeze/window.py
+++ b/cedarthread/change_freeze/window.py
@@ -45,12 +45,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """A reading of the steady clock, and of the wall clock as a range in Unix ms."""
+    """A reading of the monotonic clock, and of the wall clock as a range in Unix ms."""
 
-    now_ms: float  # steady clock
+    now_ms: float  # monotonic clock
     earliest_unix_ms: float
     latest_unix_ms: float
-    staleness_bound_ms: float  # B in docs/design/replication.md
+    # How long after an entry is on a majority it is on all fresh routers; B in docs/design/replication.md:
+    staleness_bound_ms: float
     lead_ms: float = 0.0  # how early windows start, because the next reading may be that much later
 
 
--- a/cedarthread/change_freeze/window_registry.py
+++ b/cedarthread/change_freeze/window_registry.py
@@ -91,8 +91,9 @@
     ) -> bool:
         """Return whether a step of the wall clock to this time could open, skip or reopen a window.
 
-        Three windows are not affected: one that starts more than the staleness bound after both times,
-        because the clock may be corrected first; one that has ended by both times; and a revoked one.
+        Three windows are not affected: one that starts more than the staleness bound after both the present
+        time and ``unix_ms``, because the clock may be corrected first; one that has ended by both of these
+        times; and a revoked one.
         """
         for window in self.windows.values():
             if window.state is WindowState.ENDED and window.latest_end_unix_ms() <= unix_ms - max_error_ms:
--- a/cedarthread/priority/body_history.py
+++ b/cedarthread/priority/body_history.py
@@ -2,8 +2,8 @@
 
 While an edit is being replicated, a router cannot know which version another router applies. For each entry,
 a router therefore stores the *certain* body, which has been on a majority for the staleness bound, and the
-*pending* bodies after the certain one (docs/design/priority.md, steps 3 and 4). ``EffectiveContracts`` adds
-the versions.
+*pending* bodies after the certain one (docs/design/priority.md, steps 3 and 4). ``HistoriesByName``
+adds the versions from the replicated store.
 """
 
 from __future__ import annotations
@@ -24,7 +24,10 @@
 
 @dataclass(slots=True)
 class _PendingBody(Generic[BodyT]):
-    """A version with predecessors that may still be in effect elsewhere. Times are ms on the steady clock."""
+    """A version with predecessors that may still be in effect elsewhere.
+
+    Times are ms on the monotonic clock.
+    """
 
     entry: Entry
     value: BodyT
@@ -53,7 +56,7 @@
             del self.pending[0]
 
     def effective_bodies(self, now_ms: float, staleness_bound_ms: float) -> tuple[BodyT, ...]:
-        """Return the known versions that may be in effect, oldest first."""
+        """Drop superseded versions, and return the known versions that may be in effect, oldest first."""
         for index in reversed(range(len(self.pending))):
             body = self.pending[index]
             if body.replicated_at_ms is not None and now_ms >= body.replicated_at_ms + staleness_bound_ms:
--- a/cedarthread/priority/call_priority.py
+++ b/cedarthread/priority/call_priority.py
@@ -1,7 +1,7 @@
 """The priority of a call, from its tenant's tier and whether the call is within quota; 0 is the highest.
 
     tier of the tenant      within quota    over quota
-    first (say firm)                  0            64
+    first (such as firm)              0            64
     second (standard)                 1            65
     third (interruptible)             2            66
     no contract                       -           127
--- a/cedarthread/priority/codec.py
+++ b/cedarthread/priority/codec.py
@@ -1,7 +1,7 @@
 """The gossip datagram of load pressure, at most 256 bytes.
 
-    message type u8; then entries: router u16, pressure u8 (in 1/32), calls u8 (logarithmic), age u8 (in 50
-    ms)
+    message type u8
+    then entries: router u16, pressure u8 (in 1/32), calls u8 (logarithmic), age u8 (in 50 ms)
 
 All fields are little-endian. The first entry is the sender's own. The age is rounded up each time a report is
 forwarded, so that the age of a forwarded report always grows.
--- a/cedarthread/priority/component.py
+++ b/cedarthread/priority/component.py
@@ -2,7 +2,8 @@
 
 The router calls ``on_arrival`` for the priority of a call, ``shed_probability`` for the probability to reject
 the call, and ``choose_victim`` for the call to preempt, and reports rejected and completed calls. The
-component does no I/O: the caller passes the steady clock (ms) and the seed. Design: docs/design/priority.md.
+component does no I/O: the caller passes the monotonic clock (ms) and the seed.
+Design: docs/design/priority.md.
 """
 
 from __future__ import annotations
@@ -141,7 +142,7 @@
         """Count a call that arrived, and return its priority.
 
         Args:
-            now_ms: The time on the steady clock.
+            now_ms: The time on the monotonic clock.
             tenant: The tenant's index in the settings, or the caller's name; None: unknown.
             value: The call's priority weight, divided by its expected work.
             utilization: The expected wait divided by the wait at which overload starts.
@@ -184,7 +185,7 @@
         smooths that probability over time.
 
         Args:
-            now_ms: The time on the steady clock.
+            now_ms: The time on the monotonic clock.
             priority: The call's priority.
             shed_probability: The fraction of all calls to reject, by the overload estimator. The estimate is
                 for the strictest latency objective of all classes.
--- a/cedarthread/priority/contract_entries.py
+++ b/cedarthread/priority/contract_entries.py
@@ -19,7 +19,7 @@
     from cedarthread.fleet_config import FleetConfig
 
 TIER_ORDER_NAME = "order"  # the name of the only entry of EntryKind.TIERS
-FIXED_POINT_SCALE = 1000  # integer units per call per second, per whole capacity, and per second
+FIXED_POINT_SCALE = 1000  # integer units that represent one call per second, the whole capacity or one second
 MAX_RATE_MILLI_PER_SECOND = 10**9  # a million calls per second, more than any fleet serves
 MAX_NAME_BYTES = 64  # the same limit as in ``fleet_config``
 MAX_ERROR_CHARACTERS = 80  # of a decoder's message, which may quote hostile input
--- a/cedarthread/priority/load_pressure.py
+++ b/cedarthread/priority/load_pressure.py
@@ -32,7 +32,7 @@
         """Count the arrival of a call that is not a retry.
 
         Args:
-            now_ms: The time on the steady clock.
+            now_ms: The time on the monotonic clock.
             utilization: The expected wait divided by the wait at which overload starts.
         """
         self.arrivals.add(now_ms, 1.0)
--- a/cedarthread/priority/load_shedding.py
+++ b/cedarthread/priority/load_shedding.py
@@ -88,7 +88,7 @@
         low = bisect_left(self.sorted_scores, band_start) / sample_size
         high = bisect_right(self.sorted_scores, band_end) / sample_size
         if is_protected:
-            # Reject a protected call only if the fraction to reject is over 1, because its estimate is noisy.
+            # Reject a protected call only if the estimated fraction is over 1, because the estimate is noisy.
             low = 1.0 + low
             high = 1.0 + high
         high = max(high, low + 1.0 / sample_size)
--- a/cedarthread/priority/preemptor.py
+++ b/cedarthread/priority/preemptor.py
@@ -56,7 +56,10 @@
         self.counters = dict.fromkeys(PreemptionEvent, 0)
 
     def on_tick(self, now_ms: float, overload_level: int) -> None:
-        """Update the budget and remove old preemptions. ``overload_level`` disregards freshness."""
+        """Update the budget and remove old preemptions.
+
+        ``overload_level`` is the level of the state machine, which is kept while the router is not fresh.
+        """
         self.budget.on_tick(
             now_ms, self.contracts.overload_parameters, may_preempt=overload_level >= PREEMPT_QUEUED_LEVEL
         )
@@ -79,7 +82,7 @@
         """Return the request id of the call to preempt, and count the preemption; None: no call.
 
         Args:
-            now_ms: The time on the steady clock.
+            now_ms: The time on the monotonic clock.
             claim: The call that would miss its latency objective.
             candidates: The open calls of this router.
             level: The level of cluster overload, at least ``PREEMPT_QUEUED_LEVEL``.
--- a/cedarthread/priority/pressure_gossip.py
+++ b/cedarthread/priority/pressure_gossip.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class _PressureReport:
-    """The latest report of one router; the time is ms on this router's steady clock."""
+    """The latest report of one router; the time is ms on this router's monotonic clock."""
 
     pressure: float
     calls_per_second: float
--- a/tests/unit/priority/contract_world.py
+++ b/tests/unit/priority/contract_world.py
@@ -119,9 +119,8 @@
             routers = (known, state.routers[1]) if router == 0 else (state.routers[0], known)
             return state._replace(routers=routers, last_edit=last_edit)
 
-        if (
-            state.last_edit < router + 1
-        ):  # the first router makes the first edit, because the routers are symmetric
+        # The first router makes at most the first edit, because the routers are symmetric.
+        if state.last_edit < router + 1:
             edit = state.last_edit + 1
             yield with_known_edits((*own_edits, KnownEdit(edit, now_ms, None)), last_edit=edit)
         if other_edits[-1].edit > own_edits[-1].edit:
