--- a/cedarthread/priority/body_history.py
+++ b/cedarthread/priority/body_history.py
@@ -1,9 +1,9 @@
 """The versions of an entry's body that may be in effect at some router while an edit spreads.
 
 While an edit is being replicated, a router cannot know which version another router applies. For each entry,
-a router therefore stores the *certain* body, which has been on a majority for the staleness bound, and the
-*pending* bodies after the certain one (docs/design/priority.md, steps 3 and 4). ``HistoriesByName``
-adds the versions from the replicated store.
+a router therefore stores the *stable* body, which has been on a majority for the staleness bound, so that no
+fresh router applies an earlier one, and the *pending* bodies after the stable one (docs/design/priority.md,
+steps 3 and 4). ``HistoriesByName`` adds the versions from the replicated store.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
     from cedarthread.components.replicated_state import Entry, EntryKind, ReplicatedEntry, ReplicatedState
 
-MAX_PENDING_BODIES = 8  # of one entry; above this count the certain body counts as unknown
+MAX_PENDING_BODIES = 8  # of one entry; above this count the stable body counts as unknown
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
 class BodyHistory(Generic[BodyT]):
     """The versions of one entry that may be in effect at some router, oldest first."""
 
-    certain_body: BodyT | None = None  # None: unknown at this router
+    stable_body: BodyT | None = None  # None: unknown at this router
     pending: list[_PendingBody[BodyT]] = field(default_factory=list)
 
     def add(self, replicated: ReplicatedEntry, value: BodyT) -> None:
@@ -52,7 +52,7 @@
             _PendingBody(replicated.entry, value, replicated.received_at_ms, replicated.replicated_at_ms)
         )
         if len(self.pending) > MAX_PENDING_BODIES:
-            self.certain_body = None
+            self.stable_body = None
             del self.pending[0]
 
     def effective_bodies(self, now_ms: float, staleness_bound_ms: float) -> tuple[BodyT, ...]:
@@ -60,20 +60,20 @@
         for index in reversed(range(len(self.pending))):
             body = self.pending[index]
             if body.replicated_at_ms is not None and now_ms >= body.replicated_at_ms + staleness_bound_ms:
-                self.certain_body = body.value  # no fresh router applies an earlier version any more
+                self.stable_body = body.value  # no fresh router applies an earlier version any more
                 del self.pending[: index + 1]
                 break
-        certain = () if self.certain_body is None else (self.certain_body,)
-        return certain + tuple(body.value for body in self.pending)
+        stable = () if self.stable_body is None else (self.stable_body,)
+        return stable + tuple(body.value for body in self.pending)
 
-    def is_certain(self) -> bool:
-        """Return whether the certain body is the only one that may be in effect.
+    def is_converged(self) -> bool:
+        """Return whether the stable body is the only one that may be in effect.
 
-        The result is valid after ``effective_bodies``, which updates the certain body. While a version is
+        The result is valid after ``effective_bodies``, which updates the stable body. While a version is
         pending, the result is False: the pending version may have replaced one that other routers apply and
         that its author did not know (docs/design/priority.md, step 5).
         """
-        return self.certain_body is not None and not self.pending
+        return self.stable_body is not None and not self.pending
 
 
 class HistoriesByName(Generic[BodyT]):
--- a/cedarthread/priority/call_priority.py
+++ b/cedarthread/priority/call_priority.py
@@ -24,9 +24,9 @@
 def assign_priority(
     tenant_name: str | None, contract: EffectiveContract, *, is_within_quota: bool
 ) -> CallPriority:
-    """Return the priority of a call; the range of all priorities while the contract is not certain."""
+    """Return the priority of a call; the range of all priorities until the contract has converged."""
     position = contract.tier_index + (0 if is_within_quota else OVER_QUOTA_OFFSET)
-    if not contract.is_certain:
+    if not contract.is_converged:
         return CallPriority(0, LOWEST_PRIORITY, position, tenant_name, is_within_quota)
     return CallPriority(position, position, position, tenant_name, is_within_quota)
 
--- a/cedarthread/priority/component.py
+++ b/cedarthread/priority/component.py
@@ -121,7 +121,7 @@
             "tiers_level": str(self.overload_level(now_ms)),
             "tiers_pressure": "unknown" if pressure is None else f"{pressure:.2f}",
             "tiers_contracts": str(len(contracts)),
-            "tiers_not_sure": str(sum(not contract.is_certain for contract in contracts.values())),
+            "tiers_not_sure": str(sum(not contract.is_converged for contract in contracts.values())),
             "tiers_unreadable": str(unreadable),
         }
         return figures | {
--- a/cedarthread/priority/contracts.py
+++ b/cedarthread/priority/contracts.py
@@ -1,8 +1,8 @@
 """The contracts and overload parameters that are in effect at one router.
 
 While several versions of an entry may be in effect at some router, quotas use the greatest lower bound of
-the versions, and a tenant neither preempts nor is preempted by its tier until one version is certain
-(docs/design/priority.md, steps 1 to 7).
+the versions, and a tenant neither preempts nor is preempted by its tier until the routers have converged
+on one version (docs/design/priority.md, steps 1 to 7).
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
     rate_milli_per_second: int  # the least of all versions
     floor_permille: int  # of the calls within quota; the greatest of all versions
     tier_name: str  # of the newest version, for messages
-    is_certain: bool  # whether no other version may be in effect at a fresh router
+    is_converged: bool  # whether no other version may be in effect at a fresh router
 
 
-NO_CONTRACT = EffectiveContract(MAX_TIERS, 0, 0, "none", is_certain=True)
-UNKNOWN_CONTRACT = EffectiveContract(MAX_TIERS, 0, 0, "unknown", is_certain=False)
+NO_CONTRACT = EffectiveContract(MAX_TIERS, 0, 0, "none", is_converged=True)
+UNKNOWN_CONTRACT = EffectiveContract(MAX_TIERS, 0, 0, "unknown", is_converged=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,13 +75,13 @@
         self.is_fresh = self.replicated_state.is_fresh(now_ms)
         history = self.tier_orders.histories.get(TIER_ORDER_NAME)
         effective_orders = history.effective_bodies(now_ms, staleness_bound_ms) if history is not None else ()
-        is_certain = history is not None and history.is_certain() and self.is_fresh
+        is_converged = history is not None and history.is_converged() and self.is_fresh
         self.overload_parameters = _greatest_lower_bound(effective_orders) if effective_orders else None
         self.effective = {
             tenant_name: _effective_contract(
                 terms.effective_bodies(now_ms, staleness_bound_ms),
                 effective_orders,
-                is_certain=is_certain and terms.is_certain(),
+                is_converged=is_converged and terms.is_converged(),
             )
             for tenant_name, terms in self.contract_terms.histories.items()
         }
@@ -108,7 +108,7 @@
 
 
 def _effective_contract(
-    bodies: tuple[ContractTerms, ...], tier_orders: tuple[TierOrder, ...], *, is_certain: bool
+    bodies: tuple[ContractTerms, ...], tier_orders: tuple[TierOrder, ...], *, is_converged: bool
 ) -> EffectiveContract:
     return EffectiveContract(
         max(
@@ -118,7 +118,7 @@
         min(body.rate_milli_per_second for body in bodies),
         max(body.floor_permille for body in bodies),
         bodies[-1].tier_name,
-        is_certain,
+        is_converged,
     )
 
 
--- a/tests/simulation/test_priority_fleet.py
+++ b/tests/simulation/test_priority_fleet.py
@@ -232,7 +232,7 @@
 ) -> tuple[contract_entries.ContractTerms, ...]:
     if self.pending:
         return (self.pending[-1].value,)
-    return (self.certain_body,) if self.certain_body else ()
+    return (self.stable_body,) if self.stable_body else ()
 
 
 def _unlimited_budget(self: preemption_budget.PreemptionBudget, now_ms: float, *, may_preempt: bool) -> None:
@@ -257,7 +257,7 @@
         "contradiction_of_edited_contracts",
         [
             (BodyHistory, "effective_bodies", _newest_body_only),
-            (BodyHistory, "is_certain", lambda self: True),
+            (BodyHistory, "is_converged", lambda self: True),
         ],
     ),
     "only the own pressure counts": (
--- a/tests/unit/priority/test_contracts_exploration.py
+++ b/tests/unit/priority/test_contracts_exploration.py
@@ -21,10 +21,10 @@
     assert explored.longest_contradiction_ticks == 0
 
 
-def _is_certain_too_early(self: BodyHistory[ContractTerms]) -> bool:
-    return self.certain_body is not None
+def _is_converged_too_early(self: BodyHistory[ContractTerms]) -> bool:
+    return self.stable_body is not None
 
 
 def test_exploration_finds_an_edit_that_takes_effect_too_early(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(BodyHistory, "is_certain", _is_certain_too_early)
+    monkeypatch.setattr(BodyHistory, "is_converged", _is_converged_too_early)
     assert explore("a", BOUND_TICKS).longest_contradiction_ticks > BOUND_TICKS
