--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -105,8 +105,10 @@
             self.gate.placements.on_endpoint_update(notification)
         elif isinstance(notification, WallClockRead):
             unix_ms = notification.unix_ms
-            has_window = self._has_relevant_window(unix_ms)
-            self._log(self.wall_clock.on_host_reading(now_ms, unix_ms, has_window=has_window))
+            requires_confirmation = self._requires_step_confirmation(unix_ms)
+            self._log(
+                self.wall_clock.on_host_reading(now_ms, unix_ms, requires_confirmation=requires_confirmation)
+            )
         elif isinstance(notification, SettingsChanged):
             self.settings = notification.settings
             self.wall_clock.router_count = max(1, notification.settings.router_count)
@@ -197,7 +199,7 @@
             )
         )
 
-    def _has_relevant_window(self, unix_ms: float) -> bool:
+    def _requires_step_confirmation(self, unix_ms: float) -> bool:
         """Return whether other routers must confirm a step of the wall clock to this time."""
         is_sensitive = self.registry.has_step_sensitive_window(
             unix_ms, self.wall_clock.max_error_ms, self.replicated_state.staleness_bound_ms
--- a/cedarthread/change_freeze/placement_changes.py
+++ b/cedarthread/change_freeze/placement_changes.py
@@ -46,12 +46,12 @@
 class AdmissionDecision:
     """An answer of the admission gate and its cause.
 
-    ``window_id`` is the id of a window in force, ``UNCERTAIN``, ``RELEASING``, or '' if nothing freezes
-    the change.
+    ``cause`` is the id of a window in force, ``UNCERTAIN``, ``RELEASING``, or '' if nothing freezes the
+    change.
     """
 
     answer: AdmissionAnswer
-    window_id: str = ""
+    cause: str = ""
 
     @property
     def is_permitted(self) -> bool:
--- a/cedarthread/change_freeze/wall_clock.py
+++ b/cedarthread/change_freeze/wall_clock.py
@@ -74,14 +74,14 @@
         self.step_count = 0
         self.invalid_sample_count = 0
 
-    def on_host_reading(self, now_ms: float, unix_ms: float, *, has_window: bool) -> str | None:
+    def on_host_reading(self, now_ms: float, unix_ms: float, *, requires_confirmation: bool) -> str | None:
         """Process a reading of the host's wall clock; return a log line at a step, or if a step was undone.
 
         Args:
             now_ms: The time on the monotonic clock.
             unix_ms: The host's wall time.
-            has_window: Whether a window is known. If True, the clock applies a step only if other routers
-                confirm the step.
+            requires_confirmation: Whether a step is applied only if other routers confirm it, because the
+                step may affect a window.
         """
         if not math.isfinite(unix_ms):
             return None
@@ -107,7 +107,7 @@
             self.step_count += 1
         self.unconfirmed_offset_ms = offset_ms
         step_s = f"{gap_ms / 1000.0:+.1f}"
-        if not has_window or self._is_step_confirmed(now_ms, offset_ms):
+        if not requires_confirmation or self._is_step_confirmed(now_ms, offset_ms):
             self.applied_offset_ms = offset_ms
             self.unconfirmed_offset_ms = None
             return format_event("wall_clock_stepped", step_s=step_s, followed=True)
--- a/cedarthread/testing/cluster/injected_defects.py
+++ b/cedarthread/testing/cluster/injected_defects.py
@@ -107,7 +107,9 @@
     """Trust the host's wall clock without regard to the clocks of other routers."""
     from cedarthread.change_freeze import wall_clock
 
-    def follow_host(self: wall_clock.WallClock, now_ms: float, unix_ms: float, *, has_window: bool) -> None:
+    def follow_host(
+        self: wall_clock.WallClock, now_ms: float, unix_ms: float, *, requires_confirmation: bool
+    ) -> None:
         self.applied_offset_ms = unix_ms - now_ms
 
     wall_clock.WallClock.on_host_reading = follow_host  # type: ignore[method-assign]
--- a/tests/simulation/test_change_freeze.py
+++ b/tests/simulation/test_change_freeze.py
@@ -309,8 +309,8 @@
         "clock steps are followed",
         WallClock,
         "on_host_reading",
-        lambda clock, now_ms, unix_ms, has_window: ORIGINAL_ON_HOST_READING(
-            clock, now_ms, unix_ms, has_window=False
+        lambda clock, now_ms, unix_ms, requires_confirmation: ORIGINAL_ON_HOST_READING(
+            clock, now_ms, unix_ms, requires_confirmation=False
         ),
         clocks_step,
     ),
