--- a/tests/simulation/change_freeze_fleet.py
+++ b/tests/simulation/change_freeze_fleet.py
@@ -59,7 +59,7 @@
 
     def entries(self, kind: EntryKind) -> tuple[ReplicatedEntry, ...]:
         now_ms = self.fleet.now_ms
-        to_steady_clock_ms = self.router.steady_clock_ms
+        to_monotonic_ms = self.router.monotonic_ms
         newest: dict[str, ReplicatedEntry] = {}
         for received_at_ms, entry, majority_at_ms in self.deliveries[kind]:
             previous = newest.get(entry.name)
@@ -68,8 +68,8 @@
                 is_replicated = replicated_at_ms <= now_ms
                 newest[entry.name] = ReplicatedEntry(
                     entry,
-                    to_steady_clock_ms(received_at_ms),
-                    to_steady_clock_ms(replicated_at_ms) if is_replicated else None,
+                    to_monotonic_ms(received_at_ms),
+                    to_monotonic_ms(replicated_at_ms) if is_replicated else None,
                 )
         return tuple(newest.values())
 
@@ -111,7 +111,7 @@
             sharing,
             self.replicated_state,
             self.escrow,
-            now_ms=self.steady_clock_ms(fleet.now_ms),
+            now_ms=self.monotonic_ms(fleet.now_ms),
         )
         self.in_flight: dict[int, int] = {}
         self.log_lines: list[str] = []
@@ -121,12 +121,12 @@
             self.local_now_ms, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, workers)
         )
 
-    def steady_clock_ms(self, true_ms: float) -> float:
+    def monotonic_ms(self, true_ms: float) -> float:
         return 7000.0 * self.router_index + true_ms * (1.0 + self.drift_rate)
 
     @property
     def local_now_ms(self) -> float:
-        return self.steady_clock_ms(self.fleet.now_ms)
+        return self.monotonic_ms(self.fleet.now_ms)
 
     def on_tick(self) -> None:
         now_ms = self.local_now_ms
--- a/tests/simulation/contract_edits.py
+++ b/tests/simulation/contract_edits.py
@@ -103,7 +103,7 @@
             state.add(0.0, Entry(kind, name, Version(0, 0, 0), body))
     partition = OneWayPartition(set(), set())
     longest_ms = 0.0
-    act_count = 0
+    decision_count = 0
     contradicts_since_ms: dict[tuple[int, int], float] = {}
     for step in range(STEP_COUNT):
         now_ms = step * 100.0
@@ -114,15 +114,15 @@
             author = rng.choice([*partition.not_pulled_from, rng.randrange(ROUTER_COUNT)])
             _edit_contract(now_ms, states[author], rng)
         precedence_by_router = [_precedence(now_ms, each) for each in contracts]
-        act_count += sum(map(abs, precedence_by_router))
+        decision_count += sum(map(abs, precedence_by_router))
         for pair in itertools.product(range(ROUTER_COUNT), range(ROUTER_COUNT)):
             if precedence_by_router[pair[0]] * precedence_by_router[pair[1]] < 0:
                 since_ms = contradicts_since_ms.setdefault(pair, now_ms)
                 longest_ms = max(longest_ms, now_ms - since_ms)
             else:
                 contradicts_since_ms.pop(pair, None)
-    if act_count < 0.1 * STEP_COUNT * ROUTER_COUNT:
-        return f"only {act_count} precedence decisions, too few to show anything"
+    if decision_count < 0.1 * STEP_COUNT * ROUTER_COUNT:
+        return f"only {decision_count} precedence decisions, too few to show anything"
     return (
         f"two routers contradicted each other for {longest_ms:.0f} ms"
         if longest_ms > STALENESS_BOUND_MS
--- a/tests/unit/priority/contract_world.py
+++ b/tests/unit/priority/contract_world.py
@@ -24,7 +24,7 @@
 INITIAL_TICK = -99.0  # of the initial entries, long before the first edit
 
 
-class FixedState:
+class FakeReplicatedState:
     """The replicated store of one router: one contract that is edited, and one that is not."""
 
     staleness_bound_ms = BOUND_TICKS
@@ -92,7 +92,7 @@
         for edit, at in enumerate(replicated_at)
     )
     tiers = (first_tier, "c" if first_tier == "a" else "a", first_tier)
-    state = FixedState(UNEDITED_CONTRACT, reaches_majority=is_fresh)
+    state = FakeReplicatedState(UNEDITED_CONTRACT, reaches_majority=is_fresh)
     contracts = EffectiveContracts(state)
     for edit, received_at, known_replicated_at in known:
         terms = contract_entries.ContractTerms(tiers[edit], 0, 0)
