--- a/cedarthread/change_freeze/placement_paths.py
+++ b/cedarthread/change_freeze/placement_paths.py
@@ -1,8 +1,9 @@
 """The list of all code paths that change placements, and a check of source text against the list.
 
-A path is a function that creates a ``PreloadFunction``, an ``UnloadFunction`` or a ``StartAttempt``, or that
-sets the number or the order of home workers. The check searches the syntax tree by name. It finds paths that
-are not on the list, and paths that do not query the admission gate.
+A path is a function that creates a ``PreloadFunction`` or an ``UnloadFunction``, calls ``_start_attempt``
+(which creates a ``StartAttempt``), sets the order of workers that determines the home workers, or passes new
+settings to the router, which may change the number or the order of home workers. The check searches the
+syntax tree by name. It finds paths that are not on the list, and paths that do not query the admission gate.
 """
 
 from __future__ import annotations
--- a/cedarthread/change_freeze/wall_clock.py
+++ b/cedarthread/change_freeze/wall_clock.py
@@ -1,9 +1,9 @@
 """A wall clock that tolerates steps of the host's clock and detects its deviation from other routers' clocks.
 
 Freeze windows are declared in wall time. ``WallClock`` runs on the monotonic clock and slews toward the
-host's wall clock by no more than the drift that both clocks may have. While a window is declared, a step of
-the host's clock therefore does not end the window, and is applied only once other routers confirm it; without
-a window, a step is applied at once.
+host's wall clock by no more than the drift that both clocks may have. A step of the host's clock
+that may affect a declared window therefore does not end the window, and is applied only once other routers
+confirm it; any other step is applied at once.
 
 The offset to another router's clock is computed from a request and its response, as in NTP (Mills, RFC 5905);
 the median offset shows whether this router's clock deviates. The change freeze component passes the readings
