--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -1,6 +1,6 @@
 """The change freeze component, which tracks the declared windows and sets the rules of the admission gate.
 
-The component is pure: the caller passes the steady clock (ms) and readings of the host's wall clock.
+The component is pure: the caller passes the monotonic clock (ms) and readings of the host's wall clock.
 Design: docs/design/change-freeze.md.
 """
 
@@ -58,11 +58,11 @@
         sharing: The fleet's limits of clock error and clock drift.
         replicated_state: Contains the entries that declare, revoke and lift windows.
         escrow: Contains the exception budgets of the windows.
-        now_ms: The time on the steady clock.
+        now_ms: The time on the monotonic clock.
         has_read_enough_peers: Returns whether the entries of several peers were read completely in this
             incarnation. If so, the entries known at the start count even without confirmation by a
             majority (docs/design/change-freeze.md, step 21).
-        acquire_release: Returns whether one deferred change may be released at a time on the steady clock,
+        acquire_release: Returns whether one deferred change may be released at a time on the monotonic clock,
             and consumes a token if so; None: a ``ReleaseRateLimiter`` of this component.
     """
 
@@ -105,8 +105,10 @@
             self.gate.placements.on_endpoint_update(notification)
         elif isinstance(notification, WallClockRead):
             unix_ms = notification.unix_ms
-            has_window = self._has_relevant_window(unix_ms)
-            self._log(self.wall_clock.on_host_reading(now_ms, unix_ms, has_window=has_window))
+            requires_confirmation = self._requires_step_confirmation(unix_ms)
+            self._log(
+                self.wall_clock.on_host_reading(now_ms, unix_ms, requires_confirmation=requires_confirmation)
+            )
         elif isinstance(notification, SettingsChanged):
             self.settings = notification.settings
             self.wall_clock.router_count = max(1, notification.settings.router_count)
@@ -197,7 +199,7 @@
             )
         )
 
-    def _has_relevant_window(self, unix_ms: float) -> bool:
+    def _requires_step_confirmation(self, unix_ms: float) -> bool:
         """Return whether other routers must confirm a step of the wall clock to this time."""
         is_sensitive = self.registry.has_step_sensitive_window(
             unix_ms, self.wall_clock.max_error_ms, self.replicated_state.staleness_bound_ms
--- a/cedarthread/priority/call_priority.py
+++ b/cedarthread/priority/call_priority.py
@@ -1,7 +1,7 @@
 """The priority of a call, from its tenant's tier and whether the call is within quota; 0 is the highest.
 
     tier of the tenant      within quota    over quota
-    first (say firm)                  0            64
+    first (such as firm)              0            64
     second (standard)                 1            65
     third (interruptible)             2            66
     no contract                       -           127
@@ -24,9 +24,9 @@
 def assign_priority(
     tenant_name: str | None, contract: EffectiveContract, *, is_within_quota: bool
 ) -> CallPriority:
-    """Return the priority of a call; the range of all priorities while the contract is not certain."""
+    """Return the priority of a call; the range of all priorities until the contract has converged."""
     position = contract.tier_index + (0 if is_within_quota else OVER_QUOTA_OFFSET)
-    if not contract.is_certain:
+    if not contract.is_converged:
         return CallPriority(0, LOWEST_PRIORITY, position, tenant_name, is_within_quota)
     return CallPriority(position, position, position, tenant_name, is_within_quota)
 
--- a/tests/unit/priority/contract_world.py
+++ b/tests/unit/priority/contract_world.py
@@ -24,7 +24,7 @@
 INITIAL_TICK = -99.0  # of the initial entries, long before the first edit
 
 
-class FixedState:
+class FakeReplicatedState:
     """The replicated store of one router: one contract that is edited, and one that is not."""
 
     staleness_bound_ms = BOUND_TICKS
@@ -92,7 +92,7 @@
         for edit, at in enumerate(replicated_at)
     )
     tiers = (first_tier, "c" if first_tier == "a" else "a", first_tier)
-    state = FixedState(UNEDITED_CONTRACT, reaches_majority=is_fresh)
+    state = FakeReplicatedState(UNEDITED_CONTRACT, reaches_majority=is_fresh)
     contracts = EffectiveContracts(state)
     for edit, received_at, known_replicated_at in known:
         terms = contract_entries.ContractTerms(tiers[edit], 0, 0)
@@ -119,9 +119,8 @@
             routers = (known, state.routers[1]) if router == 0 else (state.routers[0], known)
             return state._replace(routers=routers, last_edit=last_edit)
 
-        if (
-            state.last_edit < router + 1
-        ):  # the first router makes the first edit, because the routers are symmetric
+        # The first router makes at most the first edit, because the routers are symmetric.
+        if state.last_edit < router + 1:
             edit = state.last_edit + 1
             yield with_known_edits((*own_edits, KnownEdit(edit, now_ms, None)), last_edit=edit)
         if other_edits[-1].edit > own_edits[-1].edit:
