--- a/cedarthread/simulator/decoder.py
+++ b/cedarthread/simulator/decoder.py
@@ -113,7 +113,7 @@
         zone,
         kind,
         cell,
-        _lookup(ENDPOINT_STATES, state, "endpoint state"),
+        _lookup(ENDPOINT_STATES, state, "status"),
         positive_or_none(weight),
         positive_or_none(started_at_ms),
     )
@@ -221,10 +221,10 @@
 
     def _endpoint_update(self, reader: _FrameReader, instance_id: int) -> HostEvent:
         kind_code, version, table_number = reader.unpack(ENDPOINT_UPDATE)
-        kind = _lookup(UPDATE_KINDS, kind_code, "endpoint update kind")
+        kind = _lookup(UPDATE_KINDS, kind_code, "list kind")
         if kind is EndpointUpdateKind.FAILED:
             return EndpointUpdate(kind, version, ())
-        return EndpointUpdate(kind, version, _lookup(self.endpoint_tables, table_number, "endpoint table"))
+        return EndpointUpdate(kind, version, _lookup(self.endpoint_tables, table_number, "table"))
 
     def _request_arrived(self, reader: _FrameReader, instance_id: int) -> HostEvent:
         (
@@ -260,7 +260,7 @@
     def _attempt_ended(self, reader: _FrameReader, instance_id: int) -> HostEvent:
         fields = reader.unpack(ATTEMPT_ENDED)
         request_id, worker_id, latency_ms, instance_info, attempt_index, status_code, is_final = fields
-        outcome = _lookup(OUTCOME_BY_STATUS_CODE, status_code, "status code")
+        outcome = _lookup(OUTCOME_BY_STATUS_CODE, status_code, "verdict")
         start_code = instance_info & START_KIND_MASK
         start_kind = START_KINDS[start_code] if start_code < len(START_KINDS) else StartKind.UNKNOWN
         return AttemptEnded(
@@ -283,7 +283,7 @@
 
     def _health_check_ended(self, reader: _FrameReader, instance_id: int) -> HostEvent:
         latency_ms, worker_id, status_code = reader.unpack(HEALTH_CHECK_ENDED)
-        outcome = _lookup(OUTCOME_BY_STATUS_CODE, status_code, "status code")
+        outcome = _lookup(OUTCOME_BY_STATUS_CODE, status_code, "verdict")
         return HealthCheckEnded(worker_id, outcome, _check_time(latency_ms), reader.read_load_report())
 
     def _peer_message(self, reader: _FrameReader, instance_id: int) -> HostEvent:
@@ -295,5 +295,5 @@
 
     def _preload_ended(self, reader: _FrameReader, instance_id: int) -> HostEvent:
         instances, worker_id, function_id, status_code, latency_ms = reader.unpack(PRELOAD_ENDED)
-        outcome = _lookup(OUTCOME_BY_STATUS_CODE, status_code, "status code")
+        outcome = _lookup(OUTCOME_BY_STATUS_CODE, status_code, "verdict")
         return PreloadEnded(worker_id, function_id, outcome, instances, _check_time(latency_ms))
