--- a/cedarthread/protocols/discovery/client.py
+++ b/cedarthread/protocols/discovery/client.py
@@ -61,10 +61,10 @@
 
     Args:
         on_update: Applies the serial and the complete list of a newer usable reply.
-        on_poll: Called with each query, because the process is known to be running then.
+        on_poll: Called after each query, because work that is due soon can run while the process is awake.
         release_descriptor: Frees a descriptor if none is left; returns whether it has freed one.
         on_partial_list: Applies the drains found in an unusable reply; returns whether there were any.
-        observer: Notified of regular queries and of replies.
+        observer: Notified of scheduled queries and of replies with an up-to-date list.
         schedule: The time of the next query, shared with the freshness gate if there is one.
         queries: The queries in flight and the freshness of the list, shared in the same way.
     """
@@ -92,7 +92,7 @@
         self._address: tuple[str, int] | None = None  # of the server to poll
         self._connect_task: asyncio.Task[None] | None = None
         self._last_payload = b""  # the last reply with the list in use, without its query id
-        self._is_list_confirmed = False  # no reply with another list has arrived since
+        self._is_list_confirmed = False  # the latest received list is the one in use, without demotions
         self._transport: asyncio.DatagramTransport | None = None
         # The previous socket after a change of address; polled until the new server replies.
         self._previous_transport: asyncio.DatagramTransport | None = None
--- a/cedarthread/protocols/discovery/endpoint_list.py
+++ b/cedarthread/protocols/discovery/endpoint_list.py
@@ -65,7 +65,7 @@
         self.settings = settings
         self.version = -1
         self.records: dict[str, EndpointRecord] = {}  # by name
-        self._has_demotions = False  # the last version must be applied again
+        self._has_demotions = False  # a list of the same version must be applied again
 
     def apply_update(
         self, version: int, records: list[EndpointRecord], *, is_snapshot: bool
--- a/cedarthread/protocols/discovery/endpoint_records.py
+++ b/cedarthread/protocols/discovery/endpoint_records.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartialList:
-    """The usable part of an unusable reply: the workers that must get no more calls."""
+    """The names in an unusable or unconfirmed reply that show which workers must get no more calls."""
 
     draining_names: frozenset[str]
     listed_names: frozenset[str] | None  # the names of all workers; None if the list may be truncated
--- a/cedarthread/protocols/discovery/list_acceptance.py
+++ b/cedarthread/protocols/discovery/list_acceptance.py
@@ -16,7 +16,8 @@
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 
 CONFIRMING_QUERIES = 2  # queries that must return the same list before it is accepted
-CANDIDATE_LIFETIME_S = 1.0  # time within which a list with a higher serial must be confirmed
+# Once a candidate with a higher serial is older than this, another reply with the list in use drops it.
+CANDIDATE_LIFETIME_S = 1.0
 # A list with a lower serial than the list in use counts as old, unless no other list arrives for this time.
 LOWER_SERIAL_CONFIRMATION_S = 2.0
 
--- a/cedarthread/protocols/discovery/poll_schedule.py
+++ b/cedarthread/protocols/discovery/poll_schedule.py
@@ -19,7 +19,7 @@
     """Observer of the queries of a discovery client and of their replies."""
 
     def on_poll_due(self, due_at_s: float) -> None:
-        """Handle a regular query that was due at that time; the client sends the query right afterwards."""
+        """Handle a scheduled query that was due at that time; the client sends the query right afterwards."""
 
     def on_fresh(self) -> None:
         """Handle a reply which shows that the endpoint list is up to date."""
@@ -36,7 +36,7 @@
 
 
 class PollSchedule:
-    """The time of the next regular query, and the means to send a query before then."""
+    """The time of the next scheduled query (regular or retry), and the means to send a query before then."""
 
     def __init__(self) -> None:
         self._send_query: Callable[[], None] | None = None  # None while no discovery socket is open
--- a/cedarthread/protocols/discovery/start_times.py
+++ b/cedarthread/protocols/discovery/start_times.py
@@ -56,8 +56,8 @@
     def _correct(self, name: str, reported_ms: float, now_ms: float, fresh_as_of_ms: float | None) -> float:
         """Return the corrected start time of one worker; 0 (no recent start) stays 0.
 
-        The first list does not show when a start was listed. Its start times are taken as the clocks report
-        them; a start in the future counts as a start now.
+        The first list bounds no start time, because its workers may have been listed long before it arrived.
+        Its start times are taken as the clocks report them; a start in the future counts as a start now.
         """
         if reported_ms <= 0.0:
             return reported_ms
@@ -70,7 +70,9 @@
             self._offset_ms = corrected_ms - reported_ms
         elif fresh_as_of_ms is not None and corrected_ms < fresh_as_of_ms - MAX_LISTING_DELAY_MS:
             corrected_ms = max(fresh_as_of_ms - MAX_LISTING_DELAY_MS, now_ms - USUAL_LISTING_DELAY_MS)
-            if known is not None:  # a restart; a worker that was never listed may have been partitioned
+            # Only a restart reveals the offset. A worker that was never listed may have started long ago and
+            # been partitioned since.
+            if known is not None:
                 self._offset_ms = corrected_ms - reported_ms
         self._known[name] = _KnownStart(reported_ms, corrected_ms)
         return corrected_ms
--- a/cedarthread/protocols/platform/connection.py
+++ b/cedarthread/protocols/platform/connection.py
@@ -62,7 +62,10 @@
         self.calls.abandon_all()
 
     def is_idle(self) -> bool:
-        """Return whether no call is open and no input is unread."""
+        """Return whether no call is open and no input is unread.
+
+        Input is ignored once the connection is closing; ``discard_budget`` is set during a lingering close.
+        """
         if self.calls.open or self.has_unprocessed_messages or self.transport is None:
             return False
         return self.discard_budget is not None or self.transport.is_closing() or not self.has_unread_input()
--- a/cedarthread/protocols/worker/connections.py
+++ b/cedarthread/protocols/worker/connections.py
@@ -208,7 +208,7 @@
     def close_idle_connections(self, worker_id: int) -> None:
         """Close the idle connections to a worker."""
         if (pool := self.pools.get(worker_id)) is not None:
-            pool.sweep(self._loop.time(), -1.0)
+            pool.sweep(self._loop.time(), -1.0)  # a negative limit: any idle time exceeds it
 
     def on_connection_broken(self, request: WorkerRequest, *, is_unreachable: bool) -> None:
         """End a request after its connection broke or could not be established."""
--- a/cedarthread/simulator/decoder.py
+++ b/cedarthread/simulator/decoder.py
@@ -101,6 +101,7 @@
 
 
 def _lookup(table: dict[_Key, _Value], key: _Key, kind: str) -> _Value:
+    """Return the value of a key; ``kind`` names the key in the error message, in the operators' terms."""
     if key not in table:
         raise SimulatorProtocolError(f"unknown {kind} {key!r}")
     return table[key]
