--- a/cedarthread/protocols/dns.py
+++ b/cedarthread/protocols/dns.py
@@ -86,7 +86,7 @@
     except struct.error as error:
         return UnusableReply(f"malformed: {error}")
     if not flags & _FLAG_RESPONSE:
-        return UnusableReply("no response")
+        return UnusableReply("no response")  # the message is a query
     if flags & _RESPONSE_CODE_MASK:
         return UnusableReply(f"code {flags & _RESPONSE_CODE_MASK}")
     reply = Reply(query_id)
--- a/cedarthread/protocols/peers.py
+++ b/cedarthread/protocols/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers, sent from ``peer_listen`` to the addresses in ``peers``; others are dropped."""
+"""Datagrams between routers, from ``peer_listen`` to ``peers``; those of unknown senders are dropped."""
 
 from __future__ import annotations
 
--- a/cedarthread/protocols/worker/connections.py
+++ b/cedarthread/protocols/worker/connections.py
@@ -202,6 +202,7 @@
     def unload(self, worker_id: int, function_id: int) -> None:
         """Request that a worker unload idle instances of a function."""
         pool = self.pools.get(worker_id)
+        # An unload has no response, so it needs no message id that is free on the connection.
         if pool is not None and (connection := pool.acquire("")) is not None:
             connection.send_line(encode_unload(function_id))
 
