--- a/cedarthread/protocols/discovery/endpoint_list.py
+++ b/cedarthread/protocols/discovery/endpoint_list.py
@@ -65,7 +65,7 @@
         self.settings = settings
         self.version = -1
         self.records: dict[str, EndpointRecord] = {}  # by name
-        self._has_demotions = False  # a list of the same version must be applied again
+        self._must_reapply = False  # a list of the same version must be applied again, as after a demotion
 
     def apply_update(
         self, version: int, records: list[EndpointRecord], *, is_snapshot: bool
@@ -80,11 +80,11 @@
         Returns:
             The event for the dispatcher; None if the version is not newer.
         """
-        if version < self.version or (version == self.version and not self._has_demotions):
+        if version < self.version or (version == self.version and not self._must_reapply):
             return None  # a later reply was applied before
         is_first = self.version < 0
         self.version = version
-        self._has_demotions = False
+        self._must_reapply = False
         before = self.by_worker_id()
         if is_snapshot:
             names = {record.name for record in records}
@@ -109,7 +109,7 @@
         previous = self.version
         if 0 <= version <= previous:
             self.version = version
-            self._has_demotions = True
+            self._must_reapply = True
         event = self.apply_update(version, records, is_snapshot=True)
         return event if event is not None and (event.endpoints or version != previous) else None
 
@@ -129,7 +129,7 @@
         ]
         if not demoted:
             return None
-        self._has_demotions = True
+        self._must_reapply = True
         self.records |= {record.name: record for record in demoted}
         endpoints = tuple(self._to_endpoint(record) for record in demoted)
         return EndpointUpdate(EndpointUpdateKind.DELTA, self.version, endpoints)
