--- a/cedarthread/simulator/encoder.py
+++ b/cedarthread/simulator/encoder.py
@@ -145,7 +145,7 @@
     return _ENCODERS[type(action)](action)
 
 
-def encode_instance(instance_id: int) -> bytes:
+def encode_select_instance(instance_id: int) -> bytes:
     """Return the record that selects the instance to which the following actions belong."""
     return _CODE_AND_U32.pack(RecordCode.SELECT_INSTANCE, instance_id)
 
--- a/cedarthread/simulator/host.py
+++ b/cedarthread/simulator/host.py
@@ -28,7 +28,7 @@
     InstanceStarted,
     SimulatorProtocolError,
 )
-from cedarthread.simulator.encoder import encode_action, encode_failure, encode_instance, encode_reply
+from cedarthread.simulator.encoder import encode_action, encode_failure, encode_reply, encode_select_instance
 
 LENGTH_BYTES = 4  # size of the length field of a frame; the length includes the field
 MIN_FRAME_BYTES = 16  # size of the header of a batch
@@ -78,7 +78,7 @@
                 continue
             event_records = _handle_event(node, now_ms, event)
             if event_records and instance_id != selected_instance:
-                records.append(encode_instance(instance_id))
+                records.append(encode_select_instance(instance_id))
                 selected_instance = instance_id
             records.extend(event_records)
         return encode_reply(records)
--- a/tests/golden_builders/fleet.py
+++ b/tests/golden_builders/fleet.py
@@ -17,7 +17,7 @@
 from cedarthread.model.outcomes import Outcome, StartKind
 from cedarthread.model.settings import Tenant
 from cedarthread.node.routing_node import RoutingNode
-from cedarthread.simulator.encoder import encode_action, encode_instance
+from cedarthread.simulator.encoder import encode_action, encode_select_instance
 from tests.golden_builders.escrow import ESCROW_CODEC
 from tests.golden_builders.gossip import GOSSIP_CODEC
 from tests.golden_builders.membership import MEMBERSHIP_CODEC
@@ -39,7 +39,7 @@
 # Datagrams of the other types contain the message kind in their second byte.
 TYPES_WITHOUT_KINDS = (MessageType.GOSSIP, MessageType.LOAD_PRESSURE)
 
-# A record is in the simulator's form: the router's index (``encode_instance``), then the action.
+# A record is in the simulator's form: the router's index (``encode_select_instance``), then the action.
 ACTION_OFFSET = 5
 START_ATTEMPT_CODE = 71
 
@@ -126,7 +126,7 @@
             recorded = (
                 LogMessage(legacy_message(action.message)) if isinstance(action, LogMessage) else action
             )
-            self.records.append(encode_instance(router_index) + encode_action(recorded))
+            self.records.append(encode_select_instance(router_index) + encode_action(recorded))
             if isinstance(action, SendToPeer):
                 self.datagrams.append(action.data)
                 self._queued_datagrams += [
--- a/tests/golden_builders/simulator_actions.py
+++ b/tests/golden_builders/simulator_actions.py
@@ -19,7 +19,7 @@
     SubscribeEndpoints,
     UnloadFunction,
 )
-from cedarthread.simulator.encoder import encode_action, encode_failure, encode_instance, encode_reply
+from cedarthread.simulator.encoder import encode_action, encode_failure, encode_reply, encode_select_instance
 from tests.golden_builders.sample import FUNCTION_ID, Sample
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
     }
     return [
         *(Sample(name, encode_action(action)) for name, action in actions.items()),
-        Sample("instance", encode_instance(5)),
+        Sample("instance", encode_select_instance(5)),
         Sample("broken", encode_failure("IndexError: x")),
-        Sample("reply", encode_reply([encode_instance(5), b"\x49"])),
+        Sample("reply", encode_reply([encode_select_instance(5), b"\x49"])),
     ]
