--- a/cedarthread/protocols/worker/connections.py
+++ b/cedarthread/protocols/worker/connections.py
@@ -202,13 +202,14 @@
     def unload(self, worker_id: int, function_id: int) -> None:
         """Request that a worker unload idle instances of a function."""
         pool = self.pools.get(worker_id)
+        # An unload has no response, so it needs no message id that is free on the connection.
         if pool is not None and (connection := pool.acquire("")) is not None:
             connection.send_line(encode_unload(function_id))
 
     def close_idle_connections(self, worker_id: int) -> None:
         """Close the idle connections to a worker."""
         if (pool := self.pools.get(worker_id)) is not None:
-            pool.sweep(self._loop.time(), -1.0)
+            pool.sweep(self._loop.time(), -1.0)  # a negative limit: any idle time exceeds it
 
     def on_connection_broken(self, request: WorkerRequest, *, is_unreachable: bool) -> None:
         """End a request after its connection broke or could not be established."""
