--- a/cedarthread/replication/fragments.py
+++ b/cedarthread/replication/fragments.py
@@ -48,7 +48,7 @@
 
 
 class FragmentAssembler:
-    """The partial entries of one router, each with its fragments, and a count of invalid ones.
+    """The partial entries of one router, and the number of invalid fragments and entries.
 
     Args:
         state: This router's entries, read to recognize fragments of known entries.
--- a/cedarthread/replication/sync_exchange.py
+++ b/cedarthread/replication/sync_exchange.py
@@ -69,8 +69,8 @@
     def has_read_enough_peers(self) -> bool:
         """Return whether this incarnation has read several peers completely.
 
-        Callers use this when a majority are not voters, so that no router can become fresh. An entry that one
-        peer in eight stores is then missed in 1 of 256 cases, if half of these peers remember the entry.
+        Callers use this when a majority are not voters, so that no router can become fresh. If one half of
+        the peers store an entry, then eight random peers all lack that entry in 1 of 256 cases.
         """
         return len(self.sessions.fully_read_peers) >= min(BOOTSTRAP_PEERS, len(self.requests.all_peers))
 
--- a/cedarthread/replication/sync_server.py
+++ b/cedarthread/replication/sync_server.py
@@ -131,7 +131,7 @@
             if ref.bucket in refs_by_bucket:
                 refs_by_bucket[ref.bucket].append(ref)
         parts = pack_summaries(refs_by_bucket, self.rng.randrange(BUCKET_COUNT))
-        # An empty summary still carries the root digest, which may complete the peer's proof.
+        # An empty summary still carries the root digest, with which the peer may complete its session.
         parts = parts or [SummaryPart(0, 0, 1, ())]
         messages = [
             Summary(
--- a/cedarthread/testing/replication_defects.py
+++ b/cedarthread/testing/replication_defects.py
@@ -1,6 +1,7 @@
 """Injected defects of the replicated store: each breaks one rule of docs/design/replication.md.
 
-The observer of simulations and the model checker must find them. For tests only, never loaded when serving.
+The observer of simulations must find each of them, and the model checker some. For tests only, never loaded
+when serving.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class Defect(NamedTuple):
-    """A method, and the function that replaces it."""
+    """A method, and the defective function that replaces it."""
 
     owner: type
     method: str
--- a/cedarthread/testing/replication_model.py
+++ b/cedarthread/testing/replication_model.py
@@ -1,8 +1,8 @@
 """Model checking of two or three replicated stores: every order of events, up to given numbers of each.
 
-The events: a window passes, a router restarts without memory, a sync request gets its response at once or
-late, the late response arrives. A response that is never delivered is lost. For tests only, never loaded when
-serving.
+The events: a freshness window passes; a router restarts without memory; a sync request gets its response at
+once or late; the late response arrives. A late response that never arrives is lost. For tests only, never
+loaded when serving.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class ConstantRandom:
-    """A replacement of ``random.Random`` that draws nothing."""
+    """A deterministic replacement for ``random.Random``."""
 
     def uniform(self, low: float, high: float) -> float:
         """Return the upper bound."""
@@ -44,12 +44,12 @@
         return 0
 
     def sample(self, population: list[EntryRef], size: int) -> list[EntryRef]:
-        """Return the first elements in their order."""
+        """Return the first ``size`` elements in their order."""
         return population[:size]
 
 
 class CountedRequests(SyncRequests):
-    """Sync requests with counted nonces instead of random ones."""
+    """Sync requests with sequential nonces instead of random ones."""
 
     def _new_nonce(self) -> int:
         return next(_numbers)
@@ -64,7 +64,7 @@
 
 
 class ModelStore(ReplicatedStore):
-    """A store that sends no message on its own and draws nothing.
+    """A store that sends no message on its own and makes no random decision.
 
     Args:
         router_index: Index of the router.
@@ -87,7 +87,7 @@
 
 
 class LateResponse(NamedTuple):
-    """A sync response that has not arrived."""
+    """A sync response that has been sent and has not arrived."""
 
     receiver: int
     sender: int
@@ -101,12 +101,12 @@
     now_ms: float
     stores: tuple[ModelStore, ...]
     late: LateResponse | None = None
-    acts_from_ms: float = math.inf  # when the first router acts on the replicated entry
+    acts_from_ms: float = math.inf  # from when any router acts on the entry as replicated
     window_count: int = 0  # windows that have passed
     restart_count: int = 0
 
     def key(self) -> object:
-        """Return the properties that determine the successors: ages instead of times, no nonces."""
+        """Return the properties that determine the successors, with ages instead of times and no nonces."""
         acts_in_ms = max(self.acts_from_ms - self.now_ms, -1.0)
         properties: list[object] = [self.window_count, self.restart_count, acts_in_ms]
         needs_reads = any(not store.is_voter for store in self.stores) or self.restart_count == 0
@@ -149,7 +149,7 @@
 
 
 def successors(state: ModelState, max_windows: int, max_restarts: int) -> Iterator[ModelState]:
-    """Return the states after each possible event; an event that is never selected is a loss."""
+    """Yield the state after each possible event."""
     if state.window_count < max_windows:
         yield replace(state, now_ms=state.now_ms + WINDOW_MS, window_count=state.window_count + 1)
     if state.late is not None:
@@ -180,12 +180,12 @@
         yield replace(requested, late=sent_response)
 
 
-_pickled = functools.lru_cache(pickle.dumps)  # many copies are made of the stores of one state
+_pickled = functools.lru_cache(pickle.dumps)  # the stores of one state are copied many times
 
 
 def _copy(store: ModelStore) -> ModelStore:
     copied: ModelStore = pickle.loads(_pickled(store))
-    copied.exchange.last_active_at_ms = math.inf  # the model's large steps of time are no pauses of a router
+    copied.exchange.last_active_at_ms = math.inf  # the model's large steps of time must not count as pauses
     return copied
 
 
@@ -194,7 +194,10 @@
 
 
 def _after_response(state: ModelState, late: LateResponse) -> ModelState:
-    """Return the state after a response arrives and the peer's current incarnation serves the session."""
+    """Return the state after a response arrives and the session that it starts has run.
+
+    The peer's current incarnation serves the session.
+    """
     router = late.receiver
     peer = late.sender
     store = _copy(state.stores[router])
@@ -212,7 +215,7 @@
 
 
 def explore_states(router_count: int, max_windows: int, max_restarts: int, max_states: int) -> Exploration:
-    """Explore states breadth first, until a violation or ``max_states``.
+    """Explore states breadth first, until a violation is found or ``max_states`` is reached.
 
     Args:
         router_count: Number of routers; the first has proposed an entry.
--- a/cedarthread/testing/replication_observer.py
+++ b/cedarthread/testing/replication_observer.py
@@ -1,8 +1,8 @@
 """An observer of simulated replicated stores that checks the theorem of docs/design/replication.md (step 9).
 
 The theorem: a router with a fresh state stores every entry that was replicated to a majority longer than the
-staleness bound ago. The simulation reports each step of a router in true time; the observer trusts no
-conclusion of a router. For tests only, never loaded when serving.
+staleness bound ago. The simulation reports each step of a router in true time, and the observer verifies each
+conclusion of a router against what the routers stored. For tests only, never loaded when serving.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Relaxation(NamedTuple):
-    """The time from which a router acts on an entry's replication. Sorted by time."""
+    """A version of an entry that a router will act on as replicated, and from when. Sorted by time."""
 
     from_ms: float
     serial: int
@@ -37,7 +37,7 @@
 
 
 class ActedEntry(NamedTuple):
-    """The greatest version of an entry on which a router acts, and since when."""
+    """The greatest version of an entry on which any router acts, and since when."""
 
     order: EntryOrder
     from_ms: float
@@ -65,7 +65,10 @@
         self.violations: list[str] = []
 
     def on_state(self, now_ms: float, router: int, store: ReplicatedStore) -> None:
-        """Record the entries of a router's store, and check that no version has become older."""
+        """Record the entries of a router's store.
+
+        Within one incarnation, no entry may disappear and no version may become older.
+        """
         stored: Orders = {
             (entry.kind, entry.name): order_key(entry, entry_digest(entry)) for entry in store.snapshot()
         }
--- a/cedarthread/testing/replication_scenarios.py
+++ b/cedarthread/testing/replication_scenarios.py
@@ -1,4 +1,4 @@
-"""Faults of simulated replicated stores in which the rules of docs/design/replication.md matter.
+"""Scenarios of simulated replicated stores with faults that the rules of docs/design/replication.md cover.
 
 For tests only, never loaded when serving.
 """
@@ -17,7 +17,10 @@
 
 
 def simulate_chaos(seed: int, router_count: int = 5, action_count: int = 40) -> StoreSimulation:
-    """Run random edits and faults at the limits of the clocks; at most one router at a time is no voter."""
+    """Run random edits and faults; at most one router at a time is not a voter.
+
+    The clocks run as fast and as slow as the store allows for.
+    """
     simulation = StoreSimulation(router_count, seed, period_ms=100.0, window_ms=2000.0, clock_rate=0.05)
     simulation.loss_rate = 0.1
     simulation.late_rate = 0.15
@@ -44,7 +47,7 @@
 
 
 def random_partition(rng: random.Random, router_count: int) -> set[Link]:
-    """Return the links between two random sides, in both directions or in one."""
+    """Return the links between the two sides of a random partition, in both directions or in one."""
     side = {router for router in range(router_count) if rng.random() < 0.5}
     is_symmetric = rng.random() < 0.5
     links = itertools.starmap(Link, itertools.product(range(router_count), repeat=2))
@@ -56,7 +59,7 @@
 
 
 def connect_only(simulation: StoreSimulation, *groups: set[int]) -> None:
-    """Connect each router to the routers of its groups only, and notify it that only these are alive."""
+    """Connect each router only to the other routers of its groups, and report only these to it as alive."""
     for sender, receiver in itertools.product(range(simulation.router_count), repeat=2):
         is_connected = any({sender, receiver} <= group for group in groups)
         change_link = simulation.cut_links.discard if is_connected else simulation.cut_links.add
@@ -68,7 +71,7 @@
 
 
 def simulate_lost_entry() -> StoreSimulation:
-    """Restart a holder of an entry without memory; it then reads routers that never had the entry."""
+    """Restart a holder of an entry without memory; the holder then reads routers that never had the entry."""
     simulation = StoreSimulation(5, 1, period_ms=100.0, window_ms=4000.0)
     connect_only(simulation, {0, 2}, {1, 3, 4})
     simulation.propose(0, "x", b"settled")
@@ -82,11 +85,11 @@
 
 
 def simulate_restart_during_sync() -> StoreSimulation:
-    """Restart a router after its sync response, so that an empty incarnation sends its summary."""
+    """Restart a router between its sync response and its summary, which an empty incarnation then sends."""
     simulation = StoreSimulation(3, 2, period_ms=100.0, window_ms=4000.0)
     connect_only(simulation, {0, 1})
     simulation.propose(0, "x", b"settled")
-    simulation.run(5000.0)  # longer than the newest entry is sent without a request
+    simulation.run(5000.0)  # by then the newest entry is no longer sent without a request
     connect_only(simulation, {1, 2})
     simulation.run(3000.0, lambda: bool(simulation.stores[2].sessions.sessions))
     simulation.start(1)
@@ -95,7 +98,7 @@
 
 
 def observed_simulations() -> Iterator[StoreSimulation]:
-    """Run, one after the other, the simulations in which the observer must find injected defects."""
+    """Run the simulations one after the other; in at least one, the observer must find an injected defect."""
     yield simulate_lost_entry()
     yield simulate_restart_during_sync()
     yield from (simulate_chaos(seed) for seed in range(12))
--- a/cedarthread/testing/replication_simulation.py
+++ b/cedarthread/testing/replication_simulation.py
@@ -1,7 +1,7 @@
 """Fleets of replicated stores on one virtual clock, with faults, checked by an observer.
 
 For tests only, never loaded when serving. ``StoreSimulation`` owns the clock, the network and the stores;
-``replication_scenarios.py`` has the faults that tests run.
+``replication_scenarios.py`` has the scenarios that tests run.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
     from cedarthread.components.messages import OutboundMessage
 
-CLOCK_OFFSET_MS = 1e6  # between the steady clocks of neighbouring routers
-NO_SENDER = -1  # of a tick
+CLOCK_OFFSET_MS = 1e6  # between the monotonic clocks of routers with consecutive indexes
+NO_SENDER = -1  # sender of a tick
 STORE_SEED = 7
 
 
@@ -46,7 +46,7 @@
 
 
 class Link(NamedTuple):
-    """A direction between two routers."""
+    """One direction of the network between two routers."""
 
     sender: int
     receiver: int
@@ -61,7 +61,7 @@
         is_voter: Whether the routers remember that they were voters.
         period_ms: Mean time between two sync requests of a store.
         window_ms: Freshness window; 0 selects the default.
-        clock_rate: Fraction by which each clock is fast, slow, or neither.
+        clock_rate: Fraction by which a clock is fast or slow; each clock is fast, slow or exact at random.
     """
 
     def __init__(
@@ -103,19 +103,19 @@
             self.schedule(self.rng.uniform(0, MAX_TICK_INTERVAL_MS), router, NO_SENDER, None)
 
     def local_ms(self, router: int, true_ms: float) -> float:
-        """Return the time on a router's steady clock at a true time."""
+        """Return the time on a router's monotonic clock at a true time."""
         return CLOCK_OFFSET_MS * router + true_ms * self.clock_speeds[router]
 
     def true_ms(self, router: int, local_ms: float) -> float:
-        """Return the true time at which a router's steady clock shows ``local_ms``."""
+        """Return the true time at which a router's monotonic clock shows ``local_ms``."""
         return (local_ms - CLOCK_OFFSET_MS * router) / self.clock_speeds[router]
 
     def local_now_ms(self, router: int) -> float:
-        """Return the current time on a router's steady clock."""
+        """Return the current time on a router's monotonic clock."""
         return self.local_ms(router, self.now_ms)
 
     def start(self, router: int, *, is_voter: bool = False) -> None:
-        """Start a router without its entries; ``is_voter``: with its vote."""
+        """Start a new incarnation of a router without entries, as a voter or not."""
         now_ms = self.local_now_ms(router)
         store = ReplicatedStore(
             router,
@@ -168,7 +168,7 @@
                 self.observer.on_read(self.now_ms, router, peer, self.true_ms(router, read_at_ms))
 
     def observe(self, router: int, messages: Iterable[OutboundMessage]) -> None:
-        """Report a router's step to the observer, and give its messages to the network."""
+        """Report a router's step to the observer, and send the messages of the step."""
         store = self.stores[router]
         changes = store.take_changes()
         if changes:
