--- a/cedarthread/testing/escrow_measurements.py
+++ b/cedarthread/testing/escrow_measurements.py
@@ -1,4 +1,7 @@
-"""Measures the table of docs/design/escrow.md: ``python -m cedarthread.testing.escrow_measurements``."""
+"""Measurements of the table in docs/design/escrow.md.
+
+``python -m cedarthread.testing.escrow_measurements`` prints the table.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,10 @@
 
 
 def zipf_demand(router_count: int, total: int, exponent: float, rng: random.Random) -> list[int]:
-    """Return the demand by router: the k-th greatest is proportional to 1 / k^exponent, in random order."""
+    """Return the demand of each router; the k-th greatest is proportional to 1 / k^exponent.
+
+    The order of the routers is random.
+    """
     weights = [rank**-exponent for rank in range(1, router_count + 1)]
     rng.shuffle(weights)
     return [int(total * weight / sum(weights)) for weight in weights]
@@ -69,7 +75,12 @@
 def measure_count_acquisition(
     router_count: int, seed: int, total: int, requesters: int, loss_rate: float
 ) -> list[float]:
-    """Return the times in ms until routers without units each consumed a unit; inf if not within 30 s."""
+    """Measure how soon routers without units each consume a unit of a count.
+
+    Returns:
+        The times in ms, the shortest first; infinity for each router that consumed no unit within 30 s. There
+        are no more times than the count has units.
+    """
     network = {**MEASURED_NETWORK, "loss_rate": loss_rate}
     simulation = EscrowSimulation(router_count, seed, {"count": total}, **network)
     simulation.run(1000.0)
@@ -90,7 +101,7 @@
 
 
 def measure_stampede(router_count: int, seed: int, duration_s: int) -> list[SentDatagrams]:
-    """Measure the datagrams when all routers request a unit of a count of three that its holders do not use.
+    """Measure the datagrams when all routers request a unit of a count of three, and no router consumes one.
 
     Returns:
         The datagrams sent in each second: the mean of the routers, and the most by one router.
--- a/cedarthread/testing/escrow_model.py
+++ b/cedarthread/testing/escrow_model.py
@@ -1,10 +1,10 @@
-"""Model checking of quota escrow: explores all states of two or three routers with one pool.
+"""Model checking of quota escrow: every order of events of two or three routers with one pool.
 
-The exploration tries every order of requests, deliveries, duplicates, consumption, passing time, restarts and
-lowered totals, up to given numbers of each. Time advances in steps that fall between the borrower's end of
-a lease and the lender's. A datagram that is never delivered is lost; a datagram that is delivered after steps
-is late. The clock rates are at their limits: one clock is fast, the others are slow. ``SmallEscrowModel``
-writes all state.
+The events are requests, deliveries, duplicates, consumption, the passage of time, restarts and lowered
+totals, up to given numbers of each kind. Time advances in steps, of which some end between the borrower's end
+of a lease and the lender's. A datagram that is never delivered is lost; a datagram that is delivered after a
+step of time is late. The clock rates are at their limits: one clock is fast, the others are slow.
+``SmallEscrowModel`` has all state.
 """
 
 from __future__ import annotations
@@ -49,11 +49,11 @@
     """One state of two or three routers with one pool.
 
     Args:
-        escrow_type: the escrow of the routers, which a test may replace by one with a defect.
+        escrow_type: Type of the routers' escrows, which a test may replace by one with a defect.
         pool_name: "count" for a count; any other name for a rate.
-        router_count: number of routers.
-        total: total of the pool.
-        limits: how often each kind of event may happen; kinds that are absent have no limit.
+        router_count: Number of routers.
+        total: Total of the pool.
+        limits: How often each kind of event may happen; kinds that are absent have no limit.
     """
 
     def __init__(
@@ -80,15 +80,15 @@
 
     @property
     def is_count(self) -> bool:
-        """Whether the pool is a count, and not a rate."""
+        """Whether the pool is a count; otherwise it is a rate."""
         return self.pool_name == "count"
 
     def clock_ms(self, router_index: int) -> float:
-        """Return the monotonic clock of a router."""
+        """Return the time on a router's monotonic clock."""
         return self.now_ms * (1 + CLOCK_RATE_ERROR if router_index == 0 else 1 - CLOCK_RATE_ERROR)
 
     def start_router(self, router_index: int, *, is_first: bool) -> Escrow:
-        """Return the escrow of a new incarnation of a router, with memory only if it is the first."""
+        """Return the escrow of a new incarnation of a router, which has memory only if it is the first."""
         self.last_incarnation += 1
         escrow = self.escrow_type(
             router_index,
@@ -198,7 +198,10 @@
             self.in_flight |= {(sender, message.peer_index, message.data)}
 
     def is_total_exceeded(self) -> bool:
-        """Return whether the routers use more than the total, or than the lowered total once all know it."""
+        """Return whether the routers use more than the total.
+
+        Once all routers know the lowered total, no further unit of a count may be consumed beyond it.
+        """
         if self.is_count:
             lowered = max(self.consumed_when_all_knew, self.total - LOWERED_BY)
             is_total_lowered = self.consumed_when_all_knew >= 0 and self.consumed > lowered
@@ -233,11 +236,14 @@
     """The result of an exploration."""
 
     state_count: int
-    violating_events: list[Event] | None  # the fewest events that exceed the total; None if none do
+    violating_events: list[Event] | None  # a shortest sequence that exceeds the total; None if none was found
 
 
 def explore_states(start: SmallEscrowModel, max_states: int = 10**6) -> Exploration:
-    """Explore the states that can follow, breadth first, until the total is exceeded or no state is left."""
+    """Explore the states that can follow ``start``, breadth first.
+
+    The exploration ends when the total is exceeded, no state is left, or ``max_states`` is reached.
+    """
     seen = {start.state_key()}
     queue: deque[tuple[SmallEscrowModel, tuple[Event, ...]]] = deque([(start, ())])
     while queue and len(seen) < max_states:
--- a/cedarthread/testing/escrow_simulation.py
+++ b/cedarthread/testing/escrow_simulation.py
@@ -1,9 +1,8 @@
-"""Simulates a fleet of escrows on one virtual clock, with faults, and checks the units that users consume.
+"""A simulated fleet of escrows on one virtual clock, with faults and a check of the units in use.
 
 The check does not read the routers' own accounts. The users of each router use all units that the router
-permits at that instant (a rate) or consume units at random (a count), and the check adds up their use on the
-true clock.
-``EscrowSimulation`` owns the clock, the network and the routers.
+permits at that instant (a rate) or consume units at random (a count), and the check adds up their use in true
+time. ``EscrowSimulation`` owns the clock, the network and the routers.
 """
 
 from __future__ import annotations
@@ -24,7 +23,7 @@
 
     from cedarthread.components.messages import OutboundMessage
 
-CLOCK_RATE_ERROR = 0.03  # far more than the error of real clocks, so that faults become visible sooner
+CLOCK_RATE_ERROR = 0.03  # far more than the error of real clocks, so that defects become visible sooner
 CHECK_INTERVAL_MS = 7.0
 TICK_INTERVAL_MS = 250.0
 DISK_WRITE_MS = 20.0
@@ -34,9 +33,9 @@
     """A router with its clock, its disk and the units that its users consumed.
 
     Args:
-        simulation: the fleet, which sends the router's datagrams.
-        router_index: the router.
-        clock_speed: ms of the router's clock for each ms of true time.
+        simulation: The fleet, which sends the router's datagrams.
+        router_index: Index of the router.
+        clock_speed: By how many ms the router's clock advances in each ms of true time.
     """
 
     def __init__(self, simulation: EscrowSimulation, router_index: int, clock_speed: float) -> None:
@@ -53,7 +52,7 @@
         self.start(is_first=True)
 
     def clock_ms(self) -> float:
-        """Return the router's monotonic clock."""
+        """Return the time on the router's monotonic clock."""
         return self.clock_offset_ms + self.simulation.now_ms * self.clock_speed
 
     def is_active(self) -> bool:
@@ -61,7 +60,7 @@
         return self.is_running and not self.is_paused
 
     def start(self, *, is_first: bool = False) -> None:
-        """Start an incarnation: the first, or a later one that restores the image on the disk, if any."""
+        """Start an incarnation; a later one than the first restores the image on the disk, if any."""
         simulation = self.simulation
         has_memory = is_first or self.persisted_image is not None
         self.escrow = simulation.escrow_type(
@@ -94,7 +93,7 @@
 
 
 class Fault(IntEnum):
-    """Steps of ``inject_fault``."""
+    """Steps of ``inject_fault``: changes of the demand, consumption, and faults."""
 
     CHANGE_RATE_DEMAND = 0
     CONSUME_COUNT = 1
@@ -107,17 +106,17 @@
     """A fleet of routers, and a network that loses, duplicates, delays and reorders datagrams and cuts links.
 
     Args:
-        router_count: number of routers.
-        seed: seed of the simulation.
-        totals: totals by pool name. A pool with a name that starts with "count" is a count, others are rates.
-        escrow_type: the escrow of the routers, which a test may replace by one with a defect.
-        loss_rate: fraction of the datagrams that are lost.
-        is_durable: whether the routers have disks.
-        duplication_rate: fraction of the datagrams that are duplicated.
-        tail_latency_factor: factor by which one in five datagrams is slower than the others.
-        check_interval_ms: time between two checks of the totals.
-        is_demand_only: whether ``inject_fault`` only changes demand and consumes units.
-        clock_rate_error: relative error of the routers' clocks, which are slow and fast in turn.
+        router_count: Number of routers.
+        seed: Seed of the simulation.
+        totals: Totals by pool name. A pool with a name that starts with "count" is a count, others are rates.
+        escrow_type: The escrow of the routers, which a test may replace by one with a defect.
+        loss_rate: Fraction of the datagrams that are lost.
+        is_durable: Whether the routers have disks.
+        duplication_rate: Fraction of the datagrams that are duplicated.
+        tail_latency_factor: Factor by which one in five datagrams is slower than the others.
+        check_interval_ms: Time between two checks of the totals.
+        is_demand_only: Whether ``inject_fault`` only changes demand and consumes units.
+        clock_rate_error: Relative error of the routers' clocks, which are slow and fast in turn.
     """
 
     def __init__(
@@ -151,11 +150,11 @@
         self.bytes_sent: Counter[int] = Counter()  # by router
         self.datagrams_sent: Counter[int] = Counter()  # by router
         self.totals = dict(totals)
-        self.limits = dict(totals)
+        self.limits = dict(totals)  # by pool name: the most units in use (rates) or consumed (counts)
         self.unreachable_pairs: set[tuple[int, int]] = set()  # sender, receiver
         self.events: list[tuple[float, int, Callable[[], None]]] = []  # a heap
         self.violations: list[str] = []
-        self.transfer_checks = 0  # checks at which some router used twice its own allotment
+        self.transfer_checks = 0  # checks at which some router used more than twice an even share of a rate
         speeds = 1 - clock_rate_error, 1 + clock_rate_error
         self.routers = [SimulatedRouter(self, index, speeds[index % 2]) for index in range(router_count)]
         for router in self.routers:
@@ -182,7 +181,7 @@
             self.write_image(router)
 
     def write_image(self, router: SimulatedRouter) -> None:
-        """Start a write to the disk, which is lost if the router crashes before the write ends."""
+        """Start the write of an image that is due; a crash before the write ends loses the image."""
         escrow = router.escrow
         if (image := escrow.image_to_write(router.clock_ms())) is not None:
 
@@ -194,7 +193,7 @@
             self.schedule(DISK_WRITE_MS, finish)
 
     def send(self, sender: int, messages: Iterable[OutboundMessage]) -> None:
-        """Send datagrams, of which some are lost, duplicated or late; a cut link loses all."""
+        """Send datagrams, of which some are lost, duplicated or late; a cut link loses all of them."""
         for message in messages:
             assert isinstance(message, SendToPeer)
             assert message.peer_index is not None
@@ -246,7 +245,7 @@
         router.queued_datagrams = []
 
     def inject_fault(self) -> None:
-        """Change demand, consume units, or let a router or link fail; then schedule the next such step."""
+        """Change the demand, consume units, or make a router or link fail; schedule the next such step."""
         self.schedule(self.rng.uniform(20, 120), self.inject_fault)
         router = self.rng.choice(self.routers)
         weights = [60, 30, 0, 0, 0] if self.is_demand_only else [60, 30, 1, 1, 1]
