--- a/cedarthread/testing/escrow_measurements.py
+++ b/cedarthread/testing/escrow_measurements.py
@@ -135,11 +135,11 @@
         times_ms.sort()
         median_ms = times_ms[len(times_ms) // 2]
         percentile_95_ms = times_ms[int(len(times_ms) * 0.95)]
-        figures = f"median {median_ms}, 95% {percentile_95_ms}, most {times_ms[-1]}"
-        print(f"{router_count} routers, {requesters} ask for one of 3: {figures}")
+        figures = f"median {median_ms} ms, 95th percentile {percentile_95_ms} ms, maximum {times_ms[-1]} ms"
+        print(f"{router_count} routers, {requesters} requesting one of 3 units: {figures}")
     for router_count in (24, 200):
         by_second = ", ".join(f"{mean:.1f} {most}" for mean, most in measure_stampede(router_count, 1, 10))
-        print(f"{router_count} routers, all want: {by_second}")
+        print(f"{router_count} routers, all requesting, mean and most datagrams by second: {by_second}")
 
 
 if __name__ == "__main__":
--- a/cedarthread/testing/escrow_simulation.py
+++ b/cedarthread/testing/escrow_simulation.py
@@ -229,7 +229,9 @@
                 used = sum(uses)
                 self.transfer_checks += max(uses, default=0) > 2 * limit / self.router_count
             if used > limit:
-                self.violations.append(f"{name}: {used} of {limit} at {self.now_ms:.0f} ms")
+                self.violations.append(
+                    f"pool {name}: {used} units used, but the limit is {limit}, at {self.now_ms:.0f} ms"
+                )
 
     def consume(self, router: SimulatedRouter, amount: int) -> bool:
         """Consume units of the count at a router; return whether the router permitted it."""
--- a/cedarthread/testing/replication_observer.py
+++ b/cedarthread/testing/replication_observer.py
@@ -76,7 +76,9 @@
         if store.incarnation == self.incarnations.get(router):
             for key, order in stored_before.items():
                 if key not in stored or stored[key] < order:
-                    self.violations.append(f"{router} went back in {key}")
+                    self.violations.append(
+                        f"router {router} lost its version of {key} or went back to an older one"
+                    )
         else:
             self.incarnations[router] = store.incarnation
             self.started_at_ms[router] = now_ms
@@ -94,7 +96,9 @@
             acts_from_ms: True time from which the router acts on the conclusion.
         """
         if len(self.holders.get((key, order), {})) <= self.router_count // 2:
-            self.violations.append(f"{router} takes {key} of a minority for replicated")
+            self.violations.append(
+                f"router {router} takes {key} for replicated, but no majority has stored it"
+            )
         heapq.heappush(self.relaxations, Relaxation(acts_from_ms, next(self.serials), key, order))
 
     def on_fresh(self, now_ms: float, router: int) -> None:
@@ -107,7 +111,10 @@
                 self.acted_on[key] = ActedEntry(relaxation.order, relaxation.from_ms)
         for key, (order, from_ms) in self.acted_on.items():
             if key not in stored or stored[key] < order:
-                self.violations.append(f"{now_ms:.0f}: {router} is fresh and lacks {key} of {from_ms:.0f}")
+                self.violations.append(
+                    f"at {now_ms:.0f} ms: router {router} is fresh but lacks the version of {key} "
+                    f"on which a router acts since {from_ms:.0f} ms"
+                )
 
     def on_read(self, now_ms: float, router: int, peer: int, read_at_ms: float) -> None:
         """Check a router's claim that it lacks no entry that a peer stored at ``read_at_ms``.
@@ -119,4 +126,6 @@
         stored = self.history[router][-1].orders
         past = next(state.orders for state in reversed(self.history[peer]) if state.from_ms <= read_at_ms)
         if any(key not in stored or stored[key] < order for key, order in past.items()):
-            self.violations.append(f"{now_ms:.0f}: {router} has not read {peer} as of {read_at_ms:.0f}")
+            self.violations.append(
+                f"at {now_ms:.0f} ms: router {router} lacks entries of router {peer} at {read_at_ms:.0f} ms"
+            )
--- a/tests/simulation/test_escrow_fleet.py
+++ b/tests/simulation/test_escrow_fleet.py
@@ -52,7 +52,9 @@
     assert not simulation.violations
     assert simulation.longest_datagram_bytes <= MAX_DATAGRAM_BYTES
     assert sum(router.consumed for router in simulation.routers) > 20
-    assert simulation.transfer_checks * CHECK_INTERVAL_MS > 4000.0, "no units moved"
+    assert simulation.transfer_checks * CHECK_INTERVAL_MS > 4000.0, (
+        "too few units were transferred between routers"
+    )
 
 
 class RequesterWithOpenRequests(EscrowRequester):
