--- a/cedarthread/testing/escrow_model.py
+++ b/cedarthread/testing/escrow_model.py
@@ -107,14 +107,14 @@
 
     def state_key(self) -> str:
         """Return a key that is equal for states from which the same events can follow."""
-        world = (
+        fleet_state = (
             self.now_ms,
             self.consumed,
             self.consumed_when_all_knew,
             sorted(self.in_flight),
             sorted(self.remaining_events.items()),
         )
-        return repr(([_router_key(escrow) for escrow in self.routers], world))
+        return repr(([_router_key(escrow) for escrow in self.routers], fleet_state))
 
     def possible_events(self) -> list[Event]:
         """Return the events that may happen next."""
--- a/cedarthread/testing/escrow_simulation.py
+++ b/cedarthread/testing/escrow_simulation.py
@@ -92,8 +92,8 @@
         self.simulation.send(self.router_index, messages)
 
 
-class Fault(IntEnum):
-    """Steps of ``inject_fault``: changes of the demand, consumption, and faults."""
+class SimulationStep(IntEnum):
+    """Steps of ``run_random_step``: changes of the demand, consumption, and faults."""
 
     CHANGE_RATE_DEMAND = 0
     CONSUME_COUNT = 1
@@ -115,7 +115,7 @@
         duplication_rate: Fraction of the datagrams that are duplicated.
         tail_latency_factor: Factor by which one in five datagrams is slower than the others.
         check_interval_ms: Time between two checks of the totals.
-        is_demand_only: Whether ``inject_fault`` only changes demand and consumes units.
+        is_demand_only: Whether ``run_random_step`` only changes demand and consumes units.
         clock_rate_error: Relative error of the routers' clocks, which are slow and fast in turn.
     """
 
@@ -151,7 +151,7 @@
         self.datagrams_sent: Counter[int] = Counter()  # by router
         self.totals = dict(totals)
         self.limits = dict(totals)  # by pool name: the most units in use (rates) or consumed (counts)
-        self.unreachable_pairs: set[tuple[int, int]] = set()  # sender, receiver
+        self.cut_links: set[tuple[int, int]] = set()  # sender, receiver
         self.events: list[tuple[float, int, Callable[[], None]]] = []  # a heap
         self.violations: list[str] = []
         self.transfer_checks = 0  # checks at which some router used more than twice an even share of a rate
@@ -202,7 +202,7 @@
             self.longest_datagram_bytes = max(self.longest_datagram_bytes, len(message.data))
             for _ in range(1 + (self.rng.random() < self.duplication_rate)):
                 is_lost = self.rng.random() < self.loss_rate
-                if is_lost or (sender, message.peer_index) in self.unreachable_pairs:
+                if is_lost or (sender, message.peer_index) in self.cut_links:
                     continue
                 factors = [1, 1, 1, 1, self.tail_latency_factor]
                 latency_ms = self.rng.uniform(1, 60) * self.rng.choice(factors)
@@ -246,36 +246,36 @@
             self.deliver(router, sender, data)
         router.queued_datagrams = []
 
-    def inject_fault(self) -> None:
+    def run_random_step(self) -> None:
         """Change the demand, consume units, or make a router or link fail; schedule the next such step."""
-        self.schedule(self.rng.uniform(20, 120), self.inject_fault)
+        self.schedule(self.rng.uniform(20, 120), self.run_random_step)
         router = self.rng.choice(self.routers)
         weights = [60, 30, 0, 0, 0] if self.is_demand_only else [60, 30, 1, 1, 1]
-        fault = Fault(self.rng.choices(range(5), weights)[0])
-        if fault is Fault.CUT_LINK:
+        step = SimulationStep(self.rng.choices(range(5), weights)[0])
+        if step is SimulationStep.CUT_LINK:
             self._cut_link(router)
         elif not router.is_active():
             return
-        elif fault is Fault.CRASH:
+        elif step is SimulationStep.CRASH:
             router.is_running = False
             self.schedule(self.rng.uniform(50, 3000), router.start)
-        elif fault is Fault.PAUSE:
+        elif step is SimulationStep.PAUSE:
             router.is_paused = True
             self.schedule(self.rng.uniform(100, 9000), partial(self.resume, router))
         else:
-            self._use_pools(router, fault)
+            self._use_pools(router, step)
 
     def _cut_link(self, router: SimulatedRouter) -> None:
         link = (router.router_index, self.rng.randrange(self.router_count))
-        self.unreachable_pairs.add(link)
-        self.schedule(self.rng.uniform(100, 9000), partial(self.unreachable_pairs.discard, link))
+        self.cut_links.add(link)
+        self.schedule(self.rng.uniform(100, 9000), partial(self.cut_links.discard, link))
 
-    def _use_pools(self, router: SimulatedRouter, fault: Fault) -> None:
+    def _use_pools(self, router: SimulatedRouter, step: SimulationStep) -> None:
         for name, total in self.totals.items():
             mean = max(1, total // self.router_count)
-            if name == "count" and fault is Fault.CONSUME_COUNT:
+            if name == "count" and step is SimulationStep.CONSUME_COUNT:
                 router.escrow.request(router.clock_ms(), name, 1)
                 self.consume(router, 1)
-            elif name != "count" and fault is Fault.CHANGE_RATE_DEMAND:
+            elif name != "count" and step is SimulationStep.CHANGE_RATE_DEMAND:
                 demand = self.rng.choice([0, 0, mean, 3 * mean, 8 * mean])
                 router.escrow.request(router.clock_ms(), name, demand)
--- a/cedarthread/testing/replication_model.py
+++ b/cedarthread/testing/replication_model.py
@@ -29,7 +29,7 @@
     from cedarthread.replication.messages import EntryRef
 
 WINDOW_MS = 1000.0
-_numbers = itertools.count(1)  # incarnations and nonces
+_unique_numbers = itertools.count(1)  # incarnations and nonces
 
 
 class ConstantRandom:
@@ -48,14 +48,14 @@
         return population[:size]
 
 
-class CountedRequests(SyncRequests):
+class SequentialNonceRequests(SyncRequests):
     """Sync requests with sequential nonces instead of random ones."""
 
     def _new_nonce(self) -> int:
-        return next(_numbers)
+        return next(_unique_numbers)
 
 
-class QuietServer(SyncServer):
+class RequestOnlyServer(SyncServer):
     """A server that sends no entry without a request."""
 
     def newest_entry_fragments(self, now_ms: float, sender: int) -> list[SendToPeer]:
@@ -72,12 +72,18 @@
         now_ms: Start of the incarnation.
     """
 
-    requests_type = CountedRequests
-    server_type = QuietServer
+    requests_type = SequentialNonceRequests
+    server_type = RequestOnlyServer
 
     def __init__(self, router_index: int, router_count: int, now_ms: float) -> None:
         super().__init__(
-            router_index, router_count, next(_numbers), 0, window_ms=WINDOW_MS, clock_rate=0.0, now_ms=now_ms
+            router_index,
+            router_count,
+            next(_unique_numbers),
+            0,
+            window_ms=WINDOW_MS,
+            clock_rate=0.0,
+            now_ms=now_ms,
         )
         rng = cast("random.Random", ConstantRandom())
         self.requests.rng = rng
--- a/cedarthread/testing/replication_observer.py
+++ b/cedarthread/testing/replication_observer.py
@@ -20,7 +20,7 @@
 BEFORE_START_MS = -1e9  # earlier than every event
 
 
-class Relaxation(NamedTuple):
+class ScheduledAction(NamedTuple):
     """A version of an entry that a router will act on as replicated, and from when. Sorted by time."""
 
     from_ms: float
@@ -58,7 +58,7 @@
         }
         # By version of an entry: the routers that have stored this version, each with the true time.
         self.holders: dict[tuple[EntryKey, EntryOrder], dict[int, float]] = {}
-        self.relaxations: list[Relaxation] = []  # a heap
+        self.scheduled_actions: list[ScheduledAction] = []  # a heap
         self.acted_on: dict[EntryKey, ActedEntry] = {}
         self.incarnations: dict[int, int] = {}
         self.started_at_ms: dict[int, float] = {}
@@ -99,16 +99,16 @@
             self.violations.append(
                 f"router {router} takes {key} for replicated, but no majority has stored it"
             )
-        heapq.heappush(self.relaxations, Relaxation(acts_from_ms, next(self.serials), key, order))
+        heapq.heappush(self.scheduled_actions, ScheduledAction(acts_from_ms, next(self.serials), key, order))
 
     def on_fresh(self, now_ms: float, router: int) -> None:
         """Check that a fresh router stores every entry on which any router acts."""
         stored = self.history[router][-1].orders
-        while self.relaxations and self.relaxations[0].from_ms < now_ms:
-            relaxation = heapq.heappop(self.relaxations)
-            key = relaxation.key
-            if key not in self.acted_on or self.acted_on[key].order < relaxation.order:
-                self.acted_on[key] = ActedEntry(relaxation.order, relaxation.from_ms)
+        while self.scheduled_actions and self.scheduled_actions[0].from_ms < now_ms:
+            action = heapq.heappop(self.scheduled_actions)
+            key = action.key
+            if key not in self.acted_on or self.acted_on[key].order < action.order:
+                self.acted_on[key] = ActedEntry(action.order, action.from_ms)
         for key, (order, from_ms) in self.acted_on.items():
             if key not in stored or stored[key] < order:
                 self.violations.append(
--- a/tests/simulation/test_escrow_fleet.py
+++ b/tests/simulation/test_escrow_fleet.py
@@ -40,7 +40,7 @@
         loss_rate=0.0 if is_demand_only else 0.1,
         is_demand_only=is_demand_only,
     )
-    simulation.schedule(LEASE_TERM_MS * 1.1, simulation.inject_fault)
+    simulation.schedule(LEASE_TERM_MS * 1.1, simulation.run_random_step)
     simulation.run(40_000.0)
     return simulation
 
