--- a/cedarthread/escrow/requester.py
+++ b/cedarthread/escrow/requester.py
@@ -40,7 +40,7 @@
     sent_at_ms: float  # of the first attempt; the term of a granted lease starts here
     timeout_at_ms: float  # until then the response is pending; then the request may be retried
     attempts: int = 1
-    was_denied: bool = False  # a denied count request stays outstanding: an earlier attempt may be granted
+    was_denied: bool = False  # a denied request for a count stays open: an earlier grant may arrive
 
 
 class EscrowRequester:
@@ -98,7 +98,7 @@
         if pool.is_consumable and not response.amount:
             request.was_denied = True
             request.timeout_at_ms = now_ms
-            return  # the grant of an earlier attempt may still arrive
+            return  # not closed, because the grant of an earlier attempt may still arrive
         del self.outstanding[response.nonce]
         has_gained = self._add_units(now_ms, request, response)
         pool.rounds.has_gained |= has_gained
@@ -156,7 +156,7 @@
             if isinstance(pool, RatePool):
                 if request.peer not in pool.leases_taken and pool.shortfall(now_ms):
                     messages += self._send(now_ms, pool, request.peer, request.requested, MAX_ATTEMPTS)
-                request.attempts = MAX_ATTEMPTS
+                request.attempts = MAX_ATTEMPTS  # no further retry
             elif self.request_budget.take(now_ms):
                 request.attempts += 1
                 backoff_ms = RESPONSE_TIMEOUT_MS * 2.0**request.attempts
