--- a/cedarthread/testing/replication_observer.py
+++ b/cedarthread/testing/replication_observer.py
@@ -1,8 +1,8 @@
 """An observer of simulated replicated stores that checks the theorem of docs/design/replication.md (step 9).
 
 The theorem: a router with a fresh state stores every entry that was replicated to a majority longer than the
-staleness bound ago. The simulation reports each step of a router in true time; the observer trusts no
-conclusion of a router. For tests only, never loaded when serving.
+staleness bound ago. The simulation reports each step of a router in true time, and the observer verifies each
+conclusion of a router against what the routers stored. For tests only, never loaded when serving.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 BEFORE_START_MS = -1e9  # earlier than every event
 
 
-class Relaxation(NamedTuple):
-    """The time from which a router acts on an entry's replication. Sorted by time."""
+class ScheduledAction(NamedTuple):
+    """A version of an entry that a router will act on as replicated, and from when. Sorted by time."""
 
     from_ms: float
     serial: int
@@ -37,7 +37,7 @@
 
 
 class ActedEntry(NamedTuple):
-    """The greatest version of an entry on which a router acts, and since when."""
+    """The greatest version of an entry on which any router acts, and since when."""
 
     order: EntryOrder
     from_ms: float
@@ -58,14 +58,17 @@
         }
         # By version of an entry: the routers that have stored this version, each with the true time.
         self.holders: dict[tuple[EntryKey, EntryOrder], dict[int, float]] = {}
-        self.relaxations: list[Relaxation] = []  # a heap
+        self.scheduled_actions: list[ScheduledAction] = []  # a heap
         self.acted_on: dict[EntryKey, ActedEntry] = {}
         self.incarnations: dict[int, int] = {}
         self.started_at_ms: dict[int, float] = {}
         self.violations: list[str] = []
 
     def on_state(self, now_ms: float, router: int, store: ReplicatedStore) -> None:
-        """Record the entries of a router's store, and check that no version has become older."""
+        """Record the entries of a router's store.
+
+        Within one incarnation, no entry may disappear and no version may become older.
+        """
         stored: Orders = {
             (entry.kind, entry.name): order_key(entry, entry_digest(entry)) for entry in store.snapshot()
         }
@@ -73,7 +76,9 @@
         if store.incarnation == self.incarnations.get(router):
             for key, order in stored_before.items():
                 if key not in stored or stored[key] < order:
-                    self.violations.append(f"{router} went back in {key}")
+                    self.violations.append(
+                        f"router {router} lost its version of {key} or went back to an older one"
+                    )
         else:
             self.incarnations[router] = store.incarnation
             self.started_at_ms[router] = now_ms
@@ -91,20 +96,25 @@
             acts_from_ms: True time from which the router acts on the conclusion.
         """
         if len(self.holders.get((key, order), {})) <= self.router_count // 2:
-            self.violations.append(f"{router} takes {key} of a minority for replicated")
-        heapq.heappush(self.relaxations, Relaxation(acts_from_ms, next(self.serials), key, order))
+            self.violations.append(
+                f"router {router} takes {key} for replicated, but no majority has stored it"
+            )
+        heapq.heappush(self.scheduled_actions, ScheduledAction(acts_from_ms, next(self.serials), key, order))
 
     def on_fresh(self, now_ms: float, router: int) -> None:
         """Check that a fresh router stores every entry on which any router acts."""
         stored = self.history[router][-1].orders
-        while self.relaxations and self.relaxations[0].from_ms < now_ms:
-            relaxation = heapq.heappop(self.relaxations)
-            key = relaxation.key
-            if key not in self.acted_on or self.acted_on[key].order < relaxation.order:
-                self.acted_on[key] = ActedEntry(relaxation.order, relaxation.from_ms)
+        while self.scheduled_actions and self.scheduled_actions[0].from_ms < now_ms:
+            action = heapq.heappop(self.scheduled_actions)
+            key = action.key
+            if key not in self.acted_on or self.acted_on[key].order < action.order:
+                self.acted_on[key] = ActedEntry(action.order, action.from_ms)
         for key, (order, from_ms) in self.acted_on.items():
             if key not in stored or stored[key] < order:
-                self.violations.append(f"{now_ms:.0f}: {router} is fresh and lacks {key} of {from_ms:.0f}")
+                self.violations.append(
+                    f"at {now_ms:.0f} ms: router {router} is fresh but lacks the version of {key} "
+                    f"on which a router acts since {from_ms:.0f} ms"
+                )
 
     def on_read(self, now_ms: float, router: int, peer: int, read_at_ms: float) -> None:
         """Check a router's claim that it lacks no entry that a peer stored at ``read_at_ms``.
@@ -116,4 +126,6 @@
         stored = self.history[router][-1].orders
         past = next(state.orders for state in reversed(self.history[peer]) if state.from_ms <= read_at_ms)
         if any(key not in stored or stored[key] < order for key, order in past.items()):
-            self.violations.append(f"{now_ms:.0f}: {router} has not read {peer} as of {read_at_ms:.0f}")
+            self.violations.append(
+                f"at {now_ms:.0f} ms: router {router} lacks entries of router {peer} at {read_at_ms:.0f} ms"
+            )
