--- a/cedarthread/persistence/checksums.py
+++ b/cedarthread/persistence/checksums.py
@@ -1,5 +1,8 @@
 """Checksums of the rows and the head of a database file, because SQLite does not detect flipped bits.
 
+The head is one record for the whole file: the generation of the last commit, and the sum of all rows'
+checksums. A generation is a number that increases with each commit.
+
 A row's checksum covers its key, generation and value, so that a value under a wrong key is detected. The
 head's checksum covers the sum of all rows' checksums, so that a missing row, or a row of an earlier commit,
 is detected.
--- a/cedarthread/persistence/database_folder.py
+++ b/cedarthread/persistence/database_folder.py
@@ -35,7 +35,7 @@
 
 
 def device_and_inode(file: Path | int) -> FileIdentity:
-    """Return the identity of a file or folder, which differs from that of another one at the same path.
+    """Return the identity of a file or folder; a replacement at the same path has a different one.
 
     Args:
         file: a path, or an open file descriptor.
--- a/cedarthread/persistence/disk_worker.py
+++ b/cedarthread/persistence/disk_worker.py
@@ -1,8 +1,9 @@
 """The thread that makes all calls to one storage backend, because each of them may block on the disk.
 
 The thread opens, commits and closes, and makes no decisions: it runs the next job, stores the job's
-completion, and calls ``wake``. The host's thread queues the jobs and handles the completions
-(``store_thread.py``). The lock of one condition variable protects the state that both threads write.
+completion, and calls ``wake``. The host is the code that uses the store; on its thread, ``store_thread.py``
+queues the jobs and handles the completions. The lock of one condition variable protects the state that both
+threads write.
 """
 
 from __future__ import annotations
--- a/cedarthread/persistence/event_loop_store.py
+++ b/cedarthread/persistence/event_loop_store.py
@@ -1,6 +1,6 @@
 """The store of a router on its event loop, which never waits for the disk.
 
-State is changed on the event loop only, where the store's thread schedules its callbacks.
+The store's thread schedules its callbacks on the event loop, so that only the event loop changes state here.
 """
 
 from __future__ import annotations
--- a/cedarthread/persistence/recovered_image.py
+++ b/cedarthread/persistence/recovered_image.py
@@ -49,7 +49,7 @@
     router_index: NonNegativeInt63
     process_incarnation: Uint64
     membership_incarnation: NonNegativeInt63
-    is_voter: bool  # it had every entry that it ever confirmed (docs/design/replication.md, 6)
+    is_voter: bool  # the router held every entry that it ever confirmed (docs/design/replication.md, 6)
 
 
 class _EntryRecord(_Record, frozen=True):
--- a/cedarthread/persistence/reopen_policy.py
+++ b/cedarthread/persistence/reopen_policy.py
@@ -2,9 +2,10 @@
 
 A state machine without I/O. Times are in milliseconds of a monotonic clock.
 
-    HEALTHY --failure--> FAULTED --due--> REOPENING --failure--> FAULTED ... --the MAX_ATTEMPTS-th--> GIVEN_UP
-    REOPENING --opened--> HEALTHY;  GIVEN_UP --due, after its pause--> REOPENING
-    HEALTHY <--timeout / write succeeded--> SLOW
+    HEALTHY --failure--> FAULTED --attempt due--> REOPENING --opened--> HEALTHY
+    REOPENING --failure--> FAULTED, or GIVEN_UP if it is the MAX_ATTEMPTS-th in succession
+    GIVEN_UP --pause elapsed--> REOPENING
+    HEALTHY --response timeout--> SLOW --write succeeded--> HEALTHY
 
 The backoff doubles with each failed attempt. Each wait is drawn from the upper half of the backoff, so that
 routers on one disk do not reopen their stores at the same time.
--- a/cedarthread/persistence/sqlite_database.py
+++ b/cedarthread/persistence/sqlite_database.py
@@ -1,8 +1,9 @@
 """An open database file of a store: its pragmas and tables, and reading, verifying and writing them.
 
-The file has one table of rows and one head. SQLite uses a rollback journal, because a flipped bit in a
-write-ahead log silently discards all later commits. With a rollback journal, committed content is in the
-database file itself, so that checksums detect each corruption (docs/design/persistence.md).
+The file has a table of rows, and a table with a single row, the head (see ``checksums``). SQLite uses a
+rollback journal, because a flipped bit in a write-ahead log silently discards all later commits. With a
+rollback journal, committed content is in the database file itself, so that checksums detect each corruption
+(docs/design/persistence.md).
 """
 
 from __future__ import annotations
@@ -89,6 +90,7 @@
     def roll_back_unfinished(self) -> bool:
         """Roll back a transaction that a power cut interrupted; return False if the file is read-only."""
         try:
+            # SQLite rolls back an unfinished transaction, from its journal, before it begins the next one.
             self.execute("BEGIN IMMEDIATE; COMMIT")
         except apsw.ReadOnlyError:
             return False
--- a/cedarthread/persistence/store.py
+++ b/cedarthread/persistence/store.py
@@ -23,7 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """The content of a store when it was opened. At generations 0 and 1 no value was ever written."""
+    """The content of a store when it was opened.
+
+    At generations 0 and 1 no value was ever written, because ``SqliteBackend`` creates a store by an empty
+    commit.
+    """
 
     values: Mapping[str, bytes]
     generation: int  # increases with each acknowledged write, across all incarnations of the router
@@ -81,7 +85,7 @@
         """
 
     def run_callbacks(self) -> None:
-        """Run the callbacks of completed writes; the host calls this method after ``wake``."""
+        """Run the callbacks of completed writes; the host calls this after each ``StoreHost.wake``."""
 
     def close(self) -> None:
         """Write the pending values, within a bounded time, then release the folder."""
