--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -1,9 +1,10 @@
 """The load gossip component: sends this router's load to its peers and merges their load.
 
 Routers share workers, and each router sees only its own calls. Through gossip a router learns the in-flight
-calls and the warm instances of the others. A byte budget paces the datagrams with changed entries. With up
-to ``MAX_FANOUT`` peers each datagram is sent to all of them, otherwise to one peer at random. A router that
-starts requests the full state of its peers.
+calls and the warm instances of the others. An entry is the load of one function at one worker; a byte budget
+paces the datagrams with changed entries. With up to ``MAX_FANOUT`` peers each datagram is sent to all of
+them, otherwise to one peer at random. A router that starts requests the full state of its peers: the entries
+with warm instances.
 """
 
 from __future__ import annotations
