--- a/cedarthread/membership/failure_detector.py
+++ b/cedarthread/membership/failure_detector.py
@@ -73,7 +73,7 @@
         self._probe_order: list[int] = []
         self._probes_started = 0
         self._last_nonce = 0
-        self._relayed: dict[int, RelayedPing] = {}  # by the nonce of the ping sent here
+        self._relayed: dict[int, RelayedPing] = {}  # by the nonce of this router's ping
 
     def on_activity(self, member_index: int) -> None:
         """End the probe of a member that sent a datagram."""
--- a/cedarthread/membership/member_table.py
+++ b/cedarthread/membership/member_table.py
@@ -99,7 +99,7 @@
             self.set_status(now_ms, update.member_index, update.status)
 
     def _refute(self, update: MemberUpdate) -> None:
-        """Raise this router's incarnation to refute an update that is from an earlier run or not alive."""
+        """Refute an update from an earlier run, or with status suspect or dead: raise the incarnation."""
         is_from_earlier_run = update.incarnation > self.incarnation
         is_accused = update.status is not MemberStatus.ALIVE and update.incarnation == self.incarnation
         if update.incarnation > self.incarnation + MAX_INCARNATION_STEP:
--- a/cedarthread/membership/swim.py
+++ b/cedarthread/membership/swim.py
@@ -26,7 +26,7 @@
 from cedarthread.membership.member_table import MemberTable
 from cedarthread.model.actions import SendToPeer
 
-# Duration of a suspicion in probe intervals, for each factor of 10 in the group size; at least as for 10.
+# Duration of a suspicion in probe intervals. It is multiplied by log10 of the group size, but at least by 1.
 SUSPICION_INTERVALS = 6.0
 PAUSE_THRESHOLD_MS = 2000.0  # a longer time between two ticks or messages counts as a pause of this router
 DISSEMINATION_FANOUT = 1  # separate messages with updates at each tick
