--- a/cedarthread/transport/acceptor.py
+++ b/cedarthread/transport/acceptor.py
@@ -142,8 +142,9 @@
 
     def _accept_batch(self) -> BacklogState:
         """Accept up to ``max_accepts_per_pass`` connections."""
-        # Only established connections can be evicted, so earlier ones must be established first, which takes
-        # two iterations. With TLS this is skipped, because a handshake may take seconds.
+        # At the connection limit, ``create_protocol`` may evict an idle connection. Only established
+        # connections can be evicted, so earlier ones must be established first, which takes two iterations.
+        # With TLS this is skipped, because a handshake may take seconds.
         if self._setup_tasks and self.tls_context is None:
             return BacklogState.MAY_HAVE_MORE
         rejected_count = 0
--- a/cedarthread/transport/descriptor_budget.py
+++ b/cedarthread/transport/descriptor_budget.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 CLIENT_FRACTION = 0.5  # fraction of all descriptors for client connections
-INVOKE_FRACTION = 0.5  # maximum for invoke API callers, of the descriptors for callers and workers
+INVOKE_FRACTION = 0.5  # maximum for invoke API callers, of the descriptors that they share with workers
 MAX_OPERATOR_CONNECTIONS = 16
 CLIENT_ACCEPTS_PER_PASS = 16  # client connections accepted per iteration of the event loop
 SMALL_ACCEPTS_PER_PASS = 4  # connections of operators, and of invoke callers, per iteration
@@ -24,7 +24,7 @@
 DISCOVERY_SOCKETS = 2  # the current socket, and a second one while the address changes
 PEER_SOCKETS = 1
 OPEN_FILES = 4  # configuration, certificates or store, during a reload
-# Used if counting fails: standard input, output and error, the loop's poll and its pair of sockets.
+# Used if counting fails: standard input, output and error, the event loop's epoll and its socket pair.
 ASSUMED_OPEN_DESCRIPTORS = 6
 UNLIMITED = 2**31
 # Errors of a system call when no descriptor, or no memory for one, is available.
