--- a/cedarthread/persistence/sqlite_store.py
+++ b/cedarthread/persistence/sqlite_store.py
@@ -43,7 +43,7 @@
         self.sync_mode = sync_mode
         self.vfs = vfs
         self.generation = 0
-        self._folder = DatabaseFolder(folder)
+        self._database_folder = DatabaseFolder(folder)
         self._database: SqliteDatabase | None = None
         self._database_path = folder
         self._acknowledged: dict[str, bytes] | None = None  # None until a file has been read or created
@@ -58,7 +58,7 @@
         """
         self._disconnect()
         try:
-            self._folder.acquire_lock()
+            self._database_folder.acquire_lock()
             if self._acknowledged is not None:
                 self._rewrite(self._acknowledged, self.generation)
                 return LoadResult(dict(self._acknowledged), self.generation)
@@ -69,8 +69,8 @@
 
     def _recover(self) -> LoadResult:
         """Read the newest complete file; create the first file if there is none."""
-        for number in self._folder.database_numbers():
-            if not self._folder.database_file(number).exists():
+        for number in self._database_folder.database_numbers():
+            if not self._database_folder.database_file(number).exists():
                 continue
             try:
                 load_result = self._open_database(number)
@@ -94,11 +94,11 @@
             return LoadResult(contents.values, contents.generation, StoreFault.READ_ONLY)
         self._set_acknowledged(contents)
         if contents.generation:
-            self._folder.delete_databases_except(number)
+            self._database_folder.delete_databases_except(number)
         return LoadResult(dict(contents.values), contents.generation)
 
     def _connect(self, number: int) -> SqliteDatabase:
-        self._database_path = self._folder.database_file(number)
+        self._database_path = self._database_folder.database_file(number)
         self._database = SqliteDatabase(self._database_path, self.vfs)
         self._database.configure(self.sync_mode)
         return self._database
@@ -112,14 +112,14 @@
     def _quarantine_and_rewrite(self) -> LoadResult:
         """Write the rows with valid checksums to a new file, and quarantine the corrupted file."""
         salvaged = SalvagedRows({}, 0) if self._database is None else self._database.salvage()
-        self._folder.quarantine(self._database_path)
+        self._database_folder.quarantine(self._database_path)
         self._rewrite(salvaged.values, salvaged.generation)
         return LoadResult(dict(salvaged.values), self.generation, StoreFault.CORRUPTED)
 
     def _rewrite(self, values: Mapping[str, bytes], generation: int) -> None:
         """Write a new file with this content, then delete the other files."""
         self._disconnect()
-        number = max(self._folder.database_numbers(), default=0) + 1
+        number = max(self._database_folder.database_numbers(), default=0) + 1
         acknowledged = self._acknowledged
         self._acknowledged = {}
         self._row_checksums = {}
@@ -127,8 +127,8 @@
         try:
             self._write(self._connect(number), list(values.items()), None)
             if self.sync_mode != "none":
-                self._folder.sync()
-            self._folder.delete_databases_except(number)
+                self._database_folder.sync()
+            self._database_folder.delete_databases_except(number)
         except (apsw.Error, OSError):
             self._acknowledged = acknowledged  # for the next attempt
             self.generation = generation
@@ -170,4 +170,4 @@
     def close(self) -> None:
         """Close the database file and release the folder's lock."""
         self._disconnect()
-        self._folder.release_lock()
+        self._database_folder.release_lock()
