--- a/tests/simulation/test_membership.py
+++ b/tests/simulation/test_membership.py
@@ -50,7 +50,7 @@
         self.now_ms = 0.0
         self.sent_bytes = 0
         self.longest_datagram_bytes = 0
-        self.paused: dict[int, list[tuple[int, bytes]]] = {}  # senders and datagrams in their socket buffers
+        self.paused: dict[int, list[tuple[int, bytes]]] = {}  # senders and datagrams not yet read
         self.stopped: set[int] = set()
         self.is_partitioned: Callable[[int, int], bool] = lambda sender, receiver: False
         self.events: list[FleetEvent] = []
@@ -173,7 +173,7 @@
     assert router.member_status(2) is MemberStatus.DEAD
 
 
-def test_a_restarted_router_refutes_updates_of_its_earlier_start() -> None:
+def test_a_restarted_router_refutes_updates_from_its_earlier_run() -> None:
     fleet = Fleet(20, 1)
     fleet.run(3_000.0)
     fleet.routers[4].table.incarnation = 5  # the value after five refutations
@@ -188,7 +188,9 @@
     assert fleet.routers[4].table.incarnation > 5
     late_update = update_message(MemberUpdate(4, 5, MemberStatus.DEAD))
     fleet.routers[0].on_message(fleet.now_ms, 1, late_update)
-    assert fleet.routers[0].member_status(4) is MemberStatus.ALIVE, "an update of the earlier start"
+    assert fleet.routers[0].member_status(4) is MemberStatus.ALIVE, (
+        "a late update from the earlier run must be ignored"
+    )
 
 
 def test_the_halves_of_a_healed_partition_list_each_other_as_alive_again() -> None:
--- a/tests/simulation/test_persistence_restarts.py
+++ b/tests/simulation/test_persistence_restarts.py
@@ -132,7 +132,7 @@
     assert fleet.entry_counts()[3] == 1
 
 
-def test_a_router_stays_a_voter_without_its_disk_whose_content_is_stale_at_the_next_start() -> None:
+def test_without_its_disk_a_router_stays_a_voter_and_at_the_next_start_the_disk_is_stale() -> None:
     fleet = settled_fleet()
     fleet.routers_with_faulty_disk.add(3)
     fleet.declare(1, freeze_window(600.0, 690.0, allowance=1) + DISK_CONFIG)
--- a/tests/unit/gossip/test_peer_views.py
+++ b/tests/unit/gossip/test_peer_views.py
@@ -70,7 +70,7 @@
     views = PeerViews()
     assert views.coverage(0.0, 4) == 0.0
     views.merge(1.0, 1, report(1, 0))
-    assert views.coverage(1.0, 4) == 0.25, "a new peer ends the cached figure"
+    assert views.coverage(1.0, 4) == 0.25, "a new peer invalidates the cached coverage"
     assert views.coverage(1.0 + COVERAGE_CACHE_MS - 1.0, 2) == 0.25
     assert views.coverage(1.0 + COVERAGE_CACHE_MS, 2) == 0.5
     assert views.coverage(2.0 + IN_FLIGHT_EXPIRY_MS, 2) == 0.0
--- a/tests/unit/membership/test_member_table.py
+++ b/tests/unit/membership/test_member_table.py
@@ -47,7 +47,7 @@
         ((6 + MAX_INCARNATION_STEP, DEAD), 5),
     ],
 )
-def test_only_an_accusation_or_a_later_incarnation_raises_the_own_incarnation(
+def test_only_an_accusation_or_a_higher_incarnation_raises_the_routers_own_incarnation(
     update: tuple[int, MemberStatus], expected: int
 ) -> None:
     table = make_table()
--- a/tests/unit/persistence/test_sqlite_store.py
+++ b/tests/unit/persistence/test_sqlite_store.py
@@ -39,7 +39,7 @@
     assert len({row_checksum("a", 1, b"bc"), row_checksum("ab", 1, b"c"), row_checksum("a", 2, b"bc")}) == 3
 
 
-def test_a_file_format_that_sqlite_only_reads_is_replaced_at_the_next_opening(tmp_path: Path) -> None:
+def test_a_file_that_sqlite_can_only_read_is_replaced_at_the_next_opening(tmp_path: Path) -> None:
     path = write_database(tmp_path)
     content = bytearray(path.read_bytes())
     content[WRITE_VERSION_OFFSET : WRITE_VERSION_OFFSET + 1] = b"\t"
