--- a/tests/integration/async_router_process.py
+++ b/tests/integration/async_router_process.py
@@ -1,4 +1,4 @@
-"""A router as a process of its own, driven from asyncio: its log, descriptors, commands, and suspension."""
+"""A router in a separate process, driven from asyncio: its log, descriptors, commands and suspension."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Sequence
 
-LOG_END = "(ended)"  # the last of ``RouterProcess.lines`` once the process has closed its log
+LOG_END = "(ended)"  # the last entry of ``RouterProcess.lines`` once the process has closed its log
 TIMEOUT_S = 10
 
 
@@ -30,8 +30,8 @@
     Attributes:
         process: The process; its standard error is the log.
         folder: The folder of ``config.json``.
-        lines: The lines of the log so far, then LOG_END.
-        port: The port for clients; 0 until the caller has read it from the log.
+        lines: The lines of the log so far; the last one is LOG_END once the log has ended.
+        port: The port for clients; 0 before ``wait_until_serving``.
     """
 
     def __init__(self, process: asyncio.subprocess.Process, folder: Path) -> None:
@@ -51,7 +51,7 @@
         self._line_logged.set()
 
     async def wait_for_log(self, pattern: str, seconds: float = 30.0) -> re.Match[str]:
-        """Return the first match of a pattern in the log, past or future; fail if the log ends before."""
+        """Return the first match of a pattern in past or future log lines; fail if the log ends first."""
         searched = 0
         async with asyncio.timeout(seconds):
             while True:
@@ -68,21 +68,21 @@
         self.port = int((await self.wait_for_log(r"serving router=n3 port=(\d+)"))[1])
 
     def open_descriptors(self) -> set[int]:
-        """Return the descriptors of the process as the kernel lists them."""
+        """Return the open descriptors of the process as the kernel lists them."""
         return set(map(int, os.listdir(f"/proc/{self.process.pid}/fd")))
 
     async def wait_for_open_descriptors(self, count: int) -> None:
-        """Wait until the process has exactly so many descriptors open."""
+        """Wait until the process has exactly ``count`` descriptors open."""
         async with asyncio.timeout(TIMEOUT_S):
             while len(self.open_descriptors()) != count:
                 await asyncio.sleep(0.01)
 
     def control_port(self) -> int:
-        """Return the port for operators' commands."""
+        """Return the port of the control address."""
         return int(json.loads((self.folder / "config.json").read_text())["control"].rpartition(":")[2])
 
     async def send_command(self, line: bytes) -> list[str]:
-        """Send one line to the port for operators; return the lines of the reply."""
+        """Send one line to the control port; return the lines of the reply."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.control_port())
         writer.write(line)
         async with asyncio.timeout(TIMEOUT_S):
@@ -91,7 +91,7 @@
         return reply
 
     async def client(self) -> ScriptedClient:
-        """Connect a client."""
+        """Return a new client that is connected to the process."""
         return ScriptedClient(*await asyncio.open_connection("127.0.0.1", self.port))
 
     def log(self) -> str:
@@ -119,7 +119,7 @@
         self.process.send_signal(signal.SIGCONT)
 
     async def end(self) -> None:
-        """Kill the process, also if it is suspended or has ended, and read its log to the end."""
+        """Kill the process, even if it is suspended or has exited, and read its log to the end."""
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
@@ -128,7 +128,7 @@
 
 
 def write_process_config(folder: Path, **changes: Any) -> None:
-    """Write a ``config.json`` without workers and with a free port for operators, then these changes."""
+    """Write a ``config.json`` without workers and with a free control port, then apply ``changes``."""
     folder.mkdir(exist_ok=True)
     write_config(folder)
     config = json.loads((folder / "config.json").read_text())
@@ -139,11 +139,11 @@
 async def start_process(
     folder: Path, descriptor_limit: int | None = None, inherited: Sequence[int] = ()
 ) -> RouterProcess:
-    """Start a router with the configuration of a folder.
+    """Start a router with the configuration in a folder.
 
     Args:
         folder: The folder of ``config.json``.
-        descriptor_limit: The process's soft limit of open descriptors; None leaves the limit as it is.
+        descriptor_limit: The process's soft limit on open descriptors; None leaves the limit unchanged.
         inherited: Descriptors that the process inherits.
     """
 
--- a/tests/integration/client_sockets.py
+++ b/tests/integration/client_sockets.py
@@ -1,4 +1,4 @@
-"""Clients that are plain blocking sockets, for tests in which a client acts before the router reads.
+"""Clients on plain blocking sockets, for tests in which a client acts before the router reads.
 
 When a call on such a socket returns, the kernel has delivered the data, FIN or RST to the router's socket.
 The router has not read them yet, because its event loop has not run in between or its process is suspended.
@@ -24,7 +24,7 @@
 
 
 def pack_interrupt(number: int) -> bytes:
-    """Return the platform protocol's interrupt of a call."""
+    """Return the platform protocol's interrupt message for a call."""
     return b"\x93\x02\xa9interrupt\x91" + msgpack.pack_uint(number)
 
 
@@ -45,20 +45,20 @@
         self.sock.sendall(pack_call(number, class_name, body, **fields))
 
     def interrupt(self, *numbers: int) -> None:
-        """Send interrupts of these calls, in one piece."""
+        """Send the interrupts of these calls in one write."""
         self.sock.sendall(b"".join(map(pack_interrupt, numbers)))
 
     def close(self) -> None:
-        """Close the connection by FIN."""
+        """Close the connection with FIN."""
         self.sock.close()
 
     def reset(self) -> None:
-        """Close the connection by RST."""
+        """Close the connection with RST."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
     def half_close(self) -> None:
-        """Send FIN, and remain able to read."""
+        """Send FIN, and keep the read side open."""
         self.sock.shutdown(socket.SHUT_WR)
 
     async def read(self) -> Any:
@@ -74,7 +74,7 @@
         return without_views(parsed.value)
 
 
-# The ways in which a client may give up its call number 1.
+# The ways in which a client may cancel its call number 1 or disconnect.
 DISCONNECTS: dict[str, Callable[[BlockingClient], None]] = {
     "cancel": lambda client: client.interrupt(1),
     "close": BlockingClient.close,
@@ -84,7 +84,7 @@
 
 
 async def wait_until_accepted(connections: list[socket.socket]) -> None:
-    """Wait until each connection has received a byte or its end."""
+    """Wait until each connection has received a byte, EOF or RST."""
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(ACCEPT_TIMEOUT_S):
         for connection in connections:
--- a/tests/integration/drain_harness.py
+++ b/tests/integration/drain_harness.py
@@ -1,7 +1,7 @@
-"""A router process under steady traffic, with two workers and a discovery server that may drain one of them.
+"""A router process under constant load, with two workers and a discovery server that may drain one of them.
 
-``DrainSetup.check_drain`` is the rule under test: no call reaches a draining worker later than the grace
-(``stop-sending-within``) after the router was notified of the drain.
+``DrainSetup.check_drain`` checks the requirement under test: no call reaches a draining worker after the
+grace period (``stop-sending-within``), which starts when the router is notified of the drain.
 """
 
 from __future__ import annotations
@@ -23,43 +23,43 @@
     from pathlib import Path
 
 GRACE_S = SETTINGS["obligations"]["stop-sending-within"] / 1000.0
-# The platform's tolerance beside the grace, and the delay with which the test's process may read a call.
+# The platform's tolerance beyond the grace period, plus the delay with which the test may read a call.
 SLACK_S = 0.05 + 0.05
 CALL_PERIOD_S = 0.004
 CALL_LIMIT_S = 3.0
 WAIT_TIMEOUT_S = 10
 QUERY_HEADER_BYTES = 12
 
-# Returns the datagram that answers a query; None if the reply is lost.
+# Returns the reply datagram to a query, or None for a lost reply.
 Reply = Callable[["NotifyingDiscovery", bytes], bytes | None]
 
 
 def lost(_: NotifyingDiscovery, __: bytes) -> None:
-    """Lose the reply on its way to the router."""
+    """Send no reply, as if it were lost in the network."""
 
 
 def cut(discovery: NotifyingDiscovery, query: bytes) -> bytes:
-    """Return a reply that ends within its first record."""
+    """Return a reply that is truncated within its first record."""
     return discovery.encode(query, discovery.serial, discovery.workers)[: len(query) + 20]
 
 
 def server_failure(_: NotifyingDiscovery, query: bytes) -> bytes:
-    """Return a reply with the code SERVFAIL and without records."""
+    """Return a reply with the response code SERVFAIL and without records."""
     return query[:2] + b"\x80\x02" + query[4:QUERY_HEADER_BYTES] + query[QUERY_HEADER_BYTES:]
 
 
 def old(discovery: NotifyingDiscovery, query: bytes) -> bytes:
-    """Return the reply from before the last change."""
+    """Return a complete reply with the list before the last change."""
     return discovery.encode(query, *discovery.previous)
 
 
 def valid(discovery: NotifyingDiscovery, query: bytes) -> bytes:
-    """Return a complete reply with the present list."""
+    """Return a complete reply with the current list."""
     return discovery.encode(query, discovery.serial, discovery.workers)
 
 
 class _QueryServer(FakeDiscoveryServer):
-    """Passes each query to a function, which tests may replace."""
+    """A discovery server that passes each query to a function, which tests may replace."""
 
     def __init__(self, on_query: Callable[[bytes, tuple[str, int]], None]) -> None:
         super().__init__(lambda: None, "room-a")
@@ -70,7 +70,7 @@
 
 
 class Listing(NamedTuple):
-    """A discovery server's list at one serial."""
+    """The workers that a discovery server lists, and the serial of that list."""
 
     serial: int
     workers: tuple[ListedWorker, ...]
@@ -84,9 +84,9 @@
         workers: The workers that are listed.
         serial: The serial of the list.
         previous: The list before the last change.
-        script: The replies to the next queries; later replies are valid.
-        changed_at_s: When the list last changed; 0 before then.
-        notified_at_s: When a reply with the change was first sent, readable or not; 0 before then.
+        script: The replies to the next queries, in order; replies after them are valid.
+        changed_at_s: When the list last changed; 0 before the first change.
+        notified_at_s: When a reply with the change was first sent, usable or not; 0 before then.
         queried: Set at each query.
         query_count: The number of queries so far.
     """
@@ -109,7 +109,7 @@
         return encode_reply(query, serial, workers, "room-a")
 
     def on_query(self, query: bytes, address: tuple[str, int]) -> None:
-        """Reply to a query by the script."""
+        """Reply to a query as the script says."""
         self.query_count += 1
         reply = self.script.pop(0) if self.script else valid
         datagram = reply(self, query)
@@ -126,7 +126,7 @@
             await self.queried.wait()
 
     def change(self, *workers: ListedWorker, script: Sequence[Reply] = ()) -> None:
-        """List these workers from now on, and reply to the next queries by a script."""
+        """List these workers from now on, and reply to the next queries as the script says."""
         self.previous = Listing(self.serial, self.workers)
         self.serial += 1
         self.workers = workers
@@ -135,14 +135,14 @@
 
 
 class AttemptDeadline(NamedTuple):
-    """Until when a worker may run a call, by the limit that the router sent with the call."""
+    """The time until which a worker may run a call, from the timeout that the router sent with the call."""
 
     call_id: str
     deadline_s: float
 
 
 class TimedWorker(ScriptedWorker):
-    """A worker that records when each call arrives and until when the call may run."""
+    """A worker that records the arrival time and the deadline of each call."""
 
     def __init__(self) -> None:
         super().__init__(self._serve_timed)
@@ -156,7 +156,7 @@
         return serve_uppercase(self, message)
 
     def received_after(self, at_s: float) -> list[float]:
-        """Return the calls that arrived after a time, each as the seconds since then."""
+        """Return, for each call that arrived after a time, how many seconds later it arrived."""
         return [
             round(received_at_s - at_s, 3) for received_at_s in self.received_at_s if received_at_s > at_s
         ]
@@ -176,7 +176,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Connect, and send until ``stop``."""
+        """Connect, and send calls until ``stop``."""
         reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port)
         self._tasks = [asyncio.create_task(self._read(reader)), asyncio.create_task(self._send())]
 
@@ -201,7 +201,7 @@
 
 @dataclass
 class DrainSetup:
-    """A router process with its discovery server, one worker that may drain, one that stays, and traffic."""
+    """A router process under load, its discovery server, a worker that may drain, and one that never does."""
 
     process: RouterProcess
     discovery: NotifyingDiscovery
@@ -211,11 +211,11 @@
 
     @property
     def listed(self) -> tuple[ListedWorker, ListedWorker]:
-        """The list without a drain."""
+        """The workers as listed while neither drains."""
         return list_without_drain(self.draining, self.staying)
 
     def list_with_drain(self) -> tuple[ListedWorker, ListedWorker]:
-        """Return the list in which one worker drains."""
+        """Return the workers as listed while the first one drains."""
         draining, staying = self.listed
         return ListedWorker(draining.name, draining.port, is_draining=True), staying
 
@@ -226,14 +226,14 @@
                 await asyncio.sleep(0.005)
 
     async def wait_until_notified(self) -> float:
-        """Wait until discovery has sent the change; return when that was."""
+        """Wait until the discovery server has sent the change; return the time at which it did."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not self.discovery.notified_at_s:
                 await asyncio.sleep(0.002)
         return self.discovery.notified_at_s
 
     def check_drain(self, notified_at_s: float) -> None:
-        """Fail if a call has reached the draining worker later than the grace after the notification."""
+        """Fail if a call has reached the draining worker after the grace period since the notification."""
         late = self.draining.received_after(notified_at_s + GRACE_S + SLACK_S)
         assert not late, (
             f"{len(late)} calls to a draining worker, the last {GRACE_S + SLACK_S + late[-1]:.3f} s"
@@ -243,13 +243,13 @@
 def list_without_drain(
     draining: ScriptedWorker, staying: ScriptedWorker
 ) -> tuple[ListedWorker, ListedWorker]:
-    """Return a list of both workers in which neither drains."""
+    """Return both workers as listed while neither drains."""
     return ListedWorker("s-00000001", draining.port), ListedWorker("s-00000002", staying.port)
 
 
 @asynccontextmanager
 async def drain_setup(folder: Path) -> AsyncIterator[DrainSetup]:
-    """Run a setup until the end of the block; yield it once both workers receive calls."""
+    """Run the processes and servers until the end of the block; yield once both workers receive calls."""
     draining = TimedWorker()
     staying = TimedWorker()
     await draining.start()
--- a/tests/integration/invoke_caller.py
+++ b/tests/integration/invoke_caller.py
@@ -1,4 +1,4 @@
-"""Callers of the invoke API, and the certificate authority of a test that signs their SVIDs (SPIFFE)."""
+"""Callers of the invoke API, and a certificate authority that signs their SVIDs (SPIFFE)."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Authority:
-    """A certificate authority; its certificate and all that it signs are PEM files in ``folder``."""
+    """A certificate authority; its certificate and those that it signs are PEM files in ``folder``."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -77,7 +77,7 @@
         """Write a certificate for these URIs and its private key; return the paths of both.
 
         Args:
-            name: The files' name without suffix.
+            name: The name of both files, without suffix.
             uris: The URIs of the certificate; a valid SVID has one, which is its SPIFFE ID.
             may_sign: Whether the certificate may sign others, which makes it invalid as an SVID.
         """
@@ -111,7 +111,7 @@
 
 @pytest.fixture
 def authority(tmp_path: Path) -> Authority:
-    """Return a certificate authority; its folder also has the router's SVID and ``invoke.toml``."""
+    """Return a certificate authority whose folder also contains the router's SVID and ``invoke.toml``."""
     created = Authority(tmp_path)
     created.svid("svid", "spiffe://gaz.example/router")
     (tmp_path / "invoke.toml").write_text(
@@ -127,7 +127,7 @@
 
 
 class Response(NamedTuple):
-    """An HTTP response; the names of its fields are in lower case."""
+    """An HTTP response; the names of its header fields are in lower case."""
 
     status: int
     fields: dict[str, str]
@@ -135,7 +135,7 @@
 
 
 class Caller:
-    """A connection of a caller to the invoke API, open inside ``async with``."""
+    """A caller's connection to the invoke API, open inside ``async with``."""
 
     def __init__(self, running: Service, context: ssl.SSLContext) -> None:
         self.port = running.invoke_port
@@ -150,7 +150,7 @@
         await asyncio.sleep(0)
 
     def send(self, method: str, path: str, body: bytes = b"", **fields: str) -> None:
-        """Send a request; an underscore in the name of a field is sent as a hyphen."""
+        """Send a request; an underscore in the name of a header field is sent as a hyphen."""
         all_fields = {"Host": "x", "Content-Length": str(len(body))} | fields
         head = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in all_fields.items())
         self.writer.write(f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode() + body)
--- a/tests/integration/router_process.py
+++ b/tests/integration/router_process.py
@@ -1,4 +1,4 @@
-"""One router as a process of its own: its configuration file, its log, and single commands and calls."""
+"""A router in a separate process: its configuration file, its log, and single commands and calls."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def write_config(folder: Path) -> dict[str, str]:
-    """Write a configuration file with one worker at a closed port; return the environment that names it."""
+    """Write a configuration file with one worker at a closed port; return the environment that selects it."""
     entry = {"name": "s-00c41f7a", "address": "127.0.0.1:1", "zone": "room-a", "type": "std"}
     entry |= {"group": 0, "status": "ready", "weight": 1, "since_ms": 0}  # type: ignore[dict-item]
     events = [{"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": [entry]}}]
@@ -54,13 +54,13 @@
 
 
 def log_of(process: subprocess.Popen[str]) -> IO[str]:
-    """Return the log of a router that ``start_router`` has started."""
+    """Return the log stream of a router that ``start_router`` has started."""
     assert process.stderr is not None
     return process.stderr
 
 
 def end_router(process: subprocess.Popen[str]) -> None:
-    """End a router at once, if it still runs, and close its log."""
+    """Kill a router that may still be running, and close its log."""
     process.kill()
     log_of(process).close()
 
@@ -77,7 +77,7 @@
 
 
 def wait_for_log_line(log: IO[str], pattern: str) -> None:
-    """Read the log until a line matches; a log that ends before then is the log of a program that ended."""
+    """Read the log until a line matches; fail if the log ends first, because the process has then exited."""
     assert any(re.search(pattern, line) for line in log), pattern
 
 
@@ -95,7 +95,7 @@
 
 
 def ask_control(port: int, line: bytes) -> str:
-    """Send one line to the operators' port, and return the reply."""
+    """Send one line to the control port, and return the reply."""
     with socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S) as control:
         control.sendall(line)
         reply = b""
--- a/tests/integration/scenario_runner.py
+++ b/tests/integration/scenario_runner.py
@@ -1,4 +1,4 @@
-"""Runs the asynchronous scenario of a test within a time limit."""
+"""A runner for the asynchronous scenario of a test, with a time limit."""
 
 from __future__ import annotations
 
--- a/tests/integration/termination_harness.py
+++ b/tests/integration/termination_harness.py
@@ -1,10 +1,10 @@
-"""Helpers of the termination tests: a router with scripted workers and clients, and the checks at its end.
+"""Helpers of the termination tests: a router with scripted workers and clients, and checks at the end.
 
-A call, a connection or the process may end while another event is on its way. The helpers here fix the order
+A call, a connection or the process may end while another event is pending. The helpers here fix the order
 of such events: a scripted worker leaves a call unanswered until the test answers, ``DelayedConnects``
 suspends the connects to workers, and ``wait_until_input_read`` returns once the router has read a client's
 bytes. ``wait_until_settled`` checks at the end of a test that the router has released all state of its calls.
-docs/design/termination.md has the list of that state and of the cases.
+docs/design/termination.md lists that state and the cases.
 """
 
 from __future__ import annotations
@@ -35,18 +35,18 @@
     from cedarthread.protocols.worker.connection import WorkerConnection
     from cedarthread.service import Service
 
-# Classes of the worker protocol whose methods are timer callbacks.
+# Prefixes of the qualified names of the worker protocol's timer callbacks.
 TIMER_OWNERS = ("WorkerConnections.", "WorkerConnection.", "WorkerConnectionPool.", "PreloadRequests.")
-# The platform protocol's interrupt without its last field, the packed number of the call.
+# An interrupt message of the platform protocol without its last field, the packed number of the call.
 INTERRUPT_PREFIX = b"\x93\x02\xa9interrupt\x91"
-UNREACHED_LIMIT_MS = "60000"  # a call's limit that no test reaches
-WAIT_TIMEOUT_S = 5.0  # of a condition that becomes true within milliseconds
+UNREACHED_LIMIT_MS = "60000"  # a call timeout that expires in no test
+WAIT_TIMEOUT_S = 5.0  # for conditions that normally become true within milliseconds
 SETTLE_TIMEOUT_S = 2.0
 Connect = Callable[..., Any]  # as ``loop.create_connection``
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection by RST instead of FIN."""
+    """Close a connection with RST instead of FIN."""
     linger = struct.pack("ii", 1, 0)
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     writer.transport.abort()
@@ -73,7 +73,7 @@
 
 
 def unmet_obligations(running: Service) -> dict[str, Any]:
-    """Return the state of calls that the router has not released yet, by name; empty once all is released."""
+    """Return the state of calls that the router still holds, by name; empty once all state is released."""
     obligations = {
         **_dispatcher_state(running),
         **_routing_state(running),
@@ -135,7 +135,7 @@
 
 
 def _count_differences(running: Service) -> dict[str, Any]:
-    """Return accepted calls less results, and results less those in the figures of the classes."""
+    """Return the differences between accepted calls and results, and between results and class counters."""
     counts = running.dispatcher.result_counts
     result_count = counts["served"] + counts["rejected"] + counts["failed"]
     result_counts_by_class = [
@@ -157,7 +157,7 @@
 
 
 async def wait_until_settled(running: Service) -> None:
-    """Wait until the router has released all state of its calls, also of attempts just cancelled."""
+    """Wait until the router has released all state of its calls, including attempts just cancelled."""
     try:
         async with asyncio.timeout(SETTLE_TIMEOUT_S):
             while unmet_obligations(running):
@@ -167,11 +167,11 @@
 
 
 class DelayedConnects:
-    """Suspends connects to chosen worker ports until the test lets them continue.
+    """A patch of the event loop that suspends connects to chosen worker ports until the test resumes them.
 
     Attributes:
-        ports: Ports whose connects are suspended; the test changes them.
-        waiting: One event for each connect that was suspended; setting the event continues the connect.
+        ports: The ports whose connects are suspended; tests change the set.
+        waiting: One event for each suspended connect, in order; setting the event resumes the connect.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -184,7 +184,7 @@
     async def create_connection(
         self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any
     ) -> Any:
-        """Connect as the event loop does, after a wait if the port is one of ``ports``."""
+        """Connect as the event loop does, but first wait for the event if the port is in ``ports``."""
         if port in self.ports:
             self.waiting.append(asyncio.Event())
             await self.waiting[-1].wait()
@@ -192,14 +192,14 @@
 
 
 def all_worker_connections(running: Service) -> list[WorkerConnection]:
-    """Return the connections of the router to all workers."""
+    """Return the router's connections to all workers."""
     return [connection for pool in running.workers.pools.values() for connection in pool.connections]
 
 
 def update_endpoint_list(
     running: Service, workers: list[ScriptedWorker], *states: EndpointState, **changes: Any
 ) -> None:
-    """Apply a complete endpoint list of these workers; one whose state is REMOVED is not listed."""
+    """Apply a complete endpoint list of these workers, without those whose state is REMOVED."""
     records = [
         endpoint_record(worker, number, state)
         for number, (worker, state) in enumerate(zip(workers, states, strict=True), 1)
@@ -213,7 +213,7 @@
 
 
 def result_name(message: Any) -> str:
-    """Return "served", "rejected" or "failed" for a response of the platform protocol."""
+    """Return the result of a platform protocol response: "served", "rejected" or "failed"."""
     return {None: "served", "Backoff": "rejected", "Lost": "failed"}[message[2] and message[2][0]]
 
 
@@ -229,7 +229,7 @@
 
 
 async def wait_until_input_read(caller: ScriptedClient, number: int) -> None:
-    """Wait until the router has read all that the client sent, by a health check behind it."""
+    """Wait until the router has read all that the client sent, by awaiting the response to a health check."""
     caller.writer.write(b"\x94\x00" + bytes((number,)) + b"\xa5check\x90")
     assert (await caller.read())[:2] == [1, number]
 
@@ -237,9 +237,9 @@
 async def connect_with_small_buffers(
     running: Service, worker: ScriptedWorker, caller: ScriptedClient
 ) -> WorkerConnection:
-    """Connect with socket buffers smaller than one long call, and suspend the worker's reading."""
+    """Open a worker connection with buffers smaller than one long call, and pause the worker's reads."""
     listening_socket = worker.server.sockets[0]
-    # Accepted sockets inherit the size.
+    # Accepted sockets inherit the buffer size.
     listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     assert result_name(await caller.call(1, "check", b"x")) == "served"
     [connection] = all_worker_connections(running)
@@ -255,7 +255,7 @@
 
 
 def reload_settings(running: Service, change: Callable[[dict[str, Any]], None]) -> None:
-    """Reload the configuration, as on SIGHUP, with settings that ``change`` has edited in place."""
+    """Reload the configuration, as on SIGHUP, with a copy of the settings that ``change`` edits in place."""
     changed = json.loads(json.dumps(SETTINGS))
     change(changed)
     running.reloader.load_config = lambda: config.decode(encode_config_file(changed), {})
--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -1,7 +1,7 @@
-"""No attempt starts after the client has closed its connection or interrupted its call.
+"""Tests that no attempt starts after the client has closed its connection or interrupted its call.
 
-The clients are blocking sockets (``client_sockets.py``), so a client's disconnect is in the router's socket,
-unread, when the test continues. The router then handles a worker's response, a connect or a timer first.
+The clients are blocking sockets (``client_sockets.py``), so a client's disconnect is unread in the router's
+socket when the test continues. The router then handles a worker's response, a connect or a timer first.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 def test_no_retry_once_the_client_has_disconnected(disconnect: str, is_write_paused: bool) -> None:
     """The router reads the worker's SHED before it reads the client's disconnect.
 
-    With ``is_write_paused`` the router does not read from the client, because the client's responses are
+    With ``is_write_paused`` the router does not read from the client, because responses to the client are
     queued.
     """
 
@@ -76,11 +76,11 @@
             other_client = BlockingClient(running.port)
             first_worker.behavior = serve_uppercase
             second_worker.behavior = serve_uppercase
-            for number in range(2, 10):  # enough that both workers have read all that was sent before
+            for number in range(2, 10):  # enough calls that both workers have read everything sent earlier
                 other_client.call(number)
                 assert (await other_client.read())[1:3] == [number, None]
             assert [call["id"] for call in first_worker.calls + second_worker.calls].count(f"{1:016x}") == 1
-            if disconnect == "half-close":  # the client may still read, so it receives its one response
+            if disconnect == "half-close":  # the client may still read, so it receives its single response
                 router_connection(running, client).resume_writing() if is_write_paused else None
                 assert (await client.read())[2][0] == "Backoff"
                 assert await client.read() is None
@@ -136,9 +136,9 @@
             warm_client = BlockingClient(running.port)
             client = BlockingClient(running.port)
             warm_client.call(2)
-            # The worker's connection is open now, so no later call waits for a connect.
+            # The worker connection is open now, so no later call waits for a connect.
             assert (await warm_client.read())[1:3] == [2, None]
-            # Before an interrupt the call is longer than one read returns.
+            # A call that an interrupt follows is longer than one read returns.
             client.call(1, body=b"y" * 16_000 if disconnect == "cancel" else b"x")
             DISCONNECTS[disconnect](client)
             accepted_before = running.dispatcher.result_counts["accepted"]
@@ -197,7 +197,7 @@
 
 
 def test_an_interrupt_behind_an_unread_flood_prevents_the_retry() -> None:
-    """The socket has more messages before the interrupt than the router reads in one loop pass."""
+    """More messages precede the interrupt in the socket than the router reads in one event loop iteration."""
 
     async def scenario() -> None:
         unanswered_calls: list[tuple[ScriptedWorker, dict[str, Any]]] = []
@@ -212,7 +212,7 @@
             other_client = BlockingClient(running.port)
             client.call(1)
             await wait_until(lambda: len(unanswered_calls) == 1)
-            # The client's responses are queued, so the router does not read from the client.
+            # Responses to the client are queued, so the router does not read from the client.
             router_connection(running, client).pause_writing()
             worker, message = unanswered_calls[0]
             worker.answer(message, {"op": "SHED", "fields": {}})
@@ -235,7 +235,8 @@
 ) -> None:
     """Forty clients at a time call and disconnect in every way while workers serve, shed and fail at random.
 
-    The test compares the order of a client's disconnect and the last byte of an attempt, in one process.
+    The test checks that no attempt is completely written after its client has disconnected; both happen in
+    one process, so their order is known.
     """
 
     async def scenario() -> None:
--- a/tests/integration/test_client_disconnects_process.py
+++ b/tests/integration/test_client_disconnects_process.py
@@ -1,8 +1,9 @@
-"""No attempt reaches a worker over 0.1 s after its client has disconnected, in a suspended real process.
+"""Tests that no attempt reaches a worker more than 0.1 s after its client has disconnected.
 
-While the process is suspended, workers shed calls, new calls arrive, and clients close, reset, half-close or
-interrupt. The process resumes after the 0.1 s, so any of their calls that reaches a worker then is late. The
-workers' own records decide (term 1 of docs/results/acceptance.md).
+The router is a real process. While it is suspended, workers shed calls, new calls arrive, and clients close,
+reset, half-close or interrupt. The process resumes after the 0.1 s, so any call of these clients that then
+reaches a worker is late. The check uses the calls that the workers record (term 1 of
+docs/results/acceptance.md).
 """
 
 from __future__ import annotations
@@ -77,7 +78,7 @@
 def test_a_resumed_process_starts_no_attempt_for_clients_that_disconnected(
     tmp_path: Path, connected: bool
 ) -> None:
-    """Early clients have a call in flight that is shed meanwhile; the others call the suspended process.
+    """Calls of early clients are in flight and are shed during the suspension; other clients call during it.
 
     With ``connected`` there are early clients, so connections to the workers are open; otherwise the first
     calls wait for a connect.
@@ -112,12 +113,12 @@
                 client.disconnect()
             disconnected_at_s = time.monotonic()
             attempts_before = count_attempts(workers)
-            # This wait is the 0.1 s of the rule; the suspended router does nothing meanwhile.
+            # Wait for the 0.1 s that the requirement allows; the suspended router does nothing meanwhile.
             while time.monotonic() < disconnected_at_s + SUSPENSION_S:
                 await asyncio.sleep(0.01)
             running.resume()
 
-            # Once the attempts of all staying clients arrive, late attempts of others would have arrived too.
+            # Once attempts of all staying clients have arrived, late ones of others would have arrived too.
             staying_ids = [f"{client.number:016x}" for client in clients if client.behavior == STAYS]
             async with asyncio.timeout(20):
                 while any(
--- a/tests/integration/test_descriptor_exhaustion.py
+++ b/tests/integration/test_descriptor_exhaustion.py
@@ -1,4 +1,4 @@
-"""A router without a free descriptor, or with connections that cannot close yet, in the test's process."""
+"""A router in the test process that has no free descriptor, or connections that cannot close yet."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 
 
 def open_descriptors() -> list[str]:
-    """Return the numbers of this process's open descriptors, with one for the listing."""
+    """Return the numbers of this process's open descriptors, including the one that lists the directory."""
     return os.listdir("/proc/self/fd")
 
 
 def test_a_flood_at_the_operators_address_leaves_their_commands_answered() -> None:
-    """All connections are in the backlog at once; those just accepted cannot be evicted for the next ones."""
+    """All connections are in the backlog at once, and new ones cannot be evicted for later ones."""
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
@@ -60,7 +60,7 @@
 
 
 def test_a_connect_without_a_descriptor_is_no_fault_of_a_worker() -> None:
-    """Two such failures in a row once opened the worker's circuit breaker."""
+    """Regression test: two such failures in a row opened the worker's circuit breaker."""
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
@@ -128,7 +128,7 @@
 
 
 def test_an_abandoned_connect_releases_its_descriptor() -> None:
-    """The descriptor once stayed open, uncounted, until the connect timeout."""
+    """Regression test: the descriptor stayed open, uncounted, until the connect timeout."""
 
     async def scenario() -> None:
         with socket.socket() as full_listener:
@@ -159,7 +159,7 @@
 
 
 def test_a_client_that_has_not_read_its_responses_is_not_closed_uncounted() -> None:
-    """The descriptor once stayed open beyond the limit until the client had read; now it is counted."""
+    """Regression test: the descriptor stayed open beyond the limit, uncounted, until the client had read."""
 
     def serve_long_body(worker: ScriptedWorker, message: dict[str, Any]) -> dict[str, Any] | None:
         return serve_uppercase(worker, message) | {"body": "QUJD" * 65536}
@@ -194,7 +194,7 @@
 
 
 def test_callers_that_never_finish_a_handshake_stay_within_their_budget(authority: Authority) -> None:
-    """Callers once counted only from the end of the handshake, so they could use every descriptor."""
+    """Regression test: callers counted only after the handshake, so they could use every descriptor."""
 
     async def scenario() -> None:
         config = dataclasses.replace(read_invoke_config(authority), max_connections=4)
@@ -205,7 +205,7 @@
             async with Caller(running, authority.caller(DESK_ID)) as caller:
                 response = await caller.request("POST", FUNCTION_PATH + "check", b"a")
                 assert response.body == b"A"
-                # Beside the sockets of the silent callers: four accepted, and both ends to the worker.
+                # Besides the silent callers' sockets: four accepted, and both ends of a worker connection.
                 max_count = count_before + len(silent_callers) + 4 + 2
                 assert len(open_descriptors()) <= max_count + 1  # and the caller's own socket
                 assert len(running.invoke.connections) <= 4
--- a/tests/integration/test_descriptor_limit_process.py
+++ b/tests/integration/test_descriptor_limit_process.py
@@ -1,4 +1,4 @@
-"""Router processes at their limit of open descriptors: discovery, workers and operators still have theirs."""
+"""Router processes at their limit of open descriptors: discovery, workers and control still get theirs."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-DESCRIPTOR_LIMIT = 128  # of the processes here
+DESCRIPTOR_LIMIT = 128  # of the router processes here
 CLIENT_BUDGET = DESCRIPTOR_LIMIT // 2  # client connections that the budget allows
 
 
 async def connect_burst(running: RouterProcess, count: int) -> list[socket.socket]:
-    """Connect so many clients while the process is suspended, so that it finds them all in its backlog."""
+    """Connect ``count`` clients while the process is suspended, so that all are in its backlog on resume."""
     await running.suspend()
     connections = []
     for _ in range(count):
@@ -41,7 +41,7 @@
 def test_idle_clients_to_the_limit_leave_descriptors_to_discovery_workers_and_operators(
     tmp_path: Path, configured_limit: int, process_limit: int
 ) -> None:
-    """The budget once used only the configured limit, and a burst was accepted before it was counted."""
+    """Regression test: the budget used only the configured limit, and a burst was accepted uncounted."""
 
     async def scenario() -> None:
         worker = ScriptedWorker()
@@ -66,7 +66,7 @@
             assert await running.send_command(b"PING\n") == ["YES"]
 
             # When discovery replies, the list is applied. A new client's call uses a new worker connection,
-            # and an idle client is evicted for the new one.
+            # and an idle client is evicted to make room for the new client.
             old_discovery.is_released = True
             await running.wait_for_log("endpoints_updated serial=2 changed=1 ")
             caller = await running.client()
@@ -96,9 +96,9 @@
 
 
 def test_where_the_system_has_no_descriptor_left_idle_clients_are_evicted(tmp_path: Path) -> None:
-    """The budget is too large here, because the limit is lowered after the start of the process.
+    """The budget is too large here, because the limit is lowered after the process has started.
 
-    Calls and PING then still get descriptors, at the cost of idle clients.
+    Calls and PING still get descriptors, because idle clients are evicted.
     """
 
     async def scenario() -> None:
--- a/tests/integration/test_drain_notification.py
+++ b/tests/integration/test_drain_notification.py
@@ -1,7 +1,8 @@
-"""Rule ``drain`` on a real process: no call reaches a worker later than the grace after a drain notification.
+"""Rule ``drain`` on a real process: no call reaches a draining worker after the grace period.
 
-The router counts as notified of a drain once discovery has sent a reply with the drain, whether the router
-could read that reply or not, and at the latest NOTICE_LIMIT_S after the drain.
+The grace period starts when the router counts as notified of the drain: once the discovery server has sent a
+reply with the drain, whether the router could use that reply or not, and at the latest NOTICE_LIMIT_S after
+the drain.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-DEADLINE_SLACK_S = 0.15  # by which a worker's deadline of a call may exceed the client's
+DEADLINE_SLACK_S = 0.15  # how much later than the client's a worker's deadline of a call may be
 NOTICE_LIMIT_S = 1.5  # after which the router counts as notified without a reply (PROTOCOL)
 
 
@@ -46,7 +47,7 @@
 def test_a_drain_is_followed_though_several_replies_in_a_row_are_unusable(
     tmp_path: Path, script: list[Reply]
 ) -> None:
-    """The regular poll alone needs one period per failed reply, and three periods exceed the grace."""
+    """The regular poll alone needs one period per failed reply, and three periods exceed the grace period."""
 
     async def scenario() -> None:
         async with drain_setup(tmp_path) as setup:
@@ -63,7 +64,7 @@
 
 
 def test_a_resumed_process_polls_discovery_before_it_sends_queued_calls(tmp_path: Path) -> None:
-    """A worker drains while the process is suspended; calls are in the process's sockets when it resumes."""
+    """A worker drains while the process is suspended; unread calls are in its sockets when it resumes."""
 
     async def scenario() -> None:
         async with drain_setup(tmp_path) as setup:
@@ -86,7 +87,7 @@
 
 
 def test_a_reply_of_the_old_discovery_server_counts_until_the_new_one_replies(tmp_path: Path) -> None:
-    """SIGHUP changes discovery to a silent server while a reply of the old server is on its way."""
+    """SIGHUP changes the discovery address to a silent server while a reply of the old server is pending."""
 
     async def scenario() -> None:
         async with drain_setup(tmp_path) as setup:
@@ -117,7 +118,7 @@
 def test_after_a_stall_workers_get_no_later_deadline_than_clients_have(
     tmp_path: Path, stall_s: float
 ) -> None:
-    """Calls are unread in the process's sockets while their clients' limits run."""
+    """Calls are unread in the process's sockets while their clients' timeouts elapse."""
 
     async def scenario() -> None:
         async with drain_setup(tmp_path) as setup:
@@ -130,7 +131,7 @@
 
             client_deadline_s = setup.traffic.deadline_s
             resumed_at_s = time.monotonic()
-            workers = (setup.draining, setup.staying)  # neither drains here: both may receive the calls
+            workers = (setup.draining, setup.staying)  # neither drains here, so both may receive the calls
             async with asyncio.timeout(10):
                 while not any(
                     received_at_s > resumed_at_s + 0.3
@@ -154,9 +155,9 @@
 
 
 def test_a_reply_of_an_earlier_numbering_hides_no_drain(tmp_path: Path) -> None:
-    """List serials start again when a router starts; the first reply is from before, with a serial ahead.
+    """List serials restart when a router starts; the first reply is an earlier one, with a higher serial.
 
-    The router once applied such a reply, and then ignored the drain, whose serial was the same.
+    Regression test: the router applied such a reply and then ignored the drain, whose serial was the same.
     """
 
     def earlier_numbering(discovery: NotifyingDiscovery, query: bytes) -> bytes:
@@ -165,7 +166,7 @@
     async def scenario() -> None:
         async with drain_setup(tmp_path) as setup:
             setup.discovery.script = [earlier_numbering]
-            for _ in range(8):  # replies of the present numbering, without a change
+            for _ in range(8):  # replies of the current numbering, without a change
                 await setup.discovery.wait_for_query()
 
             setup.discovery.change(*setup.list_with_drain())
--- a/tests/integration/test_termination_accounting.py
+++ b/tests/integration/test_termination_accounting.py
@@ -1,4 +1,4 @@
-"""Each call is counted exactly once: in results, class figures, log lines, retry budget and deduplication."""
+"""Counting of each call exactly once: results, class counters, log lines, retry budget, deduplication."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def test_a_call_ended_by_its_clients_invalid_message_counts_as_failed() -> None:
-    """The client receives a response, so the figures of the call's class must include the call."""
+    """The client receives a response, so the counters of the call's class must include the call."""
 
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
@@ -78,7 +78,7 @@
 
 
 def test_an_attempt_of_an_abandoned_call_ends_at_the_deadline_where_no_cancel_is_allowed() -> None:
-    """If the settings forbid CANCEL, a silent worker must not occupy a slot and the figures forever."""
+    """If the settings forbid CANCEL, a silent worker must not hold a slot and in-flight counts forever."""
 
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
@@ -118,9 +118,9 @@
 
 
 def test_an_idle_client_that_has_not_read_its_responses_is_not_evicted() -> None:
-    """Clients that read nothing could use every descriptor.
+    """Otherwise clients that read nothing could use up all descriptors.
 
-    Closing such a connection waits until the client has read, and the connection is no longer counted.
+    Closing such a connection waits until the client has read, while the connection is no longer counted.
     """
 
     async def scenario() -> None:
@@ -157,7 +157,7 @@
 
 
 def test_of_two_changes_of_the_discovery_address_the_last_applies(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two reloads follow each other; the socket for the first address is ready after the second one's."""
+    """Of two consecutive reloads, the first address's socket becomes ready after the second address's."""
 
     async def scenario() -> None:
         polled_servers: list[str] = []
@@ -227,7 +227,7 @@
 
 
 def test_an_attempt_that_was_never_written_costs_no_retry_budget(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A worker sheds the call, and the client interrupts while the retry waits for a connection."""
+    """A worker sheds the call, and the client interrupts the call while its retry waits for a connection."""
 
     async def scenario() -> None:
         workers = [ScriptedWorker(leave_unanswered), ScriptedWorker(leave_unanswered)]
--- a/tests/integration/test_termination_bad_input.py
+++ b/tests/integration/test_termination_bad_input.py
@@ -1,4 +1,4 @@
-"""Invalid input from discovery, workers and clients: one log line, and at most its own connection ends."""
+"""Invalid input from discovery, workers and clients: one log line, and at most that connection is closed."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from cedarthread.service import Service
 
-Alteration = Callable[[bytes], list[bytes]]  # from a valid reply to the datagrams sent in its place
+Alteration = Callable[[bytes], list[bytes]]  # from a valid reply to the datagrams that are sent instead
 
 
 def unaltered(reply: bytes) -> list[bytes]:
@@ -36,7 +36,7 @@
 
 
 class ScriptedDiscovery:
-    """A discovery server that alters its replies by a script, one entry per query, then sends valid replies.
+    """A discovery server that alters replies by a script, one entry per query, and then sends valid replies.
 
     Args:
         running: The router that polls this server.
@@ -54,14 +54,14 @@
         self.server = FakeDiscoveryServer(lambda: (self.serial, self.listed), "room-a", self.send_altered)
 
     def send_altered(self, encode: Callable[[], bytes], send: Callable[[bytes], None]) -> None:
-        """Send what the script's next entry makes of a reply."""
+        """Send the datagrams that the script's next entry returns for a reply."""
         self.query_count += 1
         alteration = self.script.pop(0) if self.script else unaltered
         for datagram in alteration(encode()):
             send(datagram)
 
     async def run_script(self, *script: Alteration) -> None:
-        """Reply by the script, and return once the router has read every reply.
+        """Reply as the script says, and return once the router has read every reply.
 
         The router reads a reply before it sends its next query, so one more query is awaited at the end.
         """
@@ -80,7 +80,7 @@
 
 
 def empty_list(reply: bytes) -> list[bytes]:
-    """Return a valid reply to the same query that lists no worker, twice."""
+    """Return, twice, a valid reply to the same query that lists no workers."""
     query = reply[:12] + reply[12 : reply.index(b"\0\0!\0\x01") + 5]
     return 2 * [encode_reply(query, 9, (), "room-a")]
 
@@ -167,7 +167,7 @@
 
 
 def test_an_empty_list_is_applied_once_a_second_query_confirms_it() -> None:
-    """An empty list can be correct; calls must then be rejected soon instead of sent to removed workers."""
+    """An empty list can be correct; calls must then be rejected promptly, not sent to removed workers."""
 
     async def scenario() -> None:
         worker = ScriptedWorker()
@@ -262,7 +262,7 @@
         workers = [ScriptedWorker(leave_unanswered), ScriptedWorker(leave_unanswered)]
         async with running_router(*workers) as (_, caller):
             number = 0
-            while not (workers[0].calls and workers[1].calls):  # functions differ in their home workers
+            while not (workers[0].calls and workers[1].calls):  # functions prefer different workers
                 number += 1
                 caller.writer.write(
                     pack_call(number, "confirm", b"x", item=f"{number:016x}", limit=UNREACHED_LIMIT_MS)
--- a/tests/integration/test_termination_clients.py
+++ b/tests/integration/test_termination_clients.py
@@ -1,4 +1,4 @@
-"""Client disconnects, interrupts, deadlines and evictions around the response to an open call."""
+"""Client disconnects, interrupts, deadlines and evictions, before or after the response to an open call."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 @pytest.mark.parametrize("first", ["disconnect", "response"])
 @pytest.mark.parametrize("ending", ["interrupt", *CONNECTION_ENDINGS])
 def test_a_client_that_disconnects_before_the_response_cancels_its_call(ending: str, first: str) -> None:
-    """After a disconnect no response is delivered and the worker receives a CANCEL.
+    """After a disconnect, no response is delivered and the worker receives a CANCEL.
 
-    After the response a disconnect has no effect.
+    After the response, a disconnect has no effect.
     """
 
     async def scenario() -> None:
--- a/tests/integration/test_termination_endpoint_updates.py
+++ b/tests/integration/test_termination_endpoint_updates.py
@@ -54,9 +54,9 @@
 def test_a_drain_redirects_a_call_whose_connection_is_not_up_yet(
     first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A drain before the connection is up sends the call to the other worker and abandons the connect.
+    """A drain before the connection is established sends the call to the other worker and aborts the connect.
 
-    A drain that arrives afterwards finds the call already sent.
+    If the drain arrives later, the call has already been sent.
     """
 
     async def scenario() -> None:
@@ -125,7 +125,7 @@
 
 
 def test_a_removed_worker_does_not_count_as_skipped() -> None:
-    """INFO no longer counts the worker, even if one of its attempts ends only after the update."""
+    """INFO does not count the worker, even if one of the worker's attempts ends after the update."""
 
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
@@ -145,7 +145,7 @@
 def test_an_update_with_a_restart_and_a_drain_withdraws_unwritten_calls() -> None:
     """The connection was opened after the worker's restart, so it stays open.
 
-    Calls queued on it must not be written any more.
+    Calls that are still queued on the connection must not be written.
     """
 
     async def scenario() -> None:
--- a/tests/integration/test_termination_settings_reload.py
+++ b/tests/integration/test_termination_settings_reload.py
@@ -36,7 +36,7 @@
 def test_an_open_call_keeps_its_class_when_the_class_is_removed_or_changed(
     change: Callable[[dict[str, Any]], None], first: str
 ) -> None:
-    """A call accepted as idempotent stays idempotent, so it is retried at the other worker after a fault."""
+    """A call accepted as idempotent stays idempotent, so it is retried on the other worker after a FAULT."""
 
     async def scenario() -> None:
         workers = [ScriptedWorker(leave_unanswered), ScriptedWorker(leave_unanswered)]
--- a/tests/integration/test_termination_shutdown.py
+++ b/tests/integration/test_termination_shutdown.py
@@ -1,4 +1,4 @@
-"""Calls, requests and connections that arrive around the shutdown of the process."""
+"""Calls, requests and connections that arrive shortly before or during the shutdown of the process."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def test_at_shutdown_every_call_is_answered_in_time_and_its_attempt_cancelled() -> None:
-    """Calls made before and after SIGTERM, whose own limit is later, each get one response in time."""
+    """Calls from before and after SIGTERM, whose own timeouts are later, each get one response in time."""
     classes = [entry | {"deadline": 300, "goal-time": 100} for entry in SETTINGS["classes"]]
 
     async def scenario() -> None:
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("first", ["close", "request"])
 def test_a_request_read_before_the_close_at_shutdown_is_answered(first: str) -> None:
-    """A request read before the close is answered. A later one is not accepted; its client can resend it."""
+    """A request read before the close is answered; a later one is not accepted, and its client can retry."""
 
     async def scenario() -> None:
         worker = ScriptedWorker()
--- a/tests/integration/test_termination_worker_connections.py
+++ b/tests/integration/test_termination_worker_connections.py
@@ -1,4 +1,4 @@
-"""Worker connections that end or become idle, and preloads that end, around a response or a call."""
+"""Worker connections that close or become idle, and preloads that end, before or after a response or call."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
 def test_a_workers_connection_ends_before_during_or_after_its_response(
     ending: str, class_name: str, position: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """If the connection ends before or within the response, the call may have run.
+    """If the connection closes before or within the response, the call may have run.
 
-    If the connection ends after the response, in the same write, the call is served.
+    If the connection closes after the response, which is still in the same write, the call is served.
     """
     caplog.set_level("INFO", "cedarthread.protocols")
 
@@ -69,7 +69,7 @@
 
 
 def test_a_workers_half_close_ends_its_calls_at_once() -> None:
-    """The calls in flight end at once, even if the worker does not read the data that is queued for it."""
+    """The calls in flight end at once, even if the worker does not read the data queued for it."""
 
     async def scenario() -> None:
         worker = ScriptedWorker()
@@ -163,7 +163,7 @@
 
 
 def test_after_a_stall_past_the_idle_timeout_no_call_is_sent_on_the_old_connection() -> None:
-    """The process stalled when its idle sweep was due, so the worker's close may be on its way."""
+    """The process stalled when its idle sweep was due, so a close by the worker may be in transit."""
 
     async def scenario() -> None:
         worker = ScriptedWorker()
@@ -182,7 +182,7 @@
 def test_a_preload_ends_once_and_leaves_neither_slot_nor_timer(
     first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A preload ends by its response, its timeout or its connection; a lost preload must release its slot."""
+    """A preload ends with its response, timeout or connection; a lost preload must release its slot."""
 
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
--- a/tests/integration/test_termination_worker_connects.py
+++ b/tests/integration/test_termination_worker_connects.py
@@ -1,4 +1,4 @@
-"""Connects to workers that complete late, never, or fail for want of a descriptor."""
+"""Connects to workers that complete late, never complete, or fail because no descriptor is free."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
 def test_a_call_that_ends_before_its_connection_comes_up_is_not_sent(
     ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A call that is past its deadline, interrupted, or whose client has reset its connection is never sent.
+    """The call is past its deadline, or its client has interrupted it or reset the client connection.
 
-    The connection serves the next call.
+    The worker connection then carries the next call.
     """
 
     async def scenario() -> None:
@@ -78,7 +78,7 @@
 
 
 def test_a_connection_that_never_comes_up_has_executed_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The waiting calls are sent to another worker, also those that are not idempotent."""
+    """The waiting calls are sent to another worker, including those that are not idempotent."""
 
     async def scenario() -> None:
         workers = [ScriptedWorker(), ScriptedWorker()]
--- a/tests/integration/worker_harness.py
+++ b/tests/integration/worker_harness.py
@@ -33,7 +33,7 @@
         self.accepted_bytes = accepted_bytes
         self.buffered_bytes = 0
         self.is_aborted = False
-        self.written = b""  # by the connection; a part may still be in the buffer
+        self.written = b""  # all bytes from the connection; some may still be in the buffer
 
     def set_write_buffer_limits(self, high: int) -> None:
         assert high == 0, "only then does a connection that is not paused have an empty buffer"
@@ -48,7 +48,7 @@
         return self.buffered_bytes
 
     def get_extra_info(self, _name: str, default: object = None) -> object:
-        return default  # there is no socket, as for a pipe
+        return default  # a transport without a socket, as of a pipe
 
     def is_closing(self) -> bool:
         return self.is_aborted
@@ -62,7 +62,7 @@
 
     def __init__(self) -> None:
         super().__init__(settings_from_object(SETTINGS), 1)
-        self.outcomes: dict[str, Outcome] = {}  # the first of each call, by call id
+        self.outcomes: dict[str, Outcome] = {}  # the first outcome of each call, by call id
         self.preloads: list[PreloadEnded] = []
 
     def preload_ended(self, event: PreloadEnded) -> None:
@@ -94,14 +94,14 @@
         return attempt
 
     def receive(self, data: bytes) -> None:
-        """Deliver bytes from the worker."""
+        """Deliver bytes to the connection as if the worker had sent them."""
         space = self.connection.get_buffer(-1)
         space[: len(data)] = data
         space.release()
         self.connection.buffer_updated(len(data))
 
     def flush(self) -> None:
-        """Flush the connection; pause its writing if the transport buffers a part."""
+        """Flush the connection; pause its writing if the transport has buffered some of the bytes."""
         self.connection.flush()
         if self.transport.buffered_bytes and not self.connection.is_write_paused:
             self.connection.pause_writing()
