--- a/tests/integration/drain_harness.py
+++ b/tests/integration/drain_harness.py
@@ -236,7 +236,8 @@
         """Fail if a call has reached the draining worker after the grace period since the notification."""
         late = self.draining.received_after(notified_at_s + GRACE_S + SLACK_S)
         assert not late, (
-            f"{len(late)} calls to a draining worker, the last {GRACE_S + SLACK_S + late[-1]:.3f} s"
+            f"{len(late)} calls reached the draining worker too late, "
+            f"the last one {GRACE_S + SLACK_S + late[-1]:.3f} s after the notification"
         )
 
 
--- a/tests/integration/router_process.py
+++ b/tests/integration/router_process.py
@@ -111,6 +111,6 @@
         buffered = b""
         while not isinstance(parsed := msgpack.parse(memoryview(buffered)), msgpack.ParsedValue):
             received = client.recv(65536)
-            assert received, "the connection ended without a response"
+            assert received, "the router closed the connection without a response"
             buffered += received
         return list(parsed.value)
--- a/tests/integration/termination_harness.py
+++ b/tests/integration/termination_harness.py
@@ -69,7 +69,7 @@
             while not condition():
                 await asyncio.sleep(0)
     except TimeoutError:
-        pytest.fail(f"never: {description}")
+        pytest.fail(f"timed out waiting for the condition: {description}")
 
 
 def unmet_obligations(running: Service) -> dict[str, Any]:
@@ -144,7 +144,7 @@
     ]
     return {
         "accepted calls without a result": counts["accepted"] - result_count - counts["abandoned"],
-        "results missing from class figures": result_count - sum(result_counts_by_class),
+        "results missing from class counters": result_count - sum(result_counts_by_class),
     }
 
 
--- a/tests/integration/test_drain_notification.py
+++ b/tests/integration/test_drain_notification.py
@@ -42,7 +42,7 @@
         [lost, server_failure, cut, lost, server_failure, lost],
         [lost, old, cut, lost, server_failure],
     ],
-    ids=["lost", "cut short", "mixed", "old between"],
+    ids=["lost", "truncated", "mixed", "previous list"],
 )
 def test_a_drain_is_followed_though_several_replies_in_a_row_are_unusable(
     tmp_path: Path, script: list[Reply]
--- a/tests/integration/test_termination_accounting.py
+++ b/tests/integration/test_termination_accounting.py
@@ -71,7 +71,7 @@
             )
             await wait_until_input_read(caller, 9)
             reset(invalid_client.writer)
-            await wait_until(lambda: len(running.platform.connections) == 1, "the connection has ended")
+            await wait_until(lambda: len(running.platform.connections) == 1, "the connection is closed")
 
     asyncio.run(scenario())
     assert [client_addresses[0] in record.getMessage() for record in caplog.records] == [True]
@@ -192,7 +192,7 @@
             await wait_until(lambda: opened_ports == [last_server.port], "the last socket is open")
             may_open[first_server.port].set()
             await asyncio.sleep(0)
-            assert opened_ports == [last_server.port], "the first change is abandoned"
+            assert opened_ports == [last_server.port], "the first change of the address is abandoned"
             polled_servers.clear()
             await wait_until(lambda: polled_servers, "the next query has arrived")
             assert set(polled_servers) == {"last"}
--- a/tests/integration/test_termination_bad_input.py
+++ b/tests/integration/test_termination_bad_input.py
@@ -69,7 +69,7 @@
         if self.server.port == 0:
             await self.server.start()
             await self.running.discovery.connect("127.0.0.1", self.server.port)
-        await wait_until(lambda: not self.script, "the script has ended")
+        await wait_until(lambda: not self.script, "all entries of the script are used")
         query_count = self.query_count
         self.script = [lambda reply: []]
         await wait_until(lambda: self.query_count > query_count, "the next query has arrived")
@@ -152,7 +152,7 @@
                 sendto(data)
 
             running.discovery._transport.sendto = record_and_send  # type: ignore
-            await wait_until(lambda: len(sent_queries) == 3, "three queries are sent in vain")
+            await wait_until(lambda: len(sent_queries) == 3, "three queries are sent without a reply")
             assert running.endpoint_list.version == 2
             assert result_name(await caller.call(1, "confirm", b"x")) == "served"
             discovery.serial = 5
--- a/tests/integration/test_termination_worker_connections.py
+++ b/tests/integration/test_termination_worker_connections.py
@@ -57,7 +57,7 @@
             attempt_count = len(workers[0].calls + workers[1].calls)
             assert attempt_count == (1 if position == "after" or not is_idempotent else 2)
             assert running.dispatcher.class_counters[class_name]["upstream_tries"] == attempt_count
-            await wait_until(lambda: not all_worker_connections(running), "all worker connections have ended")
+            await wait_until(lambda: not all_worker_connections(running), "all worker connections are closed")
 
     asyncio.run(scenario())
     messages = [record.getMessage() for record in caplog.records]
--- a/tests/integration/test_termination_worker_connects.py
+++ b/tests/integration/test_termination_worker_connects.py
@@ -116,7 +116,9 @@
             assert result_name(await caller.call(2, "confirm", b"x", limit="400")) == "rejected"
             running.workers.max_connections = max_connections
             monkeypatch.setattr(loop, "create_connection", create_connection)
-            assert running.dispatcher.router.workers[1].unreachable_at_ms < 0.0, "the worker is not at fault"
+            assert running.dispatcher.router.workers[1].unreachable_at_ms < 0.0, (
+                "the worker does not count as unreachable"
+            )
             assert await caller.call(3, "confirm", b"x") == [1, 3, None, [b"X", {}]]
 
     asyncio.run(scenario())
