--- a/tests/integration/termination_harness.py
+++ b/tests/integration/termination_harness.py
@@ -36,25 +36,30 @@
     from cedarthread.service import Service
 
 # Prefixes of the qualified names of the worker protocol's timer callbacks.
-TIMER_OWNERS = ("WorkerConnections.", "WorkerConnection.", "WorkerConnectionPool.", "PreloadRequests.")
+TIMER_CALLBACK_PREFIXES = (
+    "WorkerConnections.",
+    "WorkerConnection.",
+    "WorkerConnectionPool.",
+    "PreloadRequests.",
+)
 # An interrupt message of the platform protocol without its last field, the packed number of the call.
 INTERRUPT_PREFIX = b"\x93\x02\xa9interrupt\x91"
-UNREACHED_LIMIT_MS = "60000"  # a call timeout that expires in no test
+LONG_TIMEOUT_MS = "60000"  # a call timeout that expires in no test
 WAIT_TIMEOUT_S = 5.0  # for conditions that normally become true within milliseconds
 SETTLE_TIMEOUT_S = 2.0
-Connect = Callable[..., Any]  # as ``loop.create_connection``
+CreateConnection = Callable[..., Any]  # as ``loop.create_connection``
 
 
-def reset(writer: asyncio.StreamWriter) -> None:
+def reset_connection(writer: asyncio.StreamWriter) -> None:
     """Close a connection with RST instead of FIN."""
     linger = struct.pack("ii", 1, 0)
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     writer.transport.abort()
 
 
-CONNECTION_ENDINGS: dict[str, Callable[[asyncio.StreamWriter], None]] = {
+CLOSE_METHODS: dict[str, Callable[[asyncio.StreamWriter], None]] = {
     "close": lambda writer: writer.close(),
-    "reset": reset,
+    "reset": reset_connection,
 }
 
 
@@ -72,16 +77,16 @@
         pytest.fail(f"timed out waiting for the condition: {description}")
 
 
-def unmet_obligations(running: Service) -> dict[str, Any]:
+def unreleased_call_state(running: Service) -> dict[str, Any]:
     """Return the state of calls that the router still holds, by name; empty once all state is released."""
-    obligations = {
+    call_state = {
         **_dispatcher_state(running),
         **_routing_state(running),
         **_connection_state(running),
         **_count_differences(running),
         "timers": _worker_timers(),
     }
-    return {name: value for name, value in obligations.items() if value}
+    return {name: value for name, value in call_state.items() if value}
 
 
 def _dispatcher_state(running: Service) -> dict[str, Any]:
@@ -149,21 +154,21 @@
 
 
 def _worker_timers() -> list[str]:
-    """Return the callbacks of the event loop's pending timers that belong to TIMER_OWNERS."""
+    """Return the callbacks of the event loop's pending timers that start with TIMER_CALLBACK_PREFIXES."""
     scheduled = asyncio.get_running_loop()._scheduled  # type: ignore[attr-defined]
     timers = [handle for handle in scheduled if not handle.cancelled()]
     names = [getattr(handle._callback, "__qualname__", "") for handle in timers]
-    return [name for name in names if name.startswith(TIMER_OWNERS)]
+    return [name for name in names if name.startswith(TIMER_CALLBACK_PREFIXES)]
 
 
 async def wait_until_settled(running: Service) -> None:
     """Wait until the router has released all state of its calls, including attempts just cancelled."""
     try:
         async with asyncio.timeout(SETTLE_TIMEOUT_S):
-            while unmet_obligations(running):
+            while unreleased_call_state(running):
                 await asyncio.sleep(0.001)
     except TimeoutError:
-        assert unmet_obligations(running) == {}
+        assert unreleased_call_state(running) == {}
 
 
 class DelayedConnects:
@@ -171,14 +176,14 @@
 
     Attributes:
         ports: The ports whose connects are suspended; tests change the set.
-        waiting: One event for each suspended connect, in order; setting the event resumes the connect.
+        resume_events: One event for each suspended connect, in order; setting the event resumes the connect.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.loop = asyncio.get_running_loop()
         self.ports = set[int]()
-        self.waiting: list[asyncio.Event] = []
-        self._create_connection: Connect = self.loop.create_connection
+        self.resume_events: list[asyncio.Event] = []
+        self._create_connection: CreateConnection = self.loop.create_connection
         monkeypatch.setattr(self.loop, "create_connection", self.create_connection)
 
     async def create_connection(
@@ -186,8 +191,8 @@
     ) -> Any:
         """Connect as the event loop does, but first wait for the event if the port is in ``ports``."""
         if port in self.ports:
-            self.waiting.append(asyncio.Event())
-            await self.waiting[-1].wait()
+            self.resume_events.append(asyncio.Event())
+            await self.resume_events[-1].wait()
         return await self._create_connection(protocol_factory, host, port, **options)
 
 
--- a/tests/integration/test_termination_accounting.py
+++ b/tests/integration/test_termination_accounting.py
@@ -13,11 +13,11 @@
 from cedarthread.testing.fakes.settings import SETTINGS
 from tests.integration.termination_harness import (
     INTERRUPT_PREFIX,
-    UNREACHED_LIMIT_MS,
+    LONG_TIMEOUT_MS,
     DelayedConnects,
     all_worker_connections,
     leave_unanswered,
-    reset,
+    reset_connection,
     result_name,
     running_router,
     wait_until,
@@ -43,7 +43,7 @@
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
         async with running_router(worker) as (running, caller):
-            caller.writer.write(pack_call(1, "confirm", b"x", limit=UNREACHED_LIMIT_MS))
+            caller.writer.write(pack_call(1, "confirm", b"x", limit=LONG_TIMEOUT_MS))
             await worker.wait_until(lambda: len(worker.calls) == 1)
             caller.writer.write(b"\x91\x05")
             assert result_name(await caller.read()) == "failed"
@@ -70,14 +70,14 @@
                 lambda: invalid_client.writer.transport.get_write_buffer_size() == 0, "the message is sent"
             )
             await wait_until_input_read(caller, 9)
-            reset(invalid_client.writer)
+            reset_connection(invalid_client.writer)
             await wait_until(lambda: len(running.platform.connections) == 1, "the connection is closed")
 
     asyncio.run(scenario())
     assert [client_addresses[0] in record.getMessage() for record in caplog.records] == [True]
 
 
-def test_an_attempt_of_an_abandoned_call_ends_at_the_deadline_where_no_cancel_is_allowed() -> None:
+def test_an_attempt_of_an_abandoned_call_ends_at_the_deadline_if_cancel_is_disabled() -> None:
     """If the settings forbid CANCEL, a silent worker must not hold a slot and in-flight counts forever."""
 
     async def scenario() -> None:
@@ -92,7 +92,7 @@
     asyncio.run(scenario())
 
 
-def test_a_call_with_a_key_that_a_worker_shed_is_not_bound_by_its_deduplication_window(
+def test_a_keyed_call_that_a_worker_shed_is_retried_after_its_deduplication_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """SHED proves that the call never ran, so a retry after the window cannot execute the call twice."""
@@ -102,7 +102,7 @@
         workers = [ScriptedWorker(leave_unanswered), ScriptedWorker(leave_unanswered)]
         limits = SETTINGS["limits"] | {"send-cap": 2}
         async with running_router(*workers, classes=classes, limits=limits) as (running, caller):
-            caller.writer.write(pack_call(1, "revise", b"x", unique="5c0f", limit=UNREACHED_LIMIT_MS))
+            caller.writer.write(pack_call(1, "revise", b"x", unique="5c0f", limit=LONG_TIMEOUT_MS))
             await wait_until(lambda: workers[0].calls or workers[1].calls, "a worker has received the call")
             chosen_index = 0 if workers[0].calls else 1
             workers[1 - chosen_index].behavior = serve_uppercase
@@ -203,7 +203,7 @@
     asyncio.run(scenario())
 
 
-def test_a_connection_that_comes_up_in_the_loop_pass_of_its_timeout_carries_its_call(
+def test_a_connection_established_as_its_connect_timeout_expires_carries_its_call(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The connect timeout expires after ``connection_made`` but before the connecting task resumes."""
@@ -226,13 +226,13 @@
     asyncio.run(scenario())
 
 
-def test_an_attempt_that_was_never_written_costs_no_retry_budget(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_attempt_that_was_never_written_consumes_no_retry_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     """A worker sheds the call, and the client interrupts the call while its retry waits for a connection."""
 
     async def scenario() -> None:
         workers = [ScriptedWorker(leave_unanswered), ScriptedWorker(leave_unanswered)]
         async with running_router(*workers) as (running, caller):
-            caller.writer.write(pack_call(1, "confirm", b"x", limit=UNREACHED_LIMIT_MS))
+            caller.writer.write(pack_call(1, "confirm", b"x", limit=LONG_TIMEOUT_MS))
             await wait_until(lambda: workers[0].calls or workers[1].calls, "a worker has received the call")
             router = running.dispatcher.router
             full_worker = workers[0] if workers[0].calls else workers[1]
@@ -240,19 +240,19 @@
             delayed_connects = DelayedConnects(monkeypatch)
             delayed_connects.ports.update(worker.port for worker in workers if worker is not full_worker)
             full_worker.answer(full_worker.calls[0], answer_with("SHED")(full_worker, {}) or {})
-            await wait_until(lambda: delayed_connects.waiting, "the retry waits for its connection")
+            await wait_until(lambda: delayed_connects.resume_events, "the retry waits for its connection")
             assert router.state.retry_budget.tokens == tokens_before - 1.0
             caller.writer.write(INTERRUPT_PREFIX + b"\x01")
             await wait_until_input_read(caller, 9)
             await wait_until(lambda: not router.orphaned_attempts, "the attempt has ended")
             assert router.state.retry_budget.tokens == tokens_before
             assert len(workers[0].calls + workers[1].calls) == 1
-            delayed_connects.waiting[0].set()
+            delayed_connects.resume_events[0].set()
 
     asyncio.run(scenario())
 
 
-def test_clients_that_disconnect_while_a_connection_comes_up_are_no_fault_of_its_worker(
+def test_clients_that_disconnect_during_a_connect_do_not_count_against_its_worker(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -261,7 +261,7 @@
             delayed_connects = DelayedConnects(monkeypatch)
             delayed_connects.ports.add(worker.port)
             for number in range(1, 6):
-                caller.writer.write(pack_call(number, "check", b"x", limit=UNREACHED_LIMIT_MS))
+                caller.writer.write(pack_call(number, "check", b"x", limit=LONG_TIMEOUT_MS))
                 await wait_until(lambda: running.dispatcher.pending_calls, "the call is pending")
                 caller.writer.write(INTERRUPT_PREFIX + bytes((number,)))
                 await wait_until(
@@ -271,7 +271,7 @@
             [view] = running.dispatcher.router.workers.values()
             assert view.outlier_score == 0.0
             assert not view.is_ejected
-            for may_connect in delayed_connects.waiting:
+            for may_connect in delayed_connects.resume_events:
                 may_connect.set()
 
     asyncio.run(scenario())
--- a/tests/integration/test_termination_bad_input.py
+++ b/tests/integration/test_termination_bad_input.py
@@ -15,9 +15,9 @@
 from cedarthread.testing.fakes.scripted import ScriptedWorker, client, pack_call, serve_uppercase
 from tests.integration.termination_harness import (
     INTERRUPT_PREFIX,
-    UNREACHED_LIMIT_MS,
+    LONG_TIMEOUT_MS,
     leave_unanswered,
-    reset,
+    reset_connection,
     result_name,
     running_router,
     wait_until,
@@ -265,7 +265,7 @@
             while not (workers[0].calls and workers[1].calls):  # functions prefer different workers
                 number += 1
                 caller.writer.write(
-                    pack_call(number, "confirm", b"x", item=f"{number:016x}", limit=UNREACHED_LIMIT_MS)
+                    pack_call(number, "confirm", b"x", item=f"{number:016x}", limit=LONG_TIMEOUT_MS)
                 )
                 await wait_until(
                     lambda: len(workers[0].calls + workers[1].calls) == number,  # noqa: B023
@@ -311,7 +311,7 @@
         worker = ScriptedWorker(leave_unanswered)
         async with running_router(worker) as (running, caller), client(running) as disconnecting_client:
             for number, sender in ((1, disconnecting_client), (2, caller)):
-                sender.writer.write(pack_call(number, "confirm", b"x", limit=UNREACHED_LIMIT_MS))
+                sender.writer.write(pack_call(number, "confirm", b"x", limit=LONG_TIMEOUT_MS))
                 await worker.wait_until(lambda: len(worker.calls) == number)  # noqa: B023
             disconnecting_client.writer.write(pack_call(3, "confirm", b"y" * 1000)[:500])
             await wait_until(
@@ -321,7 +321,7 @@
                 ),
                 "the router has read half of the message",
             )
-            reset(disconnecting_client.writer)
+            reset_connection(disconnecting_client.writer)
             await worker.wait_until(lambda: worker.cancelled_ids == [f"{1:016x}"])
             worker.answer(worker.calls[1], serve_uppercase(worker, worker.calls[1]))
             assert await caller.read() == [1, 2, None, [b"X", {}]]
--- a/tests/integration/test_termination_clients.py
+++ b/tests/integration/test_termination_clients.py
@@ -9,9 +9,9 @@
 from cedarthread.protocols.worker import connections as worker_connections
 from cedarthread.testing.fakes.scripted import ScriptedWorker, client, pack_call, serve_uppercase
 from tests.integration.termination_harness import (
-    CONNECTION_ENDINGS,
+    CLOSE_METHODS,
     INTERRUPT_PREFIX,
-    UNREACHED_LIMIT_MS,
+    LONG_TIMEOUT_MS,
     connect_with_small_buffers,
     leave_unanswered,
     result_name,
@@ -23,8 +23,10 @@
 
 
 @pytest.mark.parametrize("first", ["disconnect", "response"])
-@pytest.mark.parametrize("ending", ["interrupt", *CONNECTION_ENDINGS])
-def test_a_client_that_disconnects_before_the_response_cancels_its_call(ending: str, first: str) -> None:
+@pytest.mark.parametrize("disconnect_method", ["interrupt", *CLOSE_METHODS])
+def test_a_client_that_disconnects_before_the_response_cancels_its_call(
+    disconnect_method: str, first: str
+) -> None:
     """After a disconnect, no response is delivered and the worker receives a CANCEL.
 
     After the response, a disconnect has no effect.
@@ -33,19 +35,19 @@
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
         async with running_router(worker) as (running, caller), client(running) as disconnecting_client:
-            disconnecting_client.writer.write(pack_call(1, "confirm", b"x", limit=UNREACHED_LIMIT_MS))
+            disconnecting_client.writer.write(pack_call(1, "confirm", b"x", limit=LONG_TIMEOUT_MS))
             await worker.wait_until(lambda: len(worker.calls) == 1)
 
             async def disconnect() -> None:
-                if ending == "interrupt":
+                if disconnect_method == "interrupt":
                     disconnecting_client.writer.write(INTERRUPT_PREFIX + b"\x01")
                     await wait_until_input_read(disconnecting_client, 8)
                 else:
-                    CONNECTION_ENDINGS[ending](disconnecting_client.writer)
+                    CLOSE_METHODS[disconnect_method](disconnecting_client.writer)
 
             if first == "disconnect":
                 await disconnect()
-                if ending != "close":
+                if disconnect_method != "close":
                     await worker.wait_until(lambda: worker.cancelled_ids != [])
                 else:  # a FIN may be a half-close, so a response that arrives is still delivered
                     await wait_until(
@@ -61,7 +63,7 @@
             assert await caller.call(2, "confirm", b"y") == [1, 2, None, [b"Y", {}]]
             await wait_until_settled(running)
             counts = running.dispatcher.result_counts
-            is_abandoned = first == "disconnect" and ending != "close"
+            is_abandoned = first == "disconnect" and disconnect_method != "close"
             assert (counts["served"], counts["abandoned"]) == ((1, 1) if is_abandoned else (2, 0))
             assert worker.cancelled_ids == ([f"{1:016x}"] if is_abandoned else [])
 
@@ -75,7 +77,7 @@
         worker = ScriptedWorker(leave_unanswered)
         async with running_router(worker) as (running, caller):
             for number in range(1, 21):
-                caller.writer.write(pack_call(number, "confirm", b"x", limit=UNREACHED_LIMIT_MS))
+                caller.writer.write(pack_call(number, "confirm", b"x", limit=LONG_TIMEOUT_MS))
                 await worker.wait_until(lambda: len(worker.calls) == number)  # noqa: B023
                 worker.answer(worker.calls[-1], serve_uppercase(worker, worker.calls[-1]))
                 caller.writer.write(INTERRUPT_PREFIX + bytes((number,)))
@@ -99,7 +101,7 @@
         worker = ScriptedWorker(leave_unanswered)
         async with running_router(worker) as (running, caller):
             caller.writer.write(
-                pack_call(1, "confirm", b"x", limit="500" if first == "deadline" else UNREACHED_LIMIT_MS)
+                pack_call(1, "confirm", b"x", limit="500" if first == "deadline" else LONG_TIMEOUT_MS)
             )
             await worker.wait_until(lambda: len(worker.calls) == 1)
             if first == "deadline":
@@ -116,7 +118,7 @@
 
 
 @pytest.mark.parametrize("first", ["read", "timeout"])
-def test_a_cancel_on_a_slow_connection_aborts_it_with_the_others_if_it_is_not_read_in_time(
+def test_a_cancel_that_is_not_read_in_time_aborts_the_slow_connection_and_its_other_calls(
     first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The other calls on a stalled worker's connection continue if the worker reads the CANCEL in time."""
@@ -127,10 +129,10 @@
             connection = await connect_with_small_buffers(running, worker, caller)
             worker.writers[0].transport.resume_reading()  # type: ignore[attr-defined]
             worker.behavior = leave_unanswered
-            caller.writer.write(pack_call(2, "confirm", b"x", limit=UNREACHED_LIMIT_MS))
+            caller.writer.write(pack_call(2, "confirm", b"x", limit=LONG_TIMEOUT_MS))
             await worker.wait_until(lambda: len(worker.calls) == 2)
             worker.writers[0].transport.pause_reading()  # type: ignore[attr-defined]
-            caller.writer.write(pack_call(3, "check", b"y" * 16_000, limit=UNREACHED_LIMIT_MS))
+            caller.writer.write(pack_call(3, "check", b"y" * 16_000, limit=LONG_TIMEOUT_MS))
             await wait_until(lambda: connection.is_write_paused, "the worker's receive window is full")
             monkeypatch.setattr(worker_connections, "CANCEL_SETTLE_S", 10.0 if first == "read" else 0.0)
             caller.writer.write(INTERRUPT_PREFIX + b"\x03")
--- a/tests/integration/test_termination_endpoint_updates.py
+++ b/tests/integration/test_termination_endpoint_updates.py
@@ -10,7 +10,7 @@
 from cedarthread.testing.fakes.scripted import ScriptedWorker, pack_call, serve_uppercase
 from tests.integration.termination_harness import (
     INTERRUPT_PREFIX,
-    UNREACHED_LIMIT_MS,
+    LONG_TIMEOUT_MS,
     DelayedConnects,
     all_worker_connections,
     leave_unanswered,
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("first", ["update", "connection"])
-def test_a_drain_redirects_a_call_whose_connection_is_not_up_yet(
+def test_a_drain_redirects_a_call_whose_connection_is_not_established_yet(
     first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A drain before the connection is established sends the call to the other worker and aborts the connect.
@@ -65,7 +65,7 @@
         async with running_router(*workers) as (running, caller):
             delayed_connects.ports |= {worker.port for worker in workers}
             caller.writer.write(pack_call(1, "confirm", b"x"))
-            await wait_until(lambda: delayed_connects.waiting, "the connect has started")
+            await wait_until(lambda: delayed_connects.resume_events, "the connect has started")
             [(chosen_number, pool)] = [
                 entry for entry in running.workers.pools.items() if entry[1].connections
             ]
@@ -75,11 +75,11 @@
                 update_endpoint_list(running, workers, *states)
                 assert not pool.connections, "a connect that no call waits for is aborted"
                 assert await caller.read() == [1, 1, None, [b"X", {}]]
-                delayed_connects.waiting[0].set()
+                delayed_connects.resume_events[0].set()
                 await wait_until(lambda: not pool.connecting, "the connect has ended")
                 assert not pool.connections
             else:
-                delayed_connects.waiting[0].set()
+                delayed_connects.resume_events[0].set()
                 await workers[chosen_number - 1].wait_until(lambda: workers[chosen_number - 1].calls != [])
                 update_endpoint_list(running, workers, *states)
                 assert await caller.read() == [1, 1, None, [b"X", {}]]
@@ -135,9 +135,9 @@
             update_endpoint_list(running, [worker], REMOVED)
             assert result_name(await caller.read()) == "failed"
             await wait_until_settled(running)
-            figures = running.status.lines()
-            assert "router.known_runners=0" in figures
-            assert "router.skipped_runners=0" in figures
+            status_lines = running.status.lines()
+            assert "router.known_runners=0" in status_lines
+            assert "router.skipped_runners=0" in status_lines
 
     asyncio.run(scenario())
 
@@ -203,7 +203,7 @@
         async with running_router(worker) as (running, caller):
             update_endpoint_list(running, [worker], DRAINING)
             caller.writer.write(
-                pack_call(1, "confirm", b"x", limit="500" if first == "deadline" else UNREACHED_LIMIT_MS)
+                pack_call(1, "confirm", b"x", limit="500" if first == "deadline" else LONG_TIMEOUT_MS)
             )
             await wait_until(
                 lambda: running.dispatcher.router.queued_requests,
--- a/tests/integration/test_termination_settings_reload.py
+++ b/tests/integration/test_termination_settings_reload.py
@@ -10,7 +10,7 @@
 from cedarthread.testing.fakes.scripted import ScriptedWorker, answer_with, pack_call, serve_uppercase
 from cedarthread.testing.fakes.settings import SETTINGS
 from tests.integration.termination_harness import (
-    UNREACHED_LIMIT_MS,
+    LONG_TIMEOUT_MS,
     all_worker_connections,
     leave_unanswered,
     reload_settings,
@@ -74,7 +74,7 @@
 
         workers = [ScriptedWorker(shed_all_but_second) for _ in range(3)]
         async with running_router(*workers) as (running, caller):
-            caller.writer.write(pack_call(1, "confirm", b"x", limit=UNREACHED_LIMIT_MS))
+            caller.writer.write(pack_call(1, "confirm", b"x", limit=LONG_TIMEOUT_MS))
             await wait_until(lambda: attempt_count == 2, "the second attempt is sent")
             sent_once = [
                 worker
@@ -82,9 +82,13 @@
                 if worker.calls and worker.calls[0] == worker.calls[-1] and not worker.cancelled_ids
             ]
             assert sent_once
-            carrying = [connection for connection in all_worker_connections(running) if connection.in_flight]
+            busy_connections = [
+                connection for connection in all_worker_connections(running) if connection.in_flight
+            ]
             [chosen_number] = [
-                number for number, pool in running.workers.pools.items() if carrying[0] in pool.connections
+                number
+                for number, pool in running.workers.pools.items()
+                if busy_connections[0] in pool.connections
             ]
             worker = workers[chosen_number - 1]
             if first == "settings":
--- a/tests/integration/test_termination_shutdown.py
+++ b/tests/integration/test_termination_shutdown.py
@@ -10,7 +10,7 @@
 from cedarthread.testing.fakes.scripted import ScriptedWorker, pack_call
 from cedarthread.testing.fakes.settings import SETTINGS
 from tests.integration.termination_harness import (
-    UNREACHED_LIMIT_MS,
+    LONG_TIMEOUT_MS,
     leave_unanswered,
     result_name,
     running_router,
@@ -26,13 +26,13 @@
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
         async with running_router(worker, classes=classes) as (running, caller):
-            caller.writer.write(pack_call(1, "confirm", b"x", limit=UNREACHED_LIMIT_MS))
+            caller.writer.write(pack_call(1, "confirm", b"x", limit=LONG_TIMEOUT_MS))
             await worker.wait_until(lambda: len(worker.calls) == 1)
             shutdown = asyncio.create_task(running.shut_down())
             await wait_until(
                 lambda: running.dispatcher.shutdown_deadline_ms is not None, "the dispatcher is shutting down"
             )
-            caller.writer.write(pack_call(2, "confirm", b"x", limit=UNREACHED_LIMIT_MS))
+            caller.writer.write(pack_call(2, "confirm", b"x", limit=LONG_TIMEOUT_MS))
             await worker.wait_until(lambda: len(worker.calls) == 2)
             responses = [await caller.read(), await caller.read()]
             assert {(response[1], result_name(response)) for response in responses} == {
--- a/tests/integration/test_termination_worker_connections.py
+++ b/tests/integration/test_termination_worker_connections.py
@@ -13,8 +13,8 @@
 from cedarthread.testing.fakes.scripted import ScriptedWorker, answer_with, pack_call, serve_uppercase
 from cedarthread.testing.fakes.settings import SETTINGS
 from tests.integration.termination_harness import (
-    CONNECTION_ENDINGS,
-    UNREACHED_LIMIT_MS,
+    CLOSE_METHODS,
+    LONG_TIMEOUT_MS,
     all_worker_connections,
     connect_with_small_buffers,
     leave_unanswered,
@@ -29,11 +29,11 @@
     from cedarthread.model.events import PreloadEnded
 
 
-@pytest.mark.parametrize("ending", list(CONNECTION_ENDINGS))
+@pytest.mark.parametrize("close_method", list(CLOSE_METHODS))
 @pytest.mark.parametrize("class_name", ["check", "confirm"])
 @pytest.mark.parametrize("position", ["before", "middle", "after"])
 def test_a_workers_connection_ends_before_during_or_after_its_response(
-    ending: str, class_name: str, position: str, caplog: pytest.LogCaptureFixture
+    close_method: str, class_name: str, position: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """If the connection closes before or within the response, the call may have run.
 
@@ -44,7 +44,7 @@
     def end_connection(worker: ScriptedWorker, message: dict[str, Any]) -> None:
         line = json.dumps(serve_uppercase(worker, message) | {"id": message["id"]}).encode() + b"\n"
         worker.writers[-1].write({"before": b"", "middle": line[:40], "after": line}[position])
-        CONNECTION_ENDINGS[ending](worker.writers[-1])
+        CLOSE_METHODS[close_method](worker.writers[-1])
 
     async def scenario() -> None:
         workers = [ScriptedWorker(end_connection), ScriptedWorker(end_connection)]
@@ -77,7 +77,7 @@
             connection = await connect_with_small_buffers(running, worker, caller)
             last_number = 9
             for number in range(2, last_number + 1):
-                caller.writer.write(pack_call(number, "confirm", b"y" * 16_000, limit=UNREACHED_LIMIT_MS))
+                caller.writer.write(pack_call(number, "confirm", b"y" * 16_000, limit=LONG_TIMEOUT_MS))
             await wait_until(
                 lambda: len(running.dispatcher.pending_calls) == last_number - 1, "all calls are accepted"
             )
@@ -106,7 +106,7 @@
         async with running_router(*workers) as (running, caller):
             for number in (1, 2):
                 caller.writer.write(
-                    pack_call(number, "confirm", b"x", item=f"{number:016x}", limit=UNREACHED_LIMIT_MS)
+                    pack_call(number, "confirm", b"x", item=f"{number:016x}", limit=LONG_TIMEOUT_MS)
                 )
             await wait_until(lambda: len(workers[0].calls + workers[1].calls) == 2, "both calls are sent")
             received = {call["id"]: (worker, call) for worker in workers for call in worker.calls}
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("first", ["sweep", "call"])
-def test_a_call_completes_around_the_routers_idle_close(first: str) -> None:
+def test_a_call_completes_before_or_after_the_routers_idle_close(first: str) -> None:
     async def scenario() -> None:
         worker = ScriptedWorker()
         async with running_router(worker) as (running, caller):
--- a/tests/integration/test_termination_worker_connects.py
+++ b/tests/integration/test_termination_worker_connects.py
@@ -12,17 +12,17 @@
 from cedarthread.testing.fakes.settings import SETTINGS
 from tests.integration.termination_harness import (
     INTERRUPT_PREFIX,
-    UNREACHED_LIMIT_MS,
-    Connect,
+    LONG_TIMEOUT_MS,
+    CreateConnection,
     DelayedConnects,
-    reset,
+    reset_connection,
     result_name,
     running_router,
     wait_until,
 )
 
 
-def test_a_connection_comes_up_late_and_the_call_is_written_to_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_call_is_written_to_a_connection_that_is_established_late(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         worker = ScriptedWorker()
         delayed_connects = DelayedConnects(monkeypatch)
@@ -32,16 +32,16 @@
         ):
             delayed_connects.ports.add(worker.port)
             caller.writer.write(pack_call(1, "confirm", b"x"))
-            await wait_until(lambda: delayed_connects.waiting, "the connect has started")
-            delayed_connects.waiting[0].set()
+            await wait_until(lambda: delayed_connects.resume_events, "the connect has started")
+            delayed_connects.resume_events[0].set()
             assert await caller.read() == [1, 1, None, [b"X", {}]]
 
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("ending", ["deadline", "interrupt", "reset"])
-def test_a_call_that_ends_before_its_connection_comes_up_is_not_sent(
-    ending: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("end_cause", ["deadline", "interrupt", "reset"])
+def test_a_call_that_ends_before_its_connection_is_established_is_not_sent(
+    end_cause: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The call is past its deadline, or its client has interrupted it or reset the client connection.
 
@@ -58,18 +58,18 @@
         ):
             delayed_connects.ports.add(worker.port)
             disconnecting_client.writer.write(
-                pack_call(1, "confirm", b"x", limit="400" if ending == "deadline" else UNREACHED_LIMIT_MS)
+                pack_call(1, "confirm", b"x", limit="400" if end_cause == "deadline" else LONG_TIMEOUT_MS)
             )
-            await wait_until(lambda: delayed_connects.waiting, "the connect has started")
-            if ending == "deadline":
+            await wait_until(lambda: delayed_connects.resume_events, "the connect has started")
+            if end_cause == "deadline":
                 assert result_name(await disconnecting_client.read()) == "rejected"  # the call never ran
-            elif ending == "interrupt":
+            elif end_cause == "interrupt":
                 disconnecting_client.writer.write(INTERRUPT_PREFIX + b"\x01")
             else:
-                reset(disconnecting_client.writer)
+                reset_connection(disconnecting_client.writer)
             await wait_until(lambda: not running.dispatcher.pending_calls, "the call has ended")
             delayed_connects.ports.clear()
-            delayed_connects.waiting[0].set()
+            delayed_connects.resume_events[0].set()
             assert await caller.call(2, "confirm", b"y") == [1, 2, None, [b"Y", {}]]
             assert [call["id"] for call in worker.calls] == [f"{2:016x}"]
             assert len(worker.writers) == 1
@@ -77,7 +77,9 @@
     asyncio.run(scenario())
 
 
-def test_a_connection_that_never_comes_up_has_executed_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_calls_that_wait_for_a_connection_that_is_never_established_are_sent_elsewhere(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """The waiting calls are sent to another worker, including those that are not idempotent."""
 
     async def scenario() -> None:
@@ -87,7 +89,7 @@
         async with running_router(*workers, limits=limits) as (running, caller):
             delayed_connects.ports |= {worker.port for worker in workers}
             caller.writer.write(pack_call(1, "confirm", b"x"))
-            await wait_until(lambda: delayed_connects.waiting, "the connect has started")
+            await wait_until(lambda: delayed_connects.resume_events, "the connect has started")
             [chosen_number] = [number for number, pool in running.workers.pools.items() if pool.connections]
             delayed_connects.ports = {workers[chosen_number - 1].port}
             assert await caller.read() == [1, 1, None, [b"X", {}]]
@@ -97,14 +99,14 @@
     asyncio.run(scenario())
 
 
-def test_without_a_descriptor_for_a_worker_the_call_is_rejected_and_no_worker_at_fault(
+def test_without_a_free_descriptor_the_call_is_rejected_and_no_worker_counts_as_unreachable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
         worker = ScriptedWorker()
         async with running_router(worker) as (running, caller):
             loop = asyncio.get_running_loop()
-            create_connection: Connect = loop.create_connection
+            create_connection: CreateConnection = loop.create_connection
 
             async def fail(*args: Any, **options: Any) -> Any:
                 raise OSError(errno.EMFILE, "too many open files")
