--- a/tests/integration/drain_harness.py
+++ b/tests/integration/drain_harness.py
@@ -22,38 +22,38 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-GRACE_S = SETTINGS["obligations"]["stop-sending-within"] / 1000.0
+GRACE_PERIOD_S = SETTINGS["obligations"]["stop-sending-within"] / 1000.0
 # The platform's tolerance beyond the grace period, plus the delay with which the test may read a call.
-SLACK_S = 0.05 + 0.05
+TOLERANCE_S = 0.05 + 0.05
 CALL_PERIOD_S = 0.004
-CALL_LIMIT_S = 3.0
+CALL_TIMEOUT_S = 3.0
 WAIT_TIMEOUT_S = 10
 QUERY_HEADER_BYTES = 12
 
 # Returns the reply datagram to a query, or None for a lost reply.
-Reply = Callable[["NotifyingDiscovery", bytes], bytes | None]
+ReplyEncoder = Callable[["RecordingDiscovery", bytes], bytes | None]
 
 
-def lost(_: NotifyingDiscovery, __: bytes) -> None:
+def no_reply(_: RecordingDiscovery, __: bytes) -> None:
     """Send no reply, as if it were lost in the network."""
 
 
-def cut(discovery: NotifyingDiscovery, query: bytes) -> bytes:
+def truncated_reply(discovery: RecordingDiscovery, query: bytes) -> bytes:
     """Return a reply that is truncated within its first record."""
     return discovery.encode(query, discovery.serial, discovery.workers)[: len(query) + 20]
 
 
-def server_failure(_: NotifyingDiscovery, query: bytes) -> bytes:
+def servfail_reply(_: RecordingDiscovery, query: bytes) -> bytes:
     """Return a reply with the response code SERVFAIL and without records."""
     return query[:2] + b"\x80\x02" + query[4:QUERY_HEADER_BYTES] + query[QUERY_HEADER_BYTES:]
 
 
-def old(discovery: NotifyingDiscovery, query: bytes) -> bytes:
+def previous_reply(discovery: RecordingDiscovery, query: bytes) -> bytes:
     """Return a complete reply with the list before the last change."""
     return discovery.encode(query, *discovery.previous)
 
 
-def valid(discovery: NotifyingDiscovery, query: bytes) -> bytes:
+def current_reply(discovery: RecordingDiscovery, query: bytes) -> bytes:
     """Return a complete reply with the current list."""
     return discovery.encode(query, discovery.serial, discovery.workers)
 
@@ -77,7 +77,7 @@
 
 
 @dataclass
-class NotifyingDiscovery:
+class RecordingDiscovery:
     """A discovery server that records when it first sends a change to the router.
 
     Attributes:
@@ -94,7 +94,7 @@
     workers: tuple[ListedWorker, ...]
     serial: int = 2
     previous: Listing = field(default_factory=lambda: Listing(2, ()))
-    script: list[Reply] = field(default_factory=list)
+    script: list[ReplyEncoder] = field(default_factory=list)
     changed_at_s: float = 0.0
     notified_at_s: float = 0.0
     queried: asyncio.Event = field(default_factory=asyncio.Event)
@@ -111,9 +111,14 @@
     def on_query(self, query: bytes, address: tuple[str, int]) -> None:
         """Reply to a query as the script says."""
         self.query_count += 1
-        reply = self.script.pop(0) if self.script else valid
+        reply = self.script.pop(0) if self.script else current_reply
         datagram = reply(self, query)
-        if self.changed_at_s and not self.notified_at_s and reply is not old and reply is not server_failure:
+        if (
+            self.changed_at_s
+            and not self.notified_at_s
+            and reply is not previous_reply
+            and reply is not servfail_reply
+        ):
             self.notified_at_s = time.monotonic()
         if datagram is not None:
             self.server._send(datagram, address)
@@ -125,7 +130,7 @@
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             await self.queried.wait()
 
-    def change(self, *workers: ListedWorker, script: Sequence[Reply] = ()) -> None:
+    def change_list(self, *workers: ListedWorker, script: Sequence[ReplyEncoder] = ()) -> None:
         """List these workers from now on, and reply to the next queries as the script says."""
         self.previous = Listing(self.serial, self.workers)
         self.serial += 1
@@ -141,15 +146,15 @@
     deadline_s: float
 
 
-class TimedWorker(ScriptedWorker):
+class RecordingWorker(ScriptedWorker):
     """A worker that records the arrival time and the deadline of each call."""
 
     def __init__(self) -> None:
-        super().__init__(self._serve_timed)
+        super().__init__(self._record_and_serve)
         self.received_at_s: list[float] = []
         self.deadlines: list[AttemptDeadline] = []
 
-    def _serve_timed(self, _: ScriptedWorker, message: dict[str, Any]) -> dict[str, Any] | None:
+    def _record_and_serve(self, _: ScriptedWorker, message: dict[str, Any]) -> dict[str, Any] | None:
         now_s = time.monotonic()
         self.received_at_s.append(now_s)
         self.deadlines.append(AttemptDeadline(message["id"], now_s + message["fields"]["max"] / 1000.0))
@@ -162,7 +167,7 @@
         ]
 
 
-class Traffic:
+class TrafficGenerator:
     """A client that sends calls of 40 functions at a fixed rate and discards the responses.
 
     Attributes:
@@ -187,8 +192,8 @@
     async def _send(self) -> None:
         while True:
             number = next(self.numbers)
-            self.deadline_s[f"{number:016x}"] = time.monotonic() + CALL_LIMIT_S
-            limit = f"{1000.0 * CALL_LIMIT_S:.0f}"
+            self.deadline_s[f"{number:016x}"] = time.monotonic() + CALL_TIMEOUT_S
+            limit = f"{1000.0 * CALL_TIMEOUT_S:.0f}"
             self.writer.write(pack_call(number, "check", b"x", item=f"{number % 40:016x}", limit=limit))
             await asyncio.sleep(CALL_PERIOD_S)
 
@@ -204,25 +209,25 @@
     """A router process under load, its discovery server, a worker that may drain, and one that never does."""
 
     process: RouterProcess
-    discovery: NotifyingDiscovery
-    draining: TimedWorker
-    staying: TimedWorker
-    traffic: Traffic
+    discovery: RecordingDiscovery
+    draining_worker: RecordingWorker
+    ready_worker: RecordingWorker
+    traffic: TrafficGenerator
 
     @property
     def listed(self) -> tuple[ListedWorker, ListedWorker]:
         """The workers as listed while neither drains."""
-        return list_without_drain(self.draining, self.staying)
+        return list_without_drain(self.draining_worker, self.ready_worker)
 
     def list_with_drain(self) -> tuple[ListedWorker, ListedWorker]:
         """Return the workers as listed while the first one drains."""
-        draining, staying = self.listed
-        return ListedWorker(draining.name, draining.port, is_draining=True), staying
+        draining_worker, ready_worker = self.listed
+        return ListedWorker(draining_worker.name, draining_worker.port, is_draining=True), ready_worker
 
     async def wait_for_calls(self) -> None:
         """Wait until each worker has received five calls."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
-            while len(self.draining.received_at_s) < 5 or len(self.staying.received_at_s) < 5:
+            while len(self.draining_worker.received_at_s) < 5 or len(self.ready_worker.received_at_s) < 5:
                 await asyncio.sleep(0.005)
 
     async def wait_until_notified(self) -> float:
@@ -234,42 +239,42 @@
 
     def check_drain(self, notified_at_s: float) -> None:
         """Fail if a call has reached the draining worker after the grace period since the notification."""
-        late = self.draining.received_after(notified_at_s + GRACE_S + SLACK_S)
+        late = self.draining_worker.received_after(notified_at_s + GRACE_PERIOD_S + TOLERANCE_S)
         assert not late, (
             f"{len(late)} calls reached the draining worker too late, "
-            f"the last one {GRACE_S + SLACK_S + late[-1]:.3f} s after the notification"
+            f"the last one {GRACE_PERIOD_S + TOLERANCE_S + late[-1]:.3f} s after the notification"
         )
 
 
 def list_without_drain(
-    draining: ScriptedWorker, staying: ScriptedWorker
+    draining_worker: ScriptedWorker, ready_worker: ScriptedWorker
 ) -> tuple[ListedWorker, ListedWorker]:
     """Return both workers as listed while neither drains."""
-    return ListedWorker("s-00000001", draining.port), ListedWorker("s-00000002", staying.port)
+    return ListedWorker("s-00000001", draining_worker.port), ListedWorker("s-00000002", ready_worker.port)
 
 
 @asynccontextmanager
 async def drain_setup(folder: Path) -> AsyncIterator[DrainSetup]:
     """Run the processes and servers until the end of the block; yield once both workers receive calls."""
-    draining = TimedWorker()
-    staying = TimedWorker()
-    await draining.start()
-    await staying.start()
-    discovery = NotifyingDiscovery(list_without_drain(draining, staying))
+    draining_worker = RecordingWorker()
+    ready_worker = RecordingWorker()
+    await draining_worker.start()
+    await ready_worker.start()
+    discovery = RecordingDiscovery(list_without_drain(draining_worker, ready_worker))
     await discovery.server.start()
     limits = SETTINGS["limits"] | {"most-held": 1000}
     async with router_process(
         folder, dns=f"127.0.0.1:{discovery.server.port}", settings=SETTINGS | {"limits": limits}
     ) as process:
         await process.wait_for_log("endpoints_updated serial=2 ")
-        traffic = Traffic(process.port)
+        traffic = TrafficGenerator(process.port)
         await traffic.start()
-        setup = DrainSetup(process, discovery, draining, staying, traffic)
+        setup = DrainSetup(process, discovery, draining_worker, ready_worker, traffic)
         await setup.wait_for_calls()
         try:
             yield setup
         finally:
             traffic.stop()
     discovery.server.stop()
-    draining.stop()
-    staying.stop()
+    draining_worker.stop()
+    ready_worker.stop()
--- a/tests/integration/test_drain_notification.py
+++ b/tests/integration/test_drain_notification.py
@@ -1,7 +1,7 @@
 """Rule ``drain`` on a real process: no call reaches a draining worker after the grace period.
 
 The grace period starts when the router counts as notified of the drain: once the discovery server has sent a
-reply with the drain, whether the router could use that reply or not, and at the latest NOTICE_LIMIT_S after
+reply with the drain, whether the router could use that reply or not, and at the latest PROMPT_NOTICE_S after
 the drain.
 """
 
@@ -14,38 +14,38 @@
 import pytest
 
 from tests.integration.drain_harness import (
-    CALL_LIMIT_S,
-    GRACE_S,
-    SLACK_S,
-    NotifyingDiscovery,
-    Reply,
-    cut,
+    CALL_TIMEOUT_S,
+    GRACE_PERIOD_S,
+    TOLERANCE_S,
+    RecordingDiscovery,
+    ReplyEncoder,
     drain_setup,
-    lost,
-    old,
-    server_failure,
+    no_reply,
+    previous_reply,
+    servfail_reply,
+    truncated_reply,
 )
 from tests.integration.scenario_runner import run_scenario
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-DEADLINE_SLACK_S = 0.15  # how much later than the client's a worker's deadline of a call may be
-NOTICE_LIMIT_S = 1.5  # after which the router counts as notified without a reply (PROTOCOL)
+DEADLINE_TOLERANCE_S = 0.15  # how much later than the client's a worker's deadline of a call may be
+PROMPT_NOTICE_S = 1.5  # after which the router counts as notified without a reply (PROTOCOL)
 
 
 @pytest.mark.parametrize(
     "script",
     [
-        [lost] * 5,
-        [cut] * 5,
-        [lost, server_failure, cut, lost, server_failure, lost],
-        [lost, old, cut, lost, server_failure],
+        [no_reply] * 5,
+        [truncated_reply] * 5,
+        [no_reply, servfail_reply, truncated_reply, no_reply, servfail_reply, no_reply],
+        [no_reply, previous_reply, truncated_reply, no_reply, servfail_reply],
     ],
     ids=["lost", "truncated", "mixed", "previous list"],
 )
-def test_a_drain_is_followed_though_several_replies_in_a_row_are_unusable(
-    tmp_path: Path, script: list[Reply]
+def test_a_drain_is_applied_although_several_consecutive_replies_are_unusable(
+    tmp_path: Path, script: list[ReplyEncoder]
 ) -> None:
     """The regular poll alone needs one period per failed reply, and three periods exceed the grace period."""
 
@@ -53,11 +53,11 @@
         async with drain_setup(tmp_path) as setup:
             await setup.discovery.wait_for_query()
 
-            setup.discovery.change(*setup.list_with_drain(), script=script)
+            setup.discovery.change_list(*setup.list_with_drain(), script=script)
             notified_at_s = await setup.wait_until_notified()
 
             await setup.process.wait_for_log("endpoints_updated serial=3 ")
-            await asyncio.sleep(max(0.0, notified_at_s + GRACE_S + 2 * SLACK_S - time.monotonic()))
+            await asyncio.sleep(max(0.0, notified_at_s + GRACE_PERIOD_S + 2 * TOLERANCE_S - time.monotonic()))
             setup.check_drain(notified_at_s)
 
     run_scenario(scenario)
@@ -71,15 +71,15 @@
             await setup.discovery.wait_for_query()
 
             await setup.process.suspend()
-            setup.discovery.change(*setup.list_with_drain())
-            notified_at_s = setup.discovery.changed_at_s + NOTICE_LIMIT_S
-            await asyncio.sleep(NOTICE_LIMIT_S + GRACE_S + 2 * SLACK_S)
+            setup.discovery.change_list(*setup.list_with_drain())
+            notified_at_s = setup.discovery.changed_at_s + PROMPT_NOTICE_S
+            await asyncio.sleep(PROMPT_NOTICE_S + GRACE_PERIOD_S + 2 * TOLERANCE_S)
             setup.process.resume()
 
             await setup.process.wait_for_log("endpoints_updated serial=3 ")
-            served_count = len(setup.staying.received_at_s)
+            served_count = len(setup.ready_worker.received_at_s)
             async with asyncio.timeout(10):
-                while len(setup.staying.received_at_s) == served_count:
+                while len(setup.ready_worker.received_at_s) == served_count:
                     await asyncio.sleep(0.005)
             setup.check_drain(notified_at_s)
 
@@ -91,25 +91,27 @@
 
     async def scenario() -> None:
         async with drain_setup(tmp_path) as setup:
-            silent = NotifyingDiscovery(setup.listed, script=[lost] * 1000)
-            await silent.server.start()
-            unanswered: list[tuple[bytes, tuple[str, int]]] = []
-            setup.discovery.server.on_query = lambda query, address: unanswered.append((query, address))
+            silent_discovery = RecordingDiscovery(setup.listed, script=[no_reply] * 1000)
+            await silent_discovery.server.start()
+            unanswered_queries: list[tuple[bytes, tuple[str, int]]] = []
+            setup.discovery.server.on_query = lambda query, address: unanswered_queries.append(
+                (query, address)
+            )
             async with asyncio.timeout(10):
-                while not unanswered:
+                while not unanswered_queries:
                     await asyncio.sleep(0.002)
 
-            setup.process.update_config(dns=f"127.0.0.1:{silent.server.port}")
+            setup.process.update_config(dns=f"127.0.0.1:{silent_discovery.server.port}")
             setup.process.reload()
-            await silent.wait_for_query()
-            setup.discovery.change(*setup.list_with_drain())
-            for query, address in unanswered:
+            await silent_discovery.wait_for_query()
+            setup.discovery.change_list(*setup.list_with_drain())
+            for query, address in unanswered_queries:
                 setup.discovery.on_query(query, address)
 
             notified_at_s = await setup.wait_until_notified()
-            await asyncio.sleep(GRACE_S + 5 * SLACK_S)
+            await asyncio.sleep(GRACE_PERIOD_S + 5 * TOLERANCE_S)
             setup.check_drain(notified_at_s)
-            silent.server.stop()
+            silent_discovery.server.stop()
 
     run_scenario(scenario)
 
@@ -131,7 +133,8 @@
 
             client_deadline_s = setup.traffic.deadline_s
             resumed_at_s = time.monotonic()
-            workers = (setup.draining, setup.staying)  # neither drains here, so both may receive the calls
+            # Neither worker drains here, so both may receive the calls.
+            workers = (setup.draining_worker, setup.ready_worker)
             async with asyncio.timeout(10):
                 while not any(
                     received_at_s > resumed_at_s + 0.3
@@ -141,38 +144,38 @@
                     await asyncio.sleep(0.005)
             sent_since_suspension = [
                 attempt
-                for attempt in (*setup.draining.deadlines, *setup.staying.deadlines)
-                if suspended_at_s < client_deadline_s[attempt.call_id] - CALL_LIMIT_S
+                for attempt in (*setup.draining_worker.deadlines, *setup.ready_worker.deadlines)
+                if suspended_at_s < client_deadline_s[attempt.call_id] - CALL_TIMEOUT_S
             ]
             excess_s = [
                 (attempt.call_id, attempt.deadline_s - client_deadline_s[attempt.call_id])
                 for attempt in sent_since_suspension
             ]
-            late = [(call_id, round(by_s, 3)) for call_id, by_s in excess_s if by_s > DEADLINE_SLACK_S]
+            late = [(call_id, round(by_s, 3)) for call_id, by_s in excess_s if by_s > DEADLINE_TOLERANCE_S]
             assert not late, late[:5]
 
     run_scenario(scenario)
 
 
-def test_a_reply_of_an_earlier_numbering_hides_no_drain(tmp_path: Path) -> None:
+def test_a_reply_with_serials_from_before_a_restart_does_not_hide_a_drain(tmp_path: Path) -> None:
     """List serials restart when a router starts; the first reply is an earlier one, with a higher serial.
 
     Regression test: the router applied such a reply and then ignored the drain, whose serial was the same.
     """
 
-    def earlier_numbering(discovery: NotifyingDiscovery, query: bytes) -> bytes:
+    def reply_with_higher_serial(discovery: RecordingDiscovery, query: bytes) -> bytes:
         return discovery.encode(query, discovery.serial + 1, discovery.workers)
 
     async def scenario() -> None:
         async with drain_setup(tmp_path) as setup:
-            setup.discovery.script = [earlier_numbering]
+            setup.discovery.script = [reply_with_higher_serial]
             for _ in range(8):  # replies of the current numbering, without a change
                 await setup.discovery.wait_for_query()
 
-            setup.discovery.change(*setup.list_with_drain())
+            setup.discovery.change_list(*setup.list_with_drain())
             notified_at_s = await setup.wait_until_notified()
 
-            await asyncio.sleep(GRACE_S + 4 * SLACK_S)
+            await asyncio.sleep(GRACE_PERIOD_S + 4 * TOLERANCE_S)
             setup.check_drain(notified_at_s)
 
     run_scenario(scenario)
