--- a/tests/golden_builders/invoke_front.py
+++ b/tests/golden_builders/invoke_front.py
@@ -58,7 +58,7 @@
 async def build_invoke_front(folder: Path) -> list[Sample]:
     """Return the responses to an authorized and an unauthorized caller, and those of a draining router."""
     authority = Authority(folder)
-    authority.svid("svid", "spiffe://gaz.example/router")
+    authority.write_svid("svid", "spiffe://gaz.example/router")
     (folder / "invoke.toml").write_text(INVOKE_FILE)
     deferred_path = ""
     samples: list[Sample] = []
--- a/tests/integration/async_router_process.py
+++ b/tests/integration/async_router_process.py
@@ -40,7 +40,7 @@
         self.lines: list[str] = []
         self.port = 0
         self._line_logged = asyncio.Event()
-        self._reading = asyncio.create_task(self._read())
+        self._read_task = asyncio.create_task(self._read())
 
     async def _read(self) -> None:
         assert self.process.stderr is not None
@@ -50,10 +50,10 @@
         self.lines.append(LOG_END)
         self._line_logged.set()
 
-    async def wait_for_log(self, pattern: str, seconds: float = 30.0) -> re.Match[str]:
+    async def wait_for_log(self, pattern: str, timeout_s: float = 30.0) -> re.Match[str]:
         """Return the first match of a pattern in past or future log lines; fail if the log ends first."""
         searched = 0
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_s):
             while True:
                 for line in self.lines[searched:]:
                     if (match := re.search(pattern, line)) is not None:
@@ -118,13 +118,13 @@
         """Continue a suspended process."""
         self.process.send_signal(signal.SIGCONT)
 
-    async def end(self) -> None:
+    async def kill(self) -> None:
         """Kill the process, even if it is suspended or has exited, and read its log to the end."""
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
         await self.process.wait()
-        await self._reading
+        await self._read_task
 
 
 def write_process_config(folder: Path, **changes: Any) -> None:
@@ -183,4 +183,4 @@
         await running.wait_until_serving()
         yield running
     finally:
-        await running.end()
+        await running.kill()
--- a/tests/integration/delayed_discovery.py
+++ b/tests/integration/delayed_discovery.py
@@ -20,9 +20,9 @@
         self.workers = workers
         self.is_released = False
         self.polled = asyncio.Event()
-        self.server = FakeDiscoveryServer(self._listing, "room-a")
+        self.server = FakeDiscoveryServer(self._current_list, "room-a")
 
-    def _listing(self) -> tuple[int, tuple[ListedWorker, ...]] | None:
+    def _current_list(self) -> tuple[int, tuple[ListedWorker, ...]] | None:
         self.polled.set()
         return (2, self.workers) if self.is_released else None
 
--- a/tests/integration/invoke_caller.py
+++ b/tests/integration/invoke_caller.py
@@ -73,7 +73,7 @@
             builder = builder.add_extension(names, critical=not is_authority)
         return builder.sign(self.key, hashes.SHA256())
 
-    def svid(self, name: str, *uris: str, may_sign: bool = False) -> tuple[Path, Path]:
+    def write_svid(self, name: str, *uris: str, may_sign: bool = False) -> tuple[Path, Path]:
         """Write a certificate for these URIs and its private key; return the paths of both.
 
         Args:
@@ -98,7 +98,7 @@
     def caller(self, *uris: str, may_sign: bool = False) -> ssl.SSLContext:
         """Return the TLS context of a caller with a new certificate for these URIs."""
         context = self.context_without_certificate()
-        context.load_cert_chain(*self.svid("caller", *uris, may_sign=may_sign))
+        context.load_cert_chain(*self.write_svid("caller", *uris, may_sign=may_sign))
         return context
 
     def context_without_certificate(self) -> ssl.SSLContext:
@@ -113,7 +113,7 @@
 def authority(tmp_path: Path) -> Authority:
     """Return a certificate authority whose folder also contains the router's SVID and ``invoke.toml``."""
     created = Authority(tmp_path)
-    created.svid("svid", "spiffe://gaz.example/router")
+    created.write_svid("svid", "spiffe://gaz.example/router")
     (tmp_path / "invoke.toml").write_text(
         '[invoke]\nlisten = "127.0.0.1:0"\ntrust_domain = "gaz.example"\nsvid = "svid.pem"\n'
         f'key = "svid.key"\nbundle = "bundle.pem"\nallow = ["spiffe://gaz.example/desk/*", "{PORTAL_ID}"]\n'
--- a/tests/integration/router_process.py
+++ b/tests/integration/router_process.py
@@ -22,7 +22,7 @@
 
 ROOT = Path(__file__).parents[2]
 TIMEOUT_S = 10
-SERVING = r"serving router=n3 port=\d+"
+SERVING_PATTERN = r"serving router=n3 port=\d+"
 
 
 def write_config(folder: Path) -> dict[str, str]:
@@ -53,16 +53,16 @@
     )
 
 
-def log_of(process: subprocess.Popen[str]) -> IO[str]:
+def log_stream(process: subprocess.Popen[str]) -> IO[str]:
     """Return the log stream of a router that ``start_router`` has started."""
     assert process.stderr is not None
     return process.stderr
 
 
-def end_router(process: subprocess.Popen[str]) -> None:
+def kill_router(process: subprocess.Popen[str]) -> None:
     """Kill a router that may still be running, and close its log."""
     process.kill()
-    log_of(process).close()
+    log_stream(process).close()
 
 
 @contextmanager
@@ -70,10 +70,10 @@
     """Run a router until the end of the block; yield the process and its log once it serves."""
     process = start_router(write_config(folder))
     try:
-        wait_for_log_line(log_of(process), SERVING)
-        yield process, log_of(process)
+        wait_for_log_line(log_stream(process), SERVING_PATTERN)
+        yield process, log_stream(process)
     finally:
-        end_router(process)
+        kill_router(process)
 
 
 def wait_for_log_line(log: IO[str], pattern: str) -> None:
@@ -94,7 +94,7 @@
         return int(probe.getsockname()[1])
 
 
-def ask_control(port: int, line: bytes) -> str:
+def send_command(port: int, line: bytes) -> str:
     """Send one line to the control port, and return the reply."""
     with socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S) as control:
         control.sendall(line)
--- a/tests/integration/scenario_runner.py
+++ b/tests/integration/scenario_runner.py
@@ -12,8 +12,8 @@
 def run_scenario(scenario: Callable[[], Awaitable[None]], timeout_s: float = 60.0) -> None:
     """Run a scenario on a new event loop; raise TimeoutError if it takes longer than ``timeout_s``."""
 
-    async def run_in_time() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(timeout_s):
             await scenario()
 
-    asyncio.run(run_in_time())
+    asyncio.run(run_with_timeout())
--- a/tests/integration/test_fleet_processes.py
+++ b/tests/integration/test_fleet_processes.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from cedarthread.testing.fakes.settings import SETTINGS
-from tests.integration.router_process import ROOT, ask_control, free_port, wait_for_log_line
+from tests.integration.router_process import ROOT, free_port, send_command, wait_for_log_line
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -82,7 +82,7 @@
         wait_for_log_line(process.stderr, r"serving router=n\d port=\d+")
 
     def info(self, number: int) -> dict[str, str]:
-        lines = ask_control(self.controls[number], b"INFO\n").splitlines()
+        lines = send_command(self.controls[number], b"INFO\n").splitlines()
         return dict(line.partition("=")[::2] for line in lines if line.startswith("fleet."))
 
     def until(self, number: int, name: str, value: str) -> dict[str, str]:
--- a/tests/integration/test_invoke_identities.py
+++ b/tests/integration/test_invoke_identities.py
@@ -105,7 +105,7 @@
                 config_path = authority.folder / "invoke.toml"
                 config_path.write_text(config_path.read_text().replace("desk/*", "office/*"))
                 renewed = Authority(authority.folder)  # overwrites the bundle
-                renewed.svid("svid", "spiffe://gaz.example/router")
+                renewed.write_svid("svid", "spiffe://gaz.example/router")
                 assert await running.invoke.reload()
                 assert (await desk.request("GET", "/v1/ready")).status == 403, "on an open connection"
             async with Caller(running, renewed.caller("spiffe://gaz.example/office/2")) as office:
--- a/tests/integration/test_process.py
+++ b/tests/integration/test_process.py
@@ -10,12 +10,12 @@
 from cedarthread import __version__
 from cedarthread.cli import main
 from tests.integration.router_process import (
-    SERVING,
-    ask_control,
-    end_router,
+    SERVING_PATTERN,
     free_port,
-    log_of,
+    kill_router,
+    log_stream,
     send_call,
+    send_command,
     serving_router,
     start_router,
     terminate,
@@ -86,7 +86,7 @@
 
     def start(control_port: int) -> subprocess.Popen[str]:
         process = start_router(environment | {"BALANCER_CONTROL": f"127.0.0.1:{control_port}"})
-        wait_for_log_line(log_of(process), SERVING)
+        wait_for_log_line(log_stream(process), SERVING_PATTERN)
         return process
 
     first_process = start(first_control_port)
@@ -96,15 +96,15 @@
         # The same address: without SO_REUSEPORT the second process would exit with 1.
         second_process = start(second_control_port)
         try:
-            assert ask_control(second_control_port, b"PING\n") == "YES\n"
+            assert send_command(second_control_port, b"PING\n") == "YES\n"
             assert terminate(first_process) == 0
             for number in range(2, 6):
                 assert send_call(listen_port, number)[:2] == [1, number]
-            assert ask_control(second_control_port, b"INFO\n").startswith("YES\n")
+            assert send_command(second_control_port, b"INFO\n").startswith("YES\n")
         finally:
-            end_router(second_process)
+            kill_router(second_process)
     finally:
-        end_router(first_process)
+        kill_router(first_process)
 
 
 def test_an_upgraded_process_joins_its_peers_once_the_old_one_has_left_the_port(tmp_path: Path) -> None:
@@ -119,8 +119,8 @@
         (tmp_path / "config.json").write_text(json.dumps(config))
         process = start_router({"BALANCER_CONFIG": str(tmp_path / "config.json")})
         try:
-            wait_for_log_line(log_of(process), "peer_listen_failed address=")
+            wait_for_log_line(log_stream(process), "peer_listen_failed address=")
             old_process_socket.close()
-            wait_for_log_line(log_of(process), "gossip_started peers=2 ")
+            wait_for_log_line(log_stream(process), "gossip_started peers=2 ")
         finally:
-            end_router(process)
+            kill_router(process)
--- a/tests/integration/test_process_start.py
+++ b/tests/integration/test_process_start.py
@@ -54,14 +54,14 @@
             for wave in (range(10), range(10), range(1)):
                 for number in wave:
                     if number in processes:
-                        await processes[number].end()
+                        await processes[number].kill()
                 durations_s = sorted(await asyncio.gather(*(start_serving(number) for number in wave)))
                 listed = " ".join(f"{duration_s:.2f}" for duration_s in durations_s)
                 print(f"{len(durations_s)} started at once: ready after {listed} s")
                 assert durations_s[max(0, len(durations_s) * 9 // 10 - 1)] < 10.0
         finally:
             for running in processes.values():
-                await running.end()
+                await running.kill()
         silent_discovery.server.stop()
 
     run_scenario(scenario)
--- a/tests/integration/worker_harness.py
+++ b/tests/integration/worker_harness.py
@@ -95,9 +95,9 @@
 
     def receive(self, data: bytes) -> None:
         """Deliver bytes to the connection as if the worker had sent them."""
-        space = self.connection.get_buffer(-1)
-        space[: len(data)] = data
-        space.release()
+        buffer = self.connection.get_buffer(-1)
+        buffer[: len(data)] = data
+        buffer.release()
         self.connection.buffer_updated(len(data))
 
     def flush(self) -> None:
