--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
-def test_a_disconnected_clients_call_is_not_written_once_its_connection_comes_up(
+def test_a_disconnected_clients_call_is_not_written_when_the_worker_connection_is_established(
     disconnect: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
@@ -196,7 +196,7 @@
     run_scenario(scenario, SCENARIO_TIMEOUT_S)
 
 
-def test_an_interrupt_behind_an_unread_flood_prevents_the_retry() -> None:
+def test_an_interrupt_behind_many_unread_messages_prevents_the_retry() -> None:
     """More messages precede the interrupt in the socket than the router reads in one event loop iteration."""
 
     async def scenario() -> None:
--- a/tests/integration/test_client_disconnects_process.py
+++ b/tests/integration/test_client_disconnects_process.py
@@ -74,39 +74,39 @@
     return Counter(message["id"] for worker in workers for message in worker.calls)
 
 
-@pytest.mark.parametrize("connected", [True, False])
+@pytest.mark.parametrize("has_early_clients", [True, False])
 def test_a_resumed_process_starts_no_attempt_for_clients_that_disconnected(
-    tmp_path: Path, connected: bool
+    tmp_path: Path, has_early_clients: bool
 ) -> None:
     """Calls of early clients are in flight and are shed during the suspension; other clients call during it.
 
-    With ``connected`` there are early clients, so connections to the workers are open; otherwise the first
-    calls wait for a connect.
+    With ``has_early_clients`` connections to the workers are already open; otherwise the first calls wait for
+    a connect.
     """
 
     async def scenario() -> None:
-        unanswered: list[tuple[dict[str, Any], asyncio.StreamWriter]] = []
+        unanswered_calls: list[tuple[dict[str, Any], asyncio.StreamWriter]] = []
 
         def leave_unanswered(worker: ScriptedWorker, message: dict[str, Any]) -> None:
-            unanswered.append((message, worker.writers[-1]))
+            unanswered_calls.append((message, worker.writers[-1]))
 
         workers = [ScriptedWorker(leave_unanswered) for _ in range(4)]
         for worker in workers:
             await worker.start()
         async with router_process(tmp_path, known=listed_endpoints(workers), settings=SETTINGS) as running:
             clients = [NumberedClient(running.port, 1 + index) for index in range(CLIENT_COUNT)]
-            early_clients = clients[:EARLY_CLIENT_COUNT] if connected else []
+            early_clients = clients[:EARLY_CLIENT_COUNT] if has_early_clients else []
             for client in early_clients:
                 client.send_call()
             async with asyncio.timeout(10):
-                while len(unanswered) < len(early_clients):
+                while len(unanswered_calls) < len(early_clients):
                     await asyncio.sleep(0.001)
 
             await running.suspend()
             for client in clients:
                 if client not in early_clients:
                     client.send_call()
-            for message, writer in unanswered:
+            for message, writer in unanswered_calls:
                 writer.write(b'{"op":"SHED","id":"%s","fields":{}}\n' % message["id"].encode())
             await asyncio.sleep(0)
             for client in clients:
@@ -129,12 +129,12 @@
                     await asyncio.sleep(0.001)
             attempts_after = count_attempts(workers)
             behaviors = {client.number: client.behavior for client in clients}
-            late = {
+            attempted_call_behaviors = {
                 call_id: behaviors[int(call_id, 16)]
                 for call_id in attempts_after
                 if attempts_after[call_id] > attempts_before[call_id]
             }
-            assert set(late.values()) == {STAYS}, late
+            assert set(attempted_call_behaviors.values()) == {STAYS}, attempted_call_behaviors
             for client in clients:
                 with contextlib.suppress(OSError):
                     client.sock.close()
--- a/tests/integration/test_descriptor_exhaustion.py
+++ b/tests/integration/test_descriptor_exhaustion.py
@@ -39,7 +39,7 @@
     return os.listdir("/proc/self/fd")
 
 
-def test_a_flood_at_the_operators_address_leaves_their_commands_answered() -> None:
+def test_commands_are_answered_during_a_connection_flood_at_the_control_address() -> None:
     """All connections are in the backlog at once, and new ones cannot be evicted for later ones."""
 
     async def scenario() -> None:
@@ -59,7 +59,7 @@
     run_scenario(scenario)
 
 
-def test_a_connect_without_a_descriptor_is_no_fault_of_a_worker() -> None:
+def test_a_connect_without_a_free_descriptor_does_not_count_against_the_worker() -> None:
     """Regression test: two such failures in a row opened the worker's circuit breaker."""
 
     async def scenario() -> None:
@@ -85,7 +85,7 @@
     run_scenario(scenario)
 
 
-def test_a_connect_without_a_descriptor_evicts_an_idle_client() -> None:
+def test_a_connect_without_a_free_descriptor_evicts_an_idle_client() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         worker = ScriptedWorker()
@@ -112,7 +112,7 @@
     run_scenario(scenario)
 
 
-def test_at_the_bound_an_idle_worker_connection_is_closed() -> None:
+def test_at_the_connection_limit_an_idle_worker_connection_is_closed() -> None:
     async def scenario() -> None:
         workers = [ScriptedWorker(), ScriptedWorker(), ScriptedWorker()]
         async with service(*workers) as running, client(running) as caller:
@@ -158,7 +158,7 @@
     run_scenario(scenario)
 
 
-def test_a_client_that_has_not_read_its_responses_is_not_closed_uncounted() -> None:
+def test_a_client_that_has_not_read_its_responses_stays_open_and_counted() -> None:
     """Regression test: the descriptor stayed open beyond the limit, uncounted, until the client had read."""
 
     def serve_long_body(worker: ScriptedWorker, message: dict[str, Any]) -> dict[str, Any] | None:
@@ -193,7 +193,7 @@
     run_scenario(scenario)
 
 
-def test_callers_that_never_finish_a_handshake_stay_within_their_budget(authority: Authority) -> None:
+def test_callers_that_never_finish_a_handshake_stay_within_the_connection_limit(authority: Authority) -> None:
     """Regression test: callers counted only after the handshake, so they could use every descriptor."""
 
     async def scenario() -> None:
@@ -214,7 +214,7 @@
     run_scenario(scenario)
 
 
-def test_the_backlog_at_shutdown_is_accepted_over_as_many_passes_as_it_needs() -> None:
+def test_the_backlog_at_shutdown_is_accepted_over_several_event_loop_iterations() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         async with service(ScriptedWorker()) as running:
--- a/tests/integration/test_descriptor_limit_process.py
+++ b/tests/integration/test_descriptor_limit_process.py
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize(
     ("configured_limit", "process_limit"), [(1024, DESCRIPTOR_LIMIT), (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT)]
 )
-def test_idle_clients_to_the_limit_leave_descriptors_to_discovery_workers_and_operators(
+def test_idle_clients_at_the_limit_leave_descriptors_for_discovery_workers_and_control(
     tmp_path: Path, configured_limit: int, process_limit: int
 ) -> None:
     """Regression test: the budget used only the configured limit, and a burst was accepted uncounted."""
@@ -95,7 +95,7 @@
     run_scenario(scenario)
 
 
-def test_where_the_system_has_no_descriptor_left_idle_clients_are_evicted(tmp_path: Path) -> None:
+def test_idle_clients_are_evicted_if_the_process_has_no_descriptor_left(tmp_path: Path) -> None:
     """The budget is too large here, because the limit is lowered after the process has started.
 
     Calls and PING still get descriptors, because idle clients are evicted.
@@ -132,14 +132,14 @@
     run_scenario(scenario)
 
 
-def test_inherited_descriptors_are_in_the_budget(tmp_path: Path) -> None:
+def test_inherited_descriptors_count_against_the_budget(tmp_path: Path) -> None:
     async def scenario() -> None:
         logged_budget = r"descriptor_budget limit=128 clients=64 callers=0 workers=(\d+) reserved=(\d+)"
         async with router_process(tmp_path, DESCRIPTOR_LIMIT) as running:
             budget = await running.wait_for_log(logged_budget)
             assert len(running.open_descriptors()) < int(budget[2])
         inherited = [socket.socket() for _ in range(10)]
-        descriptors = [each.fileno() for each in inherited]
+        descriptors = [inherited_socket.fileno() for inherited_socket in inherited]
         async with router_process(tmp_path, DESCRIPTOR_LIMIT, descriptors) as running:
             budget_with_inherited = await running.wait_for_log(logged_budget)
             assert int(budget_with_inherited[2]) == int(budget[2]) + 10
--- a/tests/integration/test_termination_clients.py
+++ b/tests/integration/test_termination_clients.py
@@ -70,7 +70,7 @@
     asyncio.run(scenario())
 
 
-def test_an_interrupt_and_a_response_in_one_loop_pass_end_each_call_once() -> None:
+def test_an_interrupt_and_a_response_in_one_event_loop_iteration_end_each_call_once() -> None:
     """In either order each call ends once and has at most one response."""
 
     async def scenario() -> None:
@@ -110,7 +110,7 @@
             worker.answer(worker.calls[0], serve_uppercase(worker, worker.calls[0]))
             if first == "response":
                 assert result_name(await caller.read()) == "served"
-                running.dispatcher.deadlines.on_timer()  # as if the deadline passed in the same loop pass
+                running.dispatcher.deadlines.on_timer()  # as if the deadline passed in this loop iteration
             await wait_until_input_read(caller, 9)
             assert len(worker.cancelled_ids) == (first == "deadline")
 
