--- a/tests/integration/invoke_caller.py
+++ b/tests/integration/invoke_caller.py
@@ -1,4 +1,4 @@
-"""Callers of the invoke API, and the certificate authority of a test that signs their SVIDs (SPIFFE)."""
+"""Callers of the invoke API, and a certificate authority that signs their SVIDs (SPIFFE)."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Authority:
-    """A certificate authority; its certificate and all that it signs are PEM files in ``folder``."""
+    """A certificate authority; its certificate and those that it signs are PEM files in ``folder``."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -73,11 +73,11 @@
             builder = builder.add_extension(names, critical=not is_authority)
         return builder.sign(self.key, hashes.SHA256())
 
-    def svid(self, name: str, *uris: str, may_sign: bool = False) -> tuple[Path, Path]:
+    def write_svid(self, name: str, *uris: str, may_sign: bool = False) -> tuple[Path, Path]:
         """Write a certificate for these URIs and its private key; return the paths of both.
 
         Args:
-            name: The files' name without suffix.
+            name: The name of both files, without suffix.
             uris: The URIs of the certificate; a valid SVID has one, which is its SPIFFE ID.
             may_sign: Whether the certificate may sign others, which makes it invalid as an SVID.
         """
@@ -98,7 +98,7 @@
     def caller(self, *uris: str, may_sign: bool = False) -> ssl.SSLContext:
         """Return the TLS context of a caller with a new certificate for these URIs."""
         context = self.context_without_certificate()
-        context.load_cert_chain(*self.svid("caller", *uris, may_sign=may_sign))
+        context.load_cert_chain(*self.write_svid("caller", *uris, may_sign=may_sign))
         return context
 
     def context_without_certificate(self) -> ssl.SSLContext:
@@ -111,9 +111,9 @@
 
 @pytest.fixture
 def authority(tmp_path: Path) -> Authority:
-    """Return a certificate authority; its folder also has the router's SVID and ``invoke.toml``."""
+    """Return a certificate authority whose folder also contains the router's SVID and ``invoke.toml``."""
     created = Authority(tmp_path)
-    created.svid("svid", "spiffe://gaz.example/router")
+    created.write_svid("svid", "spiffe://gaz.example/router")
     (tmp_path / "invoke.toml").write_text(
         '[invoke]\nlisten = "127.0.0.1:0"\ntrust_domain = "gaz.example"\nsvid = "svid.pem"\n'
         f'key = "svid.key"\nbundle = "bundle.pem"\nallow = ["spiffe://gaz.example/desk/*", "{PORTAL_ID}"]\n'
@@ -127,7 +127,7 @@
 
 
 class Response(NamedTuple):
-    """An HTTP response; the names of its fields are in lower case."""
+    """An HTTP response; the names of its header fields are in lower case."""
 
     status: int
     fields: dict[str, str]
@@ -135,7 +135,7 @@
 
 
 class Caller:
-    """A connection of a caller to the invoke API, open inside ``async with``."""
+    """A caller's connection to the invoke API, open inside ``async with``."""
 
     def __init__(self, running: Service, context: ssl.SSLContext) -> None:
         self.port = running.invoke_port
@@ -150,7 +150,7 @@
         await asyncio.sleep(0)
 
     def send(self, method: str, path: str, body: bytes = b"", **fields: str) -> None:
-        """Send a request; an underscore in the name of a field is sent as a hyphen."""
+        """Send a request; an underscore in the name of a header field is sent as a hyphen."""
         all_fields = {"Host": "x", "Content-Length": str(len(body))} | fields
         head = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in all_fields.items())
         self.writer.write(f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode() + body)
--- a/tests/integration/test_client_disconnects_process.py
+++ b/tests/integration/test_client_disconnects_process.py
@@ -1,8 +1,9 @@
-"""No attempt reaches a worker over 0.1 s after its client has disconnected, in a suspended real process.
+"""Tests that no attempt reaches a worker more than 0.1 s after its client has disconnected.
 
-While the process is suspended, workers shed calls, new calls arrive, and clients close, reset, half-close or
-interrupt. The process resumes after the 0.1 s, so any of their calls that reaches a worker then is late. The
-workers' own records decide (term 1 of docs/results/acceptance.md).
+The router is a real process. While it is suspended, workers shed calls, new calls arrive, and clients close,
+reset, half-close or interrupt. The process resumes after the 0.1 s, so any call of these clients that then
+reaches a worker is late. The check uses the calls that the workers record (term 1 of
+docs/results/acceptance.md).
 """
 
 from __future__ import annotations
@@ -73,51 +74,51 @@
     return Counter(message["id"] for worker in workers for message in worker.calls)
 
 
-@pytest.mark.parametrize("connected", [True, False])
+@pytest.mark.parametrize("has_early_clients", [True, False])
 def test_a_resumed_process_starts_no_attempt_for_clients_that_disconnected(
-    tmp_path: Path, connected: bool
+    tmp_path: Path, has_early_clients: bool
 ) -> None:
-    """Early clients have a call in flight that is shed meanwhile; the others call the suspended process.
+    """Calls of early clients are in flight and are shed during the suspension; other clients call during it.
 
-    With ``connected`` there are early clients, so connections to the workers are open; otherwise the first
-    calls wait for a connect.
+    With ``has_early_clients`` connections to the workers are already open; otherwise the first calls wait for
+    a connect.
     """
 
     async def scenario() -> None:
-        unanswered: list[tuple[dict[str, Any], asyncio.StreamWriter]] = []
+        unanswered_calls: list[tuple[dict[str, Any], asyncio.StreamWriter]] = []
 
         def leave_unanswered(worker: ScriptedWorker, message: dict[str, Any]) -> None:
-            unanswered.append((message, worker.writers[-1]))
+            unanswered_calls.append((message, worker.writers[-1]))
 
         workers = [ScriptedWorker(leave_unanswered) for _ in range(4)]
         for worker in workers:
             await worker.start()
         async with router_process(tmp_path, known=listed_endpoints(workers), settings=SETTINGS) as running:
             clients = [NumberedClient(running.port, 1 + index) for index in range(CLIENT_COUNT)]
-            early_clients = clients[:EARLY_CLIENT_COUNT] if connected else []
+            early_clients = clients[:EARLY_CLIENT_COUNT] if has_early_clients else []
             for client in early_clients:
                 client.send_call()
             async with asyncio.timeout(10):
-                while len(unanswered) < len(early_clients):
+                while len(unanswered_calls) < len(early_clients):
                     await asyncio.sleep(0.001)
 
             await running.suspend()
             for client in clients:
                 if client not in early_clients:
                     client.send_call()
-            for message, writer in unanswered:
+            for message, writer in unanswered_calls:
                 writer.write(b'{"op":"SHED","id":"%s","fields":{}}\n' % message["id"].encode())
             await asyncio.sleep(0)
             for client in clients:
                 client.disconnect()
             disconnected_at_s = time.monotonic()
             attempts_before = count_attempts(workers)
-            # This wait is the 0.1 s of the rule; the suspended router does nothing meanwhile.
+            # Wait for the 0.1 s that the requirement allows; the suspended router does nothing meanwhile.
             while time.monotonic() < disconnected_at_s + SUSPENSION_S:
                 await asyncio.sleep(0.01)
             running.resume()
 
-            # Once the attempts of all staying clients arrive, late attempts of others would have arrived too.
+            # Once attempts of all staying clients have arrived, late ones of others would have arrived too.
             staying_ids = [f"{client.number:016x}" for client in clients if client.behavior == STAYS]
             async with asyncio.timeout(20):
                 while any(
@@ -128,12 +129,12 @@
                     await asyncio.sleep(0.001)
             attempts_after = count_attempts(workers)
             behaviors = {client.number: client.behavior for client in clients}
-            late = {
+            attempted_call_behaviors = {
                 call_id: behaviors[int(call_id, 16)]
                 for call_id in attempts_after
                 if attempts_after[call_id] > attempts_before[call_id]
             }
-            assert set(late.values()) == {STAYS}, late
+            assert set(attempted_call_behaviors.values()) == {STAYS}, attempted_call_behaviors
             for client in clients:
                 with contextlib.suppress(OSError):
                     client.sock.close()
--- a/tests/integration/test_termination_accounting.py
+++ b/tests/integration/test_termination_accounting.py
@@ -1,4 +1,4 @@
-"""Each call is counted exactly once: in results, class figures, log lines, retry budget and deduplication."""
+"""Counting of each call exactly once: results, class counters, log lines, retry budget, deduplication."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from cedarthread.testing.fakes.settings import SETTINGS
 from tests.integration.termination_harness import (
     INTERRUPT_PREFIX,
-    UNREACHED_LIMIT_MS,
+    LONG_TIMEOUT_MS,
     DelayedConnects,
     all_worker_connections,
     leave_unanswered,
-    reset,
+    reset_connection,
     result_name,
     running_router,
     wait_until,
@@ -38,12 +38,12 @@
 
 
 def test_a_call_ended_by_its_clients_invalid_message_counts_as_failed() -> None:
-    """The client receives a response, so the figures of the call's class must include the call."""
+    """The client receives a response, so the counters of the call's class must include the call."""
 
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
         async with running_router(worker) as (running, caller):
-            caller.writer.write(pack_call(1, "confirm", b"x", limit=UNREACHED_LIMIT_MS))
+            caller.writer.write(pack_call(1, "confirm", b"x", limit=LONG_TIMEOUT_MS))
             await worker.wait_until(lambda: len(worker.calls) == 1)
             caller.writer.write(b"\x91\x05")
             assert result_name(await caller.read()) == "failed"
@@ -70,15 +70,15 @@
                 lambda: invalid_client.writer.transport.get_write_buffer_size() == 0, "the message is sent"
             )
             await wait_until_input_read(caller, 9)
-            reset(invalid_client.writer)
-            await wait_until(lambda: len(running.platform.connections) == 1, "the connection has ended")
+            reset_connection(invalid_client.writer)
+            await wait_until(lambda: len(running.platform.connections) == 1, "the connection is closed")
 
     asyncio.run(scenario())
     assert [client_addresses[0] in record.getMessage() for record in caplog.records] == [True]
 
 
-def test_an_attempt_of_an_abandoned_call_ends_at_the_deadline_where_no_cancel_is_allowed() -> None:
-    """If the settings forbid CANCEL, a silent worker must not occupy a slot and the figures forever."""
+def test_an_attempt_of_an_abandoned_call_ends_at_the_deadline_if_cancel_is_disabled() -> None:
+    """If the settings forbid CANCEL, a silent worker must not hold a slot and in-flight counts forever."""
 
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
@@ -92,7 +92,7 @@
     asyncio.run(scenario())
 
 
-def test_a_call_with_a_key_that_a_worker_shed_is_not_bound_by_its_deduplication_window(
+def test_a_keyed_call_that_a_worker_shed_is_retried_after_its_deduplication_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """SHED proves that the call never ran, so a retry after the window cannot execute the call twice."""
@@ -102,7 +102,7 @@
         workers = [ScriptedWorker(leave_unanswered), ScriptedWorker(leave_unanswered)]
         limits = SETTINGS["limits"] | {"send-cap": 2}
         async with running_router(*workers, classes=classes, limits=limits) as (running, caller):
-            caller.writer.write(pack_call(1, "revise", b"x", unique="5c0f", limit=UNREACHED_LIMIT_MS))
+            caller.writer.write(pack_call(1, "revise", b"x", unique="5c0f", limit=LONG_TIMEOUT_MS))
             await wait_until(lambda: workers[0].calls or workers[1].calls, "a worker has received the call")
             chosen_index = 0 if workers[0].calls else 1
             workers[1 - chosen_index].behavior = serve_uppercase
@@ -118,9 +118,9 @@
 
 
 def test_an_idle_client_that_has_not_read_its_responses_is_not_evicted() -> None:
-    """Clients that read nothing could use every descriptor.
+    """Otherwise clients that read nothing could use up all descriptors.
 
-    Closing such a connection waits until the client has read, and the connection is no longer counted.
+    Closing such a connection waits until the client has read, while the connection is no longer counted.
     """
 
     async def scenario() -> None:
@@ -157,7 +157,7 @@
 
 
 def test_of_two_changes_of_the_discovery_address_the_last_applies(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two reloads follow each other; the socket for the first address is ready after the second one's."""
+    """Of two consecutive reloads, the first address's socket becomes ready after the second address's."""
 
     async def scenario() -> None:
         polled_servers: list[str] = []
@@ -192,7 +192,7 @@
             await wait_until(lambda: opened_ports == [last_server.port], "the last socket is open")
             may_open[first_server.port].set()
             await asyncio.sleep(0)
-            assert opened_ports == [last_server.port], "the first change is abandoned"
+            assert opened_ports == [last_server.port], "the first change of the address is abandoned"
             polled_servers.clear()
             await wait_until(lambda: polled_servers, "the next query has arrived")
             assert set(polled_servers) == {"last"}
@@ -203,7 +203,7 @@
     asyncio.run(scenario())
 
 
-def test_a_connection_that_comes_up_in_the_loop_pass_of_its_timeout_carries_its_call(
+def test_a_connection_established_as_its_connect_timeout_expires_carries_its_call(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The connect timeout expires after ``connection_made`` but before the connecting task resumes."""
@@ -226,13 +226,13 @@
     asyncio.run(scenario())
 
 
-def test_an_attempt_that_was_never_written_costs_no_retry_budget(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A worker sheds the call, and the client interrupts while the retry waits for a connection."""
+def test_an_attempt_that_was_never_written_consumes_no_retry_budget(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A worker sheds the call, and the client interrupts the call while its retry waits for a connection."""
 
     async def scenario() -> None:
         workers = [ScriptedWorker(leave_unanswered), ScriptedWorker(leave_unanswered)]
         async with running_router(*workers) as (running, caller):
-            caller.writer.write(pack_call(1, "confirm", b"x", limit=UNREACHED_LIMIT_MS))
+            caller.writer.write(pack_call(1, "confirm", b"x", limit=LONG_TIMEOUT_MS))
             await wait_until(lambda: workers[0].calls or workers[1].calls, "a worker has received the call")
             router = running.dispatcher.router
             full_worker = workers[0] if workers[0].calls else workers[1]
@@ -240,19 +240,19 @@
             delayed_connects = DelayedConnects(monkeypatch)
             delayed_connects.ports.update(worker.port for worker in workers if worker is not full_worker)
             full_worker.answer(full_worker.calls[0], answer_with("SHED")(full_worker, {}) or {})
-            await wait_until(lambda: delayed_connects.waiting, "the retry waits for its connection")
+            await wait_until(lambda: delayed_connects.resume_events, "the retry waits for its connection")
             assert router.state.retry_budget.tokens == tokens_before - 1.0
             caller.writer.write(INTERRUPT_PREFIX + b"\x01")
             await wait_until_input_read(caller, 9)
             await wait_until(lambda: not router.orphaned_attempts, "the attempt has ended")
             assert router.state.retry_budget.tokens == tokens_before
             assert len(workers[0].calls + workers[1].calls) == 1
-            delayed_connects.waiting[0].set()
+            delayed_connects.resume_events[0].set()
 
     asyncio.run(scenario())
 
 
-def test_clients_that_disconnect_while_a_connection_comes_up_are_no_fault_of_its_worker(
+def test_clients_that_disconnect_during_a_connect_do_not_count_against_its_worker(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -261,7 +261,7 @@
             delayed_connects = DelayedConnects(monkeypatch)
             delayed_connects.ports.add(worker.port)
             for number in range(1, 6):
-                caller.writer.write(pack_call(number, "check", b"x", limit=UNREACHED_LIMIT_MS))
+                caller.writer.write(pack_call(number, "check", b"x", limit=LONG_TIMEOUT_MS))
                 await wait_until(lambda: running.dispatcher.pending_calls, "the call is pending")
                 caller.writer.write(INTERRUPT_PREFIX + bytes((number,)))
                 await wait_until(
@@ -271,7 +271,7 @@
             [view] = running.dispatcher.router.workers.values()
             assert view.outlier_score == 0.0
             assert not view.is_ejected
-            for may_connect in delayed_connects.waiting:
+            for may_connect in delayed_connects.resume_events:
                 may_connect.set()
 
     asyncio.run(scenario())
--- a/tests/integration/test_termination_shutdown.py
+++ b/tests/integration/test_termination_shutdown.py
@@ -1,4 +1,4 @@
-"""Calls, requests and connections that arrive around the shutdown of the process."""
+"""Calls, requests and connections that arrive shortly before or during the shutdown of the process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from cedarthread.testing.fakes.scripted import ScriptedWorker, pack_call
 from cedarthread.testing.fakes.settings import SETTINGS
 from tests.integration.termination_harness import (
-    UNREACHED_LIMIT_MS,
+    LONG_TIMEOUT_MS,
     leave_unanswered,
     result_name,
     running_router,
@@ -20,19 +20,19 @@
 
 
 def test_at_shutdown_every_call_is_answered_in_time_and_its_attempt_cancelled() -> None:
-    """Calls made before and after SIGTERM, whose own limit is later, each get one response in time."""
+    """Calls from before and after SIGTERM, whose own timeouts are later, each get one response in time."""
     classes = [entry | {"deadline": 300, "goal-time": 100} for entry in SETTINGS["classes"]]
 
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
         async with running_router(worker, classes=classes) as (running, caller):
-            caller.writer.write(pack_call(1, "confirm", b"x", limit=UNREACHED_LIMIT_MS))
+            caller.writer.write(pack_call(1, "confirm", b"x", limit=LONG_TIMEOUT_MS))
             await worker.wait_until(lambda: len(worker.calls) == 1)
             shutdown = asyncio.create_task(running.shut_down())
             await wait_until(
                 lambda: running.dispatcher.shutdown_deadline_ms is not None, "the dispatcher is shutting down"
             )
-            caller.writer.write(pack_call(2, "confirm", b"x", limit=UNREACHED_LIMIT_MS))
+            caller.writer.write(pack_call(2, "confirm", b"x", limit=LONG_TIMEOUT_MS))
             await worker.wait_until(lambda: len(worker.calls) == 2)
             responses = [await caller.read(), await caller.read()]
             assert {(response[1], result_name(response)) for response in responses} == {
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("first", ["close", "request"])
 def test_a_request_read_before_the_close_at_shutdown_is_answered(first: str) -> None:
-    """A request read before the close is answered. A later one is not accepted; its client can resend it."""
+    """A request read before the close is answered; a later one is not accepted, and its client can retry."""
 
     async def scenario() -> None:
         worker = ScriptedWorker()
