--- a/tests/integration/test_control.py
+++ b/tests/integration/test_control.py
@@ -1,4 +1,4 @@
-"""The control address on loopback: its replies, invalid lines, and a flood of connections."""
+"""The control address on loopback: replies, invalid lines, and many idle connections."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def test_info_counts_the_responses_that_the_client_received() -> None:
-    """Each response to the client counts once under its class, and so does each written attempt."""
+    """Each response to the client is counted once for its class, and so is each written attempt."""
 
     def fail_every_third_call(worker: ScriptedWorker, message: dict[str, Any]) -> dict[str, Any] | None:
         return (
@@ -70,7 +70,7 @@
             service(ScriptedWorker(lambda worker, message: None)) as running,
             client(running) as caller,
         ):
-            for number in range(1, 34):  # one more than a connection may have open
+            for number in range(1, 34):  # one call more than a connection may have open
                 caller.writer.write(pack_call(number, "check", b"x"))
             assert (await caller.read())[1:3] == [33, ["Backoff", {"later": "500"}]]
             info = info_figures(await ask_control(running, b"INFO\n"))
--- a/tests/integration/test_discovery_client.py
+++ b/tests/integration/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Replies of discovery servers: lost, reordered, duplicated, and after a change of the address."""
+"""Replies of discovery servers that are lost, reordered, duplicated, or follow an address change."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     async def scenario() -> None:
         applied_serials: list[int] = []
         discovery = DiscoveryClient(lambda serial, endpoints: applied_serials.append(serial))
-        discovery.datagram_received(discovery_reply(serial=8), None)  # no query has this id
+        discovery.datagram_received(discovery_reply(serial=8), None)  # no query was sent with this id
         for query_id in (7, 8):
             discovery.queries.on_sent(query_id, 0.0)
 
--- a/tests/integration/test_discovery_sockets.py
+++ b/tests/integration/test_discovery_sockets.py
@@ -12,7 +12,10 @@
 
 
 def test_discovery_is_polled_once_a_socket_is_available() -> None:
-    """An address change without a free descriptor was once forgotten, so the old address was still polled."""
+    """Guards against an address change that is lost because no descriptor is free.
+
+    The client then kept polling the old address.
+    """
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/integration/test_fleet_processes.py
+++ b/tests/integration/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of the program that share a register, with a disk each, one of them killed and back."""
+"""Router processes with a replicated store and a disk each; one of them is killed and restarted."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Processes:
-    """The routers of one fleet, by their index."""
+    """The router processes of one fleet, by router index."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -86,7 +86,7 @@
         return dict(line.partition("=")[::2] for line in lines if line.startswith("fleet."))
 
     def until(self, number: int, name: str, value: str) -> dict[str, str]:
-        """Poll INFO until a figure has that value."""
+        """Poll INFO until a metric has this value, and return all metrics of the fleet."""
         for _ in range(600):
             if (info := self.info(number)).get(name) == value:
                 return info
@@ -114,7 +114,7 @@
         ]
         fleet_file = fleet.file(1).read_text() + WINDOW.format(start=timestamps[0], end=timestamps[1])
         fleet.file(1).write_text(fleet_file.replace("id =", "idd ="))
-        fleet.running[1].send_signal(signal.SIGHUP)  # an invalid file is rejected; the router serves on
+        fleet.running[1].send_signal(signal.SIGHUP)  # rejects the invalid file and keeps running
         fleet.file(1).write_text(fleet_file)
         fleet.running[1].send_signal(signal.SIGHUP)
         for number in range(COUNT):
--- a/tests/integration/test_idle_router.py
+++ b/tests/integration/test_idle_router.py
@@ -1,4 +1,4 @@
-"""An idle router: how often its process wakes, on a virtual event loop."""
+"""Wakeups of an idle router process, counted on a virtual event loop."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def test_an_idle_router_wakes_only_for_discovery_queries(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A wakeup costs some 0.2 ms of CPU, so the sweep, membership and gossip run at the time of a query."""
+    """A wakeup costs about 0.2 ms of CPU, so the sweep, membership and gossip run when a query is sent."""
     select_timeouts_s: list[float] = []
 
     async def idle(loop: VirtualLoop) -> None:
--- a/tests/integration/test_invoke.py
+++ b/tests/integration/test_invoke.py
@@ -1,4 +1,4 @@
-"""Calls over the invoke API: a caller, a router and workers on loopback, in the process of the test."""
+"""Calls over the invoke API: a caller, a router and workers on loopback, in one process."""
 
 from __future__ import annotations
 
@@ -227,7 +227,7 @@
 
 
 def test_the_same_share_of_synchronous_and_of_deferred_calls_is_served(authority: Authority) -> None:
-    """Both styles send the same calls, which the worker fails alike; each class has a weight in the share."""
+    """Both styles send the same calls, and the worker fails the same ones; the share is weighted by class."""
     weights = {"check": 2, "revise": 5, "confirm": 5}
 
     async def served_share(running: Service, *, is_deferred: bool) -> float:
--- a/tests/integration/test_invoke_connections.py
+++ b/tests/integration/test_invoke_connections.py
@@ -1,4 +1,4 @@
-"""How the invoke API reads requests from a connection, and when it ends the connection."""
+"""Reading of requests from connections of the invoke API, and the conditions that close a connection."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
 
 
 def test_an_invalid_head_is_answered_although_input_follows_it(authority: Authority) -> None:
-    """A close while input is unread would reset the connection, and the caller would lose the answer."""
+    """Closing the connection while input is unread would reset it, and the caller would lose the answer."""
 
     async def scenario() -> None:
         async with (
--- a/tests/integration/test_platform.py
+++ b/tests/integration/test_platform.py
@@ -1,4 +1,4 @@
-"""Calls over the platform protocol: a client, a router and workers on loopback, in the test's process."""
+"""Calls over the platform protocol: a client, a router and workers on loopback, in one process."""
 
 from __future__ import annotations
 
@@ -100,7 +100,7 @@
         live = ScriptedWorker()
         async with service(stopped, live) as running, client(running) as caller:
             stopped.stop()
-            for number in range(1, 9):  # of these, some are sent to the stopped worker first
+            for number in range(1, 9):  # some of them are sent to the stopped worker first
                 answer = await caller.call(number, "confirm", b"x", item=f"{number:016x}")
                 assert answer == [1, number, None, [b"X", {}]]
 
@@ -174,7 +174,8 @@
             worker.answer(worker.calls[0], serve_uppercase(worker, worker.calls[0]))
             assert await caller.read() == [1, 1, None, [b"X", {}]]
             worker.behavior = serve_uppercase
-            assert await caller.call(2, "check", b"y") == [1, 2, None, [b"Y", {}]]  # the grace for new calls
+            # New calls are still accepted in the grace period.
+            assert await caller.call(2, "check", b"y") == [1, 2, None, [b"Y", {}]]
             await shutdown
 
     asyncio.run(scenario())
@@ -203,7 +204,10 @@
 
 
 def test_a_long_response_comes_back_complete() -> None:
-    """DAYS.md: one response in sixteen is long, up to 230,000 bytes; its base64 line is longer."""
+    """By the platform's documentation, one response in sixteen is long, up to 230,000 bytes.
+
+    Its base64 line is longer.
+    """
 
     def serve_long(worker: ScriptedWorker, message: dict[str, Any]) -> dict[str, Any]:
         return {"op": "HIT", "fields": {}, "body": base64.b64encode(b"L" * 230_000).decode()}
--- a/tests/integration/test_platform_connections.py
+++ b/tests/integration/test_platform_connections.py
@@ -1,4 +1,4 @@
-"""Connections of platform clients: their limits, their eviction, and their end."""
+"""Connections of platform clients: limits, eviction and closing."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def test_the_bytes_of_unread_responses_are_bounded() -> None:
-    """Clients that send calls and do not read the responses must not exhaust the memory."""
+    """Clients that send calls without reading the responses must not exhaust the memory."""
 
     async def scenario() -> None:
         async with service(ScriptedWorker()) as running, client(running) as slow, client(running) as other:
@@ -100,7 +100,7 @@
 
 
 def test_while_draining_each_connection_closes_once_it_is_idle() -> None:
-    """After the grace, the router accepts no connection, so that clients connect to its successor."""
+    """After the grace period the router accepts no connections, so that clients connect to its successor."""
 
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
@@ -153,7 +153,7 @@
             async with asyncio.timeout(TIMEOUT_S):
                 while running.platform.connections or running.platform.unvalidated_connections:
                     await asyncio.sleep(0)
-            for _ in range(3):  # the callbacks of the close run
+            for _ in range(3):  # lets the callbacks of the close run
                 await asyncio.sleep(0)
             assert remaining() is None
 
--- a/tests/integration/test_platform_input.py
+++ b/tests/integration/test_platform_input.py
@@ -1,4 +1,4 @@
-"""How the platform server answers invalid fields and messages."""
+"""Answers of the platform server to invalid fields and messages."""
 
 from __future__ import annotations
 
@@ -77,9 +77,8 @@
         async with service(worker) as running, client(running) as caller:
             caller.writer.write(pack_call(1, "confirm"))
             await worker.wait_until(lambda: len(worker.calls) == 1)
-            caller.writer.write(
-                b"\x91\x05" + b"\xff" * 500_000
-            )  # more than the router reads before it closes
+            # More bytes than the router reads before it closes the connection.
+            caller.writer.write(b"\x91\x05" + b"\xff" * 500_000)
             assert (await caller.read())[:3] == [1, 1, ["Lost", {}]]
             assert await caller.read() is None  # an orderly close, not a reset
             await worker.wait_until(lambda: worker.cancelled_ids == [f"{1:016x}"])
@@ -94,7 +93,7 @@
         b"\x94\x00\x01\xa5check\xdd\xff\xff\xff\xff",
         b"\x94\x00\x01\xa5check\x92\x82\xa1a\xa1b\xa1a\xa1c\xc4\x00",  # a duplicate field
         b"\x91" * 2000,
-        b"\x94\x00\xc3\xa5check\x91\x80",  # the call's number is ``true``
+        b"\x94\x00\xc3\xa5check\x91\x80",  # the message id is ``true``
     ],
 )
 def test_input_that_cannot_become_a_message_closes_its_connection_without_being_buffered(data: bytes) -> None:
--- a/tests/integration/test_process.py
+++ b/tests/integration/test_process.py
@@ -1,4 +1,4 @@
-"""The program itself, started as the platform starts it."""
+"""Router processes that are started and stopped as the platform does it."""
 
 from __future__ import annotations
 
@@ -39,7 +39,10 @@
 
 
 def test_sighup_follows_a_new_discovery_address_and_never_ends_the_process(tmp_path: Path) -> None:
-    """Once, SIGHUP did nothing without the invoke API, and the router polled a server that had ended."""
+    """Guards against a SIGHUP that is ignored where the invoke API is off.
+
+    The router then kept polling a discovery server that had ended.
+    """
     file = tmp_path / "config.json"
     with (
         serving_router(tmp_path) as (process, log),
@@ -78,7 +81,7 @@
 
 
 def test_an_upgrade_hands_the_address_to_a_second_process(tmp_path: Path) -> None:
-    """As DAYS.md describes: a second process on the same address, then SIGTERM to the first process."""
+    """The platform starts a second process on the same address, then sends SIGTERM to the first one."""
     listen_port = free_port()
     first_control_port = free_port()
     second_control_port = free_port()
@@ -91,9 +94,9 @@
 
     first_process = start(first_control_port)
     try:
-        # The call gets a response, a rejection, because no worker can be reached.
+        # The response is a rejection, because no worker can be reached.
         assert send_call(listen_port, 1)[:2] == [1, 1]
-        # The same address: without SO_REUSEPORT the second process would exit with 1.
+        # Without SO_REUSEPORT the second process would exit with 1, because the address is in use.
         second_process = start(second_control_port)
         try:
             assert ask_control(second_control_port, b"PING\n") == "YES\n"
--- a/tests/integration/test_process_start.py
+++ b/tests/integration/test_process_start.py
@@ -23,7 +23,7 @@
 
 
 def test_processes_are_ready_while_discovery_is_silent(tmp_path: Path) -> None:
-    """Ten processes start at once, start again after a kill, and then one of them starts again.
+    """Ten processes start at once, are killed and start again, and then one of them is restarted.
 
     Each process serves before discovery has sent a reply.
     """
--- a/tests/integration/test_worker_connections.py
+++ b/tests/integration/test_worker_connections.py
@@ -1,4 +1,4 @@
-"""The progress of attempts by the bytes that a worker's socket accepts, and their outcomes on failure."""
+"""Progress of attempts by the bytes that a worker's socket accepts, and outcomes when connections fail."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         harness.connection.connection_lost(ConnectionResetError())
         first_outcomes = list(harness.dispatcher.outcomes.values())[:2]
         assert tuple(first_outcomes) == outcomes
-        if third is not None:  # queued behind the others, and no byte of it is written
+        if third is not None:  # queued behind the other lines; no byte of it is written
             assert third.progress is Progress.UNWRITTEN
             assert harness.dispatcher.outcomes[THIRD_ID] is Outcome.CONNECT_FAILED
 
@@ -137,9 +137,9 @@
 
 
 def test_a_failed_connect_leaves_nothing_for_the_garbage_collector(caplog: pytest.LogCaptureFixture) -> None:
-    """Reference cycles live until a collection of the oldest generation, which is rare.
+    """Reference cycles are freed only by a collection of the oldest generation, which is rare.
 
-    On a long day such cycles occupied 26 MB.
+    In a long run such cycles occupied 26 MB.
     """
 
     async def connect() -> weakref.ref[WorkerConnection]:
@@ -150,7 +150,7 @@
         remaining = weakref.ref(connection)
         del connection
         await asyncio.wait(pool.connecting.values())
-        await asyncio.sleep(0)  # the callbacks of the task run
+        await asyncio.sleep(0)  # lets the callbacks of the task run
         assert not pool.connections
         assert not pool.connecting
         return remaining
@@ -168,7 +168,7 @@
 
 
 def test_a_call_is_written_with_the_time_left_at_its_first_byte() -> None:
-    """The time from the selection of the worker would be too long after a late connect or a stall."""
+    """The time left when the worker was selected would be too long after a slow connect or a stall."""
 
     async def scenario() -> None:
         harness = WorkerHarness(10_000)
--- a/tests/integration/test_worker_responses.py
+++ b/tests/integration/test_worker_responses.py
@@ -1,4 +1,4 @@
-"""How lines from a worker end attempts, preloads and their connection."""
+"""Effects of lines from a worker on attempts, preloads and the connection."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
         harness = WorkerHarness(10_000)
         harness.workers.preload(1, 7, 2)
         harness.workers.preload(1, 8, 1)
-        harness.workers.preload(2, 9, 1)  # there is no such worker
+        harness.workers.preload(2, 9, 1)  # an unknown worker
         harness.workers.unload(1, 7)
         harness.flush()
         lines = harness.transport.written.splitlines()
