--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""KNOWN-RED.txt: what it names may fail and is printed; one of these that passes is an error."""
+"""Markers by folder, and the known failures that KNOWN-RED.txt lists.
+
+A listed test may fail, and its line is printed after the run; a listed test that passes is an error.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 from tests.known_red import KnownRed, KnownRedError, read, unknown
 
-# Each test bears the name of its folder as a marker; ``-m unit`` runs the pure ones, in about half a minute.
+# Each test is marked with the name of its folder; ``-m unit`` runs the unit tests, in about half a minute.
 MARKED_FOLDERS = ("unit", "contracts", "simulation", "integration")
 FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -80,13 +80,13 @@
 
 
 class RouterDriver:
-    """A router on a clock of its own, and the actions that the router returned.
+    """A router with a simulated clock, and the actions that the router returned.
 
     Args:
-        *workers: endpoints that the router knows from the start.
-        seed: seed of the router.
-        now_ms: time of the start.
-        **changes: changes to the settings.
+        *workers: Endpoints that the router knows from the start.
+        seed: The router's random seed.
+        now_ms: Time of the start.
+        **changes: Changes to the settings.
     """
 
     def __init__(self, *workers: Endpoint, seed: int = 1, now_ms: float = 1000.0, **changes: Any) -> None:
@@ -97,7 +97,7 @@
         self.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, tuple(workers)))
 
     def feed(self, event: Event, after_ms: float = 0.0) -> list[Action]:
-        """Let the router handle an event ``after_ms`` after the last one, and return the router's actions."""
+        """Let the router handle an event ``after_ms`` after the last one; return its actions."""
         self.now_ms += after_ms
         actions = self.router.handle(self.now_ms, event)
         self.actions.extend(actions)
@@ -111,7 +111,7 @@
         remaining_ms: float | None = None,
         **fields: Any,
     ) -> list[Action]:
-        """Send a request with this time to its deadline, by default that of its class; return the actions."""
+        """Send a request with this time to its deadline, by default the time that its class allows."""
         self.last_request_id += 1
         if remaining_ms is None:
             remaining_ms = CLASSES[class_index].deadline_ms
@@ -137,7 +137,7 @@
         )
 
     def advance_to(self, until_ms: float) -> list[Action]:
-        """Fire the timers that are due until then, also those that these timers set; return the actions."""
+        """Fire all timers that are due by ``until_ms``, even those set meanwhile; return the actions."""
         returned: list[Action] = []
         while True:
             timers = [action for action in self.actions if isinstance(action, SetTimer)]
@@ -160,11 +160,11 @@
 
 
 def finals(actions: list[Action]) -> list[Action]:
-    """Return the actions that are final answers other than success."""
+    """Return the actions that end a request without success."""
     return [action for action in actions if isinstance(action, (RejectRequest, FailRequest))]
 
 
-_SHARED_BY_ID: dict[int, object] = {}  # never emptied, so that each id in a pickle remains valid
+_SHARED_BY_ID: dict[int, object] = {}  # keeps the objects alive, so that each id in a pickle remains valid
 
 
 class _SharingPickler(pickle.Pickler):
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""The tests that are known to fail: KNOWN-RED.txt at the root, one ``test | cause | issue`` per line."""
+"""Parser of KNOWN-RED.txt at the root, the list of known failures: a ``test | cause | issue`` per line."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class KnownRedError(Exception):
-    """An unusable KNOWN-RED.txt; the message names the line and the fault."""
+    """An invalid KNOWN-RED.txt; the message names the line and the error."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """One test that fails because of a real fault that is not corrected yet."""
+    """A test that fails because of a known fault that is not corrected yet."""
 
-    test: str  # as pytest names it, from the root
+    test: str  # the pytest node id, relative to the root
     cause: str
     issue: str
 
@@ -26,7 +26,7 @@
 
 
 def read(text: str) -> list[KnownRed]:
-    """Parse all lines.
+    """Parse the content of KNOWN-RED.txt.
 
     Raises:
         KnownRedError: A line is malformed, or there are too many.
@@ -45,5 +45,5 @@
 
 
 def unknown(known: list[KnownRed], collected: set[str]) -> list[str]:
-    """Return the names that no test has."""
+    """Return the listed node ids that no collected test has."""
     return [one.test for one in known if one.test not in collected]
--- a/tests/unit/test_import_layers.py
+++ b/tests/unit/test_import_layers.py
@@ -1,6 +1,6 @@
-"""Imports point downwards only, and no two files import each other, not even for annotations.
+"""Imports between the layers of docs/ARCHITECTURE.md, which must form no cycle.
 
-The layers are those of docs/ARCHITECTURE.md. A file may import from its own layer and from those before it.
+A file may import from its own layer and from lower ones. Imports for annotations count too.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 ROOT = Path(__file__).parents[2]
 PACKAGE = "cedarthread"
 
-# From the lowest layer to the highest; a package or a module of the top folder each.
+# From the lowest layer to the highest; each name is a package or a module directly in ``cedarthread``.
 LAYERS = (
     (
         "errors",
@@ -51,7 +51,7 @@
 
 
 def _imported_modules(path: Path) -> Iterator[str]:
-    """Yield every module of the package that a file imports, inside functions and for annotations too."""
+    """Yield every module of the package that a file imports, also inside functions and for annotations."""
     for node in ast.walk(ast.parse(path.read_text(), str(path))):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names if alias.name in MODULES)
@@ -98,7 +98,7 @@
 
 
 def _find_circle(start: str) -> list[str]:
-    """Return a path of imports from a module back to itself; empty if there is none."""
+    """Return a chain of imports from a module back to itself, or an empty list."""
     paths = [[start]]
     seen = {start}
     while paths:
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: what it may hold, and that a run lets pass just what it names."""
+"""Parsing of KNOWN-RED.txt, and its effect on a test run: only the tests that it lists may fail."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def play(folder: Path, known: str, red: str) -> subprocess.CompletedProcess[str]:
-    """Run pytest in a project of two tests; the outcome of one of them is given."""
+    """Run pytest in a project with two tests: ``test_red`` with the body ``red``, and one that passes."""
     tests = folder / "tests"
     tests.mkdir()
     for name in ("conftest.py", "known_red.py", "__init__.py"):
@@ -54,7 +54,7 @@
     ("known", "red", "code", "said"),
     [
         (LINE, "assert False", 0, "known red: tests/test_it.py::test_red: the list is late (issue 33)"),
-        (LINE, "pass", 1, "XPASS"),  # mended: the line has to go
+        (LINE, "pass", 1, "XPASS"),  # the fault is corrected, so the line must be removed
         ("", "assert False", 1, "1 failed"),
         (LINE.replace("red", "gone"), "pass", 4, "no test is named"),
         ("".join(LINE.replace("red", f"red{n}") for n in range(4)), "pass", 4, "at most 3 may stand"),
--- a/tests/unit/test_log_events.py
+++ b/tests/unit/test_log_events.py
@@ -1,7 +1,7 @@
-"""Every log line is an event that the on-call page explains, and the page explains no others.
+"""Events of log lines: each is documented on the on-call page, and the page documents no others.
 
-The events are read from the source: literal names in calls of ``format_event``, and of the router's methods
-that pass a name on to it.
+The events are read from the source: the literal names in calls of ``format_event`` and of the router's
+methods that forward a name to it.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 SOURCE = ROOT / "cedarthread"
 ON_CALL = ROOT / "docs" / "ON-CALL.md"
 
-# Functions that pass an event's name on, by file: callers give it as the second argument, after the time.
+# Functions that forward an event's name, by file; it is their second argument, after the time.
 FORWARDERS = {("routing/log_throttle.py", "line"), ("routing/router_state.py", "log")}
-# Functions that log or return a line that others made, by file: nothing else may log what is no event.
+# Functions that log or return lines formatted elsewhere, by file; all others may log events only.
 LINE_CARRIERS = {
     ("change_freeze/component.py", "_log"),
     ("node/fleet_components.py", "apply_fleet_config"),
@@ -43,7 +43,7 @@
 
 
 def _calls(node: ast.AST, function: str = "") -> Iterator[tuple[str, ast.Call]]:
-    """All calls beneath a node, each with the name of the innermost function around it."""
+    """Yield all calls below a node, each with the name of the innermost function that contains it."""
     for child in ast.iter_child_nodes(node):
         inner = child.name if isinstance(child, ast.FunctionDef | ast.AsyncFunctionDef) else function
         if isinstance(child, ast.Call):
@@ -52,7 +52,7 @@
 
 
 def _called_name(call: ast.Call) -> str:
-    """``f`` of ``f(...)`` and of ``x.f(...)``."""
+    """Return ``f`` for ``f(...)`` and for ``x.f(...)``."""
     if isinstance(call.func, ast.Attribute):
         return call.func.attr
     return call.func.id if isinstance(call.func, ast.Name) else ""
@@ -79,7 +79,7 @@
 
 
 def _emitted() -> tuple[set[str], list[str]]:
-    """Return the names of all events in the source, and the places where a name is no literal."""
+    """Return the names of all events in the source, and the locations where a name is not a literal."""
     events: set[str] = set()
     errors = []
     for name, tree in _files():
@@ -126,7 +126,7 @@
     for name, tree in _files():
         for function, call in _calls(tree):
             is_logged = _is_logger(call) or _called_name(call) == "LogMessage"
-            is_passed_on = _called_name(call) in ("_log", "_log_line")  # to one of the carriers
+            is_passed_on = _called_name(call) in ("_log", "_log_line")  # to a function of LINE_CARRIERS
             if not (is_logged or is_passed_on) or _is_event(call.args[0]):
                 continue
             is_carried = is_passed_on or (name, function) in LINE_CARRIERS | FORWARDERS
--- a/tests/unit/test_pages.py
+++ b/tests/unit/test_pages.py
@@ -1,4 +1,4 @@
-"""Every page, source file and test that a page or a docstring names exists."""
+"""References from pages to pages and source files, and from the source to pages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 ROOT = Path(__file__).parents[2]
-# Pages about an earlier state of the code name files as they were then.
+# Pages about an earlier state of the code, which may name files that no longer exist.
 HISTORY = ("docs/results/", "docs/incidents/", "docs/ROADMAP.md", "CHANGELOG.md")
 PAGES = sorted(
     path
--- a/tests/unit/test_readme.py
+++ b/tests/unit/test_readme.py
@@ -1,4 +1,4 @@
-"""The example of the README runs."""
+"""The code example in README.md."""
 
 from __future__ import annotations
 
