--- a/tests/integration/test_discovery_client.py
+++ b/tests/integration/test_discovery_client.py
@@ -29,11 +29,11 @@
                 discovery.datagram_received(reply, None)
 
         receive(9, 9, 9)
-        assert applied_serials == [], "one query alone confirms no list, even if its reply is duplicated"
+        assert applied_serials == [], "replies to one query must not confirm a list, however many arrive"
         receive(9, query_id=8)
         receive(8)
         receive(8, query_id=8)
-        assert applied_serials == [9], "a lower serial is outdated"
+        assert applied_serials == [9], "a list with a lower serial is outdated"
         receive(9)
         receive(10)
         receive(10, query_id=8)
--- a/tests/integration/test_discovery_sockets.py
+++ b/tests/integration/test_discovery_sockets.py
@@ -27,9 +27,9 @@
             nonlocal open_attempts
             open_attempts += 1
             if open_attempts == 1:
-                raise OSError(errno.EMFILE, "too many")
+                raise OSError(errno.EMFILE, "too many open files")
             if open_attempts == 2:
-                raise OSError(errno.ENETUNREACH, "no way there")
+                raise OSError(errno.ENETUNREACH, "network is unreachable")
             return await create_datagram_endpoint(*arguments, **options)
 
         def release_descriptor() -> bool:
--- a/tests/integration/test_idle_router.py
+++ b/tests/integration/test_idle_router.py
@@ -51,7 +51,7 @@
             lambda timeout: (select_timeouts_s.append(timeout or 0.0), select(timeout))[1],  # type: ignore[func-returns-value]
         )
         await asyncio.sleep(5.0)
-        assert len(tick_times_ms) >= 20, "membership and gossip run at least four times a second"
+        assert len(tick_times_ms) >= 20, "membership and gossip must run at least four times a second"
         assert service.maintenance.sweep_timer is not None
         assert service.maintenance.sweep_timer.when() > loop.time() - 0.01
 
--- a/tests/integration/test_invoke.py
+++ b/tests/integration/test_invoke.py
@@ -103,7 +103,7 @@
                 2, [endpoint_record(worker, 1, EndpointState.DRAINING)], is_complete=True
             )
             rejected = await portal.request("POST", FUNCTION_PATH + "confirm", b"y", Call_Timeout_Ms="200")
-            assert rejected.status in (503, 504), "a draining worker accepts no new call"
+            assert rejected.status in (503, 504), "a draining worker must get no new call"
             worker.answer(worker.calls[0], serve_uppercase(worker, worker.calls[0]))
             status, _, body = await portal.request("GET", fields["location"], Prefer="wait=5")
             assert (status, body) == (200, b"X")
--- a/tests/integration/test_invoke_identities.py
+++ b/tests/integration/test_invoke_identities.py
@@ -107,7 +107,9 @@
                 renewed = Authority(authority.folder)  # overwrites the bundle
                 renewed.svid("svid", "spiffe://gaz.example/router")
                 assert await running.invoke.reload()
-                assert (await desk.request("GET", "/v1/ready")).status == 403, "on an open connection"
+                assert (await desk.request("GET", "/v1/ready")).status == 403, (
+                    "the new allow list must also apply to an open connection"
+                )
             async with Caller(running, renewed.caller("spiffe://gaz.example/office/2")) as office:
                 assert (await office.request("GET", "/v1/ready")).status == 200
             with pytest.raises((OSError, asyncio.IncompleteReadError)):
--- a/tests/integration/test_platform.py
+++ b/tests/integration/test_platform.py
@@ -198,7 +198,9 @@
             await worker.wait_until(lambda: len(worker.calls) == 2)
             later_start = dataclasses.replace(earlier_start, started_at_ms=created_at_ms + 60_000.0)
             running.update_endpoints(3, [later_start], is_complete=True)
-            assert (await caller.read())[2][0] == "Lost", "the process that executed the call has ended"
+            assert (await caller.read())[2][0] == "Lost", (
+                "the process that executed the call has ended, so the call is lost"
+            )
 
     asyncio.run(scenario())
 
@@ -222,6 +224,6 @@
                 while len(received) < len(response) and (more := await caller.reader.read(len(response))):
                     received += more
             assert received == response
-            assert len(worker.writers) == 1, "the connection to the worker is still used"
+            assert len(worker.writers) == 1, "the connection to the worker must stay in use"
 
     asyncio.run(scenario())
--- a/tests/integration/test_worker_connections.py
+++ b/tests/integration/test_worker_connections.py
@@ -87,7 +87,7 @@
         attempt = harness.send(FIRST_ID)
         harness.flush()
         harness.workers.cancel(attempt)
-        assert harness.dispatcher.outcomes == {}, "the worker has time to read on and receive the CANCEL"
+        assert harness.dispatcher.outcomes == {}, "the worker must have time to read the CANCEL"
         while not harness.dispatcher.outcomes:
             await asyncio.sleep(0)
         assert harness.transport.is_aborted
--- a/tests/integration/test_worker_responses.py
+++ b/tests/integration/test_worker_responses.py
@@ -24,7 +24,9 @@
         assert not harness.connection.can_accept(FIRST_ID)
         assert harness.connection.can_accept(SECOND_ID)
         harness.receive(b'{"op":"HIT","id":"aaaaaaaaaaaaaaaa","body":""}\n')
-        assert harness.dispatcher.outcomes == {}, "the worker may not have read the CANCEL yet"
+        assert harness.dispatcher.outcomes == {}, (
+            "the attempt must stay open, as the worker may not have read the CANCEL yet"
+        )
         while not harness.dispatcher.outcomes:
             await asyncio.sleep(0)
         assert harness.dispatcher.outcomes == {FIRST_ID: Outcome.CANCELLED}
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -35,12 +35,12 @@
     for number, line in enumerate(text.splitlines(), 1):
         parts = [part.strip() for part in line.split(" | ")]
         if len(parts) != 3 or not all(parts) or not _ISSUE.match(parts[2]):
-            raise KnownRedError(f"line {number}: wanted 'test | cause | issue N', got {line[:80]!r}")
+            raise KnownRedError(f"line {number}: expected 'test | cause | issue N', got {line[:80]!r}")
         found.append(KnownRed(*parts))
     if len(found) > MOST:
         raise KnownRedError(f"line {MOST + 1}: {len(found)} lines, at most {MOST} may stand")
     if len({one.test for one in found}) < len(found):
-        raise KnownRedError("a test is named twice")
+        raise KnownRedError("a test is listed twice")
     return found
 
 
