--- a/tests/integration/test_control.py
+++ b/tests/integration/test_control.py
@@ -21,7 +21,7 @@
 
 
 def test_ping_replies_yes_while_serving_and_no_while_draining() -> None:
-    async def test() -> None:
+    async def scenario() -> None:
         async with service(ScriptedWorker()) as running:
             assert await ask_control(running, b"PING\n") == ["YES"]
             running.state.is_serving = False
@@ -30,7 +30,7 @@
             running.request_shutdown()
             assert await ask_control(running, b"PING\n") == ["NO"]
 
-    asyncio.run(test())
+    asyncio.run(scenario())
 
 
 def test_info_counts_the_responses_that_the_client_received() -> None:
@@ -43,16 +43,18 @@
             else answer_with("ERROR")(worker, message)
         )
 
-    async def test() -> None:
+    async def scenario() -> None:
         worker = ScriptedWorker(fail_every_third_call)
         async with service(worker) as running, client(running) as caller:
-            seen = {"passed": 0, "bad_gateway": 0, "dropped": 0}
+            answer_counts = {"passed": 0, "bad_gateway": 0, "dropped": 0}
             for number in range(1, 13):
                 answer = await caller.call(number, "confirm", b"x")
-                kind = "passed" if answer[2] is None else {"Lost": "bad_gateway"}.get(answer[2][0], "dropped")
-                seen[kind] += 1
+                count_name = (
+                    "passed" if answer[2] is None else {"Lost": "bad_gateway"}.get(answer[2][0], "dropped")
+                )
+                answer_counts[count_name] += 1
             info = info_figures(await ask_control(running, b"INFO\n"))
-            assert {name: info[f"router.handled.confirm.{name}"] for name in seen} == seen
+            assert {name: info[f"router.handled.confirm.{name}"] for name in answer_counts} == answer_counts
             assert info["router.handled.confirm.upstream_tries"] == len(worker.calls) == 12
             assert info["router.upstream_tries"] == 12
             assert info["router.in_progress"] == 0
@@ -61,11 +63,11 @@
             assert info["router.skipped_runners"] in (0, 1)
             assert info["router.loads"] == 0
 
-    asyncio.run(test())
+    asyncio.run(scenario())
 
 
 def test_a_call_rejected_by_the_server_counts_as_dropped() -> None:
-    async def test() -> None:
+    async def scenario() -> None:
         async with (
             service(ScriptedWorker(lambda worker, message: None)) as running,
             client(running) as caller,
@@ -77,7 +79,7 @@
             assert info["router.handled.check.dropped"] == 1
             assert info["router.in_progress"] == 32
 
-    asyncio.run(test())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -89,7 +91,7 @@
     ],
 )
 def test_an_invalid_line_is_answered_no_with_a_reason(line: bytes, reason: str) -> None:
-    async def test() -> None:
+    async def scenario() -> None:
         async with service(ScriptedWorker()) as running:
             reader, writer = await asyncio.open_connection("127.0.0.1", running.control_port)
             writer.write(line)
@@ -103,11 +105,11 @@
             assert reply.count("\n") == 1
             assert await ask_control(running, b"PING\n") == ["YES"]  # other connections are unaffected
 
-    asyncio.run(test())
+    asyncio.run(scenario())
 
 
 def test_control_replies_during_a_flood_of_idle_and_half_written_connections() -> None:
-    async def test() -> None:
+    async def scenario() -> None:
         async with service(ScriptedWorker()) as running:
             connections = []
             for number in range(300):
@@ -122,4 +124,4 @@
             for writer in connections:
                 writer.transport.abort()
 
-    asyncio.run(test())
+    asyncio.run(scenario())
--- a/tests/integration/test_discovery_client.py
+++ b/tests/integration/test_discovery_client.py
@@ -41,16 +41,16 @@
         discovery.datagram_received(b"garbage", None)
         assert applied_serials == [9, 10]
         endpoint_list = EndpointList(settings_from_object(SETTINGS))
-        entry = EndpointRecord(
+        record = EndpointRecord(
             "s-00000001", "127.0.0.1", 1, "room-a", "std", 0, EndpointState.READY, 1.0, 0.0
         )
-        first = endpoint_list.apply_update(1, [entry], is_snapshot=True)
-        assert first is not None
-        assert first.kind is EndpointUpdateKind.CACHED
-        removed = endpoint_list.apply_update(2, [], is_snapshot=True)
-        assert removed is not None
-        assert [endpoint.state for endpoint in removed.endpoints] == [EndpointState.REMOVED]
-        assert endpoint_list.apply_update(2, [entry], is_snapshot=True) is None
+        first_update = endpoint_list.apply_update(1, [record], is_snapshot=True)
+        assert first_update is not None
+        assert first_update.kind is EndpointUpdateKind.CACHED
+        second_update = endpoint_list.apply_update(2, [], is_snapshot=True)
+        assert second_update is not None
+        assert [endpoint.state for endpoint in second_update.endpoints] == [EndpointState.REMOVED]
+        assert endpoint_list.apply_update(2, [record], is_snapshot=True) is None
 
     asyncio.run(scenario())
 
--- a/tests/integration/test_fleet_processes.py
+++ b/tests/integration/test_fleet_processes.py
@@ -19,10 +19,10 @@
 
     import pytest
 
-COUNT = 3
-LIMITS = SETTINGS["limits"] | {"peers": True}
-SHARING = "[sharing]\nperiod = 100\n"
-WINDOW = """
+ROUTER_COUNT = 3
+PEER_LIMITS = SETTINGS["limits"] | {"peers": True}
+SHARING_SECTION = "[sharing]\nperiod = 100\n"
+FREEZE_SECTION = """
 [[freeze]]
 id = "cycle"
 start = {start}
@@ -32,35 +32,38 @@
 """
 
 
-class Processes:
+class FleetProcesses:
     """The router processes of one fleet, by router index."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.controls = [free_port() for _ in range(COUNT)]
-        self.peers = [f"127.0.0.1:{self._udp()}" for _ in range(COUNT)]
-        self.running: dict[int, subprocess.Popen[str]] = {}
+        self.control_ports = [free_port() for _ in range(ROUTER_COUNT)]
+        self.peer_addresses = [f"127.0.0.1:{self._free_udp_port()}" for _ in range(ROUTER_COUNT)]
+        self.processes: dict[int, subprocess.Popen[str]] = {}
 
     @staticmethod
-    def _udp() -> int:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
-            probe.bind(("127.0.0.1", 0))
-            return int(probe.getsockname()[1])
+    def _free_udp_port() -> int:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
+            udp_socket.bind(("127.0.0.1", 0))
+            return int(udp_socket.getsockname()[1])
 
-    def file(self, number: int) -> Path:
+    def fleet_path(self, number: int) -> Path:
         return self.folder / f"fleet{number}.toml"
 
     def start(self, number: int) -> None:
-        disk = self.folder / f"disk{number}"
-        disk.mkdir(exist_ok=True)
-        if not self.file(number).exists():
-            self.file(number).write_text(SHARING)
+        store_folder = self.folder / f"disk{number}"
+        store_folder.mkdir(exist_ok=True)
+        if not self.fleet_path(number).exists():
+            self.fleet_path(number).write_text(SHARING_SECTION)
         config = {"name": f"n{number}", "listen": "127.0.0.1:0", "seed": "1", "known": {"n": 1, "events": []}}
-        config |= {"control": f"127.0.0.1:{self.controls[number]}", "peer_listen": self.peers[number]}
-        config |= {"peers": self.peers, "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}}
-        config["settings"] = SETTINGS | {"balancers": COUNT, "ordinal": number, "limits": LIMITS}
-        path = self.folder / f"n{number}.json"
-        path.write_text(json.dumps(config))
+        config |= {
+            "control": f"127.0.0.1:{self.control_ports[number]}",
+            "peer_listen": self.peer_addresses[number],
+        }
+        config |= {"peers": self.peer_addresses, "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}}
+        config["settings"] = SETTINGS | {"balancers": ROUTER_COUNT, "ordinal": number, "limits": PEER_LIMITS}
+        config_path = self.folder / f"n{number}.json"
+        config_path.write_text(json.dumps(config))
         process = subprocess.Popen(
             [
                 sys.executable,
@@ -68,24 +71,24 @@
                 "cedarthread",
                 "serve",
                 "--fleet",
-                str(self.file(number)),
+                str(self.fleet_path(number)),
                 "--store",
-                str(disk),
+                str(store_folder),
             ],
             cwd=ROOT,
-            env=os.environ | {"BALANCER_CONFIG": str(path)},
+            env=os.environ | {"BALANCER_CONFIG": str(config_path)},
             stderr=subprocess.PIPE,
             text=True,
         )
-        self.running[number] = process
+        self.processes[number] = process
         assert process.stderr is not None
         wait_for_log_line(process.stderr, r"serving router=n\d port=\d+")
 
     def info(self, number: int) -> dict[str, str]:
-        lines = ask_control(self.controls[number], b"INFO\n").splitlines()
+        lines = ask_control(self.control_ports[number], b"INFO\n").splitlines()
         return dict(line.partition("=")[::2] for line in lines if line.startswith("fleet."))
 
-    def until(self, number: int, name: str, value: str) -> dict[str, str]:
+    def wait_for_metric(self, number: int, name: str, value: str) -> dict[str, str]:
         """Poll INFO until a metric has this value, and return all metrics of the fleet."""
         for _ in range(600):
             if (info := self.info(number)).get(name) == value:
@@ -93,41 +96,43 @@
             time.sleep(0.05)
         raise AssertionError(f"{name} is {info.get(name)!r} at router {number}, not {value!r}: {info}")
 
-    def end(self) -> None:
-        for process in self.running.values():
+    def kill_all(self) -> None:
+        for process in self.processes.values():
             process.kill()
             process.wait()
             if process.stderr is not None:
                 process.stderr.close()
 
 
-def test_a_window_declared_at_one_process_reaches_all_and_survives_a_kill(tmp_path: Path) -> None:
-    fleet = Processes(tmp_path)
+def test_a_change_freeze_window_reaches_all_processes_and_survives_a_kill(tmp_path: Path) -> None:
+    fleet = FleetProcesses(tmp_path)
     try:
-        for number in range(COUNT):
+        for number in range(ROUTER_COUNT):
             fleet.start(number)
-        for number in range(COUNT):
-            fleet.until(number, "fleet.register_seated", "yes")
+        for number in range(ROUTER_COUNT):
+            fleet.wait_for_metric(number, "fleet.register_seated", "yes")
         now_s = time.time()
         timestamps = [
             time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(now_s + after_s)) for after_s in (0, 3600)
         ]
-        fleet_file = fleet.file(1).read_text() + WINDOW.format(start=timestamps[0], end=timestamps[1])
-        fleet.file(1).write_text(fleet_file.replace("id =", "idd ="))
-        fleet.running[1].send_signal(signal.SIGHUP)  # rejects the invalid file and keeps running
-        fleet.file(1).write_text(fleet_file)
-        fleet.running[1].send_signal(signal.SIGHUP)
-        for number in range(COUNT):
-            fleet.until(number, "fleet.freeze_window_cycle", "in force")
-            fleet.until(number, "fleet.store_waiting", "0")
-        fleet.running[2].send_signal(signal.SIGKILL)
-        fleet.running[2].wait()
+        fleet_text = fleet.fleet_path(1).read_text() + FREEZE_SECTION.format(
+            start=timestamps[0], end=timestamps[1]
+        )
+        fleet.fleet_path(1).write_text(fleet_text.replace("id =", "idd ="))
+        fleet.processes[1].send_signal(signal.SIGHUP)  # rejects the invalid file and keeps running
+        fleet.fleet_path(1).write_text(fleet_text)
+        fleet.processes[1].send_signal(signal.SIGHUP)
+        for number in range(ROUTER_COUNT):
+            fleet.wait_for_metric(number, "fleet.freeze_window_cycle", "in force")
+            fleet.wait_for_metric(number, "fleet.store_waiting", "0")
+        fleet.processes[2].send_signal(signal.SIGKILL)
+        fleet.processes[2].wait()
         fleet.start(2)
-        info = fleet.until(2, "fleet.freeze_window_cycle", "in force")
+        info = fleet.wait_for_metric(2, "fleet.freeze_window_cycle", "in force")
         assert info["fleet.store_trouble"] == "none"
-        fleet.until(2, "fleet.register_seated", "yes")
+        fleet.wait_for_metric(2, "fleet.register_seated", "yes")
     finally:
-        fleet.end()
+        fleet.kill_all()
 
 
 def test_an_invalid_fleet_file_fails_the_start_with_location_and_problem(
--- a/tests/integration/test_invoke.py
+++ b/tests/integration/test_invoke.py
@@ -43,18 +43,20 @@
     async def scenario() -> None:
         worker = ScriptedWorker()
         async with service(worker, invoke=read_invoke_config(authority)) as running:
-            async with Caller(running, authority.caller(DESK_ID)) as desk:
-                status, _, body = await desk.request("POST", FUNCTION_PATH + "check", b"abc", Call_Lanes="4")
+            async with Caller(running, authority.caller(DESK_ID)) as caller:
+                status, _, body = await caller.request(
+                    "POST", FUNCTION_PATH + "check", b"abc", Call_Lanes="4"
+                )
                 assert (status, body) == (200, b"ABC")
-                status, fields, _ = await desk.request(
+                status, fields, _ = await caller.request(
                     "POST", FUNCTION_PATH + "confirm", b"later", **RESPOND_ASYNC
                 )
                 assert status == 202
                 assert fields["preference-applied"] == "respond-async"
-                status, _, body = await desk.request("GET", fields["location"], Prefer="wait=5")
+                status, _, body = await caller.request("GET", fields["location"], Prefer="wait=5")
                 assert (status, body) == (200, b"LATER")
-                assert (await desk.request("DELETE", fields["location"])).status == 204
-                assert (await desk.request("GET", fields["location"])).status == 404
+                assert (await caller.request("DELETE", fields["location"])).status == 204
+                assert (await caller.request("GET", fields["location"])).status == 404
             assert len(worker.calls) == 2
 
     asyncio.run(scenario())
@@ -67,22 +69,27 @@
         worker = ScriptedWorker(leave_unanswered)
         async with service(worker, invoke=read_invoke_config(authority)) as running:
             context = authority.caller(PORTAL_ID)
-            keyed = RESPOND_ASYNC | {"Idempotency-Key": '"nomination-1"'}
-            async with Caller(running, context) as portal:
-                status, fields, _ = await portal.request("POST", FUNCTION_PATH + "confirm", b"x", **keyed)
+            keyed_fields = RESPOND_ASYNC | {"Idempotency-Key": '"nomination-1"'}
+            async with Caller(running, context) as caller:
+                status, fields, _ = await caller.request(
+                    "POST", FUNCTION_PATH + "confirm", b"x", **keyed_fields
+                )
                 assert status == 202
-                portal.send("GET", fields["location"], Prefer="wait=20")
+                caller.send("GET", fields["location"], Prefer="wait=20")
                 await worker.wait_until(lambda: len(worker.calls) == 1)
             worker.answer(worker.calls[0], serve_uppercase(worker, worker.calls[0]))
-            async with Caller(running, context) as portal:
-                _, repeated_fields, _ = await portal.request(
-                    "POST", FUNCTION_PATH + "confirm", b"x", **keyed | {"Prefer": "respond-async, wait=5"}
+            async with Caller(running, context) as caller:
+                _, repeated_fields, _ = await caller.request(
+                    "POST",
+                    FUNCTION_PATH + "confirm",
+                    b"x",
+                    **keyed_fields | {"Prefer": "respond-async, wait=5"},
                 )
-                status, _, body = await portal.request("GET", fields["location"], Prefer="wait=5")
+                status, _, body = await caller.request("GET", fields["location"], Prefer="wait=5")
                 assert (status, body) == (200, b"X")
                 assert repeated_fields.get("location", fields["location"]) == fields["location"]
                 assert (
-                    await portal.request("POST", FUNCTION_PATH + "confirm", b"other", **keyed)
+                    await caller.request("POST", FUNCTION_PATH + "confirm", b"other", **keyed_fields)
                 ).status == 422
             assert len(worker.calls) == 1
             assert not worker.cancelled_ids
@@ -95,17 +102,17 @@
         worker = ScriptedWorker(leave_unanswered)
         async with (
             service(worker, invoke=read_invoke_config(authority)) as running,
-            Caller(running, authority.caller(PORTAL_ID)) as portal,
+            Caller(running, authority.caller(PORTAL_ID)) as caller,
         ):
-            _, fields, _ = await portal.request("POST", FUNCTION_PATH + "confirm", b"x", **RESPOND_ASYNC)
+            _, fields, _ = await caller.request("POST", FUNCTION_PATH + "confirm", b"x", **RESPOND_ASYNC)
             await worker.wait_until(lambda: len(worker.calls) == 1)
             running.update_endpoints(
                 2, [endpoint_record(worker, 1, EndpointState.DRAINING)], is_complete=True
             )
-            rejected = await portal.request("POST", FUNCTION_PATH + "confirm", b"y", Call_Timeout_Ms="200")
+            rejected = await caller.request("POST", FUNCTION_PATH + "confirm", b"y", Call_Timeout_Ms="200")
             assert rejected.status in (503, 504), "a draining worker must get no new call"
             worker.answer(worker.calls[0], serve_uppercase(worker, worker.calls[0]))
-            status, _, body = await portal.request("GET", fields["location"], Prefer="wait=5")
+            status, _, body = await caller.request("GET", fields["location"], Prefer="wait=5")
             assert (status, body) == (200, b"X")
             assert len(worker.calls) == 1
 
@@ -128,10 +135,10 @@
         second = ScriptedWorker(leave_pending)
         async with (
             service(first, second, invoke=read_invoke_config(authority)) as running,
-            Caller(running, authority.caller(DESK_ID)) as desk,
+            Caller(running, authority.caller(DESK_ID)) as caller,
             client(running) as other,
         ):
-            desk.send("POST", FUNCTION_PATH + "check", b"x")
+            caller.send("POST", FUNCTION_PATH + "check", b"x")
             while not received:
                 await asyncio.sleep(0)
             assert running.invoke is not None
@@ -141,9 +148,9 @@
             tls_transport._ssl_protocol._transport.pause_reading()
             worker, message = received[0]
             worker.answer(message, {"op": "SHED", "fields": {}})
-            desk_socket = desk.writer.get_extra_info("socket")
+            caller_socket = caller.writer.get_extra_info("socket")
             with socket.socket(
-                desk_socket.family, desk_socket.type, fileno=os.dup(desk_socket.fileno())
+                caller_socket.family, caller_socket.type, fileno=os.dup(caller_socket.fileno())
             ) as duplicate:
                 duplicate.shutdown(socket.SHUT_RDWR)
             while running.dispatcher.pending_calls:
@@ -162,8 +169,8 @@
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
         async with service(worker, invoke=read_invoke_config(authority)) as running:
-            async with Caller(running, authority.caller(DESK_ID)) as desk:
-                desk.send("POST", FUNCTION_PATH + "check", b"x")
+            async with Caller(running, authority.caller(DESK_ID)) as caller:
+                caller.send("POST", FUNCTION_PATH + "check", b"x")
                 await worker.wait_until(lambda: len(worker.calls) == 1)
             await worker.wait_until(lambda: len(worker.cancelled_ids) == 1)
             assert not running.dispatcher.pending_calls
@@ -179,15 +186,15 @@
         (leave_unanswered, 504, "unknown"),
     ],
 )
-def test_results_are_mapped_to_problems(
+def test_results_are_mapped_to_problem_details(
     authority: Authority, behavior: Behavior, expected_status: int, repeat: str
 ) -> None:
     async def scenario() -> None:
         async with (
             service(ScriptedWorker(behavior), invoke=read_invoke_config(authority)) as running,
-            Caller(running, authority.caller(DESK_ID)) as desk,
+            Caller(running, authority.caller(DESK_ID)) as caller,
         ):
-            status, fields, body = await desk.request(
+            status, fields, body = await caller.request(
                 "POST", FUNCTION_PATH + "confirm", b"x", Call_Timeout_Ms="300"
             )
             assert status == expected_status
@@ -205,22 +212,24 @@
         worker = ScriptedWorker(leave_unanswered)
         async with service(worker, invoke=read_invoke_config(authority)) as running:
             context = authority.caller(DESK_ID)
-            async with Caller(running, context) as desk, Caller(running, context) as other:
+            async with Caller(running, context) as caller, Caller(running, context) as other:
                 _, fields, _ = await other.request("POST", FUNCTION_PATH + "confirm", b"b", **RESPOND_ASYNC)
-                desk.send("POST", FUNCTION_PATH + "check", b"a")
+                caller.send("POST", FUNCTION_PATH + "check", b"a")
                 await worker.wait_until(lambda: len(worker.calls) == 2)
                 shutdown = asyncio.create_task(running.shut_down())
                 while running.platform.is_ready:
                     await asyncio.sleep(0)
                 for call in worker.calls:
                     worker.answer(call, serve_uppercase(worker, call))
-                assert (await desk.read()).body == b"A"
-                async with Caller(running, context) as late:
+                assert (await caller.read()).body == b"A"
+                async with Caller(running, context) as late_caller:
                     assert (
-                        await late.request("POST", FUNCTION_PATH + "check", b"c", **RESPOND_ASYNC)
+                        await late_caller.request("POST", FUNCTION_PATH + "check", b"c", **RESPOND_ASYNC)
                     ).status == 503
-                async with Caller(running, context) as late:
-                    assert (await late.request("GET", fields["location"], Prefer="wait=3")).body == b"B"
+                async with Caller(running, context) as late_caller:
+                    assert (
+                        await late_caller.request("GET", fields["location"], Prefer="wait=3")
+                    ).body == b"B"
                 await shutdown
 
     asyncio.run(scenario())
@@ -233,16 +242,16 @@
     async def served_share(running: Service, *, is_deferred: bool) -> float:
         sent_weight = 0
         served_weight = 0
-        async with Caller(running, authority.caller(DESK_ID)) as desk:
+        async with Caller(running, authority.caller(DESK_ID)) as caller:
             for number in range(60):
                 class_name = ("check", "revise", "confirm")[number % 3]
                 fields = {"Idempotency-Key": f"{is_deferred}-{number}"}
                 if is_deferred:
                     fields |= RESPOND_ASYNC
-                response = await desk.request("POST", FUNCTION_PATH + class_name, b"%d" % number, **fields)
+                response = await caller.request("POST", FUNCTION_PATH + class_name, b"%d" % number, **fields)
                 if is_deferred:
                     location = response.fields["location"]
-                    response = await desk.request("GET", location, Prefer="wait=5")
+                    response = await caller.request("GET", location, Prefer="wait=5")
                 sent_weight += weights[class_name]
                 served_weight += weights[class_name] * (response.status == 200)
         return served_weight / sent_weight
@@ -272,9 +281,9 @@
             service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running,
             client(running) as platform,
         ):
-            async with Caller(running, authority.caller(DESK_ID)) as desk:
+            async with Caller(running, authority.caller(DESK_ID)) as caller:
                 assert (await platform.call(1, "check", b"x"))[3] == [b"X", {}]
-                assert (await desk.request("POST", FUNCTION_PATH + "check", b"y")).body == b"Y"
+                assert (await caller.request("POST", FUNCTION_PATH + "check", b"y")).body == b"Y"
             assert running.dispatcher.result_counts["served"] == 2
 
     asyncio.run(scenario())
--- a/tests/integration/test_invoke_connections.py
+++ b/tests/integration/test_invoke_connections.py
@@ -29,14 +29,14 @@
         ("GET", "/v1/ready", {}, 200),
     ],
 )
-def test_invalid_input_gets_a_problem_and_nothing_is_forwarded(
+def test_each_request_gets_its_status_and_none_is_forwarded(
     authority: Authority, method: str, path: str, fields: dict[str, str], expected_status: int
 ) -> None:
     async def scenario() -> None:
         worker = ScriptedWorker()
         async with service(worker, invoke=read_invoke_config(authority)) as running:
-            async with Caller(running, authority.caller(DESK_ID)) as desk:
-                assert (await desk.request(method, path, b"", **fields)).status == expected_status
+            async with Caller(running, authority.caller(DESK_ID)) as caller:
+                assert (await caller.request(method, path, b"", **fields)).status == expected_status
             assert not worker.calls
 
     asyncio.run(scenario())
@@ -46,22 +46,22 @@
     async def scenario() -> None:
         async with (
             service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running,
-            Caller(running, authority.caller(DESK_ID)) as desk,
+            Caller(running, authority.caller(DESK_ID)) as caller,
         ):
-            desk.send("POST", FUNCTION_PATH + "check", b"a")
-            desk.send("POST", FUNCTION_PATH + "check", b"b")  # pipelined on the same connection
-            assert [(await desk.read()).body for _ in range(2)] == [b"A", b"B"]
+            caller.send("POST", FUNCTION_PATH + "check", b"a")
+            caller.send("POST", FUNCTION_PATH + "check", b"b")  # pipelined on the same connection
+            assert [(await caller.read()).body for _ in range(2)] == [b"A", b"B"]
             fields = "Host: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n"
             head = f"POST {FUNCTION_PATH}check HTTP/1.1\r\n{fields}\r\n"
             for byte in head.encode():
-                desk.writer.write(bytes((byte,)))
+                caller.writer.write(bytes((byte,)))
                 await asyncio.sleep(0)
-            assert (await desk.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
-            desk.writer.write(b"cd")
-            assert (await desk.read()).body == b"CD"
-            desk.writer.write(b"no request\r\n\r\n")
-            assert (await desk.read()).status == 400
-            assert await desk.reader.read() == b""  # the connection is closed
+            assert (await caller.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
+            caller.writer.write(b"cd")
+            assert (await caller.read()).body == b"CD"
+            caller.writer.write(b"no request\r\n\r\n")
+            assert (await caller.read()).status == 400
+            assert await caller.reader.read() == b""  # the connection is closed
 
     asyncio.run(scenario())
 
@@ -70,14 +70,14 @@
     async def scenario() -> None:
         async with service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running:
             assert running.invoke is not None
-            async with Caller(running, authority.caller(DESK_ID)) as desk:
-                desk.writer.write(b"POST /v1")  # an incomplete head
+            async with Caller(running, authority.caller(DESK_ID)) as caller:
+                caller.writer.write(b"POST /v1")  # an incomplete head
                 while not any(
                     connection.request_started_at is not None for connection in running.invoke.connections
                 ):
                     await asyncio.sleep(0)
                 running.invoke.sweep(asyncio.get_running_loop().time() + 11.0)
-                assert (await desk.read()).status == 408
+                assert (await caller.read()).status == 408
 
     asyncio.run(scenario())
 
@@ -99,7 +99,7 @@
     asyncio.run(scenario())
 
 
-def test_an_idle_caller_is_evicted_at_the_limit(authority: Authority) -> None:
+def test_an_idle_caller_is_evicted_at_the_connection_limit(authority: Authority) -> None:
     async def scenario() -> None:
         config = dataclasses.replace(read_invoke_config(authority), max_connections=2)
         context = authority.caller(DESK_ID)
--- a/tests/integration/test_invoke_identities.py
+++ b/tests/integration/test_invoke_identities.py
@@ -41,8 +41,8 @@
     async def scenario() -> None:
         worker = ScriptedWorker()
         async with service(worker, invoke=read_invoke_config(authority)) as running:
-            async with Caller(running, authority.caller(*uris, may_sign=may_sign)) as stranger:
-                assert (await stranger.request("POST", FUNCTION_PATH + "check", b"x")).status == 403
+            async with Caller(running, authority.caller(*uris, may_sign=may_sign)) as caller:
+                assert (await caller.request("POST", FUNCTION_PATH + "check", b"x")).status == 403
             assert not worker.calls
 
     asyncio.run(scenario())
@@ -54,15 +54,19 @@
     async def scenario() -> None:
         worker = ScriptedWorker()
         async with service(worker, invoke=read_invoke_config(authority)) as running:
-            keyed = RESPOND_ASYNC | {"Idempotency-Key": "1"}
-            async with Caller(running, authority.caller(DESK_ID)) as desk:
-                _, fields, _ = await desk.request("POST", FUNCTION_PATH + "revise", b"x", **keyed)
-            async with Caller(running, authority.caller(PORTAL_ID)) as portal:
-                assert (await portal.request("GET", fields["location"])).status == 404
-                assert (await portal.request("DELETE", fields["location"])).status == 404
-                _, other, _ = await portal.request("POST", FUNCTION_PATH + "revise", b"x", **keyed)
-                assert other["location"] != fields["location"]
-                assert (await portal.request("GET", other["location"], Prefer="wait=5")).status == 200
+            keyed_fields = RESPOND_ASYNC | {"Idempotency-Key": "1"}
+            async with Caller(running, authority.caller(DESK_ID)) as caller:
+                _, fields, _ = await caller.request("POST", FUNCTION_PATH + "revise", b"x", **keyed_fields)
+            async with Caller(running, authority.caller(PORTAL_ID)) as other_caller:
+                assert (await other_caller.request("GET", fields["location"])).status == 404
+                assert (await other_caller.request("DELETE", fields["location"])).status == 404
+                _, other_fields, _ = await other_caller.request(
+                    "POST", FUNCTION_PATH + "revise", b"x", **keyed_fields
+                )
+                assert other_fields["location"] != fields["location"]
+                assert (
+                    await other_caller.request("GET", other_fields["location"], Prefer="wait=5")
+                ).status == 200
             keys = {call["fields"]["replay"] for call in worker.calls}
             assert len(keys) == len(worker.calls) == 2
 
@@ -74,8 +78,8 @@
         async with service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running:
             context = authority.context_without_certificate()
             with pytest.raises((OSError, asyncio.IncompleteReadError)):
-                async with Caller(running, context) as anonymous:
-                    await anonymous.request("GET", "/v1/ready")
+                async with Caller(running, context) as caller:
+                    await caller.request("GET", "/v1/ready")
 
     asyncio.run(scenario())
 
@@ -84,14 +88,14 @@
     async def scenario() -> None:
         async with (
             service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running,
-            Caller(running, authority.caller(DESK_ID)) as desk,
+            Caller(running, authority.caller(DESK_ID)) as caller,
         ):
-            assert (await desk.request("GET", "/v1/ready")).status == 200
+            assert (await caller.request("GET", "/v1/ready")).status == 200
             assert running.invoke is not None
             for connection in running.invoke.connections:
                 assert isinstance(connection.peer, spiffe.Identity)
                 connection.peer = dataclasses.replace(connection.peer, expires_at_unix=1.0)
-            assert (await desk.request("GET", "/v1/ready")).status == 403
+            assert (await caller.request("GET", "/v1/ready")).status == 403
 
     asyncio.run(scenario())
 
@@ -101,20 +105,20 @@
         async with service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running:
             assert running.invoke is not None
             old_context = authority.caller(DESK_ID)
-            async with Caller(running, old_context) as desk:
+            async with Caller(running, old_context) as caller:
                 config_path = authority.folder / "invoke.toml"
                 config_path.write_text(config_path.read_text().replace("desk/*", "office/*"))
                 renewed = Authority(authority.folder)  # overwrites the bundle
                 renewed.svid("svid", "spiffe://gaz.example/router")
                 assert await running.invoke.reload()
-                assert (await desk.request("GET", "/v1/ready")).status == 403, (
+                assert (await caller.request("GET", "/v1/ready")).status == 403, (
                     "the new allow list must also apply to an open connection"
                 )
-            async with Caller(running, renewed.caller("spiffe://gaz.example/office/2")) as office:
-                assert (await office.request("GET", "/v1/ready")).status == 200
+            async with Caller(running, renewed.caller("spiffe://gaz.example/office/2")) as renewed_caller:
+                assert (await renewed_caller.request("GET", "/v1/ready")).status == 200
             with pytest.raises((OSError, asyncio.IncompleteReadError)):
-                async with Caller(running, old_context) as desk:
-                    await desk.request("GET", "/v1/ready")
+                async with Caller(running, old_context) as caller:
+                    await caller.request("GET", "/v1/ready")
             (authority.folder / "bundle.pem").write_text("no certificate")
             assert not await running.invoke.reload()  # an unusable bundle changes nothing
             assert running.invoke.config.allowed_patterns[0] == "spiffe://gaz.example/office/*"
--- a/tests/integration/test_platform.py
+++ b/tests/integration/test_platform.py
@@ -107,7 +107,7 @@
     asyncio.run(scenario())
 
 
-def test_the_response_is_sent_before_the_limit_and_the_attempt_cancelled() -> None:
+def test_a_call_is_answered_before_its_time_limit_and_its_attempt_is_cancelled() -> None:
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
         async with service(worker) as running, client(running) as caller:
--- a/tests/integration/test_platform_connections.py
+++ b/tests/integration/test_platform_connections.py
@@ -79,22 +79,22 @@
     asyncio.run(scenario())
 
 
-def test_a_connection_without_a_complete_message_is_closed_and_one_with_a_served_call_stays() -> None:
+def test_a_connection_without_a_complete_message_is_closed_and_one_with_a_served_call_stays_open() -> None:
     async def scenario() -> None:
         async with (
             service(ScriptedWorker()) as running,
             client(running) as silent,
             client(running) as incomplete,
-            client(running) as proven,
+            client(running) as validated,
         ):
-            assert await proven.call(1, "check", b"x") == [1, 1, None, [b"X", {}]]
+            assert await validated.call(1, "check", b"x") == [1, 1, None, [b"X", {}]]
             incomplete.writer.write(pack_call(1, "check", b"x")[:40])
             while not any(connection.needed_bytes for connection in running.platform.unvalidated_connections):
                 await asyncio.sleep(0)
             running.platform.sweep(asyncio.get_running_loop().time() + 3.0)
             assert await silent.read() is None
             assert await incomplete.read() is None
-            assert await proven.call(2, "check", b"x") == [1, 2, None, [b"X", {}]]
+            assert await validated.call(2, "check", b"x") == [1, 2, None, [b"X", {}]]
 
     asyncio.run(scenario())
 
@@ -148,14 +148,14 @@
                 caller.writer.write(b"\x94\x00\x09\xa5check\x91\x80")
                 await caller.read()
                 (connection,) = running.platform.connections
-                remaining = weakref.ref(connection)
+                connection_reference = weakref.ref(connection)
                 del connection
             async with asyncio.timeout(TIMEOUT_S):
                 while running.platform.connections or running.platform.unvalidated_connections:
                     await asyncio.sleep(0)
             for _ in range(3):  # lets the callbacks of the close run
                 await asyncio.sleep(0)
-            assert remaining() is None
+            assert connection_reference() is None
 
     gc.collect()
     gc.disable()
--- a/tests/integration/test_platform_input.py
+++ b/tests/integration/test_platform_input.py
@@ -53,7 +53,7 @@
         {"item": ""},
     ],
 )
-def test_numbers_out_of_range_get_an_error(fields: dict[str, str]) -> None:
+def test_malformed_or_out_of_range_values_get_an_error(fields: dict[str, str]) -> None:
     async def scenario() -> None:
         async with service(ScriptedWorker()) as running, client(running) as caller:
             assert (await caller.call(1, "check", b"x", **fields))[2][0] == "BadRequest"
--- a/tests/integration/test_process.py
+++ b/tests/integration/test_process.py
@@ -38,24 +38,24 @@
         assert "shutdown_completed open_calls=0\n" in log_until_end
 
 
-def test_sighup_follows_a_new_discovery_address_and_never_ends_the_process(tmp_path: Path) -> None:
+def test_sighup_reloads_the_discovery_address_and_never_ends_the_process(tmp_path: Path) -> None:
     """Guards against a SIGHUP that is ignored where the invoke API is off.
 
     The router then kept polling a discovery server that had ended.
     """
-    file = tmp_path / "config.json"
+    config_path = tmp_path / "config.json"
     with (
         serving_router(tmp_path) as (process, log),
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as discovery_server,
     ):
-        valid_config = json.loads(file.read_text())
-        file.write_text("{")
+        valid_config = json.loads(config_path.read_text())
+        config_path.write_text("{")
         process.send_signal(signal.SIGHUP)
         wait_for_log_line(log, "configuration_rejected error=")
         discovery_server.bind(("127.0.0.1", 0))
         discovery_server.settimeout(10)
         discovery_port = discovery_server.getsockname()[1]
-        file.write_text(json.dumps(valid_config | {"dns": f"127.0.0.1:{discovery_port}"}))
+        config_path.write_text(json.dumps(valid_config | {"dns": f"127.0.0.1:{discovery_port}"}))
         process.send_signal(signal.SIGHUP)
         assert b"_back" in discovery_server.recv(512)
         assert terminate(process) == 0
@@ -80,7 +80,7 @@
     assert main([]) == 2
 
 
-def test_an_upgrade_hands_the_address_to_a_second_process(tmp_path: Path) -> None:
+def test_an_upgrade_moves_clients_to_a_second_process_on_the_same_address(tmp_path: Path) -> None:
     """The platform starts a second process on the same address, then sends SIGTERM to the first one."""
     listen_port = free_port()
     first_control_port = free_port()
@@ -110,7 +110,9 @@
         end_router(first_process)
 
 
-def test_an_upgraded_process_joins_its_peers_once_the_old_one_has_left_the_port(tmp_path: Path) -> None:
+def test_an_upgraded_process_joins_its_peers_once_the_old_process_has_released_the_port(
+    tmp_path: Path,
+) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as old_process_socket:
         old_process_socket.bind(("127.0.0.1", 0))
         port = old_process_socket.getsockname()[1]
--- a/tests/integration/test_process_start.py
+++ b/tests/integration/test_process_start.py
@@ -22,7 +22,7 @@
     from pathlib import Path
 
 
-def test_processes_are_ready_while_discovery_is_silent(tmp_path: Path) -> None:
+def test_processes_are_ready_while_discovery_does_not_reply(tmp_path: Path) -> None:
     """Ten processes start at once, are killed and start again, and then one of them is restarted.
 
     Each process serves before discovery has sent a reply.
@@ -51,11 +51,11 @@
             return duration_s
 
         try:
-            for wave in (range(10), range(10), range(1)):
-                for number in wave:
+            for group in (range(10), range(10), range(1)):
+                for number in group:
                     if number in processes:
                         await processes[number].end()
-                durations_s = sorted(await asyncio.gather(*(start_serving(number) for number in wave)))
+                durations_s = sorted(await asyncio.gather(*(start_serving(number) for number in group)))
                 listed = " ".join(f"{duration_s:.2f}" for duration_s in durations_s)
                 print(f"{len(durations_s)} started at once: ready after {listed} s")
                 assert durations_s[max(0, len(durations_s) * 9 // 10 - 1)] < 10.0
@@ -82,7 +82,7 @@
     run_scenario(scenario)
 
 
-def test_an_operators_address_in_use_is_listened_on_once_it_is_free(tmp_path: Path) -> None:
+def test_a_control_address_in_use_is_listened_on_once_it_is_free(tmp_path: Path) -> None:
     """A predecessor process may still use the address; clients are served meanwhile."""
 
     async def scenario() -> None:
--- a/tests/integration/test_worker_connections.py
+++ b/tests/integration/test_worker_connections.py
@@ -147,22 +147,22 @@
         pool.connections.clear()
         connection = pool.acquire("a")
         assert connection is not None
-        remaining = weakref.ref(connection)
+        connection_reference = weakref.ref(connection)
         del connection
         await asyncio.wait(pool.connecting.values())
         await asyncio.sleep(0)  # lets the callbacks of the task run
         assert not pool.connections
         assert not pool.connecting
-        return remaining
+        return connection_reference
 
     caplog.set_level(logging.INFO)
     gc.collect()
     gc.disable()
     try:
-        remaining = asyncio.run(connect())
+        connection_reference = asyncio.run(connect())
         assert [record.name for record in caplog.records] == ["cedarthread.protocols.worker.pool"]
         caplog.clear()
-        assert remaining() is None
+        assert connection_reference() is None
     finally:
         gc.enable()
 
--- a/tests/integration/test_worker_responses.py
+++ b/tests/integration/test_worker_responses.py
@@ -34,14 +34,14 @@
     asyncio.run(scenario())
 
 
-def test_a_line_that_is_not_a_response_ends_its_connection() -> None:
+def test_a_line_that_is_not_a_response_closes_its_connection() -> None:
     async def scenario() -> None:
         for line in (b"no json\n", b"[1]\n", b"\xff\n"):
             harness = WorkerHarness(10_000)
             assert harness.connection.on_data(memoryview(b"")) == 0
-            space = harness.connection.get_buffer(-1)
-            space[: len(line)] = line
-            space.release()
+            read_buffer = harness.connection.get_buffer(-1)
+            read_buffer[: len(line)] = line
+            read_buffer.release()
             harness.connection.buffer.advance(len(line))
             with harness.connection.buffer.peek() as data:
                 assert harness.connection.on_data(data) is None
@@ -66,8 +66,10 @@
         assert json.loads(lines[-1]) == {"op": "UNLOAD", "id": f"{7:016x}"}
         harness.receive(b'{"op":"HIT","id":"load-1","fields":{"pods":"2"}}\n')
         harness.connection.connection_lost(None)
-        ended = [(event.function_id, event.outcome, event.instances) for event in harness.dispatcher.preloads]
-        assert ended == [
+        preload_results = [
+            (event.function_id, event.outcome, event.instances) for event in harness.dispatcher.preloads
+        ]
+        assert preload_results == [
             (9, Outcome.CONNECT_FAILED, 0),
             (7, Outcome.OK, 2),
             (8, Outcome.RESET, 0),
@@ -115,7 +117,7 @@
     asyncio.run(scenario())
 
 
-def test_an_endless_response_is_aborted() -> None:
+def test_an_endless_response_aborts_its_connection() -> None:
     async def scenario() -> None:
         harness = WorkerHarness(10_000)
         harness.send(FIRST_ID)
