--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass
 
-MOST = 3  # lines
+MAX_LINES = 3
 _ISSUE = re.compile(r"issue \d+\Z")
 
 
@@ -29,7 +29,7 @@
     """Parse the content of KNOWN-RED.txt.
 
     Raises:
-        KnownRedError: A line is malformed, or there are too many.
+        KnownRedError: A line is malformed, a test is listed twice, or there are too many lines.
     """
     found: list[KnownRed] = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -37,13 +37,13 @@
         if len(parts) != 3 or not all(parts) or not _ISSUE.match(parts[2]):
             raise KnownRedError(f"line {number}: expected 'test | cause | issue N', got {line[:80]!r}")
         found.append(KnownRed(*parts))
-    if len(found) > MOST:
-        raise KnownRedError(f"line {MOST + 1}: {len(found)} lines, at most {MOST} may stand")
-    if len({one.test for one in found}) < len(found):
+    if len(found) > MAX_LINES:
+        raise KnownRedError(f"line {MAX_LINES + 1}: {len(found)} lines, at most {MAX_LINES} may stand")
+    if len({entry.test for entry in found}) < len(found):
         raise KnownRedError("a test is listed twice")
     return found
 
 
-def unknown(known: list[KnownRed], collected: set[str]) -> list[str]:
+def find_unknown_tests(known: list[KnownRed], collected: set[str]) -> list[str]:
     """Return the listed node ids that no collected test has."""
-    return [one.test for one in known if one.test not in collected]
+    return [entry.test for entry in known if entry.test not in collected]
--- a/tests/unit/test_import_layers.py
+++ b/tests/unit/test_import_layers.py
@@ -39,7 +39,7 @@
     ("cli", "__main__"),
 )
 LAYER_OF = {name: number for number, names in enumerate(LAYERS) for name in names}
-TEST_TOOLS = "testing"
+TESTING_PACKAGE = "testing"
 
 
 def _module_name(path: Path) -> str:
@@ -63,41 +63,41 @@
 IMPORTS = {name: sorted(set(_imported_modules(path)) - {name}) for name, path in MODULES.items()}
 
 
-def _first_part(module: str) -> str:
+def _top_level_name(module: str) -> str:
     return module.split(".")[1] if "." in module else ""
 
 
 def _runtime_modules() -> Iterator[str]:
     for module in MODULES:
-        if _first_part(module) not in ("", TEST_TOOLS):
+        if _top_level_name(module) not in ("", TESTING_PACKAGE):
             yield module
 
 
 def test_every_module_belongs_to_a_layer() -> None:
-    assert [module for module in _runtime_modules() if _first_part(module) not in LAYER_OF] == []
+    assert [module for module in _runtime_modules() if _top_level_name(module) not in LAYER_OF] == []
 
 
-def test_no_import_points_upwards() -> None:
-    upwards = [
+def test_no_module_imports_from_a_higher_layer() -> None:
+    upward_imports = [
         f"{module} imports {imported}"
         for module in _runtime_modules()
         for imported in IMPORTS[module]
-        if _first_part(imported) in LAYER_OF
-        and LAYER_OF[_first_part(imported)] > LAYER_OF[_first_part(module)]
+        if _top_level_name(imported) in LAYER_OF
+        and LAYER_OF[_top_level_name(imported)] > LAYER_OF[_top_level_name(module)]
     ]
-    assert upwards == []
+    assert upward_imports == []
 
 
-def test_only_the_command_line_imports_test_tools() -> None:
-    users = [
+def test_only_the_command_line_imports_the_testing_package() -> None:
+    importers = [
         module
         for module in _runtime_modules()
-        if any(_first_part(imported) == TEST_TOOLS for imported in IMPORTS[module])
+        if any(_top_level_name(imported) == TESTING_PACKAGE for imported in IMPORTS[module])
     ]
-    assert users == [f"{PACKAGE}.cli"]
+    assert importers == [f"{PACKAGE}.cli"]
 
 
-def _find_circle(start: str) -> list[str]:
+def _find_cycle(start: str) -> list[str]:
     """Return a chain of imports from a module back to itself, or an empty list."""
     paths = [[start]]
     seen = {start}
@@ -112,6 +112,6 @@
     return []
 
 
-def test_no_files_import_each_other() -> None:
-    circles = {" -> ".join(sorted(set(circle))) for module in MODULES if (circle := _find_circle(module))}
-    assert sorted(circles) == []
+def test_imports_form_no_cycle() -> None:
+    cycles = {" -> ".join(sorted(set(cycle))) for module in MODULES if (cycle := _find_cycle(module))}
+    assert sorted(cycles) == []
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -32,7 +32,7 @@
         "".join(LINE.replace("red", f"red{n}") for n in range(4)),
     ],
 )
-def test_what_is_no_such_line_or_a_fourth_is_an_error(text: str) -> None:
+def test_a_malformed_duplicate_or_fourth_line_is_an_error(text: str) -> None:
     with pytest.raises(KnownRedError):
         read(text)
 
@@ -60,7 +60,7 @@
         ("".join(LINE.replace("red", f"red{n}") for n in range(4)), "pass", 4, "at most 3 may stand"),
     ],
 )
-def test_a_run_lets_pass_just_what_is_named(
+def test_only_listed_tests_may_fail_and_they_must_fail(
     tmp_path: Path, known: str, red: str, code: int, said: str
 ) -> None:
     done = play(tmp_path, known, red)
--- a/tests/unit/test_log_events.py
+++ b/tests/unit/test_log_events.py
@@ -103,7 +103,7 @@
     return re.findall(r"^\| `([^` ]+)", section, re.MULTILINE)
 
 
-def test_every_event_is_a_literal_name() -> None:
+def test_every_event_name_is_a_literal() -> None:
     assert _emitted()[1] == []
 
 
@@ -111,7 +111,7 @@
     assert [event for event in sorted(_emitted()[0]) if not SNAKE_CASE.fullmatch(event)] == []
 
 
-def test_the_on_call_page_has_each_event_once_and_no_others() -> None:
+def test_the_on_call_page_documents_each_event_once_and_no_others() -> None:
     documented = _documented()
     assert sorted(documented) == sorted(_emitted()[0])
 
@@ -121,7 +121,7 @@
     return isinstance(node, ast.Constant | ast.JoinedStr | ast.BinOp)
 
 
-def test_nothing_is_logged_that_is_no_event() -> None:
+def test_only_events_are_logged() -> None:
     others = []
     for name, tree in _files():
         for function, call in _calls(tree):
--- a/tests/unit/test_readme.py
+++ b/tests/unit/test_readme.py
@@ -8,7 +8,7 @@
 README = Path(__file__).parents[2] / "README.md"
 
 
-def test_the_example_runs_and_leaves_nothing_open() -> None:
+def test_the_example_runs_and_leaves_no_pending_request() -> None:
     code = README.read_text().split("```python\n")[1].split("```")[0]
     names: dict[str, Any] = {}
     exec(compile(code, str(README), "exec"), names)
