--- a/tests/contracts/test_golden.py
+++ b/tests/contracts/test_golden.py
@@ -235,7 +235,7 @@
     loaded = load_store(unpack_folder("each", tmp_path))
     limits = dataclasses.replace(settings().limits, allows_gossip=False)
     router = RoutingNode(settings(router_count=1, limits=limits), 3, 4)
-    ready = tuple(worker(number, started=100.0 * number) for number in range(1, 4))
+    ready = tuple(worker(number, started_at_ms=100.0 * number) for number in range(1, 4))
     router.handle(0.0, EndpointUpdate(EndpointUpdateKind.CACHED, 1, ready))
     config = fleet_config.parse_fleet_config(b'[disk]\nfolder = "kept"\n')
     router.apply_fleet_config(0.0, config, lambda: WALL_CLOCK_MS + 2000.0)
--- a/tests/golden_builders/fleet.py
+++ b/tests/golden_builders/fleet.py
@@ -97,7 +97,7 @@
         config = fleet_config.parse_fleet_config(
             FLEET_FILE.replace(b'[disk]\nfolder = "kept"\nsync = "each"\n', b"")
         )
-        ready = tuple(worker(number, started=100.0 * number) for number in range(1, 7))
+        ready = tuple(worker(number, started_at_ms=100.0 * number) for number in range(1, 7))
         for index, router in enumerate(self.routers):
             self._handle(index, EndpointUpdate(EndpointUpdateKind.CACHED, 1, ready))
             actions = router.apply_fleet_config(self.now_ms, config, lambda: WALL_CLOCK_MS + self.now_ms)
--- a/tests/golden_builders/stored_values.py
+++ b/tests/golden_builders/stored_values.py
@@ -108,7 +108,7 @@
 def _recovery(now_ms: float) -> RecoveryComponent:
     """Return the component of a router that has three workers and has read the wall clock."""
     recovery = RecoveryComponent(settings(router_count=1), 5, now_ms)
-    ready = tuple(worker(number, started=100.0 * number) for number in range(1, 4))
+    ready = tuple(worker(number, started_at_ms=100.0 * number) for number in range(1, 4))
     recovery.on_notification(now_ms, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, ready))
     recovery.on_notification(now_ms, WallClockRead(WALL_CLOCK_MS + now_ms))
     return recovery
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -73,10 +73,10 @@
     state: EndpointState = EndpointState.READY,
     zone: int = 0,
     cell: int = 0,
-    started: float | None = None,
+    started_at_ms: float | None = None,
 ) -> Endpoint:
-    """Return the endpoint of a worker; ``started`` is the time of its start in ms, None if unknown."""
-    return Endpoint(number, zone, 0, cell, state, 1.0, started)
+    """Return the endpoint of a worker; ``started_at_ms`` is None if its start is long ago."""
+    return Endpoint(number, zone, 0, cell, state, 1.0, started_at_ms)
 
 
 class RouterDriver:
@@ -154,12 +154,12 @@
         return returned
 
 
-def sends(actions: list[Action]) -> list[int]:
+def attempted_worker_ids(actions: list[Action]) -> list[int]:
     """Return the ids of the workers to which the actions send attempts."""
     return [action.worker_id for action in actions if isinstance(action, StartAttempt)]
 
 
-def finals(actions: list[Action]) -> list[Action]:
+def final_failures(actions: list[Action]) -> list[Action]:
     """Return the actions that end a request without success."""
     return [action for action in actions if isinstance(action, (RejectRequest, FailRequest))]
 
@@ -182,7 +182,7 @@
     return _SHARED_BY_ID[object_id]
 
 
-def copier(original: Copied, shared: Iterable[object] = ()) -> Callable[[], Copied]:
+def make_copier(original: Copied, shared: Iterable[object] = ()) -> Callable[[], Copied]:
     """Return a function that returns deep copies of the original as it is now.
 
     All copies are read from one pickle, which is faster than ``copy.deepcopy`` for many copies. The copies
--- a/tests/simulation/change_freeze_world.py
+++ b/tests/simulation/change_freeze_world.py
@@ -196,7 +196,7 @@
 
     def _changed(self, **changes: object) -> RouterModel:
         if self.make_copy is None:
-            self.make_copy = helpers.copier(self, (SETTINGS, *(body for _, body in BODIES), *ENTRIES))
+            self.make_copy = helpers.make_copier(self, (SETTINGS, *(body for _, body in BODIES), *ENTRIES))
         model = self.make_copy()
         for name, value in changes.items():
             setattr(model, name, value)
--- a/tests/simulation/recovery_fleet.py
+++ b/tests/simulation/recovery_fleet.py
@@ -137,7 +137,7 @@
             worker(
                 worker_id,
                 EndpointState.DRAINING if worker_id in self.draining else EndpointState.READY,
-                started=self.worker_started_at_ms[worker_id],
+                started_at_ms=self.worker_started_at_ms[worker_id],
             )
             for worker_id in self.worker_ids
         )
--- a/tests/simulation/test_escrow_fleet.py
+++ b/tests/simulation/test_escrow_fleet.py
@@ -20,7 +20,7 @@
 )
 from cedarthread.testing.escrow_model import Event, EventKind, SmallEscrowModel, explore_states
 from cedarthread.testing.escrow_simulation import CHECK_INTERVAL_MS, EscrowSimulation
-from tests.helpers import copier
+from tests.helpers import make_copier
 
 if TYPE_CHECKING:
     from cedarthread.escrow.codec import EscrowRequest, EscrowResponse
@@ -223,7 +223,7 @@
 
     def __deepcopy__(self, memo: dict[int, Any]) -> Any:
         if "copy" not in self.__dict__:
-            self.copy = copier(self, list(memo.values()))
+            self.copy = make_copier(self, list(memo.values()))
         return self.copy()
 
 
--- a/tests/simulation/test_recovery_exploration.py
+++ b/tests/simulation/test_recovery_exploration.py
@@ -13,7 +13,7 @@
 from cedarthread.recovery import peer_query
 from cedarthread.recovery.component import RecoveryComponent
 from cedarthread.recovery.state_machine import RecoveryPhase, TransitionCause
-from tests.helpers import copier, settings, worker
+from tests.helpers import make_copier, settings, worker
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -70,7 +70,7 @@
 
     def _new_router(self, index: int, router_count: int) -> RecoveryComponent:
         recovery = RecoveryComponent(SETTINGS[router_count, index], index, self.now_ms)
-        endpoints = (worker(1, started=5.0 + self.has_worker_restarted),)
+        endpoints = (worker(1, started_at_ms=5.0 + self.has_worker_restarted),)
         recovery.on_notification(self.now_ms, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, endpoints))
         return recovery
 
@@ -109,7 +109,7 @@
                 self.routers[event.number] = self._new_router(event.number, len(self.routers))
             case EventKind.RESTART_WORKER:
                 self.has_worker_restarted = True
-                update = EndpointUpdate(EndpointUpdateKind.DELTA, 2, (worker(1, started=6.0),))
+                update = EndpointUpdate(EndpointUpdateKind.DELTA, 2, (worker(1, started_at_ms=6.0),))
                 for recovery in self.routers:
                     recovery.on_notification(self.now_ms, update)
 
@@ -190,7 +190,7 @@
     known = {initial.key()}
     while to_visit and len(known) < max_states:
         state = to_visit.popleft()
-        copy_of_state = copier(state, SETTINGS.values())
+        copy_of_state = make_copier(state, SETTINGS.values())
         for event in state.possible_events():
             fleet = copy_of_state()
             fleet.apply(event)
--- a/tests/simulation/test_slow_start_fleet.py
+++ b/tests/simulation/test_slow_start_fleet.py
@@ -12,7 +12,7 @@
 from cedarthread.model.outcomes import Outcome
 from cedarthread.model.settings import NotLoadedBehavior
 from cedarthread.statistics import WindowedMaximum
-from tests.helpers import CLASSES, RouterDriver, sends, settings, worker
+from tests.helpers import CLASSES, RouterDriver, attempted_worker_ids, settings, worker
 from tests.simulation.slow_start_fleet import Fleet
 from tests.simulation.slow_start_scenarios import SCENARIOS, Scenario
 
@@ -60,7 +60,7 @@
 def idle_router() -> RouterDriver:
     """Return a router that knows six warm workers and worker 7, which is warming up."""
     warm_workers = [worker(number) for number in range(1, 7)]
-    return RouterDriver(*warm_workers, worker(7, started=1000.0), router_count=20)
+    return RouterDriver(*warm_workers, worker(7, started_at_ms=1000.0), router_count=20)
 
 
 def router_with_traffic() -> RouterDriver:
@@ -68,7 +68,7 @@
     driver = idle_router()
     for number in range(40):
         driver.send_request(number, after_ms=20.0)
-        driver.end_attempt(driver.last_request_id, sends(driver.actions)[-1], after_ms=100.0)
+        driver.end_attempt(driver.last_request_id, attempted_worker_ids(driver.actions)[-1], after_ms=100.0)
     return driver
 
 
@@ -121,7 +121,7 @@
     driver = RouterDriver(worker(1), when_not_loaded=NotLoadedBehavior.REJECT, router_count=1)
     driver.send_request(function_id=7)
     driver.feed(PreloadEnded(1, 7, Outcome.OK, 1, 100.0), after_ms=100.0)
-    driver.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 2, (worker(2, started=driver.now_ms),)))
+    driver.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 2, (worker(2, started_at_ms=driver.now_ms),)))
     function = driver.router.functions[7]
     function.remove_worker(1)  # as if the warm worker had unloaded its instance
     function.affinity[2] = 1.0
@@ -144,12 +144,12 @@
 
 def test_without_slow_start_a_worker_serves_again_after_draining() -> None:
     rules = dataclasses.replace(settings().rules, slow_start_ms=0.0)
-    driver = RouterDriver(worker(1, started=1000.0), rules=rules)
+    driver = RouterDriver(worker(1, started_at_ms=1000.0), rules=rules)
     driver.feed(
         EndpointUpdate(EndpointUpdateKind.DELTA, 2, (worker(1, EndpointState.DRAINING),)), after_ms=100.0
     )
     driver.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 3, (worker(1),)), after_ms=100.0)
-    assert sends(driver.send_request()) == [1]
+    assert attempted_worker_ids(driver.send_request()) == [1]
 
 
 def test_a_windowed_maximum_is_constant_while_its_input_is_and_decays_after_it_falls() -> None:
@@ -164,12 +164,12 @@
 
 
 def test_an_attempt_that_was_never_sent_uses_no_slow_start_budget() -> None:
-    driver = RouterDriver(worker(1, started=900.0), now_ms=1000.0, router_count=1)
+    driver = RouterDriver(worker(1, started_at_ms=900.0), now_ms=1000.0, router_count=1)
     record = driver.router.workers[1]
     record.jitter = 0.0
-    assert sends(driver.send_request()) == [1]
+    assert attempted_worker_ids(driver.send_request()) == [1]
     assert len(record.slow_start_sends) == 1
     ended = AttemptEnded(1, 0, 1, Outcome.NOT_SENT, 0.0, True, is_unreachable=False, is_local=True)
     driver.feed(ended)
     assert not record.slow_start_sends
-    assert sends(driver.send_request()) == [1]  # the budget is free for another attempt
+    assert attempted_worker_ids(driver.send_request()) == [1]  # the budget is free for another attempt
--- a/tests/unit/change_freeze/test_placement_table.py
+++ b/tests/unit/change_freeze/test_placement_table.py
@@ -11,8 +11,8 @@
 
 def test_placements_survive_a_corrupted_list_but_not_a_restart() -> None:
     placements = PlacementTable()
-    worker = helpers.worker(1, started=5.0)
-    restarted = helpers.worker(1, started=6.0)
+    worker = helpers.worker(1, started_at_ms=5.0)
+    restarted = helpers.worker(1, started_at_ms=6.0)
     placements.on_endpoint_update(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, (worker,)))
     placements.record(0.0, FUNCTION_ID, 1)
     placements.is_frozen = True
--- a/tests/unit/gossip/test_gossip_in_routers.py
+++ b/tests/unit/gossip/test_gossip_in_routers.py
@@ -12,7 +12,7 @@
 from cedarthread.model.events import AttemptEnded, PeerMessageReceived, RequestArrived, TimerFired
 from cedarthread.model.outcomes import Outcome
 from cedarthread.node.routing_node import RoutingNode
-from tests.helpers import PRICES, sends, settings, worker
+from tests.helpers import PRICES, attempted_worker_ids, settings, worker
 from tests.unit.gossip.builders import (
     LIMITS_WITHOUT_GOSSIP,
     encoded_update,
@@ -37,7 +37,9 @@
         for datagram in gossip.collect_due_datagrams(now_ms):
             second.handle(now_ms + 5.0, PeerMessageReceived(0, datagram.data))
         if function_id:  # the first datagram only requests the full state
-            assert sends(send_request(second, function_id, function_id, now_ms + 10.0)) == [warm_worker]
+            assert attempted_worker_ids(send_request(second, function_id, function_id, now_ms + 10.0)) == [
+                warm_worker
+            ]
             second.handle(now_ms + 60.0, AttemptEnded(function_id, 0, warm_worker, Outcome.OK, 50.0, True))
 
 
@@ -46,7 +48,9 @@
     actions = send_request(node, 7, 1, 100.0)
     update = encoded_update(1, 1, WorkerUpdate(1, 9), requests_full_state=True)
     actions += node.handle(120.0, PeerMessageReceived(1, update))
-    actions += node.handle(200.0, AttemptEnded(1, 0, sends(actions)[0], Outcome.OK, 90.0, True))
+    actions += node.handle(
+        200.0, AttemptEnded(1, 0, attempted_worker_ids(actions)[0], Outcome.OK, 90.0, True)
+    )
     assert node.load_gossip is None
     assert not any(isinstance(action, (SendToPeer, CheckHealth)) for action in actions)
     assert all(record.peers_in_flight == 0.0 for record in node.router.workers.values())
@@ -63,15 +67,15 @@
     assert not any(isinstance(action, SendToPeer) for action in send_request(second, 8, 2, 200.0))
 
 
-FIRST_WORKER = worker(1, started=10.0)
-SECOND_WORKER = worker(2, started=10.0)
+FIRST_WORKER = worker(1, started_at_ms=10.0)
+SECOND_WORKER = worker(2, started_at_ms=10.0)
 
 
 @pytest.mark.parametrize(
     ("kind", "listed"),
     [
         pytest.param(EndpointUpdateKind.DELTA, worker(1, EndpointState.REMOVED), id="removed"),
-        pytest.param(EndpointUpdateKind.DELTA, worker(1, started=80.0), id="restarted"),
+        pytest.param(EndpointUpdateKind.DELTA, worker(1, started_at_ms=80.0), id="restarted"),
         pytest.param(EndpointUpdateKind.SNAPSHOT, SECOND_WORKER, id="missing"),
     ],
 )
--- a/tests/unit/recovery/builders.py
+++ b/tests/unit/recovery/builders.py
@@ -27,7 +27,7 @@
 def empty_warm_state() -> WarmState:
     """Return a warm state without observations whose endpoint list has the workers 1 and 2."""
     warm_state = WarmState(KEEP_ALIVE_MS)
-    warm_state.on_endpoint_update(0.0, endpoint_update(worker(1, started=50.0), worker(2)))
+    warm_state.on_endpoint_update(0.0, endpoint_update(worker(1, started_at_ms=50.0), worker(2)))
     return warm_state
 
 
@@ -38,7 +38,7 @@
 def component_in_service(now_ms: float = 1000.0, **changes: object) -> RecoveryComponent:
     """Return the component of a router in service, 40 s after its start; the function is warm on worker 1."""
     recovery = RecoveryComponent(settings(router_count=3, **changes), 4, now_ms)
-    recovery.on_notification(now_ms, endpoint_update(worker(1, started=50.0), worker(2)))
+    recovery.on_notification(now_ms, endpoint_update(worker(1, started_at_ms=50.0), worker(2)))
     recovery.on_notification(now_ms, PeersChanged((1, 2), 3, {1: LONG_UPTIME_MS, 2: LONG_UPTIME_MS}))
     for step in range(400):
         if not step % 2:
--- a/tests/unit/recovery/test_snapshot.py
+++ b/tests/unit/recovery/test_snapshot.py
@@ -20,7 +20,7 @@
     assert raw is not None
     for unix_ms, expected_count in ((5e12 + 3000.0, 1), (5e12 + 60_000.0, 0), (5e12 - 9000.0, 0)):
         after = RecoveryComponent(settings(router_count=3), 5, 7.0)
-        after.on_notification(7.0, endpoint_update(worker(1, started=50.0), worker(2)))
+        after.on_notification(7.0, endpoint_update(worker(1, started_at_ms=50.0), worker(2)))
         assert after.restore(7.0, raw) == 0  # because there is no wall clock reading yet
         after.on_notification(7.0, WallClockRead(unix_ms))
         assert after.restore(7.0, raw) == expected_count
--- a/tests/unit/recovery/test_warm_state.py
+++ b/tests/unit/recovery/test_warm_state.py
@@ -31,13 +31,13 @@
     found = warm_state.warm_instances(1500.0, FUNCTION)
     assert {worker_id: instance.warm_age_ms for worker_id, instance in found.items()} == {1: 500.0}
     for changed in (
-        worker(1, EndpointState.DRAINING, started=50.0),
-        worker(1, EndpointState.REMOVED, started=50.0),
-        worker(1, started=1400.0),
+        worker(1, EndpointState.DRAINING, started_at_ms=50.0),
+        worker(1, EndpointState.REMOVED, started_at_ms=50.0),
+        worker(1, started_at_ms=1400.0),
     ):
         warm_state.on_endpoint_update(1500.0, endpoint_delta(changed))
         assert warm_state.warm_instances(1500.0, FUNCTION) == {}
-        warm_state.on_endpoint_update(1500.0, endpoint_delta(worker(1, started=50.0)))
+        warm_state.on_endpoint_update(1500.0, endpoint_delta(worker(1, started_at_ms=50.0)))
         assert warm_state.warm_instances(1500.0, FUNCTION)
     snapshot_without_worker = endpoint_update(worker(2), kind=EndpointUpdateKind.SNAPSHOT)
     warm_state.on_endpoint_update(1600.0, snapshot_without_worker)
@@ -56,7 +56,7 @@
 
 def test_an_attempt_sent_before_the_workers_restart_was_listed_is_ignored() -> None:
     warm_state = empty_warm_state()
-    warm_state.on_endpoint_update(1000.0, endpoint_delta(worker(1, started=900.0)))
+    warm_state.on_endpoint_update(1000.0, endpoint_delta(worker(1, started_at_ms=900.0)))
     warm_state.record_local(1100.0, 1, FUNCTION, is_warm=True, latency_ms=200.0)
     assert not warm_state.warm_instances(1100.0, FUNCTION)
     warm_state.record_local(1100.0, 1, FUNCTION, is_warm=True, latency_ms=50.0)
--- a/tests/unit/routing/builders.py
+++ b/tests/unit/routing/builders.py
@@ -9,7 +9,7 @@
 from cedarthread.model.outcomes import Outcome, StartKind
 from cedarthread.routing.records import FunctionRecord
 from cedarthread.routing.rendezvous import hash64
-from tests.helpers import RouterDriver, sends, worker
+from tests.helpers import RouterDriver, attempted_worker_ids, worker
 
 if TYPE_CHECKING:
     from cedarthread.model.endpoints import Endpoint
@@ -46,7 +46,7 @@
 def call_other_functions(driver: RouterDriver, function_count: int = 40) -> None:
     """Call many other functions, so that the function under test is a small fraction of the calls."""
     for function_id in range(100, 100 + function_count):
-        (worker_id,) = sends(driver.send_request(function_id))
+        (worker_id,) = attempted_worker_ids(driver.send_request(function_id))
         driver.end_attempt(driver.last_request_id, worker_id, after_ms=1.0)
 
 
@@ -65,7 +65,7 @@
     """Send calls sequentially; each is served after 20 ms."""
     for number in range(count):
         driver.send_request(class_index=number % class_count, **fields)
-        driver.end_attempt(driver.last_request_id, sends(driver.actions)[-1], after_ms=20.0)
+        driver.end_attempt(driver.last_request_id, attempted_worker_ids(driver.actions)[-1], after_ms=20.0)
 
 
 def fail_connection(
--- a/tests/unit/routing/test_instance_queue.py
+++ b/tests/unit/routing/test_instance_queue.py
@@ -17,7 +17,7 @@
     InstanceQueue,
     WaitTimes,
 )
-from tests.helpers import LIMITS, finals, sends, settings, worker
+from tests.helpers import LIMITS, attempted_worker_ids, final_failures, settings, worker
 
 FUNCTION_ID = 7
 WORKER_ID = 4
@@ -89,29 +89,29 @@
 
 def test_one_cold_start_serves_the_calls_that_arrive_during_the_load() -> None:
     node = node_with_gossip_of_a_peer()
-    (worker_id,) = sends(send_request(node, 1, 10.0))
-    assert not any(sends(send_request(node, request_id, 20.0)) for request_id in (2, 3))
+    (worker_id,) = attempted_worker_ids(send_request(node, 1, 10.0))
+    assert not any(attempted_worker_ids(send_request(node, request_id, 20.0)) for request_id in (2, 3))
     closed_request_id = 99
     node.router.functions[FUNCTION_ID].instance_queue.waiting_requests[closed_request_id] = None
     cold_response = AttemptEnded(1, 0, worker_id, Outcome.OK, 390.0, True, StartKind.COLD, 0)
     actions = node.handle(400.0, cold_response)
-    assert sends(actions) == [worker_id, worker_id]
+    assert attempted_worker_ids(actions) == [worker_id, worker_id]
     assert len(node.router.pending_requests) == 2
 
 
 def test_without_recent_gossip_no_call_waits() -> None:
     without_gossip = node_with_gossip_of_a_peer(allows_gossip=False)
-    assert sends(send_request(without_gossip, 1, 10.0))
-    assert sends(send_request(without_gossip, 2, 20.0))
+    assert attempted_worker_ids(send_request(without_gossip, 1, 10.0))
+    assert attempted_worker_ids(send_request(without_gossip, 2, 20.0))
     with_old_gossip = node_with_gossip_of_a_peer()
-    assert sends(send_request(with_old_gossip, 1, 60_000.0))
-    assert sends(send_request(with_old_gossip, 2, 60_010.0)), "the peer's gossip is stale"
+    assert attempted_worker_ids(send_request(with_old_gossip, 1, 60_000.0))
+    assert attempted_worker_ids(send_request(with_old_gossip, 2, 60_010.0)), "the peer's gossip is stale"
 
 
 def test_a_waiting_call_is_rejected_after_half_of_its_time_limit_if_no_instance_loads() -> None:
     node = node_with_gossip_of_a_peer()
-    (worker_id,) = sends(send_request(node, 1, 10.0))
-    assert not sends(send_request(node, 2, 20.0))
+    (worker_id,) = attempted_worker_ids(send_request(node, 1, 10.0))
+    assert not attempted_worker_ids(send_request(node, 2, 20.0))
     assert 2 in node.router.queued_requests
     actions: list[Action] = []
     now_ms = 20.0
@@ -120,7 +120,7 @@
         gossip = codec.encode(codec.LoadUpdate(5, 1 + int(now_ms), False, ()))
         node.handle(now_ms, PeerMessageReceived(1, gossip))
         actions += node.handle(now_ms, TimerFired(node.router.state.timers.token))
-    (final_answer,) = finals(actions)
+    (final_answer,) = final_failures(actions)
     assert isinstance(final_answer, RejectRequest)
     assert final_answer.request_id == 2
     assert final_answer.retry_after_ms
--- a/tests/unit/routing/test_router.py
+++ b/tests/unit/routing/test_router.py
@@ -20,7 +20,7 @@
 from cedarthread.model.outcomes import Outcome
 from cedarthread.model.settings import DiscoveryMode, NotLoadedBehavior
 from cedarthread.routing import preload_budget, request_table, retry_budget
-from tests.helpers import CLASSES, LIMITS, RULES, RouterDriver, finals, sends, worker
+from tests.helpers import CLASSES, LIMITS, RULES, RouterDriver, attempted_worker_ids, final_failures, worker
 from tests.unit.routing.builders import FUNCTION_ID, cancellations, preloads, timers, workers
 
 STREAMING_CLASS = 5
@@ -31,27 +31,27 @@
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_LOADED])
 def test_an_outcome_that_proves_no_execution_is_retried(class_index: int, outcome: Outcome) -> None:
     driver = RouterDriver(worker(1), worker(2))
-    (home,) = sends(driver.send_request(class_index=class_index))
-    assert sends(driver.end_attempt(1, home, outcome)) == [3 - home]
+    (home,) = attempted_worker_ids(driver.send_request(class_index=class_index))
+    assert attempted_worker_ids(driver.end_attempt(1, home, outcome)) == [3 - home]
 
 
 def test_attempts_are_limited() -> None:
     driver = RouterDriver(*workers(8), limits=dataclasses.replace(LIMITS, max_attempts=2))
-    (first,) = sends(driver.send_request())
-    (second,) = sends(driver.end_attempt(1, first, Outcome.OVERLOADED))
+    (first,) = attempted_worker_ids(driver.send_request())
+    (second,) = attempted_worker_ids(driver.end_attempt(1, first, Outcome.OVERLOADED))
     actions = driver.end_attempt(1, second, Outcome.OVERLOADED, attempt_index=1)
-    (final_answer,) = finals(actions)
+    (final_answer,) = final_failures(actions)
     assert isinstance(final_answer, RejectRequest)
     assert final_answer.request_id == 1
-    assert sends(actions) == []
+    assert attempted_worker_ids(actions) == []
 
 
 def test_a_hedged_request_is_sent_where_that_is_allowed() -> None:
     driver = RouterDriver(worker(1), worker(2), limits=dataclasses.replace(LIMITS, allows_hedging=True))
-    (first,) = sends(driver.send_request())
+    (first,) = attempted_worker_ids(driver.send_request())
     driver.end_attempt(1, first)
-    (first,) = sends(driver.send_request(after_ms=1.0))
-    assert sends(driver.advance_to(driver.now_ms + 1000.0)) == [3 - first]
+    (first,) = attempted_worker_ids(driver.send_request(after_ms=1.0))
+    assert attempted_worker_ids(driver.advance_to(driver.now_ms + 1000.0)) == [3 - first]
 
 
 def test_a_client_retry_earns_no_retry_budget() -> None:
@@ -68,8 +68,8 @@
 def test_a_deadline_in_the_past_gets_one_final_answer(class_index: int) -> None:
     driver = RouterDriver(worker(1))
     actions = driver.send_request(class_index=class_index, remaining_ms=-5.0)
-    assert len(finals(actions)) == 1
-    assert sends(actions) == []
+    assert len(final_failures(actions)) == 1
+    assert attempted_worker_ids(actions) == []
 
 
 def test_unknown_requests_workers_and_timers_are_ignored() -> None:
@@ -104,7 +104,7 @@
 def test_no_timer_is_set_while_nothing_is_due() -> None:
     """Guards against setting the timer again at every event, which floods the host."""
     driver = RouterDriver(worker(1), worker(2))
-    (worker_id,) = sends(driver.send_request())
+    (worker_id,) = attempted_worker_ids(driver.send_request())
     driver.end_attempt(1, worker_id)
     driver.advance_to(60000.0)
     driver.actions.clear()
@@ -123,8 +123,8 @@
 
 def test_a_queued_request_without_a_worker_is_answered_in_time() -> None:
     driver = RouterDriver()
-    assert sends(driver.send_request()) == []
-    assert len(finals(driver.advance_to(4000.0))) == 1
+    assert attempted_worker_ids(driver.send_request()) == []
+    assert len(final_failures(driver.advance_to(4000.0))) == 1
     assert driver.router.pending_requests == {}
 
 
@@ -132,20 +132,20 @@
     driver = RouterDriver()
     driver.send_request()
     snapshot = EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 2, (worker(5),))
-    assert sends(driver.feed(snapshot, after_ms=50.0)) == [5]
+    assert attempted_worker_ids(driver.feed(snapshot, after_ms=50.0)) == [5]
 
 
 def test_a_request_never_sent_is_rejected_by_half_of_its_time() -> None:
     driver = RouterDriver(worker(1, EndpointState.DRAINING))
     driver.send_request(remaining_ms=2000.0)
-    (final_answer,) = finals(driver.advance_to(driver.now_ms + 1000.0))
+    (final_answer,) = final_failures(driver.advance_to(driver.now_ms + 1000.0))
     assert isinstance(final_answer, RejectRequest)
 
 
 def test_functions_called_once_are_dropped() -> None:
     driver = RouterDriver(worker(1), worker(2))
     for function_id in range(500):
-        (worker_id,) = sends(driver.send_request(function_id, after_ms=100.0))
+        (worker_id,) = attempted_worker_ids(driver.send_request(function_id, after_ms=100.0))
         driver.end_attempt(driver.last_request_id, worker_id, after_ms=10.0)
         driver.advance_to(driver.now_ms)
     assert len(driver.router.functions) <= 2 * 10000.0 / 100.0 + 1
@@ -168,12 +168,12 @@
     driver = RouterDriver(worker(1), worker(2), when_not_loaded=NotLoadedBehavior.REJECT)
     actions = driver.send_request()
     (preload,) = preloads(actions)
-    assert sends(actions) == []
+    assert attempted_worker_ids(actions) == []
     assert preload.instances == 1
-    assert sends(driver.send_request()) == []
+    assert attempted_worker_ids(driver.send_request()) == []
     assert len(preloads(driver.actions)) == 1
     loaded = PreloadEnded(preload.worker_id, FUNCTION_ID, Outcome.OK, 1, 300.0)
-    assert sends(driver.feed(loaded, after_ms=300.0)) == [preload.worker_id, preload.worker_id]
+    assert attempted_worker_ids(driver.feed(loaded, after_ms=300.0)) == [preload.worker_id, preload.worker_id]
 
 
 def test_a_failed_preload_is_not_repeated_at_once() -> None:
@@ -212,7 +212,7 @@
 
 def test_a_streaming_attempt_is_neither_cancelled_nor_hedged() -> None:
     driver = RouterDriver(worker(1), worker(2))
-    (home,) = sends(driver.send_request(class_index=STREAMING_CLASS))
+    (home,) = attempted_worker_ids(driver.send_request(class_index=STREAMING_CLASS))
     driver.feed(StreamStarted(1, 0, home, 50.0), after_ms=50.0)
     actions = driver.advance_to(20000.0)
     assert not [action for action in actions if not isinstance(action, SetTimer)]
@@ -221,10 +221,10 @@
 def test_a_second_stream_of_a_hedged_request_does_not_cancel_the_first() -> None:
     """The cancellation of the second attempt may arrive too late; the client reads the first stream."""
     driver = RouterDriver(worker(1), worker(2), limits=dataclasses.replace(LIMITS, allows_hedging=True))
-    (home,) = sends(driver.send_request(class_index=STREAMING_CLASS))
+    (home,) = attempted_worker_ids(driver.send_request(class_index=STREAMING_CLASS))
     driver.end_attempt(1, home)
-    (home,) = sends(driver.send_request(class_index=STREAMING_CLASS, after_ms=1.0))
-    (hedge,) = sends(driver.advance_to(driver.now_ms + 1000.0))
+    (home,) = attempted_worker_ids(driver.send_request(class_index=STREAMING_CLASS, after_ms=1.0))
+    (hedge,) = attempted_worker_ids(driver.advance_to(driver.now_ms + 1000.0))
     cancelled = cancellations(driver.feed(StreamStarted(2, 0, home, 1000.0)))
     assert [action.attempt_index for action in cancelled] == [1]
     assert not cancellations(driver.feed(StreamStarted(2, 1, hedge, 900.0), after_ms=1.0))
--- a/tests/unit/routing/test_router_outliers.py
+++ b/tests/unit/routing/test_router_outliers.py
@@ -8,7 +8,7 @@
 from cedarthread.model.events import TimerFired
 from cedarthread.model.outcomes import Outcome, StartKind
 from cedarthread.routing import feedback, outlier_detection, records
-from tests.helpers import RULES, RouterDriver, sends, worker
+from tests.helpers import RULES, RouterDriver, attempted_worker_ids, worker
 from tests.unit.routing.builders import (
     FUNCTION_ID,
     call_other_functions,
@@ -25,7 +25,7 @@
 def test_an_unresponsive_worker_is_ejected_and_its_idempotent_calls_are_cancelled() -> None:
     driver = RouterDriver(*workers(3))
     for _ in range(6):
-        (worker_id,) = sends(driver.send_request())
+        (worker_id,) = attempted_worker_ids(driver.send_request())
         driver.end_attempt(driver.last_request_id, worker_id)
     for _ in range(9):
         driver.send_request(after_ms=1.0)
@@ -38,7 +38,7 @@
 def test_fast_failures_outweigh_low_load() -> None:
     driver = RouterDriver(*workers(3))
     driver.send_request()
-    home = sends(driver.actions)[0]
+    home = attempted_worker_ids(driver.actions)[0]
     driver.end_attempt(1, home)  # after a response of the function, an error counts against the worker
     driver.actions.clear()
     driver.send_request()
@@ -50,7 +50,7 @@
             driver.router.functions[FUNCTION_ID].last_sent_at_ms[home] = driver.now_ms
             driver.send_request()
     assert driver.router.workers[home].is_ejected
-    assert home not in sends(driver.send_request())
+    assert home not in attempted_worker_ids(driver.send_request())
 
 
 def test_a_half_open_trial_ends_an_ejection() -> None:
@@ -61,12 +61,14 @@
     record.outlier_score = 0.9
     record.ejected_until_ms = driver.now_ms + 100.0
     make_warm(driver, {1: 1.0})
-    assert sends(driver.send_request()) != [1]
+    assert attempted_worker_ids(driver.send_request()) != [1]
     driver.now_ms += 200.0
-    assert sends(driver.send_request(class_index=NOT_IDEMPOTENT_CLASS)) != [1], "not idempotent, so no trial"
-    assert sends(driver.send_request()) == [1]
+    assert attempted_worker_ids(driver.send_request(class_index=NOT_IDEMPOTENT_CLASS)) != [1], (
+        "not idempotent, so no trial"
+    )
+    assert attempted_worker_ids(driver.send_request()) == [1]
     trial_request_id = driver.last_request_id
-    assert sends(driver.send_request()) != [1], "one trial at a time"
+    assert attempted_worker_ids(driver.send_request()) != [1], "one trial at a time"
     driver.end_attempt(trial_request_id, 1)
     assert not record.is_ejected
 
@@ -74,22 +76,24 @@
 def test_an_ejected_worker_gets_its_trial_though_others_cost_less() -> None:
     """Guards against an outlier score that prevents the trial, so that a healthy worker remains ejected."""
     driver = RouterDriver(worker(1), worker(2))
-    (home,) = sends(driver.send_request())
+    (home,) = attempted_worker_ids(driver.send_request())
     driver.end_attempt(1, home)
     record = driver.router.workers[home]
     other = 3 - home
     for _ in range(3):
         driver.router.feedback.observe_health(driver.now_ms, record, 1.0)
     assert record.is_ejected
-    assert sends(driver.send_request()) == [other]
+    assert attempted_worker_ids(driver.send_request()) == [other]
     driver.end_attempt(2, other)
-    assert sends(driver.send_request(after_ms=record.ejected_until_ms - driver.now_ms))[0] == home
+    assert (
+        attempted_worker_ids(driver.send_request(after_ms=record.ejected_until_ms - driver.now_ms))[0] == home
+    )
     assert record.has_trial_in_flight
-    assert sends(driver.send_request()) == [other], "one trial at a time"
+    assert attempted_worker_ids(driver.send_request()) == [other], "one trial at a time"
     driver.end_attempt(3, home)
     driver.end_attempt(4, other)
     for request_id in range(5, 8):
-        (worker_id,) = sends(driver.send_request())
+        (worker_id,) = attempted_worker_ids(driver.send_request())
         driver.end_attempt(request_id, worker_id)
     assert not record.is_ejected
 
@@ -106,7 +110,7 @@
     driver = RouterDriver(*workers(6))
     for request_id in range(1, 7):
         driver.send_request(function_id=request_id, class_index=NOT_IDEMPOTENT_CLASS)
-        driver.end_attempt(request_id, sends(driver.actions)[-1])
+        driver.end_attempt(request_id, attempted_worker_ids(driver.actions)[-1])
     by_id = driver.router.workers
     observe_health = driver.router.feedback.observe_health
     for worker_id in range(1, 5):  # four of six are unresponsive
@@ -125,7 +129,7 @@
     """With the limit for errors, the rest of a lost zone would remain in use and fail call after call."""
     driver = RouterDriver(*workers(10))
     for function_id in range(300):
-        worker_id = sends(driver.send_request(function_id, after_ms=10.0))[0]
+        worker_id = attempted_worker_ids(driver.send_request(function_id, after_ms=10.0))[0]
         for attempt_index in range(4):
             if worker_id > 6:
                 driver.end_attempt(
@@ -140,7 +144,7 @@
                 after_ms=0.0,
                 start_kind=StartKind.UNKNOWN,
             )
-            if not (retries := sends(actions)):
+            if not (retries := attempted_worker_ids(actions)):
                 break
             worker_id = retries[0]
     assert sum(driver.router.workers[worker_id].is_ejected for worker_id in range(1, 7)) == 6
@@ -156,14 +160,16 @@
     driver = RouterDriver(*workers(worker_count), router_count=router_count)
     for number in range(400):
         driver.advance_to(driver.now_ms + interval_ms)
-        worker_id = sends(driver.send_request(number % 90))[0]
+        worker_id = attempted_worker_ids(driver.send_request(number % 90))[0]
         if worker_id != 1:
             driver.end_attempt(driver.last_request_id, worker_id, after_ms=0.0)
             continue
         actions = driver.end_attempt(
             driver.last_request_id, 1, Outcome.ERROR, after_ms=0.0, start_kind=StartKind.UNKNOWN
         )
-        driver.end_attempt(driver.last_request_id, sends(actions)[0], attempt_index=1, after_ms=0.0)
+        driver.end_attempt(
+            driver.last_request_id, attempted_worker_ids(actions)[0], attempt_index=1, after_ms=0.0
+        )
     lost_count = sum(action.worker_id == 1 for action in driver.actions if isinstance(action, StartAttempt))
     assert driver.router.workers[1].is_ejected
     duration_ms = driver.now_ms - 1000.0
@@ -177,7 +183,7 @@
 def test_a_class_that_a_worker_rejects_goes_elsewhere_and_others_stay() -> None:
     """A worker may rate-limit one class, so its rejections do not indicate an outlier."""
     driver = RouterDriver(*workers(3))
-    (home,) = sends(driver.send_request(class_index=1))
+    (home,) = attempted_worker_ids(driver.send_request(class_index=1))
     driver.end_attempt(1, home, Outcome.OVERLOADED, after_ms=200.0)
     record = driver.router.workers[home]
     assert record.rejections[(1, None)].read(driver.now_ms) == pytest.approx(1.0)
@@ -189,7 +195,7 @@
 
 def test_a_router_that_stalled_ejects_no_worker() -> None:
     driver = RouterDriver(worker(1), worker(2))
-    (worker_id,) = sends(driver.send_request())
+    (worker_id,) = attempted_worker_ids(driver.send_request())
     driver.now_ms += 2000.0
     driver.feed(TimerFired(timers(driver.actions)[-1].token))
     assert driver.router.workers[worker_id].outlier_score == 0.0
@@ -212,7 +218,9 @@
 def test_an_error_of_a_function_without_a_response_does_not_count_against_the_worker() -> None:
     driver = RouterDriver(worker(1))
     for _ in range(4):
-        (worker_id, *_) = sends(driver.send_request(class_index=NOT_IDEMPOTENT_CLASS, function_id=99))
+        (worker_id, *_) = attempted_worker_ids(
+            driver.send_request(class_index=NOT_IDEMPOTENT_CLASS, function_id=99)
+        )
         driver.end_attempt(driver.last_request_id, worker_id, Outcome.ERROR)
     assert driver.router.workers[1].outlier_score == 0.0
     driver.send_request(class_index=NOT_IDEMPOTENT_CLASS)
@@ -224,16 +232,18 @@
 
 def test_an_error_counts_if_another_worker_serves_the_request_though_the_function_is_new() -> None:
     driver = RouterDriver(worker(1), worker(2))
-    first = sends(driver.send_request(99))[0]
+    first = attempted_worker_ids(driver.send_request(99))[0]
     actions = driver.end_attempt(1, first, Outcome.ERROR, start_kind=StartKind.UNKNOWN)
     assert driver.router.workers[first].outlier_score == 0.0, "the client may have caused the error"
-    driver.end_attempt(1, sends(actions)[0], attempt_index=1)
+    driver.end_attempt(1, attempted_worker_ids(actions)[0], attempt_index=1)
     assert driver.router.workers[first].outlier_score > outlier_detection.EJECTION_THRESHOLD
 
 
 def test_all_attempts_of_one_broken_connection_count_as_one_failure() -> None:
     driver = RouterDriver(worker(1))
-    worker_ids = [sends(driver.send_request(class_index=NOT_IDEMPOTENT_CLASS))[0] for _ in range(5)]
+    worker_ids = [
+        attempted_worker_ids(driver.send_request(class_index=NOT_IDEMPOTENT_CLASS))[0] for _ in range(5)
+    ]
     for request_id, worker_id in enumerate(worker_ids, 1):
         fail_connection(driver, request_id, worker_id, Outcome.RESET, is_unreachable=False, after_ms=0.0)
     assert driver.router.workers[1].outlier_score == outlier_detection.FAILURE_GAIN
@@ -245,10 +255,10 @@
     driver = RouterDriver(worker(1))
     record = driver.router.workers[1]
     for outcome in (Outcome.RESET, Outcome.CONNECT_FAILED):
-        (worker_id,) = sends(driver.send_request(class_index=NOT_IDEMPOTENT_CLASS))
+        (worker_id,) = attempted_worker_ids(driver.send_request(class_index=NOT_IDEMPOTENT_CLASS))
         fail_connection(driver, driver.last_request_id, worker_id, outcome, is_unreachable=False)
         assert record.available_capacity(driver.now_ms, RULES) == 1.0
-    (worker_id,) = sends(driver.send_request(class_index=NOT_IDEMPOTENT_CLASS))
+    (worker_id,) = attempted_worker_ids(driver.send_request(class_index=NOT_IDEMPOTENT_CLASS))
     fail_connection(driver, driver.last_request_id, worker_id, Outcome.CONNECT_FAILED, is_unreachable=True)
     assert record.available_capacity(driver.now_ms, RULES) < 1.0
 
@@ -258,7 +268,7 @@
     driver = RouterDriver(worker(1), worker(2))
     assert driver.router.workers[1].available_capacity(driver.now_ms, RULES) == 1.0
     driver.send_request()
-    (worker_id,) = sends(driver.actions)
+    (worker_id,) = attempted_worker_ids(driver.actions)
     driver.end_attempt(1, worker_id, Outcome.CONNECT_FAILED, after_ms=250.0)
     record = driver.router.workers[worker_id]
     min_capacity = pytest.approx(RULES.slow_start_min_capacity)
--- a/tests/unit/routing/test_router_overload.py
+++ b/tests/unit/routing/test_router_overload.py
@@ -7,7 +7,7 @@
 from cedarthread.model.actions import RejectRequest
 from cedarthread.model.outcomes import Outcome
 from cedarthread.model.settings import Tenant
-from tests.helpers import CLASSES, SAFE, RouterDriver, finals, sends, worker
+from tests.helpers import CLASSES, SAFE, RouterDriver, attempted_worker_ids, final_failures, worker
 from tests.unit.routing.builders import FUNCTION_ID, last_worker_of, serve_calls, workers
 
 
@@ -15,7 +15,7 @@
     """Response times alone detect an overload too late: shedding oscillates between almost none and all."""
     driver = RouterDriver(*workers(3))
     serve_calls(driver)
-    answers = [finals(driver.send_request(after_ms=1.0)) for _ in range(200)]  # no attempt ends
+    answers = [final_failures(driver.send_request(after_ms=1.0)) for _ in range(200)]  # no attempt ends
     first_shed = next(number for number, answer in enumerate(answers) if answer)
     assert 20 < first_shed < 100
     assert 20 < sum(map(bool, answers[first_shed:])) < len(answers) - first_shed
@@ -26,7 +26,7 @@
     for request_id, answer in enumerate(answers, last_request_id - 199):
         if not answer:
             driver.end_attempt(request_id, last_worker_of(driver, request_id), after_ms=0.0)
-    assert not any(finals(driver.send_request(after_ms=10.0)) for _ in range(5)), (
+    assert not any(final_failures(driver.send_request(after_ms=10.0)) for _ in range(5)), (
         "shedding ends with the overload"
     )
 
@@ -41,7 +41,7 @@
     driver = RouterDriver(*workers(3), classes=classes)
     serve_calls(driver, class_count=3)
     is_shed = [
-        (number % 3, bool(finals(driver.send_request(class_index=number % 3, after_ms=1.0))))
+        (number % 3, bool(final_failures(driver.send_request(class_index=number % 3, after_ms=1.0))))
         for number in range(300)
     ]
     high_weight, normal, long_objective = (
@@ -58,9 +58,11 @@
     driver = RouterDriver(*workers(6))
     serve_calls(driver)
     assert not any(
-        finals(driver.send_request(function_id=100 + number, after_ms=10.0)) for number in range(100)
+        final_failures(driver.send_request(function_id=100 + number, after_ms=10.0)) for number in range(100)
+    )
+    assert not any(
+        final_failures(driver.send_request(function_id=FUNCTION_ID, after_ms=10.0)) for _ in range(5)
     )
-    assert not any(finals(driver.send_request(function_id=FUNCTION_ID, after_ms=10.0)) for _ in range(5))
 
 
 def test_few_simultaneous_calls_do_not_count_as_overload() -> None:
@@ -68,8 +70,8 @@
     driver = RouterDriver(*workers(3))
     for _ in range(20):
         driver.send_request(after_ms=400.0)
-        driver.end_attempt(driver.last_request_id, sends(driver.actions)[-1])
-    assert not any(finals(driver.send_request()) for _ in range(3))
+        driver.end_attempt(driver.last_request_id, attempted_worker_ids(driver.actions)[-1])
+    assert not any(final_failures(driver.send_request()) for _ in range(3))
 
 
 def test_an_unresponsive_worker_does_not_count_as_overload() -> None:
@@ -79,10 +81,14 @@
     overload = driver.router.state.overload
     overload.in_flight[1] = 200
     overload.total_in_flight += 200
-    assert not any(finals(driver.send_request()) for _ in range(5)), "also before the worker is ejected"
+    assert not any(final_failures(driver.send_request()) for _ in range(5)), (
+        "also before the worker is ejected"
+    )
     for worker_id in range(2, 7):
         overload.in_flight[worker_id] = 40
-    assert any(finals(driver.send_request()) for _ in range(20)), "with all workers as busy, it is one"
+    assert any(final_failures(driver.send_request()) for _ in range(20)), (
+        "with all workers as busy, it is one"
+    )
 
 
 def test_no_attempt_starts_with_too_little_time_left() -> None:
@@ -90,7 +96,7 @@
     for _ in range(5):
         driver.send_request()
         driver.end_attempt(driver.last_request_id, 1)
-    (final_answer,) = finals(driver.send_request(remaining_ms=30.0))
+    (final_answer,) = final_failures(driver.send_request(remaining_ms=30.0))
     assert isinstance(final_answer, RejectRequest)
 
 
@@ -102,7 +108,7 @@
     for number in range(400):
         tenant_index = int(number % 10 == 0)
         shed_counts[tenant_index] += bool(
-            finals(driver.send_request(tenant_index=tenant_index, after_ms=1.0))
+            final_failures(driver.send_request(tenant_index=tenant_index, after_ms=1.0))
         )
     assert shed_counts[0] / 360 > shed_counts[1] / 40
 
@@ -111,6 +117,6 @@
     weightless = dataclasses.replace(CLASSES[0], priority_weight=0.0, latency_objective_ms=0.0)
     driver = RouterDriver(worker(1), worker(2), classes=(weightless, *CLASSES[1:]))
     for outcome in (Outcome.OK, Outcome.OK, Outcome.OVERLOADED, Outcome.TIMEOUT):
-        (worker_id,) = sends(driver.send_request())
+        (worker_id,) = attempted_worker_ids(driver.send_request())
         driver.end_attempt(driver.last_request_id, worker_id, outcome, after_ms=0.0)
-    assert len(finals(driver.send_request(remaining_ms=-1.0))) == 1
+    assert len(final_failures(driver.send_request(remaining_ms=-1.0))) == 1
--- a/tests/unit/routing/test_router_placement.py
+++ b/tests/unit/routing/test_router_placement.py
@@ -12,22 +12,24 @@
 from cedarthread.model.outcomes import Outcome, StartKind
 from cedarthread.model.settings import WeightMeaning
 from cedarthread.routing import attempt_tracker, estimators, records, selection
-from tests.helpers import PRICES, RouterDriver, sends, worker
+from tests.helpers import PRICES, RouterDriver, attempted_worker_ids, worker
 from tests.unit.routing.builders import FUNCTION_ID, call_other_functions, make_warm, workers
 
 
 def test_a_warm_instance_gets_the_next_calls() -> None:
     driver = RouterDriver(*workers(3))
     call_other_functions(driver)
-    (home,) = sends(driver.send_request())
+    (home,) = attempted_worker_ids(driver.send_request())
     driver.end_attempt(driver.last_request_id, home)
     for _ in range(4):
-        assert sends(driver.send_request(after_ms=2000.0)) == [home]
+        assert attempted_worker_ids(driver.send_request(after_ms=2000.0)) == [home]
         driver.end_attempt(driver.last_request_id, home)
 
 
 def test_the_home_worker_is_the_same_at_every_router() -> None:
-    homes = {sends(RouterDriver(*workers(3), seed=seed).send_request())[0] for seed in range(9)}
+    homes = {
+        attempted_worker_ids(RouterDriver(*workers(3), seed=seed).send_request())[0] for seed in range(9)
+    }
     assert len(homes) == 1
 
 
@@ -35,7 +37,7 @@
     driver = RouterDriver(worker(1), worker(2))
     call_other_functions(driver)
     function = make_warm(driver, {1: 1.0, 2: 0.8})
-    assert sends(driver.send_request()) == [1]
+    assert attempted_worker_ids(driver.send_request()) == [1]
     assert function.affinity[2] == pytest.approx(0.8 * (1 - attempt_tracker.AFFINITY_GAIN))
     driver.end_attempt(1, 1)
     assert function.affinity[1] == 1.0
@@ -53,7 +55,7 @@
     busy_cost = 0.25 + 3 / 2.0 / selection.LOAD_PER_AFFINITY
     assert cost(driver.now_ms, function, warm, (0, None)) == pytest.approx(busy_cost)
     warm.in_flight = 0
-    selected = [sends(driver.send_request(concurrency=2.0))[0] for _ in range(60)]
+    selected = [attempted_worker_ids(driver.send_request(concurrency=2.0))[0] for _ in range(60)]
     assert selected[0] == 1
     assert 2 in selected
 
@@ -63,13 +65,13 @@
     for seed in range(12):
         driver = RouterDriver(worker(1), worker(2), seed=seed)
         make_warm(driver, {1: 1.0, 2: 1.0})
-        selected.add(sends(driver.send_request())[0])
+        selected.add(attempted_worker_ids(driver.send_request())[0])
     assert selected == {1, 2}
 
 
 def test_affinity_expires_after_the_keep_alive_time() -> None:
     driver = RouterDriver(worker(1), worker(2))
-    (home,) = sends(driver.send_request())
+    (home,) = attempted_worker_ids(driver.send_request())
     driver.end_attempt(1, home)
     function = driver.router.functions[FUNCTION_ID]
     keep_alive_ms = driver.router.state.settings.keep_alive_ms
@@ -80,10 +82,10 @@
 @pytest.mark.parametrize("is_removed", [False, True])
 def test_affinity_ends_when_the_worker_restarts_or_is_removed(is_removed: bool) -> None:
     driver = RouterDriver(worker(1), worker(2))
-    (home,) = sends(driver.send_request())
+    (home,) = attempted_worker_ids(driver.send_request())
     driver.end_attempt(1, home)
     state = EndpointState.REMOVED if is_removed else EndpointState.READY
-    changed = worker(home, state, started=driver.now_ms)
+    changed = worker(home, state, started_at_ms=driver.now_ms)
     driver.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 2, (changed,)))
     assert home not in driver.router.functions[FUNCTION_ID].affinity
 
@@ -92,9 +94,9 @@
     driver = RouterDriver(*workers(4))
     call_other_functions(driver)
     make_warm(driver, {2: 1.0})
-    assert sends(driver.send_request()) == [2]
+    assert attempted_worker_ids(driver.send_request()) == [2]
     driver.router.workers[2].in_flight = 5
-    assert sends(driver.send_request()) != [2]
+    assert attempted_worker_ids(driver.send_request()) != [2]
 
 
 @pytest.mark.parametrize("router_count", [0, 1, 4, 40, 200])
@@ -104,7 +106,7 @@
     make_warm(driver, {17: 1.0})
     for _ in range(3):
         call_other_functions(driver)
-        assert sends(driver.send_request(after_ms=1000.0)) == [17]
+        assert attempted_worker_ids(driver.send_request(after_ms=1000.0)) == [17]
         driver.end_attempt(driver.last_request_id, 17)
 
 
@@ -113,10 +115,10 @@
     prices = dataclasses.replace(PRICES, cross_zone=0.05)
     driver = RouterDriver(worker(1, zone=1), worker(2), prices=prices)
     driver.send_request()
-    driver.end_attempt(1, sends(driver.actions)[0])
+    driver.end_attempt(1, attempted_worker_ids(driver.actions)[0])
     function = make_warm(driver, {1: 1.0, 2: 1.0})
-    assert [sends(driver.send_request()) for _ in range(2)] == [[2], [2]]
-    assert 1 in [sends(driver.send_request())[0] for _ in range(4)]
+    assert [attempted_worker_ids(driver.send_request()) for _ in range(2)] == [[2], [2]]
+    assert 1 in [attempted_worker_ids(driver.send_request())[0] for _ in range(4)]
     del function.affinity[2]
     del function.last_sent_at_ms[2]
     # A warm worker in another zone still costs less than a cold one in the router's zone.
@@ -189,7 +191,7 @@
     for number in range(300):
         function_id = FUNCTION_ID if number % 4 == 0 else 1000 + number % 50
         driver.send_request(function_id, after_ms=interval_ms)
-        driver.end_attempt(driver.last_request_id, sends(driver.actions)[-1], after_ms=0.0)
+        driver.end_attempt(driver.last_request_id, attempted_worker_ids(driver.actions)[-1], after_ms=0.0)
     home_count = driver.router.selector.home_count(driver.now_ms, driver.router.functions[FUNCTION_ID])
     fleet_calls_in_keep_alive = router_count * 4700.0 / interval_ms / 4
     assert 1 < home_count <= 1 + 2.5 * worker_count, "no more than the size of the fleet permits"
@@ -203,7 +205,7 @@
     for _ in range(20):
         for driver in fleet:
             driver.advance_to(driver.now_ms + 300.0)
-        selected = [sends(driver.send_request())[0] for driver in fleet]
+        selected = [attempted_worker_ids(driver.send_request())[0] for driver in fleet]
         for driver, worker_id in zip(fleet, selected, strict=True):
             driver.advance_to(driver.now_ms + 100.0)
             concurrency = selected.count(worker_id)
@@ -234,7 +236,7 @@
         driver = RouterDriver(*workers(worker_count), router_count=worker_count)
         for _ in range(60):
             driver.send_request(after_ms=interval_ms)
-            driver.end_attempt(driver.last_request_id, sends(driver.actions)[-1], after_ms=0.0)
+            driver.end_attempt(driver.last_request_id, attempted_worker_ids(driver.actions)[-1], after_ms=0.0)
         record = records.WorkerRecord(worker(99), 0, 0.0)
         record.excess_load.add(driver.now_ms, 4.0, driver.router.state.traffic.load_decay_ms)
         later = record.read_excess_load(driver.now_ms + 8000.0)
@@ -248,12 +250,12 @@
     driver = RouterDriver(
         *workers(worker_count), router_count=router_count, load_report_columns=("inflight", "x1")
     )
-    (home,) = sends(driver.send_request())
+    (home,) = attempted_worker_ids(driver.send_request())
     driver.end_attempt(1, home)
     last_worker_id = 0
     for number in range(300):
         function_id = FUNCTION_ID if number % 5 == 0 else number
-        worker_id = sends(driver.send_request(function_id, after_ms=20.0))[0]
+        worker_id = attempted_worker_ids(driver.send_request(function_id, after_ms=20.0))[0]
         if function_id == FUNCTION_ID:
             last_worker_id = worker_id
         load_report = (30.0 if worker_id == home else 3.0, 1.0)
@@ -283,14 +285,14 @@
 @pytest.mark.parametrize(("router_count", "worker_count"), [(1, 4), (3, 12), (40, 40)])
 def test_draining_workers_do_not_reduce_the_slow_start_budget(router_count: int, worker_count: int) -> None:
     """During a release up to 24 of 64 workers drain; these must not count among those that share the load."""
-    ready = [*workers(worker_count - 1), worker(worker_count, started=1000.0)]
+    ready = [*workers(worker_count - 1), worker(worker_count, started_at_ms=1000.0)]
     draining = [worker(worker_id, EndpointState.DRAINING) for worker_id in range(100, 100 + worker_count)]
     fits = []
     for endpoints in (ready, ready + draining):
         driver = RouterDriver(*endpoints, router_count=router_count)
         for function_id in range(40):
             driver.send_request(function_id, after_ms=20.0)
-            driver.end_attempt(driver.last_request_id, sends(driver.actions)[-1], after_ms=0.0)
+            driver.end_attempt(driver.last_request_id, attempted_worker_ids(driver.actions)[-1], after_ms=0.0)
         record = driver.router.workers[worker_count]
         record.jitter = 0.5
         record.slow_start_sends.clear()
--- a/tests/unit/routing/test_router_rules.py
+++ b/tests/unit/routing/test_router_rules.py
@@ -69,7 +69,7 @@
     router.handle(now_ms, EndpointUpdate(EndpointUpdateKind.CACHED, 1, tuple(workers(4))))
     in_flight: list[tuple[float, int, int]] = []  # end, request id, worker id
     restart_at_ms = now_ms + 8000.0
-    restarted = worker(1, started=restart_at_ms)
+    restarted = worker(1, started_at_ms=restart_at_ms)
     sent_to_cold_at: list[float] = []
     request_id = 0
     is_restart_listed = False
@@ -122,7 +122,7 @@
         router.handle(now_ms, listed)
     in_flight: list[tuple[float, int, int, int]] = []  # end, request id, router index, worker id
     restart_at_ms = now_ms + 6000.0
-    restart = EndpointUpdate(EndpointUpdateKind.DELTA, 2, (worker(1, started=restart_at_ms),))
+    restart = EndpointUpdate(EndpointUpdateKind.DELTA, 2, (worker(1, started_at_ms=restart_at_ms),))
     is_restart_listed = False
     sent_to_cold_at: list[float] = []
     request_id = 0
@@ -155,7 +155,7 @@
 
 def test_a_fleet_of_only_cold_workers_is_not_starved() -> None:
     now_ms = 100000.0
-    listed = tuple(worker(worker_id, started=now_ms - 500.0) for worker_id in range(1, 21))
+    listed = tuple(worker(worker_id, started_at_ms=now_ms - 500.0) for worker_id in range(1, 21))
     start_count = 0
     for seed in range(50):
         router = Router(settings(router_count=50), seed)
--- a/tests/unit/routing/test_tables.py
+++ b/tests/unit/routing/test_tables.py
@@ -118,7 +118,7 @@
     jitter = record.jitter
     assert workers.skipped_count() == 1
     assert list(workers.not_ejected_ids()) == [2]
-    restarted = EndpointUpdate(EndpointUpdateKind.DELTA, 2, (worker(1, started=5.0),))
+    restarted = EndpointUpdate(EndpointUpdateKind.DELTA, 2, (worker(1, started_at_ms=5.0),))
     assert workers.apply(5.0, restarted) == [1]
     assert not record.is_ejected
     assert record.outlier_score == 0.0
--- a/tests/unit/routing/test_zone_reachability.py
+++ b/tests/unit/routing/test_zone_reachability.py
@@ -13,7 +13,7 @@
     SUSPICION_THRESHOLD,
     ZoneReachability,
 )
-from tests.helpers import RouterDriver, sends, worker
+from tests.helpers import RouterDriver, attempted_worker_ids, worker
 from tests.unit.routing.builders import cancellations
 
 USUAL_MS = 200.0
@@ -114,12 +114,12 @@
     endpoints = [worker(worker_id, zone=worker_id % 3) for worker_id in range(1, 31)]
     driver = RouterDriver(*endpoints, router_count=200)
     for function_id in range(60):
-        (worker_id,) = sends(driver.send_request(function_id))
+        (worker_id,) = attempted_worker_ids(driver.send_request(function_id))
         driver.end_attempt(driver.last_request_id, worker_id)
     lost_request_ids: list[int] = []
     for function_id in range(100, 140):
         driver.advance_to(driver.now_ms + 250.0)
-        for worker_id in sends(driver.send_request(function_id, class_index=function_id % 2)):
+        for worker_id in attempted_worker_ids(driver.send_request(function_id, class_index=function_id % 2)):
             if worker_id % 3 == driver.router.state.settings.zone:
                 driver.end_attempt(driver.last_request_id, worker_id, after_ms=0.0)
             else:
