--- a/tests/integration/test_control.py
+++ b/tests/integration/test_control.py
@@ -1,4 +1,4 @@
-"""The control address on loopback: replies, invalid lines, and many idle connections."""
+"""The control address on loopback: replies, invalid lines, and a flood of connections."""
 
 from __future__ import annotations
 
