--- a/tests/integration/test_discovery_client.py
+++ b/tests/integration/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Replies of discovery servers: lost, reordered, duplicated, and after a change of the address."""
+"""Replies of discovery servers that are lost, reordered, duplicated, or follow an address change."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     async def scenario() -> None:
         applied_serials: list[int] = []
         discovery = DiscoveryClient(lambda serial, endpoints: applied_serials.append(serial))
-        discovery.datagram_received(discovery_reply(serial=8), None)  # no query has this id
+        discovery.datagram_received(discovery_reply(serial=8), None)  # no query was sent with this id
         for query_id in (7, 8):
             discovery.queries.on_sent(query_id, 0.0)
 
@@ -29,11 +29,11 @@
                 discovery.datagram_received(reply, None)
 
         receive(9, 9, 9)
-        assert applied_serials == [], "one query alone confirms no list, even if its reply is duplicated"
+        assert applied_serials == [], "replies to one query must not confirm a list, however many arrive"
         receive(9, query_id=8)
         receive(8)
         receive(8, query_id=8)
-        assert applied_serials == [9], "a lower serial is outdated"
+        assert applied_serials == [9], "a list with a lower serial is outdated"
         receive(9)
         receive(10)
         receive(10, query_id=8)
@@ -41,16 +41,16 @@
         discovery.datagram_received(b"garbage", None)
         assert applied_serials == [9, 10]
         endpoint_list = EndpointList(settings_from_object(SETTINGS))
-        entry = EndpointRecord(
+        record = EndpointRecord(
             "s-00000001", "127.0.0.1", 1, "room-a", "std", 0, EndpointState.READY, 1.0, 0.0
         )
-        first = endpoint_list.apply_update(1, [entry], is_snapshot=True)
-        assert first is not None
-        assert first.kind is EndpointUpdateKind.CACHED
-        removed = endpoint_list.apply_update(2, [], is_snapshot=True)
-        assert removed is not None
-        assert [endpoint.state for endpoint in removed.endpoints] == [EndpointState.REMOVED]
-        assert endpoint_list.apply_update(2, [entry], is_snapshot=True) is None
+        first_update = endpoint_list.apply_update(1, [record], is_snapshot=True)
+        assert first_update is not None
+        assert first_update.kind is EndpointUpdateKind.CACHED
+        second_update = endpoint_list.apply_update(2, [], is_snapshot=True)
+        assert second_update is not None
+        assert [endpoint.state for endpoint in second_update.endpoints] == [EndpointState.REMOVED]
+        assert endpoint_list.apply_update(2, [record], is_snapshot=True) is None
 
     asyncio.run(scenario())
 
--- a/tests/integration/test_platform.py
+++ b/tests/integration/test_platform.py
@@ -1,4 +1,4 @@
-"""Calls over the platform protocol: a client, a router and workers on loopback, in the test's process."""
+"""Calls over the platform protocol: a client, a router and workers on loopback, in one process."""
 
 from __future__ import annotations
 
@@ -100,14 +100,14 @@
         live = ScriptedWorker()
         async with service(stopped, live) as running, client(running) as caller:
             stopped.stop()
-            for number in range(1, 9):  # of these, some are sent to the stopped worker first
+            for number in range(1, 9):  # some of them are sent to the stopped worker first
                 answer = await caller.call(number, "confirm", b"x", item=f"{number:016x}")
                 assert answer == [1, number, None, [b"X", {}]]
 
     asyncio.run(scenario())
 
 
-def test_the_response_is_sent_before_the_limit_and_the_attempt_cancelled() -> None:
+def test_a_call_is_answered_before_its_time_limit_and_its_attempt_is_cancelled() -> None:
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
         async with service(worker) as running, client(running) as caller:
@@ -174,7 +174,8 @@
             worker.answer(worker.calls[0], serve_uppercase(worker, worker.calls[0]))
             assert await caller.read() == [1, 1, None, [b"X", {}]]
             worker.behavior = serve_uppercase
-            assert await caller.call(2, "check", b"y") == [1, 2, None, [b"Y", {}]]  # the grace for new calls
+            # New calls are still accepted in the grace period.
+            assert await caller.call(2, "check", b"y") == [1, 2, None, [b"Y", {}]]
             await shutdown
 
     asyncio.run(scenario())
@@ -197,13 +198,18 @@
             await worker.wait_until(lambda: len(worker.calls) == 2)
             later_start = dataclasses.replace(earlier_start, started_at_ms=created_at_ms + 60_000.0)
             running.update_endpoints(3, [later_start], is_complete=True)
-            assert (await caller.read())[2][0] == "Lost", "the process that executed the call has ended"
+            assert (await caller.read())[2][0] == "Lost", (
+                "the process that executed the call has ended, so the call is lost"
+            )
 
     asyncio.run(scenario())
 
 
 def test_a_long_response_comes_back_complete() -> None:
-    """DAYS.md: one response in sixteen is long, up to 230,000 bytes; its base64 line is longer."""
+    """By the platform's documentation, one response in sixteen is long, up to 230,000 bytes.
+
+    Its base64 line is longer.
+    """
 
     def serve_long(worker: ScriptedWorker, message: dict[str, Any]) -> dict[str, Any]:
         return {"op": "HIT", "fields": {}, "body": base64.b64encode(b"L" * 230_000).decode()}
@@ -218,6 +224,6 @@
                 while len(received) < len(response) and (more := await caller.reader.read(len(response))):
                     received += more
             assert received == response
-            assert len(worker.writers) == 1, "the connection to the worker is still used"
+            assert len(worker.writers) == 1, "the connection to the worker must stay in use"
 
     asyncio.run(scenario())
