--- a/cedarthread/testing/fakes/__init__.py
+++ b/cedarthread/testing/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes of the systems that the router talks to, written from the platform's protocol page."""
+"""Fakes of the systems that the router communicates with, based on the platform's protocol specification."""
--- a/cedarthread/testing/fakes/client.py
+++ b/cedarthread/testing/fakes/client.py
@@ -8,9 +8,9 @@
 
 from cedarthread.protocols import msgpack
 
-HEALTH_CHECK_NUMBER = 2**32 - 1  # message number of health checks, which no call has
+HEALTH_CHECK_NUMBER = 2**32 - 1  # message number of health checks; no call has this number
 
-OnAnswer = Callable[[int, str, bytes], None]  # message number; served, refused or failed; body
+OnAnswer = Callable[[int, str, bytes], None]  # message number, answer kind and body
 
 
 def pack_call(number: int, class_name: str, body: bytes, fields: dict[str, str]) -> bytes:
@@ -25,7 +25,7 @@
 
 
 def answer_kind(error: list[Any] | None) -> str:
-    """Return the kind of an answer by the error of the response: served without error, refused or failed."""
+    """Return served if the response has no error, refused if the error is Backoff, and failed otherwise."""
     if error is None:
         return "served"
     return "refused" if error[0] == "Backoff" else "failed"
@@ -69,7 +69,7 @@
 
 
 def without_views(value: Any) -> Any:
-    """Return a parsed value with bytes in place of views, so that the input buffer can be released."""
+    """Return a parsed value with bytes in place of memory views, so that the input buffer can be released."""
     if isinstance(value, list):
         return [without_views(item) for item in value]
     return bytes(value) if isinstance(value, memoryview) else value
--- a/cedarthread/testing/fakes/discovery_server.py
+++ b/cedarthread/testing/fakes/discovery_server.py
@@ -23,7 +23,7 @@
 WEIGHT = 10  # SRV weight of every worker
 
 CurrentList = Callable[[], tuple[int, tuple["ListedWorker", ...]] | None]  # serial of the list, and workers
-Deliver = Callable[[Callable[[], bytes], Callable[[bytes], None]], None]  # creates a reply; sends a reply
+Deliver = Callable[[Callable[[], bytes], Callable[[bytes], None]], None]  # (create a reply, send a reply)
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,10 +85,10 @@
     """The discovery server of one router.
 
     Args:
-        current_list: returns the serial and the workers of the list now; None if the server does not reply.
-        zone: DNS name of the zone, which is part of the workers' names.
-        deliver: the network. It receives a function that creates the reply and a function that sends a reply,
-            and may delay, alter or drop the reply.
+        current_list: returns the serial and the workers of the list; None if the server does not reply.
+        zone: DNS label of the zone, which is part of the workers' host names.
+        deliver: simulates the network. It receives a function that creates the reply and one that sends a
+            reply, and may delay, alter or drop the reply.
     """
 
     def __init__(
--- a/cedarthread/testing/fakes/peer_transport.py
+++ b/cedarthread/testing/fakes/peer_transport.py
@@ -1,6 +1,6 @@
-"""The contract of the datagram path between routers, and a path in memory that fulfils the contract.
+"""The contract of the datagram transport between routers, and an in-memory transport that fulfils it.
 
-``MemoryNetwork`` owns the datagrams in flight and a clock of its own in ms.
+``MemoryNetwork`` owns the datagrams in flight and a virtual clock in ms.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 
 class PeerPath(Protocol):
-    """The end of one router on the path to the other routers, which have numbers from 0. No method raises.
+    """The transport of one router to the other routers, which are numbered from 0. No method raises.
 
     1. A datagram of 1 to 256 bytes arrives complete or not at all, with its sender's number.
-    2. A datagram arrives at most once, or at most twice on a path that duplicates datagrams.
-    3. Datagrams may arrive in another order than they were sent, unless the path documents otherwise.
+    2. A datagram arrives at most once, or at most twice if the transport duplicates datagrams.
+    3. Datagrams may arrive in another order than they were sent, unless the transport documents otherwise.
     4. A datagram over 256 bytes or to an unknown number is not sent, and ``unsent_count`` counts it.
     5. A datagram of an unknown sender is not delivered, and ``unknown_sender_count`` counts it.
-    6. After ``stop`` the path neither sends nor delivers, also not the datagrams that are in flight.
-    7. A peer that does not run is no error: datagrams to other peers are still sent.
+    6. After ``stop`` the transport neither sends nor delivers anything, including datagrams in flight.
+    7. A peer that is not running is not an error: datagrams to other peers are still sent.
     8. The number None addresses all other routers; a router may send a datagram to itself by its number.
     """
 
@@ -52,7 +52,7 @@
     """A network in memory; its clock advances to the arrival of each datagram that is delivered.
 
     Args:
-        router_count: number of routers; a sender with a number from this on is unknown.
+        router_count: number of routers; a sender with this number or a higher one is unknown.
         delays_ms: returns the delay of each arrival of a datagram; an empty list if the datagram is lost.
     """
 
@@ -83,10 +83,10 @@
 
 
 class MemoryPath:
-    """One end of a path in memory, which implements ``PeerPath``.
+    """The in-memory transport of one router, which implements ``PeerPath``.
 
     Args:
-        network: the network between the ends.
+        network: the network between the routers.
         number: number of this router.
         on_datagram: called with each datagram that arrives.
     """
@@ -101,7 +101,7 @@
 
     def send(self, data: bytes, peer: int | None) -> None:
         """Send a datagram to one router, or to all others."""
-        if self.number not in self.network.paths:  # this path was stopped
+        if self.number not in self.network.paths:  # this transport was stopped
             return
         others = [router for router in self.network.known_routers if router != self.number]
         known = [router for router in self.network.known_routers if router == peer]
--- a/cedarthread/testing/fakes/scripted.py
+++ b/cedarthread/testing/fakes/scripted.py
@@ -1,4 +1,4 @@
-"""Workers with scripted answers and clients, for a router that a test hosts in its own process."""
+"""Workers with scripted answers and clients, for a router that runs in the test's own process."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     from cedarthread.protocols.invoke.config import InvokeConfig
 
 FUNCTION = "7f3a9c21e0b4d655"
-TIMEOUT_S = 10  # longest wait for a message; then the test fails
+TIMEOUT_S = 10  # longest wait for a message, after which the test fails
 Behavior = Callable[["ScriptedWorker", dict[str, Any]], dict[str, Any] | None]  # call to answer or None
 
 
 def serve_uppercase(_: ScriptedWorker, message: dict[str, Any]) -> dict[str, Any]:
-    """Serve the call with its body in capitals, so that tests can distinguish the answer from the request."""
+    """Serve the call with its body in upper case, so that the answer differs from the request."""
     body = base64.b64encode(base64.b64decode(message["body"]).upper()).decode()
     return {"op": "HIT", "fields": {"remark": "hit", "report": "inflight:1;x1:0"}, "body": body}
 
@@ -38,10 +38,10 @@
 
 
 class ScriptedWorker:
-    """A worker that answers each call with the result of ``behavior``; a call with None gets no answer.
+    """A worker that answers each call with the result of ``behavior``; if that is None, it sends no answer.
 
     Args:
-        behavior: returns the answer to a call.
+        behavior: returns the answer to a call, or None.
     """
 
     def __init__(self, behavior: Behavior = serve_uppercase) -> None:
@@ -73,12 +73,12 @@
     def answer(
         self, message: dict[str, Any], answer: dict[str, Any], writer: asyncio.StreamWriter | None = None
     ) -> None:
-        """Send the answer to a call on the given connection, or on the newest one."""
+        """Send the answer to a call on the given connection, or on the most recent one."""
         line = json.dumps(answer | {"id": message["id"]}).encode() + b"\n"
         (writer or self.writers[-1]).write(line)
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
-        """Wait until the condition is true; check it after each message that arrives."""
+        """Wait until the condition is true, evaluating it after each message that arrives."""
         async with asyncio.timeout(TIMEOUT_S):
             while not condition():
                 self.message_received.clear()
@@ -138,7 +138,7 @@
 
 
 def pack_call(number: int, class_name: str, body: bytes = b"", **fields: str) -> bytes:
-    """Return a call message with default fields, of which ``fields`` replaces some."""
+    """Return a call message with default fields, updated with ``fields``."""
     all_fields = {"txn": f"{number:016x}", "limit": "3000", "item": FUNCTION} | fields
     return client_side.pack_call(number, class_name, body, all_fields)
 
@@ -152,7 +152,7 @@
         self.buffer = b""
 
     async def read(self) -> Any:
-        """Return the next message with bytes in place of views, or None at the end of the connection."""
+        """Return the next message with bytes in place of memory views; None if the connection ended."""
         async with asyncio.timeout(TIMEOUT_S):
             while not isinstance(parsed := msgpack.parse(memoryview(self.buffer)), msgpack.ParsedValue):
                 data = await self.reader.read(65536)
@@ -170,7 +170,7 @@
 
 @asynccontextmanager
 async def client(running: Service) -> AsyncIterator[ScriptedClient]:
-    """Connect a client to a router, and reset the connection at the end."""
+    """Connect a client to a router, and reset the connection when the context ends."""
     reader, writer = await asyncio.open_connection("127.0.0.1", running.port)
     try:
         yield ScriptedClient(reader, writer)
--- a/cedarthread/testing/fakes/worker_model.py
+++ b/cedarthread/testing/fakes/worker_model.py
@@ -1,7 +1,7 @@
 """A model of a worker and of the package store behind it: cores, instances, memory, loads and queues.
 
-The model does no input or output, and its callers pass the clock, so that the model runs behind sockets and
-in replays. ``WorkerModel`` and ``PackageStore`` own the state. Times are ms.
+The model does no input or output, and its callers pass the current time, so that the model runs behind
+sockets and in replays. ``WorkerModel`` and ``PackageStore`` own the state. Times are ms.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-MAX_IN_FLIGHT_PER_CORE = 16  # calls per core that a worker accepts; a worker rejects more calls
+MAX_IN_FLIGHT_PER_CORE = 16  # calls per core that a worker accepts; further calls are rejected
 KEEP_ALIVE_MS = 4000.0  # the instances of a function that is unused for longer are unloaded
 REJECTED_REMARKS = ("shed", "spawn_failed")
 
@@ -39,11 +39,11 @@
 
 @dataclass(slots=True)
 class PackageStore:
-    """The store from which workers load packages; more loads at the same time are slower, up to a limit."""
+    """The store from which workers load packages; concurrent loads are slower, and limited in number."""
 
-    load_ms: float  # duration of one load alone
-    full_speed_loads: int  # loads at the same time that run at full speed
-    max_loads: int  # loads at the same time; the store refuses more
+    load_ms: float  # duration of a load at full speed
+    full_speed_loads: int  # number of concurrent loads that run at full speed
+    max_loads: int  # maximum number of concurrent loads; the store refuses more
     loads_in_flight: int = 0
 
     def start_load(self) -> float | None:
@@ -77,7 +77,7 @@
     """The future end of the execution of a call, or of a load if ``call`` is None."""
 
     at_ms: float
-    serial: int  # orders completions of the same time
+    serial: int  # orders completions at the same time
     function: int
     call: WorkerCall | None
 
@@ -87,9 +87,9 @@
 
     Args:
         number: number of the worker.
-        cores: calls that execute at the same time.
+        cores: number of cores, each of which executes one call at a time.
         max_instances: instances that fit into memory.
-        store: the package store, which several workers may share.
+        store: the package store, which may be shared by several workers.
         concurrency: slots of one instance.
         keep_alive_ms: the instances of a function that is unused for longer are unloaded.
     """
@@ -109,15 +109,15 @@
         self.store = store
         self.concurrency = concurrency
         self.keep_alive_ms = keep_alive_ms
-        self.slowdown = 1.0  # factor of the duration of executions and loads
+        self.slowdown = 1.0  # factor by which executions and loads take longer
         self.instances_by_function: dict[int, _FunctionInstances] = {}
         self.timer_queue: list[_Completion] = []
         self.core_queue: deque[WorkerCall] = deque()  # calls with a slot that wait for a core
         self.running_count = 0  # calls on a core
-        self.in_flight = 0  # calls accepted and not ended
+        self.in_flight = 0  # accepted calls that have not ended
         self.timer_serial = 0
         self.instance_count = 0  # ready and loading instances of all functions
-        # Time in ms and function, for each start of the first load of a function.
+        # (time in ms, function) of each load that started while the function had no instance.
         self.placements: list[tuple[float, int]] = []
 
     def next_event_at_ms(self) -> float:
@@ -209,7 +209,7 @@
         return ended
 
     def crash(self, now_ms: float) -> list[WorkerCall]:
-        """Remove all calls and instances, and return the calls that were lost."""
+        """Drop all calls and instances, and return the dropped calls."""
         lost = [completion.call for completion in self.timer_queue if completion.call is not None]
         lost += self.core_queue
         for instances in self.instances_by_function.values():
--- a/cedarthread/testing/fakes/worker_server.py
+++ b/cedarthread/testing/fakes/worker_server.py
@@ -1,4 +1,4 @@
-"""A fake worker: serves the model of a worker on a socket, by the JSON lines of the worker protocol."""
+"""A fake worker: serves a worker model on a socket, with the JSON lines of the worker protocol."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Deliver(Protocol):
-    """The network between the router of a call and the worker."""
+    """A function that simulates the network between the router of a call and the worker."""
 
     def __call__(self, call_id: str, is_to_worker: bool, callback: Callable[[], None], /) -> None:
         """Call ``callback`` when a message of the call arrives at the worker, or at the router."""
@@ -45,7 +45,7 @@
 
     def __init__(self, server: FakeWorkerServer) -> None:
         self.server = server
-        self.buffer = b""  # start of a line
+        self.buffer = b""  # incomplete line
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast("asyncio.Transport", transport)
@@ -65,9 +65,9 @@
     """The server of one worker model; owns the connections of the routers.
 
     Args:
-        model: the worker.
+        model: the worker model that handles the calls.
         clock: returns the time in ms.
-        deliver: the network between routers and worker.
+        deliver: simulates the network between routers and worker.
         observer: observer of the calls.
     """
 
@@ -84,7 +84,7 @@
         self._connection_by_call: dict[str, _Connection] = {}
         self.connections: set[_Connection] = set()
         self.accepted_at_ms: list[float] = []  # times at which connections were accepted
-        self.timer_lags_ms: list[float] = []  # by how much each timer fired late
+        self.timer_lags_ms: list[float] = []  # how late each timer fired
         self._timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
