--- a/cedarthread/testing/fakes/client.py
+++ b/cedarthread/testing/fakes/client.py
@@ -58,7 +58,7 @@
         """Report the complete answers, and buffer the rest of the data."""
         self._buffer += data
         while isinstance(parsed := msgpack.parse(memoryview(self._buffer)), msgpack.ParsedValue):
-            _, number, error, result = without_views(parsed.value)
+            _, number, error, result = replace_memoryviews(parsed.value)
             self._buffer = self._buffer[parsed.end :]
             self.on_answer(number, answer_kind(error), result[0] if error is None else b"")
 
@@ -68,8 +68,8 @@
         self.on_lost()
 
 
-def without_views(value: Any) -> Any:
+def replace_memoryviews(value: Any) -> Any:
     """Return a parsed value with bytes in place of memory views, so that the input buffer can be released."""
     if isinstance(value, list):
-        return [without_views(item) for item in value]
+        return [replace_memoryviews(item) for item in value]
     return bytes(value) if isinstance(value, memoryview) else value
--- a/cedarthread/testing/fakes/peer_transport.py
+++ b/cedarthread/testing/fakes/peer_transport.py
@@ -15,7 +15,7 @@
 Delays = Callable[[float, int, int], list[float]]  # (now_ms, sender, receiver): a delay in ms per arrival
 
 
-class PeerPath(Protocol):
+class PeerDatagramTransport(Protocol):
     """The transport of one router to the other routers, which are numbered from 0. No method raises.
 
     1. A datagram of 1 to 256 bytes arrives complete or not at all, with its sender's number.
@@ -61,7 +61,7 @@
         self.delays_ms = delays_ms
         self.now_ms = 0.0
         self._sent_count = 0
-        self.paths: dict[int, MemoryPath] = {}
+        self.transports: dict[int, MemoryPeerTransport] = {}
         self._in_flight: list[_Datagram] = []
 
     def send(self, sender: int, receiver: int, data: bytes) -> None:
@@ -75,15 +75,15 @@
         """Deliver datagrams until none is in flight."""
         while self._in_flight:
             self.now_ms, _, sender, receiver, data = heapq.heappop(self._in_flight)
-            path = self.paths.get(receiver)
-            if path is not None and sender in self.known_routers:
-                path.on_datagram(sender, data)
-            elif path is not None:
-                path.unknown_sender_count += 1
+            transport = self.transports.get(receiver)
+            if transport is not None and sender in self.known_routers:
+                transport.on_datagram(sender, data)
+            elif transport is not None:
+                transport.unknown_sender_count += 1
 
 
-class MemoryPath:
-    """The in-memory transport of one router, which implements ``PeerPath``.
+class MemoryPeerTransport:
+    """The in-memory transport of one router, which implements ``PeerDatagramTransport``.
 
     Args:
         network: the network between the routers.
@@ -97,11 +97,11 @@
         self.on_datagram = on_datagram
         self.unknown_sender_count = 0
         self.unsent_count = 0
-        network.paths[number] = self
+        network.transports[number] = self
 
     def send(self, data: bytes, peer: int | None) -> None:
         """Send a datagram to one router, or to all others."""
-        if self.number not in self.network.paths:  # this transport was stopped
+        if self.number not in self.network.transports:  # this transport was stopped
             return
         others = [router for router in self.network.known_routers if router != self.number]
         known = [router for router in self.network.known_routers if router == peer]
@@ -114,4 +114,4 @@
 
     def stop(self) -> None:
         """Stop sending and delivering."""
-        self.network.paths.pop(self.number, None)
+        self.network.transports.pop(self.number, None)
--- a/cedarthread/testing/fakes/scripted.py
+++ b/cedarthread/testing/fakes/scripted.py
@@ -15,7 +15,7 @@
 from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 from cedarthread.service import Service
 from cedarthread.settings_parser import settings_from_object
-from cedarthread.testing.fakes import client as client_side
+from cedarthread.testing.fakes import client as fake_client
 from cedarthread.testing.fakes.settings import SETTINGS
 
 if TYPE_CHECKING:
@@ -105,10 +105,11 @@
     """Run a complete router in this process with these workers, and with ``changes`` to the settings."""
     for worker in workers:
         await worker.start()
-    known = ((1, tuple(endpoint_record(worker, number) for number, worker in enumerate(workers, 1))),)
+    endpoints = ((1, tuple(endpoint_record(worker, number) for number, worker in enumerate(workers, 1))),)
     settings = settings_from_object(SETTINGS | changes)
     running = Service(
-        Config("n0", "127.0.0.1", 0, 7, 1024, 192 * 2**20, None, settings, known, ("127.0.0.1", 0)), invoke
+        Config("n0", "127.0.0.1", 0, 7, 1024, 192 * 2**20, None, settings, endpoints, ("127.0.0.1", 0)),
+        invoke,
     )
     await running.start()
     try:
@@ -140,7 +141,7 @@
 def pack_call(number: int, class_name: str, body: bytes = b"", **fields: str) -> bytes:
     """Return a call message with default fields, updated with ``fields``."""
     all_fields = {"txn": f"{number:016x}", "limit": "3000", "item": FUNCTION} | fields
-    return client_side.pack_call(number, class_name, body, all_fields)
+    return fake_client.pack_call(number, class_name, body, all_fields)
 
 
 class ScriptedClient:
@@ -160,7 +161,7 @@
                     return None
                 self.buffer += data
         self.buffer = self.buffer[parsed.end :]
-        return client_side.without_views(parsed.value)
+        return fake_client.replace_memoryviews(parsed.value)
 
     async def call(self, number: int, class_name: str, body: bytes = b"", **fields: str) -> Any:
         """Send a call, and return the next message."""
--- a/cedarthread/testing/fakes/worker_model.py
+++ b/cedarthread/testing/fakes/worker_model.py
@@ -111,18 +111,18 @@
         self.keep_alive_ms = keep_alive_ms
         self.slowdown = 1.0  # factor by which executions and loads take longer
         self.instances_by_function: dict[int, _FunctionInstances] = {}
-        self.timer_queue: list[_Completion] = []
+        self.completion_queue: list[_Completion] = []
         self.core_queue: deque[WorkerCall] = deque()  # calls with a slot that wait for a core
         self.running_count = 0  # calls on a core
         self.in_flight = 0  # accepted calls that have not ended
-        self.timer_serial = 0
+        self.completion_serial = 0
         self.instance_count = 0  # ready and loading instances of all functions
         # (time in ms, function) of each load that started while the function had no instance.
         self.placements: list[tuple[float, int]] = []
 
     def next_event_at_ms(self) -> float:
         """Return the time of the next completion, or infinity if no call executes and no load runs."""
-        return self.timer_queue[0].at_ms if self.timer_queue else math.inf
+        return self.completion_queue[0].at_ms if self.completion_queue else math.inf
 
     def on_call(self, now_ms: float, call: WorkerCall) -> bool:
         """Accept a call and return True, or set its remark to the reason for rejection and return False."""
@@ -149,7 +149,7 @@
             return "hit"
         if in_flight < (instances.ready + instances.loading) * self.concurrency:
             return "pending"
-        load_ms = self.store.start_load() if self._free_memory() else None
+        load_ms = self.store.start_load() if self._ensure_free_memory() else None
         if load_ms is None:
             return "pending" if instances.has_any() else "spawn_failed"
         if not instances.has_any():
@@ -159,7 +159,7 @@
         self._schedule(now_ms + load_ms * self.slowdown, function, None)
         return "spawn"
 
-    def _free_memory(self) -> bool:
+    def _ensure_free_memory(self) -> bool:
         """Return whether one more instance fits; if needed, unload the least recently used idle one first."""
         if self.instance_count < self.max_instances:
             return True
@@ -171,8 +171,8 @@
         return True
 
     def _schedule(self, at_ms: float, function: int, call: WorkerCall | None) -> None:
-        self.timer_serial += 1
-        heapq.heappush(self.timer_queue, _Completion(at_ms, self.timer_serial, function, call))
+        self.completion_serial += 1
+        heapq.heappush(self.completion_queue, _Completion(at_ms, self.completion_serial, function, call))
 
     def _start_ready_calls(self, now_ms: float, instances: _FunctionInstances) -> None:
         """Assign free slots of one function to waiting calls, then free cores to calls with a slot."""
@@ -191,8 +191,8 @@
     def advance(self, now_ms: float) -> list[WorkerCall]:
         """Process the completions until now, and return the calls that ended, in order."""
         ended: list[WorkerCall] = []
-        while self.timer_queue and self.timer_queue[0].at_ms <= now_ms:
-            at_ms, _, function, call = heapq.heappop(self.timer_queue)
+        while self.completion_queue and self.completion_queue[0].at_ms <= now_ms:
+            at_ms, _, function, call = heapq.heappop(self.completion_queue)
             instances = self.instances_by_function[function]
             instances.last_used_at_ms = at_ms
             if call is None:
@@ -210,7 +210,7 @@
 
     def crash(self, now_ms: float) -> list[WorkerCall]:
         """Drop all calls and instances, and return the dropped calls."""
-        lost = [completion.call for completion in self.timer_queue if completion.call is not None]
+        lost = [completion.call for completion in self.completion_queue if completion.call is not None]
         lost += self.core_queue
         for instances in self.instances_by_function.values():
             lost += instances.waiting_calls
@@ -218,7 +218,7 @@
         for call in lost:
             call.ended_at_ms = now_ms
         self.instances_by_function.clear()
-        self.timer_queue.clear()
+        self.completion_queue.clear()
         self.core_queue.clear()
         self.running_count = 0
         self.in_flight = 0
--- a/tests/contracts/test_paths.py
+++ b/tests/contracts/test_paths.py
@@ -15,7 +15,7 @@
 from cedarthread.testing.cluster.network import Network
 from cedarthread.testing.cluster.scenario import Subject, SubjectKind
 from cedarthread.testing.cluster.scenario_file import parse_scenario
-from cedarthread.testing.fakes.peer_transport import MemoryNetwork, MemoryPath, PeerPath
+from cedarthread.testing.fakes.peer_transport import MemoryNetwork, MemoryPeerTransport, PeerDatagramTransport
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -49,8 +49,8 @@
         )
 
     async def start(self) -> None:
-        self.ends: list[PeerPath] = [
-            MemoryPath(self.network, number, partial(self.on_datagram, number))
+        self.ends: list[PeerDatagramTransport] = [
+            MemoryPeerTransport(self.network, number, partial(self.on_datagram, number))
             for number in range(ROUTER_COUNT + 1)
         ]
         self.extra_ends = [self.ends.pop()]
--- a/tests/integration/client_sockets.py
+++ b/tests/integration/client_sockets.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 from cedarthread.protocols import msgpack
-from cedarthread.testing.fakes.client import without_views
+from cedarthread.testing.fakes.client import replace_memoryviews
 from cedarthread.testing.fakes.scripted import pack_call
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
                 return None
             self.received += received
         self.received = self.received[parsed.end :]
-        return without_views(parsed.value)
+        return replace_memoryviews(parsed.value)
 
 
 # The ways in which a client may give up its call number 1.
