--- a/cedarthread/testing/fuzzing/call_machine.py
+++ b/cedarthread/testing/fuzzing/call_machine.py
@@ -1,7 +1,7 @@
 """The call machine: a complete router and all its peers on a virtual clock, driven by a script.
 
 An input is a script: each byte selects the next step. The invariant checker evaluates the messages that
-clients and workers received. At the end of a run, the router must have released every resource that the run
+clients and workers received. At the end of a run, the router must have released every resource that it
 acquired.
 """
 
@@ -28,20 +28,20 @@
     from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
 
 MAX_SCRIPT_BYTES = 400
-PIPELINED_ROUNDS = 4  # several, because the router serves pipelined requests one after another
+PIPELINED_ROUNDS = 4  # more than one, because the router serves pipelined requests one after another
 PIPELINED_ROUND_MS = 3000.0
 COLLECT_ROUNDS = 400  # many, because a stopping invoke server closes the connection after each response
 COLLECT_ROUND_MS = 50.0
-RETENTION_S = 125.0  # longer than any answer is stored
-RECLAIM_S = 20.0  # after the last sweep, until the timers of closed connections have expired
+RETENTION_S = 125.0  # longer than the router stores any answer
+RECLAIM_S = 20.0  # after the last sweep; the timers of closed connections expire within this time
 
 
 class CallMachine:
-    """A run of a script: the router under test, its workers and its clients.
+    """The state of a run of a script: the router under test, its workers and its clients.
 
     Args:
         loop: The virtual loop that the run owns.
-        choices: The script, from which the machine reads its mode first.
+        choices: The script; its first two bytes set the mode and the duration of a stall.
     """
 
     def __init__(self, loop: VirtualLoop, choices: FuzzedDataProvider) -> None:
@@ -77,7 +77,7 @@
             await self.finish()
 
     async def finish(self) -> None:
-        """Let every deadline pass, close all connections, and check that no resource is left over."""
+        """Let every deadline pass, close all connections, and check that no resource leaks."""
         router = self.router
         clients = self.client_steps.clients
         for client in clients:
@@ -131,7 +131,7 @@
 
 
 class CallMachineTarget(Target):
-    """The whole router under scripts."""
+    """A complete router that is driven by scripts."""
 
     name = "calls"
     modules = (
@@ -170,7 +170,7 @@
     test_runs = 150
 
     def generate(self, rng: random.Random) -> bytes:
-        """Return a script of random steps, or of the steps of one theme."""
+        """Return a script of random steps, or of the steps of one scenario."""
         return generate_script(rng)
 
     def check(self, data: bytes) -> None:
--- a/cedarthread/testing/fuzzing/cli.py
+++ b/cedarthread/testing/fuzzing/cli.py
@@ -1,4 +1,4 @@
-"""``cedarthread fuzz``: run, replay, minimise, explore, injected defects. Exit code 0 only if all held.
+"""``cedarthread fuzz``: fuzz, replay, minimise, explore, inject defects. Exit code 0 only without a finding.
 
 Usage:
   cedarthread fuzz list
@@ -11,19 +11,19 @@
   cedarthread fuzz --help
 
 Commands:
-  list      Name the targets, the small models and the injected defects.
-  run       Search guided by coverage; new inputs join the corpus. --plain generates without a guide.
-  replay    Check the corpus, metered; with --draw also the generated inputs of the tests.
-  minimise  Make a finding's input smaller, and write it beside the file.
-  explore   Check the small models: every order of their events.
-  planted   Inject defects into the program, one after another: each must be found.
-  coverage  Lines and branches that the corpus and generated inputs reach.
+  list      List the targets, the small models and the injected defects.
+  run       Fuzz guided by coverage and add new inputs to the corpus; --plain fuzzes without guidance.
+  replay    Check the corpus under resource budgets; with --draw also the generated inputs of the tests.
+  minimise  Reduce the input of a finding, and write the result next to the file.
+  explore   Check the small models with every order of their events.
+  planted   Inject defects into the program one at a time; the targets must find each.
+  coverage  Report the lines and branches that the corpus and generated inputs reach.
 
 Options:
-  --runs=N      Runs at most [default: 100000].
-  --seconds=S   Seconds at most [default: 60].
-  --seed=K      The seed of all that is generated [default: 1].
-  --corpus=DIR  The corpus's folder [default: corpus].
+  --runs=N      Maximum number of runs [default: 100000].
+  --seconds=S   Maximum duration in seconds [default: 60].
+  --seed=K      Seed of the random number generator [default: 1].
+  --corpus=DIR  Folder of the corpus [default: corpus].
 """
 
 from __future__ import annotations
@@ -53,8 +53,8 @@
 EXIT_FINDING = 1
 EXIT_USAGE = 2
 RUNS_PER_REPORT = 5000
-MAX_INPUT_BYTES = 100_000  # size of an input of a guided run
-INPUT_TIMEOUT_S = 60  # time for one input of a guided run
+MAX_INPUT_BYTES = 100_000  # maximum size of an input in a guided run
+INPUT_TIMEOUT_S = 60  # maximum time for one input in a guided run
 PACKAGE = "cedarthread.testing.fuzzing"
 
 Options = dict[str, Any]
--- a/cedarthread/testing/fuzzing/client_steps.py
+++ b/cedarthread/testing/fuzzing/client_steps.py
@@ -19,12 +19,12 @@
 CALL_TIMEOUTS_MS = (5000, 2000, 400, 150, 60)
 BURST_TIMEOUT_MS = 3000
 BURST_CLASSES = (0, 0, 2, 1)
-CUT_UNIT_BYTES = 7  # a call's message is split after a multiple of this length
+CUT_UNIT_BYTES = 7  # the message of a call is split at a multiple of this length
 MALFORMED_REQUESTS = (b"\xc1", b"\x94\x00\xff", b"\x91" * 40, b"\x00" * 90)
 
 
 class ClientSteps:
-    """The steps of platform clients and of callers of the invoke API; the owner of both.
+    """The steps of platform clients and of callers of the invoke API; owns both.
 
     Args:
         router: The router that the clients connect to.
@@ -34,7 +34,7 @@
     def __init__(self, router: RouterUnderTest, choices: FuzzedDataProvider) -> None:
         self.router = router
         self.choices = choices
-        self.clients: list[MemoryClient] = []  # every client of the run, also the disconnected ones
+        self.clients: list[MemoryClient] = []  # every client of the run, including disconnected ones
         self.invoke_callers: list[InvokeCaller] = []
         self._current_clients: dict[int, MemoryClient] = {}
 
--- a/cedarthread/testing/fuzzing/config_targets.py
+++ b/cedarthread/testing/fuzzing/config_targets.py
@@ -1,4 +1,4 @@
-"""Fuzz targets of the configuration parsers; a router must be able to serve with accepted settings."""
+"""Fuzz targets of the configuration parsers; with accepted settings, a router must serve requests."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
     from cedarthread.model.settings import RouterSettings
 
-MAX_CLASSES = 8  # number of request classes that are exercised
+MAX_CLASSES = 8  # maximum number of request classes to exercise
 
 
 def exercise_settings(settings: RouterSettings) -> None:
@@ -55,14 +55,14 @@
 
 
 class JsonTarget(Target):
-    """A target with one JSON document as its input."""
+    """A target whose input is one JSON document."""
 
     def base_document(self, rng: random.Random) -> object:
         """Return the parsed document that ``generate`` changes."""
         raise NotImplementedError
 
     def generate(self, rng: random.Random) -> bytes:
-        """Return the base document with no change, one or two."""
+        """Return the base document with up to two changes."""
         tree = self.base_document(rng)
         for _ in range(rng.choice((0, 1, 1, 2))):
             tree = mutate_tree(
@@ -71,7 +71,7 @@
         return json.dumps(tree).encode()
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Return the document with a change of its parsed value, of its bytes, or with deep nesting."""
+        """Return the document with its parsed value or its bytes changed, or with deep nesting."""
         if rng.random() < 0.1:
             return b'{"a":' * 3000 + data if rng.random() < 0.5 else b"[" * 90_000
         if rng.random() < 0.7:
@@ -86,7 +86,7 @@
 
 
 class ConfigFileTarget(JsonTarget):
-    """The configuration that the platform writes."""
+    """The configuration file that the platform writes."""
 
     name = "config"
     modules = ("cedarthread.config",)
@@ -116,7 +116,7 @@
         }
 
     def generate(self, rng: random.Random) -> bytes:
-        """Return a configuration, in most cases with a change in its settings, which have most numbers."""
+        """Return a configuration, in most cases with a change in its settings, which hold most numbers."""
         if rng.random() < 0.4:
             return super().generate(rng)
         tree = self.base_document(rng)
@@ -134,7 +134,7 @@
         return json.dumps(tree).encode()
 
     def check(self, data: bytes) -> None:
-        """Check that the parser rejects with ``ConfigError`` only, and that accepted settings can serve."""
+        """Check that the parser raises only ``ConfigError``, and that accepted settings can be served."""
         try:
             parsed = config.decode(data, {})
         except config.ConfigError as error:
@@ -151,14 +151,14 @@
 
 
 class InvokeConfigTarget(Target):
-    """The invoke API's TOML file."""
+    """The TOML configuration file of the invoke API."""
 
     name = "invoke-file"
     modules = ("cedarthread.protocols.invoke.config",)
     line_budget = Budget(60_000, 800)
 
     def generate(self, rng: random.Random) -> bytes:
-        """Return a file like the shipped one, with edge values of numbers, addresses and SPIFFE IDs."""
+        """Return a file like the shipped one, with edge cases of numbers, addresses and SPIFFE IDs."""
         connections = rng.choice(
             ("128", "1", "0", "-1", "inf", "nan", "1e308", "9" * 30, '"x"', "[]", "true")
         )
@@ -177,7 +177,7 @@
         return mutate_bytes(data, rng)
 
     def check(self, data: bytes) -> None:
-        """Check that the parser rejects with ``ValueError`` only, and that accepted numbers are bounded."""
+        """Check that the parser raises only ``ValueError``, and that accepted numbers are bounded."""
         try:
             parsed = invoke_config.parse(data, Path("deploy/invoke.toml"))
         except ValueError as error:
--- a/cedarthread/testing/fuzzing/corpus.py
+++ b/cedarthread/testing/fuzzing/corpus.py
@@ -1,4 +1,4 @@
-"""The corpus, and the minimising of an input.
+"""The corpus of inputs, and the minimisation of an input.
 
 The corpus stores each input in a file, in one folder for each target. A target's findings are in its
 subfolder ``findings``.
@@ -15,7 +15,7 @@
 
 DEFAULT_FOLDER = Path("corpus")
 NAME_DIGITS = 12  # length of a file name: leading hexadecimal digits of the SHA-256 of the input
-MAX_TRIALS = 4000  # number of inputs that one minimising may check
+MAX_TRIALS = 4000  # maximum number of inputs that one minimisation checks
 
 
 class CorpusInput(NamedTuple):
@@ -45,7 +45,7 @@
 
 
 def minimise(data: bytes, still_fails: Callable[[bytes], bool], max_trials: int = MAX_TRIALS) -> bytes:
-    """Return the input without the bytes that ``still_fails`` does not need, and with other bytes zeroed.
+    """Return the input reduced to the bytes with which ``still_fails`` holds, other bytes removed or zeroed.
 
     The function removes smaller and smaller pieces, as delta debugging does (Zeller and Hildebrandt 2002).
     """
--- a/cedarthread/testing/fuzzing/coverage_report.py
+++ b/cedarthread/testing/fuzzing/coverage_report.py
@@ -1,4 +1,4 @@
-"""Coverage that one target's corpus and generated inputs reach.
+"""A report of the coverage that the corpus and generated inputs of one target reach.
 
 The report runs in a separate process because the measurement must start before the program is imported.
 
@@ -14,7 +14,7 @@
 
 import coverage
 
-RUNS_FACTOR = 4  # the report generates this many times the tests' number of inputs
+RUNS_FACTOR = 4  # the report generates this many times as many inputs as the tests
 
 
 def main(name: str, folder: str) -> None:
--- a/cedarthread/testing/fuzzing/cuts.py
+++ b/cedarthread/testing/fuzzing/cuts.py
@@ -12,5 +12,5 @@
 
 
 def sample_cuts(rng: random.Random, data: bytes, max_cuts: int = 12) -> list[int]:
-    """Return sorted positions to truncate at: every position of a short input, a sample of a long one."""
+    """Return sorted positions to truncate at: all positions of a short input, a sample of a long one."""
     return list(range(len(data))) if len(data) <= max_cuts else sorted(rng.sample(range(len(data)), max_cuts))
--- a/cedarthread/testing/fuzzing/defect.py
+++ b/cedarthread/testing/fuzzing/defect.py
@@ -12,7 +12,7 @@
 
 
 class Patch(NamedTuple):
-    """The replacement of an attribute of a class or module."""
+    """A replacement of an attribute of a class or module."""
 
     owner: object
     attribute: str
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Defect:
-    """A defect: its patches, the target that must find it, and the number of runs within which it must."""
+    """A defect: its patches, the target that must find it, and the maximum number of runs to find it."""
 
     name: str
     target: str
@@ -30,7 +30,7 @@
 
     @contextmanager
     def injected(self) -> Iterator[None]:
-        """Patch the defect into the program until the context ends."""
+        """Patch the defect into the program for the duration of the context."""
         patches = [
             mock.patch.object(patch.owner, patch.attribute, patch.replacement) for patch in self.patches
         ]
@@ -43,7 +43,7 @@
                 patch.stop()
 
 
-# Replacements of functions with any parameters.
+# Replacements for functions with any parameters.
 
 
 def do_nothing(*arguments: object) -> None:
--- a/cedarthread/testing/fuzzing/defective_calls.py
+++ b/cedarthread/testing/fuzzing/defective_calls.py
@@ -1,7 +1,7 @@
 """Defective replacements of functions of dispatch, routing and the connections, for the target ``calls``.
 
-A replacement has the signature of the method that it replaces. Several replacements call the original,
-which this module reads at import, before a defect is injected.
+A replacement has the signature of the method that it replaces. Several replacements call the original method,
+which this module saves at import, before a defect is injected.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 def start_attempt_twice(self: ActionExecutor, action: StartAttempt) -> None:
-    """Start a hedged attempt and, at the same time, another one for the same call."""
+    """Start an attempt and, if it is a hedge, another attempt of the same call at the same time."""
     _start_attempt(self, action)
     call = self._calls.pending.get(action.request_id)
     if call is not None and len(call.attempts) == 2 and not call.attempts[1].is_ended:
@@ -68,7 +68,7 @@
 
 
 def set_extra_timer(self: CallDeadlines, at_ms: float) -> None:
-    """Set the wake-up timer, and another timer that outlasts the run."""
+    """Set the wake-up timer, and another timer that expires after the run."""
     self._wakeup_at_ms = at_ms
     self._wakeup_timer = self._context.call_at(at_ms, self.on_timer)
     self._context.call_at(at_ms + 1e9, self.on_timer)
@@ -86,7 +86,7 @@
 
 
 def preload_beyond_limit(self: PreloadPolicy, now_ms: float) -> bool:
-    """Return whether a preload is allowed by an allowance of several times the limit."""
+    """Return whether a preload is allowed under several times the configured limit."""
     state = self.state
     budget = state.preload_budget
     budget.on_preload(now_ms) if not budget.preload_times else None
@@ -110,14 +110,14 @@
 
 
 def ignore_retry_window(self: RetryPolicy, now_ms: float, request: PendingRequest) -> bool:
-    """Return whether a retry is safe by its idempotency, without regard to the time window."""
+    """Return whether the request's idempotency permits a retry, without regard to the time window."""
     return (
         not request.possibly_executed() or request.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
     )
 
 
 def write_all_lines(self: WorkerConnection, transport: asyncio.Transport, *, without_requests: bool) -> None:
-    """Write all queued lines without waiting for the peer to accept the one before."""
+    """Write all queued lines without waiting until the peer has accepted the previous line."""
     while (line := self.line_queue.next_line()) is not None:
         if line.request is not None and not self._may_write(line.request):
             self.withdraw_and_end(line.request)
--- a/cedarthread/testing/fuzzing/defective_parsers.py
+++ b/cedarthread/testing/fuzzing/defective_parsers.py
@@ -1,7 +1,7 @@
 """Defective replacements of functions of the parsers, the endpoint list and the store of deferred calls.
 
 A replacement has the signature of the function that it replaces. Several replacements call the original,
-which this module reads at import, before a defect is injected.
+which this module saves at import, before a defect is injected.
 """
 
 from __future__ import annotations
--- a/cedarthread/testing/fuzzing/deferred_target.py
+++ b/cedarthread/testing/fuzzing/deferred_target.py
@@ -1,4 +1,4 @@
-"""The fuzz target of the store of deferred calls, which is compared with a model after each step."""
+"""The fuzz target of the store of deferred calls; each step compares the store with a model."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     max_calls=6, max_bytes=4000, retention_s=60.0, retry_retention_s=5.0, reserve_bytes=500
 )
 MAX_ANSWER_BYTES = 2500
-OVERSHOOT_BYTES = 3000  # allowed above the limit, because a result may be larger than its reservation
+OVERSHOOT_BYTES = 3000  # allowed beyond the limit, because a result may be larger than its reservation
 PAST_RETENTION_S = 1000.0
 
 
 @dataclass(slots=True)
 class _ModelCall:
-    """A call that the store must have, with its expected size, expiry and notifications."""
+    """A call that the store must contain, with its expected size, expiry and notifications."""
 
     entry: DeferredCall
     owner: str
@@ -46,7 +46,7 @@
 
 
 class _DeferredCallsRun:
-    """The store and its model, on which the steps of one input act.
+    """The store and its model, to which the steps of one input are applied.
 
     Args:
         choices: The input.
@@ -83,7 +83,7 @@
         store = self.store
         key = self.choices.pick((None, "k0", "k1", "k2"))
         if key is not None and store.find_by_key(owner, key) is not None:
-            return  # the invoke server does not add a call under a known key either
+            return  # like the invoke server, which adds no call under a stored key
         retention_s = self.choices.pick((LIMITS.retention_s, LIMITS.retry_retention_s))
         entry = store.add(owner, key, ("0", "f", b""), retention_s)
         has_bytes = store.reserved_bytes <= LIMITS.max_bytes
@@ -141,7 +141,7 @@
 
 
 class DeferredCallsTarget(Target):
-    """Adds, completions, collections, removals and time, in any order."""
+    """The store of deferred calls: additions, completions, lookups, removals and expiry in any order."""
 
     name = "deferred"
     modules = ("cedarthread.dispatch.deferred",)
--- a/cedarthread/testing/fuzzing/discovery_target.py
+++ b/cedarthread/testing/fuzzing/discovery_target.py
@@ -1,4 +1,4 @@
-"""The fuzz target of the discovery client, with lost, late, old, repeated, foreign and truncated replies."""
+"""The fuzz target of the discovery client, with missing, outdated and invalid replies."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 
 TRUNCATED = 0x0200  # the DNS flag TC
-REPLIED_QUERIES = 3  # a reply answers one of the last queries, up to this many back
+REPLIED_QUERIES = 3  # a reply answers one of this many most recent queries
 
 
 class _Update(NamedTuple):
@@ -36,7 +36,7 @@
 
 
 class _RecordingDatagramTransport(asyncio.DatagramTransport):
-    """A transport that records the queries of the client."""
+    """A datagram transport that records the queries of the client."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -96,7 +96,7 @@
         self.transport = _RecordingDatagramTransport()
         self.client.connection_made(self.transport)
         self.serial = 0
-        self.delivered: list[bytes] = []  # complete replies, for a repeated delivery
+        self.delivered: list[bytes] = []  # complete replies, which may be delivered again
 
     async def run(self) -> None:
         """Deliver replies until the end of the input, then stop the client."""
@@ -150,7 +150,7 @@
 
 
 class DiscoveryTarget(Target):
-    """The discovery client, with replies lost, late, old, repeated, foreign and truncated."""
+    """The discovery client, with lost, late, old, repeated, unsolicited and truncated replies."""
 
     name = "resolver"
     modules = ("cedarthread.protocols.discovery.client",)
@@ -162,9 +162,9 @@
         return rng.randbytes(rng.choice((10, 40, 80)))
 
     def check(self, data: bytes) -> None:
-        """Check that the client passes a list on after two complete replies, and never twice in a row.
+        """Check that the client passes a list on only after two complete replies, and never twice in a row.
 
-        The replies must answer two different recent queries.
+        The two replies must answer different recent queries.
         """
         updates: list[_Update] = []
 
--- a/cedarthread/testing/fuzzing/dns_target.py
+++ b/cedarthread/testing/fuzzing/dns_target.py
@@ -53,7 +53,7 @@
         self.data.append(0)
 
     def record(self, owner: str, record_type: int, data: bytes, target: str | None = None) -> None:
-        """Append a record; ``target`` is a name at the end of the record's data."""
+        """Append a record; ``target`` is a name that ends the record's data."""
         self.name(owner)
         self.data.extend(struct.pack(">HHIH", record_type, CLASS_IN, TTL_S, 0))
         start = len(self.data)
@@ -100,7 +100,7 @@
 
 
 def _generate_pointer_chain(rng: random.Random) -> bytes:
-    """Return a reply with names that lead through a long chain of compression pointers."""
+    """Return a reply whose names resolve through a long chain of compression pointers."""
     hops = rng.choice((3, 300, 2000))
     # The chain begins at byte 23: after the header, a root name and the head of a record.
     chain = b"".join(struct.pack(">H", POINTER | (21 + 2 * hop if hop else 12)) for hop in range(hops))
@@ -111,7 +111,7 @@
 
 
 class DnsTarget(Target):
-    """DNS answers."""
+    """DNS replies."""
 
     name = "dns"
     modules = ("cedarthread.protocols.dns",)
@@ -125,7 +125,7 @@
         pointers = [
             position for position in range(HEADER_BYTES, len(data) - 1) if data[position] >= POINTER >> 8
         ]
-        if pointers and rng.random() < 0.2:  # the pointer leads to itself or forwards, which DNS forbids
+        if pointers and rng.random() < 0.2:  # the pointer refers to itself or forwards, which DNS forbids
             position = rng.choice(pointers)
             target = min(MAX_POINTER_TARGET, position + rng.choice((0, 0, 2, 12)))
             struct.pack_into(">H", data, position, POINTER | target)
--- a/cedarthread/testing/fuzzing/endpoint_list_target.py
+++ b/cedarthread/testing/fuzzing/endpoint_list_target.py
@@ -17,7 +17,7 @@
 
 
 class _Follower:
-    """A reader that derives the workers' states from the events of the endpoint list."""
+    """A subscriber that derives the workers' states from the events of the endpoint list."""
 
     def __init__(self) -> None:
         self.state_by_worker: dict[int, EndpointState] = {}
@@ -33,7 +33,7 @@
 
 
 class _Model:
-    """A model of the endpoint list: the records that the list must have, by name."""
+    """A model of the endpoint list: the records that the list must contain, by name."""
 
     def __init__(self) -> None:
         self.records: dict[str, EndpointRecord] = {}
@@ -49,7 +49,7 @@
 
 
 class EndpointListTarget(Target):
-    """The endpoint list under updates late, repeated, out of order and contradictory."""
+    """The endpoint list, with late, repeated, reordered and contradictory updates."""
 
     name = "roster"
     modules = ("cedarthread.protocols.discovery.endpoint_list",)
@@ -59,7 +59,7 @@
         return rng.randbytes(rng.choice((10, 40, 90)))
 
     def check(self, data: bytes) -> None:
-        """Check that the list, a reader of its events and the model agree after every accepted update."""
+        """Check that the list, a subscriber to its events and the model agree after every accepted update."""
         choices = FuzzedDataProvider(data)
         endpoint_list = EndpointList(settings_from_object(drawn_settings.settings()))
         follower = _Follower()
--- a/cedarthread/testing/fuzzing/endpoint_publisher.py
+++ b/cedarthread/testing/fuzzing/endpoint_publisher.py
@@ -15,11 +15,11 @@
 
 
 class EndpointPublisher:
-    """A publisher of the endpoint list, which notifies the checker of each state that the router learns.
+    """A publisher of the endpoint list, which reports to the checker each state that the router learns.
 
     Args:
         router: The router that receives the updates.
-        workers: The workers; the first version of the list has all of them.
+        workers: The workers, all of which are in the first version of the list.
     """
 
     def __init__(self, router: RouterUnderTest, workers: Sequence[MemoryWorker]) -> None:
@@ -50,7 +50,7 @@
         self.listed.pop(worker.number, None)
 
     def publish(self) -> None:
-        """Publish the present list as a new version, and deliver it to the router."""
+        """Publish the current list as a new version, and deliver it to the router."""
         self.published.append(list(self.listed.values()))
         self._deliver(self.version, self.published[-1])
 
--- a/cedarthread/testing/fuzzing/finding.py
+++ b/cedarthread/testing/fuzzing/finding.py
@@ -1,10 +1,10 @@
-"""The exception that reports a fault of the program, and the assertion that raises it."""
+"""The exception for a fault that an input reveals, and the assertion that raises it."""
 
 from __future__ import annotations
 
 
-class Finding(Exception):  # noqa: N818 -- reports and the corpus call it a finding
-    """A fault that the program showed on one input; the message names the broken rule."""
+class Finding(Exception):  # noqa: N818 -- reports and the corpus folders use this term
+    """A fault of the program on one input; the message says which rule is violated."""
 
 
 def require(condition: object, message: str) -> None:
--- a/cedarthread/testing/fuzzing/guided.py
+++ b/cedarthread/testing/fuzzing/guided.py
@@ -3,7 +3,7 @@
     python -m cedarthread.testing.fuzzing.guided TARGET FOLDER [libFuzzer options]
 
 An input that reaches new code is written to the folder. An input that shows a finding ends the run with exit
-code 77, which libFuzzer uses for its own findings too.
+code 77, which libFuzzer also uses for its own findings.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
     from cedarthread.testing.fuzzing.target import verdict
 
 FINDING_EXIT_CODE = 77
-LIBRARY_SHARE = 0.4  # share of the mutations that libFuzzer makes
-GENERATED_SHARE = 0.1  # share of the other mutations that a newly generated input replaces
+LIBRARY_SHARE = 0.4  # share of the mutations that libFuzzer performs
+GENERATED_SHARE = 0.1  # share of the other mutations that are replaced by a newly generated input
 
 
 def main(name: str, options: list[str]) -> None:
--- a/cedarthread/testing/fuzzing/http_reply.py
+++ b/cedarthread/testing/fuzzing/http_reply.py
@@ -1,4 +1,4 @@
-"""A parser of HTTP/1.1 responses, as a caller of the invoke API needs it."""
+"""A minimal parser of HTTP/1.1 responses for callers of the invoke API."""
 
 from __future__ import annotations
 
--- a/cedarthread/testing/fuzzing/http_target.py
+++ b/cedarthread/testing/fuzzing/http_target.py
@@ -62,11 +62,11 @@
     line_budget = Budget(20_000, 800)
 
     def generate(self, rng: random.Random) -> bytes:
-        """Return a request with a body of the declared length or one byte less."""
+        """Return a request with a body of the declared length or one byte shorter."""
         return generate_request(rng)
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Return the request with a line added, removed or changed, or with changed bytes."""
+        """Return the request with a line of its head added, removed or changed, or with changed bytes."""
         head, blank, body = data.partition(b"\r\n\r\n")
         if rng.random() < 0.4 or not blank:
             return mutate_bytes(data, rng)
--- a/cedarthread/testing/fuzzing/identity_targets.py
+++ b/cedarthread/testing/fuzzing/identity_targets.py
@@ -1,6 +1,6 @@
 """Fuzz targets of SPIFFE IDs and certificates.
 
-The targets compare the program with a second implementation of the standards SPIFFE-ID and X.509-SVID.
+The targets compare the program with an independent implementation of the SPIFFE-ID and X.509-SVID standards.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     import random
 
-# The key type is Ed25519 because its signatures are deterministic, so that an input is reproducible.
+# Ed25519, because its signatures are deterministic, so that an input is reproducible.
 SIGNING_KEY = ed25519.Ed25519PrivateKey.from_private_bytes(b"fuzz" * 8)
 MAX_ID_BYTES = 2048
 MAX_DOMAIN_CHARACTERS = 255
@@ -32,7 +32,7 @@
 
 
 def is_valid_spiffe_id(text: str) -> bool:
-    """Return whether a text is a workload's SPIFFE ID, independently of the program's own parser."""
+    """Return whether a text is the SPIFFE ID of a workload, independently of the program's own parser."""
     if len(text.encode(errors="surrogatepass")) > MAX_ID_BYTES or not text.startswith("spiffe://"):
         return False
     domain, *segments = text[len("spiffe://") :].split("/")
@@ -77,7 +77,7 @@
 
 
 class SpiffeIdTarget(Target):
-    """SPIFFE IDs, and the patterns that allow them."""
+    """SPIFFE IDs, and the patterns of allowed IDs."""
 
     name = "spiffe"
     modules = ("cedarthread.protocols.invoke.spiffe",)
@@ -103,7 +103,7 @@
 
 
 class CertificateTarget(Target):
-    """Leaf certificates whose chain has been verified already."""
+    """Leaf certificates whose chain is already verified."""
 
     name = "certificate"
     modules = ("cedarthread.protocols.invoke.spiffe",)
@@ -155,7 +155,7 @@
         )
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Return the certificate with one changed tag, which preserves lengths, or with changed bytes."""
+        """Return the certificate with one byte set to a tag, which keeps lengths, or with changed bytes."""
         if data and rng.random() < 0.7:
             position = rng.randrange(len(data))
             tag = rng.choice((0x80, 0x82, 0x84, 0x86, 0xA0, 0xA3, 0xA5, 0x30, 0x0C, data[position] ^ 1))
--- a/cedarthread/testing/fuzzing/injected_defects.py
+++ b/cedarthread/testing/fuzzing/injected_defects.py
@@ -1,7 +1,7 @@
 """The injected defects, each of which a fuzz target must find within a number of runs.
 
 A defect is patched into the running program. The defects represent the mistakes that fuzzing must find. Some
-of them are defects that fuzzing found and that have since been repaired.
+of them are former defects of the program that fuzzing found and that have since been fixed.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class Detection(NamedTuple):
-    """The run that found a defect, and the verdict on its input."""
+    """The number of the run that found a defect, and the verdict on its input."""
 
     run: int
     fault: str
@@ -76,7 +76,7 @@
     Defect(
         "timer-leak", "calls", 20, (Patch(CallDeadlines, "_set_wakeup", defective_calls.set_extra_timer),)
     ),
-    # SendGuard would refuse these attempts too, so the defect disables it as well.
+    # SendGuard would refuse these attempts as well, so the defect also disables it.
     Defect(
         "unsafe-sent-again",
         "calls",
@@ -149,8 +149,8 @@
         6000,
         (Patch(WorkerConnections, "_finish_cancel", defective_calls.cancel_as_not_executed),),
     ),
-    # Only the progress of a line behind a partly written line can be wrong. The program does not write such
-    # lines, so the defect writes them too.
+    # Progress can only be wrong for a line behind a partly written line. The program never writes a line
+    # there, so the defect also writes such lines.
     Defect(
         "half-written-unseen",
         "calls",
@@ -166,7 +166,7 @@
         6000,
         (Patch(InvokeCalls, "has_executed_call", return_false),),
     ),
-    # The check before a write would refuse an attempt that is not withdrawn, so the defect disables both.
+    # The check before a write would refuse an attempt that was not withdrawn, so the defect disables both.
     Defect(
         "unsent-not-withdrawn",
         "calls",
@@ -261,10 +261,10 @@
 
 
 def runs_until_found(defect: Defect, target: Target, seed: int = SEED) -> Detection | None:
-    """Return the first run that finds an injected defect, and its verdict, or None if no run finds it."""
+    """Return the number and verdict of the first run that finds an injected defect, or None if none does."""
     rng = random.Random(f"{seed} {defect.name}")
     corpus = list[bytes]()
-    is_metered = defect.target == "dns"  # an endless loop exceeds the budget of lines
+    is_metered = defect.target == "dns"  # an endless loop exceeds the line budget
     with defect.injected():
         for number in range(1, defect.runs + 1):
             data = target.next_input(rng, corpus)
@@ -276,7 +276,7 @@
 
 
 def prove(report: Callable[[str], None], names: set[str] | None = None, seed: int = SEED) -> list[str]:
-    """Inject each defect in turn, and return the names of those that no run finds.
+    """Inject each defect in turn, and return the names of the defects that no run finds.
 
     Args:
         report: Receives one line for each defect.
--- a/cedarthread/testing/fuzzing/invoke_caller.py
+++ b/cedarthread/testing/fuzzing/invoke_caller.py
@@ -27,7 +27,7 @@
     DEFERRED = "deferred"
     COLLECT = "collect"
     DELETE = "delete"
-    LAST_COLLECT = "last"  # a collect after the call's deadline, when the call must not be pending
+    LAST_COLLECT = "last"  # a collect after the call's deadline, when the call must have a result
 
 
 class PendingRequest(NamedTuple):
@@ -38,7 +38,7 @@
 
 
 class CallPost(NamedTuple):
-    """The call of a POST, from which the caller can send the same POST again."""
+    """The call of a POST, which allows the caller to send the same POST again."""
 
     call_key: str
     function: str
@@ -64,10 +64,10 @@
         self.router = router
         self.checker = router.checker
         self.identity = identity
-        self.deferred_calls: dict[str, str] = {}  # the calls' keys by the call ID in their URL
+        self.deferred_calls: dict[str, str] = {}  # call keys by the call ID in the URL
         self.posts_by_key: dict[str, CallPost] = {}
         self.final_answers: dict[str, FinalAnswer] = {}  # by the call's key
-        self.pending_requests: list[PendingRequest] = []  # of this connection, oldest first
+        self.pending_requests: list[PendingRequest] = []  # on this connection, oldest first
         self._connect()
 
     def _connect(self) -> None:
@@ -116,7 +116,7 @@
 
         Args:
             choices: The script, which selects the class and the function.
-            idempotency_key: The call's key; None for a new key if the class requires one, else for no key.
+            idempotency_key: The key; None to generate one if the class requires a key, else to send none.
             is_deferred: Whether the caller requests a deferred response.
         """
         router = self.router
@@ -152,12 +152,12 @@
         key = choices.pick(list(self.posts_by_key))
         stored = self.router.invoke.calls.deferred_calls.find_by_key(self.identity, key)
         if stored is None or isinstance(stored.result, CallRejected):
-            return  # the POST would start a new call with the same body, which identifies a call here
+            return  # the POST would start a new call with the same body, but the body identifies a call here
         self._send_post(self.posts_by_key[key], key, is_deferred=bool(choices.consume_byte() & 1))
 
     def send_request(self, kind: RequestKind, call_key: str, text: str) -> None:
         """Send a request and record that it awaits a response."""
-        if not self.is_connected:  # the router closed it because of its connection limit
+        if not self.is_connected:  # the router closed the connection because of its connection limit
             self._abandon(call_key)
             return
         self.pending_requests.append(PendingRequest(kind, call_key))
@@ -182,7 +182,7 @@
         elif reply.status in RESULT_BY_STATUS and kind is not RequestKind.DELETE:
             self._on_final_answer(call_key, reply)
         elif reply.status == 404 and kind in (RequestKind.COLLECT, RequestKind.LAST_COLLECT):
-            self._abandon(call_key)  # its result has expired or was deleted
+            self._abandon(call_key)  # the result has expired or was deleted
         elif not (reply.status == 204 and kind is RequestKind.DELETE) and reply.status != 404:
             raise Finding(f"{kind.value} of {call_key} got {reply.status}: {reply.body[:80]!r}")
 
--- a/cedarthread/testing/fuzzing/invoke_target.py
+++ b/cedarthread/testing/fuzzing/invoke_target.py
@@ -27,7 +27,7 @@
 
 
 class InvokeTarget(StreamTarget):
-    """A whole connection of the invoke API, its identity checked."""
+    """A complete connection of the invoke API, after the caller's identity was verified."""
 
     name = "invoke"
     modules = (
@@ -79,5 +79,5 @@
         server.sweep(loop.time())
         stored = server.calls.deferred_calls
         require(stored.reserved_bytes == 0 and len(stored) == 0, "an answer is kept past its time")
-        # Whether the server sends 100 Continue depends on the split.
+        # Whether the server sends 100 Continue depends on how the stream is split.
         return [status for status in statuses if status != 100]
--- a/cedarthread/testing/fuzzing/memory_client.py
+++ b/cedarthread/testing/fuzzing/memory_client.py
@@ -1,4 +1,4 @@
-"""A platform client in memory, which reports the answers that it receives to the invariant checker.
+"""An in-memory platform client, which reports calls and answers to the invariant checker.
 
 The checker identifies a call by the call's body, because the router passes the body to the worker unchanged
 but assigns its own call ID.
@@ -36,16 +36,16 @@
         self.loop = loop
         self.checker = checker
         self.transport = MemoryTransport(loop, self.on_bytes, self.on_close)
-        self.pending_calls: dict[int, str] = {}  # the calls' keys by their number on the connection
+        self.pending_calls: dict[int, str] = {}  # call keys by the call's number on the connection
         self.last_number = 0
         self.is_open = True
         self.is_reading_paused = False
-        self.is_write_closed = False  # whether the client has closed its end or sent a malformed request
+        self.is_write_closed = False  # after a half-close or a malformed request
         self._unpacker = msgpack.Unpacker(raw=False, strict_map_key=True)
         self.transport.connect(protocol)
 
     def on_close(self) -> None:
-        """Abandon the pending calls if the client has paused reading, because it may lose answers.
+        """Abandon the pending calls if the client has paused reading, because answers may be lost.
 
         Either end may have closed the connection.
         """
@@ -71,13 +71,13 @@
             function: The function to call.
             timeout_ms: The client's timeout.
             guarantees: The guarantees of the request class, which the checker enforces.
-            fields: Further fields of the message.
+            fields: Further fields of the message, which may replace the usual ones.
         """
         self.last_number += 1
         now_ms = self.loop.unix_ms()
         self.pending_calls[self.last_number] = key
         self.checker.on_call_submitted(now_ms, key, guarantees, now_ms + timeout_ms)
-        # The router closes a connection beyond its limit at once.
+        # The router immediately closes a connection beyond its connection limit.
         if self.is_reading_paused or not self.is_open:
             self.checker.on_call_abandoned(now_ms, key)
         all_fields = {"txn": f"{int(key[1:]):016x}", "limit": str(timeout_ms), "item": function} | fields
@@ -115,7 +115,7 @@
             self.checker.on_call_abandoned(self.loop.unix_ms(), key)
 
     def stop_writing(self) -> None:
-        """Close the client's end of the connection and continue to read.
+        """Half-close the connection: send no more requests and continue to read.
 
         The router must answer each pending call, and must not start another attempt for it.
         """
--- a/cedarthread/testing/fuzzing/memory_transport.py
+++ b/cedarthread/testing/fuzzing/memory_transport.py
@@ -1,4 +1,4 @@
-"""Connections in memory between the program and its peers."""
+"""In-memory connections between the program and its peers."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class Write(NamedTuple):
-    """A write of the program to a transport: the position in the stream and the time in Unix ms."""
+    """A write of the program to a transport: its position in the stream and its time in Unix ms."""
 
     first_byte: int
     at_ms: float
 
 
 class MemoryTransport(asyncio.Transport):
-    """The program's end of a connection in memory, with methods that act as the peer (``peer_*``).
+    """The program's end of an in-memory connection, with methods that act as the peer (``peer_*``).
 
     The peer accepts ``peer_window_bytes`` further bytes, or any number if the window is None. Other bytes
     stay in the write buffer, as with a socket from which the peer has stopped reading.
 
     Args:
         loop: The loop of the program.
-        on_bytes: Called at once with the bytes that the peer accepts.
+        on_bytes: Called immediately with the bytes that the peer accepts.
         on_close: Called when either end has closed the connection.
     """
 
@@ -69,7 +69,7 @@
             self.deliver()
 
     def peer_send_eof(self) -> None:
-        """Close the peer's end for writing."""
+        """Half-close the connection from the peer."""
         self._is_peer_eof = True
         self.deliver()
 
@@ -91,7 +91,7 @@
         """Pass the bytes that the peer has sent to the program's protocol.
 
         Args:
-            paused: Whether to pass them even while the program has paused reading.
+            paused: Whether to pass the bytes even if the program has paused reading.
         """
         while self._unread_input and (paused or not self._is_reading_paused) and not self._is_closing:
             data = self._unread_input.pop(0)
@@ -175,7 +175,7 @@
         return True
 
     def write_eof(self) -> None:
-        """Close the program's end for writing."""
+        """Half-close the connection from the program."""
         self.sent_eof = True
 
     def close(self) -> None:
@@ -186,7 +186,7 @@
                 self._end(None)
 
     def abort(self) -> None:
-        """Close the connection at once; buffered bytes are lost."""
+        """Close the connection immediately; buffered bytes are lost."""
         self._write_buffer.clear()
         self._end(None)
 
@@ -199,5 +199,5 @@
                 self.loop.call_soon(self.protocol.connection_lost, error)
 
     def get_extra_info(self, name: str, default: object = None) -> object:
-        """Return the default because a connection in memory has no such information."""
+        """Return the default because an in-memory connection has no such information."""
         return default
--- a/cedarthread/testing/fuzzing/memory_worker.py
+++ b/cedarthread/testing/fuzzing/memory_worker.py
@@ -1,4 +1,4 @@
-"""A worker in memory, which reports the requests that it receives to the invariant checker.
+"""An in-memory worker, which reports the requests that it receives to the invariant checker.
 
 The checker identifies a call by the call's body, because the router passes the body to the worker unchanged
 but assigns its own call ID.
@@ -74,13 +74,13 @@
 
 
 class MemoryWorker:
-    """A worker that answers a request only when a step of the script says so.
+    """A worker that answers a request only when a step of the script makes it.
 
     Args:
         number: The worker's number, which is also its port.
         loop: The virtual loop.
         checker: The checker that records the attempts and preloads.
-        called_functions: The functions that clients have called; the worker must be sent no other.
+        called_functions: The functions that clients have called; the worker must receive no other.
     """
 
     def __init__(
@@ -187,7 +187,7 @@
         self.hangs_connections = False
 
     def resume_reading(self) -> None:
-        """Read everything again on present and new connections."""
+        """Read without a limit on open and new connections."""
         self.window_bytes = None
         for link in list(self.links):
             link.transport.peer_accept(None)
--- a/cedarthread/testing/fuzzing/model_checking.py
+++ b/cedarthread/testing/fuzzing/model_checking.py
@@ -1,4 +1,4 @@
-"""Model checking: runs every order of a small model's events, with the invariant checker on every path.
+"""Model checking: runs every order of the events of a small model under the invariant checker.
 
 A path is a sequence of events. The search reconstructs a state by running its path from the start. If two
 paths lead to the same state, the search continues from the first one only.
@@ -19,14 +19,14 @@
 
 MAX_STATES = 100_000
 STATES_PER_REPORT = 500
-# Paths with a multiple of this length run to the end, as do paths after which no event is possible.
+# Paths whose length is a multiple of this run to the end, as do paths after which no event is possible.
 DRAIN_EVERY = 3
 
 Path = tuple[EventChoice, ...]
 
 
 class Counterexample(NamedTuple):
-    """A path on which a rule was violated."""
+    """A path on which an invariant was violated."""
 
     violation: str
     path: Path
@@ -65,7 +65,7 @@
     Args:
         model: The model.
         path: The events in their order.
-        runs_to_end: Whether to let all deadlines pass afterwards, and to check that no resource is left over.
+        runs_to_end: Whether to let all deadlines pass after the path, and to check that no resource leaks.
     """
     runs: list[ModelRun] = []
 
@@ -92,7 +92,7 @@
     Args:
         model: The model.
         max_states: The number of states after which the search ends.
-        on_progress: Receives the number of visited states from time to time.
+        on_progress: Receives the number of visited states after every ``STATES_PER_REPORT`` states.
     """
     exploration = Exploration(model)
     seen = set[bytes]()
@@ -116,5 +116,5 @@
 
 
 def models_named(name: str | None) -> Iterator[SmallModel]:
-    """Return the models of that name, or all models if the name is None."""
+    """Return the model with this name, or all models if the name is None."""
     return (model for model in MODELS if name in (None, model.name))
--- a/cedarthread/testing/fuzzing/model_run.py
+++ b/cedarthread/testing/fuzzing/model_run.py
@@ -1,4 +1,4 @@
-"""A run of a small model: the production dispatcher and router, with the events that are applied to them."""
+"""A run of a small model, which applies events to the production dispatcher and router."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 LOOP_ITERATIONS = 4  # enough to run every callback that an event schedules without a delay
 INTERNAL_DEADLINE_SHARE = 0.9  # share of a client's timeout within which the dispatcher must answer
 WAIT_S = 0.6  # duration of the event WAIT
-SHUTDOWN_MS = 700.0  # from the event SHUTDOWN until every call must be answered
+SHUTDOWN_MS = 700.0  # time from the event SHUTDOWN until every call must be answered
 LOAD_MS = 50.0  # reported duration of a preload
 
 ATTEMPT_OUTCOMES = {
@@ -71,7 +71,7 @@
         self.dispatcher.endpoints_changed(EndpointUpdate(kind, self.list_version, endpoints))
 
     def enabled_choices(self) -> list[EventChoice]:
-        """Return the events that are possible in this state, with each of their subjects."""
+        """Return each event that is possible in this state, with each possible subject."""
         choices: list[EventChoice] = []
         if len(self.calls) < len(self.model.calls):
             choices.append(EventChoice(Event.CALL, len(self.calls)))
@@ -165,7 +165,7 @@
                 self.transport.end(attempt, Outcome.RESET)
 
     async def run_to_end(self) -> None:
-        """Let every deadline pass, end what is in flight, and check that no resource is left over."""
+        """Let every deadline pass, end attempts and preloads in flight, and check that no resource leaks."""
         await asyncio.sleep(self.model.call_timeout_ms / 1000.0 + 0.2)
         self.checker.check_all_answered(self.loop.unix_ms())
         for attempt in list(self.transport.in_flight):
@@ -190,7 +190,7 @@
         self.checker.check_remaining(now_ms, "loads in the decisions", loads)
 
     def digest(self) -> bytes:
-        """Return a digest of the dispatcher, the router, what is in flight and the remaining events."""
+        """Return a digest of the dispatcher, the router, the requests in flight and the remaining events."""
         transport = self.transport
         dispatcher = self.dispatcher
         return state_digest(
--- a/cedarthread/testing/fuzzing/msgpack_target.py
+++ b/cedarthread/testing/fuzzing/msgpack_target.py
@@ -1,4 +1,4 @@
-"""The fuzz target of the MessagePack parser, which is compared with the reference library."""
+"""The fuzz target of the MessagePack parser, compared with the reference library."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class _MapItems(list[Any]):
-    """The items of a map that the reference library read, including items with a repeated key."""
+    """The items of a map that the reference library parsed, including items with a repeated key."""
 
 
 def _expected(value: object) -> object:
@@ -101,14 +101,14 @@
 
 
 class MessagePackTarget(Target):
-    """MessagePack values, against the reference library."""
+    """MessagePack values, compared with the reference library."""
 
     name = "msgpack"
     modules = ("cedarthread.protocols.msgpack",)
     byte_budget = Budget(2**20, 400)
 
     def generate(self, rng: random.Random) -> bytes:
-        """Return an encoded value, or one repeated type code."""
+        """Return an encoded value, or a type code that is repeated many times."""
         if rng.random() < 0.1:
             return bytes((rng.choice((0x81, 0x91, 0xDC, 0xDE, 0xC7, 0xC1)),)) * rng.choice((5, 300, 3000))
         value = generate_value(rng, rng.randint(0, MAX_GENERATED_DEPTH))
@@ -118,7 +118,7 @@
             return bytes(reference.packb([value is None]))
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Return the input with a change of its parsed value, which preserves lengths, or of its bytes."""
+        """Return the input with its parsed value changed, which preserves lengths, or its bytes."""
         if rng.random() < 0.6:
             try:
                 tree = reference.unpackb(data, raw=False, strict_map_key=False)
--- a/cedarthread/testing/fuzzing/mutation.py
+++ b/cedarthread/testing/fuzzing/mutation.py
@@ -1,4 +1,4 @@
-"""Mutations of inputs, as bytes or as parsed values, and edge values that mutations insert."""
+"""Mutations of inputs, as bytes or as parsed values, and the edge cases that mutations insert."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     2**64,
     -(2**63),
 ]
-# Texts of numbers; float() accepts some of them although a correct sender never writes them.
+# Numbers and path segments as text; float() accepts some that a correct sender never writes.
 EDGE_STRINGS = [
     "",
     "0",
@@ -67,11 +67,11 @@
     DEEP_LIST = [DEEP_LIST]
 
 
-DESCEND_SHARE = 0.85  # share of the mutations that change an item of a list or map, not the whole
+DESCEND_SHARE = 0.85  # share of the mutations that change an item of a list or map instead of replacing it
 
 
 def mutate_bytes(data: bytes, rng: random.Random) -> bytes:
-    """Return the bytes with one change that ignores their grammar."""
+    """Return the bytes with one change that ignores the input's syntax."""
     raw = bytearray(data)
     start = rng.randrange(len(raw) + 1)
     end = min(len(raw), start + 1 + int(rng.expovariate(0.2)))
@@ -99,7 +99,7 @@
 def mutate_tree(value: object, rng: random.Random, edges: Sequence[object]) -> object:
     """Return a parsed value with one place changed.
 
-    Encoding the result gives an input with correct lengths and types, which a change of bytes rarely does.
+    An input that is encoded from the result has correct lengths and types; changing bytes rarely gives these.
 
     Args:
         value: The parsed value, which is not modified.
--- a/cedarthread/testing/fuzzing/platform_target.py
+++ b/cedarthread/testing/fuzzing/platform_target.py
@@ -1,4 +1,4 @@
-"""The fuzz target of a platform client's complete connection."""
+"""The fuzz target of a complete connection of a platform client."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 class PlatformTarget(StreamTarget):
-    """A platform client's complete connection."""
+    """A complete connection of a platform client."""
 
     name = "platform"
     modules = (
@@ -107,9 +107,9 @@
         return b"".join(messages) + data[ends[-1] :]
 
     async def serve(self, loop: VirtualLoop, data: bytes, seed: int) -> object:
-        """Return the call numbers that were answered, and check that no number is answered too often.
+        """Return the numbers of the answered calls, and check that no number has more answers than requests.
 
-        The result is None if the answers depend on the time between the pieces of the stream, and True if the
+        The result is None if the answers depend on the timing of the pieces of the stream, and True if the
         connection is closing.
         """
         dispatcher, flusher = dispatcher_with_echo(loop)
@@ -132,14 +132,14 @@
             answer_counts[message[1]] = answer_counts.get(message[1], 0) + 1
         require(unpacker.tell() == len(output), "bytes after the last answer")
         request_counts = self._request_counts(data)
-        # Whether a call is still pending at its interrupt or its repetition depends on the time between them.
+        # Whether a call is still pending when it is interrupted or repeated depends on timing.
         depends_on_time = b"interrupt" in data or any(count > 1 for count in request_counts.values())
         for number, count in answer_counts.items():
             requested = request_counts.get(number, 0)
             require(count <= requested, f"{count} answers to number {number}, asked {requested}")
         if depends_on_time:
             return None
-        # The answers before a connection closed depend on time, but whether the connection closes does not.
+        # The answers before a connection closes depend on timing, but whether the connection closes does not.
         return transport.is_closing() or sorted(map(repr, answer_counts))
 
     def _request_counts(self, data: bytes) -> dict[Any, int]:
--- a/cedarthread/testing/fuzzing/replay.py
+++ b/cedarthread/testing/fuzzing/replay.py
@@ -1,4 +1,4 @@
-"""Replay of the corpus and of generated inputs, which CI runs."""
+"""Replay of the corpus and of generated inputs, which runs in CI."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class ReplayCounts:
-    """The numbers of inputs that a replay checked, and the number of findings."""
+    """The number of inputs that a replay checked, by kind, and the number of findings."""
 
     corpus_inputs: int = 0
     generated_inputs: int = 0
@@ -34,7 +34,7 @@
         targets: The targets by name.
         folder: The corpus folder.
         report: Receives one line for each finding and one for each target.
-        generates: Whether to check the target's ``test_runs`` generated inputs too.
+        generates: Whether to also check each target's ``test_runs`` generated inputs.
     """
     counts = ReplayCounts()
     for name, target in targets.items():
--- a/cedarthread/testing/fuzzing/resource_meter.py
+++ b/cedarthread/testing/fuzzing/resource_meter.py
@@ -1,4 +1,4 @@
-"""Bounds on the lines of code and the memory that the program may use for one input."""
+"""Limits on the lines that the program executes and the memory that it allocates for one input."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
     from _typeshed import TraceFunction
 
 PACKAGE = "cedarthread"
-UNMETERED = ".fuzz"  # part of the names of the modules that are not counted
+UNMETERED = ".fuzz"  # modules whose names contain this are not counted
 
 
 class Budget(NamedTuple):
-    """A bound on a resource for one input: a base amount and an amount for each byte of the input."""
+    """A limit on a resource for one input: a base amount and an amount per byte of the input."""
 
     base: int
     per_byte: int
 
     def limit(self, size: int) -> int:
-        """Return the bound for an input of ``size`` bytes."""
+        """Return the limit for an input of ``size`` bytes."""
         return self.base + self.per_byte * size
 
 
 class ResourceMeter:
-    """A meter that counts the executed lines of the program and the peak of allocated memory.
+    """A meter that counts the executed lines of the program and the peak memory allocation.
 
-    The count of lines is equal on every run and machine, so that a test can bound it.
+    The number of lines is the same on every run and machine, so that a test can limit it.
 
     Args:
-        max_lines: The most lines that the program may execute.
-        max_bytes: The most bytes that may be allocated at the same time.
+        max_lines: The maximum number of lines that the program may execute.
+        max_bytes: The maximum number of bytes that may be allocated at the same time.
     """
 
     def __init__(self, max_lines: int, max_bytes: int) -> None:
@@ -59,7 +59,7 @@
         """Run a check under the meter.
 
         Raises:
-            Finding: The check exceeds a bound.
+            Finding: The check exceeds a limit.
         """
         previous = sys.gettrace()
         tracemalloc.start()
--- a/cedarthread/testing/fuzzing/router_under_test.py
+++ b/cedarthread/testing/fuzzing/router_under_test.py
@@ -1,7 +1,7 @@
 """A complete router on a virtual clock, with the invariant checker that its peers report to.
 
 Dispatcher, router, platform and invoke servers and worker connections are the production classes. The first
-byte of the script sets the mode: preloads, no cancellation, a stall, few descriptors, late timers.
+byte of the script sets the mode: preloads, no cancellation, a stall, few file descriptors, late timers.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
     from cedarthread.testing.fuzzing.virtual_loop import VirtualLoop
 
 FUNCTIONS = ("00000000000000a1", "00000000000000b2", "00000000000000c3")
-MAX_DEADLINE_MS = 5000.0  # the longest deadline of any class that is drawn
-CLOCK_TOLERANCE_MS = 50.0  # added to the time limit of each rule, for bytes that wait in a socket
+MAX_DEADLINE_MS = 5000.0  # longest deadline of the request classes in the fuzzing settings
+CLOCK_TOLERANCE_MS = 50.0  # added to the time limit of each invariant, for bytes that wait in a socket
 SWEEP_PERIOD_MS = 250.0  # as in the service
-MAX_TIMER_DELAY_S = 0.015  # the most that a timer is late in the mode LATE_TIMERS
+MAX_TIMER_DELAY_S = 0.015  # maximum lateness of a timer in the mode LATE_TIMERS
 TRUST_DOMAIN = "gaz.example"
 
 
@@ -50,7 +50,7 @@
 
 
 def call_guarantees(raw_settings: dict[str, Any], class_index: int) -> CallGuarantees:
-    """Return the guarantees of a request class, given the settings document that operators write."""
+    """Return the guarantees of a request class according to the settings document."""
     request_class = raw_settings["classes"][class_index]
     return CallGuarantees(
         Idempotency(request_class["effect"]),
@@ -60,7 +60,7 @@
 
 
 def invariant_limits(raw_settings: dict[str, Any], stall_ms: float) -> InvariantLimits:
-    """Return the checker's limits, with ``stall_ms`` added to its times for a stall of the process."""
+    """Return the checker's limits; its time limits include ``stall_ms`` for a stall of the process."""
     specifics = raw_settings["specifics"]
     obligations = raw_settings["obligations"]
     return InvariantLimits(
@@ -74,14 +74,14 @@
 
 
 class MemoryPlatformConnection(PlatformConnection):
-    """A platform connection whose unread input is in the memory transport instead of a socket."""
+    """A platform connection whose unread input is in a memory transport instead of a socket."""
 
     def has_unread_input(self) -> bool:
         """Return whether the transport has unread input."""
         return self.transport is not None and bool(getattr(self.transport, "_unread_input"))  # noqa: B009
 
     def read_available(self) -> bool:
-        """Read the available input even while reading is paused; return False if the connection is broken."""
+        """Read the available input even if reading is paused; return False if the connection is broken."""
         if not super().read_available():
             return False
         if self.discard_budget is None and isinstance(self.transport, MemoryTransport):
@@ -94,7 +94,7 @@
 
     Args:
         loop: The virtual loop.
-        mode: The flags of ``Mode``; the number is also the seed of the router's random choices.
+        mode: The flags of ``Mode``; also the seed of the router's random choices.
         stall_ms: The duration of a stall of the process, which the checker tolerates.
     """
 
@@ -156,7 +156,7 @@
         self.invoke.sweep(self.loop.time())
 
     async def advance(self, duration_ms: float) -> None:
-        """Let time pass with periodic sweeps."""
+        """Advance time while running the periodic sweeps."""
         while duration_ms > 0:
             step_ms = min(duration_ms, SWEEP_PERIOD_MS)
             await asyncio.sleep(step_ms / 1000.0)
@@ -189,7 +189,7 @@
             ("client connections", len(connections) + len(self.platform.unvalidated_connections)),
         ):
             self.checker.check_remaining(now_ms, resource, remaining)
-        # Two timers are expected: the dispatcher's timer and the timer of this run's own sleep.
+        # Two timers remain set: the dispatcher's timer and the timer of this run's own sleep.
         self.checker.check_remaining(now_ms, "timers", self.loop.timer_count(), 2)
         counts = dispatcher.result_counts
         ends = counts["served"] + counts["rejected"] + counts["failed"] + counts["abandoned"]
--- a/cedarthread/testing/fuzzing/script.py
+++ b/cedarthread/testing/fuzzing/script.py
@@ -1,7 +1,7 @@
 """The script language of the call machine: one byte selects a step, and the step reads further bytes.
 
-The corpus depends on the order and the weights of ``STEPS``: a change of one entry changes the meaning of
-every corpus file.
+The corpus depends on the order and the weights of ``STEPS``: changing one entry changes the meaning of every
+corpus file.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 }
 STEPS: tuple[Step, ...] = tuple(step for step, weight in _WEIGHTS.items() for _ in range(weight))
 
-# The number of bytes that a step reads after the byte that selects it; 1 for a step that is not listed.
+# Number of bytes that a step reads after the byte that selects it; 1 for a step that is not listed.
 _INPUT_BYTES = {
     Step.CALL: 6,
     Step.ANSWER: 5,
@@ -65,7 +65,7 @@
 
 
 class ThemeStep(NamedTuple):
-    """A step that a theme repeats, and the first bytes that the step reads."""
+    """A step of a scenario, and the first bytes that the step reads."""
 
     step: Step
     prefix: bytes = b""
@@ -80,8 +80,8 @@
     return ThemeStep(Step.WORKER_FAULT, bytes((worker, case)))
 
 
-# Sets of steps from which a generated script is drawn: slow workers under bursts; the invoke API during a
-# shutdown; changes of the endpoint list; slow workers with pauses, so that attempts expire unsent.
+# Sets of steps from which the steps of a generated script are chosen: slow workers under bursts; the invoke
+# API during a shutdown; endpoint list changes; slow workers with pauses, so that attempts expire unsent.
 THEMES: tuple[tuple[ThemeStep, ...], ...] = (
     (
         *(
@@ -120,7 +120,7 @@
 
 
 def generate_script(rng: random.Random) -> bytes:
-    """Return a script of random bytes, or of the steps of one theme, up to some hundred bytes long."""
+    """Return a script of random bytes, or of the steps of one scenario, up to some hundred bytes long."""
     if rng.random() < 0.35:
         return rng.randbytes(rng.choice((20, 60, 120)))
     theme = rng.choice(THEMES)
--- a/cedarthread/testing/fuzzing/script_steps.py
+++ b/cedarthread/testing/fuzzing/script_steps.py
@@ -20,7 +20,7 @@
     from cedarthread.testing.fuzzing.worker_steps import WorkerSteps
 
 PAUSES_MS = (0.0, 1.0, 5.0, 12.0, 40.0, 60.0, 250.0, 600.0, 1500.0, 3000.0)
-LOOP_ITERATIONS = 4  # enough to run callbacks that schedule one another without a delay
+LOOP_ITERATIONS = 4  # enough for callbacks that schedule one another without a delay
 
 StepAction = Callable[[], None] | Callable[[], Awaitable[None]]
 
@@ -62,12 +62,12 @@
 
 
 class ProcessSteps:
-    """The steps of time and of the router's process.
+    """The steps that advance time or act on the router's process.
 
     Args:
         router: The router.
         choices: The script.
-        stall_ms: The duration of the run's one stall; 0 for none.
+        stall_ms: The duration of the only stall of the run; 0 for no stall.
     """
 
     def __init__(self, router: RouterUnderTest, choices: FuzzedDataProvider, stall_ms: float) -> None:
@@ -77,16 +77,16 @@
         self._is_shutting_down = False
 
     async def pause(self) -> None:
-        """Let time pass."""
+        """Advance time."""
         await self.router.advance(self.choices.pick(PAUSES_MS))
 
     async def run_ready(self) -> None:
-        """Run the callbacks that are ready, without letting time pass."""
+        """Run the callbacks that are ready, without advancing time."""
         for _ in range(LOOP_ITERATIONS):
             await asyncio.sleep(0)
 
     def stall(self) -> None:
-        """Stall the process, at most once, for the time that the head of the script selects."""
+        """Stall the process, at most once, for the time that the second byte of the script selects."""
         if self.stall_ms:
             self.router.loop.skip(self.stall_ms / 1000.0)
             self.stall_ms = 0.0
--- a/cedarthread/testing/fuzzing/scripted_transport.py
+++ b/cedarthread/testing/fuzzing/scripted_transport.py
@@ -1,4 +1,4 @@
-"""The worker transport of a small model: an event of the model ends each attempt."""
+"""The worker transport of a small model, in which an event of the model ends each attempt."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ScriptedTransport:
-    """A worker transport: an attempt reaches its worker at once and stays in flight until an event ends it.
+    """A worker transport in which an attempt arrives immediately and is in flight until an event ends it.
 
     Args:
         dispatcher: The dispatcher that is notified when an attempt ends.
--- a/cedarthread/testing/fuzzing/settings.py
+++ b/cedarthread/testing/fuzzing/settings.py
@@ -1,4 +1,4 @@
-"""Settings for fuzzing, as the document that the platform writes."""
+"""Settings for fuzzing, in the format of the document that the platform writes."""
 
 from __future__ import annotations
 
--- a/cedarthread/testing/fuzzing/simulator_target.py
+++ b/cedarthread/testing/fuzzing/simulator_target.py
@@ -1,4 +1,4 @@
-"""The fuzz target of the simulator's frames, which the host of many instances answers."""
+"""The fuzz target of the simulator host, which answers frames for many router instances."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class SimulatorTarget(Target):
-    """The simulator's frames, answered by the host of many instances."""
+    """The simulator host, which answers frames for many router instances."""
 
     name = "wire"
     modules = (
@@ -40,7 +40,7 @@
     byte_budget = Budget(4 * 2**20, 400)
 
     def generate(self, rng: random.Random) -> bytes:
-        """Return a frame with a start, a list of workers, and events of all kinds."""
+        """Return a frame with the start of an instance, a list of workers, and events of various kinds."""
         settings = json.dumps(drawn_settings.settings(preloads_on_miss=rng.random() < 0.3)).encode()
         records = [b"\x0d" + struct.pack("<I", 3), b"\x01" + struct.pack("<QI", 7, len(settings)) + settings]
         workers = [
@@ -88,7 +88,7 @@
         return changed
 
     def check(self, data: bytes) -> None:
-        """Check that the host replies with complete frames, or rejects with ``SimulatorProtocolError``."""
+        """Check that the host replies with complete frames, or raises ``SimulatorProtocolError``."""
         host = simulator_host.SimulatorHost()
         source = io.BytesIO(data)
         try:
--- a/cedarthread/testing/fuzzing/small_models.py
+++ b/cedarthread/testing/fuzzing/small_models.py
@@ -37,19 +37,19 @@
     subject: int
 
     def __str__(self) -> str:
-        """Return the choice as counterexamples print it."""
+        """Return the choice in the form that counterexamples print."""
         return str((self.event.value, self.subject))
 
 
 @dataclass(frozen=True, slots=True)
 class SmallModel:
-    """A model: its calls, workers and events, and the known number of its states."""
+    """A model: its calls, workers and events, and the expected number of its states."""
 
     name: str
     calls: tuple[int, ...]  # the class index of each call
     workers: int
-    events: tuple[Event, ...]  # each entry occurs at most once; an event may have several entries
-    expected_states: int  # exploring reports any other number as a fault
+    events: tuple[Event, ...]  # each entry occurs at most once; an event may be listed several times
+    expected_states: int  # explore() reports any other number as a fault
     preloads_on_miss: bool = False
     call_timeout_ms: float = 2000.0
 
--- a/cedarthread/testing/fuzzing/state_digest.py
+++ b/cedarthread/testing/fuzzing/state_digest.py
@@ -12,13 +12,13 @@
 from cedarthread.routing.overload import OverloadEstimator
 from cedarthread.routing.zone_reachability import ZoneReachability
 
-MAX_DEPTH = 12  # nesting depth beyond which values count as equal
-DIGITS = 6  # decimal places to which floats are compared
+MAX_DEPTH = 12  # nesting depth beyond which values are not distinguished
+DIGITS = 6  # decimal places to which floats are rounded
 DIGEST_BYTES = 12
 
 # Fields that do not distinguish states: counters, logs, callbacks, back references and settings.
 SKIPPED_FIELDS = {"token", "serial", "actions", "settings", "logs", "call", "on_result"}
-# Counts that the attempts in flight determine.
+# Counts that follow from the attempts in flight.
 SKIPPED_FIELDS_BY_CLASS: dict[type, set[str]] = {
     OverloadEstimator: {"in_flight"},
     ZoneReachability: {"in_flight"},
--- a/cedarthread/testing/fuzzing/stream_target.py
+++ b/cedarthread/testing/fuzzing/stream_target.py
@@ -1,6 +1,6 @@
-"""The base class of targets with a stream as their input, and their shared helpers.
+"""The base class of targets whose input is a stream, and their shared helpers.
 
-A connection must produce the same output however the input stream is split into pieces.
+A connection must produce the same output regardless of how the input stream is split into pieces.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class EchoTransport:
-    """A worker transport that answers each call with the call's own body in the loop's next iteration.
+    """A worker transport that answers each call with the call's own body in the next iteration of the loop.
 
     Args:
         dispatcher: The dispatcher that is notified when an attempt ends.
@@ -84,7 +84,7 @@
 
 
 def split_stream(data: bytes, seed: int) -> list[bytes]:
-    """Return the data in pieces of lengths that the seed determines; seed 0 gives one piece."""
+    """Return the data split into pieces whose lengths the seed determines; seed 0 gives one piece."""
     if seed == 0:
         return [data]
     rng = random.Random(seed)
@@ -98,7 +98,7 @@
 
 
 async def feed(transport: MemoryTransport, data: bytes, seed: int) -> None:
-    """Send data in pieces, run the loop between them, and wait until all answers have arrived."""
+    """Send data in pieces, run the loop between them, then wait for all answers."""
     for fragment in split_stream(data, seed):
         transport.peer_send(fragment)
         await asyncio.sleep(0)
@@ -140,7 +140,7 @@
         require(outputs[0] == outputs[1], f"whole {str(outputs[0])[:150]}, cut {str(outputs[1])[:150]}")
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Return the input with a changed stream or, in some cases, with another split."""
+        """Return the input with a changed stream or, in some cases, with another seed of the split."""
         if not data or rng.random() < 0.1:
             return rng.randbytes(1) + data[1:]
         return data[:1] + self.mutate_stream(data[1:], rng)
--- a/cedarthread/testing/fuzzing/target.py
+++ b/cedarthread/testing/fuzzing/target.py
@@ -1,6 +1,6 @@
 """The base class of every fuzz target, and the function that runs one input through a target.
 
-An input is always bytes, so that each corpus file is an input, and each mutation of an input is an input too.
+Every sequence of bytes is an input, so that each corpus file and each mutation of an input is an input.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class FuzzedDataProvider:
-    """A reader that turns an input's bytes into choices, like libFuzzer's class of this name.
+    """A reader that converts the bytes of an input into choices, like libFuzzer's class of the same name.
 
     Every byte past the end of the input reads as zero.
     """
@@ -50,13 +50,13 @@
 class Target:
     """A parser or state machine under test.
 
-    ``check`` reports a fault by raising ``Finding``, or by letting the program's own exception pass.
+    ``check`` reports a fault by raising ``Finding``, or by not catching an exception of the program.
     """
 
     name = ""
-    modules: tuple[str, ...] = ()  # the modules that the coverage report lists
-    line_budget = Budget(20_000, 400)  # lines of the program that one input may execute
-    byte_budget = Budget(2**20, 200)  # peak bytes of memory that one input may allocate
+    modules: tuple[str, ...] = ()  # modules in the coverage report
+    line_budget = Budget(20_000, 400)  # maximum lines of the program that one input may execute
+    byte_budget = Budget(2**20, 200)  # maximum peak memory in bytes for one input
     test_runs = 400  # number of generated inputs that the tests check
 
     def generate(self, rng: random.Random) -> bytes:
--- a/cedarthread/testing/fuzzing/virtual_loop.py
+++ b/cedarthread/testing/fuzzing/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An event loop on virtual time, which advances only when no callback is ready."""
+"""An event loop with virtual time, which advances only when no callback is ready."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     from collections.abc import Callable, Coroutine
     from contextvars import Context
 
-START_TIME_S = 1_000_000.0  # loop time at the start, which is also a Unix time
+START_TIME_S = 1_000_000.0  # loop time at the start, which is also the Unix time
 
 
 class StuckError(Exception):
@@ -58,7 +58,7 @@
     def call_at(
         self, when: float, callback: Callable[..., object], *args: object, context: Context | None = None
     ) -> asyncio.TimerHandle:
-        """Set a timer that may expire late, by ``jitter``."""
+        """Set a timer that expires late by the result of ``jitter``."""
         return super().call_at(when + self.jitter(), callback, *args, context=context)
 
     def select(self, timeout: float | None) -> list[Any]:
@@ -79,7 +79,7 @@
         pass
 
     def skip(self, seconds: float) -> None:
-        """Advance the clock without running a callback, as if the process were stopped."""
+        """Advance the clock without running callbacks, as if the process were stopped."""
         self._now_s += seconds
 
     def timer_count(self) -> int:
@@ -90,14 +90,14 @@
     async def create_connection(  # type: ignore[override]  # only the parameters that the program passes
         self, protocol_factory: Callable[[], asyncio.BufferedProtocol], host: str, port: int, **_: object
     ) -> tuple[DialedTransport, asyncio.BufferedProtocol]:
-        """Open a connection in memory with ``dial``.
+        """Open an in-memory connection with ``dial``.
 
         Raises:
             OSError: The peer refuses or resets the connection.
         """
         assert self.dial is not None
         transport = self.dial(protocol_factory, host, port)
-        while transport.never_connects:  # until the caller's own timeout cancels this
+        while transport.never_connects:  # until the caller's timeout cancels this coroutine
             await asyncio.sleep(1.0)
         await asyncio.sleep(0)
         if transport.is_closing():
--- a/cedarthread/testing/fuzzing/worker_lines_target.py
+++ b/cedarthread/testing/fuzzing/worker_lines_target.py
@@ -31,7 +31,7 @@
 
 
 class _Ending(NamedTuple):
-    """The end of a request."""
+    """The end of a request, with its outcome."""
 
     message_id: str
     outcome: str
@@ -39,7 +39,7 @@
 
 
 class _RecordingTransport:
-    """A pool owner and dispatcher that records the notifications of a worker connection."""
+    """The owner of the pool and the dispatcher, which records the notifications of a worker connection."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.settings = settings_from_object(drawn_settings.settings())
@@ -47,11 +47,11 @@
         self.dispatcher = self
         self.clock = loop.unix_ms
         self.endings: list[_Ending] = []
-        # ``serve`` checks this list at the end, because the connection catches every exception.
+        # Checked by ``serve`` at the end, because the connection would catch an exception.
         self.bad_numbers: list[str] = []
 
     def _check_number(self, label: str, value: float, limit: float) -> None:
-        if not abs(value) <= limit:  # the comparison is false for NaN, so NaN is reported too
+        if not abs(value) <= limit:  # the comparison is false for NaN, so that NaN is also reported
             self.bad_numbers.append(f"{label} of {value}")
 
     def may_start_attempt(self, attempt: Attempt) -> bool:
--- a/cedarthread/testing/fuzzing/worker_steps.py
+++ b/cedarthread/testing/fuzzing/worker_steps.py
@@ -64,7 +64,7 @@
         request.link.transport.peer_send(self.choices.pick(lines))
 
     def fault(self) -> None:
-        """Make a worker break its connections, refuse or hang new ones, read slowly, or recover."""
+        """Make a worker reset its connections, refuse or hang new ones, read slowly, or recover."""
         worker = self.choices.pick(self.workers)
         match self.choices.consume_byte() % 8:
             case 0:
@@ -76,7 +76,7 @@
                 worker.hangs_connections = True
             case 3:
                 worker.window_bytes = self.choices.consume_byte() * 2
-                for link in worker.links:  # so that the worker stops reading within a line
+                for link in worker.links:  # so that the worker stops reading in the middle of a line
                     link.transport.peer_window_bytes = worker.window_bytes
             case 4:
                 more_bytes = self.choices.consume_byte()
