--- a/cedarthread/testing/fuzzing/cli.py
+++ b/cedarthread/testing/fuzzing/cli.py
@@ -79,7 +79,7 @@
     if name is None:
         return targets_by_name
     if name not in targets_by_name:
-        raise KeyError(f"no target {name!r}; there are {', '.join(targets_by_name)}")
+        raise KeyError(f"no target {name!r}; available targets: {', '.join(targets_by_name)}")
     return {name: targets_by_name[name]}
 
 
@@ -138,7 +138,7 @@
             return EXIT_OK
         artifacts = sorted(path for path in Path(scratch).iterdir() if path.is_file())
         if not artifacts:
-            print(f"fuzz run {run.name}: FAILED, the run itself ended with {process.returncode}")
+            print(f"fuzz run {run.name}: FAILED, the fuzzer process exited with status {process.returncode}")
             return EXIT_FINDING
         return _save_finding(run, artifacts[0].read_bytes())
 
@@ -146,7 +146,7 @@
 def _save_finding(run: _Run, data: bytes) -> int:
     fault = verdict(run.target, data, metered=True)
     path = corpus.save_input(f"{run.name}/findings", data, run.folder)
-    print(f"fuzz run {run.name}: FAILED, {path}: {fault or 'not seen again'}")
+    print(f"fuzz run {run.name}: FAILED, {path}: {fault or 'not reproduced'}")
     return EXIT_FINDING
 
 
@@ -183,7 +183,7 @@
     data = path.read_bytes()
     fault = verdict(target, data)
     if fault is None:
-        print(f"fuzz minimise: FAILED, {path} shows nothing")
+        print(f"fuzz minimise: FAILED, {path} shows no finding")
         return EXIT_FINDING
     kind = fault.split(" ")[0]
     smaller = corpus.minimise(data, lambda shorter: (verdict(target, shorter) or "").startswith(kind))
@@ -196,7 +196,7 @@
     models = list(models_named(options["WORLD"]))
     if not models:
         raise KeyError(
-            f"no world {options['WORLD']!r}; there are {', '.join(model.name for model in MODELS)}"
+            f"no world {options['WORLD']!r}; available worlds: {', '.join(model.name for model in MODELS)}"
         )
     failures = 0
     for model in models:
@@ -227,7 +227,7 @@
         command = [sys.executable, "-W", "ignore", "-m", f"{PACKAGE}.coverage_report", name]
         exit_code = subprocess.run([*command, options["--corpus"]], check=False).returncode
         if exit_code != 0:
-            print(f"fuzz coverage: FAILED, {name} ended with {exit_code}")
+            print(f"fuzz coverage: FAILED, the report of {name} exited with status {exit_code}")
             return EXIT_FINDING
     return EXIT_OK
 
--- a/cedarthread/testing/fuzzing/config_targets.py
+++ b/cedarthread/testing/fuzzing/config_targets.py
@@ -42,7 +42,10 @@
     actions = router.handle(1000.0, EndpointUpdate(EndpointUpdateKind.CACHED, 1, workers))
     for index, request_class in enumerate(settings.classes[:MAX_CLASSES]):
         deadline_ms = request_class.deadline_ms
-        require(math.isfinite(deadline_ms) and deadline_ms > 0, f"a deadline of {deadline_ms}")
+        require(
+            math.isfinite(deadline_ms) and deadline_ms > 0,
+            f"deadline of {deadline_ms} ms is not finite and positive",
+        )
         actions = actions + router.handle(1001.0, RequestArrived(index, 7, index, 1001.0 + deadline_ms))
         for action in actions:
             if isinstance(action, StartAttempt) and action.request_id == index:
@@ -51,7 +54,7 @@
                 )
     for action in actions:
         if isinstance(action, SetTimer):
-            require(math.isfinite(action.at_ms), f"a timer at {action.at_ms}")
+            require(math.isfinite(action.at_ms), f"timer at {action.at_ms} ms is not finite")
 
 
 class JsonTarget(Target):
@@ -138,15 +141,15 @@
         try:
             parsed = config.decode(data, {})
         except config.ConfigError as error:
-            require(bool(str(error)), "an error without words")
+            require(bool(str(error)), "rejected without an error message")
             return
         for host, port in ((parsed.host, parsed.port), parsed.discovery_address or ("", 1)):
-            require(isinstance(host, str) and 0 <= port < 65536, f"port {port}")
+            require(isinstance(host, str) and 0 <= port < 65536, f"port {port} or its host is invalid")
         for _, records in parsed.initial_endpoints:
             for record in records:
                 is_finite = math.isfinite(record.started_at_ms) and math.isfinite(record.weight)
-                require(0 <= record.port < 65536, f"a runner at port {record.port}")
-                require(is_finite, "a figure that is none")
+                require(0 <= record.port < 65536, f"worker port {record.port} is out of range")
+                require(is_finite, "start time or weight of a worker is not finite")
         exercise_settings(parsed.settings)
 
 
@@ -181,7 +184,9 @@
         try:
             parsed = invoke_config.parse(data, Path("deploy/invoke.toml"))
         except ValueError as error:
-            require(bool(str(error)), "an error without words")
+            require(bool(str(error)), "rejected without an error message")
             return
-        require(0 <= parsed.port < 65536, f"port {parsed.port}")
-        require(0 < parsed.max_connections < 2**31, f"{parsed.max_connections} connections")
+        require(0 <= parsed.port < 65536, f"port {parsed.port} is out of range")
+        require(
+            0 < parsed.max_connections < 2**31, f"connection limit {parsed.max_connections} is out of range"
+        )
--- a/cedarthread/testing/fuzzing/deferred_target.py
+++ b/cedarthread/testing/fuzzing/deferred_target.py
@@ -88,7 +88,7 @@
         entry = store.add(owner, key, ("0", "f", b""), retention_s)
         has_bytes = store.reserved_bytes <= LIMITS.max_bytes
         is_within_limits = len(self.calls) < LIMITS.max_calls and has_bytes
-        require(entry is None or is_within_limits, "taken past the bounds")
+        require(entry is None or is_within_limits, "a call was stored beyond the limits")
         if entry is not None:
             call = _ModelCall(entry, owner, key, retention_s)
             self.calls.append(call)
@@ -103,30 +103,38 @@
         call.answered_at_s = self.now_s
         call.body_bytes = len(body) if isinstance(result, CallSucceeded) else 0
         self.store.complete(call.entry, result)
-        require(call.entry.result is result and not call.entry.waiters, "the answer is not there")
+        require(
+            call.entry.result is result and not call.entry.waiters,
+            "result not stored, or waiters not removed",
+        )
 
     def _find_by_key(self, owner: str, key: str) -> None:
         stored = self.store.find_by_key(owner, key)
         is_own = stored is None or (stored.owner, stored.idempotency_key) == (owner, key)
-        require(is_own, "a key leads to another's call")
+        require(is_own, "lookup by key returned the call of another owner or key")
         is_known = any((call.owner, call.key) == (owner, key) for call in self.calls)
-        require(stored is not None or not is_known, "a key is forgotten before its call")
+        require(stored is not None or not is_known, "lookup by key did not find a stored call")
 
     def check(self) -> None:
         """Check that the store and the model agree."""
         store = self.store
         calls = self.calls
         reserved = sum(call.reserved_bytes() for call in calls)
-        require(store.reserved_bytes == reserved, f"{store.reserved_bytes} bytes counted, {reserved} held")
+        require(
+            store.reserved_bytes == reserved, f"{store.reserved_bytes} bytes reserved, {reserved} expected"
+        )
         count = len(store)
-        require(count == len(calls) <= LIMITS.max_calls, f"{count} calls, {len(calls)} by the model")
+        require(count == len(calls) <= LIMITS.max_calls, f"{count} calls stored, {len(calls)} in the model")
         is_bounded = store.reserved_bytes <= LIMITS.max_bytes + OVERSHOOT_BYTES
-        require(is_bounded, "more bytes than the bound and one answer")
+        require(is_bounded, "reserved bytes exceed the limit by more than one result")
         for call in calls:
             for owner in OWNERS:
                 is_found = store.find(owner, call.entry.call_id) is call.entry
-                require(is_found == (owner == call.owner), f"{owner} finds a call of {call.owner}")
-            require(call.wake_count <= 1, "woken twice")
+                require(
+                    is_found == (owner == call.owner),
+                    f"lookup by owner {owner} is wrong for a call of owner {call.owner}",
+                )
+            require(call.wake_count <= 1, "a waiter was notified more than once")
 
     def finish(self) -> None:
         """Complete all calls, let all results expire, and check that the store is empty."""
@@ -137,7 +145,7 @@
         self.now_s += PAST_RETENTION_S
         self.store.evict_expired()
         is_empty = self.store.reserved_bytes == 0 and len(self.store) == 0 and not self.store._id_by_key
-        require(is_empty, "something is left at the end")
+        require(is_empty, "calls, keys or reserved bytes remain after all results expired")
 
 
 class DeferredCallsTarget(Target):
--- a/cedarthread/testing/fuzzing/discovery_target.py
+++ b/cedarthread/testing/fuzzing/discovery_target.py
@@ -75,7 +75,7 @@
     def on_update(self, serial: int, records: list[EndpointRecord]) -> None:
         """Check that enough queries confirmed a list that the client passes on."""
         count = len(self._queries[serial, frozenset(records)])
-        require(count >= CONFIRMING_QUERIES, f"serial {serial} was taken from {count} queries")
+        require(count >= CONFIRMING_QUERIES, f"list with serial {serial} accepted after only {count} queries")
         self.updates.append(_Update(serial, records))
 
 
@@ -140,13 +140,13 @@
     def _deliver_truncated(self, reply: dns.Reply) -> None:
         count = len(self.updates)
         self._deliver(pack_reply(reply, flags=AUTHORITATIVE_ANSWER | TRUNCATED))
-        require(len(self.updates) == count, "a truncated reply was taken")
+        require(len(self.updates) == count, "a truncated reply was accepted")
 
     def _deliver_foreign(self, datagram: bytes, *, is_recent: bool) -> None:
         count = len(self.updates)
         self._deliver(datagram)
         is_unchanged = len(self.updates) == count
-        require(is_recent or is_unchanged, "a reply to nothing that was asked was taken")
+        require(is_recent or is_unchanged, "an unsolicited reply was accepted")
 
 
 class DiscoveryTarget(Target):
@@ -172,10 +172,10 @@
             run = _DiscoveryRun(FuzzedDataProvider(data), updates)
             await run.run()
             has_stopped = run.transport.is_closed and loop.timer_count() == 0
-            require(has_stopped, "it asks on after its end")
+            require(has_stopped, "socket or timers still open after stop()")
 
         failures = run_virtual(work).failures
         require(not failures, failures[0] if failures else "")
         for earlier, later in itertools.pairwise(updates):
             is_same = earlier.serial == later.serial and set(earlier.records) == set(later.records)
-            require(not is_same, f"serial {later.serial} was told twice")
+            require(not is_same, f"the list with serial {later.serial} was passed on twice in a row")
--- a/cedarthread/testing/fuzzing/dns_target.py
+++ b/cedarthread/testing/fuzzing/dns_target.py
@@ -139,17 +139,21 @@
         self._check_endpoints(reply)
         names = [*(service.target for service in reply.srv_records), *reply.addresses, *reply.texts]
         for name in names:
-            require(len(name) <= MAX_NAME_CHARACTERS, f"a name of {len(name)} characters")
+            require(len(name) <= MAX_NAME_CHARACTERS, f"a name has {len(name)} characters")
         if all(all(name.split(".")) for name in names):
             data = pack_reply(reply)
             reread = dns.parse(data)
             if isinstance(reread, dns.Reply) and len(data) <= MAX_POINTER_TARGET:
-                require(reread.srv_records == reply.srv_records, "read another list from what it had read")
+                require(
+                    reread.srv_records == reply.srv_records, "the re-encoded reply has different SRV records"
+                )
 
     def _check_endpoints(self, reply: dns.Reply) -> None:
         records = endpoints_from_reply(reply)
         if isinstance(records, str):
             return
         for record in records:
-            require(math.isfinite(record.started_at_ms), f"a start at {record.started_at_ms}")
+            require(
+                math.isfinite(record.started_at_ms), f"worker start time {record.started_at_ms} is not finite"
+            )
         require(len({record.name for record in records}) == len(records), "a worker is listed twice")
--- a/cedarthread/testing/fuzzing/endpoint_list_target.py
+++ b/cedarthread/testing/fuzzing/endpoint_list_target.py
@@ -70,7 +70,10 @@
             is_complete = bool(choices.consume_byte() & 3)
             records = [self._record(choices) for _ in range(choices.consume_byte() % 5)]
             event = endpoint_list.apply_update(number, records, is_snapshot=is_complete)
-            require((event is None) == (number <= version), f"news {number} after {version}")
+            require(
+                (event is None) == (number <= version),
+                f"update {number} after version {version} was wrongly applied or ignored",
+            )
             if event is None:
                 continue
             version = number
@@ -81,10 +84,12 @@
     def _check_alike(self, endpoint_list: EndpointList, follower: _Follower, model: _Model) -> None:
         listed = {worker_id: record.state for worker_id, record in endpoint_list.by_worker_id().items()}
         followed = follower.state_by_worker
-        require(followed == listed, f"by the events {followed}, by the list {listed}")
+        require(followed == listed, f"states from events: {followed}, states in the list: {listed}")
         worker_ids = {worker_id_from_name(name) for name in model.records}
         names = sorted(endpoint_list.records)
-        require(set(listed) == worker_ids, f"told {sorted(model.records)}, held {names}")
+        require(
+            set(listed) == worker_ids, f"workers in the model: {sorted(model.records)}, in the list: {names}"
+        )
 
     def _record(self, choices: FuzzedDataProvider) -> EndpointRecord:
         name = choices.pick(("s-00000001", "s-00000002", "t-00000001", "other", "s-0000000a"))
--- a/cedarthread/testing/fuzzing/http_reply.py
+++ b/cedarthread/testing/fuzzing/http_reply.py
@@ -36,7 +36,7 @@
     head, _, rest = data.partition(b"\r\n\r\n")
     status_line = _STATUS_LINE.match(head + b"\r\n")
     if status_line is None:
-        raise Finding(f"a response begins with {head[:40]!r}")
+        raise Finding(f"response does not begin with an HTTP/1.1 status line: {head[:40]!r}")
     pairs = [line.partition(": ") for line in head.decode("latin-1").split("\r\n")[1:]]
     fields = {name.lower(): value for name, _, value in pairs}
     status = int(status_line[1])
--- a/cedarthread/testing/fuzzing/http_target.py
+++ b/cedarthread/testing/fuzzing/http_target.py
@@ -89,21 +89,29 @@
         if not isinstance(parsed, http.RequestHead):
             return
         head = data[: parsed.head_bytes]
-        require(head.endswith(b"\r\n\r\n") and head.count(b"\r\n\r\n") == 1, "the head ends elsewhere")
+        require(
+            head.endswith(b"\r\n\r\n") and head.count(b"\r\n\r\n") == 1,
+            "the head does not end at its only empty line",
+        )
         bare = head.replace(b"\r\n", b"")
-        require(not any(mark in bare for mark in (b"\r", b"\n", b"\0")), "a bare line end or NUL passed")
+        require(
+            not any(mark in bare for mark in (b"\r", b"\n", b"\0")), "a bare CR, bare LF or NUL was accepted"
+        )
         names = [line.partition(b":")[0].lower() for line in head.split(b"\r\n")[1:-2]]
-        require(b"transfer-encoding" not in names, "Transfer-Encoding passed")
-        require(names.count(b"content-length") <= 1, "two lengths passed")
-        require(not any(name != name.strip() for name in names), "white space round a field's name passed")
+        require(b"transfer-encoding" not in names, "Transfer-Encoding was accepted")
+        require(names.count(b"content-length") <= 1, "two Content-Length fields were accepted")
+        require(
+            not any(name != name.strip() for name in names), "white space around a field name was accepted"
+        )
         require(
-            0 <= parsed.content_length <= MAX_BODY_BYTES, f"a body of {parsed.content_length} bytes passed"
+            0 <= parsed.content_length <= MAX_BODY_BYTES,
+            f"a body of {parsed.content_length} bytes was accepted",
         )
         for position in sample_cuts(random.Random(len(head)), head):
             require(
                 not isinstance(
                     http.parse_head(memoryview(head)[:position], MAX_BODY_BYTES), http.RequestHead
                 ),
-                f"cut at {position} it is whole",
+                f"head truncated at {position} was accepted as complete",
             )
         parsed.preferences()
--- a/cedarthread/testing/fuzzing/identity_targets.py
+++ b/cedarthread/testing/fuzzing/identity_targets.py
@@ -90,16 +90,23 @@
         """Check the parser against ``is_valid_spiffe_id``, and that a pattern allows only its own IDs."""
         text = data.decode("utf-8", "replace")
         domain = spiffe.parse_trust_domain(text)
-        require((domain is not None) == is_valid_spiffe_id(text), f"{text[:80]!r} is taken for {domain}")
+        require(
+            (domain is not None) == is_valid_spiffe_id(text),
+            f"{text[:80]!r} was parsed as trust domain {domain}",
+        )
         if domain is None:
             return
-        require(text.split("/")[2] == domain, f"the domain of {text[:80]!r} is not {domain}")
+        require(text.split("/")[2] == domain, f"the trust domain of {text[:80]!r} is not {domain}")
         peer = spiffe.Identity(text, domain, 0.0)
         for pattern in ("spiffe://gaz.example/desk/*", "spiffe://gaz.example/desk"):
             is_inside = text.startswith(pattern[:-1]) if pattern.endswith("*") else text == pattern
             is_allowed = spiffe.is_allowed(peer, "gaz.example", (pattern,))
-            require(is_allowed == is_inside, f"{text[:80]!r} by {pattern}")
-        require(not spiffe.is_allowed(peer, "other.example", (text,)), "let in from another domain")
+            require(
+                is_allowed == is_inside, f"{text[:80]!r} was wrongly allowed or denied by pattern {pattern}"
+            )
+        require(
+            not spiffe.is_allowed(peer, "other.example", (text,)), "an ID of another trust domain was allowed"
+        )
 
 
 class CertificateTarget(Target):
@@ -166,15 +173,24 @@
         """Check that an accepted leaf has one valid SPIFFE ID and a key that cannot sign certificates."""
         identity = spiffe.parse_identity(data)
         if isinstance(identity, spiffe.Rejected):
-            require(bool(identity.reason), "rejected without words")
+            require(bool(identity.reason), "rejected without a reason")
             return
-        require(is_valid_spiffe_id(identity.spiffe_id), f"{identity.spiffe_id[:80]!r} is let through")
-        require(identity.spiffe_id.encode() in data, "an ID that the certificate does not hold")
+        require(
+            is_valid_spiffe_id(identity.spiffe_id),
+            f"invalid SPIFFE ID {identity.spiffe_id[:80]!r} was accepted",
+        )
+        require(identity.spiffe_id.encode() in data, "the accepted ID is not in the certificate")
         leaf = x509.load_der_x509_certificate(data)
         usage = leaf.extensions.get_extension_for_class(x509.KeyUsage).value
         is_signer = usage.key_cert_sign or usage.crl_sign
-        require(usage.digital_signature and not is_signer, "a signer is let through")
-        require(data.count(b"spiffe://") <= 1 or self._has_one_uri(leaf), "two names are let through")
+        require(
+            usage.digital_signature and not is_signer,
+            "a certificate with a disallowed key usage was accepted",
+        )
+        require(
+            data.count(b"spiffe://") <= 1 or self._has_one_uri(leaf),
+            "a certificate with two SPIFFE IDs was accepted",
+        )
 
     def _has_one_uri(self, leaf: x509.Certificate) -> bool:
         names = leaf.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
--- a/cedarthread/testing/fuzzing/invoke_caller.py
+++ b/cedarthread/testing/fuzzing/invoke_caller.py
@@ -169,14 +169,14 @@
         while (parsed := read_reply(self.buffer)) is not None:
             self.buffer = self.buffer[parsed.end :]
             if not self.pending_requests:
-                raise Finding(f"a response of {parsed.reply.status} to nothing that was asked")
+                raise Finding(f"response {parsed.reply.status} without a pending request")
             self.on_reply(self.pending_requests.pop(0), parsed.reply)
 
     def on_reply(self, request: PendingRequest, reply: Reply) -> None:
         """Check one response against the oldest request without a response."""
         kind, call_key = request
         if reply.status == 202 and kind is RequestKind.LAST_COLLECT:
-            raise Finding(f"{call_key} is pending, though its time is up")
+            raise Finding(f"{call_key} is still pending after its deadline")
         if reply.status == 202:
             self.deferred_calls[reply.fields["location"].rpartition("/")[2]] = call_key
         elif reply.status in RESULT_BY_STATUS and kind is not RequestKind.DELETE:
@@ -184,7 +184,9 @@
         elif reply.status == 404 and kind in (RequestKind.COLLECT, RequestKind.LAST_COLLECT):
             self._abandon(call_key)  # the result has expired or was deleted
         elif not (reply.status == 204 and kind is RequestKind.DELETE) and reply.status != 404:
-            raise Finding(f"{kind.value} of {call_key} got {reply.status}: {reply.body[:80]!r}")
+            raise Finding(
+                f"unexpected response to {kind.value} of {call_key}: {reply.status}: {reply.body[:80]!r}"
+            )
 
     def _on_final_answer(self, call_key: str, reply: Reply) -> None:
         result = RESULT_BY_STATUS[reply.status]
--- a/cedarthread/testing/fuzzing/invoke_target.py
+++ b/cedarthread/testing/fuzzing/invoke_target.py
@@ -69,15 +69,17 @@
         rest = bytes(output)
         while (parsed := read_reply(rest)) is not None:
             status = parsed.reply.status
-            require(100 <= status < 600, f"status {status}")
+            require(100 <= status < 600, f"invalid status {status}")
             statuses.append(status)
             rest = rest[parsed.end :]
-        require(not rest, f"after the last response: {rest[:60]!r}")
-        require(not dispatcher.pending_calls, "a call is open")
+        require(not rest, f"incomplete data after the last response: {rest[:60]!r}")
+        require(not dispatcher.pending_calls, "a call is still pending")
         transport.peer_reset()
         await asyncio.sleep(PAST_RETENTION_S)
         server.sweep(loop.time())
         stored = server.calls.deferred_calls
-        require(stored.reserved_bytes == 0 and len(stored) == 0, "an answer is kept past its time")
+        require(
+            stored.reserved_bytes == 0 and len(stored) == 0, "a result is stored beyond its retention period"
+        )
         # Whether the server sends 100 Continue depends on how the stream is split.
         return [status for status in statuses if status != 100]
--- a/cedarthread/testing/fuzzing/memory_client.py
+++ b/cedarthread/testing/fuzzing/memory_client.py
@@ -94,13 +94,13 @@
         self._unpacker.feed(data)
         for message in self._unpacker:
             if not isinstance(message, list) or len(message) != 4 or message[0] != 1:
-                raise Finding(f"a client was sent {message!r}")
+                raise Finding(f"client received an invalid message: {message!r}")
             _, number, error, result = message
             key = self.pending_calls.get(number)
             if error is not None and error[0] == "BadRequest":
-                raise Finding(f"a good request was answered {error!r}")
+                raise Finding(f"valid request was rejected: {error!r}")
             if key is None:
-                raise Finding(f"an answer under the number {number}, which is not in use")
+                raise Finding(f"answer with number {number}, which no call has")
             self.checker.on_answer(self.loop.unix_ms(), key, answer_kind(error), result[0] if result else b"")
 
     def can_send(self) -> bool:
--- a/cedarthread/testing/fuzzing/memory_worker.py
+++ b/cedarthread/testing/fuzzing/memory_worker.py
@@ -131,9 +131,9 @@
         if op == "CALL":
             key = base64.b64decode(message["body"]).decode()
             if message["fields"]["thing"] not in self.called_functions:
-                raise Finding(f"function {message['fields']['thing']} was never asked for")
+                raise Finding(f"function {message['fields']['thing']} was not called by any client")
             if any(request.message_id == message_id for request in link.unanswered_requests):
-                raise Finding(f"two calls named {message_id} are open on one connection")
+                raise Finding(f"two calls with id {message_id} are pending on one connection")
             attempt = self.checker.on_attempt_started(
                 now_ms, key, self.number, first_byte_at_ms, handed_over_at_ms
             )
@@ -151,7 +151,7 @@
                 UnansweredRequest(message_id, "", link, None, message["fields"]["thing"])
             )
         elif op not in ("UNLOAD", "PING"):
-            raise Finding(f"a worker was sent {op}")
+            raise Finding(f"worker received the unknown op {op}")
 
     def unanswered_requests(self) -> list[UnansweredRequest]:
         """Return the unanswered requests, oldest first on each connection."""
--- a/cedarthread/testing/fuzzing/model_checking.py
+++ b/cedarthread/testing/fuzzing/model_checking.py
@@ -47,7 +47,7 @@
             violation, path = self.counterexample
             return f"{violation} after {tuple((event.value, subject) for event, subject in path)}"
         if self.model.expected_states and self.state_count != self.model.expected_states:
-            return f"{self.state_count} states, where {self.model.expected_states} stood before"
+            return f"{self.state_count} states, expected {self.model.expected_states}"
         return None
 
 
--- a/cedarthread/testing/fuzzing/model_run.py
+++ b/cedarthread/testing/fuzzing/model_run.py
@@ -184,10 +184,10 @@
         requests = len(router.pending_requests) + len(router.queued_requests) + len(router.orphaned_attempts)
         worker_loads = sum(abs(worker.in_flight) for worker in router.workers.values())
         loads = abs(router.state.functions.preloads_in_flight) + worker_loads
-        self.checker.check_remaining(now_ms, "open calls", open_calls)
-        self.checker.check_remaining(now_ms, "bytes of bodies", abs(calls.pending_body_bytes))
-        self.checker.check_remaining(now_ms, "calls open in the decisions", requests)
-        self.checker.check_remaining(now_ms, "loads in the decisions", loads)
+        self.checker.check_remaining(now_ms, "pending calls", open_calls)
+        self.checker.check_remaining(now_ms, "bytes of call bodies", abs(calls.pending_body_bytes))
+        self.checker.check_remaining(now_ms, "requests and orphaned attempts in the router", requests)
+        self.checker.check_remaining(now_ms, "preloads and worker load in the router", loads)
 
     def digest(self) -> bytes:
         """Return a digest of the dispatcher, the router, the requests in flight and the remaining events."""
--- a/cedarthread/testing/fuzzing/msgpack_target.py
+++ b/cedarthread/testing/fuzzing/msgpack_target.py
@@ -146,29 +146,35 @@
             expected = _expected(unpacker.unpack())
             end = unpacker.tell()
         except (ValueError, TypeError, RecursionError, reference.OutOfData, reference.StackError):
-            require(not isinstance(parsed, msgpack.ParsedValue), "took what is no value")
+            require(
+                not isinstance(parsed, msgpack.ParsedValue), "an invalid or incomplete value was accepted"
+            )
             return
         if isinstance(parsed, msgpack.ParsedValue):
             require(
-                _max_content_bytes(expected) <= msgpack.MAX_CONTENT_BYTES, "a string past the limit is taken"
+                _max_content_bytes(expected) <= msgpack.MAX_CONTENT_BYTES,
+                "a string beyond the size limit was accepted",
             )
             require(
                 repr(_without_views(parsed.value)) == repr(expected) and parsed.end == end,
-                "another value than it is",
+                "parsed value or its end differs from the reference",
             )
             self._check_prefixes(data[:end])
             return
-        require(not isinstance(parsed, msgpack.Incomplete), "a whole value is said to be short")
+        require(not isinstance(parsed, msgpack.Incomplete), "a complete value was reported as incomplete")
         is_too_long = end > msgpack.MAX_CONTENT_BYTES
         is_within_limits = _depth(expected) <= msgpack.MAX_DEPTH and _max_items(expected) <= msgpack.MAX_ITEMS
-        require(not is_within_limits or is_too_long, f"a value within the limits is refused: {parsed}")
+        require(not is_within_limits or is_too_long, f"a value within the limits was rejected: {parsed}")
 
     def _check_prefixes(self, data: bytes) -> None:
         for position in sample_cuts(random.Random(len(data)), data):
             prefix = msgpack.parse(memoryview(data)[:position])
-            require(isinstance(prefix, msgpack.Incomplete), f"cut at {position} it is not short: {prefix}")
+            require(
+                isinstance(prefix, msgpack.Incomplete),
+                f"value truncated at {position} was not reported as incomplete: {prefix}",
+            )
             if isinstance(prefix, msgpack.Incomplete):
                 require(
                     position < prefix.needed_bytes <= len(data),
-                    f"cut at {position} it says it needs {prefix.needed_bytes} of {len(data)}",
+                    f"value truncated at {position} needs {prefix.needed_bytes} bytes of {len(data)}",
                 )
--- a/cedarthread/testing/fuzzing/platform_target.py
+++ b/cedarthread/testing/fuzzing/platform_target.py
@@ -121,22 +121,25 @@
         await feed(transport, data, seed)
         calls = dispatcher.calls
         has_call = dispatcher.pending_calls or calls.pending_ids or calls.pending_body_bytes != 0
-        require(not has_call, "a call is left")
-        require(server.queued_bytes == 0, f"{server.queued_bytes} bytes of answers are left")
-        require(len(connection.buffer._data) <= MAX_MESSAGE_BYTES, "the buffer grew past its limit")
+        require(not has_call, "a call, its id or its body bytes remain")
+        require(server.queued_bytes == 0, f"{server.queued_bytes} bytes of answers are still queued")
+        require(len(connection.buffer._data) <= MAX_MESSAGE_BYTES, "the read buffer exceeds its limit")
         unpacker = reference.Unpacker(raw=False, strict_map_key=True, max_buffer_size=2**24)
         unpacker.feed(bytes(output))
         answer_counts: dict[Any, int] = {}
         for message in unpacker:
-            require(isinstance(message, list) and len(message) == 4 and message[0] == 1, f"sent {message!r}")
+            require(
+                isinstance(message, list) and len(message) == 4 and message[0] == 1,
+                f"invalid answer: {message!r}",
+            )
             answer_counts[message[1]] = answer_counts.get(message[1], 0) + 1
-        require(unpacker.tell() == len(output), "bytes after the last answer")
+        require(unpacker.tell() == len(output), "incomplete data after the last answer")
         request_counts = self._request_counts(data)
         # Whether a call is still pending when it is interrupted or repeated depends on timing.
         depends_on_time = b"interrupt" in data or any(count > 1 for count in request_counts.values())
         for number, count in answer_counts.items():
             requested = request_counts.get(number, 0)
-            require(count <= requested, f"{count} answers to number {number}, asked {requested}")
+            require(count <= requested, f"{count} answers with number {number}, {requested} requests")
         if depends_on_time:
             return None
         # The answers before a connection closes depend on timing, but whether the connection closes does not.
--- a/cedarthread/testing/fuzzing/resource_meter.py
+++ b/cedarthread/testing/fuzzing/resource_meter.py
@@ -52,7 +52,7 @@
     def _line(self, frame: FrameType, event: str, arg: object) -> TraceFunction:
         self.line_count += event == "line"
         if self.line_count > self.max_lines:
-            raise Finding(f"more than {self.max_lines} lines of work for one input")
+            raise Finding(f"more than {self.max_lines} lines executed for one input")
         return self._line
 
     def measure(self, check: Callable[[bytes], None], data: bytes) -> None:
@@ -71,4 +71,4 @@
             self.peak_bytes = tracemalloc.get_traced_memory()[1]
             tracemalloc.stop()
         if self.peak_bytes > self.max_bytes:
-            raise Finding(f"{self.peak_bytes} bytes held for one input, at most {self.max_bytes} allowed")
+            raise Finding(f"{self.peak_bytes} bytes allocated for one input, limit {self.max_bytes}")
--- a/cedarthread/testing/fuzzing/router_under_test.py
+++ b/cedarthread/testing/fuzzing/router_under_test.py
@@ -172,20 +172,20 @@
         calls = dispatcher.calls
         connections = self.platform.connections
         for resource, remaining in (
-            ("open calls", len(dispatcher.pending_calls)),
-            ("names", len(calls.pending_ids)),
-            ("bytes of bodies", abs(calls.pending_body_bytes)),
-            ("settled calls", len(calls.completing)),
-            ("attempts carried", len(self.worker_connections._connection_by_attempt)),
-            ("bytes of answers", abs(self.platform.queued_bytes)),
-            ("calls open in the decisions", len(router.pending_requests) + len(router.queued_requests)),
-            ("attempts out in the decisions", len(router.orphaned_attempts)),
+            ("pending calls", len(dispatcher.pending_calls)),
+            ("pending call ids", len(calls.pending_ids)),
+            ("bytes of call bodies", abs(calls.pending_body_bytes)),
+            ("completing calls", len(calls.completing)),
+            ("attempts on worker connections", len(self.worker_connections._connection_by_attempt)),
+            ("bytes of queued answers", abs(self.platform.queued_bytes)),
+            ("requests in the router", len(router.pending_requests) + len(router.queued_requests)),
+            ("orphaned attempts in the router", len(router.orphaned_attempts)),
             (
-                "worker loads in the decisions",
+                "worker load in the router",
                 sum(abs(worker.in_flight) for worker in router.workers.values()),
             ),
-            ("bytes of kept answers", abs(self.invoke.calls.deferred_calls.reserved_bytes)),
-            ("kept answers", len(self.invoke.calls.deferred_calls)),
+            ("reserved bytes of deferred calls", abs(self.invoke.calls.deferred_calls.reserved_bytes)),
+            ("deferred calls", len(self.invoke.calls.deferred_calls)),
             ("client connections", len(connections) + len(self.platform.unvalidated_connections)),
         ):
             self.checker.check_remaining(now_ms, resource, remaining)
@@ -193,7 +193,9 @@
         self.checker.check_remaining(now_ms, "timers", self.loop.timer_count(), 2)
         counts = dispatcher.result_counts
         ends = counts["served"] + counts["rejected"] + counts["failed"] + counts["abandoned"]
-        self.checker.check_remaining(now_ms, "calls counted without an end", counts["accepted"] - ends)
+        self.checker.check_remaining(
+            now_ms, "accepted calls without a counted result", counts["accepted"] - ends
+        )
 
 
 def _invoke_config() -> InvokeConfig:
--- a/cedarthread/testing/fuzzing/simulator_target.py
+++ b/cedarthread/testing/fuzzing/simulator_target.py
@@ -94,6 +94,9 @@
         try:
             while (frame := simulator_host.read_frame(source)) is not None:
                 reply = host.handle_frame(frame)
-                require(struct.unpack_from("<I", reply)[0] == len(reply), "a reply that says another length")
+                require(
+                    struct.unpack_from("<I", reply)[0] == len(reply),
+                    "the declared length of a reply is wrong",
+                )
         except SimulatorProtocolError as error:
-            require(bool(str(error)), "an error without words")
+            require(bool(str(error)), "rejected without an error message")
--- a/cedarthread/testing/fuzzing/stream_target.py
+++ b/cedarthread/testing/fuzzing/stream_target.py
@@ -137,7 +137,10 @@
             failures = run_virtual(work).failures
             if failures:
                 raise Finding(failures[0])
-        require(outputs[0] == outputs[1], f"whole {str(outputs[0])[:150]}, cut {str(outputs[1])[:150]}")
+        require(
+            outputs[0] == outputs[1],
+            f"output in one piece: {str(outputs[0])[:150]}, in several: {str(outputs[1])[:150]}",
+        )
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
         """Return the input with a changed stream or, in some cases, with another seed of the split."""
--- a/cedarthread/testing/fuzzing/virtual_loop.py
+++ b/cedarthread/testing/fuzzing/virtual_loop.py
@@ -68,7 +68,7 @@
             StuckError: No timer is set.
         """
         if timeout is None:
-            raise StuckError("nothing is left to do")
+            raise StuckError("no callback is ready and no timer is set")
         self._now_s += max(0.0, timeout)
         return []
 
@@ -101,7 +101,7 @@
             await asyncio.sleep(1.0)
         await asyncio.sleep(0)
         if transport.is_closing():
-            raise ConnectionResetError(104, "reset while it came up")
+            raise ConnectionResetError(104, "connection reset during setup")
         protocol = protocol_factory()
         transport.connect(protocol)
         return transport, protocol
--- a/cedarthread/testing/fuzzing/worker_lines_target.py
+++ b/cedarthread/testing/fuzzing/worker_lines_target.py
@@ -75,8 +75,8 @@
     def on_call_response(self, attempt: Attempt, ending: AttemptResult) -> None:
         """Record the answer to an attempt and check the numbers in it."""
         for value in ending.load_report:
-            self._check_number("a report", value or 0.0, 1e308)
-        self._check_number("a crowd", ending.reported_concurrency or 0, 2**31)
+            self._check_number("load report value", value or 0.0, 1e308)
+        self._check_number("reported concurrency", ending.reported_concurrency or 0, 2**31)
         self.endings.append(_Ending(attempt.call.call_id, ending.outcome.value, ending.body))
 
     def on_connection_broken(self, request: Attempt | PendingPreload, *, is_unreachable: bool) -> None:
@@ -91,7 +91,7 @@
 
     def preload_ended(self, event: PreloadEnded) -> None:
         """Check the number of instances that a preload reports to the dispatcher."""
-        self._check_number("copies", event.instances, 2**31)
+        self._check_number("preloaded instances", event.instances, 2**31)
 
 
 class WorkerLinesTarget(StreamTarget):
@@ -157,11 +157,11 @@
         await asyncio.sleep(0)
         require(not owner.bad_numbers, owner.bad_numbers[0] if owner.bad_numbers else "")
         ended = sorted(ending.message_id for ending in owner.endings)
-        require(ended == sorted(self.message_ids), f"ended: {owner.endings}")
+        require(ended == sorted(self.message_ids), f"requests did not end exactly once each: {owner.endings}")
         bodies = {base64.b64decode(text) for text in self._bodies(data)}
         for message_id, outcome, body in owner.endings:
             is_known = outcome != "ok" or body in bodies
-            require(is_known, f"{message_id} served with {body!r}, which no line holds")
+            require(is_known, f"{message_id} was served with {body!r}, which no line contains")
         return sorted(owner.endings)
 
     def _bodies(self, data: bytes) -> list[str]:
--- a/tests/unit/testing/fuzzing/test_target.py
+++ b/tests/unit/testing/fuzzing/test_target.py
@@ -33,8 +33,8 @@
     target = FaultyTarget()
     assert verdict(target, b"finding", metered=True) == "seen"
     assert verdict(target, b"error") == "KeyError: 'k'"
-    assert "lines of work" in (verdict(target, b"work", metered=True) or "")
-    assert "bytes held" in (verdict(target, b"memory", metered=True) or "")
+    assert "lines executed" in (verdict(target, b"work", metered=True) or "")
+    assert "bytes allocated" in (verdict(target, b"memory", metered=True) or "")
     assert verdict(target, b"", metered=True) is None
 
 
