--- a/cedarthread/testing/fuzzing/cli.py
+++ b/cedarthread/testing/fuzzing/cli.py
@@ -73,7 +73,7 @@
     return EXIT_USAGE
 
 
-def _chosen_targets(options: Options) -> dict[str, Target]:
+def _selected_targets(options: Options) -> dict[str, Target]:
     targets_by_name = targets.targets_by_name()
     name = options["TARGET"]
     if name is None:
@@ -88,8 +88,8 @@
     for name, target in targets.targets_by_name().items():
         inputs = len(corpus.inputs(name, folder))
         findings = len(corpus.findings(name, folder))
-        about = (type(target).__doc__ or "").splitlines()[0]
-        print(f"target  {name:14} {inputs:4} inputs, {findings:2} of them findings  {about}")
+        description = (type(target).__doc__ or "").splitlines()[0]
+        print(f"target  {name:14} {inputs:4} inputs, {findings:2} of them findings  {description}")
     for model in MODELS:
         print(f"world   {model.name:14} {model.expected_states} states")
     for defect in injected_defects.DEFECTS:
@@ -110,7 +110,7 @@
 
 
 def _run(options: Options) -> int:
-    ((name, target),) = _chosen_targets(options).items()
+    ((name, target),) = _selected_targets(options).items()
     run = _Run(
         name,
         target,
@@ -169,7 +169,7 @@
 
 def _replay(options: Options) -> int:
     folder = Path(options["--corpus"])
-    counts = replay(_chosen_targets(options), folder, print, generates=options["--draw"])
+    counts = replay(_selected_targets(options), folder, print, generates=options["--draw"])
     print(
         f"fuzz replay: {'FAILED' if counts.findings else 'ok'}, {counts.corpus_inputs} inputs, "
         f"{counts.generated_inputs} drawn runs, {counts.findings} findings"
@@ -178,7 +178,7 @@
 
 
 def _minimise(options: Options) -> int:
-    ((_, target),) = _chosen_targets(options).items()
+    ((_, target),) = _selected_targets(options).items()
     path = Path(options["FILE"])
     data = path.read_bytes()
     fault = verdict(target, data)
@@ -212,7 +212,7 @@
 def _inject_defects(options: Options) -> int:
     names = {options["DEFECT"]} if options["DEFECT"] else None
     seed = injected_defects.SEED if options["--seed"] == "1" else int(options["--seed"])
-    missed = injected_defects.prove(print, names, seed)
+    missed = injected_defects.undetected_defects(print, names, seed)
     count = sum(names is None or defect.name in names for defect in injected_defects.DEFECTS)
     if not count:
         raise KeyError(f"no defect {options['DEFECT']!r}")
@@ -223,7 +223,7 @@
 
 def _coverage(options: Options) -> int:
     print(f"{'target':14} {'lines':>7} {'branches':>9}  module: lines not reached", flush=True)
-    for name in _chosen_targets(options):
+    for name in _selected_targets(options):
         command = [sys.executable, "-W", "ignore", "-m", f"{PACKAGE}.coverage_report", name]
         exit_code = subprocess.run([*command, options["--corpus"]], check=False).returncode
         if exit_code != 0:
--- a/cedarthread/testing/fuzzing/client_steps.py
+++ b/cedarthread/testing/fuzzing/client_steps.py
@@ -19,7 +19,7 @@
 CALL_TIMEOUTS_MS = (5000, 2000, 400, 150, 60)
 BURST_TIMEOUT_MS = 3000
 BURST_CLASSES = (0, 0, 2, 1)
-CUT_UNIT_BYTES = 7  # the message of a call is split at a multiple of this length
+SPLIT_UNIT_BYTES = 7  # the message of a call is split at a multiple of this length
 MALFORMED_REQUESTS = (b"\xc1", b"\x94\x00\xff", b"\x91" * 40, b"\x00" * 90)
 
 
@@ -53,8 +53,8 @@
         if choices.consume_byte() & 1:
             fields["second"] = "1"
         data = self._encode_call(client, key, class_index, function, timeout_ms, fields)
-        cut = CUT_UNIT_BYTES * (choices.consume_byte() % 8)
-        for fragment in (data[:cut], data[cut:]):
+        split_at = SPLIT_UNIT_BYTES * (choices.consume_byte() % 8)
+        for fragment in (data[:split_at], data[split_at:]):
             client.transport.peer_send(fragment)
 
     def burst(self) -> None:
--- a/cedarthread/testing/fuzzing/config_targets.py
+++ b/cedarthread/testing/fuzzing/config_targets.py
@@ -14,7 +14,7 @@
 from cedarthread.model.outcomes import Outcome
 from cedarthread.protocols.invoke import config as invoke_config
 from cedarthread.routing.router import Router
-from cedarthread.testing.fuzzing import settings as drawn_settings
+from cedarthread.testing.fuzzing import settings as fuzz_settings
 from cedarthread.testing.fuzzing.finding import require
 from cedarthread.testing.fuzzing.mutation import (
     DEEP_LIST,
@@ -115,7 +115,7 @@
                 "n": 1,
                 "events": [{"n": 1, "members": {"endpoints": [entry | {"group": 1, "since_ms": 0}]}}],
             },
-            "settings": drawn_settings.settings(preloads_on_miss=rng.random() < 0.5),
+            "settings": fuzz_settings.settings(preloads_on_miss=rng.random() < 0.5),
         }
 
     def generate(self, rng: random.Random) -> bytes:
--- a/cedarthread/testing/fuzzing/cuts.py
+++ b/cedarthread/testing/fuzzing/cuts.py
@@ -11,6 +11,10 @@
     import random
 
 
-def sample_cuts(rng: random.Random, data: bytes, max_cuts: int = 12) -> list[int]:
+def sample_truncation_points(rng: random.Random, data: bytes, max_points: int = 12) -> list[int]:
     """Return sorted positions to truncate at: all positions of a short input, a sample of a long one."""
-    return list(range(len(data))) if len(data) <= max_cuts else sorted(rng.sample(range(len(data)), max_cuts))
+    return (
+        list(range(len(data)))
+        if len(data) <= max_points
+        else sorted(rng.sample(range(len(data)), max_points))
+    )
--- a/cedarthread/testing/fuzzing/defective_parsers.py
+++ b/cedarthread/testing/fuzzing/defective_parsers.py
@@ -85,7 +85,7 @@
     return float(value)
 
 
-def parse_any_segment(text: str) -> str | None:
+def parse_without_path_check(text: str) -> str | None:
     """Return the trust domain of a SPIFFE ID without checking the path."""
     domain, slash, _ = text.removeprefix("spiffe://").partition("/")
     return domain if text.startswith("spiffe://") and slash and spiffe._DOMAIN.match(domain) else None
@@ -103,7 +103,7 @@
     return self._calls_by_id.get(call_id)
 
 
-def remove_without_bytes(self: deferred.DeferredCalls, entry: deferred.DeferredCall) -> None:
+def remove_without_releasing_bytes(self: deferred.DeferredCalls, entry: deferred.DeferredCall) -> None:
     """Remove a deferred call but retain its reserved bytes."""
     self._calls_by_id.pop(entry.call_id, None)
     if (
--- a/cedarthread/testing/fuzzing/deferred_target.py
+++ b/cedarthread/testing/fuzzing/deferred_target.py
@@ -33,10 +33,10 @@
     retention_s: float
     answered_at_s: float | None = None
     body_bytes: int = 0
-    wake_count: int = 0
+    notification_count: int = 0
 
-    def wake(self) -> None:
-        self.wake_count += 1
+    def notify(self) -> None:
+        self.notification_count += 1
 
     def reserved_bytes(self) -> int:
         return LIMITS.reserve_bytes if self.answered_at_s is None else self.body_bytes
@@ -92,7 +92,7 @@
         if entry is not None:
             call = _ModelCall(entry, owner, key, retention_s)
             self.calls.append(call)
-            entry.waiters.append(call.wake)
+            entry.waiters.append(call.notify)
 
     def _complete(self, call: _ModelCall) -> None:
         if call.answered_at_s is not None:
@@ -134,7 +134,7 @@
                     is_found == (owner == call.owner),
                     f"lookup by owner {owner} is wrong for a call of owner {call.owner}",
                 )
-            require(call.wake_count <= 1, "a waiter was notified more than once")
+            require(call.notification_count <= 1, "a waiter was notified more than once")
 
     def finish(self) -> None:
         """Complete all calls, let all results expire, and check that the store is empty."""
--- a/cedarthread/testing/fuzzing/dns_target.py
+++ b/cedarthread/testing/fuzzing/dns_target.py
@@ -142,10 +142,11 @@
             require(len(name) <= MAX_NAME_CHARACTERS, f"a name has {len(name)} characters")
         if all(all(name.split(".")) for name in names):
             data = pack_reply(reply)
-            reread = dns.parse(data)
-            if isinstance(reread, dns.Reply) and len(data) <= MAX_POINTER_TARGET:
+            reparsed = dns.parse(data)
+            if isinstance(reparsed, dns.Reply) and len(data) <= MAX_POINTER_TARGET:
                 require(
-                    reread.srv_records == reply.srv_records, "the re-encoded reply has different SRV records"
+                    reparsed.srv_records == reply.srv_records,
+                    "the re-encoded reply has different SRV records",
                 )
 
     def _check_endpoints(self, reply: dns.Reply) -> None:
--- a/cedarthread/testing/fuzzing/endpoint_list_target.py
+++ b/cedarthread/testing/fuzzing/endpoint_list_target.py
@@ -7,7 +7,7 @@
 from cedarthread.model.endpoints import EndpointState, EndpointUpdate, EndpointUpdateKind
 from cedarthread.protocols.discovery.endpoint_list import EndpointList, EndpointRecord, worker_id_from_name
 from cedarthread.settings_parser import settings_from_object
-from cedarthread.testing.fuzzing import settings as drawn_settings
+from cedarthread.testing.fuzzing import settings as fuzz_settings
 from cedarthread.testing.fuzzing.finding import require
 from cedarthread.testing.fuzzing.target import FuzzedDataProvider, Target
 
@@ -16,7 +16,7 @@
     from collections.abc import Iterable
 
 
-class _Follower:
+class _Subscriber:
     """A subscriber that derives the workers' states from the events of the endpoint list."""
 
     def __init__(self) -> None:
@@ -61,8 +61,8 @@
     def check(self, data: bytes) -> None:
         """Check that the list, a subscriber to its events and the model agree after every accepted update."""
         choices = FuzzedDataProvider(data)
-        endpoint_list = EndpointList(settings_from_object(drawn_settings.settings()))
-        follower = _Follower()
+        endpoint_list = EndpointList(settings_from_object(fuzz_settings.settings()))
+        subscriber = _Subscriber()
         model = _Model()
         version = -1
         while choices.has_more():
@@ -77,14 +77,17 @@
             if event is None:
                 continue
             version = number
-            follower.apply(event)
+            subscriber.apply(event)
             model.apply(records, is_complete=is_complete)
-            self._check_alike(endpoint_list, follower, model)
+            self._check_consistency(endpoint_list, subscriber, model)
 
-    def _check_alike(self, endpoint_list: EndpointList, follower: _Follower, model: _Model) -> None:
+    def _check_consistency(self, endpoint_list: EndpointList, subscriber: _Subscriber, model: _Model) -> None:
         listed = {worker_id: record.state for worker_id, record in endpoint_list.by_worker_id().items()}
-        followed = follower.state_by_worker
-        require(followed == listed, f"states from events: {followed}, states in the list: {listed}")
+        states_from_events = subscriber.state_by_worker
+        require(
+            states_from_events == listed,
+            f"states from events: {states_from_events}, states in the list: {listed}",
+        )
         worker_ids = {worker_id_from_name(name) for name in model.records}
         names = sorted(endpoint_list.records)
         require(
--- a/cedarthread/testing/fuzzing/guided.py
+++ b/cedarthread/testing/fuzzing/guided.py
@@ -20,7 +20,7 @@
     from cedarthread.testing.fuzzing.target import verdict
 
 FINDING_EXIT_CODE = 77
-LIBRARY_SHARE = 0.4  # share of the mutations that libFuzzer performs
+LIBFUZZER_MUTATION_SHARE = 0.4  # share of the mutations that libFuzzer performs
 GENERATED_SHARE = 0.1  # share of the other mutations that are replaced by a newly generated input
 
 
@@ -39,7 +39,7 @@
 
     def mutate(data: bytes, max_size: int, seed: int) -> bytes:
         rng = random.Random(seed)
-        if rng.random() < LIBRARY_SHARE:
+        if rng.random() < LIBFUZZER_MUTATION_SHARE:
             return bytes(atheris.Mutate(data, max_size))[:max_size]
         changed = target.generate(rng) if rng.random() < GENERATED_SHARE else target.mutate(data, rng)
         return changed[:max_size]
--- a/cedarthread/testing/fuzzing/http_target.py
+++ b/cedarthread/testing/fuzzing/http_target.py
@@ -5,7 +5,7 @@
 import random
 
 from cedarthread.protocols import http
-from cedarthread.testing.fuzzing.cuts import sample_cuts
+from cedarthread.testing.fuzzing.cuts import sample_truncation_points
 from cedarthread.testing.fuzzing.finding import require
 from cedarthread.testing.fuzzing.mutation import (
     mutate_bytes,
@@ -107,7 +107,7 @@
             0 <= parsed.content_length <= MAX_BODY_BYTES,
             f"a body of {parsed.content_length} bytes was accepted",
         )
-        for position in sample_cuts(random.Random(len(head)), head):
+        for position in sample_truncation_points(random.Random(len(head)), head):
             require(
                 not isinstance(
                     http.parse_head(memoryview(head)[:position], MAX_BODY_BYTES), http.RequestHead
--- a/cedarthread/testing/fuzzing/injected_defects.py
+++ b/cedarthread/testing/fuzzing/injected_defects.py
@@ -231,7 +231,7 @@
         "dots-in-ids",
         "spiffe",
         200,
-        (Patch(spiffe, "parse_trust_domain", defective_parsers.parse_any_segment),),
+        (Patch(spiffe, "parse_trust_domain", defective_parsers.parse_without_path_check),),
     ),
     Defect(
         "first-name-counts",
@@ -255,7 +255,7 @@
         "kept-bytes-leak",
         "deferred",
         50,
-        (Patch(deferred.DeferredCalls, "remove", defective_parsers.remove_without_bytes),),
+        (Patch(deferred.DeferredCalls, "remove", defective_parsers.remove_without_releasing_bytes),),
     ),
 )
 
@@ -275,7 +275,9 @@
     return None
 
 
-def prove(report: Callable[[str], None], names: set[str] | None = None, seed: int = SEED) -> list[str]:
+def undetected_defects(
+    report: Callable[[str], None], names: set[str] | None = None, seed: int = SEED
+) -> list[str]:
     """Inject each defect in turn, and return the names of the defects that no run finds.
 
     Args:
--- a/cedarthread/testing/fuzzing/invoke_caller.py
+++ b/cedarthread/testing/fuzzing/invoke_caller.py
@@ -98,16 +98,16 @@
             case 4:
                 self.retry_post(choices)
             case 5 if self.deferred_calls:
-                name = choices.pick(list(self.deferred_calls))
+                call_id = choices.pick(list(self.deferred_calls))
                 preference = choices.pick(("", "Prefer: wait=1\r\n", "Prefer: wait=20\r\n"))
-                request = _request("GET", f"/v1/calls/{name}", preference)
-                self.send_request(RequestKind.COLLECT, self.deferred_calls[name], request)
+                request = _request("GET", f"/v1/calls/{call_id}", preference)
+                self.send_request(RequestKind.COLLECT, self.deferred_calls[call_id], request)
             case 6 if self.deferred_calls:
-                name = choices.pick(list(self.deferred_calls))
-                self._abandon(self.deferred_calls[name])
-                request = _request("DELETE", f"/v1/calls/{name}")
-                self.send_request(RequestKind.DELETE, self.deferred_calls[name], request)
-                del self.deferred_calls[name]
+                call_id = choices.pick(list(self.deferred_calls))
+                self._abandon(self.deferred_calls[call_id])
+                request = _request("DELETE", f"/v1/calls/{call_id}")
+                self.send_request(RequestKind.DELETE, self.deferred_calls[call_id], request)
+                del self.deferred_calls[call_id]
             case 7:
                 self.transport.peer_reset()
 
@@ -213,9 +213,9 @@
             return
         if not self.is_connected:
             self._connect()
-        name, call_key = next(iter(self.deferred_calls.items()))
-        self.send_request(RequestKind.LAST_COLLECT, call_key, _request("GET", f"/v1/calls/{name}"))
-        del self.deferred_calls[name]
+        call_id, call_key = next(iter(self.deferred_calls.items()))
+        self.send_request(RequestKind.LAST_COLLECT, call_key, _request("GET", f"/v1/calls/{call_id}"))
+        del self.deferred_calls[call_id]
 
     def _abandon(self, call_key: str) -> None:
         self.checker.on_call_abandoned(self.router.now_ms(), call_key)
--- a/cedarthread/testing/fuzzing/memory_worker.py
+++ b/cedarthread/testing/fuzzing/memory_worker.py
@@ -27,12 +27,12 @@
 
     message_id: str
     call_key: str
-    link: WorkerLink
+    connection: MemoryWorkerConnection
     attempt: AttemptRecord | None = None  # None for a preload request
     function: str = ""
 
 
-class WorkerLink:
+class MemoryWorkerConnection:
     """The worker's end of one connection, with the requests that are unanswered on it.
 
     Args:
@@ -70,7 +70,7 @@
             if request.attempt is not None:
                 self.worker.checker.on_attempt_ended(request.attempt, may_have_executed=True)
         self.unanswered_requests.clear()
-        self.worker.links.remove(self)
+        self.worker.connections.remove(self)
 
 
 class MemoryWorker:
@@ -95,7 +95,7 @@
         self.hangs_connections = False
         self.window_bytes: int | None = None  # bytes that it reads from a new connection; None for all
         self.started_at_ms = 0.0
-        self.links: list[WorkerLink] = []
+        self.connections: list[MemoryWorkerConnection] = []
 
     def connect(self) -> MemoryTransport:
         """Return the router's end of a new connection.
@@ -109,18 +109,22 @@
             transport = MemoryTransport(self.loop)
             transport.never_connects = True
             return transport
-        link = WorkerLink(self)
-        link.transport.peer_window_bytes = self.window_bytes
-        self.links.append(link)
-        return link.transport
+        connection = MemoryWorkerConnection(self)
+        connection.transport.peer_window_bytes = self.window_bytes
+        self.connections.append(connection)
+        return connection.transport
 
     def on_line(
-        self, link: WorkerLink, message: dict[str, Any], first_byte_at_ms: float, handed_over_at_ms: float
+        self,
+        connection: MemoryWorkerConnection,
+        message: dict[str, Any],
+        first_byte_at_ms: float,
+        handed_over_at_ms: float,
     ) -> None:
         """Process a complete line from the router.
 
         Args:
-            link: The connection that the line arrived on.
+            connection: The connection that the line arrived on.
             message: The decoded line.
             first_byte_at_ms: When the first byte of the line arrived.
             handed_over_at_ms: When the router wrote the start of the line to its transport.
@@ -132,30 +136,30 @@
             key = base64.b64decode(message["body"]).decode()
             if message["fields"]["thing"] not in self.called_functions:
                 raise Finding(f"function {message['fields']['thing']} was not called by any client")
-            if any(request.message_id == message_id for request in link.unanswered_requests):
+            if any(request.message_id == message_id for request in connection.unanswered_requests):
                 raise Finding(f"two calls with id {message_id} are pending on one connection")
             attempt = self.checker.on_attempt_started(
                 now_ms, key, self.number, first_byte_at_ms, handed_over_at_ms
             )
-            link.unanswered_requests.append(
-                UnansweredRequest(message_id, key, link, attempt, message["fields"]["thing"])
+            connection.unanswered_requests.append(
+                UnansweredRequest(message_id, key, connection, attempt, message["fields"]["thing"])
             )
         elif op == "CANCEL":
-            for request in list(link.unanswered_requests):
+            for request in list(connection.unanswered_requests):
                 if request.message_id == message_id and request.attempt is not None:
-                    link.unanswered_requests.remove(request)
+                    connection.unanswered_requests.remove(request)
                     self.checker.on_attempt_ended(request.attempt, may_have_executed=True)
         elif op == "LOAD":
             self.checker.on_preload(now_ms, self.number, message["fields"]["pods"], first_byte_at_ms)
-            link.unanswered_requests.append(
-                UnansweredRequest(message_id, "", link, None, message["fields"]["thing"])
+            connection.unanswered_requests.append(
+                UnansweredRequest(message_id, "", connection, None, message["fields"]["thing"])
             )
         elif op not in ("UNLOAD", "PING"):
             raise Finding(f"worker received the unknown op {op}")
 
     def unanswered_requests(self) -> list[UnansweredRequest]:
         """Return the unanswered requests, oldest first on each connection."""
-        return [request for link in self.links for request in link.unanswered_requests]
+        return [request for connection in self.connections for request in connection.unanswered_requests]
 
     def answer(
         self, request: UnansweredRequest, op: str, fields: dict[str, Any], *, twice: bool = False
@@ -166,18 +170,18 @@
             body = f"{request.call_key}@{self.number}".encode()
             self.checker.on_body_produced(request.call_key, body)
             message["body"] = base64.b64encode(body).decode()
-        request.link.unanswered_requests.remove(request)
+        request.connection.unanswered_requests.remove(request)
         if request.attempt is not None:
             may_have_executed = op not in NOT_EXECUTED_RESPONSES
             self.checker.on_attempt_ended(request.attempt, may_have_executed=may_have_executed)
-        request.link.transport.peer_send(json.dumps(message).encode() + b"\n")
+        request.connection.transport.peer_send(json.dumps(message).encode() + b"\n")
         if twice:
-            request.link.transport.peer_send(json.dumps(message).encode() + b"\n")
+            request.connection.transport.peer_send(json.dumps(message).encode() + b"\n")
 
     def reset_connections(self) -> None:
         """Reset all connections of the worker."""
-        for link in list(self.links):
-            link.transport.peer_reset()
+        for connection in list(self.connections):
+            connection.transport.peer_reset()
 
     def restart(self) -> None:
         """Restart the worker: reset its connections and accept new ones."""
@@ -189,5 +193,5 @@
     def resume_reading(self) -> None:
         """Read without a limit on open and new connections."""
         self.window_bytes = None
-        for link in list(self.links):
-            link.transport.peer_accept(None)
+        for connection in list(self.connections):
+            connection.transport.peer_accept(None)
--- a/cedarthread/testing/fuzzing/model_checking.py
+++ b/cedarthread/testing/fuzzing/model_checking.py
@@ -20,7 +20,7 @@
 MAX_STATES = 100_000
 STATES_PER_REPORT = 500
 # Paths whose length is a multiple of this run to the end, as do paths after which no event is possible.
-DRAIN_EVERY = 3
+RUN_TO_END_INTERVAL = 3
 
 Path = tuple[EventChoice, ...]
 
@@ -104,7 +104,7 @@
             continue
         seen.add(digest)
         exploration.state_count += 1
-        if violation is None and (not choices or len(path) % DRAIN_EVERY == 0):
+        if violation is None and (not choices or len(path) % RUN_TO_END_INTERVAL == 0):
             exploration.path_count += 1
             violation = run_path(model, path, runs_to_end=True).violation
         if violation is not None:
--- a/cedarthread/testing/fuzzing/model_run.py
+++ b/cedarthread/testing/fuzzing/model_run.py
@@ -11,7 +11,7 @@
 from cedarthread.model.events import PreloadEnded
 from cedarthread.model.outcomes import Outcome
 from cedarthread.settings_parser import settings_from_object
-from cedarthread.testing.fuzzing import settings as drawn_settings
+from cedarthread.testing.fuzzing import settings as fuzz_settings
 from cedarthread.testing.fuzzing.router_under_test import call_guarantees, invariant_limits
 from cedarthread.testing.fuzzing.scripted_transport import ScriptedTransport
 from cedarthread.testing.fuzzing.small_models import Event, EventChoice, SmallModel
@@ -47,7 +47,7 @@
     def __init__(self, model: SmallModel, loop: VirtualLoop) -> None:
         self.model = model
         self.loop = loop
-        self.raw_settings = drawn_settings.settings(preloads_on_miss=model.preloads_on_miss)
+        self.raw_settings = fuzz_settings.settings(preloads_on_miss=model.preloads_on_miss)
         self.checker = InvariantChecker(invariant_limits(self.raw_settings, 0.0))
         self.dispatcher = Dispatcher(settings_from_object(self.raw_settings), 3, clock=loop.unix_ms)
         self.transport = ScriptedTransport(self.dispatcher, self.checker, loop)
--- a/cedarthread/testing/fuzzing/msgpack_target.py
+++ b/cedarthread/testing/fuzzing/msgpack_target.py
@@ -8,7 +8,7 @@
 import msgpack as reference
 
 from cedarthread.protocols import msgpack
-from cedarthread.testing.fuzzing.cuts import sample_cuts
+from cedarthread.testing.fuzzing.cuts import sample_truncation_points
 from cedarthread.testing.fuzzing.finding import require
 from cedarthread.testing.fuzzing.mutation import (
     DEEP_LIST,
@@ -70,11 +70,11 @@
     return max(map(_max_content_bytes, _items(value)), default=0)
 
 
-def _without_views(value: object) -> object:
+def _replace_memoryviews(value: object) -> object:
     if isinstance(value, dict):
-        return {key: _without_views(item) for key, item in value.items()}
+        return {key: _replace_memoryviews(item) for key, item in value.items()}
     if isinstance(value, list):
-        return [_without_views(item) for item in value]
+        return [_replace_memoryviews(item) for item in value]
     return bytes(value) if isinstance(value, memoryview) else value
 
 
@@ -156,7 +156,7 @@
                 "a string beyond the size limit was accepted",
             )
             require(
-                repr(_without_views(parsed.value)) == repr(expected) and parsed.end == end,
+                repr(_replace_memoryviews(parsed.value)) == repr(expected) and parsed.end == end,
                 "parsed value or its end differs from the reference",
             )
             self._check_prefixes(data[:end])
@@ -167,7 +167,7 @@
         require(not is_within_limits or is_too_long, f"a value within the limits was rejected: {parsed}")
 
     def _check_prefixes(self, data: bytes) -> None:
-        for position in sample_cuts(random.Random(len(data)), data):
+        for position in sample_truncation_points(random.Random(len(data)), data):
             prefix = msgpack.parse(memoryview(data)[:position])
             require(
                 isinstance(prefix, msgpack.Incomplete),
--- a/cedarthread/testing/fuzzing/router_under_test.py
+++ b/cedarthread/testing/fuzzing/router_under_test.py
@@ -23,7 +23,7 @@
 from cedarthread.protocols.platform.server import PlatformServer
 from cedarthread.protocols.worker.connections import WorkerConnections
 from cedarthread.settings_parser import settings_from_object
-from cedarthread.testing.fuzzing import settings as drawn_settings
+from cedarthread.testing.fuzzing import settings as fuzz_settings
 from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
 from cedarthread.testing.invariants import CallGuarantees, Idempotency, InvariantChecker, InvariantLimits
 from cedarthread.transport.flusher import Flusher
@@ -33,7 +33,7 @@
 
 FUNCTIONS = ("00000000000000a1", "00000000000000b2", "00000000000000c3")
 MAX_DEADLINE_MS = 5000.0  # longest deadline of the request classes in the fuzzing settings
-CLOCK_TOLERANCE_MS = 50.0  # added to the time limit of each invariant, for bytes that wait in a socket
+TIME_LIMIT_TOLERANCE_MS = 50.0  # added to the time limit of each invariant, for bytes that wait in a socket
 SWEEP_PERIOD_MS = 250.0  # as in the service
 MAX_TIMER_DELAY_S = 0.015  # maximum lateness of a timer in the mode LATE_TIMERS
 TRUST_DOMAIN = "gaz.example"
@@ -55,7 +55,7 @@
     return CallGuarantees(
         Idempotency(request_class["effect"]),
         request_class.get("group", "all"),
-        float(request_class.get("repeat-window", 0)) + CLOCK_TOLERANCE_MS,
+        float(request_class.get("repeat-window", 0)) + TIME_LIMIT_TOLERANCE_MS,
     )
 
 
@@ -65,8 +65,8 @@
     obligations = raw_settings["obligations"]
     return InvariantLimits(
         max_attempts=raw_settings["limits"]["send-cap"],
-        answer_slack_ms=obligations["answer-slack"] + CLOCK_TOLERANCE_MS + stall_ms,
-        drain_slack_ms=obligations["stop-sending-within"] + CLOCK_TOLERANCE_MS + stall_ms,
+        answer_slack_ms=obligations["answer-slack"] + TIME_LIMIT_TOLERANCE_MS + stall_ms,
+        drain_slack_ms=obligations["stop-sending-within"] + TIME_LIMIT_TOLERANCE_MS + stall_ms,
         preload_window_ms=specifics.get("load-window", 0),
         preload_allowance=specifics.get("loads-anyway", 0),
         preload_share=specifics.get("load-share", 0),
@@ -101,7 +101,7 @@
     def __init__(self, loop: VirtualLoop, mode: int, stall_ms: float) -> None:
         self.loop = loop
         self.now_ms = loop.unix_ms
-        self.raw_settings = drawn_settings.settings(
+        self.raw_settings = fuzz_settings.settings(
             preloads_on_miss=bool(mode & Mode.PRELOADS_ON_MISS), supports_cancel=not mode & Mode.NO_CANCEL
         )
         self.checker = InvariantChecker(invariant_limits(self.raw_settings, stall_ms))
--- a/cedarthread/testing/fuzzing/script.py
+++ b/cedarthread/testing/fuzzing/script.py
@@ -64,7 +64,7 @@
 _BYTES_PER_BURST_CALL = 3
 
 
-class ThemeStep(NamedTuple):
+class ScenarioStep(NamedTuple):
     """A step of a scenario, and the first bytes that the step reads."""
 
     step: Step
@@ -76,40 +76,40 @@
 _READ_MORE = 4
 
 
-def _worker_fault(worker: int, case: int) -> ThemeStep:
-    return ThemeStep(Step.WORKER_FAULT, bytes((worker, case)))
+def _worker_fault(worker: int, case: int) -> ScenarioStep:
+    return ScenarioStep(Step.WORKER_FAULT, bytes((worker, case)))
 
 
 # Sets of steps from which the steps of a generated script are chosen: slow workers under bursts; the invoke
 # API during a shutdown; endpoint list changes; slow workers with pauses, so that attempts expire unsent.
-THEMES: tuple[tuple[ThemeStep, ...], ...] = (
+SCENARIOS: tuple[tuple[ScenarioStep, ...], ...] = (
     (
         *(
             _worker_fault(worker, case)
             for worker in range(WORKER_COUNT)
             for case in (_STOP_READING, _READ_MORE)
         ),
-        *(ThemeStep(Step.BURST),) * 5,
+        *(ScenarioStep(Step.BURST),) * 5,
     ),
     (
-        ThemeStep(Step.INVOKE_CALLER),
-        ThemeStep(Step.INVOKE_CALLER),
-        ThemeStep(Step.PAUSE),
-        ThemeStep(Step.ANSWER),
-        ThemeStep(Step.SHUTDOWN),
-        ThemeStep(Step.CALL),
+        ScenarioStep(Step.INVOKE_CALLER),
+        ScenarioStep(Step.INVOKE_CALLER),
+        ScenarioStep(Step.PAUSE),
+        ScenarioStep(Step.ANSWER),
+        ScenarioStep(Step.SHUTDOWN),
+        ScenarioStep(Step.CALL),
     ),
     (
-        ThemeStep(Step.LIST_CHANGE),
-        ThemeStep(Step.CALL),
-        ThemeStep(Step.ANSWER),
-        ThemeStep(Step.PAUSE),
-        ThemeStep(Step.WORKER_FAULT),
+        ScenarioStep(Step.LIST_CHANGE),
+        ScenarioStep(Step.CALL),
+        ScenarioStep(Step.ANSWER),
+        ScenarioStep(Step.PAUSE),
+        ScenarioStep(Step.WORKER_FAULT),
     ),
     (
         *(_worker_fault(worker, _STOP_READING) for worker in range(WORKER_COUNT)),
-        *(ThemeStep(Step.BURST), ThemeStep(Step.PAUSE)) * 4,
-        ThemeStep(Step.CALL),
+        *(ScenarioStep(Step.BURST), ScenarioStep(Step.PAUSE)) * 4,
+        ScenarioStep(Step.CALL),
     ),
 )
 
@@ -123,10 +123,10 @@
     """Return a script of random bytes, or of the steps of one scenario, up to some hundred bytes long."""
     if rng.random() < 0.35:
         return rng.randbytes(rng.choice((20, 60, 120)))
-    theme = rng.choice(THEMES)
+    scenario = rng.choice(SCENARIOS)
     script = rng.randbytes(2)
     for _ in range(rng.choice((4, 10, 20))):
-        step, prefix = rng.choice(theme)
+        step, prefix = rng.choice(scenario)
         rest = rng.randbytes(_INPUT_BYTES.get(step, 1))
         if step is Step.BURST:
             rest = rng.randbytes(1)
--- a/cedarthread/testing/fuzzing/simulator_target.py
+++ b/cedarthread/testing/fuzzing/simulator_target.py
@@ -9,7 +9,7 @@
 
 from cedarthread.simulator import host as simulator_host
 from cedarthread.simulator.decoder import SimulatorProtocolError
-from cedarthread.testing.fuzzing import settings as drawn_settings
+from cedarthread.testing.fuzzing import settings as fuzz_settings
 from cedarthread.testing.fuzzing.finding import require
 from cedarthread.testing.fuzzing.mutation import (
     EDGE_FLOATS,
@@ -41,7 +41,7 @@
 
     def generate(self, rng: random.Random) -> bytes:
         """Return a frame with the start of an instance, a list of workers, and events of various kinds."""
-        settings = json.dumps(drawn_settings.settings(preloads_on_miss=rng.random() < 0.3)).encode()
+        settings = json.dumps(fuzz_settings.settings(preloads_on_miss=rng.random() < 0.3)).encode()
         records = [b"\x0d" + struct.pack("<I", 3), b"\x01" + struct.pack("<QI", 7, len(settings)) + settings]
         workers = [
             struct.pack("<IBHHBfd", number, 0, 0, 0, rng.choice((0, 1, 2, 2)), 1.0, 0.0)
--- a/cedarthread/testing/fuzzing/stream_target.py
+++ b/cedarthread/testing/fuzzing/stream_target.py
@@ -14,7 +14,7 @@
 from cedarthread.model.endpoints import Endpoint, EndpointState, EndpointUpdate, EndpointUpdateKind
 from cedarthread.model.outcomes import Outcome
 from cedarthread.settings_parser import settings_from_object
-from cedarthread.testing.fuzzing import settings as drawn_settings
+from cedarthread.testing.fuzzing import settings as fuzz_settings
 from cedarthread.testing.fuzzing.finding import Finding, require
 from cedarthread.testing.fuzzing.mutation import mutate_bytes
 from cedarthread.testing.fuzzing.resource_meter import Budget
@@ -75,7 +75,7 @@
 def dispatcher_with_echo(loop: VirtualLoop) -> EchoDispatcher:
     """Return a dispatcher with two workers that answer every call with the call's own body."""
     flusher = Flusher()
-    settings = settings_from_object(drawn_settings.settings())
+    settings = settings_from_object(fuzz_settings.settings())
     dispatcher = Dispatcher(settings, 1, clock=loop.unix_ms, flush_output=flusher.flush_all)
     dispatcher.connect_workers(EchoTransport(dispatcher, loop))
     endpoints = tuple(Endpoint(number, 0, 0, 0, EndpointState.READY, None, None) for number in (1, 2))
--- a/cedarthread/testing/fuzzing/worker_lines_target.py
+++ b/cedarthread/testing/fuzzing/worker_lines_target.py
@@ -16,7 +16,7 @@
 from cedarthread.protocols.worker.preloads import PreloadRequests
 from cedarthread.protocols.worker.requests import PendingPreload
 from cedarthread.settings_parser import settings_from_object
-from cedarthread.testing.fuzzing import settings as drawn_settings
+from cedarthread.testing.fuzzing import settings as fuzz_settings
 from cedarthread.testing.fuzzing.finding import require
 from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
 from cedarthread.testing.fuzzing.mutation import EDGE_STRINGS
@@ -38,11 +38,11 @@
     body: bytes = b""
 
 
-class _RecordingTransport:
+class _RecordingPoolOwner:
     """The owner of the pool and the dispatcher, which records the notifications of a worker connection."""
 
     def __init__(self, loop: VirtualLoop) -> None:
-        self.settings = settings_from_object(drawn_settings.settings())
+        self.settings = settings_from_object(fuzz_settings.settings())
         self.flusher = Flusher()
         self.dispatcher = self
         self.clock = loop.unix_ms
@@ -143,7 +143,7 @@
 
         A served attempt must have the body of one of the lines.
         """
-        owner = _RecordingTransport(loop)
+        owner = _RecordingPoolOwner(loop)
         record = EndpointRecord("s-1", "h", 1, "room-a", "std", 0, EndpointState.READY, 1.0, 0.0)
         connection = WorkerConnection(WorkerConnectionPool(cast("Any", owner), record))
         transport = MemoryTransport(loop)
--- a/cedarthread/testing/fuzzing/worker_steps.py
+++ b/cedarthread/testing/fuzzing/worker_steps.py
@@ -36,14 +36,14 @@
             remark = self.choices.pick(("hit", "spawn", "pending", "spawn_failed", "odd"))
             depth = self.choices.consume_byte() % 9
             fields = {"remark": remark, "depth": depth, "report": "inflight:1;x1:0"}
-        request.link.worker.answer(request, op, fields, twice=self.choices.consume_byte() % 4 == 3)
+        request.connection.worker.answer(request, op, fields, twice=self.choices.consume_byte() % 4 == 3)
 
     def answer_all(self) -> None:
         """Let all workers answer all their unanswered requests."""
         for worker in self.workers:
             for request in worker.unanswered_requests():
                 fields = {"pods": 1} if request.attempt is None else {"remark": "hit"}
-                if request.link.is_open:
+                if request.connection.is_open:
                     worker.answer(request, "HIT", fields)
 
     def bad_answer(self) -> None:
@@ -61,7 +61,7 @@
             b'{"op":["HIT"],"id":"%s","fields":[]}\n' % message_id,
             b'{"id":7}\n',
         )
-        request.link.transport.peer_send(self.choices.pick(lines))
+        request.connection.transport.peer_send(self.choices.pick(lines))
 
     def fault(self) -> None:
         """Make a worker reset its connections, refuse or hang new ones, read slowly, or recover."""
@@ -76,14 +76,15 @@
                 worker.hangs_connections = True
             case 3:
                 worker.window_bytes = self.choices.consume_byte() * 2
-                for link in worker.links:  # so that the worker stops reading in the middle of a line
-                    link.transport.peer_window_bytes = worker.window_bytes
+                # On open connections too, so that the worker stops reading in the middle of a line.
+                for connection in worker.connections:
+                    connection.transport.peer_window_bytes = worker.window_bytes
             case 4:
                 more_bytes = self.choices.consume_byte()
-                for link in worker.links:
-                    link.transport.peer_accept(more_bytes)
-            case 5 if worker.links:
-                self.choices.pick(worker.links).transport.peer_reset()
+                for connection in worker.connections:
+                    connection.transport.peer_accept(more_bytes)
+            case 5 if worker.connections:
+                self.choices.pick(worker.connections).transport.peer_reset()
             case _:
                 worker.refuses_connections = False
                 worker.hangs_connections = False
