--- a/tests/simulation/test_fuzzing.py
+++ b/tests/simulation/test_fuzzing.py
@@ -1,4 +1,4 @@
-"""The corpus and a fixed number of generated inputs, small models, and some of the injected defects."""
+"""Tests of the corpus, a fixed number of generated inputs, small models, and some of the injected defects."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 
 
 @pytest.mark.parametrize("name", ["unsafe-sent-again", "drained-chosen"])
-def test_the_send_guard_makes_a_wrong_decision_harmless(name: str) -> None:
-    """The defect of the decisions alone, with the guard in place, breaks no rule."""
+def test_the_send_guard_prevents_the_effects_of_a_wrong_routing_decision(name: str) -> None:
+    """With the send guard unpatched, the defect in the routing decisions alone violates no invariant."""
     (defect,) = [candidate for candidate in injected_defects.DEFECTS if candidate.name == name]
     decision_patches = tuple(patch for patch in defect.patches if "refuse" not in patch.attribute)
     assert len(decision_patches) < len(defect.patches)
@@ -54,8 +54,8 @@
     assert injected_defects.runs_until_found(guarded, TARGETS[defect.target]) is None
 
 
-def test_a_finding_fails_with_its_repaired_defect_injected_again() -> None:
-    """Each finding of the call machine is named after the defect that it found."""
+def test_a_finding_fails_again_when_its_fixed_defect_is_injected() -> None:
+    """The file of each finding of the call machine has the name of the defect that it found."""
     defects = {defect.name: defect for defect in injected_defects.DEFECTS}
     findings = [(Path(name).name, data) for name, data in corpus.findings("calls", CORPUS)]
     assert findings
@@ -65,11 +65,11 @@
 
 
 @pytest.mark.parametrize("model", QUICKLY_EXPLORED_MODELS, ids=lambda model: model.name)
-def test_a_small_model_breaks_no_rule_in_any_order_of_its_events(model: small_models.SmallModel) -> None:
+def test_a_small_model_violates_no_invariant_in_any_order_of_events(model: small_models.SmallModel) -> None:
     assert model_checking.explore(model).verdict() is None
 
 
-def test_exploring_reports_a_broken_rule_and_a_missing_state() -> None:
+def test_exploring_reports_a_violated_invariant_and_a_missing_state() -> None:
     confirm = next(model_checking.models_named("confirm"))
     unsafe = next(defect for defect in injected_defects.DEFECTS if defect.name == "unsafe-sent-again")
     with unsafe.injected():
@@ -79,9 +79,9 @@
     assert "states" in (incomplete.verdict() or "")
 
 
-def test_commands_end_with_their_exit_codes(tmp_path: Path) -> None:
-    def run_fuzz(*words: str) -> subprocess.CompletedProcess[str]:
-        command = [sys.executable, "-m", "cedarthread", "fuzz", *words]
+def test_commands_return_their_exit_codes(tmp_path: Path) -> None:
+    def run_fuzz(*arguments: str) -> subprocess.CompletedProcess[str]:
+        command = [sys.executable, "-m", "cedarthread", "fuzz", *arguments]
         return subprocess.run(command, capture_output=True, text=True, check=False)
 
     replayed = run_fuzz("replay", "spiffe")
--- a/tests/unit/testing/fuzzing/test_target.py
+++ b/tests/unit/testing/fuzzing/test_target.py
@@ -1,4 +1,4 @@
-"""The verdict on an input, choices from an input, minimising, and generated DNS replies."""
+"""Tests of the verdict on an input, choices from an input, minimisation, and generated DNS replies."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FaultyTarget(Target):
-    """A target with one kind of fault for each input."""
+    """A target that shows a different kind of fault for each input."""
 
     line_budget = Budget(100, 0)
     byte_budget = Budget(100_000, 0)
@@ -29,7 +29,7 @@
             raise KeyError("k")
 
 
-def test_a_verdict_distinguishes_findings_exceptions_work_and_memory() -> None:
+def test_a_verdict_distinguishes_findings_exceptions_and_exceeded_limits() -> None:
     target = FaultyTarget()
     assert verdict(target, b"finding", metered=True) == "seen"
     assert verdict(target, b"error") == "KeyError: 'k'"
@@ -38,11 +38,11 @@
     assert verdict(target, b"", metered=True) is None
 
 
-def test_minimising_leaves_only_the_bytes_that_are_needed() -> None:
+def test_minimising_keeps_only_the_bytes_that_cause_the_fault() -> None:
     assert corpus.minimise(b"..a....b...", lambda data: b"a" in data and b"b" in data) == b"ab"
 
 
-def test_choices_past_the_end_of_an_input_are_the_first_option() -> None:
+def test_choices_past_the_end_of_an_input_select_the_first_option() -> None:
     choices = FuzzedDataProvider(b"\x05")
     assert choices.pick("abc") == "c"
     assert choices.pick("abc") == "a"
--- a/tests/unit/testing/fuzzing/test_virtual_loop.py
+++ b/tests/unit/testing/fuzzing/test_virtual_loop.py
@@ -1,4 +1,4 @@
-"""The event loop on virtual time and connections in memory."""
+"""Tests of the event loop with virtual time and of in-memory connections."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from cedarthread.testing.fuzzing.virtual_loop import StuckError, VirtualLoop, run_virtual
 
 
-def test_virtual_time_advances_only_when_nothing_is_ready_and_a_stuck_run_ends() -> None:
+def test_virtual_time_advances_only_when_no_callback_is_ready_and_a_stuck_run_ends() -> None:
     elapsed_s: list[float] = []
 
     async def sleep_an_hour(loop: VirtualLoop) -> None:
@@ -44,7 +44,7 @@
         self.events.append(f"lost {type(exc).__name__}")
 
 
-def test_a_memory_connection_buffers_the_bytes_that_its_peer_does_not_accept() -> None:
+def test_an_in_memory_connection_buffers_the_bytes_that_its_peer_does_not_accept() -> None:
     protocol = RecordingProtocol()
 
     async def write_to_a_slow_peer(loop: VirtualLoop) -> None:
