--- a/cedarthread/testing/fakes/client.py
+++ b/cedarthread/testing/fakes/client.py
@@ -8,9 +8,9 @@
 
 from cedarthread.protocols import msgpack
 
-HEALTH_CHECK_NUMBER = 2**32 - 1  # message number of health checks, which no call has
+HEALTH_CHECK_NUMBER = 2**32 - 1  # message number of health checks; no call has this number
 
-OnAnswer = Callable[[int, str, bytes], None]  # message number; served, refused or failed; body
+OnAnswer = Callable[[int, str, bytes], None]  # message number, answer kind and body
 
 
 def pack_call(number: int, class_name: str, body: bytes, fields: dict[str, str]) -> bytes:
@@ -25,7 +25,7 @@
 
 
 def answer_kind(error: list[Any] | None) -> str:
-    """Return the kind of an answer by the error of the response: served without error, refused or failed."""
+    """Return served if the response has no error, refused if the error is Backoff, and failed otherwise."""
     if error is None:
         return "served"
     return "refused" if error[0] == "Backoff" else "failed"
@@ -58,7 +58,7 @@
         """Report the complete answers, and buffer the rest of the data."""
         self._buffer += data
         while isinstance(parsed := msgpack.parse(memoryview(self._buffer)), msgpack.ParsedValue):
-            _, number, error, result = without_views(parsed.value)
+            _, number, error, result = replace_memoryviews(parsed.value)
             self._buffer = self._buffer[parsed.end :]
             self.on_answer(number, answer_kind(error), result[0] if error is None else b"")
 
@@ -68,8 +68,8 @@
         self.on_lost()
 
 
-def without_views(value: Any) -> Any:
-    """Return a parsed value with bytes in place of views, so that the input buffer can be released."""
+def replace_memoryviews(value: Any) -> Any:
+    """Return a parsed value with bytes in place of memory views, so that the input buffer can be released."""
     if isinstance(value, list):
-        return [without_views(item) for item in value]
+        return [replace_memoryviews(item) for item in value]
     return bytes(value) if isinstance(value, memoryview) else value
--- a/cedarthread/testing/fuzzing/cli.py
+++ b/cedarthread/testing/fuzzing/cli.py
@@ -1,4 +1,4 @@
-"""``cedarthread fuzz``: run, replay, minimise, explore, injected defects. Exit code 0 only if all held.
+"""``cedarthread fuzz``: fuzz, replay, minimise, explore, inject defects. Exit code 0 only without a finding.
 
 Usage:
   cedarthread fuzz list
@@ -11,19 +11,19 @@
   cedarthread fuzz --help
 
 Commands:
-  list      Name the targets, the small models and the injected defects.
-  run       Search guided by coverage; new inputs join the corpus. --plain generates without a guide.
-  replay    Check the corpus, metered; with --draw also the generated inputs of the tests.
-  minimise  Make a finding's input smaller, and write it beside the file.
-  explore   Check the small models: every order of their events.
-  planted   Inject defects into the program, one after another: each must be found.
-  coverage  Lines and branches that the corpus and generated inputs reach.
+  list      List the targets, the small models and the injected defects.
+  run       Fuzz guided by coverage and add new inputs to the corpus; --plain fuzzes without guidance.
+  replay    Check the corpus under resource budgets; with --draw also the generated inputs of the tests.
+  minimise  Reduce the input of a finding, and write the result next to the file.
+  explore   Check the small models with every order of their events.
+  planted   Inject defects into the program one at a time; the targets must find each.
+  coverage  Report the lines and branches that the corpus and generated inputs reach.
 
 Options:
-  --runs=N      Runs at most [default: 100000].
-  --seconds=S   Seconds at most [default: 60].
-  --seed=K      The seed of all that is generated [default: 1].
-  --corpus=DIR  The corpus's folder [default: corpus].
+  --runs=N      Maximum number of runs [default: 100000].
+  --seconds=S   Maximum duration in seconds [default: 60].
+  --seed=K      Seed of the random number generator [default: 1].
+  --corpus=DIR  Folder of the corpus [default: corpus].
 """
 
 from __future__ import annotations
@@ -53,8 +53,8 @@
 EXIT_FINDING = 1
 EXIT_USAGE = 2
 RUNS_PER_REPORT = 5000
-MAX_INPUT_BYTES = 100_000  # size of an input of a guided run
-INPUT_TIMEOUT_S = 60  # time for one input of a guided run
+MAX_INPUT_BYTES = 100_000  # maximum size of an input in a guided run
+INPUT_TIMEOUT_S = 60  # maximum time for one input in a guided run
 PACKAGE = "cedarthread.testing.fuzzing"
 
 Options = dict[str, Any]
@@ -73,13 +73,13 @@
     return EXIT_USAGE
 
 
-def _chosen_targets(options: Options) -> dict[str, Target]:
+def _selected_targets(options: Options) -> dict[str, Target]:
     targets_by_name = targets.targets_by_name()
     name = options["TARGET"]
     if name is None:
         return targets_by_name
     if name not in targets_by_name:
-        raise KeyError(f"no target {name!r}; there are {', '.join(targets_by_name)}")
+        raise KeyError(f"no target {name!r}; available targets: {', '.join(targets_by_name)}")
     return {name: targets_by_name[name]}
 
 
@@ -88,8 +88,8 @@
     for name, target in targets.targets_by_name().items():
         inputs = len(corpus.inputs(name, folder))
         findings = len(corpus.findings(name, folder))
-        about = (type(target).__doc__ or "").splitlines()[0]
-        print(f"target  {name:14} {inputs:4} inputs, {findings:2} of them findings  {about}")
+        description = (type(target).__doc__ or "").splitlines()[0]
+        print(f"target  {name:14} {inputs:4} inputs, {findings:2} of them findings  {description}")
     for model in MODELS:
         print(f"world   {model.name:14} {model.expected_states} states")
     for defect in injected_defects.DEFECTS:
@@ -110,7 +110,7 @@
 
 
 def _run(options: Options) -> int:
-    ((name, target),) = _chosen_targets(options).items()
+    ((name, target),) = _selected_targets(options).items()
     run = _Run(
         name,
         target,
@@ -138,7 +138,7 @@
             return EXIT_OK
         artifacts = sorted(path for path in Path(scratch).iterdir() if path.is_file())
         if not artifacts:
-            print(f"fuzz run {run.name}: FAILED, the run itself ended with {process.returncode}")
+            print(f"fuzz run {run.name}: FAILED, the fuzzer process exited with status {process.returncode}")
             return EXIT_FINDING
         return _save_finding(run, artifacts[0].read_bytes())
 
@@ -146,7 +146,7 @@
 def _save_finding(run: _Run, data: bytes) -> int:
     fault = verdict(run.target, data, metered=True)
     path = corpus.save_input(f"{run.name}/findings", data, run.folder)
-    print(f"fuzz run {run.name}: FAILED, {path}: {fault or 'not seen again'}")
+    print(f"fuzz run {run.name}: FAILED, {path}: {fault or 'not reproduced'}")
     return EXIT_FINDING
 
 
@@ -169,7 +169,7 @@
 
 def _replay(options: Options) -> int:
     folder = Path(options["--corpus"])
-    counts = replay(_chosen_targets(options), folder, print, generates=options["--draw"])
+    counts = replay(_selected_targets(options), folder, print, generates=options["--draw"])
     print(
         f"fuzz replay: {'FAILED' if counts.findings else 'ok'}, {counts.corpus_inputs} inputs, "
         f"{counts.generated_inputs} drawn runs, {counts.findings} findings"
@@ -178,12 +178,12 @@
 
 
 def _minimise(options: Options) -> int:
-    ((_, target),) = _chosen_targets(options).items()
+    ((_, target),) = _selected_targets(options).items()
     path = Path(options["FILE"])
     data = path.read_bytes()
     fault = verdict(target, data)
     if fault is None:
-        print(f"fuzz minimise: FAILED, {path} shows nothing")
+        print(f"fuzz minimise: FAILED, {path} shows no finding")
         return EXIT_FINDING
     kind = fault.split(" ")[0]
     smaller = corpus.minimise(data, lambda shorter: (verdict(target, shorter) or "").startswith(kind))
@@ -196,7 +196,7 @@
     models = list(models_named(options["WORLD"]))
     if not models:
         raise KeyError(
-            f"no world {options['WORLD']!r}; there are {', '.join(model.name for model in MODELS)}"
+            f"no world {options['WORLD']!r}; available worlds: {', '.join(model.name for model in MODELS)}"
         )
     failures = 0
     for model in models:
@@ -212,7 +212,7 @@
 def _inject_defects(options: Options) -> int:
     names = {options["DEFECT"]} if options["DEFECT"] else None
     seed = injected_defects.SEED if options["--seed"] == "1" else int(options["--seed"])
-    missed = injected_defects.prove(print, names, seed)
+    missed = injected_defects.undetected_defects(print, names, seed)
     count = sum(names is None or defect.name in names for defect in injected_defects.DEFECTS)
     if not count:
         raise KeyError(f"no defect {options['DEFECT']!r}")
@@ -223,11 +223,11 @@
 
 def _coverage(options: Options) -> int:
     print(f"{'target':14} {'lines':>7} {'branches':>9}  module: lines not reached", flush=True)
-    for name in _chosen_targets(options):
+    for name in _selected_targets(options):
         command = [sys.executable, "-W", "ignore", "-m", f"{PACKAGE}.coverage_report", name]
         exit_code = subprocess.run([*command, options["--corpus"]], check=False).returncode
         if exit_code != 0:
-            print(f"fuzz coverage: FAILED, {name} ended with {exit_code}")
+            print(f"fuzz coverage: FAILED, the report of {name} exited with status {exit_code}")
             return EXIT_FINDING
     return EXIT_OK
 
--- a/cedarthread/testing/fuzzing/config_targets.py
+++ b/cedarthread/testing/fuzzing/config_targets.py
@@ -1,4 +1,4 @@
-"""Fuzz targets of the configuration parsers; a router must be able to serve with accepted settings."""
+"""Fuzz targets of the configuration parsers; with accepted settings, a router must serve requests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from cedarthread.model.outcomes import Outcome
 from cedarthread.protocols.invoke import config as invoke_config
 from cedarthread.routing.router import Router
-from cedarthread.testing.fuzzing import settings as drawn_settings
+from cedarthread.testing.fuzzing import settings as fuzz_settings
 from cedarthread.testing.fuzzing.finding import require
 from cedarthread.testing.fuzzing.mutation import (
     DEEP_LIST,
@@ -32,7 +32,7 @@
 
     from cedarthread.model.settings import RouterSettings
 
-MAX_CLASSES = 8  # number of request classes that are exercised
+MAX_CLASSES = 8  # maximum number of request classes to exercise
 
 
 def exercise_settings(settings: RouterSettings) -> None:
@@ -42,7 +42,10 @@
     actions = router.handle(1000.0, EndpointUpdate(EndpointUpdateKind.CACHED, 1, workers))
     for index, request_class in enumerate(settings.classes[:MAX_CLASSES]):
         deadline_ms = request_class.deadline_ms
-        require(math.isfinite(deadline_ms) and deadline_ms > 0, f"a deadline of {deadline_ms}")
+        require(
+            math.isfinite(deadline_ms) and deadline_ms > 0,
+            f"deadline of {deadline_ms} ms is not finite and positive",
+        )
         actions = actions + router.handle(1001.0, RequestArrived(index, 7, index, 1001.0 + deadline_ms))
         for action in actions:
             if isinstance(action, StartAttempt) and action.request_id == index:
@@ -51,18 +54,18 @@
                 )
     for action in actions:
         if isinstance(action, SetTimer):
-            require(math.isfinite(action.at_ms), f"a timer at {action.at_ms}")
+            require(math.isfinite(action.at_ms), f"timer at {action.at_ms} ms is not finite")
 
 
 class JsonTarget(Target):
-    """A target with one JSON document as its input."""
+    """A target whose input is one JSON document."""
 
     def base_document(self, rng: random.Random) -> object:
         """Return the parsed document that ``generate`` changes."""
         raise NotImplementedError
 
     def generate(self, rng: random.Random) -> bytes:
-        """Return the base document with no change, one or two."""
+        """Return the base document with up to two changes."""
         tree = self.base_document(rng)
         for _ in range(rng.choice((0, 1, 1, 2))):
             tree = mutate_tree(
@@ -71,7 +74,7 @@
         return json.dumps(tree).encode()
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Return the document with a change of its parsed value, of its bytes, or with deep nesting."""
+        """Return the document with its parsed value or its bytes changed, or with deep nesting."""
         if rng.random() < 0.1:
             return b'{"a":' * 3000 + data if rng.random() < 0.5 else b"[" * 90_000
         if rng.random() < 0.7:
@@ -86,7 +89,7 @@
 
 
 class ConfigFileTarget(JsonTarget):
-    """The configuration that the platform writes."""
+    """The configuration file that the platform writes."""
 
     name = "config"
     modules = ("cedarthread.config",)
@@ -112,11 +115,11 @@
                 "n": 1,
                 "events": [{"n": 1, "members": {"endpoints": [entry | {"group": 1, "since_ms": 0}]}}],
             },
-            "settings": drawn_settings.settings(preloads_on_miss=rng.random() < 0.5),
+            "settings": fuzz_settings.settings(preloads_on_miss=rng.random() < 0.5),
         }
 
     def generate(self, rng: random.Random) -> bytes:
-        """Return a configuration, in most cases with a change in its settings, which have most numbers."""
+        """Return a configuration, in most cases with a change in its settings, which hold most numbers."""
         if rng.random() < 0.4:
             return super().generate(rng)
         tree = self.base_document(rng)
@@ -134,31 +137,31 @@
         return json.dumps(tree).encode()
 
     def check(self, data: bytes) -> None:
-        """Check that the parser rejects with ``ConfigError`` only, and that accepted settings can serve."""
+        """Check that the parser raises only ``ConfigError``, and that accepted settings can be served."""
         try:
             parsed = config.decode(data, {})
         except config.ConfigError as error:
-            require(bool(str(error)), "an error without words")
+            require(bool(str(error)), "rejected without an error message")
             return
         for host, port in ((parsed.host, parsed.port), parsed.discovery_address or ("", 1)):
-            require(isinstance(host, str) and 0 <= port < 65536, f"port {port}")
+            require(isinstance(host, str) and 0 <= port < 65536, f"port {port} or its host is invalid")
         for _, records in parsed.initial_endpoints:
             for record in records:
                 is_finite = math.isfinite(record.started_at_ms) and math.isfinite(record.weight)
-                require(0 <= record.port < 65536, f"a runner at port {record.port}")
-                require(is_finite, "a figure that is none")
+                require(0 <= record.port < 65536, f"worker port {record.port} is out of range")
+                require(is_finite, "start time or weight of a worker is not finite")
         exercise_settings(parsed.settings)
 
 
 class InvokeConfigTarget(Target):
-    """The invoke API's TOML file."""
+    """The TOML configuration file of the invoke API."""
 
     name = "invoke-file"
     modules = ("cedarthread.protocols.invoke.config",)
     line_budget = Budget(60_000, 800)
 
     def generate(self, rng: random.Random) -> bytes:
-        """Return a file like the shipped one, with edge values of numbers, addresses and SPIFFE IDs."""
+        """Return a file like the shipped one, with edge cases of numbers, addresses and SPIFFE IDs."""
         connections = rng.choice(
             ("128", "1", "0", "-1", "inf", "nan", "1e308", "9" * 30, '"x"', "[]", "true")
         )
@@ -177,11 +180,13 @@
         return mutate_bytes(data, rng)
 
     def check(self, data: bytes) -> None:
-        """Check that the parser rejects with ``ValueError`` only, and that accepted numbers are bounded."""
+        """Check that the parser raises only ``ValueError``, and that accepted numbers are bounded."""
         try:
             parsed = invoke_config.parse(data, Path("deploy/invoke.toml"))
         except ValueError as error:
-            require(bool(str(error)), "an error without words")
+            require(bool(str(error)), "rejected without an error message")
             return
-        require(0 <= parsed.port < 65536, f"port {parsed.port}")
-        require(0 < parsed.max_connections < 2**31, f"{parsed.max_connections} connections")
+        require(0 <= parsed.port < 65536, f"port {parsed.port} is out of range")
+        require(
+            0 < parsed.max_connections < 2**31, f"connection limit {parsed.max_connections} is out of range"
+        )
--- a/cedarthread/testing/fuzzing/discovery_target.py
+++ b/cedarthread/testing/fuzzing/discovery_target.py
@@ -1,4 +1,4 @@
-"""The fuzz target of the discovery client, with lost, late, old, repeated, foreign and truncated replies."""
+"""The fuzz target of the discovery client, with missing, outdated and invalid replies."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 
 TRUNCATED = 0x0200  # the DNS flag TC
-REPLIED_QUERIES = 3  # a reply answers one of the last queries, up to this many back
+REPLIED_QUERIES = 3  # a reply answers one of this many most recent queries
 
 
 class _Update(NamedTuple):
@@ -36,7 +36,7 @@
 
 
 class _RecordingDatagramTransport(asyncio.DatagramTransport):
-    """A transport that records the queries of the client."""
+    """A datagram transport that records the queries of the client."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -75,7 +75,7 @@
     def on_update(self, serial: int, records: list[EndpointRecord]) -> None:
         """Check that enough queries confirmed a list that the client passes on."""
         count = len(self._queries[serial, frozenset(records)])
-        require(count >= CONFIRMING_QUERIES, f"serial {serial} was taken from {count} queries")
+        require(count >= CONFIRMING_QUERIES, f"list with serial {serial} accepted after only {count} queries")
         self.updates.append(_Update(serial, records))
 
 
@@ -96,7 +96,7 @@
         self.transport = _RecordingDatagramTransport()
         self.client.connection_made(self.transport)
         self.serial = 0
-        self.delivered: list[bytes] = []  # complete replies, for a repeated delivery
+        self.delivered: list[bytes] = []  # complete replies, which may be delivered again
 
     async def run(self) -> None:
         """Deliver replies until the end of the input, then stop the client."""
@@ -140,17 +140,17 @@
     def _deliver_truncated(self, reply: dns.Reply) -> None:
         count = len(self.updates)
         self._deliver(pack_reply(reply, flags=AUTHORITATIVE_ANSWER | TRUNCATED))
-        require(len(self.updates) == count, "a truncated reply was taken")
+        require(len(self.updates) == count, "a truncated reply was accepted")
 
     def _deliver_foreign(self, datagram: bytes, *, is_recent: bool) -> None:
         count = len(self.updates)
         self._deliver(datagram)
         is_unchanged = len(self.updates) == count
-        require(is_recent or is_unchanged, "a reply to nothing that was asked was taken")
+        require(is_recent or is_unchanged, "an unsolicited reply was accepted")
 
 
 class DiscoveryTarget(Target):
-    """The discovery client, with replies lost, late, old, repeated, foreign and truncated."""
+    """The discovery client, with lost, late, old, repeated, unsolicited and truncated replies."""
 
     name = "resolver"
     modules = ("cedarthread.protocols.discovery.client",)
@@ -162,9 +162,9 @@
         return rng.randbytes(rng.choice((10, 40, 80)))
 
     def check(self, data: bytes) -> None:
-        """Check that the client passes a list on after two complete replies, and never twice in a row.
+        """Check that the client passes a list on only after two complete replies, and never twice in a row.
 
-        The replies must answer two different recent queries.
+        The two replies must answer different recent queries.
         """
         updates: list[_Update] = []
 
@@ -172,10 +172,10 @@
             run = _DiscoveryRun(FuzzedDataProvider(data), updates)
             await run.run()
             has_stopped = run.transport.is_closed and loop.timer_count() == 0
-            require(has_stopped, "it asks on after its end")
+            require(has_stopped, "socket or timers still open after stop()")
 
         failures = run_virtual(work).failures
         require(not failures, failures[0] if failures else "")
         for earlier, later in itertools.pairwise(updates):
             is_same = earlier.serial == later.serial and set(earlier.records) == set(later.records)
-            require(not is_same, f"serial {later.serial} was told twice")
+            require(not is_same, f"the list with serial {later.serial} was passed on twice in a row")
--- a/cedarthread/testing/fuzzing/endpoint_list_target.py
+++ b/cedarthread/testing/fuzzing/endpoint_list_target.py
@@ -7,7 +7,7 @@
 from cedarthread.model.endpoints import EndpointState, EndpointUpdate, EndpointUpdateKind
 from cedarthread.protocols.discovery.endpoint_list import EndpointList, EndpointRecord, worker_id_from_name
 from cedarthread.settings_parser import settings_from_object
-from cedarthread.testing.fuzzing import settings as drawn_settings
+from cedarthread.testing.fuzzing import settings as fuzz_settings
 from cedarthread.testing.fuzzing.finding import require
 from cedarthread.testing.fuzzing.target import FuzzedDataProvider, Target
 
@@ -16,8 +16,8 @@
     from collections.abc import Iterable
 
 
-class _Follower:
-    """A reader that derives the workers' states from the events of the endpoint list."""
+class _Subscriber:
+    """A subscriber that derives the workers' states from the events of the endpoint list."""
 
     def __init__(self) -> None:
         self.state_by_worker: dict[int, EndpointState] = {}
@@ -33,7 +33,7 @@
 
 
 class _Model:
-    """A model of the endpoint list: the records that the list must have, by name."""
+    """A model of the endpoint list: the records that the list must contain, by name."""
 
     def __init__(self) -> None:
         self.records: dict[str, EndpointRecord] = {}
@@ -49,7 +49,7 @@
 
 
 class EndpointListTarget(Target):
-    """The endpoint list under updates late, repeated, out of order and contradictory."""
+    """The endpoint list, with late, repeated, reordered and contradictory updates."""
 
     name = "roster"
     modules = ("cedarthread.protocols.discovery.endpoint_list",)
@@ -59,10 +59,10 @@
         return rng.randbytes(rng.choice((10, 40, 90)))
 
     def check(self, data: bytes) -> None:
-        """Check that the list, a reader of its events and the model agree after every accepted update."""
+        """Check that the list, a subscriber to its events and the model agree after every accepted update."""
         choices = FuzzedDataProvider(data)
-        endpoint_list = EndpointList(settings_from_object(drawn_settings.settings()))
-        follower = _Follower()
+        endpoint_list = EndpointList(settings_from_object(fuzz_settings.settings()))
+        subscriber = _Subscriber()
         model = _Model()
         version = -1
         while choices.has_more():
@@ -70,21 +70,29 @@
             is_complete = bool(choices.consume_byte() & 3)
             records = [self._record(choices) for _ in range(choices.consume_byte() % 5)]
             event = endpoint_list.apply_update(number, records, is_snapshot=is_complete)
-            require((event is None) == (number <= version), f"news {number} after {version}")
+            require(
+                (event is None) == (number <= version),
+                f"update {number} after version {version} was wrongly applied or ignored",
+            )
             if event is None:
                 continue
             version = number
-            follower.apply(event)
+            subscriber.apply(event)
             model.apply(records, is_complete=is_complete)
-            self._check_alike(endpoint_list, follower, model)
+            self._check_consistency(endpoint_list, subscriber, model)
 
-    def _check_alike(self, endpoint_list: EndpointList, follower: _Follower, model: _Model) -> None:
+    def _check_consistency(self, endpoint_list: EndpointList, subscriber: _Subscriber, model: _Model) -> None:
         listed = {worker_id: record.state for worker_id, record in endpoint_list.by_worker_id().items()}
-        followed = follower.state_by_worker
-        require(followed == listed, f"by the events {followed}, by the list {listed}")
+        states_from_events = subscriber.state_by_worker
+        require(
+            states_from_events == listed,
+            f"states from events: {states_from_events}, states in the list: {listed}",
+        )
         worker_ids = {worker_id_from_name(name) for name in model.records}
         names = sorted(endpoint_list.records)
-        require(set(listed) == worker_ids, f"told {sorted(model.records)}, held {names}")
+        require(
+            set(listed) == worker_ids, f"workers in the model: {sorted(model.records)}, in the list: {names}"
+        )
 
     def _record(self, choices: FuzzedDataProvider) -> EndpointRecord:
         name = choices.pick(("s-00000001", "s-00000002", "t-00000001", "other", "s-0000000a"))
--- a/cedarthread/testing/fuzzing/model_run.py
+++ b/cedarthread/testing/fuzzing/model_run.py
@@ -1,4 +1,4 @@
-"""A run of a small model: the production dispatcher and router, with the events that are applied to them."""
+"""A run of a small model, which applies events to the production dispatcher and router."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from cedarthread.model.events import PreloadEnded
 from cedarthread.model.outcomes import Outcome
 from cedarthread.settings_parser import settings_from_object
-from cedarthread.testing.fuzzing import settings as drawn_settings
+from cedarthread.testing.fuzzing import settings as fuzz_settings
 from cedarthread.testing.fuzzing.router_under_test import call_guarantees, invariant_limits
 from cedarthread.testing.fuzzing.scripted_transport import ScriptedTransport
 from cedarthread.testing.fuzzing.small_models import Event, EventChoice, SmallModel
@@ -25,7 +25,7 @@
 LOOP_ITERATIONS = 4  # enough to run every callback that an event schedules without a delay
 INTERNAL_DEADLINE_SHARE = 0.9  # share of a client's timeout within which the dispatcher must answer
 WAIT_S = 0.6  # duration of the event WAIT
-SHUTDOWN_MS = 700.0  # from the event SHUTDOWN until every call must be answered
+SHUTDOWN_MS = 700.0  # time from the event SHUTDOWN until every call must be answered
 LOAD_MS = 50.0  # reported duration of a preload
 
 ATTEMPT_OUTCOMES = {
@@ -47,7 +47,7 @@
     def __init__(self, model: SmallModel, loop: VirtualLoop) -> None:
         self.model = model
         self.loop = loop
-        self.raw_settings = drawn_settings.settings(preloads_on_miss=model.preloads_on_miss)
+        self.raw_settings = fuzz_settings.settings(preloads_on_miss=model.preloads_on_miss)
         self.checker = InvariantChecker(invariant_limits(self.raw_settings, 0.0))
         self.dispatcher = Dispatcher(settings_from_object(self.raw_settings), 3, clock=loop.unix_ms)
         self.transport = ScriptedTransport(self.dispatcher, self.checker, loop)
@@ -71,7 +71,7 @@
         self.dispatcher.endpoints_changed(EndpointUpdate(kind, self.list_version, endpoints))
 
     def enabled_choices(self) -> list[EventChoice]:
-        """Return the events that are possible in this state, with each of their subjects."""
+        """Return each event that is possible in this state, with each possible subject."""
         choices: list[EventChoice] = []
         if len(self.calls) < len(self.model.calls):
             choices.append(EventChoice(Event.CALL, len(self.calls)))
@@ -165,7 +165,7 @@
                 self.transport.end(attempt, Outcome.RESET)
 
     async def run_to_end(self) -> None:
-        """Let every deadline pass, end what is in flight, and check that no resource is left over."""
+        """Let every deadline pass, end attempts and preloads in flight, and check that no resource leaks."""
         await asyncio.sleep(self.model.call_timeout_ms / 1000.0 + 0.2)
         self.checker.check_all_answered(self.loop.unix_ms())
         for attempt in list(self.transport.in_flight):
@@ -184,13 +184,13 @@
         requests = len(router.pending_requests) + len(router.queued_requests) + len(router.orphaned_attempts)
         worker_loads = sum(abs(worker.in_flight) for worker in router.workers.values())
         loads = abs(router.state.functions.preloads_in_flight) + worker_loads
-        self.checker.check_remaining(now_ms, "open calls", open_calls)
-        self.checker.check_remaining(now_ms, "bytes of bodies", abs(calls.pending_body_bytes))
-        self.checker.check_remaining(now_ms, "calls open in the decisions", requests)
-        self.checker.check_remaining(now_ms, "loads in the decisions", loads)
+        self.checker.check_remaining(now_ms, "pending calls", open_calls)
+        self.checker.check_remaining(now_ms, "bytes of call bodies", abs(calls.pending_body_bytes))
+        self.checker.check_remaining(now_ms, "requests and orphaned attempts in the router", requests)
+        self.checker.check_remaining(now_ms, "preloads and worker load in the router", loads)
 
     def digest(self) -> bytes:
-        """Return a digest of the dispatcher, the router, what is in flight and the remaining events."""
+        """Return a digest of the dispatcher, the router, the requests in flight and the remaining events."""
         transport = self.transport
         dispatcher = self.dispatcher
         return state_digest(
--- a/cedarthread/testing/fuzzing/msgpack_target.py
+++ b/cedarthread/testing/fuzzing/msgpack_target.py
@@ -1,4 +1,4 @@
-"""The fuzz target of the MessagePack parser, which is compared with the reference library."""
+"""The fuzz target of the MessagePack parser, compared with the reference library."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgpack as reference
 
 from cedarthread.protocols import msgpack
-from cedarthread.testing.fuzzing.cuts import sample_cuts
+from cedarthread.testing.fuzzing.cuts import sample_truncation_points
 from cedarthread.testing.fuzzing.finding import require
 from cedarthread.testing.fuzzing.mutation import (
     DEEP_LIST,
@@ -25,7 +25,7 @@
 
 
 class _MapItems(list[Any]):
-    """The items of a map that the reference library read, including items with a repeated key."""
+    """The items of a map that the reference library parsed, including items with a repeated key."""
 
 
 def _expected(value: object) -> object:
@@ -70,11 +70,11 @@
     return max(map(_max_content_bytes, _items(value)), default=0)
 
 
-def _without_views(value: object) -> object:
+def _replace_memoryviews(value: object) -> object:
     if isinstance(value, dict):
-        return {key: _without_views(item) for key, item in value.items()}
+        return {key: _replace_memoryviews(item) for key, item in value.items()}
     if isinstance(value, list):
-        return [_without_views(item) for item in value]
+        return [_replace_memoryviews(item) for item in value]
     return bytes(value) if isinstance(value, memoryview) else value
 
 
@@ -101,14 +101,14 @@
 
 
 class MessagePackTarget(Target):
-    """MessagePack values, against the reference library."""
+    """MessagePack values, compared with the reference library."""
 
     name = "msgpack"
     modules = ("cedarthread.protocols.msgpack",)
     byte_budget = Budget(2**20, 400)
 
     def generate(self, rng: random.Random) -> bytes:
-        """Return an encoded value, or one repeated type code."""
+        """Return an encoded value, or a type code that is repeated many times."""
         if rng.random() < 0.1:
             return bytes((rng.choice((0x81, 0x91, 0xDC, 0xDE, 0xC7, 0xC1)),)) * rng.choice((5, 300, 3000))
         value = generate_value(rng, rng.randint(0, MAX_GENERATED_DEPTH))
@@ -118,7 +118,7 @@
             return bytes(reference.packb([value is None]))
 
     def mutate(self, data: bytes, rng: random.Random) -> bytes:
-        """Return the input with a change of its parsed value, which preserves lengths, or of its bytes."""
+        """Return the input with its parsed value changed, which preserves lengths, or its bytes."""
         if rng.random() < 0.6:
             try:
                 tree = reference.unpackb(data, raw=False, strict_map_key=False)
@@ -146,29 +146,35 @@
             expected = _expected(unpacker.unpack())
             end = unpacker.tell()
         except (ValueError, TypeError, RecursionError, reference.OutOfData, reference.StackError):
-            require(not isinstance(parsed, msgpack.ParsedValue), "took what is no value")
+            require(
+                not isinstance(parsed, msgpack.ParsedValue), "an invalid or incomplete value was accepted"
+            )
             return
         if isinstance(parsed, msgpack.ParsedValue):
             require(
-                _max_content_bytes(expected) <= msgpack.MAX_CONTENT_BYTES, "a string past the limit is taken"
+                _max_content_bytes(expected) <= msgpack.MAX_CONTENT_BYTES,
+                "a string beyond the size limit was accepted",
             )
             require(
-                repr(_without_views(parsed.value)) == repr(expected) and parsed.end == end,
-                "another value than it is",
+                repr(_replace_memoryviews(parsed.value)) == repr(expected) and parsed.end == end,
+                "parsed value or its end differs from the reference",
             )
             self._check_prefixes(data[:end])
             return
-        require(not isinstance(parsed, msgpack.Incomplete), "a whole value is said to be short")
+        require(not isinstance(parsed, msgpack.Incomplete), "a complete value was reported as incomplete")
         is_too_long = end > msgpack.MAX_CONTENT_BYTES
         is_within_limits = _depth(expected) <= msgpack.MAX_DEPTH and _max_items(expected) <= msgpack.MAX_ITEMS
-        require(not is_within_limits or is_too_long, f"a value within the limits is refused: {parsed}")
+        require(not is_within_limits or is_too_long, f"a value within the limits was rejected: {parsed}")
 
     def _check_prefixes(self, data: bytes) -> None:
-        for position in sample_cuts(random.Random(len(data)), data):
+        for position in sample_truncation_points(random.Random(len(data)), data):
             prefix = msgpack.parse(memoryview(data)[:position])
-            require(isinstance(prefix, msgpack.Incomplete), f"cut at {position} it is not short: {prefix}")
+            require(
+                isinstance(prefix, msgpack.Incomplete),
+                f"value truncated at {position} was not reported as incomplete: {prefix}",
+            )
             if isinstance(prefix, msgpack.Incomplete):
                 require(
                     position < prefix.needed_bytes <= len(data),
-                    f"cut at {position} it says it needs {prefix.needed_bytes} of {len(data)}",
+                    f"value truncated at {position} needs {prefix.needed_bytes} bytes of {len(data)}",
                 )
--- a/cedarthread/testing/fuzzing/router_under_test.py
+++ b/cedarthread/testing/fuzzing/router_under_test.py
@@ -1,7 +1,7 @@
 """A complete router on a virtual clock, with the invariant checker that its peers report to.
 
 Dispatcher, router, platform and invoke servers and worker connections are the production classes. The first
-byte of the script sets the mode: preloads, no cancellation, a stall, few descriptors, late timers.
+byte of the script sets the mode: preloads, no cancellation, a stall, few file descriptors, late timers.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from cedarthread.protocols.platform.server import PlatformServer
 from cedarthread.protocols.worker.connections import WorkerConnections
 from cedarthread.settings_parser import settings_from_object
-from cedarthread.testing.fuzzing import settings as drawn_settings
+from cedarthread.testing.fuzzing import settings as fuzz_settings
 from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
 from cedarthread.testing.invariants import CallGuarantees, Idempotency, InvariantChecker, InvariantLimits
 from cedarthread.transport.flusher import Flusher
@@ -32,10 +32,10 @@
     from cedarthread.testing.fuzzing.virtual_loop import VirtualLoop
 
 FUNCTIONS = ("00000000000000a1", "00000000000000b2", "00000000000000c3")
-MAX_DEADLINE_MS = 5000.0  # the longest deadline of any class that is drawn
-CLOCK_TOLERANCE_MS = 50.0  # added to the time limit of each rule, for bytes that wait in a socket
+MAX_DEADLINE_MS = 5000.0  # longest deadline of the request classes in the fuzzing settings
+TIME_LIMIT_TOLERANCE_MS = 50.0  # added to the time limit of each invariant, for bytes that wait in a socket
 SWEEP_PERIOD_MS = 250.0  # as in the service
-MAX_TIMER_DELAY_S = 0.015  # the most that a timer is late in the mode LATE_TIMERS
+MAX_TIMER_DELAY_S = 0.015  # maximum lateness of a timer in the mode LATE_TIMERS
 TRUST_DOMAIN = "gaz.example"
 
 
@@ -50,23 +50,23 @@
 
 
 def call_guarantees(raw_settings: dict[str, Any], class_index: int) -> CallGuarantees:
-    """Return the guarantees of a request class, given the settings document that operators write."""
+    """Return the guarantees of a request class according to the settings document."""
     request_class = raw_settings["classes"][class_index]
     return CallGuarantees(
         Idempotency(request_class["effect"]),
         request_class.get("group", "all"),
-        float(request_class.get("repeat-window", 0)) + CLOCK_TOLERANCE_MS,
+        float(request_class.get("repeat-window", 0)) + TIME_LIMIT_TOLERANCE_MS,
     )
 
 
 def invariant_limits(raw_settings: dict[str, Any], stall_ms: float) -> InvariantLimits:
-    """Return the checker's limits, with ``stall_ms`` added to its times for a stall of the process."""
+    """Return the checker's limits; its time limits include ``stall_ms`` for a stall of the process."""
     specifics = raw_settings["specifics"]
     obligations = raw_settings["obligations"]
     return InvariantLimits(
         max_attempts=raw_settings["limits"]["send-cap"],
-        answer_slack_ms=obligations["answer-slack"] + CLOCK_TOLERANCE_MS + stall_ms,
-        drain_slack_ms=obligations["stop-sending-within"] + CLOCK_TOLERANCE_MS + stall_ms,
+        answer_slack_ms=obligations["answer-slack"] + TIME_LIMIT_TOLERANCE_MS + stall_ms,
+        drain_slack_ms=obligations["stop-sending-within"] + TIME_LIMIT_TOLERANCE_MS + stall_ms,
         preload_window_ms=specifics.get("load-window", 0),
         preload_allowance=specifics.get("loads-anyway", 0),
         preload_share=specifics.get("load-share", 0),
@@ -74,14 +74,14 @@
 
 
 class MemoryPlatformConnection(PlatformConnection):
-    """A platform connection whose unread input is in the memory transport instead of a socket."""
+    """A platform connection whose unread input is in a memory transport instead of a socket."""
 
     def has_unread_input(self) -> bool:
         """Return whether the transport has unread input."""
         return self.transport is not None and bool(getattr(self.transport, "_unread_input"))  # noqa: B009
 
     def read_available(self) -> bool:
-        """Read the available input even while reading is paused; return False if the connection is broken."""
+        """Read the available input even if reading is paused; return False if the connection is broken."""
         if not super().read_available():
             return False
         if self.discard_budget is None and isinstance(self.transport, MemoryTransport):
@@ -94,14 +94,14 @@
 
     Args:
         loop: The virtual loop.
-        mode: The flags of ``Mode``; the number is also the seed of the router's random choices.
+        mode: The flags of ``Mode``; also the seed of the router's random choices.
         stall_ms: The duration of a stall of the process, which the checker tolerates.
     """
 
     def __init__(self, loop: VirtualLoop, mode: int, stall_ms: float) -> None:
         self.loop = loop
         self.now_ms = loop.unix_ms
-        self.raw_settings = drawn_settings.settings(
+        self.raw_settings = fuzz_settings.settings(
             preloads_on_miss=bool(mode & Mode.PRELOADS_ON_MISS), supports_cancel=not mode & Mode.NO_CANCEL
         )
         self.checker = InvariantChecker(invariant_limits(self.raw_settings, stall_ms))
@@ -156,7 +156,7 @@
         self.invoke.sweep(self.loop.time())
 
     async def advance(self, duration_ms: float) -> None:
-        """Let time pass with periodic sweeps."""
+        """Advance time while running the periodic sweeps."""
         while duration_ms > 0:
             step_ms = min(duration_ms, SWEEP_PERIOD_MS)
             await asyncio.sleep(step_ms / 1000.0)
@@ -172,28 +172,30 @@
         calls = dispatcher.calls
         connections = self.platform.connections
         for resource, remaining in (
-            ("open calls", len(dispatcher.pending_calls)),
-            ("names", len(calls.pending_ids)),
-            ("bytes of bodies", abs(calls.pending_body_bytes)),
-            ("settled calls", len(calls.completed)),
-            ("attempts carried", len(self.worker_connections._connection_by_attempt)),
-            ("bytes of answers", abs(self.platform.queued_bytes)),
-            ("calls open in the decisions", len(router.pending_requests) + len(router.queued_requests)),
-            ("attempts out in the decisions", len(router.orphaned_attempts)),
+            ("pending calls", len(dispatcher.pending_calls)),
+            ("pending call ids", len(calls.pending_ids)),
+            ("bytes of call bodies", abs(calls.pending_body_bytes)),
+            ("completed calls", len(calls.completed)),
+            ("attempts on worker connections", len(self.worker_connections._connection_by_attempt)),
+            ("bytes of queued answers", abs(self.platform.queued_bytes)),
+            ("requests in the router", len(router.pending_requests) + len(router.queued_requests)),
+            ("orphaned attempts in the router", len(router.orphaned_attempts)),
             (
-                "worker loads in the decisions",
+                "worker load in the router",
                 sum(abs(worker.in_flight) for worker in router.workers.values()),
             ),
-            ("bytes of kept answers", abs(self.invoke.calls.deferred_calls.reserved_bytes)),
-            ("kept answers", len(self.invoke.calls.deferred_calls)),
+            ("reserved bytes of deferred calls", abs(self.invoke.calls.deferred_calls.reserved_bytes)),
+            ("deferred calls", len(self.invoke.calls.deferred_calls)),
             ("client connections", len(connections) + len(self.platform.unvalidated_connections)),
         ):
             self.checker.check_remaining(now_ms, resource, remaining)
-        # Two timers are expected: the dispatcher's timer and the timer of this run's own sleep.
+        # Two timers remain set: the dispatcher's timer and the timer of this run's own sleep.
         self.checker.check_remaining(now_ms, "timers", self.loop.timer_count(), 2)
         counts = dispatcher.result_counts
         ends = counts["served"] + counts["rejected"] + counts["failed"] + counts["abandoned"]
-        self.checker.check_remaining(now_ms, "calls counted without an end", counts["accepted"] - ends)
+        self.checker.check_remaining(
+            now_ms, "accepted calls without a counted result", counts["accepted"] - ends
+        )
 
 
 def _invoke_config() -> InvokeConfig:
--- a/cedarthread/testing/fuzzing/simulator_target.py
+++ b/cedarthread/testing/fuzzing/simulator_target.py
@@ -1,4 +1,4 @@
-"""The fuzz target of the simulator's frames, which the host of many instances answers."""
+"""The fuzz target of the simulator host, which answers frames for many router instances."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from cedarthread.simulator import host as simulator_host
 from cedarthread.simulator.decoder import SimulatorProtocolError
-from cedarthread.testing.fuzzing import settings as drawn_settings
+from cedarthread.testing.fuzzing import settings as fuzz_settings
 from cedarthread.testing.fuzzing.finding import require
 from cedarthread.testing.fuzzing.mutation import (
     EDGE_FLOATS,
@@ -27,7 +27,7 @@
 
 
 class SimulatorTarget(Target):
-    """The simulator's frames, answered by the host of many instances."""
+    """The simulator host, which answers frames for many router instances."""
 
     name = "wire"
     modules = (
@@ -40,8 +40,8 @@
     byte_budget = Budget(4 * 2**20, 400)
 
     def generate(self, rng: random.Random) -> bytes:
-        """Return a frame with a start, a list of workers, and events of all kinds."""
-        settings = json.dumps(drawn_settings.settings(preloads_on_miss=rng.random() < 0.3)).encode()
+        """Return a frame with the start of an instance, a list of workers, and events of various kinds."""
+        settings = json.dumps(fuzz_settings.settings(preloads_on_miss=rng.random() < 0.3)).encode()
         records = [b"\x0d" + struct.pack("<I", 3), b"\x01" + struct.pack("<QI", 7, len(settings)) + settings]
         workers = [
             struct.pack("<IBHHBfd", number, 0, 0, 0, rng.choice((0, 1, 2, 2)), 1.0, 0.0)
@@ -88,12 +88,15 @@
         return changed
 
     def check(self, data: bytes) -> None:
-        """Check that the host replies with complete frames, or rejects with ``SimulatorProtocolError``."""
+        """Check that the host replies with complete frames, or raises ``SimulatorProtocolError``."""
         host = simulator_host.SimulatorHost()
         source = io.BytesIO(data)
         try:
             while (frame := simulator_host.read_frame(source)) is not None:
                 reply = host.handle_frame(frame)
-                require(struct.unpack_from("<I", reply)[0] == len(reply), "a reply that says another length")
+                require(
+                    struct.unpack_from("<I", reply)[0] == len(reply),
+                    "the declared length of a reply is wrong",
+                )
         except SimulatorProtocolError as error:
-            require(bool(str(error)), "an error without words")
+            require(bool(str(error)), "rejected without an error message")
--- a/cedarthread/testing/fuzzing/worker_lines_target.py
+++ b/cedarthread/testing/fuzzing/worker_lines_target.py
@@ -16,7 +16,7 @@
 from cedarthread.protocols.worker.preloads import PreloadRequests
 from cedarthread.protocols.worker.requests import PendingPreload
 from cedarthread.settings_parser import settings_from_object
-from cedarthread.testing.fuzzing import settings as drawn_settings
+from cedarthread.testing.fuzzing import settings as fuzz_settings
 from cedarthread.testing.fuzzing.finding import require
 from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
 from cedarthread.testing.fuzzing.mutation import EDGE_STRINGS
@@ -31,27 +31,27 @@
 
 
 class _Ending(NamedTuple):
-    """The end of a request."""
+    """The end of a request, with its outcome."""
 
     message_id: str
     outcome: str
     body: bytes = b""
 
 
-class _RecordingTransport:
-    """A pool owner and dispatcher that records the notifications of a worker connection."""
+class _RecordingPoolOwner:
+    """The owner of the pool and the dispatcher, which records the notifications of a worker connection."""
 
     def __init__(self, loop: VirtualLoop) -> None:
-        self.settings = settings_from_object(drawn_settings.settings())
+        self.settings = settings_from_object(fuzz_settings.settings())
         self.flusher = Flusher()
         self.dispatcher = self
         self.clock = loop.unix_ms
         self.endings: list[_Ending] = []
-        # ``serve`` checks this list at the end, because the connection catches every exception.
+        # Checked by ``serve`` at the end, because the connection would catch an exception.
         self.bad_numbers: list[str] = []
 
     def _check_number(self, label: str, value: float, limit: float) -> None:
-        if not abs(value) <= limit:  # the comparison is false for NaN, so NaN is reported too
+        if not abs(value) <= limit:  # the comparison is false for NaN, so that NaN is also reported
             self.bad_numbers.append(f"{label} of {value}")
 
     def may_start_attempt(self, attempt: Attempt) -> bool:
@@ -75,8 +75,8 @@
     def on_call_response(self, attempt: Attempt, ending: AttemptResult) -> None:
         """Record the answer to an attempt and check the numbers in it."""
         for value in ending.load_report:
-            self._check_number("a report", value or 0.0, 1e308)
-        self._check_number("a crowd", ending.reported_concurrency or 0, 2**31)
+            self._check_number("load report value", value or 0.0, 1e308)
+        self._check_number("reported concurrency", ending.reported_concurrency or 0, 2**31)
         self.endings.append(_Ending(attempt.call.call_id, ending.outcome.value, ending.body))
 
     def on_connection_broken(self, request: Attempt | PendingPreload, *, is_unreachable: bool) -> None:
@@ -91,7 +91,7 @@
 
     def preload_ended(self, event: PreloadEnded) -> None:
         """Check the number of instances that a preload reports to the dispatcher."""
-        self._check_number("copies", event.instances, 2**31)
+        self._check_number("preloaded instances", event.instances, 2**31)
 
 
 class WorkerLinesTarget(StreamTarget):
@@ -143,7 +143,7 @@
 
         A served attempt must have the body of one of the lines.
         """
-        owner = _RecordingTransport(loop)
+        owner = _RecordingPoolOwner(loop)
         record = EndpointRecord("s-1", "h", 1, "room-a", "std", 0, EndpointState.READY, 1.0, 0.0)
         connection = WorkerConnection(WorkerConnectionPool(cast("Any", owner), record))
         transport = MemoryTransport(loop)
@@ -157,11 +157,11 @@
         await asyncio.sleep(0)
         require(not owner.bad_numbers, owner.bad_numbers[0] if owner.bad_numbers else "")
         ended = sorted(ending.message_id for ending in owner.endings)
-        require(ended == sorted(self.message_ids), f"ended: {owner.endings}")
+        require(ended == sorted(self.message_ids), f"requests did not end exactly once each: {owner.endings}")
         bodies = {base64.b64decode(text) for text in self._bodies(data)}
         for message_id, outcome, body in owner.endings:
             is_known = outcome != "ok" or body in bodies
-            require(is_known, f"{message_id} served with {body!r}, which no line holds")
+            require(is_known, f"{message_id} was served with {body!r}, which no line contains")
         return sorted(owner.endings)
 
     def _bodies(self, data: bytes) -> list[str]:
