--- a/cedarthread/testing/cluster/__init__.py
+++ b/cedarthread/testing/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Runs many processes of the program on loopback under injected faults, and evaluates the recorded facts."""
+"""A harness that runs many router processes on loopback under injected faults and checks the invariants."""
--- a/cedarthread/testing/cluster/arrivals.py
+++ b/cedarthread/testing/cluster/arrivals.py
@@ -1,4 +1,4 @@
-"""The calls of a run, drawn from its scenario: the same for the cluster and for each replayed policy."""
+"""The calls of a run, generated from its scenario: the same for the cluster and each replayed policy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A call, before any router has received it."""
+    """A call as a client submits it."""
 
     call_id: str
     at_ms: float
--- a/cedarthread/testing/cluster/cli.py
+++ b/cedarthread/testing/cluster/cli.py
@@ -106,10 +106,10 @@
 
 
 def _with_seconds(make: MakeScenarios, seconds: float) -> MakeScenarios:
-    """Return the same set with runs of another length.
+    """Return the same set with runs of another duration.
 
     Raises:
-        ValueError: All runs of the set have one fixed length.
+        ValueError: The runs of the set have a fixed duration.
     """
     if "seconds" not in inspect.signature(make).parameters:
         raise ValueError("--seconds: the runs of this drill have one length")
@@ -139,8 +139,8 @@
     """Run one scenario; an interrupt at any moment ends every process that the run has started."""
     loop = asyncio.get_running_loop()
     task = asyncio.ensure_future(run_scenario(scenario))
-    # The event loop handles the signals between its steps, so that a signal never interrupts the start of a
-    # process midway.
+    # The event loop handles signals between callbacks, so that a signal never interrupts the start of a
+    # process.
     for signal_number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(signal_number, task.cancel)
     return await task
--- a/cedarthread/testing/cluster/endpoint_timeline.py
+++ b/cedarthread/testing/cluster/endpoint_timeline.py
@@ -21,7 +21,7 @@
 
 
 class EndpointListTimeline:
-    """The endpoint lists of one scenario, which each process computes alike.
+    """The endpoint lists of one scenario, which every process computes identically.
 
     Args:
         scenario: The scenario.
--- a/cedarthread/testing/cluster/fact_reader.py
+++ b/cedarthread/testing/cluster/fact_reader.py
@@ -1,4 +1,4 @@
-"""Reader of a run's facts in order of time: feeds the invariant checker and counts answers."""
+"""Reader of a run's recorded facts in order of time, which feeds the invariant checker and counts answers."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 
 ANSWER_SLACK_MS = 250.0  # Tolerance after the deadline, because hundreds of processes share the machine.
 HARNESS_SLACK_MS = 60.0  # Maximum delay of a fake in reading bytes that a router sent in time.
-# A change of the list counts as known to a router this long after the change, even if no reply with the
-# change arrived (PROTOCOL, figures).
+# A router counts as knowing a change of its endpoint list this long after the change, even if no reply with
+# the change arrived, as the figures of PROTOCOL specify.
 NOTICE_LIMIT_MS = 7000.0
-# The same limit where no fault between router and discovery hampers queries. The router's process may still
-# be paused (PROTOCOL).
+# The same limit if no fault disturbs the router's discovery queries, as PROTOCOL specifies. The router's
+# process may still be paused.
 PROMPT_NOTICE_MS = 1500.0
 RESUME_S = 0.3  # Time from the end of a pause until the process has queried discovery.
 HAMPERING_FAULTS = (
@@ -60,7 +60,8 @@
     FaultKind.SILENCE_DISCOVERY,
     FaultKind.CORRUPT_DISCOVERY,
 )
-# Maximum time by which a fake process may read earlier bytes after another fake process has read later bytes.
+# Maximum time by which the recorded order of bytes that two fake processes read may differ from the order in
+# which the bytes were sent.
 READ_ORDER_SLACK_MS = 25.0
 MAX_LATENCY_US = 60_000_000
 LATENCY_DIGITS = 3  # Significant digits of the latency histogram.
@@ -73,7 +74,7 @@
 
 
 class _Notice(NamedTuple):
-    """A change of a router's list, and the time at which it counts as known if no reply has contained it."""
+    """A change of a router's endpoint list, and when the router counts as knowing it without any reply."""
 
     at_ms: float
     router: int
@@ -166,13 +167,13 @@
         self._end_attempts(fact.call_id, fact.worker, may_have_executed=True)
 
     def _mark_list_known(self, at_ms: float, as_of_ms: float, router: int) -> None:
-        """Report the list of a time to the invariant checker as known to a router."""
+        """Report to the invariant checker that a router knows the endpoint list as of a time."""
         self._list_known_as_of_ms[router] = as_of_ms
         for worker, state in self.list_timeline.states_at(as_of_ms, router).items():
             self.checker.on_worker_state(at_ms, worker + 1, state, router=router)
 
     def _notice_changes(self, now_ms: float) -> None:
-        """Report to the invariant checker the changes that count as known by now."""
+        """Report to the invariant checker the list changes that count as known by now."""
         while self._pending_notices and self._pending_notices[0].at_ms <= now_ms:
             notice = self._pending_notices.pop(0)
             if self._list_known_as_of_ms[notice.router] >= notice.changed_at_ms:
@@ -182,7 +183,7 @@
                     self.checker.on_worker_state(notice.at_ms, worker + 1, state, router=notice.router)
 
     def _notices(self) -> list[_Notice]:
-        """Return, in order of time, when each change counts as known to each router at the latest."""
+        """Return, in order of time, when each router counts as knowing each list change at the latest."""
         return sorted(
             _Notice(changed_at_ms + self._notice_limit_ms(router, changed_at_ms), router, changed_at_ms)
             for changed_at_ms in (1000.0 * at_s for at_s in self.list_timeline.change_times_s)
@@ -190,10 +191,10 @@
         )
 
     def _notice_limit_ms(self, router: int, changed_at_ms: float) -> float:
-        """Return the time after which a router counts as knowing a change.
+        """Return the time from a list change until a router counts as knowing the change.
 
-        This is ``NOTICE_LIMIT_MS`` if a fault hampered queries to discovery or the router was restarted, else
-        ``PROMPT_NOTICE_MS``.
+        This is ``NOTICE_LIMIT_MS`` if a fault disturbed the router's discovery queries or the router was
+        restarted, else ``PROMPT_NOTICE_MS``.
         """
         since_s = changed_at_ms / 1000.0
         until_s = (changed_at_ms + PROMPT_NOTICE_MS) / 1000.0
--- a/cedarthread/testing/cluster/facts.py
+++ b/cedarthread/testing/cluster/facts.py
@@ -1,4 +1,4 @@
-"""Facts about calls and endpoint lists, as the fakes around the routers record them.
+"""Facts about calls and endpoint lists, as the fake clients, workers and discovery servers record them.
 
 Times are ms from the start of traffic.
 """
@@ -26,7 +26,7 @@
 
 
 class CallAbandoned(NamedTuple):
-    """The end of a client's wait for a call without an answer."""
+    """The end of a client's wait for a call that has no answer."""
 
     at_ms: float
     call_id: str
@@ -52,7 +52,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """The end of an attempt at its worker, by an answer or by a loss."""
+    """The end of an attempt at its worker, which answered or lost it; ``remark`` tells which."""
 
     at_ms: float
     call_id: str
@@ -76,7 +76,7 @@
 
 
 class ListSent(NamedTuple):
-    """The sending of a reply by a discovery server; the router counts as knowing the list of that time."""
+    """The sending of a reply by a discovery server; the router then counts as knowing the current list."""
 
     at_ms: float
     router: int
--- a/cedarthread/testing/cluster/failing_sockets.py
+++ b/cedarthread/testing/cluster/failing_sockets.py
@@ -1,6 +1,6 @@
-"""Sockets with system calls that fail at random, with the errors that Linux documents for each call.
+"""Sockets whose system calls fail at random, with the errors that Linux documents for each call.
 
-A control file contains the share of calls that fail; the process maps the file. Reads and writes may also
+The share of calls that fail is read from a control file, which the process maps. Reads and writes may also
 be short.
 """
 
@@ -45,7 +45,7 @@
         self.rng = random.Random(seed)
 
     def fails(self) -> bool:
-        """Draw whether the next call fails."""
+        """Decide at random whether the next call fails."""
         share = float(SYSTEM_CALLS_CONTROL.unpack(self._control[:])[0])
         return share > 0.0 and self.rng.random() < share
 
--- a/cedarthread/testing/cluster/fake_clients.py
+++ b/cedarthread/testing/cluster/fake_clients.py
@@ -31,12 +31,13 @@
     from collections.abc import Callable
 
 ZONE = "room-a"
-CALLS_PER_YIELD = 32  # Overdue calls that are sent in one iteration of the event loop.
+CALLS_PER_YIELD = 32  # Overdue calls that are sent before the event loop runs again.
 ABANDON_BEFORE_RESUME_S = 0.02  # Calls are abandoned this long before a paused router resumes and can answer.
 CONNECT_TRIES = 20
 CONNECT_RETRY_S = 0.1
-MOVED_SERVER_LINGERS_S = 0.3  # Time from a move until the server at the old address falls silent.
-# A request that was sent at most this long before its connection ended may have crossed the router's close.
+MOVED_SERVER_LINGERS_S = 0.3  # Time from a move until the server at the old address stops replying.
+# A request that was sent at most this long before its connection ended may have been in transit when the
+# router closed the connection.
 CROSSING_CLOSE_MS = 60.0
 DISCOVERY_FAULTS = (
     FaultKind.SILENCE_DISCOVERY,
@@ -102,7 +103,7 @@
     def on_discovery_query(
         self, router: int, make_reply: Callable[[], bytes], send_reply: Callable[[bytes], None]
     ) -> None:
-        """Reply to a query to a router's first discovery server, which falls silent soon after a move."""
+        """Reply to a query to a router's first discovery server, which stops replying soon after a move."""
         if not self._has_moved(router, margin_s=MOVED_SERVER_LINGERS_S):
             self._reply(router, make_reply, send_reply)
 
@@ -118,7 +119,7 @@
     def _reply(
         self, router: int, make_reply: Callable[[], bytes], send_reply: Callable[[bytes], None]
     ) -> None:
-        """Send a reply as the active faults say: immediately, late, corrupted, twice or not at all."""
+        """Send a reply subject to the active faults: immediately, late, corrupted, twice or not at all."""
         now_ms = self.now_ms()
         if not self.is_recording_closed:
             self.recording.discovery_queries.append(DiscoveryQuery(now_ms, router))
@@ -142,7 +143,7 @@
     async def connect_client(self, router: int) -> None:
         """Connect the client of a router.
 
-        After ``CONNECT_TRIES`` failures the router counts as down, and the client sends its calls to others.
+        After ``CONNECT_TRIES`` failures the client gives up and sends its calls to other routers.
         """
         for _ in range(CONNECT_TRIES):
             with contextlib.suppress(OSError):
@@ -166,8 +167,9 @@
     def _on_connection_lost(self, router: int, client: FakeClient) -> None:
         """Abandon the pending calls of a router after its connection has ended.
 
-        A router that is terminating must answer all calls except those that may have crossed its close. The
-        other pending calls are not abandoned, so that the evaluation finds them without an answer.
+        A router that is terminating must answer all calls except those that may have been in transit when it
+        closed the connection. The other pending calls are not abandoned, so that the evaluation reports them
+        as calls without an answer.
         """
         if self.clients.get(router) is not client:
             return  # The client closed this connection itself and replaces it.
@@ -254,7 +256,7 @@
         self.call_after(delay_ms, lambda: client.send(data))
 
     def _choose_router(self, router: int) -> int | None:
-        """Return the router that a call is sent to: the client's own, else any other that is connected."""
+        """Return the router to send a call to: the client's own, else any other connected one, else None."""
         if self._is_connected(router):
             return router
         others = [other for other in self.clients if self._is_connected(other)]
--- a/cedarthread/testing/cluster/fake_process.py
+++ b/cedarthread/testing/cluster/fake_process.py
@@ -4,7 +4,7 @@
 
 FOLDER contains the plan. Process 0 runs all workers; each other process runs the clients, peer relays and
 discovery servers of some routers. The process reads commands from the standard input, one line of JSON each,
-and writes a line of JSON when a command is done. A command has it write its recording to a file.
+and writes a line of JSON when a command is done. One of the commands makes it write its recording to a file.
 """
 
 from __future__ import annotations
--- a/cedarthread/testing/cluster/injected_defects.py
+++ b/cedarthread/testing/cluster/injected_defects.py
@@ -1,8 +1,8 @@
 """Defects that a scenario injects into the routers, to show that the evaluation finds them.
 
 A defect is a line of ``DEFECTS``: its name in scenario files, and ``module:function``, a function that
-patches the program. The function runs in a router's process before the router serves, and imports the
-modules that it patches itself, so that other processes do not import them.
+patches the program. The function runs in a router's process before the router starts, and imports the
+modules that it patches locally, so that other processes do not import them.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 def popularity_by_chance() -> None:
-    """Make a function that two calls happened to reach count as popular."""
+    """Make a function count as popular after two calls, which chance alone can produce."""
     from cedarthread.routing import popularity
 
     popularity.CALLS_IN_WINDOW = 1.0
@@ -52,7 +52,7 @@
 
 
 def overreact_to_reports() -> None:
-    """Make all routers move their calls at each load report."""
+    """Make all routers overreact to each load report, so that they move their calls together."""
     from cedarthread.routing import estimators
 
     estimators.REPORTED_LOAD_WEIGHT = 2.0
@@ -194,7 +194,7 @@
 
 
 def count_time_from_reading() -> None:
-    """Start a client's time limit when its request is read, not when it arrived in the socket's buffer."""
+    """Measure a client's time limit from the read of its request, not from arrival in the socket buffer."""
     from cedarthread.dispatch.dispatcher import Dispatcher
 
     Dispatcher.arrival_ms = lambda self: self.context.clock()  # type: ignore[method-assign]
--- a/cedarthread/testing/cluster/network.py
+++ b/cedarthread/testing/cluster/network.py
@@ -1,4 +1,4 @@
-"""Faults on paths between two parties, decided by the timeline of faults and a seed alone. Times are ms."""
+"""Simulated network paths between two processes, determined by the faults and a seed. Times are ms."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class Network:
-    """The network paths of one run, as one process or the evaluation sees them; owns the random numbers.
+    """The network paths of one run, simulated in one process; owns the random number generator.
 
     Args:
-        faults: The faults of the scenario; those of other kinds than ``NETWORK_FAULTS`` are skipped.
+        faults: The faults of the scenario; kinds outside ``NETWORK_FAULTS`` are ignored.
         seed: The seed of the random numbers.
     """
 
@@ -37,9 +37,9 @@
                 yield fault
 
     def is_disturbed(self, now_ms: float, source: Subject, destination: Subject) -> bool:
-        """Return whether bytes of a stream between two parties may be late now.
+        """Return whether bytes of a stream between two processes may be late now.
 
-        No random number is drawn, so that an evaluation changes no run.
+        This draws no random number, so that the evaluation does not change the random sequence of a run.
         """
         kinds = {fault.kind for fault in self._active_faults(now_ms, source, destination)}
         kinds |= {fault.kind for fault in self._active_faults(now_ms, destination, source)}
--- a/cedarthread/testing/cluster/peer_relays.py
+++ b/cedarthread/testing/cluster/peer_relays.py
@@ -1,4 +1,4 @@
-"""Peer relays, which forward datagrams between routers, or delay, duplicate or drop them by the scenario."""
+"""Relays between routers, which forward, delay, duplicate or drop datagrams as the scenario specifies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _RelayProtocol(asyncio.DatagramProtocol):
-    """The receiving end of one router's relay: other routers send to it instead of to the router."""
+    """The protocol of one router's relay, to which the other routers send instead of to the router itself."""
 
     def __init__(self, relays: PeerRelays, number: int) -> None:
         self.relays = relays
@@ -38,8 +38,8 @@
         self.router_by_address = {
             (router_host(number), relay.port): number for number, relay in enumerate(relays)
         }
-        # A datagram is forwarded from the sender's relay, so that its source address names the sender.
-        # Therefore every process has the sockets of all relays.
+        # A datagram is forwarded from the socket of the sender's relay, so that its source address identifies
+        # the sender. Therefore every process has the sockets of all relays.
         self.sockets = [socket.socket(fileno=relay.descriptor) for relay in relays]
         for relay_socket in self.sockets:
             relay_socket.setblocking(False)
@@ -51,7 +51,7 @@
         )
 
     def on_datagram(self, address: tuple[str, int], receiver: int, data: bytes) -> None:
-        """Record a datagram from one router to another, and forward it as the network's faults say."""
+        """Record a datagram from one router to another, and forward it subject to the network faults."""
         process = self.process
         now_ms = self.process.now_ms()
         sender = self.router_by_address.get((address[0], address[1]))
@@ -70,5 +70,5 @@
         address = router_host(receiver), self.process.plan.peer_relays[receiver].port
         try:
             self.sockets[sender].sendto(data, address)
-        except OSError:  # A full send buffer counts as a loss of the network.
+        except OSError:  # For example a full send buffer: counted as a datagram that the network lost.
             self.process.recording.datagram_counts["dropped"] += 1
--- a/cedarthread/testing/cluster/policy_replay.py
+++ b/cedarthread/testing/cluster/policy_replay.py
@@ -61,7 +61,7 @@
         self.router_by_call: dict[str, int] = {}
 
     def run(self, arrivals: list[Arrival]) -> list[WorkerCall]:
-        """Replay the arrivals, and return all attempts in the order in which they arrived at workers."""
+        """Replay the arrivals, and return all attempts in order of arrival at the workers."""
         events: list[_FaultEvent] = []
         for fault in self.scenario.faults:
             for number in range(self.scenario.worker_count):
@@ -138,12 +138,12 @@
         return self.rng.choice([number for number in candidates if own_in_flight[number] == fewest])
 
     def choose_of_two(self, arrival: Arrival, candidates: list[int]) -> int:
-        """Choose two workers at random, and of these the one with fewer calls from the router itself."""
+        """Choose, of two random workers, the one with fewer calls in flight from the router itself."""
         sample = self.rng.sample(candidates, min(2, len(candidates)))
         return min(sample, key=lambda number: self.in_flight[arrival.router][number])
 
     def choose_omniscient(self, arrival: Arrival, candidates: list[int]) -> int:
-        """Choose the worker with the lowest expected wait by the true state of all workers."""
+        """Choose the worker with the shortest expected wait, computed from the true state of all workers."""
         return min(
             candidates,
             key=lambda number: (self._expected_wait_ms(arrival, self.workers[number]), self.rng.random()),
--- a/cedarthread/testing/cluster/process_base.py
+++ b/cedarthread/testing/cluster/process_base.py
@@ -1,4 +1,4 @@
-"""The base class of both kinds of fake process: commands, clock, recording and the scenario's network."""
+"""The base class of both kinds of fake process: commands, clock, recording and simulated network paths."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from cedarthread.testing.cluster.plan import ClusterPlan
     from cedarthread.testing.cluster.scenario import Fault
 
-# Until RUN gives the start of traffic, the start is assumed so far in the future that no fault is active.
+# Before the RUN command, traffic is assumed to start this far in the future, so that no fault is active.
 NOT_STARTED_S = 1e6
 
 
@@ -47,7 +47,7 @@
         self.start_time_s = self.loop.time() + NOT_STARTED_S
         self.network = Network(plan.scenario.faults, 1000 * plan.scenario.seed + number)
         self.recording = Recording()
-        self.is_recording_closed = False  # True from SAVE_RECORDING on; later facts are shutdown of the run.
+        self.is_recording_closed = False  # True from SAVE_RECORDING on; later facts come from the shutdown.
         self.tasks: list[asyncio.Task[None]] = []
 
     def now_ms(self) -> float:
--- a/cedarthread/testing/cluster/recordings.py
+++ b/cedarthread/testing/cluster/recordings.py
@@ -81,7 +81,7 @@
 
 
 def merge_recordings(recordings: Iterable[Recording]) -> Recording:
-    """Return all recordings as one, without facts and lags, which the evaluation reads by process."""
+    """Merge all recordings, without the facts and lags, which the evaluation reads per process."""
     merged = Recording()
     for recording in recordings:
         merged.worker_calls += recording.worker_calls
--- a/cedarthread/testing/cluster/router_entry.py
+++ b/cedarthread/testing/cluster/router_entry.py
@@ -1,4 +1,4 @@
-"""Entry point of a router whose clocks and disk can be faulty, and which may have an injected defect.
+"""Entry point of a router with faults of clocks, disk and sockets, and optionally an injected defect.
 
     python -m cedarthread.testing.cluster.router_entry CLOCK DISK CALLS DEFECT ARGUMENT...
 
@@ -28,9 +28,9 @@
 
 
 def faulty_clocks(control: mmap.mmap | bytearray, wall: Clock, steady: Clock) -> SimpleNamespace:
-    """Return a ``time`` module with clocks that follow the control file.
+    """Return a replacement of the ``time`` module, with clocks that the control file shifts.
 
-    The offset shifts the wall clock alone; the rate applies to both clocks.
+    The offset applies to the wall clock alone, the rate to the wall clock and the monotonic clock.
     """
 
     def gained_s() -> float:
--- a/cedarthread/testing/cluster/router_files.py
+++ b/cedarthread/testing/cluster/router_files.py
@@ -1,4 +1,4 @@
-"""The files of one router of a run: configuration, fleet config, and the control files of its faults."""
+"""The files of one router of a run: configuration, fleet config, and the control files of injected faults."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 class RouterFiles:
-    """The paths of one router's files, which are named for the router's number, and the writer of the files.
+    """The writer of one router's files, whose names contain the router's number.
 
     Args:
         scenario: The scenario of the run.
@@ -82,7 +82,7 @@
         self.moved_discovery_port = 0
 
     def write(self, port: int, known_endpoints: Sequence[dict[str, Any]], addresses: RouterAddresses) -> None:
-        """Write all files with their content at the start of the run."""
+        """Write the initial content of all files."""
         scenario = self.scenario
         number = self.number
         self.discovery_port = addresses.discovery_port
@@ -138,7 +138,7 @@
 
 
 def _write_in_place(path: Path, data: bytes) -> None:
-    """Write to an existing file in place, because the router's process maps that very file."""
+    """Write to an existing file in place, because the router's process has mapped it into memory."""
     with path.open("r+b" if path.exists() else "wb") as file:
         file.write(data)
 
--- a/cedarthread/testing/cluster/router_processes.py
+++ b/cedarthread/testing/cluster/router_processes.py
@@ -51,7 +51,7 @@
         self.start_unix_s = 0.0  # Start of traffic; ``ClusterRun`` sets it.
         self.processes: dict[int, subprocess.Popen[bytes]] = {}  # Latest process of each router.
         self._ended_cpu_s: dict[int, float] = {}  # CPU time of a router's processes that were killed.
-        # The routers share one cache of compiled modules, because compiling costs a second of CPU a process.
+        # The routers share one cache of compiled modules, because compiling takes 1 s of CPU per process.
         self._environment = {
             name: value for name, value in os.environ.items() if name != "PYTHONDONTWRITEBYTECODE"
         }
@@ -92,7 +92,7 @@
         """Return when a router accepts connections.
 
         Raises:
-            OSError: The process ended before; the message has the end of its log.
+            OSError: The process ended first; the message contains the end of its log.
             TimeoutError: The router did not accept connections within ``READY_TIMEOUT_S``.
         """
         async with asyncio.timeout(READY_TIMEOUT_S):
--- a/cedarthread/testing/cluster/scenario.py
+++ b/cedarthread/testing/cluster/scenario.py
@@ -1,6 +1,6 @@
-"""Scenarios of a cluster run: fleet, traffic and a timeline of faults in s from the start of traffic.
+"""Scenarios of cluster runs: the fleet, the traffic and a timeline of faults.
 
-The values of the enums are the words of scenario files and of results.
+Times are s from the start of traffic. The values of the enums are written in scenario files and results.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class SubjectKind(StrEnum):
-    """The kind of party that a fault or a network path affects."""
+    """The kind of process that a fault targets or a network path connects."""
 
     ROUTER = "router"
     WORKER = "runner"
@@ -22,7 +22,7 @@
 class FaultKind(StrEnum):
     """The kind of a fault. ``amount`` and ``text`` below are fields of ``Fault``."""
 
-    # Faults between subjects and peers, in both directions unless ``is_one_way``.
+    # Faults on the paths between ``subjects`` and ``peers``, in both directions unless ``is_one_way``.
     # ``amount``: share of datagrams that are lost, and of writes to streams that are retransmitted.
     LOSE = "loss"
     DELAY = "delay"  # ``amount``: delay in ms.
@@ -35,7 +35,8 @@
     PAUSE_ROUTER = "stop"  # SIGSTOP; SIGCONT at the end.
     # SIGTERM, then SIGKILL after ``SIGKILL_AFTER_SIGTERM_S``; started again at the end.
     TERMINATE_ROUTER = "term"
-    # Another server address, read on SIGHUP. The old server falls silent; back at the end.
+    # Discovery moves to another server address, which the router reads on SIGHUP; the server at the old
+    # address stops replying. The move is reverted at the end.
     MOVE_DISCOVERY = "move"
     SYSTEM_CALLS = "syscalls"  # ``amount``: share of the system calls on sockets that fail.
     RESTART_ROUTER = "restart"  # SIGKILL, and started again immediately.
@@ -51,8 +52,8 @@
     CRASH_WORKER = "die"  # The worker is started again at the end, without instances.
     SLOW_WORKER = "slow"  # ``amount``: factor of the service time.
     SILENCE_WORKER = "silent"
-    HIDE_WORKER = "hide"  # The peers' endpoint lists lack the worker.
-    DRAIN_WORKER = "drain"  # The peers' endpoint lists have the worker as draining.
+    HIDE_WORKER = "hide"  # The worker is missing from the endpoint lists of the peers.
+    DRAIN_WORKER = "drain"  # The endpoint lists of the peers show the worker as draining.
     RESET_CONNECTIONS = "reset"  # All open connections are reset at the start of the fault.
     # Faults at clients.
     LEAVE = "leave"  # The client closes its connection and opens another one.
@@ -69,7 +70,7 @@
     FaultKind.PARTITION,
     FaultKind.STALL,
 )
-FAULT_SUBJECTS = {  # Kind of the subjects of each fault that is not in NETWORK_FAULTS.
+FAULT_SUBJECTS = {  # Kind of the processes that each fault outside NETWORK_FAULTS applies to.
     FaultKind.KILL_ROUTER: SubjectKind.ROUTER,
     FaultKind.PAUSE_ROUTER: SubjectKind.ROUTER,
     FaultKind.TERMINATE_ROUTER: SubjectKind.ROUTER,
@@ -118,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subjects:
-    """A range of parties of one kind: ``router``, ``runner:3`` or ``client:0-11`` in a scenario file."""
+    """A range of processes of one kind: ``router``, ``runner:3`` or ``client:0-11`` in a scenario file."""
 
     kind: SubjectKind
     first: int
@@ -126,17 +127,17 @@
 
     @property
     def numbers(self) -> range:
-        """Numbers of the parties."""
+        """Numbers of the processes in the range."""
         return range(self.first, self.last + 1)
 
     def includes(self, kind: SubjectKind, number: int) -> bool:
-        """Return whether the range includes a party."""
+        """Return whether the range includes a process."""
         return kind == self.kind and self.first <= number <= self.last
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault of the timeline, from ``start_s`` up to ``end_s``."""
+    """A fault that is active from ``start_s`` until ``end_s``."""
 
     kind: FaultKind
     start_s: float
@@ -152,13 +153,13 @@
         return self.start_s <= now_s < self.end_s
 
     def affects_peer(self, kind: SubjectKind, number: int) -> bool:
-        """Return whether a party is among the fault's peers."""
+        """Return whether a process is among the fault's peers."""
         return self.peers is not None and self.peers.includes(kind, number)
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A scenario: the fleet, the traffic, its duration and the faults."""
+    """The fleet, the traffic, its duration and the faults of one run."""
 
     name: str = "quick"
     seed: int = 1
@@ -171,7 +172,7 @@
     popularity_exponent: float = 0.8  # Exponent of Zipf's law for the popularity of functions.
     calls_per_second: float = 300.0  # Call rate of all clients together.
     mean_service_ms: float = 40.0  # Mean CPU time of a call on one core.
-    load_ms: float = 400.0  # Time to load an instance while the package store serves no other load.
+    load_ms: float = 400.0  # Time to load an instance if the package store serves no other load.
     store_full_speed_loads: int = 16  # Concurrent loads that the package store serves at full speed.
     store_max_loads: int = 120  # Concurrent loads beyond which the package store refuses.
     settle_s: float = 0.0  # Time from when routers are ready until traffic starts.
@@ -180,8 +181,8 @@
     not_idempotent_share: float = 0.2  # Share of the calls that are not idempotent.
     is_gossip_enabled: bool = True  # False: routers send no datagrams of any kind to each other.
     has_load_reports: bool = True
-    injected_defect: str = ""  # Name of the defect that the routers run with, to show that a check finds it.
-    fleet_config: str = ""  # The operators' file, which only ``fleet_config_routers`` have.
+    injected_defect: str = ""  # Name of a defect of the routers; a check must find it.
+    fleet_config: str = ""  # Text of the fleet config, which only ``fleet_config_routers`` have.
     fleet_config_routers: str = "router:0"
     has_store: bool = False  # True: each router has a store in a folder of its own.
     tenants: str = ""  # Names and shares of the calls: "hydro 0.5, steel 0.3". Other calls have no tenant.
--- a/cedarthread/testing/cluster/scenario_file.py
+++ b/cedarthread/testing/cluster/scenario_file.py
@@ -1,4 +1,7 @@
-"""Parser of scenario files (TOML). An error names the place and the mistake: ``fault 2: cut needs `to` ``."""
+"""Parser of scenario files (TOML).
+
+An error message names the place and the mistake, for example ``fault 2: cut needs `to` ``.
+"""
 
 from __future__ import annotations
 
@@ -69,7 +72,7 @@
 
 
 class ScenarioError(CedarthreadError):
-    """An error of a scenario that cannot be run; the message names the place and the mistake."""
+    """An invalid scenario; the message names the place and the mistake."""
 
 
 def load_scenario(path: Path) -> Scenario:
@@ -180,7 +183,7 @@
 
 
 def parse_subjects(where: str, text: object, scenario: Scenario) -> Subjects:
-    """Return a range of routers, workers, clients or discovery servers from its form in scenario files."""
+    """Parse a range of routers, workers, clients or discovery servers as scenario files write it."""
     match = _SUBJECTS.match(text) if isinstance(text, str) else None
     if match is None:
         raise ScenarioError(f"{where}: {text!r} is not like router, runner:3 or client:0-11")
--- a/cedarthread/testing/cluster/scenarios/__init__.py
+++ b/cedarthread/testing/cluster/scenarios/__init__.py
@@ -1,4 +1,4 @@
-"""Sets of scenarios, one module each: the runs, and the checks of each run, for ``cedarthread drill``."""
+"""Scenario sets of ``cedarthread drill``, one module each, with the scenarios and the checks of each run."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
         """Return short runs with several faults at once, for CI."""
 
     def full(self, seed: int, routers: int) -> Iterable[Scenario]:
-        """Return runs of whole fleets, with each hard case by itself."""
+        """Return runs of whole fleets, with a separate run for each fault."""
 
     def failings(self, result: Result, earlier: Sequence[Result] = ()) -> list[str]:
-        """Return the failed checks of a run, also of those that compare it with earlier runs of the set."""
+        """Return the failed checks of a run, which may be compared with earlier runs of the set."""
 
     def row(self, result: Result) -> str:
         """Return the line of a run in the table."""
 
 
 def load_scenario_set(name: str) -> ScenarioSet:
-    """Return a set by its name.
+    """Return the scenario set of a name.
 
     Raises:
         ValueError: There is no set of this name.
--- a/cedarthread/testing/cluster/scenarios/change_freeze.py
+++ b/cedarthread/testing/cluster/scenarios/change_freeze.py
@@ -1,4 +1,6 @@
-"""Change freeze: no function is placed at a new worker while a window is in effect, by the workers' records.
+"""Change freeze: no function is placed at a new worker while a window is in effect.
+
+Placements are read from the workers' recordings.
 
 A window is in effect from the later of its start and its declaration plus the staleness bound, until its end.
 A revoked window ends at the latest at the revocation plus the staleness bound.
@@ -23,16 +25,18 @@
     from cedarthread.testing.cluster.result import Result
 
 FLEET_CONFIG = "[sharing]\nperiod = 200\nclock-error = 100\n"
-# Minimum share of the calls that are served. In the 24 s of the quick form these calls may fail: an eighth of
-# the calls for 15.5 s, because they are to a hot function that must not be placed at more workers (8%); the
-# calls to instances on a quarter of the workers, for 2 s (2%); the calls of four routers, for 7 s (5%).
+# Minimum share of the calls that are served. In the 24 s of the quick form these calls may fail:
+# - an eighth of the calls for 15.5 s, because they are to a hot function that must not be placed at more
+#   workers (8%);
+# - the calls to instances on a quarter of the workers, for 2 s (2%);
+# - the calls of four routers, for 7 s (5%).
 MIN_SERVED_FRACTION = 0.85
-RESTART_LISTING_MS = 500.0  # Time until routers know of a worker's restart; the design does not cover it.
+RESTART_LISTING_MS = 500.0  # Time until routers know of a worker's restart; outside the design's guarantee.
 MIN_VALUE_FRACTION = 0.98  # Minimum share of the value per second of a run without a window.
 VALUE_FROM_S = 18  # Start of the time in which the value per second is compared.
 VALUE_TO_S = 30  # End of the time in which the value per second is compared.
 RATE_WINDOWS_PER_S = 4
-UNWINDOWED_MS = (16_000.0, 28_000.0)  # Time that the table shows as the window of a run without a window.
+UNWINDOWED_MS = (16_000.0, 28_000.0)  # Interval that the table shows for a run without a window.
 
 FaultText = dict[str, object]  # A fault, as in scenario files.
 
@@ -95,7 +99,7 @@
 
 
 def full(seed: int, routers: int = 200) -> Iterator[Scenario]:
-    """Return a calm run without and one with a window, then each hard case by itself, with whole fleets."""
+    """Return runs of whole fleets: one without a window, one with a window, then one for each fault."""
     base: dict[str, object] = {
         "seed": seed,
         "settle": 12.0,
@@ -111,7 +115,7 @@
 
 
 def _cases(routers: int) -> dict[str, list[FaultText]]:
-    """Return the faults of each run of the full form by the run's name."""
+    """Return the faults of each run of the full form, by name of the run."""
     last = routers - 1
     half = routers // 2
     declaration: FaultText = {
@@ -160,7 +164,7 @@
 
 
 def staleness_bound_ms(scenario: Scenario) -> float:
-    """Return the staleness bound of a scenario by the formula of the replicated store."""
+    """Return the staleness bound that the replicated store computes for a scenario."""
     sharing = _parse_fleet_config(scenario.fleet_config).sharing
     store = ReplicatedStore(
         *(0, scenario.router_count, 1, 1),
@@ -176,7 +180,7 @@
 
 
 def effective_window(scenario: Scenario) -> EffectiveWindow | None:
-    """Return the window of a run with the time in which it must be in effect; None if none was declared."""
+    """Return when a run's window must be in effect, with its exception budget; None if none was declared."""
     bound_ms = staleness_bound_ms(scenario)
     window = None
     declarations = [fault for fault in scenario.faults if fault.kind is FaultKind.FLEET_CONFIG]
@@ -202,14 +206,15 @@
 def placement_changes_ms(scenario: Scenario, placements: Sequence[Placement]) -> list[float]:
     """Return the times of each function's first placement at a worker since the worker's last start.
 
-    A function that was there before a restart does not count while routers may not know of the restart yet.
+    A placement does not count if the function was there before the restart and routers may not have detected
+    the restart yet.
     """
     restarts = [
         _Restart(1000.0 * fault.end_s, fault.subjects)
         for fault in scenario.faults
         if fault.kind is FaultKind.CRASH_WORKER
     ]
-    # Function, worker, incarnation of the worker (the number of its restarts).
+    # Function, worker, and incarnation of the worker: the number of its restarts.
     known: set[tuple[int, int, int]] = set()
     changes_ms = []
     for at_ms, function, worker in sorted(placements):
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -1,7 +1,7 @@
-"""Random faults that overlap in time, drawn by a seed; the operators' rules are the oracle.
+"""Random faults that overlap in time, generated from a seed, and checked against the operators' rules.
 
-The draw is printed as a scenario file. An engineer can remove faults from the file by hand until the smallest
-set that still fails is left (``cedarthread rig run FILE``).
+Each scenario is printed as a scenario file for ``cedarthread cluster run FILE``. To minimize a failing
+scenario, remove faults from the file while it still fails.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 WARM_UP_S = 1.5  # Traffic before the first fault.
 DEFAULT_SECONDS = 10.0
 QUIET_END_S = 0.5  # Time before the end in which no fault starts.
-PROCESS_FAULT_SHARE = 0.5  # Maximum share of the routers that have a fault of their process.
+PROCESS_FAULT_SHARE = 0.5  # Maximum share of the routers with a process fault.
 LIST_FAULT_SHARE = 0.5  # Maximum share of the workers that are drained or hidden.
-# Minimum share of the calls under any faults: a third of the possible, by STANDING.
+# Minimum share of the calls that are served under any faults: a third of the possible, as STANDING specifies.
 MIN_SERVED_FRACTION = 0.3
 
 # Shortest and longest duration in s of each fault of a router's process. A router has one such fault at most.
 PROCESS_FAULTS = {"stop": (0.2, 3.0), "kill": (0.3, 1.0), "term": (3.8, 4.5), "restart": (0.1, 0.2)}
 LIST_FAULTS = {"drain": (1.0, 5.0), "hide": (1.0, 5.0)}
 DRAIN_DURING_STOP_SHARE = 0.5  # Share of the pauses during which a worker drains.
-# Shortest and longest duration in s of a pause during which a worker drains: longer than the notice limit of
-# a drain plus the grace period.
+# Shortest and longest duration in s of a pause during which a worker drains. Both are longer than the time
+# until a router counts as knowing of the drain, plus the grace period.
 LONG_STOP_S = 2.4, 3.0
 MAX_OTHER_FAULTS = 9
 MIN_OTHER_FAULTS = 4
@@ -44,10 +44,10 @@
 
 
 class _Draw:
-    """A draw of faults; owns the list of faults drawn so far.
+    """A generator of random faults; owns the list of faults generated so far.
 
     Args:
-        rng: The random numbers of the draw.
+        rng: The random number generator.
         routers: The number of routers.
         end_s: The end of the run, s from the start of traffic.
     """
@@ -59,26 +59,26 @@
         self.faults: list[FaultText] = []
 
     def add(self, kind: str, subjects: str, seconds: tuple[float, float], **other_keys: object) -> None:
-        """Add a fault of a kind, and draw when it starts and how long it lasts."""
+        """Add a fault of a kind with a random start and duration."""
         start_s = self.rng.uniform(WARM_UP_S, self.end_s - QUIET_END_S)
         until_s = min(start_s + self.rng.uniform(*seconds), self.end_s)
         times = {"at": round(start_s, 3), "until": round(until_s, 3)}
         self.faults.append({"kind": kind, **times, "who": subjects, **other_keys})
 
     def any_router(self) -> str:
-        """Draw one router or all routers."""
+        """Choose one router at random, or all routers."""
         return self.rng.choice(("router", f"router:{self.rng.randrange(self.routers)}"))
 
     def any_worker(self) -> str:
-        """Draw one worker."""
+        """Choose one worker at random."""
         return f"runner:{self.rng.randrange(WORKERS)}"
 
     def any_discovery(self) -> str:
-        """Draw the discovery server of one router or those of all routers."""
+        """Choose the discovery server of one router at random, or those of all routers."""
         return self.any_router().replace("router", "resolver")
 
     def process_faults(self) -> None:
-        """Draw faults of processes, each at another router, because a dead process cannot be paused too."""
+        """Add process faults, each at a different router, because a dead process cannot be paused too."""
         count = self.rng.randint(1, max(1, int(PROCESS_FAULT_SHARE * self.routers)))
         for number in self.rng.sample(range(self.routers), count):
             kind = self.rng.choice(list(PROCESS_FAULTS))
@@ -87,7 +87,7 @@
                 self.drain_during_stop(self.faults[-1])
 
     def drain_during_stop(self, stop: FaultText) -> None:
-        """Add a drain that starts soon after a pause, and make the pause longer than the drain's grace."""
+        """Add a drain that starts soon after a pause, and extend the pause beyond the drain's grace."""
         stop["until"] = round(min(stop["at"] + self.rng.uniform(*LONG_STOP_S), self.end_s), 3)
         start_s = stop["at"] + self.rng.uniform(0.05, 0.3)
         if start_s < self.end_s - QUIET_END_S:
@@ -95,14 +95,14 @@
             self.faults.append({"kind": "drain", **times, "who": self.any_worker(), "to": "router"})
 
     def list_faults(self) -> None:
-        """Draw workers that drain or are missing from the lists, and return."""
+        """Add faults in which workers are draining in or missing from the endpoint lists for some time."""
         count = self.rng.randint(1, int(LIST_FAULT_SHARE * WORKERS))
         for number in self.rng.sample(range(WORKERS), count):
             kind = self.rng.choice(list(LIST_FAULTS))
             self.add(kind, f"runner:{number}", LIST_FAULTS[kind], to="router")
 
     def other_faults(self) -> None:
-        """Draw faults of discovery, network, workers, clients and system calls."""
+        """Add faults of discovery, network, workers, clients and system calls."""
         rng = self.rng
         makers = (
             lambda: self.add("mute", self.any_discovery(), (0.3, 4.0)),
@@ -147,7 +147,7 @@
 
 
 def as_toml(document: dict[str, Any]) -> str:
-    """Return a draw as a TOML file. Numbers, strings and booleans of JSON are valid in TOML too."""
+    """Encode a scenario as TOML, in which numbers, strings and booleans are written as in JSON."""
     lines = [f"{key} = {json.dumps(value)}" for key, value in document.items() if key != "fault"]
     for fault in document["fault"]:
         lines += ["", "[[fault]]", *(f"{key} = {json.dumps(value)}" for key, value in fault.items())]
@@ -155,14 +155,14 @@
 
 
 def quick(seed: int, routers: int = 10, seconds: float = DEFAULT_SECONDS) -> Iterator[Scenario]:
-    """Return one draw, and print it."""
+    """Return the scenario of a seed, and print it."""
     document = draw(seed, routers, seconds)
     print(as_toml(document), flush=True)
     yield parse_scenario(document)
 
 
 def full(seed: int, routers: int = 40, seconds: float = DEFAULT_SECONDS) -> Iterator[Scenario]:
-    """Return ten draws, for this seed and the nine next ones."""
+    """Return ten scenarios, of this seed and the next nine."""
     for number in range(seed, seed + 10):
         yield from quick(number, routers, seconds)
 
@@ -181,7 +181,7 @@
 
 
 def _trace(result: Result, violation: str) -> str:
-    """Return all facts of the call that a violation names, one a line."""
+    """Return all facts of the call that a violation names, one per line."""
     match = _CALL_ID.search(violation)
     if match is None:
         return ""
--- a/cedarthread/testing/cluster/scenarios/load_spread.py
+++ b/cedarthread/testing/cluster/scenarios/load_spread.py
@@ -39,7 +39,7 @@
 
 
 def full(seed: int, routers: int = 200) -> Iterator[Scenario]:
-    """Return a run without faults, then each hard case by itself, with whole fleets."""
+    """Return runs of whole fleets: one without faults, then one for each fault."""
     base = {
         "seed": seed,
         "routers": routers,
@@ -56,7 +56,7 @@
 
 
 def _cases(routers: int) -> dict[str, list[dict[str, object]]]:
-    """Return the faults of each run of the full form by the run's name."""
+    """Return the faults of each run of the full form, by name of the run."""
     last = routers - 1
     half = routers // 2
     return {
--- a/cedarthread/testing/cluster/scenarios/mass_restart.py
+++ b/cedarthread/testing/cluster/scenarios/mass_restart.py
@@ -27,7 +27,9 @@
 UNDISTURBED = "undisturbed"
 DOWNTIME_S = 0.6  # Time from a router's kill to its start; the process needs more time until it serves.
 MAX_PEAK_RATIO = 1.5  # Maximum ratio of a peak in 250 ms to the peak of the undisturbed run.
-MIN_SERVED_FRACTION = 0.9  # Minimum share of the value before the kill; with less there is no full service.
+MIN_SERVED_FRACTION = (
+    0.9  # Minimum share of the value before the kill; with less, full service counts as missed.
+)
 MAX_RECOVERY_S = 5.0  # Maximum time from the last kill to full service, in the quick form.
 
 ScenarioText = dict[str, object]  # A scenario or a fault, as in scenario files.
@@ -52,12 +54,12 @@
 
 
 def _shared(*, has_store: bool) -> ScenarioText:
-    """Return the keys of a scenario in which routers share their state, with or without stores."""
+    """Return the scenario keys with which routers replicate state, with or without stores on disk."""
     return {"fleet": FLEET_CONFIG, "declares": "router", "store": has_store}
 
 
 def quick(seed: int, routers: int = 24) -> Iterator[Scenario]:
-    """Return a run without faults, and one of the same arrivals with most routers killed and other faults."""
+    """Return a run without faults, and one of the same arrivals in which most routers are killed, for CI."""
     last = routers - 1
     killed_count = int(0.8 * routers)
     faults: list[ScenarioText] = [
@@ -104,12 +106,12 @@
 
 
 def _kill(subjects: str) -> ScenarioText:
-    """Return the kill of some routers."""
+    """Return a fault that kills some routers."""
     return {"kind": "kill", "at": KILLED_AT_S, "until": KILLED_AT_S + DOWNTIME_S, "who": subjects}
 
 
 def _disk_faults(count: int) -> list[ScenarioText]:
-    """Return a disk fault for each of the first ``count`` routers: a kind for each third."""
+    """Return a disk fault for each of the first ``count`` routers: one kind for each third of them."""
     return [
         {
             "kind": "disk",
--- a/cedarthread/testing/cluster/scenarios/restart_measurements.py
+++ b/cedarthread/testing/cluster/scenarios/restart_measurements.py
@@ -1,4 +1,4 @@
-"""Measurements of a mass restart, from a result: time to recover, peaks, and attempts by an outdated list."""
+"""Measurements of a mass restart: time to recover, peaks, and attempts based on an outdated endpoint list."""
 
 from __future__ import annotations
 
@@ -36,11 +36,12 @@
 STEP_MS = 250.0  # Time from the start of one window of served value to the start of the next.
 WINDOW_MS = 1000.0  # Length of the windows of served value.
 UNDISTURBED_WINDOWS = 8  # Number of windows before the last kill that give the undisturbed share.
-LIST_REFRESH_MS = 600.0  # Maximum time until a router has the current list: the time of three queries.
-# Connections at one worker in 250 ms that do no harm: each needs some 0.2 ms of the worker's time.
+LIST_REFRESH_MS = 600.0  # Maximum time until a router has the current list: three query intervals.
+# Connections to one worker in 250 ms that do no harm: each takes some 0.2 ms of the worker's time.
 CONNECTION_PEAK_FLOOR = 24
 QUERY_PEAK_FLOOR = 1.25  # Queries per router in 250 ms that do no harm: a router queries five times a second.
-# Recovery datagrams per router in 250 ms that do no harm: six queries, and answers from both full buckets.
+# Recovery datagrams per router in 250 ms that do no harm: six queries, and the responses that both full
+# token buckets allow.
 PEER_DATAGRAM_FLOOR = 45
 
 
@@ -52,8 +53,8 @@
 def served_value_shares(result: Result) -> list[float]:
     """Return the value served within the latency objective as shares of the submitted value, by window.
 
-    Windows of 1 s contain the calls that were submitted in them. Windows of answers would vary by chance
-    alone: a window of 300 calls would lack a share of 0.05 now and then.
+    Windows of 1 s count the calls that were submitted in them. Windows that counted the answers received in
+    them would vary by chance alone: a window of 300 calls would lack a share of 0.05 now and then.
     """
     submissions: dict[str, _Submission] = {}
     submitted = [fact for fact in result.facts if isinstance(fact, CallSubmitted | NoRouterAvailable)]
@@ -89,7 +90,7 @@
 
 
 def undisturbed_share(result: Result) -> float:
-    """Return the mean share in the last windows before the last kill.
+    """Return the mean share of the value that was served in the last windows before the last kill.
 
     Earlier windows do not count, because a fleet that starts cold serves little.
     """
@@ -100,14 +101,14 @@
 
 
 def time_to_recover_s(result: Result) -> float | None:
-    """Return the time from the last kill until the share is as before the kill; None if it never is."""
+    """Return the time from the last kill until the share is as before it; None if it does not recover."""
     return time_to_full_service(
         served_value_shares(result), last_kill_s(result), undisturbed_rate=undisturbed_share(result)
     )
 
 
 def peak_counts(result: Result, since_s: float = 0.0) -> dict[str, int]:
-    """Return the peaks in 250 ms after a time, one for each service that restarted routers share."""
+    """Return the peak in 250 ms after a time, for each shared service that a restart loads."""
     peaks = {
         name: peak_count([at_ms for at_ms in times if at_ms >= 1000.0 * since_s])
         for name, times in result.time_series.items()
@@ -122,7 +123,7 @@
 
 
 def stale_attempts(result: Result) -> int:
-    """Return the number of attempts to a worker that the router's list had lacked for long enough."""
+    """Return the number of attempts to a worker long after it disappeared from the router's endpoint list."""
     faults = result.scenario.faults
     hide_faults = [fault for fault in faults if fault.kind is FaultKind.HIDE_WORKER]
     kill_faults = [fault for fault in faults if fault.kind is FaultKind.KILL_ROUTER]
@@ -151,9 +152,9 @@
 
 
 def peak_floors(result: Result) -> dict[str, float]:
-    """Return the peaks that do no harm, even if the peaks of the undisturbed run are lower.
+    """Return the peaks that are accepted even if the peaks of the undisturbed run are lower.
 
-    For loads: the number that the package store serves at full speed, where each lasts the whole load time.
+    For loads: the number that the package store serves at full speed, as each lasts the whole load time.
     """
     scenario = result.scenario
     return {
--- a/cedarthread/testing/invariants.py
+++ b/cedarthread/testing/invariants.py
@@ -1,9 +1,9 @@
-"""Checks the recorded facts of a run against the operators' rules and lists the violations.
+"""Checker of the operators' rules against the recorded facts of a run.
 
-The facts are those that the router's peers can see: requests and answers of clients, attempts and answers
-of workers, and endpoint lists. ``InvariantChecker`` writes all state. Times are ms of one monotonic clock.
-Reports contain the rules by name: harness, answers, deadline, served, effects, attempts, gone, drain, time
-limit, orders and rest.
+The facts are those that can be observed outside the router: requests and answers of clients, attempts and
+answers of workers, and endpoint lists. ``InvariantChecker`` owns all state. Times are ms of one monotonic
+clock. Violations contain the rule by name: harness, answers, deadline, served, effects, attempts, gone,
+drain, time limit, orders and rest.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 class Idempotency(StrEnum):
-    """Permissions to execute a call more than once; the values are the words of settings files."""
+    """Whether a call may be executed more than once; the values are those of settings files."""
 
     IDEMPOTENT = "retryable"
-    WITH_KEY = "dedup"  # may be executed again within the deduplication scope and window
+    WITH_KEY = "dedup"  # may be executed again, within ``retry_scope`` and ``retry_window_ms``
     NOT_IDEMPOTENT = "fragile"
 
 
@@ -49,10 +49,10 @@
     max_attempts: int = 4
     allows_hedging: bool = False
     answer_slack_ms: float = (
-        58.0  # after the deadline: 8 ms by the default settings, and 50 ms for the sockets
+        58.0  # after the deadline: 8 ms by the default settings, plus 50 ms for the sockets
     )
     drain_slack_ms: float = (
-        550.0  # after a list with the worker draining or absent: 500 ms by the settings, and 50
+        550.0  # after a list with the worker draining or absent: 500 ms by the settings, plus 50 ms
     )
     # After a client closed its connection or cancelled its request.
     client_disconnected_slack_ms: float = 100.0
@@ -74,7 +74,7 @@
     detail: str
 
     def __str__(self) -> str:
-        """Return the violation as a line of a report."""
+        """Return the violation as one line of text."""
         return f"{self.rule} at {self.at_ms:.1f} ms: {self.detail}"
 
 
@@ -116,7 +116,7 @@
 
 @dataclass(slots=True)
 class _WorkerListing:
-    """The state of one worker in the endpoint list of one router."""
+    """The state of one worker in one router's endpoint list."""
 
     state: str  # ready, draining or gone
     since_ms: float  # since when the worker is ready, or since when it is draining or gone
@@ -167,7 +167,7 @@
     def on_call_submitted(
         self, at_ms: float, call: str, guarantees: CallGuarantees, deadline_ms: float
     ) -> None:
-        """Record that a client sent a complete request, with a unique name of the call and its deadline."""
+        """Record that a client sent a complete request; ``call`` must be unique."""
         if call in self._calls:
             self._report("harness", at_ms, f"call {call} was recorded twice")
             return
--- a/cedarthread/testing/load_balance.py
+++ b/cedarthread/testing/load_balance.py
@@ -1,7 +1,7 @@
 """Load balance metrics: how evenly the load is spread over the workers, by the workers' own call records.
 
-docs/design/spread.md defines the terms. Times are ms. The router does not read these figures; test runs
-evaluate the router's decisions by them. This module has no state.
+docs/design/spread.md defines the terms. Times are ms. Test runs evaluate the router's decisions by these
+metrics; the router does not read them. This module has no state.
 """
 
 from __future__ import annotations
@@ -69,12 +69,12 @@
 class LoadBalanceMetrics:
     """The load balance figures of one run."""
 
-    peak_to_mean: float  # greatest by mean work per core of the workers; mean over the windows
-    coefficient_of_variation: float  # of the work per core of the workers; mean over the windows
-    longest_idle_ms: float  # longest time in which a ready worker was empty while a call waited elsewhere
+    peak_to_mean: float  # maximum over mean of the workers' work per core; averaged over the windows
+    coefficient_of_variation: float  # of the workers' work per core; averaged over the windows
+    longest_idle_ms: float  # longest time that a ready worker was empty while a call waited elsewhere
     hotspots: tuple[Hotspot, ...]
     loads_per_1000_calls: float
-    excess_loads: int  # loads beyond the number of instances that the calls needed at the same time
+    excess_loads: int  # loads beyond the number of instances that concurrent calls needed
     call_count: int
 
     def as_json(self) -> dict[str, Any]:
@@ -97,7 +97,7 @@
     end_ms: float,
     concurrency: int,
 ) -> LoadBalanceMetrics:
-    """Return the figures of the interval.
+    """Return the metrics of an interval.
 
     Args:
         records: the calls at all workers.
@@ -160,7 +160,7 @@
 def _work_per_core(
     records: Iterable[CallRecord], workers: Mapping[int, WorkerAvailability], start_ms: float, end_ms: float
 ) -> dict[int, float]:
-    """Return the mean calls per core, loads and queues included, of each worker that was always ready."""
+    """Return the mean calls per core, loading and queued included, of each worker that was always ready."""
     busy_ms = {
         worker_id: 0.0
         for worker_id, worker in workers.items()
@@ -177,7 +177,7 @@
 def _longest_idle_ms(
     worker_id: int, worker: WorkerAvailability, records: list[CallRecord], start_ms: float, end_ms: float
 ) -> float:
-    """Return the longest time in which this worker was ready and empty and a call waited elsewhere."""
+    """Return the longest time that this worker was ready and empty while a call waited elsewhere."""
     occupied = merge_intervals(
         (record.arrived_at_ms, record.ended_at_ms) for record in records if record.worker == worker_id
     )
@@ -225,13 +225,13 @@
 def _is_hotspot(count: int, share: float) -> bool:
     """Return whether the count is far above the share and more than chance explains.
 
-    One is added to the variance because four calls at one worker are chance when almost no calls arrive.
+    One is added to the variance, because four calls at one worker are chance when almost no calls arrive.
     """
     return count > HOTSPOT_RATIO * share and count > share + HOTSPOT_DEVIATIONS * math.sqrt(share + 1.0)
 
 
 def _instances_needed(arrived: list[CallRecord], concurrency: int) -> int:
-    """Return the least number of instances for the peak of running calls, summed over the functions."""
+    """Return the minimum number of instances for the peak of concurrent calls, summed over the functions."""
     needed = 0
     steps_by_function: defaultdict[int, list[tuple[float, int]]] = defaultdict(list)
     for record in arrived:
--- a/tests/integration/test_change_freeze_drill.py
+++ b/tests/integration/test_change_freeze_drill.py
@@ -1,4 +1,4 @@
-"""The changes that the change freeze scenarios count, and their quick form as real processes."""
+"""Placement changes as the change freeze scenarios count them, and a quick scenario with real processes."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("defect", ["", "gate bypassed"])
 def test_real_routers_place_nothing_in_a_window_unless_the_gate_is_bypassed(defect: str) -> None:
-    """Six routers, under faults of the network, a hot function and workers that restart empty."""
+    """Six routers, with network faults, a hot function, and workers that restart without instances."""
     kinds = (
         FaultKind.LOSE,
         FaultKind.DUPLICATE,
--- a/tests/integration/test_cluster.py
+++ b/tests/integration/test_cluster.py
@@ -32,7 +32,7 @@
 
 
 def test_injected_defects_are_found() -> None:
-    """Popularity by chance; calls that all move at each report; retries of calls that may have executed."""
+    """Popularity by chance, overreaction to load reports, retries of calls that may have been executed."""
     crashes = [
         {"kind": "die", "at": 3.0 + number, "until": 5.0 + number, "who": f"runner:{number}"}
         for number in range(3)
@@ -104,7 +104,7 @@
 
 
 def test_processes_obey_the_rules_under_random_faults_that_overlap() -> None:
-    """A small soak: three draws of the drill ``faults``, side by side."""
+    """A small soak test: three random scenarios of the drill ``faults`` run at the same time."""
     scenarios = [scenario for seed in (5, 7, 9) for scenario in faults.quick(seed, 6, 6.0)]
     for result in run_side_by_side(scenarios):
         assert faults.failings(result) == [], result.seed
--- a/tests/unit/testing/cluster/test_discovery.py
+++ b/tests/unit/testing/cluster/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery servers of a cluster run: endpoint lists over time, and corrupted replies."""
+"""Fake discovery servers of a cluster run: endpoint lists over time, and corrupted replies."""
 
 from __future__ import annotations
 
--- a/tests/unit/testing/cluster/test_evaluation.py
+++ b/tests/unit/testing/cluster/test_evaluation.py
@@ -1,4 +1,4 @@
-"""The evaluation of recordings: it finds each broken rule, and knows which lists routers had."""
+"""The evaluation of recordings: each broken rule is found, and drains count from each router's own lists."""
 
 from __future__ import annotations
 
@@ -89,7 +89,7 @@
 
 
 def test_bytes_read_in_one_loop_iteration_have_one_time() -> None:
-    """With two times, a cancelled attempt and its retry would overlap when the machine is busy."""
+    """With a time per read, a cancelled attempt would seem to overlap its retry when the machine is busy."""
 
     async def read_late(loop: VirtualLoop) -> None:
         process = FakeWorkerProcess(ClusterPlan(parse_scenario({"runners": 2}), 1, [], [], [], [], []), 0)
@@ -127,7 +127,7 @@
 
 
 def test_a_drain_is_checked_by_the_lists_that_each_router_was_sent() -> None:
-    """Router 1 is sent no list and counts as notified 1.5 s after the drain."""
+    """Router 1 is sent no list and counts as knowing of the drain 1.5 s after its start."""
     assert drain_violations((1600.0, 0), (3000.0, 1)) == []
     assert drain_violations((1800.0, 0)) == ["drain"]
     assert drain_violations((3200.0, 1)) == ["drain"], "notified by the time that has passed"
--- a/tests/unit/testing/cluster/test_scenario_sets.py
+++ b/tests/unit/testing/cluster/test_scenario_sets.py
@@ -1,4 +1,4 @@
-"""Sets of scenarios: their registration, drawn faults, and the checks that each set makes of a result."""
+"""Scenario sets: their registration, random faults, and the checks of results."""
 
 from __future__ import annotations
 
--- a/tests/unit/testing/test_invariant_checker.py
+++ b/tests/unit/testing/test_invariant_checker.py
@@ -1,4 +1,4 @@
-"""The invariant checker: each test breaks a rule on purpose and expects the violation."""
+"""The invariant checker: each test breaks rules on purpose and expects the violations."""
 
 from __future__ import annotations
 
