--- a/cedarthread/testing/cluster/cli.py
+++ b/cedarthread/testing/cluster/cli.py
@@ -73,7 +73,7 @@
         print(f"cedarthread: {error}", file=sys.stderr)
         return EXIT_USAGE
     except asyncio.CancelledError:
-        print("cedarthread: told to stop; all processes have been ended", file=sys.stderr)
+        print("cedarthread: interrupted; all processes have been stopped", file=sys.stderr)
         return EXIT_INTERRUPTED
 
 
@@ -90,7 +90,7 @@
         scenarios = (replace(scenario, is_gossip_enabled=False) for scenario in scenarios)
     if options["--defect"] is not None:
         if options["--defect"] not in DEFECTS:
-            raise ValueError(f"--defect: none of {', '.join(DEFECTS)}")
+            raise ValueError(f"--defect: must be one of {', '.join(DEFECTS)}")
         scenarios = (replace(scenario, injected_defect=options["--defect"]) for scenario in scenarios)
     results = run_scenarios(scenario_set, scenarios, options["--out"])
     has_failed = False
@@ -99,7 +99,7 @@
             has_failed = True
             print(f"{result.scenario_name}: {failing}")
     if any(result.is_void for result in results):
-        print("the harness was late: no run counts in which it was")
+        print("the harness was late: the results of runs in which it was late are void")
         return EXIT_FAILED if has_failed else EXIT_USAGE
     print("FAILED" if has_failed else "held")
     return EXIT_FAILED if has_failed else 0
@@ -112,7 +112,7 @@
         ValueError: The runs of the set have a fixed duration.
     """
     if "seconds" not in inspect.signature(make).parameters:
-        raise ValueError("--seconds: the runs of this drill have one length")
+        raise ValueError("--seconds: the runs of this drill have a fixed duration")
     return cast("MakeScenarios", functools.partial(cast("Any", make), seconds=seconds))
 
 
--- a/cedarthread/testing/cluster/evaluation.py
+++ b/cedarthread/testing/cluster/evaluation.py
@@ -61,7 +61,7 @@
     lags_ms = [_percentile(recording.lags_ms, LAG_PERCENTILE) for recording in recordings]
     time_series = merged.time_series()
     worker_calls = sorted(merged.worker_calls, key=lambda call: call.arrived_at_ms)
-    unexpected_ends = [f"router {number} ended with {code}" for number, code in exit_codes.items()]
+    unexpected_ends = [f"router {number} exited with code {code}" for number, code in exit_codes.items()]
     return Result(
         scenario_name=scenario.name,
         seed=scenario.seed,
@@ -92,7 +92,7 @@
 
 def _check_datagrams(recording: Recording, checker: InvariantChecker) -> None:
     for datagram in recording.peer_datagrams:
-        what = f"bytes of a datagram of router {datagram.sender}"
+        what = f"length in bytes of a datagram of router {datagram.sender}"
         checker.check_remaining(datagram.at_ms, what, datagram.length, MAX_DATAGRAM_BYTES)
 
 
--- a/cedarthread/testing/cluster/process_handle.py
+++ b/cedarthread/testing/cluster/process_handle.py
@@ -58,7 +58,7 @@
         assert self.process.stdout is not None
         line = await self.process.stdout.readline()
         if not line or json.loads(line)["done"] != command:
-            raise OSError(f"fake process {self.number} failed at {command}: {line!r}")
+            raise OSError(f"fake process {self.number} did not complete {command}, reply: {line!r}")
 
     async def fetch_recording(self) -> Recording:
         """Return the recording of the process, which records no more facts from then on."""
--- a/cedarthread/testing/cluster/report.py
+++ b/cedarthread/testing/cluster/report.py
@@ -19,7 +19,7 @@
         return 2
     files = sorted(folder.glob("*.json"))
     if not files:
-        print(f"cedarthread cluster: no results in {folder}", file=sys.stderr)
+        print(f"cedarthread cluster: no result files in {folder}", file=sys.stderr)
         return 2
     for file in files:
         result = json.loads(file.read_text())
@@ -30,7 +30,7 @@
         for kind, start_s, end_s in result["faults"]:
             axes.axvspan(start_s, end_s, alpha=0.08, color="red")
             axes.text(start_s, axes.get_ylim()[1], kind, fontsize=7, va="top")
-        axes.set(xlabel="s", ylabel="held calls a core", title=f"{result['scenario']}, seed {result['seed']}")
+        axes.set(xlabel="s", ylabel="calls per core", title=f"{result['scenario']}, seed {result['seed']}")
         figure.savefig(file.with_suffix(".svg"))
         print(file.with_suffix(".svg"))
     return 0
--- a/cedarthread/testing/cluster/router_processes.py
+++ b/cedarthread/testing/cluster/router_processes.py
@@ -98,7 +98,9 @@
         async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
                 if self.processes[number].poll() is not None:
-                    raise OSError(f"router {number} ended: {self.read_log(number)[-LOG_TAIL_CHARACTERS:]}")
+                    raise OSError(
+                        f"router {number} exited early: {self.read_log(number)[-LOG_TAIL_CHARACTERS:]}"
+                    )
                 with contextlib.suppress(OSError):
                     _, writer = await asyncio.open_connection("127.0.0.1", self.ports[number])
                     writer.transport.abort()
--- a/cedarthread/testing/cluster/scenario_file.py
+++ b/cedarthread/testing/cluster/scenario_file.py
@@ -99,7 +99,7 @@
         if key == "fault":
             continue
         if key not in FIELD_BY_KEY:
-            raise ScenarioError(f"{key}: no such key; there are {', '.join(FIELD_BY_KEY)} and [[fault]]")
+            raise ScenarioError(f"{key}: unknown key; valid keys are {', '.join(FIELD_BY_KEY)} and [[fault]]")
         _check_value(key, value, type_names[FIELD_BY_KEY[key]])
         values[FIELD_BY_KEY[key]] = value
     scenario = Scenario(**values)
@@ -107,7 +107,7 @@
         if float(getattr(scenario, FIELD_BY_KEY[key])) <= 0:
             raise ScenarioError(f"{key}: must be above zero")
     if scenario.injected_defect not in ("", *DEFECTS):
-        raise ScenarioError(f"plant: {scenario.injected_defect!r} is none of {', '.join(DEFECTS)}")
+        raise ScenarioError(f"plant: {scenario.injected_defect!r} is not one of {', '.join(DEFECTS)}")
     tenant_shares(scenario)
     fleet_config_routers(scenario)
     faults = tuple(
@@ -120,9 +120,9 @@
 def _check_value(key: str, value: object, type_name: str) -> None:
     is_bool = isinstance(value, bool)  # Checked apart, because bool is a subclass of int.
     if not isinstance(value, _TYPES[type_name]) or (is_bool and type_name != "bool"):
-        raise ScenarioError(f"{key}: {value!r} is no {type_name}")
+        raise ScenarioError(f"{key}: {value!r} is not of type {type_name}")
     if isinstance(value, (int, float)) and value < 0:
-        raise ScenarioError(f"{key}: {value!r} is below zero")
+        raise ScenarioError(f"{key}: {value!r} is negative")
 
 
 def tenant_shares(scenario: Scenario) -> dict[str, float]:
@@ -132,9 +132,9 @@
         pairs = map(str.split, filter(None, text.split(",")))
         shares = {name: float(share) for name, share in pairs}
     except ValueError:
-        raise ScenarioError(f"tenants: {text!r} is not like 'hydro 0.5, steel 0.3'") from None
+        raise ScenarioError(f"tenants: {text!r} must have the form 'hydro 0.5, steel 0.3'") from None
     if sum(shares.values()) > 1.0 or any(not 0.0 < share <= 1.0 for share in shares.values()):
-        raise ScenarioError(f"tenants: {text!r}: parts above 0, and 1 in all at most")
+        raise ScenarioError(f"tenants: {text!r}: each share must be above 0, and their sum at most 1")
     return shares
 
 
@@ -146,23 +146,25 @@
 def _parse_fault(where: str, fault: Mapping[str, Any], scenario: Scenario) -> Fault:
     unknown = set(fault) - FAULT_KEYS
     if unknown:
-        raise ScenarioError(f"{where}: no such key: {', '.join(sorted(unknown))}")
+        raise ScenarioError(f"{where}: unknown key: {', '.join(sorted(unknown))}")
     kind = _parse_kind(where, fault.get("kind"))
     start_s = fault.get("at", 0.0)
     end_s = fault.get("until", scenario.end_s)
     if not all(isinstance(time, (int, float)) for time in (start_s, end_s)) or not 0 <= start_s < end_s:
-        raise ScenarioError(f"{where}: at {start_s!r} and until {end_s!r} are no times in order")
+        raise ScenarioError(
+            f"{where}: at {start_s!r} and until {end_s!r} must be numbers with 0 <= at < until"
+        )
     peers = parse_subjects(f"{where}: to", fault["to"], scenario) if "to" in fault else None
     if kind in (*NETWORK_FAULTS, FaultKind.HIDE_WORKER, FaultKind.DRAIN_WORKER) and peers is None:
         raise ScenarioError(f"{where}: {kind} needs `to`")
     subjects = parse_subjects(f"{where}: who", fault.get("who"), scenario)
     if kind in FAULT_SUBJECTS and subjects.kind != FAULT_SUBJECTS[kind]:
-        raise ScenarioError(f"{where}: {kind} is done at a {FAULT_SUBJECTS[kind]}, not at a {subjects.kind}")
+        raise ScenarioError(f"{where}: {kind} applies to a {FAULT_SUBJECTS[kind]}, not to a {subjects.kind}")
     text = str(fault.get("what", ""))
     if kind is FaultKind.DISK and text not in DISK_FAULTS:
-        raise ScenarioError(f"{where}: what {text!r} is none of {', '.join(DISK_FAULTS)}")
+        raise ScenarioError(f"{where}: what {text!r} is not one of {', '.join(DISK_FAULTS)}")
     if kind is FaultKind.FLEET_CONFIG and not _have_fleet_config(subjects, scenario):
-        raise ScenarioError(f"{where}: {fault.get('who')} has no file of the operators to begin with")
+        raise ScenarioError(f"{where}: {fault.get('who')} has no initial fleet config (`fleet`, `declares`)")
     amount = float(fault.get("figure", 0.0))
     is_one_way = bool(fault.get("one_way"))
     return Fault(kind, float(start_s), float(end_s), subjects, peers, amount, is_one_way, text)
@@ -171,7 +173,7 @@
 def _parse_kind(where: str, text: object) -> FaultKind:
     known = (*NETWORK_FAULTS, *FAULT_SUBJECTS)
     if text not in known:
-        raise ScenarioError(f"{where}: kind {text!r} is none of {', '.join(known)}")
+        raise ScenarioError(f"{where}: kind {text!r} is not one of {', '.join(known)}")
     return FaultKind(str(text))
 
 
@@ -186,7 +188,7 @@
     """Parse a range of routers, workers, clients or discovery servers as scenario files write it."""
     match = _SUBJECTS.match(text) if isinstance(text, str) else None
     if match is None:
-        raise ScenarioError(f"{where}: {text!r} is not like router, runner:3 or client:0-11")
+        raise ScenarioError(f"{where}: {text!r} must have the form router, runner:3 or client:0-11")
     kind = SubjectKind(match[1])
     count = scenario.worker_count if kind is SubjectKind.WORKER else scenario.router_count
     first = int(match[2]) if match[2] else 0
--- a/cedarthread/testing/cluster/scenarios/__init__.py
+++ b/cedarthread/testing/cluster/scenarios/__init__.py
@@ -45,5 +45,5 @@
         ValueError: There is no set of this name.
     """
     if name not in SCENARIO_MODULES:
-        raise ValueError(f"{name}: no such drill; there are {', '.join(SCENARIO_MODULES)}")
+        raise ValueError(f"{name}: unknown drill; valid names are {', '.join(SCENARIO_MODULES)}")
     return cast("ScenarioSet", import_module(SCENARIO_MODULES[name]))
--- a/cedarthread/testing/cluster/scenarios/change_freeze.py
+++ b/cedarthread/testing/cluster/scenarios/change_freeze.py
@@ -263,7 +263,7 @@
     failings = list(result.violations)
     changes = changes_in_window(result.scenario, result.placements)
     if result.is_void:
-        failings.append(f"void: the rig itself was {result.lag_ms:.0f} ms late")
+        failings.append(f"void: the harness itself was {result.lag_ms:.0f} ms late")
     if changes.made > changes.allowed:
         failings.append(f"{changes.made} placement changes in the window, {changes.allowed} allowed")
     if result.served_fraction < MIN_SERVED_FRACTION:
@@ -272,7 +272,7 @@
         rate = _value_rate(result)
         unwindowed_rate = _value_rate(earlier[0])
         if rate < MIN_VALUE_FRACTION * unwindowed_rate:
-            failings.append(f"worth {rate:.0f} a second, {unwindowed_rate:.0f} without a window")
+            failings.append(f"value served per second {rate:.0f}, {unwindowed_rate:.0f} without a window")
     return failings
 
 
--- a/cedarthread/testing/cluster/scenarios/load_spread.py
+++ b/cedarthread/testing/cluster/scenarios/load_spread.py
@@ -96,16 +96,20 @@
     omniscient = result.replayed[OMNISCIENT]
     failings = list(result.violations)
     if result.is_void:
-        failings.append(f"void: the rig itself was {result.lag_ms:.0f} ms late")
+        failings.append(f"void: the harness itself was {result.lag_ms:.0f} ms late")
     failings += [
-        f"a herd at {hotspot.begin_ms / 1000:.1f} s: {hotspot.arrivals} calls to runner {hotspot.worker_id}, "
-        f"its share {hotspot.fair_share:.1f}"
+        f"hotspot at {hotspot.begin_ms / 1000:.1f} s: {hotspot.arrivals} calls to runner "
+        f"{hotspot.worker_id}, fair share {hotspot.fair_share:.1f}"
         for hotspot in metrics.hotspots
     ]
     if metrics.longest_idle_ms > MAX_IDLE_MS:
-        failings.append(f"a runner idle for {metrics.longest_idle_ms:.0f} ms while another queued")
+        failings.append(
+            f"a runner idle for {metrics.longest_idle_ms:.0f} ms while a call was queued at another"
+        )
     if metrics.peak_to_mean > MAX_PEAK_TO_MEAN_RATIO * omniscient.peak_to_mean:
-        failings.append(f"peak-to-mean {metrics.peak_to_mean:.2f}, all-seeing {omniscient.peak_to_mean:.2f}")
+        failings.append(
+            f"peak-to-mean {metrics.peak_to_mean:.2f}, omniscient policy {omniscient.peak_to_mean:.2f}"
+        )
     if result.served_fraction < MIN_SERVED_FRACTION:
         failings.append(f"{result.served_fraction:.2f} of the calls served")
     return failings
--- a/cedarthread/testing/cluster/scenarios/mass_restart.py
+++ b/cedarthread/testing/cluster/scenarios/mass_restart.py
@@ -152,7 +152,7 @@
     """Return the failed checks of a run."""
     failings = list(result.violations)
     if result.is_void:
-        failings.append(f"void: the rig itself was {result.lag_ms:.0f} ms late")
+        failings.append(f"void: the harness itself was {result.lag_ms:.0f} ms late")
     share = undisturbed_share(result)
     if result.scenario_name == UNDISTURBED:
         if share < MIN_SERVED_FRACTION:
@@ -160,12 +160,12 @@
         return failings
     failings += _peak_failings(result, earlier)
     if (count := stale_attempts(result)) > 0:
-        failings.append(f"stale: {count} calls went to a runner that the list lacked")
+        failings.append(f"stale: {count} attempts at a runner that was missing from the endpoint list")
     recovery_s = time_to_recover_s(result)
     if recovery_s is None or share < MIN_SERVED_FRACTION:
         failings.append("full service was not reached")
     elif result.scenario_name == "quick" and recovery_s > MAX_RECOVERY_S:
-        failings.append(f"full service {recovery_s:.1f} s after the last death")
+        failings.append(f"full service {recovery_s:.1f} s after the last kill")
     return failings
 
 
--- a/cedarthread/testing/invariants.py
+++ b/cedarthread/testing/invariants.py
@@ -188,16 +188,20 @@
         """Record that a client received a final answer: served, refused or failed."""
         record = self._calls.get(call)
         if record is None:
-            self._report("answers", at_ms, f"an answer to {call}, which nobody asked")
+            self._report("answers", at_ms, f"an answer to {call}, which no client submitted")
             return
         record.answer_count += 1
         record.answered_at_ms = min(record.answered_at_ms, at_ms)
         if record.answer_count > 1:
             self._report("answers", at_ms, f"call {call} has {record.answer_count} final answers")
         if at_ms > record.deadline_ms + self.limits.answer_slack_ms and not record.is_abandoned:
-            self._report("deadline", at_ms, f"call {call} answered {at_ms - record.deadline_ms:.0f} ms late")
+            self._report(
+                "deadline",
+                at_ms,
+                f"call {call} answered {at_ms - record.deadline_ms:.0f} ms after its deadline",
+            )
         if result == "served" and body not in record.produced_bodies:
-            self._report("served", at_ms, f"call {call} served with what no worker made for it")
+            self._report("served", at_ms, f"call {call} served with a body that no worker produced for it")
         if result == "refused":
             self._check_rejection(at_ms, call, record)
 
@@ -205,7 +209,7 @@
         guarantees = record.guarantees
         may_have_effect = any(attempt.may_have_effect() for attempt in record.attempts)
         if may_have_effect and not guarantees.allows_any_retry:
-            detail = f"call {call} ({guarantees.idempotency}) refused though it may have run"
+            detail = f"call {call} ({guarantees.idempotency}) refused although it may have been executed"
             self._report("effects", at_ms, detail)
 
     def on_attempt_started(
@@ -239,12 +243,14 @@
         self._check_drain(first_byte_at_ms, worker_id, f"attempt of {call}", listing)
         record = self._calls.get(call)
         if record is None:
-            self._report("attempts", at_ms, f"an attempt of {call}, which nobody asked")
+            self._report("attempts", at_ms, f"an attempt of {call}, which no client submitted")
             return attempt
         self._check_attempt_is_due(at_ms, call, record, first_byte_at_ms, handed_over_at_ms)
         excess_ms = first_byte_at_ms + time_limit_ms - record.deadline_ms
         if time_limit_ms > 0.0 and excess_ms > self.limits.time_limit_slack_ms:
-            detail = f"the worker of {call} was told {excess_ms:.0f} ms more than its client had left"
+            detail = (
+                f"the time limit at the worker of {call} is {excess_ms:.0f} ms beyond the client's deadline"
+            )
             self._report("time limit", at_ms, detail)
         self._check_retry(first_byte_at_ms, call, record, attempt)
         record.attempts.append(attempt)
@@ -254,7 +260,9 @@
         self, at_ms: float, worker_id: int, message: str, listing: _WorkerListing | None
     ) -> None:
         if listing is None:
-            self._report("drain", at_ms, f"{message} to worker {worker_id}, which was never listed")
+            self._report(
+                "drain", at_ms, f"{message} to worker {worker_id}, which was never in the endpoint list"
+            )
         elif listing.state != "ready" and at_ms > listing.since_ms + self.limits.drain_slack_ms:
             late_ms = at_ms - listing.since_ms
             detail = f"{message} to worker {worker_id}, {late_ms:.0f} ms after it was {listing.state}"
@@ -265,16 +273,16 @@
     ) -> None:
         is_same_time = handed_over_at_ms == at_ms and record.answer_count > 0
         if handed_over_at_ms > record.answered_at_ms or is_same_time:
-            self._report("attempts", at_ms, f"call {call} sent after its final answer")
+            self._report("attempts", at_ms, f"call {call} sent to a worker after its final answer")
         late_ms = first_byte_at_ms - record.client_disconnected_at_ms
         if first_byte_at_ms > record.client_disconnected_at_ms + self.limits.client_disconnected_slack_ms:
-            detail = f"an attempt of {call} began {late_ms:.0f} ms after its client had gone"
+            detail = f"an attempt of {call} started {late_ms:.0f} ms after its client disconnected"
             self._report("gone", at_ms, detail)
         is_in_flight = any(attempt.is_in_flight for attempt in record.attempts)
         if is_in_flight and not self.limits.allows_hedging:
-            self._report("attempts", at_ms, f"call {call} has two attempts out")
+            self._report("attempts", at_ms, f"call {call} has two attempts in flight")
         if len(record.attempts) >= self.limits.max_attempts:
-            self._report("attempts", at_ms, f"call {call} sent {len(record.attempts) + 1} times")
+            self._report("attempts", at_ms, f"call {call} sent to workers {len(record.attempts) + 1} times")
 
     def _check_retry(self, at_ms: float, call: str, record: _CallRecord, attempt: AttemptRecord) -> None:
         executed = [earlier for earlier in record.attempts if earlier.may_have_effect()]
@@ -282,13 +290,15 @@
         if not executed or guarantees.idempotency is Idempotency.IDEMPOTENT:
             return
         if guarantees.idempotency is Idempotency.NOT_IDEMPOTENT:
-            self._report("effects", at_ms, f"fragile call {call} sent again though it may have run")
+            self._report("effects", at_ms, f"fragile call {call} retried although it may have been executed")
             return
         age_ms = at_ms - executed[0].started_at_ms
         if at_ms > executed[0].started_at_ms + guarantees.retry_window_ms:
-            self._report("effects", at_ms, f"dedup call {call} sent again {age_ms:.0f} ms on")
+            self._report(
+                "effects", at_ms, f"dedup call {call} retried {age_ms:.0f} ms after its first attempt"
+            )
         if any(earlier.is_outside(guarantees.retry_scope, attempt) for earlier in executed):
-            self._report("effects", at_ms, f"dedup call {call} left its {guarantees.retry_scope}")
+            self._report("effects", at_ms, f"dedup call {call} retried outside its {guarantees.retry_scope}")
 
     def on_body_produced(self, call: str, body: bytes) -> None:
         """Record a body that a worker produced for a call, before the worker sends it."""
@@ -320,7 +330,7 @@
             router: the router that sent the request.
         """
         sent_at_ms = at_ms if first_byte_at_ms is None else first_byte_at_ms
-        self._check_drain(sent_at_ms, worker_id, "an order", self._workers.get((router, worker_id)))
+        self._check_drain(sent_at_ms, worker_id, "preload request", self._workers.get((router, worker_id)))
         if instances > 0 and self.limits.preload_window_ms > 0:
             self._check_preload_limit(at_ms)
 
@@ -334,7 +344,7 @@
         tolerated = math.floor(allowed * limits.preload_tolerance_factor + ROUNDING)
         count = len(self._preloaded_at_ms)
         if count > tolerated + limits.preload_tolerance:
-            self._report("orders", at_ms, f"{count} orders to load where {allowed:.1f} are allowed")
+            self._report("orders", at_ms, f"{count} preload requests, {allowed:.1f} allowed")
 
     def check_remaining(
         self, at_ms: float, resource: str, remaining: float, expected_at_most: float = 0.0
--- a/tests/integration/test_change_freeze_drill.py
+++ b/tests/integration/test_change_freeze_drill.py
@@ -42,7 +42,7 @@
         Placement(17_500.0, 1, 0),
     ]
     assert change_freeze.placement_changes_ms(SCENARIO, placements) == [12_000.0, 14_000.0, 17_500.0], (
-        "runner 0 died at 15 s"
+        "worker 0 crashed at 15 s"
     )
     soon_after_restart = [
         Placement(12_000.0, 1, 0),
--- a/tests/unit/testing/cluster/test_discovery.py
+++ b/tests/unit/testing/cluster/test_discovery.py
@@ -26,7 +26,7 @@
         [4002],
     ]
     assert [workers[-1].started_at_ms for _, workers in lists] == [0.0, 0.0, 0.0, 4000.0, 4000.0]
-    assert len(timeline.list_at(2500.0, 0)[1]) == 2, "it is hidden from one router alone"
+    assert len(timeline.list_at(2500.0, 0)[1]) == 2, "the worker is hidden from router 1 alone"
 
 
 def test_a_corrupt_reply_differs_and_parsing_it_raises_nothing() -> None:
--- a/tests/unit/testing/cluster/test_evaluation.py
+++ b/tests/unit/testing/cluster/test_evaluation.py
@@ -64,16 +64,19 @@
             ],
             "",
         ),
-        ([*SUBMITTED_AND_SENT, SECOND_ATTEMPT, *EXECUTED_AND_ANSWERED], "two attempts out"),
-        ([*SUBMITTED_AND_SENT, CANCELLED, SECOND_ATTEMPT, *EXECUTED_AND_ANSWERED], "sent again though"),
+        ([*SUBMITTED_AND_SENT, SECOND_ATTEMPT, *EXECUTED_AND_ANSWERED], "two attempts in flight"),
+        (
+            [*SUBMITTED_AND_SENT, CANCELLED, SECOND_ATTEMPT, *EXECUTED_AND_ANSWERED],
+            "retried although it may have been executed",
+        ),
         (
             [*SUBMITTED_AND_SENT, *EXECUTED_AND_ANSWERED, AttemptSent(99.0, CALL_ID, 1, 97.0)],
-            "sent after its final answer",
+            "sent to a worker after its final answer",
         ),
         ([*SUBMITTED_AND_SENT, *EXECUTED_AND_ANSWERED, EXECUTED_AND_ANSWERED[1]], "2 final answers"),
-        ([*SUBMITTED_AND_SENT, EXECUTED_AND_ANSWERED[1]], "what no worker made"),
+        ([*SUBMITTED_AND_SENT, EXECUTED_AND_ANSWERED[1]], "a body that no worker produced"),
         ([*SUBMITTED_AND_SENT, EXECUTED_AND_ANSWERED[0]], "no final answer"),
-        ([*SUBMITTED_AND_SENT, EXECUTED_AND_ANSWERED[0], LATE_ANSWER], "ms late"),
+        ([*SUBMITTED_AND_SENT, EXECUTED_AND_ANSWERED[0], LATE_ANSWER], "ms after its deadline"),
     ],
 )
 def test_the_evaluation_finds_each_broken_rule_in_the_recordings(
@@ -130,9 +133,11 @@
     """Router 1 is sent no list and counts as knowing of the drain 1.5 s after its start."""
     assert drain_violations((1600.0, 0), (3000.0, 1)) == []
     assert drain_violations((1800.0, 0)) == ["drain"]
-    assert drain_violations((3200.0, 1)) == ["drain"], "notified by the time that has passed"
+    assert drain_violations((3200.0, 1)) == ["drain"], "router 1 counts as knowing of the drain after 1.5 s"
     restarted: tuple[Fact, ...] = (ListSent(1100.0, 0), RouterStarted(2000.0, 0))
-    assert drain_violations((2400.0, 0), notices=restarted) == [], "its configuration has the worker as ready"
+    assert drain_violations((2400.0, 0), notices=restarted) == [], (
+        "the configuration lists the worker as ready"
+    )
 
 
 def test_a_time_limit_longer_than_the_client_has_left_is_a_violation() -> None:
--- a/tests/unit/testing/cluster/test_network.py
+++ b/tests/unit/testing/cluster/test_network.py
@@ -38,8 +38,10 @@
     assert max(reordered_ms) <= MAX_REORDER_DELAY_MS
     assert all(delays == [] for delays in delays_ms[400:500])
     network = Network(parse_scenario({"fault": faults}).faults, 7)
-    assert network.datagram_delays_ms(4500.0, router(1), router(0)) == [0.0], "it is cut one way only"
-    assert network.stream_delay_ms(4500.0, worker(3), router(2)) == 500.0, "bytes come once the cut is over"
+    assert network.datagram_delays_ms(4500.0, router(1), router(0)) == [0.0], "the partition is one-way"
+    assert network.stream_delay_ms(4500.0, worker(3), router(2)) == 500.0, (
+        "bytes arrive when the partition ends"
+    )
     assert network.stream_delay_ms(5000.0, router(2), worker(3)) == 0.0
 
 
--- a/tests/unit/testing/cluster/test_scenario_file.py
+++ b/tests/unit/testing/cluster/test_scenario_file.py
@@ -17,22 +17,28 @@
 @pytest.mark.parametrize(
     ("document", "expected_text"),
     [
-        ({"router": 3}, "router: no such key"),
-        ({"routers": "3"}, "routers: '3' is no int"),
-        ({"routers": True}, "routers: True is no int"),
-        ({"rate": -1.0}, "rate: -1.0 is below zero"),
+        ({"router": 3}, "router: unknown key"),
+        ({"routers": "3"}, "routers: '3' is not of type int"),
+        ({"routers": True}, "routers: True is not of type int"),
+        ({"rate": -1.0}, "rate: -1.0 is negative"),
         ({"runners": 0}, "runners: must be above zero"),
-        ({"plant": "weeds"}, "plant: 'weeds' is none of chance"),
+        ({"plant": "weeds"}, "plant: 'weeds' is not one of chance"),
         ({"fault": [{"kind": "flood", "who": "router"}]}, "fault 1: kind 'flood'"),
         ({"fault": [{"kind": "cut", "who": "router"}]}, "fault 1: cut needs `to`"),
         ({"tenants": "hydro 0.7, steel 0.4"}, "tenants: 'hydro 0.7, steel 0.4'"),
-        ({"fault": [{"kind": "kill", "who": "runner:1"}]}, "fault 1: kill is done at a router"),
-        ({"fault": [{"kind": "disk", "who": "router:1", "what": "odd"}]}, "fault 1: what 'odd' is none of"),
-        ({"fault": [{"kind": "declare", "who": "router:1"}]}, "fault 1: router:1 has no file"),
+        ({"fault": [{"kind": "kill", "who": "runner:1"}]}, "fault 1: kill applies to a router"),
+        (
+            {"fault": [{"kind": "disk", "who": "router:1", "what": "odd"}]},
+            "fault 1: what 'odd' is not one of",
+        ),
+        (
+            {"fault": [{"kind": "declare", "who": "router:1"}]},
+            "fault 1: router:1 has no initial fleet config",
+        ),
         ({"fault": [{"kind": "kill", "who": "router:99"}]}, "fault 1: who: 'router:99' is outside 0 to 23"),
-        ({"fault": [{"kind": "kill", "who": "all"}]}, "fault 1: who: 'all' is not like"),
+        ({"fault": [{"kind": "kill", "who": "all"}]}, "fault 1: who: 'all' must have the form"),
         ({"fault": [{"kind": "kill", "who": "router", "at": 5, "until": 5}]}, "fault 1: at 5 and until 5"),
-        ({"fault": [{"kind": "kill", "who": "router", "when": 5}]}, "fault 1: no such key: when"),
+        ({"fault": [{"kind": "kill", "who": "router", "when": 5}]}, "fault 1: unknown key: when"),
     ],
 )
 def test_a_scenario_error_names_the_place_and_the_mistake(
--- a/tests/unit/testing/cluster/test_scenario_sets.py
+++ b/tests/unit/testing/cluster/test_scenario_sets.py
@@ -73,13 +73,13 @@
     load_balance = make_result().load_balance
     result_by_failing = {
         "void": make_result(lag_ms=100.0),
-        "herd": make_result(
+        "hotspot": make_result(
             load_balance=dataclasses.replace(load_balance, hotspots=(Hotspot(1000.0, 3, 50, 9.0),))
         ),
         "idle for 2500": make_result(load_balance=dataclasses.replace(load_balance, longest_idle_ms=2500.0)),
         "peak-to-mean 1.70": make_result(load_balance=dataclasses.replace(load_balance, peak_to_mean=1.7)),
         "0.50 of the calls": make_result(answers={"served": 500, "refused": 500}),
-        "two attempts": make_result(violations=["attempts: two attempts out"]),
+        "two attempts": make_result(violations=["attempts: two attempts in flight"]),
     }
     for text, result in result_by_failing.items():
         assert [text in failing for failing in load_spread.failings(result)] == [True]
@@ -125,7 +125,7 @@
         "not reached": dataclasses.replace(
             good, facts=[fact for fact in good.facts if fact.at_ms < 10_000.0]
         ),
-        "two attempts": dataclasses.replace(good, violations=["attempts: two attempts out"]),
+        "two attempts": dataclasses.replace(good, violations=["attempts: two attempts in flight"]),
     }
     for text, result in result_by_failing.items():
         assert [text in failing for failing in mass_restart.failings(result, [undisturbed])] == [True]
--- a/tests/unit/testing/cluster/test_service_levels.py
+++ b/tests/unit/testing/cluster/test_service_levels.py
@@ -20,5 +20,5 @@
     assert time_to_full_service(rates, 5.5, undisturbed_rate=20.0) == 3.5
     assert time_to_full_service(rates, 5.5, undisturbed_rate=22.0) is None
     assert time_to_full_service(rates[:60], 5.5, undisturbed_rate=20.0, stable_s=9.0) is None, (
-        "it must stay so"
+        "full service must last for ``stable_s``"
     )
--- a/tests/unit/testing/test_load_balance.py
+++ b/tests/unit/testing/test_load_balance.py
@@ -76,7 +76,7 @@
     assert hotspot.arrivals >= 50
     assert hotspot.fair_share < 20.0
     four_calls = [worker_call(3, 2000.0 + number, 2000.0, 2001.0) for number in range(4)]
-    assert not measure(four_calls, workers, 0.0, 4000.0, 1).hotspots, "four calls alone are chance"
+    assert not measure(four_calls, workers, 0.0, 4000.0, 1).hotspots, "four calls alone are within chance"
 
 
 def test_excess_loads_are_those_beyond_the_instances_needed_at_the_same_time() -> None:
