--- a/cedarthread/testing/cluster/arrivals.py
+++ b/cedarthread/testing/cluster/arrivals.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-from cedarthread.testing.cluster.scenario import FaultKind, Scenario, SubjectKind
+from cedarthread.testing.cluster.scenario import FaultKind, NodeKind, Scenario
 from cedarthread.testing.cluster.scenario_file import tenant_shares
 
 
@@ -65,6 +65,6 @@
     """Return the share of a router's calls that go to the hot function; None where no fault makes one hot."""
     for fault in scenario.faults:
         is_hot = fault.kind is FaultKind.HOT_FUNCTION and fault.is_active(now_ms / 1000.0)
-        if is_hot and fault.subjects.includes(SubjectKind.ROUTER, router):
+        if is_hot and fault.targets.includes(NodeKind.ROUTER, router):
             return fault.amount
     return None
--- a/cedarthread/testing/cluster/cli.py
+++ b/cedarthread/testing/cluster/cli.py
@@ -95,9 +95,9 @@
     results = run_scenarios(scenario_set, scenarios, options["--out"])
     has_failed = False
     for index, result in enumerate(results):
-        for failing in scenario_set.failings(result, results[:index]):
+        for failed_check in scenario_set.failed_checks(result, results[:index]):
             has_failed = True
-            print(f"{result.scenario_name}: {failing}")
+            print(f"{result.scenario_name}: {failed_check}")
     if any(result.is_void for result in results):
         print("the harness was late: the results of runs in which it was late are void")
         return EXIT_FAILED if has_failed else EXIT_USAGE
@@ -118,11 +118,11 @@
 
 def run_scenarios(scenario_set: ScenarioSet, scenarios: Iterable[Scenario], out: str | None) -> list[Result]:
     """Run scenarios one after another, and print a line of the table after each."""
-    print(scenario_set.HEAD, scenario_set.RULE, sep="\n", flush=True)
+    print(scenario_set.TABLE_HEADER, scenario_set.TABLE_SEPARATOR, sep="\n", flush=True)
     results = []
     for scenario in scenarios:
         result = asyncio.run(_run_until_interrupted(scenario))
-        print(scenario_set.row(result), flush=True)
+        print(scenario_set.table_row(result), flush=True)
         results.append(result)
         if out is not None:
             _write_result(result, Path(out))
--- a/cedarthread/testing/cluster/endpoint_timeline.py
+++ b/cedarthread/testing/cluster/endpoint_timeline.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from cedarthread.testing.cluster.scenario import Fault, FaultKind, Scenario, SubjectKind
+from cedarthread.testing.cluster.scenario import Fault, FaultKind, NodeKind, Scenario
 from cedarthread.testing.fakes.discovery_server import ListedWorker
 
 if TYPE_CHECKING:
@@ -73,8 +73,8 @@
         return frozenset(
             worker
             for fault in faults
-            if fault.is_active(now_s) and fault.affects_peer(SubjectKind.ROUTER, router)
-            for worker in fault.subjects.numbers
+            if fault.is_active(now_s) and fault.affects_peer(NodeKind.ROUTER, router)
+            for worker in fault.targets.numbers
         )
 
     def _listed(self, now_s: float, worker: int, *, is_draining: bool) -> ListedWorker:
@@ -86,6 +86,6 @@
         restarts = [
             fault.end_s
             for fault in self.crash_faults
-            if fault.end_s + LISTING_DELAY_S <= now_s and fault.subjects.includes(SubjectKind.WORKER, worker)
+            if fault.end_s + LISTING_DELAY_S <= now_s and fault.targets.includes(NodeKind.WORKER, worker)
         ]
         return 1000.0 * (1.0 + max(restarts)) if restarts else 0.0
--- a/cedarthread/testing/cluster/evaluation.py
+++ b/cedarthread/testing/cluster/evaluation.py
@@ -11,7 +11,7 @@
 from cedarthread.testing.cluster.policy_replay import POLICIES, PolicyReplay
 from cedarthread.testing.cluster.recordings import Recording, merge_recordings
 from cedarthread.testing.cluster.result import DatagramCounts, FaultSpan, Result
-from cedarthread.testing.cluster.scenario import FaultKind, Scenario, SubjectKind
+from cedarthread.testing.cluster.scenario import FaultKind, NodeKind, Scenario
 from cedarthread.testing.cluster.service_levels import peak_count, value_rates
 from cedarthread.testing.load_balance import (
     LoadBalanceMetrics,
@@ -126,7 +126,7 @@
             fault
             for fault in scenario.faults
             if fault.kind in (FaultKind.CRASH_WORKER, FaultKind.SILENCE_WORKER)
-            and fault.subjects.includes(SubjectKind.WORKER, number)
+            and fault.targets.includes(NodeKind.WORKER, number)
         ]
         ready = []
         ready_since_ms = 0.0
--- a/cedarthread/testing/cluster/fact_reader.py
+++ b/cedarthread/testing/cluster/fact_reader.py
@@ -25,7 +25,7 @@
     router_of,
 )
 from cedarthread.testing.cluster.network import Network
-from cedarthread.testing.cluster.scenario import FaultKind, Scenario, Subject, SubjectKind
+from cedarthread.testing.cluster.scenario import FaultKind, Node, NodeKind, Scenario
 from cedarthread.testing.cluster.service_levels import ServedValue
 from cedarthread.testing.fakes.worker_server import response_body
 from cedarthread.testing.invariants import (
@@ -43,12 +43,12 @@
 HARNESS_SLACK_MS = 60.0  # Maximum delay of a fake in reading bytes that a router sent in time.
 # A router counts as knowing a change of its endpoint list this long after the change, even if no reply with
 # the change arrived, as the figures of PROTOCOL specify.
-NOTICE_LIMIT_MS = 7000.0
+MAX_PROPAGATION_MS = 7000.0
 # The same limit if no fault disturbs the router's discovery queries, as PROTOCOL specifies. The router's
 # process may still be paused.
-PROMPT_NOTICE_MS = 1500.0
-RESUME_S = 0.3  # Time from the end of a pause until the process has queried discovery.
-HAMPERING_FAULTS = (
+MAX_UNDISTURBED_PROPAGATION_MS = 1500.0
+RESUME_TO_QUERY_S = 0.3  # Time from the end of a pause until the process has queried discovery.
+DISCOVERY_DISTURBANCES = (
     FaultKind.LOSE,
     FaultKind.DELAY,
     FaultKind.PARTITION,
@@ -73,7 +73,7 @@
 UNANSWERED_REMARKS = ("shed", "spawn_failed", "lost")  # Remarks of attempts that produced no body.
 
 
-class _Notice(NamedTuple):
+class _PropagationDeadline(NamedTuple):
     """A change of a router's endpoint list, and when the router counts as knowing it without any reply."""
 
     at_ms: float
@@ -112,7 +112,7 @@
         self.list_timeline = EndpointListTimeline(scenario, [0] * scenario.worker_count)
         self._list_known_as_of_ms = [-math.inf] * scenario.router_count  # Time of the latest list, by router.
         self.scenario = scenario
-        self._pending_notices = self._notices()
+        self._pending_deadlines = self._propagation_deadlines()
         self.answers: Counter[str] = Counter()
         self.answers_by_tenant: defaultdict[str, Counter[str]] = defaultdict(Counter)
         self.served: list[ServedValue] = []
@@ -138,7 +138,7 @@
     def read(self, facts: Iterable[Fact]) -> None:
         """Read all facts, which must be in order of time."""
         for fact in facts:
-            self._notice_changes(fact.at_ms)
+            self._apply_propagation_deadlines(fact.at_ms)
             self._handlers[type(fact)](fact)
 
     def _on_list_sent(self, fact: ListSent) -> None:
@@ -172,52 +172,56 @@
         for worker, state in self.list_timeline.states_at(as_of_ms, router).items():
             self.checker.on_worker_state(at_ms, worker + 1, state, router=router)
 
-    def _notice_changes(self, now_ms: float) -> None:
+    def _apply_propagation_deadlines(self, now_ms: float) -> None:
         """Report to the invariant checker the list changes that count as known by now."""
-        while self._pending_notices and self._pending_notices[0].at_ms <= now_ms:
-            notice = self._pending_notices.pop(0)
-            if self._list_known_as_of_ms[notice.router] >= notice.changed_at_ms:
+        while self._pending_deadlines and self._pending_deadlines[0].at_ms <= now_ms:
+            deadline = self._pending_deadlines.pop(0)
+            if self._list_known_as_of_ms[deadline.router] >= deadline.changed_at_ms:
                 continue  # The router's latest list contains this change and perhaps later ones.
-            for worker, state in self.list_timeline.states_at(notice.changed_at_ms, notice.router).items():
+            for worker, state in self.list_timeline.states_at(
+                deadline.changed_at_ms, deadline.router
+            ).items():
                 if state != "ready":
-                    self.checker.on_worker_state(notice.at_ms, worker + 1, state, router=notice.router)
+                    self.checker.on_worker_state(deadline.at_ms, worker + 1, state, router=deadline.router)
 
-    def _notices(self) -> list[_Notice]:
+    def _propagation_deadlines(self) -> list[_PropagationDeadline]:
         """Return, in order of time, when each router counts as knowing each list change at the latest."""
         return sorted(
-            _Notice(changed_at_ms + self._notice_limit_ms(router, changed_at_ms), router, changed_at_ms)
+            _PropagationDeadline(
+                changed_at_ms + self._max_propagation_ms(router, changed_at_ms), router, changed_at_ms
+            )
             for changed_at_ms in (1000.0 * at_s for at_s in self.list_timeline.change_times_s)
             for router in range(self.scenario.router_count)
         )
 
-    def _notice_limit_ms(self, router: int, changed_at_ms: float) -> float:
+    def _max_propagation_ms(self, router: int, changed_at_ms: float) -> float:
         """Return the time from a list change until a router counts as knowing the change.
 
-        This is ``NOTICE_LIMIT_MS`` if a fault disturbed the router's discovery queries or the router was
-        restarted, else ``PROMPT_NOTICE_MS``.
+        This is ``MAX_PROPAGATION_MS`` if a fault disturbed the router's discovery queries or the router was
+        restarted, else ``MAX_UNDISTURBED_PROPAGATION_MS``.
         """
         since_s = changed_at_ms / 1000.0
-        until_s = (changed_at_ms + PROMPT_NOTICE_MS) / 1000.0
+        until_s = (changed_at_ms + MAX_UNDISTURBED_PROPAGATION_MS) / 1000.0
         resumed_s = [
-            fault.end_s + RESUME_S
+            fault.end_s + RESUME_TO_QUERY_S
             for fault in self.scenario.faults
             if fault.kind is FaultKind.PAUSE_ROUTER
-            and fault.subjects.includes(SubjectKind.ROUTER, router)
+            and fault.targets.includes(NodeKind.ROUTER, router)
             and fault.start_s < until_s
             and fault.end_s > since_s
         ]
         until_s = max((until_s, *resumed_s))  # A paused router can query only after it resumes.
-        is_hampered = any(
+        is_disturbed = any(
             fault.start_s < until_s
-            and fault.end_s > since_s - PROMPT_NOTICE_MS / 1000.0
+            and fault.end_s > since_s - MAX_UNDISTURBED_PROPAGATION_MS / 1000.0
             and (
-                fault.subjects.includes(SubjectKind.ROUTER, router)
-                or fault.subjects.includes(SubjectKind.DISCOVERY, router)
+                fault.targets.includes(NodeKind.ROUTER, router)
+                or fault.targets.includes(NodeKind.DISCOVERY, router)
             )
             for fault in self.scenario.faults
-            if fault.kind in HAMPERING_FAULTS
+            if fault.kind in DISCOVERY_DISTURBANCES
         )
-        return NOTICE_LIMIT_MS if is_hampered else PROMPT_NOTICE_MS
+        return MAX_PROPAGATION_MS if is_disturbed else MAX_UNDISTURBED_PROPAGATION_MS
 
     def latency_ms(self, percentiles: Sequence[float]) -> dict[str, float]:
         """Return the latency of served calls by the name of the percentile."""
@@ -236,7 +240,7 @@
             self.latency_us.record_value(max(1, int(1000.0 * (fact.at_ms - call.at_ms))))
 
     def _on_attempt_sent(self, fact: AttemptSent) -> None:
-        router = Subject(SubjectKind.ROUTER, router_of(fact.call_id))
+        router = Node(NodeKind.ROUTER, router_of(fact.call_id))
         for attempt in self._attempts[fact.call_id]:
             if attempt.record.is_in_flight and self._may_miss_cancellation(
                 fact.at_ms, router, attempt.worker
@@ -255,13 +259,13 @@
         if self._cancelled_at_ms.get((fact.call_id, fact.worker), -1.0) >= fact.sent_at_ms:
             self.checker.on_attempt_ended(record, may_have_executed=True)
 
-    def _may_miss_cancellation(self, now_ms: float, router: Subject, worker: int) -> bool:
+    def _may_miss_cancellation(self, now_ms: float, router: Node, worker: int) -> bool:
         """Return whether a worker may have missed a router's cancellation because of a fault."""
         is_faulty = any(
-            fault.is_active(now_ms / 1000.0) and fault.subjects.includes(SubjectKind.WORKER, worker)
+            fault.is_active(now_ms / 1000.0) and fault.targets.includes(NodeKind.WORKER, worker)
             for fault in self.worker_faults
         )
-        return is_faulty or self.network.is_disturbed(now_ms, router, Subject(SubjectKind.WORKER, worker))
+        return is_faulty or self.network.is_disturbed(now_ms, router, Node(NodeKind.WORKER, worker))
 
     def _on_attempt_ended(self, fact: AttemptEnded) -> None:
         if fact.remark not in UNANSWERED_REMARKS:
--- a/cedarthread/testing/cluster/fake_clients.py
+++ b/cedarthread/testing/cluster/fake_clients.py
@@ -23,7 +23,7 @@
 from cedarthread.testing.cluster.plan import CALL_DEADLINE_MS, ClusterPlan
 from cedarthread.testing.cluster.process_base import Command, FakeProcess
 from cedarthread.testing.cluster.recordings import DiscoveryQuery
-from cedarthread.testing.cluster.scenario import Fault, FaultKind, Subject, SubjectKind
+from cedarthread.testing.cluster.scenario import Fault, FaultKind, Node, NodeKind
 from cedarthread.testing.fakes.client import FakeClient, pack_call, pack_health_check
 from cedarthread.testing.fakes.discovery_server import FakeDiscoveryServer
 
@@ -113,7 +113,7 @@
         return any(
             fault.start_s + margin_s <= now_s < fault.end_s
             for fault in self.discovery_faults
-            if fault.kind is FaultKind.MOVE_DISCOVERY and fault.subjects.includes(SubjectKind.ROUTER, router)
+            if fault.kind is FaultKind.MOVE_DISCOVERY and fault.targets.includes(NodeKind.ROUTER, router)
         )
 
     def _reply(
@@ -126,14 +126,14 @@
         faults = [
             fault
             for fault in self.discovery_faults
-            if fault.is_active(now_ms / 1000.0) and fault.subjects.includes(SubjectKind.DISCOVERY, router)
+            if fault.is_active(now_ms / 1000.0) and fault.targets.includes(NodeKind.DISCOVERY, router)
         ]
         if any(fault.kind is FaultKind.SILENCE_DISCOVERY for fault in faults):
             return
         self.record(ListSent(now_ms, router))
-        router_subject = Subject(SubjectKind.ROUTER, router)
-        discovery_subject = Subject(SubjectKind.DISCOVERY, router)
-        for delay_ms in self.network.datagram_delays_ms(now_ms, router_subject, discovery_subject):
+        router_node = Node(NodeKind.ROUTER, router)
+        discovery_node = Node(NodeKind.DISCOVERY, router)
+        for delay_ms in self.network.datagram_delays_ms(now_ms, router_node, discovery_node):
             reply = make_reply()
             corruptions = [fault for fault in faults if fault.kind is FaultKind.CORRUPT_DISCOVERY]
             if any(self.rng.random() < fault.amount for fault in corruptions):
@@ -155,7 +155,7 @@
 
         def on_answer(number: int, result: str, body: bytes) -> None:
             delay_ms = self.network.stream_delay_ms(
-                self.now_ms(), Subject(SubjectKind.ROUTER, router), Subject(SubjectKind.CLIENT, router)
+                self.now_ms(), Node(NodeKind.ROUTER, router), Node(NodeKind.CLIENT, router)
             )
             self.call_after(delay_ms, lambda: self._on_answer(router, number, result, body))
 
@@ -188,12 +188,12 @@
         now_s = self.now_ms() / 1000.0
         return any(
             fault.kind is FaultKind.TERMINATE_ROUTER
-            and fault.subjects.includes(SubjectKind.ROUTER, router)
+            and fault.targets.includes(NodeKind.ROUTER, router)
             and fault.start_s <= now_s < fault.end_s
             for fault in self.scenario.faults
         ) and not any(
             fault.kind in (FaultKind.KILL_ROUTER, FaultKind.RESTART_ROUTER)
-            and fault.subjects.includes(SubjectKind.ROUTER, router)
+            and fault.targets.includes(NodeKind.ROUTER, router)
             and fault.start_s - 1.0 <= now_s < fault.end_s
             for fault in self.scenario.faults
         )
@@ -204,7 +204,7 @@
             self.record(CallAbandoned(self.now_ms(), call_id))
         self.pending_calls[router].clear()
 
-    async def _leave(self, router: int) -> None:
+    async def _reconnect_client(self, router: int) -> None:
         """Close the connection to a router while calls are pending, and open another one."""
         client = self.clients.pop(router, None)
         if client is None or client.transport is None:
@@ -251,7 +251,7 @@
         self.pending_calls[router][number] = call_id
         self.submitted_at_ms[call_id] = now_ms
         delay_ms = self.network.stream_delay_ms(
-            now_ms, Subject(SubjectKind.CLIENT, router), Subject(SubjectKind.ROUTER, router)
+            now_ms, Node(NodeKind.CLIENT, router), Node(NodeKind.ROUTER, router)
         )
         self.call_after(delay_ms, lambda: client.send(data))
 
@@ -267,18 +267,18 @@
         return client is not None and client.transport is not None
 
     async def run_fault(self, fault: Fault) -> None:
-        """Close connections at ``LEAVE``; abandon the calls of a paused router shortly before it resumes."""
-        if fault.kind is FaultKind.LEAVE:
+        """Reconnect clients, or abandon the calls of a paused router shortly before it resumes."""
+        if fault.kind is FaultKind.RECONNECT_CLIENT:
             await self.wait_until(fault.start_s)
-            leaving = (router for router in fault.subjects.numbers if router in self.routers)
-            await asyncio.gather(*map(self._leave, leaving))
+            leaving = (router for router in fault.targets.numbers if router in self.routers)
+            await asyncio.gather(*map(self._reconnect_client, leaving))
         if fault.kind is not FaultKind.PAUSE_ROUTER:
             return
         end_s = self.scenario.end_s
         resumes_s = fault.end_s if fault.end_s < end_s else end_s + CALL_DEADLINE_MS / 1000.0
         await self.wait_until(resumes_s - ABANDON_BEFORE_RESUME_S)
         for router in self.routers:
-            if fault.subjects.includes(SubjectKind.ROUTER, router):
+            if fault.targets.includes(NodeKind.ROUTER, router):
                 self.abandon_calls(router)
 
 
--- a/cedarthread/testing/cluster/fake_workers.py
+++ b/cedarthread/testing/cluster/fake_workers.py
@@ -8,7 +8,7 @@
 from cedarthread.testing.cluster.policy_replay import worker_models
 from cedarthread.testing.cluster.process_base import FakeProcess
 from cedarthread.testing.cluster.recordings import AcceptedConnection, Placement, Recording
-from cedarthread.testing.cluster.scenario import Fault, FaultKind, Subject, SubjectKind
+from cedarthread.testing.cluster.scenario import Fault, FaultKind, Node, NodeKind
 from cedarthread.testing.fakes.worker_server import Deliver, FakeWorkerServer
 
 if TYPE_CHECKING:
@@ -49,11 +49,11 @@
             await server.start()
 
     def _deliver_for(self, worker: int) -> Deliver:
-        worker_subject = Subject(SubjectKind.WORKER, worker)
+        worker_node = Node(NodeKind.WORKER, worker)
 
         def deliver(call_id: str, is_to_worker: bool, callback: Callable[[], None]) -> None:
-            router = Subject(SubjectKind.ROUTER, router_of(call_id))
-            source, destination = (router, worker_subject) if is_to_worker else (worker_subject, router)
+            router = Node(NodeKind.ROUTER, router_of(call_id))
+            source, destination = (router, worker_node) if is_to_worker else (worker_node, router)
             delay_ms = self.network.stream_delay_ms(self.now_ms(), source, destination)
             self.call_after(max(delay_ms, ROUTER_TO_WORKER_MS) if is_to_worker else delay_ms, callback)
 
@@ -96,7 +96,7 @@
         """Crash, restart, slow down or silence workers, or reset their connections."""
         if fault.kind not in WORKER_FAULTS:
             return
-        servers = [self.servers[number] for number in fault.subjects.numbers]
+        servers = [self.servers[number] for number in fault.targets.numbers]
         await self.wait_until(fault.start_s)
         for server in servers:
             if fault.kind is FaultKind.CRASH_WORKER:
--- a/cedarthread/testing/cluster/network.py
+++ b/cedarthread/testing/cluster/network.py
@@ -1,11 +1,11 @@
-"""Simulated network paths between two processes, determined by the faults and a seed. Times are ms."""
+"""Simulated network paths between two nodes, determined by the faults and a seed. Times are ms."""
 
 from __future__ import annotations
 
 import random
 from typing import TYPE_CHECKING
 
-from cedarthread.testing.cluster.scenario import NETWORK_FAULTS, Fault, FaultKind, Subject
+from cedarthread.testing.cluster.scenario import NETWORK_FAULTS, Fault, FaultKind, Node
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
@@ -27,17 +27,17 @@
         self.rng = random.Random(seed)
         self.faults = [fault for fault in faults if fault.kind in NETWORK_FAULTS]
 
-    def _active_faults(self, now_ms: float, source: Subject, destination: Subject) -> Iterator[Fault]:
+    def _active_faults(self, now_ms: float, source: Node, destination: Node) -> Iterator[Fault]:
         for fault in self.faults:
             if not fault.is_active(now_ms / 1000.0) or fault.peers is None:
                 continue
-            is_forward = fault.subjects.includes(*source) and fault.peers.includes(*destination)
-            is_backward = fault.subjects.includes(*destination) and fault.peers.includes(*source)
+            is_forward = fault.targets.includes(*source) and fault.peers.includes(*destination)
+            is_backward = fault.targets.includes(*destination) and fault.peers.includes(*source)
             if is_forward or (is_backward and not fault.is_one_way):
                 yield fault
 
-    def is_disturbed(self, now_ms: float, source: Subject, destination: Subject) -> bool:
-        """Return whether bytes of a stream between two processes may be late now.
+    def is_disturbed(self, now_ms: float, source: Node, destination: Node) -> bool:
+        """Return whether bytes of a stream between two nodes may be late now.
 
         This draws no random number, so that the evaluation does not change the random sequence of a run.
         """
@@ -45,7 +45,7 @@
         kinds |= {fault.kind for fault in self._active_faults(now_ms, destination, source)}
         return bool(kinds & STREAM_DISTURBANCES)
 
-    def datagram_delays_ms(self, now_ms: float, source: Subject, destination: Subject) -> list[float]:
+    def datagram_delays_ms(self, now_ms: float, source: Node, destination: Node) -> list[float]:
         """Return the delay of each copy of a datagram that arrives: an empty list if the datagram is lost."""
         delays = [0.0]
         for fault in self._active_faults(now_ms, source, destination):
@@ -61,7 +61,7 @@
                 delays = [delay + self.rng.uniform(0.0, MAX_REORDER_DELAY_MS) for delay in delays]
         return delays
 
-    def stream_delay_ms(self, now_ms: float, source: Subject, destination: Subject) -> float:
+    def stream_delay_ms(self, now_ms: float, source: Node, destination: Node) -> float:
         """Return the delay of bytes on a stream.
 
         In a partition or a stall the bytes arrive when the fault ends, because TCP retransmits them.
--- a/cedarthread/testing/cluster/peer_relays.py
+++ b/cedarthread/testing/cluster/peer_relays.py
@@ -8,7 +8,7 @@
 
 from cedarthread.testing.cluster.plan import router_host
 from cedarthread.testing.cluster.recordings import PeerDatagram
-from cedarthread.testing.cluster.scenario import Subject, SubjectKind
+from cedarthread.testing.cluster.scenario import Node, NodeKind
 
 if TYPE_CHECKING:
     from cedarthread.testing.cluster.process_base import FakeProcess
@@ -60,7 +60,7 @@
         message_type = data[0] if data else 0
         process.recording.peer_datagrams.append(PeerDatagram(now_ms, sender, message_type, len(data)))
         delays_ms = process.network.datagram_delays_ms(
-            now_ms, Subject(SubjectKind.ROUTER, sender), Subject(SubjectKind.ROUTER, receiver)
+            now_ms, Node(NodeKind.ROUTER, sender), Node(NodeKind.ROUTER, receiver)
         )
         process.recording.datagram_counts["passed" if delays_ms else "dropped"] += max(1, len(delays_ms))
         for delay_ms in delays_ms:
--- a/cedarthread/testing/cluster/plan.py
+++ b/cedarthread/testing/cluster/plan.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterPlan:
-    """The scenario and the ports of all processes, as lists indexed by router number or worker number."""
+    """The scenario and the ports of all nodes, as lists indexed by router number or worker number."""
 
     scenario: Scenario
     client_process_count: int  # Number of processes that run clients, peer relays and discovery servers.
--- a/cedarthread/testing/cluster/policy_replay.py
+++ b/cedarthread/testing/cluster/policy_replay.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from cedarthread.testing.cluster.arrivals import Arrival
-from cedarthread.testing.cluster.scenario import Fault, FaultKind, Scenario, SubjectKind
+from cedarthread.testing.cluster.scenario import Fault, FaultKind, NodeKind, Scenario
 from cedarthread.testing.fakes.worker_model import PackageStore, WorkerCall, WorkerModel
 
 MAX_ATTEMPTS = 2  # The first attempt and one retry of a rejected call.
@@ -65,7 +65,7 @@
         events: list[_FaultEvent] = []
         for fault in self.scenario.faults:
             for number in range(self.scenario.worker_count):
-                if fault.subjects.includes(SubjectKind.WORKER, number):
+                if fault.targets.includes(NodeKind.WORKER, number):
                     events += self._fault_events(fault, number)
         heapq.heapify(events)
         for arrival in arrivals:
--- a/cedarthread/testing/cluster/router_files.py
+++ b/cedarthread/testing/cluster/router_files.py
@@ -12,7 +12,7 @@
 
 from cedarthread.testing.cluster.failing_sockets import SYSTEM_CALLS_CONTROL
 from cedarthread.testing.cluster.router_entry import CLOCK_CONTROL
-from cedarthread.testing.cluster.scenario import DISK_FAULTS, Scenario, SubjectKind
+from cedarthread.testing.cluster.scenario import DISK_FAULTS, NodeKind, Scenario
 from cedarthread.testing.cluster.scenario_file import fleet_config_routers, tenant_shares
 from cedarthread.testing.fakes.settings import SETTINGS
 
@@ -102,7 +102,7 @@
         self.set_clock()
         self.set_disk_fault()
         self.set_failing_system_calls()
-        has_fleet_config = fleet_config_routers(scenario).includes(SubjectKind.ROUTER, number)
+        has_fleet_config = fleet_config_routers(scenario).includes(NodeKind.ROUTER, number)
         if scenario.fleet_config and has_fleet_config:
             self.write_fleet_config(scenario.fleet_config, 0.0)
 
--- a/cedarthread/testing/cluster/router_processes.py
+++ b/cedarthread/testing/cluster/router_processes.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 from cedarthread.testing.cluster.router_files import RouterAddresses, RouterFiles
-from cedarthread.testing.cluster.scenario import Fault, FaultKind, Scenario, SubjectKind
+from cedarthread.testing.cluster.scenario import Fault, FaultKind, NodeKind, Scenario
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -56,11 +56,11 @@
             name: value for name, value in os.environ.items() if name != "PYTHONDONTWRITEBYTECODE"
         }
         self._environment["PYTHONPYCACHEPREFIX"] = str(folder / "compiled")
-        faulty = {fault.subjects for fault in scenario.faults if fault.kind in CONTROL_FILE_FAULTS}
+        faulty = {fault.targets for fault in scenario.faults if fault.kind in CONTROL_FILE_FAULTS}
         self.routers_with_control_files = {
             number
             for number in numbers
-            if any(subjects.includes(SubjectKind.ROUTER, number) for subjects in faulty)
+            if any(targets.includes(NodeKind.ROUTER, number) for targets in faulty)
         }
 
     def write_config(
--- a/cedarthread/testing/cluster/run.py
+++ b/cedarthread/testing/cluster/run.py
@@ -18,7 +18,7 @@
 from cedarthread.testing.cluster.process_handle import FakeProcessHandle
 from cedarthread.testing.cluster.router_files import RouterAddresses
 from cedarthread.testing.cluster.router_processes import RouterProcesses, reserve_port
-from cedarthread.testing.cluster.scenario import FAULT_SUBJECTS, Fault, FaultKind, Scenario, SubjectKind
+from cedarthread.testing.cluster.scenario import FAULT_TARGET_KINDS, Fault, FaultKind, NodeKind, Scenario
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -163,9 +163,9 @@
         self.cpu_at_warm_up_s = sum(map(self.routers.cpu_seconds, range(self.scenario.router_count)))
 
     async def _run_fault(self, fault: Fault) -> None:
-        if FAULT_SUBJECTS.get(fault.kind) is not SubjectKind.ROUTER:
+        if FAULT_TARGET_KINDS.get(fault.kind) is not NodeKind.ROUTER:
             return
-        numbers = fault.subjects.numbers
+        numbers = fault.targets.numbers
         await self._wait_until(fault.start_s)
         for number in numbers:
             self.routers.begin_fault(fault, number)
--- a/cedarthread/testing/cluster/scenario.py
+++ b/cedarthread/testing/cluster/scenario.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 
-class SubjectKind(StrEnum):
-    """The kind of process that a fault targets or a network path connects."""
+class NodeKind(StrEnum):
+    """The kind of a node: a party of the run that a fault targets or a network path connects."""
 
     ROUTER = "router"
     WORKER = "runner"
@@ -22,7 +22,7 @@
 class FaultKind(StrEnum):
     """The kind of a fault. ``amount`` and ``text`` below are fields of ``Fault``."""
 
-    # Faults on the paths between ``subjects`` and ``peers``, in both directions unless ``is_one_way``.
+    # Faults on the paths between ``targets`` and ``peers``, in both directions unless ``is_one_way``.
     # ``amount``: share of datagrams that are lost, and of writes to streams that are retransmitted.
     LOSE = "loss"
     DELAY = "delay"  # ``amount``: delay in ms.
@@ -56,7 +56,7 @@
     DRAIN_WORKER = "drain"  # The endpoint lists of the peers show the worker as draining.
     RESET_CONNECTIONS = "reset"  # All open connections are reset at the start of the fault.
     # Faults at clients.
-    LEAVE = "leave"  # The client closes its connection and opens another one.
+    RECONNECT_CLIENT = "leave"  # The client closes its connection and opens another one.
     # Faults at discovery servers.
     SILENCE_DISCOVERY = "mute"
     CORRUPT_DISCOVERY = "spoilt"  # ``amount``: share of the replies that are corrupted.
@@ -70,29 +70,29 @@
     FaultKind.PARTITION,
     FaultKind.STALL,
 )
-FAULT_SUBJECTS = {  # Kind of the processes that each fault outside NETWORK_FAULTS applies to.
-    FaultKind.KILL_ROUTER: SubjectKind.ROUTER,
-    FaultKind.PAUSE_ROUTER: SubjectKind.ROUTER,
-    FaultKind.TERMINATE_ROUTER: SubjectKind.ROUTER,
-    FaultKind.MOVE_DISCOVERY: SubjectKind.ROUTER,
-    FaultKind.SYSTEM_CALLS: SubjectKind.ROUTER,
-    FaultKind.RESTART_ROUTER: SubjectKind.ROUTER,
-    FaultKind.SHIFT_CLOCK: SubjectKind.ROUTER,
-    FaultKind.CLOCK_RATE: SubjectKind.ROUTER,
-    FaultKind.DISK: SubjectKind.ROUTER,
-    FaultKind.FLEET_CONFIG: SubjectKind.ROUTER,
-    FaultKind.RELOAD_SETTINGS: SubjectKind.ROUTER,
-    FaultKind.HOT_FUNCTION: SubjectKind.ROUTER,
-    FaultKind.BURST: SubjectKind.ROUTER,
-    FaultKind.CRASH_WORKER: SubjectKind.WORKER,
-    FaultKind.SLOW_WORKER: SubjectKind.WORKER,
-    FaultKind.SILENCE_WORKER: SubjectKind.WORKER,
-    FaultKind.HIDE_WORKER: SubjectKind.WORKER,
-    FaultKind.DRAIN_WORKER: SubjectKind.WORKER,
-    FaultKind.RESET_CONNECTIONS: SubjectKind.WORKER,
-    FaultKind.LEAVE: SubjectKind.CLIENT,
-    FaultKind.SILENCE_DISCOVERY: SubjectKind.DISCOVERY,
-    FaultKind.CORRUPT_DISCOVERY: SubjectKind.DISCOVERY,
+FAULT_TARGET_KINDS = {  # Kind of the targets of each fault outside NETWORK_FAULTS.
+    FaultKind.KILL_ROUTER: NodeKind.ROUTER,
+    FaultKind.PAUSE_ROUTER: NodeKind.ROUTER,
+    FaultKind.TERMINATE_ROUTER: NodeKind.ROUTER,
+    FaultKind.MOVE_DISCOVERY: NodeKind.ROUTER,
+    FaultKind.SYSTEM_CALLS: NodeKind.ROUTER,
+    FaultKind.RESTART_ROUTER: NodeKind.ROUTER,
+    FaultKind.SHIFT_CLOCK: NodeKind.ROUTER,
+    FaultKind.CLOCK_RATE: NodeKind.ROUTER,
+    FaultKind.DISK: NodeKind.ROUTER,
+    FaultKind.FLEET_CONFIG: NodeKind.ROUTER,
+    FaultKind.RELOAD_SETTINGS: NodeKind.ROUTER,
+    FaultKind.HOT_FUNCTION: NodeKind.ROUTER,
+    FaultKind.BURST: NodeKind.ROUTER,
+    FaultKind.CRASH_WORKER: NodeKind.WORKER,
+    FaultKind.SLOW_WORKER: NodeKind.WORKER,
+    FaultKind.SILENCE_WORKER: NodeKind.WORKER,
+    FaultKind.HIDE_WORKER: NodeKind.WORKER,
+    FaultKind.DRAIN_WORKER: NodeKind.WORKER,
+    FaultKind.RESET_CONNECTIONS: NodeKind.WORKER,
+    FaultKind.RECONNECT_CLIENT: NodeKind.CLIENT,
+    FaultKind.SILENCE_DISCOVERY: NodeKind.DISCOVERY,
+    FaultKind.CORRUPT_DISCOVERY: NodeKind.DISCOVERY,
 }
 # Faults of a disk. The index is the number in the control file, which persistence/fault_switch.py reads.
 DISK_FAULTS = (
@@ -110,28 +110,28 @@
 )
 
 
-class Subject(NamedTuple):
+class Node(NamedTuple):
     """One router, worker, client or discovery server."""
 
-    kind: SubjectKind
+    kind: NodeKind
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Subjects:
-    """A range of processes of one kind: ``router``, ``runner:3`` or ``client:0-11`` in a scenario file."""
+class NodeRange:
+    """A range of nodes of one kind: ``router``, ``runner:3`` or ``client:0-11`` in a scenario file."""
 
-    kind: SubjectKind
+    kind: NodeKind
     first: int
     last: int
 
     @property
     def numbers(self) -> range:
-        """Numbers of the processes in the range."""
+        """Numbers of the nodes in the range."""
         return range(self.first, self.last + 1)
 
-    def includes(self, kind: SubjectKind, number: int) -> bool:
-        """Return whether the range includes a process."""
+    def includes(self, kind: NodeKind, number: int) -> bool:
+        """Return whether the range includes a node."""
         return kind == self.kind and self.first <= number <= self.last
 
 
@@ -142,8 +142,8 @@
     kind: FaultKind
     start_s: float
     end_s: float
-    subjects: Subjects
-    peers: Subjects | None = None
+    targets: NodeRange
+    peers: NodeRange | None = None
     amount: float = 0.0
     is_one_way: bool = False
     text: str = ""
@@ -152,8 +152,8 @@
         """Return whether the fault is active at a time in s from the start of traffic."""
         return self.start_s <= now_s < self.end_s
 
-    def affects_peer(self, kind: SubjectKind, number: int) -> bool:
-        """Return whether a process is among the fault's peers."""
+    def affects_peer(self, kind: NodeKind, number: int) -> bool:
+        """Return whether a node is among the fault's peers."""
         return self.peers is not None and self.peers.includes(kind, number)
 
 
--- a/cedarthread/testing/cluster/scenario_file.py
+++ b/cedarthread/testing/cluster/scenario_file.py
@@ -14,13 +14,13 @@
 from cedarthread.testing.cluster.injected_defects import DEFECTS
 from cedarthread.testing.cluster.scenario import (
     DISK_FAULTS,
-    FAULT_SUBJECTS,
+    FAULT_TARGET_KINDS,
     NETWORK_FAULTS,
     Fault,
     FaultKind,
+    NodeKind,
+    NodeRange,
     Scenario,
-    SubjectKind,
-    Subjects,
 )
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
 )
 FAULT_KEYS = {"kind", "at", "until", "who", "to", "figure", "one_way", "what"}
 _TYPES: dict[str, tuple[type, ...]] = {"int": (int,), "float": (int, float), "str": (str,), "bool": (bool,)}
-_SUBJECTS = re.compile(r"(router|runner|client|resolver)(?::(\d+)(?:-(\d+))?)?\Z")
+_NODE_RANGE = re.compile(r"(router|runner|client|resolver)(?::(\d+)(?:-(\d+))?)?\Z")
 
 
 class ScenarioError(CedarthreadError):
@@ -138,9 +138,9 @@
     return shares
 
 
-def fleet_config_routers(scenario: Scenario) -> Subjects:
+def fleet_config_routers(scenario: Scenario) -> NodeRange:
     """Return the routers that have the fleet config."""
-    return parse_subjects("declares", scenario.fleet_config_routers, scenario)
+    return parse_node_range("declares", scenario.fleet_config_routers, scenario)
 
 
 def _parse_fault(where: str, fault: Mapping[str, Any], scenario: Scenario) -> Fault:
@@ -154,45 +154,47 @@
         raise ScenarioError(
             f"{where}: at {start_s!r} and until {end_s!r} must be numbers with 0 <= at < until"
         )
-    peers = parse_subjects(f"{where}: to", fault["to"], scenario) if "to" in fault else None
+    peers = parse_node_range(f"{where}: to", fault["to"], scenario) if "to" in fault else None
     if kind in (*NETWORK_FAULTS, FaultKind.HIDE_WORKER, FaultKind.DRAIN_WORKER) and peers is None:
         raise ScenarioError(f"{where}: {kind} needs `to`")
-    subjects = parse_subjects(f"{where}: who", fault.get("who"), scenario)
-    if kind in FAULT_SUBJECTS and subjects.kind != FAULT_SUBJECTS[kind]:
-        raise ScenarioError(f"{where}: {kind} applies to a {FAULT_SUBJECTS[kind]}, not to a {subjects.kind}")
+    targets = parse_node_range(f"{where}: who", fault.get("who"), scenario)
+    if kind in FAULT_TARGET_KINDS and targets.kind != FAULT_TARGET_KINDS[kind]:
+        raise ScenarioError(
+            f"{where}: {kind} applies to a {FAULT_TARGET_KINDS[kind]}, not to a {targets.kind}"
+        )
     text = str(fault.get("what", ""))
     if kind is FaultKind.DISK and text not in DISK_FAULTS:
         raise ScenarioError(f"{where}: what {text!r} is not one of {', '.join(DISK_FAULTS)}")
-    if kind is FaultKind.FLEET_CONFIG and not _have_fleet_config(subjects, scenario):
+    if kind is FaultKind.FLEET_CONFIG and not _have_fleet_config(targets, scenario):
         raise ScenarioError(f"{where}: {fault.get('who')} has no initial fleet config (`fleet`, `declares`)")
     amount = float(fault.get("figure", 0.0))
     is_one_way = bool(fault.get("one_way"))
-    return Fault(kind, float(start_s), float(end_s), subjects, peers, amount, is_one_way, text)
+    return Fault(kind, float(start_s), float(end_s), targets, peers, amount, is_one_way, text)
 
 
 def _parse_kind(where: str, text: object) -> FaultKind:
-    known = (*NETWORK_FAULTS, *FAULT_SUBJECTS)
+    known = (*NETWORK_FAULTS, *FAULT_TARGET_KINDS)
     if text not in known:
         raise ScenarioError(f"{where}: kind {text!r} is not one of {', '.join(known)}")
     return FaultKind(str(text))
 
 
-def _have_fleet_config(subjects: Subjects, scenario: Scenario) -> bool:
+def _have_fleet_config(targets: NodeRange, scenario: Scenario) -> bool:
     configured = fleet_config_routers(scenario)
     return (
-        bool(scenario.fleet_config) and configured.first <= subjects.first <= subjects.last <= configured.last
+        bool(scenario.fleet_config) and configured.first <= targets.first <= targets.last <= configured.last
     )
 
 
-def parse_subjects(where: str, text: object, scenario: Scenario) -> Subjects:
+def parse_node_range(where: str, text: object, scenario: Scenario) -> NodeRange:
     """Parse a range of routers, workers, clients or discovery servers as scenario files write it."""
-    match = _SUBJECTS.match(text) if isinstance(text, str) else None
+    match = _NODE_RANGE.match(text) if isinstance(text, str) else None
     if match is None:
         raise ScenarioError(f"{where}: {text!r} must have the form router, runner:3 or client:0-11")
-    kind = SubjectKind(match[1])
-    count = scenario.worker_count if kind is SubjectKind.WORKER else scenario.router_count
+    kind = NodeKind(match[1])
+    count = scenario.worker_count if kind is NodeKind.WORKER else scenario.router_count
     first = int(match[2]) if match[2] else 0
     last = int(match[3]) if match[3] else first if match[2] else count - 1
     if not first <= last < count:
         raise ScenarioError(f"{where}: {text!r} is outside 0 to {count - 1}")
-    return Subjects(kind, first, last)
+    return NodeRange(kind, first, last)
--- a/cedarthread/testing/cluster/scenarios/__init__.py
+++ b/cedarthread/testing/cluster/scenarios/__init__.py
@@ -22,8 +22,8 @@
 class ScenarioSet(Protocol):
     """The interface of the module of a set."""
 
-    HEAD: str  # Head line of the Markdown table of results.
-    RULE: str  # Line between the head and the rows.
+    TABLE_HEADER: str  # Head line of the Markdown table of results.
+    TABLE_SEPARATOR: str  # Line between the head and the rows.
 
     def quick(self, seed: int, routers: int) -> Iterable[Scenario]:
         """Return short runs with several faults at once, for CI."""
@@ -31,10 +31,10 @@
     def full(self, seed: int, routers: int) -> Iterable[Scenario]:
         """Return runs of whole fleets, with a separate run for each fault."""
 
-    def failings(self, result: Result, earlier: Sequence[Result] = ()) -> list[str]:
+    def failed_checks(self, result: Result, earlier: Sequence[Result] = ()) -> list[str]:
         """Return the failed checks of a run, which may be compared with earlier runs of the set."""
 
-    def row(self, result: Result) -> str:
+    def table_row(self, result: Result) -> str:
         """Return the line of a run in the table."""
 
 
--- a/cedarthread/testing/cluster/scenarios/change_freeze.py
+++ b/cedarthread/testing/cluster/scenarios/change_freeze.py
@@ -15,7 +15,7 @@
 from cedarthread import fleet_config
 from cedarthread.replication.store import ReplicatedStore
 from cedarthread.testing.cluster.router_files import resolve_times
-from cedarthread.testing.cluster.scenario import FaultKind, Scenario, SubjectKind, Subjects
+from cedarthread.testing.cluster.scenario import FaultKind, NodeKind, NodeRange, Scenario
 from cedarthread.testing.cluster.scenario_file import parse_scenario
 
 if TYPE_CHECKING:
@@ -36,22 +36,22 @@
 VALUE_FROM_S = 18  # Start of the time in which the value per second is compared.
 VALUE_TO_S = 30  # End of the time in which the value per second is compared.
 RATE_WINDOWS_PER_S = 4
-UNWINDOWED_MS = (16_000.0, 28_000.0)  # Interval that the table shows for a run without a window.
+INTERVAL_WITHOUT_WINDOW_MS = (16_000.0, 28_000.0)  # Interval that the table shows for a run without a window.
 
-FaultText = dict[str, object]  # A fault, as in scenario files.
+FaultTable = dict[str, object]  # A fault, as in scenario files.
 
 
-def window_config(start_s: float, end_s: float, allowance: int = 3, extra_text: str = "") -> str:
+def window_config(start_s: float, end_s: float, exception_budget: int = 3, extra_text: str = "") -> str:
     """Return a fleet config with one window; its times are s from the start of traffic."""
     times = f"start = @{start_s:g}\nend = @{end_s:g}\n"
-    window = f'[[freeze]]\nid = "cycle"\n{times}allowance = {allowance}\n'
+    window = f'[[freeze]]\nid = "cycle"\n{times}allowance = {exception_budget}\n'
     return FLEET_CONFIG + window + 'author = "desk"\nreason = "cycle closes"\n' + extra_text
 
 
 REVOCATION = '[[revoke]]\nfreeze = "cycle"\nauthor = "desk"\nreason = "closed early"\n'
 # Settings with which each function has more home workers.
 LONGER_KEEP_ALIVE = '{"specifics": {"keep-alive": 30000, "order-limit": 10000}}'
-LOSSY_NETWORK: list[FaultText] = [
+LOSSY_NETWORK: list[FaultTable] = [
     {"kind": "loss", "who": "router", "to": "router", "figure": 0.2},
     {"kind": "double", "who": "router", "to": "router", "figure": 0.1},
     {"kind": "reorder", "who": "router", "to": "router"},
@@ -62,7 +62,7 @@
     """Return one short run with several faults at once, for CI."""
     last = routers - 1
     half = routers // 2
-    faults: list[FaultText] = [
+    faults: list[FaultTable] = [
         *LOSSY_NETWORK,
         {"kind": "declare", "at": 7.0, "who": "router:1", "what": window_config(9.0, 28.0)},
         {"kind": "hot", "at": 12.5, "who": f"router:0-{half - 1}", "figure": 0.25},
@@ -114,11 +114,11 @@
         yield parse_scenario(base | {"name": name, "fault": faults})
 
 
-def _cases(routers: int) -> dict[str, list[FaultText]]:
+def _cases(routers: int) -> dict[str, list[FaultTable]]:
     """Return the faults of each run of the full form, by name of the run."""
     last = routers - 1
     half = routers // 2
-    declaration: FaultText = {
+    declaration: FaultTable = {
         "kind": "declare",
         "at": 10.0,
         "who": "router:1",
@@ -160,7 +160,7 @@
 
     start_ms: float
     end_ms: float
-    allowance: int
+    exception_budget: int
 
 
 def staleness_bound_ms(scenario: Scenario) -> float:
@@ -193,14 +193,14 @@
                 window = EffectiveWindow(max(start_ms, declared_at_ms + bound_ms), end_ms, freeze.allowance)
             if config.revoke:
                 end_ms = min(window.end_ms, declared_at_ms + bound_ms)
-                window = EffectiveWindow(window.start_ms, end_ms, window.allowance)
+                window = EffectiveWindow(window.start_ms, end_ms, window.exception_budget)
     return window
 
 
 @dataclass(frozen=True, slots=True)
 class _Restart:
     at_ms: float
-    workers: Subjects
+    workers: NodeRange
 
 
 def placement_changes_ms(scenario: Scenario, placements: Sequence[Placement]) -> list[float]:
@@ -210,7 +210,7 @@
     the restart yet.
     """
     restarts = [
-        _Restart(1000.0 * fault.end_s, fault.subjects)
+        _Restart(1000.0 * fault.end_s, fault.targets)
         for fault in scenario.faults
         if fault.kind is FaultKind.CRASH_WORKER
     ]
@@ -221,7 +221,7 @@
         restarted_at_ms = sorted(
             restart.at_ms
             for restart in restarts
-            if restart.at_ms <= at_ms and restart.workers.includes(SubjectKind.WORKER, worker)
+            if restart.at_ms <= at_ms and restart.workers.includes(NodeKind.WORKER, worker)
         )
         incarnation = len(restarted_at_ms)
         if (function, worker, incarnation) in known:
@@ -247,7 +247,7 @@
         return WindowChanges(0, 0)
     changes_ms = placement_changes_ms(scenario, placements)
     return WindowChanges(
-        sum(window.start_ms <= at_ms < window.end_ms for at_ms in changes_ms), window.allowance
+        sum(window.start_ms <= at_ms < window.end_ms for at_ms in changes_ms), window.exception_budget
     )
 
 
@@ -258,29 +258,31 @@
     return fmean(result.value_rates[first:last] or [0.0])
 
 
-def failings(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
+def failed_checks(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
     """Return the failed checks of a run."""
-    failings = list(result.violations)
+    failed_checks = list(result.violations)
     changes = changes_in_window(result.scenario, result.placements)
     if result.is_void:
-        failings.append(f"void: the harness itself was {result.lag_ms:.0f} ms late")
+        failed_checks.append(f"void: the harness itself was {result.lag_ms:.0f} ms late")
     if changes.made > changes.allowed:
-        failings.append(f"{changes.made} placement changes in the window, {changes.allowed} allowed")
+        failed_checks.append(f"{changes.made} placement changes in the window, {changes.allowed} allowed")
     if result.served_fraction < MIN_SERVED_FRACTION:
-        failings.append(f"{result.served_fraction:.3f} of the calls served")
+        failed_checks.append(f"{result.served_fraction:.3f} of the calls served")
     if result.scenario_name == "calm" and earlier:
         rate = _value_rate(result)
-        unwindowed_rate = _value_rate(earlier[0])
-        if rate < MIN_VALUE_FRACTION * unwindowed_rate:
-            failings.append(f"value served per second {rate:.0f}, {unwindowed_rate:.0f} without a window")
-    return failings
+        rate_without_window = _value_rate(earlier[0])
+        if rate < MIN_VALUE_FRACTION * rate_without_window:
+            failed_checks.append(
+                f"value served per second {rate:.0f}, {rate_without_window:.0f} without a window"
+            )
+    return failed_checks
 
 
-def row(result: Result) -> str:
+def table_row(result: Result) -> str:
     """Return the line of a run in the Markdown table."""
     window = effective_window(result.scenario)
     changes_ms = placement_changes_ms(result.scenario, result.placements)
-    start_ms, end_ms = (window.start_ms, window.end_ms) if window else UNWINDOWED_MS
+    start_ms, end_ms = (window.start_ms, window.end_ms) if window else INTERVAL_WITHOUT_WINDOW_MS
     cells = [
         result.scenario_name,
         f"{result.served_fraction:.3f}",
@@ -289,7 +291,7 @@
         f"{start_ms / 1000.0:.1f}-{end_ms / 1000.0:.1f}",
         str(sum(at_ms < start_ms for at_ms in changes_ms)),
         str(sum(start_ms <= at_ms < end_ms for at_ms in changes_ms)),
-        str(window.allowance) if window else "any",
+        str(window.exception_budget) if window else "any",
         str(sum(at_ms >= end_ms for at_ms in changes_ms)),
         str(len(result.violations)),
         f"{result.cpu_ms_per_call:.2f}",
@@ -298,8 +300,8 @@
     return "| " + " | ".join(cells) + " |"
 
 
-HEAD = (
+TABLE_HEADER = (
     "| run | served | worth/s | B, s | binds, s | changes before | in it | allowed | after "
     "| breaches | CPU ms/call | rig late ms |"
 )
-RULE = "|" + " --- |" * 12
+TABLE_SEPARATOR = "|" + " --- |" * 12
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -40,10 +40,10 @@
 MIN_OTHER_FAULTS = 4
 
 _CALL_ID = re.compile(r"(?:call|of) ([0-9a-f]{16})")
-FaultText = dict[str, Any]  # A fault, as in scenario files.
+FaultTable = dict[str, Any]  # A fault, as in scenario files.
 
 
-class _Draw:
+class _FaultGenerator:
     """A generator of random faults; owns the list of faults generated so far.
 
     Args:
@@ -56,81 +56,81 @@
         self.rng = rng
         self.routers = routers
         self.end_s = end_s
-        self.faults: list[FaultText] = []
+        self.faults: list[FaultTable] = []
 
-    def add(self, kind: str, subjects: str, seconds: tuple[float, float], **other_keys: object) -> None:
+    def add(self, kind: str, targets: str, seconds: tuple[float, float], **other_keys: object) -> None:
         """Add a fault of a kind with a random start and duration."""
         start_s = self.rng.uniform(WARM_UP_S, self.end_s - QUIET_END_S)
         until_s = min(start_s + self.rng.uniform(*seconds), self.end_s)
         times = {"at": round(start_s, 3), "until": round(until_s, 3)}
-        self.faults.append({"kind": kind, **times, "who": subjects, **other_keys})
+        self.faults.append({"kind": kind, **times, "who": targets, **other_keys})
 
-    def any_router(self) -> str:
+    def random_router(self) -> str:
         """Choose one router at random, or all routers."""
         return self.rng.choice(("router", f"router:{self.rng.randrange(self.routers)}"))
 
-    def any_worker(self) -> str:
+    def random_worker(self) -> str:
         """Choose one worker at random."""
         return f"runner:{self.rng.randrange(WORKERS)}"
 
-    def any_discovery(self) -> str:
+    def random_discovery(self) -> str:
         """Choose the discovery server of one router at random, or those of all routers."""
-        return self.any_router().replace("router", "resolver")
+        return self.random_router().replace("router", "resolver")
 
-    def process_faults(self) -> None:
+    def add_process_faults(self) -> None:
         """Add process faults, each at a different router, because a dead process cannot be paused too."""
         count = self.rng.randint(1, max(1, int(PROCESS_FAULT_SHARE * self.routers)))
         for number in self.rng.sample(range(self.routers), count):
             kind = self.rng.choice(list(PROCESS_FAULTS))
             self.add(kind, f"router:{number}", PROCESS_FAULTS[kind])
             if kind == "stop" and self.rng.random() < DRAIN_DURING_STOP_SHARE:
-                self.drain_during_stop(self.faults[-1])
+                self.add_drain_during_stop(self.faults[-1])
 
-    def drain_during_stop(self, stop: FaultText) -> None:
+    def add_drain_during_stop(self, stop: FaultTable) -> None:
         """Add a drain that starts soon after a pause, and extend the pause beyond the drain's grace."""
         stop["until"] = round(min(stop["at"] + self.rng.uniform(*LONG_STOP_S), self.end_s), 3)
         start_s = stop["at"] + self.rng.uniform(0.05, 0.3)
         if start_s < self.end_s - QUIET_END_S:
             times = {"at": round(start_s, 3), "until": round(min(start_s + 4.0, self.end_s), 3)}
-            self.faults.append({"kind": "drain", **times, "who": self.any_worker(), "to": "router"})
+            self.faults.append({"kind": "drain", **times, "who": self.random_worker(), "to": "router"})
 
-    def list_faults(self) -> None:
+    def add_endpoint_list_faults(self) -> None:
         """Add faults in which workers are draining in or missing from the endpoint lists for some time."""
         count = self.rng.randint(1, int(LIST_FAULT_SHARE * WORKERS))
         for number in self.rng.sample(range(WORKERS), count):
             kind = self.rng.choice(list(LIST_FAULTS))
             self.add(kind, f"runner:{number}", LIST_FAULTS[kind], to="router")
 
-    def other_faults(self) -> None:
+    def add_other_faults(self) -> None:
         """Add faults of discovery, network, workers, clients and system calls."""
         rng = self.rng
         makers = (
-            lambda: self.add("mute", self.any_discovery(), (0.3, 4.0)),
-            lambda: self.add("spoilt", self.any_discovery(), (1.0, 5.0), figure=rng.uniform(0.1, 0.6)),
+            lambda: self.add("mute", self.random_discovery(), (0.3, 4.0)),
+            lambda: self.add("spoilt", self.random_discovery(), (1.0, 5.0), figure=rng.uniform(0.1, 0.6)),
             lambda: self.add("loss", "router", (1.0, 5.0), to="resolver", figure=rng.uniform(0.1, 0.4)),
             lambda: self.add("delay", "router", (1.0, 4.0), to="resolver", figure=rng.uniform(5.0, 150.0)),
-            lambda: self.add("move", self.any_router(), (1.0, 4.0)),
-            lambda: self.add("die", self.any_worker(), (0.4, 2.0)),
-            lambda: self.add("silent", self.any_worker(), (0.5, 3.0)),
-            lambda: self.add("slow", self.any_worker(), (1.0, 4.0), figure=rng.uniform(2.0, 10.0)),
-            lambda: self.add("reset", self.any_worker(), (0.1, 0.2)),
-            lambda: self.add("cut", self.any_router(), (0.3, 2.0), to=self.any_worker()),
-            lambda: self.add("stall", self.any_router(), (0.3, 2.0), to=self.any_worker()),
-            lambda: self.add("leave", self.any_router().replace("router", "client"), (0.1, 0.2)),
+            lambda: self.add("move", self.random_router(), (1.0, 4.0)),
+            lambda: self.add("die", self.random_worker(), (0.4, 2.0)),
+            lambda: self.add("silent", self.random_worker(), (0.5, 3.0)),
+            lambda: self.add("slow", self.random_worker(), (1.0, 4.0), figure=rng.uniform(2.0, 10.0)),
+            lambda: self.add("reset", self.random_worker(), (0.1, 0.2)),
+            lambda: self.add("cut", self.random_router(), (0.3, 2.0), to=self.random_worker()),
+            lambda: self.add("stall", self.random_router(), (0.3, 2.0), to=self.random_worker()),
+            lambda: self.add("leave", self.random_router().replace("router", "client"), (0.1, 0.2)),
             lambda: self.add("burst", "router", (0.5, 2.0), figure=rng.uniform(1.5, 4.0)),
-            lambda: self.add("clock", self.any_router(), (1.0, 5.0), figure=rng.choice((-1, 1)) * 3.6e6),
-            lambda: self.add("syscalls", self.any_router(), (0.5, 2.0), figure=rng.uniform(0.01, 0.1)),
+            lambda: self.add("clock", self.random_router(), (1.0, 5.0), figure=rng.choice((-1, 1)) * 3.6e6),
+            lambda: self.add("syscalls", self.random_router(), (0.5, 2.0), figure=rng.uniform(0.01, 0.1)),
         )
         for _ in range(rng.randint(MIN_OTHER_FAULTS, MAX_OTHER_FAULTS)):
             rng.choice(makers)()
 
 
-def draw(seed: int, routers: int, seconds: float = DEFAULT_SECONDS) -> dict[str, Any]:
+def generate_scenario(seed: int, routers: int, seconds: float = DEFAULT_SECONDS) -> dict[str, Any]:
     """Return the scenario of a seed, in the form of a scenario file."""
-    drawn = _Draw(random.Random(seed), routers, WARM_UP_S + seconds)
-    drawn.process_faults()
-    drawn.list_faults()
-    drawn.other_faults()
+    generator = _FaultGenerator(random.Random(seed), routers, WARM_UP_S + seconds)
+    generator.add_process_faults()
+    generator.add_endpoint_list_faults()
+    generator.add_other_faults()
     return {
         "name": f"seed {seed}",
         "seed": seed,
@@ -142,7 +142,7 @@
         "talk": False,
         "warm_up": WARM_UP_S,
         "seconds": seconds,
-        "fault": sorted(drawn.faults, key=lambda fault: float(fault["at"])),
+        "fault": sorted(generator.faults, key=lambda fault: float(fault["at"])),
     }
 
 
@@ -156,7 +156,7 @@
 
 def quick(seed: int, routers: int = 10, seconds: float = DEFAULT_SECONDS) -> Iterator[Scenario]:
     """Return the scenario of a seed, and print it."""
-    document = draw(seed, routers, seconds)
+    document = generate_scenario(seed, routers, seconds)
     print(as_toml(document), flush=True)
     yield parse_scenario(document)
 
@@ -172,12 +172,12 @@
     return Counter(violation.partition(" at ")[0] for violation in result.violations)
 
 
-def failings(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
+def failed_checks(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
     """Return the failed checks of a run."""
-    failings = [f"{violation}{_trace(result, violation)}" for violation in result.violations]
+    failed_checks = [f"{violation}{_trace(result, violation)}" for violation in result.violations]
     if result.served_fraction < MIN_SERVED_FRACTION:
-        failings.append(f"{result.served_fraction:.2f} of the calls served")
-    return failings
+        failed_checks.append(f"{result.served_fraction:.2f} of the calls served")
+    return failed_checks
 
 
 def _trace(result: Result, violation: str) -> str:
@@ -189,7 +189,7 @@
     return "".join(f"\n    {fact}" for fact in facts)
 
 
-def row(result: Result) -> str:
+def table_row(result: Result) -> str:
     """Return the line of a run in the Markdown table."""
     rules = ", ".join(f"{rule} {count}" for rule, count in sorted(violations_by_rule(result).items()))
     calls = sum(result.answers.values())
@@ -203,5 +203,5 @@
     return "| " + " | ".join(cells) + " |"
 
 
-HEAD = "| seed | calls | served | violations by rule | harness late ms |"
-RULE = "|" + " --- |" * 5
+TABLE_HEADER = "| seed | calls | served | violations by rule | harness late ms |"
+TABLE_SEPARATOR = "|" + " --- |" * 5
--- a/cedarthread/testing/cluster/scenarios/load_spread.py
+++ b/cedarthread/testing/cluster/scenarios/load_spread.py
@@ -90,32 +90,32 @@
     }
 
 
-def failings(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
+def failed_checks(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
     """Return the failed checks of a run."""
     metrics = result.load_balance
     omniscient = result.replayed[OMNISCIENT]
-    failings = list(result.violations)
+    failed_checks = list(result.violations)
     if result.is_void:
-        failings.append(f"void: the harness itself was {result.lag_ms:.0f} ms late")
-    failings += [
+        failed_checks.append(f"void: the harness itself was {result.lag_ms:.0f} ms late")
+    failed_checks += [
         f"hotspot at {hotspot.begin_ms / 1000:.1f} s: {hotspot.arrivals} calls to runner "
         f"{hotspot.worker_id}, fair share {hotspot.fair_share:.1f}"
         for hotspot in metrics.hotspots
     ]
     if metrics.longest_idle_ms > MAX_IDLE_MS:
-        failings.append(
+        failed_checks.append(
             f"a runner idle for {metrics.longest_idle_ms:.0f} ms while a call was queued at another"
         )
     if metrics.peak_to_mean > MAX_PEAK_TO_MEAN_RATIO * omniscient.peak_to_mean:
-        failings.append(
+        failed_checks.append(
             f"peak-to-mean {metrics.peak_to_mean:.2f}, omniscient policy {omniscient.peak_to_mean:.2f}"
         )
     if result.served_fraction < MIN_SERVED_FRACTION:
-        failings.append(f"{result.served_fraction:.2f} of the calls served")
-    return failings
+        failed_checks.append(f"{result.served_fraction:.2f} of the calls served")
+    return failed_checks
 
 
-def row(result: Result) -> str:
+def table_row(result: Result) -> str:
     """Return the line of a run in the Markdown table."""
     metrics = result.load_balance
     omniscient = result.replayed[OMNISCIENT]
@@ -138,8 +138,8 @@
     return "| " + " | ".join(cells) + " |"
 
 
-HEAD = (
+TABLE_HEADER = (
     "| run | served | peak-to-mean | all-seeing | variation | idle ms | herds | loads/1000 | all-seeing "
     "| beyond need | breaches | CPU ms/call | B/s a router | rig late ms |"
 )
-RULE = "|" + " --- |" * 14
+TABLE_SEPARATOR = "|" + " --- |" * 14
--- a/cedarthread/testing/cluster/scenarios/mass_restart.py
+++ b/cedarthread/testing/cluster/scenarios/mass_restart.py
@@ -32,10 +32,10 @@
 )
 MAX_RECOVERY_S = 5.0  # Maximum time from the last kill to full service, in the quick form.
 
-ScenarioText = dict[str, object]  # A scenario or a fault, as in scenario files.
+ScenarioTable = dict[str, object]  # A scenario or a fault, as in scenario files.
 
 # The full form.
-FULL_SIZE: ScenarioText = {
+FULL_SIZE: ScenarioTable = {
     "warm_up": 6.0,
     "seconds": 26.0,
     "runners": 40,
@@ -45,7 +45,7 @@
     "store_most": 300,
 }
 KILLED_AT_S = 12.0  # When the routers are killed.
-WORKER_CRASH: ScenarioText = {
+WORKER_CRASH: ScenarioTable = {
     "kind": "die",
     "at": KILLED_AT_S,
     "until": KILLED_AT_S + 0.4,
@@ -53,7 +53,7 @@
 }
 
 
-def _shared(*, has_store: bool) -> ScenarioText:
+def _replication_keys(*, has_store: bool) -> ScenarioTable:
     """Return the scenario keys with which routers replicate state, with or without stores on disk."""
     return {"fleet": FLEET_CONFIG, "declares": "router", "store": has_store}
 
@@ -62,7 +62,7 @@
     """Return a run without faults, and one of the same arrivals in which most routers are killed, for CI."""
     last = routers - 1
     killed_count = int(0.8 * routers)
-    faults: list[ScenarioText] = [
+    faults: list[ScenarioTable] = [
         {"kind": "loss", "at": 0.0, "who": "router", "to": "router", "figure": 0.1},
         {"kind": "double", "at": 0.0, "who": "router", "to": "router", "figure": 0.1},
         {"kind": "reorder", "at": 0.0, "who": "router", "to": "router"},
@@ -74,43 +74,47 @@
         {"kind": "clock", "at": 9.5, "who": "router:6-8", "figure": -4000.0},
         {"kind": "disk", "at": 9.9, "who": "router:9-11", "what": "older"},
     ]
-    base: ScenarioText = {"seed": seed, "routers": routers, "warm_up": 7.0, "seconds": 12.0}
-    base |= _shared(has_store=True)
+    base: ScenarioTable = {"seed": seed, "routers": routers, "warm_up": 7.0, "seconds": 12.0}
+    base |= _replication_keys(has_store=True)
     yield parse_scenario(base | {"name": UNDISTURBED})
     yield parse_scenario(base | {"name": "quick", "fault": faults})
 
 
 def full(seed: int, routers: int = 200) -> Iterator[Scenario]:
     """Return runs for each source of recovered state, then runs with faulty disks and crashed workers."""
-    no_file: ScenarioText = {"seed": seed, "routers": routers} | FULL_SIZE
-    peers = no_file | _shared(has_store=False)
-    both = no_file | _shared(has_store=True)
+    without_replication: ScenarioTable = {"seed": seed, "routers": routers} | FULL_SIZE
+    without_stores = without_replication | _replication_keys(has_store=False)
+    with_stores = without_replication | _replication_keys(has_store=True)
     kill_most = _kill(f"router:0-{int(0.7 * routers) - 1}")
     kill_all = _kill("router")
     disk_faults = _disk_faults(routers // 2)
     for name, base, faults in (
-        (UNDISTURBED, both, []),
-        ("70%, no file", no_file, [kill_most]),
-        ("70%, peers", peers, [kill_most]),
-        ("70%, both", both, [kill_most]),
-        ("100%, no file", no_file, [kill_all]),
-        ("100%, peers", peers, [kill_all]),
-        ("100%, both", both, [kill_all]),
-        ("100%, store only", both | {"talk": False}, [kill_all]),
-        ("100%, half of the disks lie", both, [kill_all, *disk_faults]),
-        ("copies lost too, no file", no_file, [kill_all, WORKER_CRASH]),
-        ("copies lost too, both", both, [kill_all, WORKER_CRASH]),
-        ("all at once", both, [kill_all, *disk_faults, WORKER_CRASH, *_network_and_clock_faults(routers)]),
+        (UNDISTURBED, with_stores, []),
+        ("70%, no file", without_replication, [kill_most]),
+        ("70%, peers", without_stores, [kill_most]),
+        ("70%, both", with_stores, [kill_most]),
+        ("100%, no file", without_replication, [kill_all]),
+        ("100%, peers", without_stores, [kill_all]),
+        ("100%, both", with_stores, [kill_all]),
+        ("100%, store only", with_stores | {"talk": False}, [kill_all]),
+        ("100%, half of the disks lie", with_stores, [kill_all, *disk_faults]),
+        ("copies lost too, no file", without_replication, [kill_all, WORKER_CRASH]),
+        ("copies lost too, both", with_stores, [kill_all, WORKER_CRASH]),
+        (
+            "all at once",
+            with_stores,
+            [kill_all, *disk_faults, WORKER_CRASH, *_network_and_clock_faults(routers)],
+        ),
     ):
         yield parse_scenario(base | {"name": name, "fault": faults})
 
 
-def _kill(subjects: str) -> ScenarioText:
+def _kill(targets: str) -> ScenarioTable:
     """Return a fault that kills some routers."""
-    return {"kind": "kill", "at": KILLED_AT_S, "until": KILLED_AT_S + DOWNTIME_S, "who": subjects}
+    return {"kind": "kill", "at": KILLED_AT_S, "until": KILLED_AT_S + DOWNTIME_S, "who": targets}
 
 
-def _disk_faults(count: int) -> list[ScenarioText]:
+def _disk_faults(count: int) -> list[ScenarioTable]:
     """Return a disk fault for each of the first ``count`` routers: one kind for each third of them."""
     return [
         {
@@ -123,10 +127,10 @@
     ]
 
 
-def _network_and_clock_faults(routers: int) -> list[ScenarioText]:
+def _network_and_clock_faults(routers: int) -> list[ScenarioTable]:
     """Return faults of the network, the endpoint lists and the clocks."""
     half = routers // 2
-    between_routers: ScenarioText = {"who": "router", "to": "router"}
+    between_routers: ScenarioTable = {"who": "router", "to": "router"}
     return [
         {"kind": "loss", "figure": 0.2} | between_routers,
         {"kind": "double", "figure": 0.1} | between_routers,
@@ -148,44 +152,44 @@
     ]
 
 
-def failings(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
+def failed_checks(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
     """Return the failed checks of a run."""
-    failings = list(result.violations)
+    failed_checks = list(result.violations)
     if result.is_void:
-        failings.append(f"void: the harness itself was {result.lag_ms:.0f} ms late")
+        failed_checks.append(f"void: the harness itself was {result.lag_ms:.0f} ms late")
     share = undisturbed_share(result)
     if result.scenario_name == UNDISTURBED:
         if share < MIN_SERVED_FRACTION:
-            failings.append(f"{share:.2f} of the calls served")
-        return failings
-    failings += _peak_failings(result, earlier)
+            failed_checks.append(f"{share:.2f} of the calls served")
+        return failed_checks
+    failed_checks += _failed_peak_checks(result, earlier)
     if (count := stale_attempts(result)) > 0:
-        failings.append(f"stale: {count} attempts at a runner that was missing from the endpoint list")
+        failed_checks.append(f"stale: {count} attempts at a runner that was missing from the endpoint list")
     recovery_s = time_to_recover_s(result)
     if recovery_s is None or share < MIN_SERVED_FRACTION:
-        failings.append("full service was not reached")
+        failed_checks.append("full service was not reached")
     elif result.scenario_name == "quick" and recovery_s > MAX_RECOVERY_S:
-        failings.append(f"full service {recovery_s:.1f} s after the last kill")
-    return failings
+        failed_checks.append(f"full service {recovery_s:.1f} s after the last kill")
+    return failed_checks
 
 
-def _peak_failings(result: Result, earlier: Sequence[Result]) -> list[str]:
+def _failed_peak_checks(result: Result, earlier: Sequence[Result]) -> list[str]:
     undisturbed = next((other for other in earlier if other.scenario_name == UNDISTURBED), None)
     undisturbed_peaks: dict[str, int] = {}
     if undisturbed is not None:
         undisturbed_peaks = peak_counts(undisturbed, undisturbed.scenario.warm_up_s)
     floors = peak_floors(result)
-    failings = []
+    failed_checks = []
     for name, peak in peak_counts(result, last_kill_s(result)).items():
         bound = max(MAX_PEAK_RATIO * undisturbed_peaks.get(name, 0), floors[name])
         if peak > bound:
-            failings.append(
+            failed_checks.append(
                 f"{peak} {name} in 250 ms, {undisturbed_peaks.get(name, 0)} undisturbed, bound {bound:.0f}"
             )
-    return failings
+    return failed_checks
 
 
-def row(result: Result) -> str:
+def table_row(result: Result) -> str:
     """Return the line of a run in the Markdown table."""
     recovery_s = time_to_recover_s(result)
     peaks = peak_counts(result, last_kill_s(result) or result.scenario.warm_up_s)
@@ -203,8 +207,8 @@
     return "| " + " | ".join(cells) + " |"
 
 
-HEAD = (
+TABLE_HEADER = (
     "| run | served | before | full service s | loads | connections at a runner | questions "
     "| datagrams of a return | stale | breaches | CPU ms/call | rig late ms |"
 )
-RULE = "|" + " --- |" * 12
+TABLE_SEPARATOR = "|" + " --- |" * 12
--- a/cedarthread/testing/cluster/scenarios/restart_measurements.py
+++ b/cedarthread/testing/cluster/scenarios/restart_measurements.py
@@ -20,7 +20,7 @@
     LOADS,
     PEER_DATAGRAMS_PREFIX,
 )
-from cedarthread.testing.cluster.scenario import FaultKind, SubjectKind
+from cedarthread.testing.cluster.scenario import FaultKind, NodeKind
 from cedarthread.testing.cluster.service_levels import (
     PEAK_WINDOW_MS,
     peak_count,
@@ -135,7 +135,7 @@
             continue
         router = router_of(fact.call_id)
         if isinstance(fact, CallSubmitted) and any(
-            1000.0 * fault.start_s <= fact.at_ms and fault.subjects.includes(SubjectKind.ROUTER, router)
+            1000.0 * fault.start_s <= fact.at_ms and fault.targets.includes(NodeKind.ROUTER, router)
             for fault in kill_faults
         ):
             first_call_at_ms.setdefault(router, fact.at_ms)
@@ -144,8 +144,8 @@
         since_ms = max(hidden_at_ms, first_call_at_ms.get(router, 0.0)) + LIST_REFRESH_MS
         count += any(
             since_ms <= fact.sent_at_ms < 1000.0 * fault.end_s
-            and fault.subjects.includes(SubjectKind.WORKER, fact.worker)
-            and fault.affects_peer(SubjectKind.ROUTER, router)
+            and fault.targets.includes(NodeKind.WORKER, fact.worker)
+            and fault.affects_peer(NodeKind.ROUTER, router)
             for fault in hide_faults
         )
     return count
--- a/tests/contracts/test_paths.py
+++ b/tests/contracts/test_paths.py
@@ -13,7 +13,7 @@
 
 from cedarthread.protocols.peers import PeerAddresses, PeerTransport
 from cedarthread.testing.cluster.network import Network
-from cedarthread.testing.cluster.scenario import Subject, SubjectKind
+from cedarthread.testing.cluster.scenario import Node, NodeKind
 from cedarthread.testing.cluster.scenario_file import parse_scenario
 from cedarthread.testing.fakes.peer_transport import MemoryNetwork, MemoryPath, PeerPath
 
@@ -40,7 +40,7 @@
         self.received: list[ReceivedDatagrams] = [[] for _ in range(5)]
         faults = [{"kind": kind, "who": "router", "to": "router", "figure": 0.3} for kind in fault_kinds]
         cluster_network = Network(parse_scenario({"fault": faults}).faults, 7)
-        router = partial(Subject, SubjectKind.ROUTER)
+        router = partial(Node, NodeKind.ROUTER)
         self.network = MemoryNetwork(
             ROUTER_COUNT,
             lambda now_ms, sender, receiver: cluster_network.datagram_delays_ms(
--- a/tests/integration/test_change_freeze_drill.py
+++ b/tests/integration/test_change_freeze_drill.py
@@ -86,6 +86,6 @@
     )
     result = asyncio.run(run_scenario(small))
     changes = change_freeze.changes_in_window(result.scenario, result.placements)
-    assert (changes.made > changes.allowed) == bool(defect), change_freeze.row(result)
+    assert (changes.made > changes.allowed) == bool(defect), change_freeze.table_row(result)
     assert not result.violations
     assert result.answers["served"] > 0
--- a/tests/integration/test_cluster.py
+++ b/tests/integration/test_cluster.py
@@ -44,8 +44,10 @@
     scenarios.append(parse_scenario(small | {"plant": "twice"}))
     chance, eager, retrying = run_side_by_side(scenarios)
     for overreacting in (chance, eager):
-        assert any("of the calls served" in failing for failing in load_spread.failings(overreacting))
-    assert any("effects" in failing for failing in load_spread.failings(retrying))
+        assert any(
+            "of the calls served" in failed_check for failed_check in load_spread.failed_checks(overreacting)
+        )
+    assert any("effects" in failed_check for failed_check in load_spread.failed_checks(retrying))
 
 
 def test_many_processes_obey_the_rules_and_spread_load_under_faults(tmp_path: Path) -> None:
@@ -107,7 +109,7 @@
     """A small soak test: three random scenarios of the drill ``faults`` run at the same time."""
     scenarios = [scenario for seed in (5, 7, 9) for scenario in faults.quick(seed, 6, 6.0)]
     for result in run_side_by_side(scenarios):
-        assert faults.failings(result) == [], result.seed
+        assert faults.failed_checks(result) == [], result.seed
         assert sum(result.answers.values()) > 100
 
 
--- a/tests/unit/testing/cluster/test_evaluation.py
+++ b/tests/unit/testing/cluster/test_evaluation.py
@@ -111,14 +111,16 @@
     run_virtual(read_late)
 
 
-def drain_violations(*sent: tuple[float, int], notices: Sequence[Fact] = (ListSent(1100.0, 0),)) -> list[str]:
+def drain_violations(
+    *sent: tuple[float, int], list_facts: Sequence[Fact] = (ListSent(1100.0, 0),)
+) -> list[str]:
     """Return the rules that attempts to a draining worker break, each sent at a time by a router.
 
     Worker 1 drains from 1 s for both routers. Router 0 is sent the list at 1.1 s.
     """
     drain = {"kind": "drain", "at": 1.0, "until": 9.0, "who": "runner:1", "to": "router"}
     scenario = parse_scenario({"routers": 2, "runners": 2, "seconds": 8.0, "fault": [drain]})
-    facts = list(notices)
+    facts = list(list_facts)
     for number, (at_ms, router) in enumerate(sent):
         call_id = f"{router:04x}{number:012x}"
         facts.append(CallSubmitted(at_ms - 10.0, call_id, "check", at_ms + 3000.0, ""))
@@ -135,7 +137,7 @@
     assert drain_violations((1800.0, 0)) == ["drain"]
     assert drain_violations((3200.0, 1)) == ["drain"], "router 1 counts as knowing of the drain after 1.5 s"
     restarted: tuple[Fact, ...] = (ListSent(1100.0, 0), RouterStarted(2000.0, 0))
-    assert drain_violations((2400.0, 0), notices=restarted) == [], (
+    assert drain_violations((2400.0, 0), list_facts=restarted) == [], (
         "the configuration lists the worker as ready"
     )
 
--- a/tests/unit/testing/cluster/test_network.py
+++ b/tests/unit/testing/cluster/test_network.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 from cedarthread.testing.cluster.network import MAX_REORDER_DELAY_MS, Network
-from cedarthread.testing.cluster.scenario import Subject, SubjectKind
+from cedarthread.testing.cluster.scenario import Node, NodeKind
 from cedarthread.testing.cluster.scenario_file import parse_scenario
 
 
-def router(number: int) -> Subject:
-    return Subject(SubjectKind.ROUTER, number)
+def router(number: int) -> Node:
+    return Node(NodeKind.ROUTER, number)
 
 
-def worker(number: int) -> Subject:
-    return Subject(SubjectKind.WORKER, number)
+def worker(number: int) -> Node:
+    return Node(NodeKind.WORKER, number)
 
 
 def test_the_network_follows_the_timeline_and_its_seed() -> None:
--- a/tests/unit/testing/cluster/test_scenario_file.py
+++ b/tests/unit/testing/cluster/test_scenario_file.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cedarthread.testing.cluster import cli
-from cedarthread.testing.cluster.scenario import SubjectKind
+from cedarthread.testing.cluster.scenario import NodeKind
 from cedarthread.testing.cluster.scenario_file import ScenarioError, load_scenario, parse_scenario
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
     )
     scenario = load_scenario(file)
     assert scenario.calls_per_second == 50
-    assert scenario.faults[0].subjects.includes(SubjectKind.ROUTER, 2)
+    assert scenario.faults[0].targets.includes(NodeKind.ROUTER, 2)
     file.write_text("name = ")
     for unusable_file in (file, tmp_path / "none.toml"):
         with pytest.raises(ScenarioError, match=unusable_file.name):
--- a/tests/unit/testing/cluster/test_scenario_sets.py
+++ b/tests/unit/testing/cluster/test_scenario_sets.py
@@ -53,25 +53,25 @@
     for name in SCENARIO_MODULES:
         scenario_set = load_scenario_set(name)
         assert all(list(make(1, 24)) for make in (scenario_set.quick, scenario_set.full))
-        assert scenario_set.HEAD
+        assert scenario_set.TABLE_HEADER
     for path in DEFECTS.values():
         module, _, function = path.partition(":")
         assert callable(getattr(import_module(module), function))
 
 
-def test_a_fault_draw_is_a_scenario_file_and_the_same_for_a_seed(tmp_path: Path) -> None:
+def test_a_generated_scenario_is_a_valid_file_and_the_same_for_a_seed(tmp_path: Path) -> None:
     for seed in range(30):
-        document = faults.draw(seed, 8)
-        assert document == faults.draw(seed, 8)
+        document = faults.generate_scenario(seed, 8)
+        assert document == faults.generate_scenario(seed, 8)
         (tmp_path / "draw.toml").write_text(faults.as_toml(document))
         assert load_scenario(tmp_path / "draw.toml") == parse_scenario(document)
-    assert faults.draw(1, 8) != faults.draw(2, 8)
+    assert faults.generate_scenario(1, 8) != faults.generate_scenario(2, 8)
 
 
 def test_load_spread_reports_each_failed_check() -> None:
-    assert load_spread.failings(make_result()) == []
+    assert load_spread.failed_checks(make_result()) == []
     load_balance = make_result().load_balance
-    result_by_failing = {
+    result_by_failed_check = {
         "void": make_result(lag_ms=100.0),
         "hotspot": make_result(
             load_balance=dataclasses.replace(load_balance, hotspots=(Hotspot(1000.0, 3, 50, 9.0),))
@@ -81,8 +81,8 @@
         "0.50 of the calls": make_result(answers={"served": 500, "refused": 500}),
         "two attempts": make_result(violations=["attempts: two attempts in flight"]),
     }
-    for text, result in result_by_failing.items():
-        assert [text in failing for failing in load_spread.failings(result)] == [True]
+    for text, result in result_by_failed_check.items():
+        assert [text in failed_check for failed_check in load_spread.failed_checks(result)] == [True]
 
 
 def restart_result() -> Result:
@@ -90,7 +90,7 @@
 
     The router is killed at 5 s. Worker 1 is hidden from then on, and no call is sent to it.
     """
-    fault_texts = [
+    fault_tables = [
         {"kind": "kill", "at": 5.0, "until": 6.0, "who": "router"},
         {"kind": "hide", "at": 5.0, "who": "runner:1", "to": "router"},
     ]
@@ -107,7 +107,7 @@
     return make_result(
         scenario_name="quick",
         facts=facts,
-        scenario=parse_scenario({"name": "quick", "routers": 1, "runners": 2, "fault": fault_texts}),
+        scenario=parse_scenario({"name": "quick", "routers": 1, "runners": 2, "fault": fault_tables}),
         faults=[FaultSpan(FaultKind.KILL_ROUTER, 5.0, 6.0)],
     )
 
@@ -116,9 +116,9 @@
     good = restart_result()
     undisturbed = make_result(scenario_name=mass_restart.UNDISTURBED)
     assert restart_measurements.time_to_recover_s(good) == 3.0
-    assert mass_restart.failings(good, [undisturbed]) == []
+    assert mass_restart.failed_checks(good, [undisturbed]) == []
     stale_attempt = AttemptSent(9000.0, "0000x", 1, 8000.0)
-    result_by_failing = {
+    result_by_failed_check = {
         "loads in": dataclasses.replace(good, time_series={"loads": [6000.0] * 11}),
         "connections": dataclasses.replace(good, time_series={"connections:1": [6000.0] * 25}),
         "stale: 1": dataclasses.replace(good, facts=[*good.facts, stale_attempt]),
@@ -127,5 +127,7 @@
         ),
         "two attempts": dataclasses.replace(good, violations=["attempts: two attempts in flight"]),
     }
-    for text, result in result_by_failing.items():
-        assert [text in failing for failing in mass_restart.failings(result, [undisturbed])] == [True]
+    for text, result in result_by_failed_check.items():
+        assert [
+            text in failed_check for failed_check in mass_restart.failed_checks(result, [undisturbed])
+        ] == [True]
