--- a/cedarthread/testing/cluster/endpoint_timeline.py
+++ b/cedarthread/testing/cluster/endpoint_timeline.py
@@ -50,12 +50,12 @@
         now_s = now_ms / 1000.0
         workers = range(self.scenario.worker_count)
         version = 1 + sum(at_s <= now_s for at_s in self.change_times_s)
-        hidden = self._affected(self.hide_faults, now_s, router)
-        draining = self._affected(self.drain_faults, now_s, router)
+        hidden = self._affected_workers(self.hide_faults, now_s, router)
+        draining = self._affected_workers(self.drain_faults, now_s, router)
         key = version, hidden, draining
         if key not in self._cache:
             self._cache[key] = tuple(
-                self._listed(now_s, number, is_draining=number in draining)
+                self._listed_worker(now_s, number, is_draining=number in draining)
                 for number in workers
                 if number not in hidden
             )
@@ -64,12 +64,12 @@
     def states_at(self, now_ms: float, router: int) -> dict[int, str]:
         """Return the state of each worker for a router at a time: ``gone`` if the list lacks the worker."""
         now_s = now_ms / 1000.0
-        hidden = self._affected(self.hide_faults, now_s, router)
-        draining = self._affected(self.drain_faults, now_s, router)
+        hidden = self._affected_workers(self.hide_faults, now_s, router)
+        draining = self._affected_workers(self.drain_faults, now_s, router)
         states = dict.fromkeys(range(self.scenario.worker_count), "ready")
         return states | dict.fromkeys(draining, "draining") | dict.fromkeys(hidden, "gone")
 
-    def _affected(self, faults: Sequence[Fault], now_s: float, router: int) -> frozenset[int]:
+    def _affected_workers(self, faults: Sequence[Fault], now_s: float, router: int) -> frozenset[int]:
         return frozenset(
             worker
             for fault in faults
@@ -77,7 +77,7 @@
             for worker in fault.targets.numbers
         )
 
-    def _listed(self, now_s: float, worker: int, *, is_draining: bool) -> ListedWorker:
+    def _listed_worker(self, now_s: float, worker: int, *, is_draining: bool) -> ListedWorker:
         started_at_ms = self._started_at_ms(now_s, worker)
         name = f"s-{worker + 1:08x}"
         return ListedWorker(name, self.worker_ports[worker], is_draining, started_at_ms)
--- a/cedarthread/testing/cluster/evaluation.py
+++ b/cedarthread/testing/cluster/evaluation.py
@@ -92,8 +92,8 @@
 
 def _check_datagrams(recording: Recording, checker: InvariantChecker) -> None:
     for datagram in recording.peer_datagrams:
-        what = f"length in bytes of a datagram of router {datagram.sender}"
-        checker.check_remaining(datagram.at_ms, what, datagram.length, MAX_DATAGRAM_BYTES)
+        resource = f"length in bytes of a datagram of router {datagram.sender}"
+        checker.check_remaining(datagram.at_ms, resource, datagram.length, MAX_DATAGRAM_BYTES)
 
 
 def _replay_policies(
--- a/cedarthread/testing/cluster/policy_replay.py
+++ b/cedarthread/testing/cluster/policy_replay.py
@@ -84,7 +84,7 @@
         def set_slowdown(factor: float) -> None:
             worker.slowdown = factor
 
-        def set_up(at_ms: float, *, is_up: bool) -> None:
+        def set_availability(at_ms: float, *, is_up: bool) -> None:
             self.is_up[number] = is_up
             if not is_up:
                 for call in worker.crash(at_ms):
@@ -100,8 +100,8 @@
             ]
         if fault.kind in (FaultKind.CRASH_WORKER, FaultKind.SILENCE_WORKER):
             return [
-                _FaultEvent(start_ms, order, lambda: set_up(start_ms, is_up=False)),
-                _FaultEvent(end_ms, order + 1, lambda: set_up(end_ms, is_up=True)),
+                _FaultEvent(start_ms, order, lambda: set_availability(start_ms, is_up=False)),
+                _FaultEvent(end_ms, order + 1, lambda: set_availability(end_ms, is_up=True)),
             ]
         return []
 
--- a/cedarthread/testing/cluster/router_entry.py
+++ b/cedarthread/testing/cluster/router_entry.py
@@ -27,19 +27,19 @@
 CLOCK_CONTROL = struct.Struct("<ddd")  # Offset in ms, rate, time from which the rate applies in monotonic s.
 
 
-def faulty_clocks(control: mmap.mmap | bytearray, wall: Clock, steady: Clock) -> SimpleNamespace:
+def faulty_clocks(control: mmap.mmap | bytearray, wall: Clock, monotonic: Clock) -> SimpleNamespace:
     """Return a replacement of the ``time`` module, with clocks that the control file shifts.
 
     The offset applies to the wall clock alone, the rate to the wall clock and the monotonic clock.
     """
 
-    def gained_s() -> float:
-        _, rate, since = CLOCK_CONTROL.unpack(control[:])
-        return float((rate - 1.0) * (steady() - since))
+    def drift_s() -> float:
+        _, rate, since_s = CLOCK_CONTROL.unpack(control[:])
+        return float((rate - 1.0) * (monotonic() - since_s))
 
     return SimpleNamespace(
-        time=lambda: wall() + float(CLOCK_CONTROL.unpack(control[:])[0]) / 1000.0 + gained_s(),
-        monotonic=lambda: steady() + gained_s(),
+        time=lambda: wall() + float(CLOCK_CONTROL.unpack(control[:])[0]) / 1000.0 + drift_s(),
+        monotonic=lambda: monotonic() + drift_s(),
     )
 
 
--- a/cedarthread/testing/cluster/router_files.py
+++ b/cedarthread/testing/cluster/router_files.py
@@ -24,13 +24,13 @@
 DISK_CONTROL_BYTES = 64
 SEED_STEP = 1_000_003  # Distance between the router seeds of two runs, so that no two routers share a seed.
 MEMORY_MB = 192  # Memory limit in the configuration of a router.
-SOCKETS = 1024  # Limit of open sockets in the configuration of a router.
+MAX_SOCKETS = 1024  # Limit of open sockets in the configuration of a router.
 
 
 def router_settings(scenario: Scenario, number: int) -> dict[str, Any]:
     """Return the settings of one router."""
     idempotent = {"name": "check", "goal-time": 1000, "deadline": 3000, "effect": "retryable", "value": 2}
-    other = {"name": "confirm", "goal-time": 1000, "deadline": 3000, "effect": "fragile", "value": 3}
+    not_idempotent = {"name": "confirm", "goal-time": 1000, "deadline": 3000, "effect": "fragile", "value": 3}
     limits = {"most-held": 1000, "max-retry-after": 2000, "peers": scenario.is_gossip_enabled}
     columns = ["inflight", "x1"] if scenario.has_load_reports else ["x1"]
     tenants = [{"name": name, "share": share} for name, share in tenant_shares(scenario).items()]
@@ -40,7 +40,7 @@
         | {
             "balancers": scenario.router_count,
             "ordinal": number,
-            "classes": [idempotent, other],
+            "classes": [idempotent, not_idempotent],
             "limits": SETTINGS["limits"] | limits,
             "prices": {"peer": 0.01},
             "report": {"columns": columns, "how": "answers"},
@@ -91,7 +91,7 @@
             "name": f"n{number}",
             "listen": f"127.0.0.1:{port}",
             "seed": f"{scenario.seed * SEED_STEP + number:016x}",
-            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
+            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": MAX_SOCKETS},
             "known": {"n": 1, "events": [{"n": 1, "members": {"endpoints": known_endpoints}}]},
             "dns": f"127.0.0.1:{addresses.discovery_port}",
             "settings": router_settings(scenario, number),
@@ -146,8 +146,8 @@
 def resolve_times(text: str, start_unix_s: float) -> str:
     """Return a fleet config with times in RFC 3339 instead of ``@12.5`` (s from the start of traffic)."""
 
-    def resolve(written: re.Match[str]) -> str:
-        time_of_day = datetime.fromtimestamp(start_unix_s + float(written[1]), UTC)
-        return time_of_day.isoformat(timespec="milliseconds")
+    def resolve(match: re.Match[str]) -> str:
+        timestamp = datetime.fromtimestamp(start_unix_s + float(match[1]), UTC)
+        return timestamp.isoformat(timespec="milliseconds")
 
     return re.sub(r"@(\d+(?:\.\d+)?)", resolve, text)
--- a/cedarthread/testing/cluster/run.py
+++ b/cedarthread/testing/cluster/run.py
@@ -67,7 +67,7 @@
                 for reserved in self.moved_discovery_sockets
             ],
         )
-        shared = [
+        inherited_descriptors = [
             reserved.descriptor
             for reserved in (
                 *self.plan.peer_relays,
@@ -76,7 +76,7 @@
             )
         ]
         self.fake_processes = [  # Process 0 runs the workers.
-            FakeProcessHandle(folder, number, shared if number else [])
+            FakeProcessHandle(folder, number, inherited_descriptors if number else [])
             for number in range(1 + client_processes)
         ]
 
@@ -123,8 +123,8 @@
             for worker in faultless_timeline.list_at(0.0, 0).workers
         ]
         peers = [f"127.0.0.1:{relay.port}" for relay in self.plan.peer_relays]
-        every = range(self.scenario.router_count)
-        for number in every:
+        router_numbers = range(self.scenario.router_count)
+        for number in router_numbers:
             addresses = RouterAddresses(
                 discovery_port=self.plan.discovery_servers[number].port,
                 moved_discovery_port=self.plan.moved_discovery_servers[number].port,
@@ -135,8 +135,8 @@
             self.routers.start(number)
             if number == 0:  # Router 0 compiles the modules for all routers.
                 await self.routers.wait_until_ready(number)
-        await asyncio.gather(*map(self.routers.wait_until_ready, every))
-        await self.command_all(Command.CONNECT, routers=list(every))
+        await asyncio.gather(*map(self.routers.wait_until_ready, router_numbers))
+        await self.command_all(Command.CONNECT, routers=list(router_numbers))
 
     async def command_all(self, command: Command, **arguments: object) -> None:
         """Send a command to all fake processes."""
--- a/cedarthread/testing/cluster/scenarios/__init__.py
+++ b/cedarthread/testing/cluster/scenarios/__init__.py
@@ -22,8 +22,8 @@
 class ScenarioSet(Protocol):
     """The interface of the module of a set."""
 
-    TABLE_HEADER: str  # Head line of the Markdown table of results.
-    TABLE_SEPARATOR: str  # Line between the head and the rows.
+    TABLE_HEADER: str  # Header line of the Markdown table of results.
+    TABLE_SEPARATOR: str  # Line between the header and the rows.
 
     def quick(self, seed: int, routers: int) -> Iterable[Scenario]:
         """Return short runs with several faults at once, for CI."""
--- a/cedarthread/testing/cluster/scenarios/change_freeze.py
+++ b/cedarthread/testing/cluster/scenarios/change_freeze.py
@@ -38,7 +38,7 @@
 RATE_WINDOWS_PER_S = 4
 INTERVAL_WITHOUT_WINDOW_MS = (16_000.0, 28_000.0)  # Interval that the table shows for a run without a window.
 
-FaultTable = dict[str, object]  # A fault, as in scenario files.
+FaultTable = dict[str, object]  # A fault, as a TOML table of a scenario file.
 
 
 def window_config(start_s: float, end_s: float, exception_budget: int = 3, extra_text: str = "") -> str:
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -40,7 +40,7 @@
 MIN_OTHER_FAULTS = 4
 
 _CALL_ID = re.compile(r"(?:call|of) ([0-9a-f]{16})")
-FaultTable = dict[str, Any]  # A fault, as in scenario files.
+FaultTable = dict[str, Any]  # A fault, as a TOML table of a scenario file.
 
 
 class _FaultGenerator:
--- a/cedarthread/testing/cluster/scenarios/load_spread.py
+++ b/cedarthread/testing/cluster/scenarios/load_spread.py
@@ -98,7 +98,7 @@
     if result.is_void:
         failed_checks.append(f"void: the harness itself was {result.lag_ms:.0f} ms late")
     failed_checks += [
-        f"hotspot at {hotspot.begin_ms / 1000:.1f} s: {hotspot.arrivals} calls to runner "
+        f"hotspot at {hotspot.start_ms / 1000:.1f} s: {hotspot.arrivals} calls to runner "
         f"{hotspot.worker_id}, fair share {hotspot.fair_share:.1f}"
         for hotspot in metrics.hotspots
     ]
--- a/cedarthread/testing/cluster/scenarios/mass_restart.py
+++ b/cedarthread/testing/cluster/scenarios/mass_restart.py
@@ -32,7 +32,7 @@
 )
 MAX_RECOVERY_S = 5.0  # Maximum time from the last kill to full service, in the quick form.
 
-ScenarioTable = dict[str, object]  # A scenario or a fault, as in scenario files.
+ScenarioTable = dict[str, object]  # A scenario or a fault, as a TOML table of a scenario file.
 
 # The full form.
 FULL_SIZE: ScenarioTable = {
--- a/cedarthread/testing/invariants.py
+++ b/cedarthread/testing/invariants.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-ROUNDING = (
+ROUNDING_MARGIN = (
     1e-9  # added before rounding down, because a product such as 2.0 * 1.15 may be too small by this much
 )
 
@@ -245,7 +245,7 @@
         if record is None:
             self._report("attempts", at_ms, f"an attempt of {call}, which no client submitted")
             return attempt
-        self._check_attempt_is_due(at_ms, call, record, first_byte_at_ms, handed_over_at_ms)
+        self._check_attempt_is_allowed(at_ms, call, record, first_byte_at_ms, handed_over_at_ms)
         excess_ms = first_byte_at_ms + time_limit_ms - record.deadline_ms
         if time_limit_ms > 0.0 and excess_ms > self.limits.time_limit_slack_ms:
             detail = (
@@ -268,7 +268,7 @@
             detail = f"{message} to worker {worker_id}, {late_ms:.0f} ms after it was {listing.state}"
             self._report("drain", at_ms, detail)
 
-    def _check_attempt_is_due(
+    def _check_attempt_is_allowed(
         self, at_ms: float, call: str, record: _CallRecord, first_byte_at_ms: float, handed_over_at_ms: float
     ) -> None:
         is_same_time = handed_over_at_ms == at_ms and record.answer_count > 0
@@ -341,7 +341,7 @@
             while times and times[0] <= at_ms - limits.preload_window_ms:
                 times.popleft()
         allowed = limits.preload_allowance + limits.preload_share * len(self._submitted_at_ms)
-        tolerated = math.floor(allowed * limits.preload_tolerance_factor + ROUNDING)
+        tolerated = math.floor(allowed * limits.preload_tolerance_factor + ROUNDING_MARGIN)
         count = len(self._preloaded_at_ms)
         if count > tolerated + limits.preload_tolerance:
             self._report("orders", at_ms, f"{count} preload requests, {allowed:.1f} allowed")
--- a/cedarthread/testing/load_balance.py
+++ b/cedarthread/testing/load_balance.py
@@ -59,7 +59,7 @@
 class Hotspot(NamedTuple):
     """A window in which one worker received far more than its share of the arrivals."""
 
-    begin_ms: float
+    start_ms: float
     worker_id: int
     arrivals: int
     fair_share: float  # arrivals of all workers, times the worker's part of the cores
--- a/tests/unit/testing/test_load_balance.py
+++ b/tests/unit/testing/test_load_balance.py
@@ -72,7 +72,7 @@
     burst = [worker_call(3, 2000.0 + 10.0 * number, 2000.0, 2100.0) for number in range(60)]
     (hotspot,) = measure([*spread_calls, *burst], workers, 0.0, 4000.0, 1).hotspots
     assert hotspot.worker_id == 3
-    assert 1500.0 <= hotspot.begin_ms <= 2000.0
+    assert 1500.0 <= hotspot.start_ms <= 2000.0
     assert hotspot.arrivals >= 50
     assert hotspot.fair_share < 20.0
     four_calls = [worker_call(3, 2000.0 + number, 2000.0, 2001.0) for number in range(4)]
