--- a/cedarthread/testing/cluster/run.py
+++ b/cedarthread/testing/cluster/run.py
@@ -104,7 +104,7 @@
         return result
 
     def _logged_failures(self) -> list[str]:
-        """Return a violation for each line of a router's log that reports a broken rule or an exception."""
+        """Return a violation for each log line of a router that reports a violated rule or an exception."""
         return [
             f"log of router {number}: {line}"
             for number in range(self.scenario.router_count)
--- a/cedarthread/testing/cluster/scenario.py
+++ b/cedarthread/testing/cluster/scenario.py
@@ -11,7 +11,7 @@
 
 
 class NodeKind(StrEnum):
-    """The kind of a node: a party of the run that a fault targets or a network path connects."""
+    """The kind of a node, which is a router, worker, client or discovery server of the run."""
 
     ROUTER = "router"
     WORKER = "runner"
@@ -51,7 +51,7 @@
     # Faults at workers.
     CRASH_WORKER = "die"  # The worker is started again at the end, without instances.
     SLOW_WORKER = "slow"  # ``amount``: factor of the service time.
-    SILENCE_WORKER = "silent"
+    SILENCE_WORKER = "silent"  # Connections stay open, and calls get no answer.
     HIDE_WORKER = "hide"  # The worker is missing from the endpoint lists of the peers.
     DRAIN_WORKER = "drain"  # The endpoint lists of the peers show the worker as draining.
     RESET_CONNECTIONS = "reset"  # All open connections are reset at the start of the fault.
--- a/cedarthread/testing/cluster/scenarios/mass_restart.py
+++ b/cedarthread/testing/cluster/scenarios/mass_restart.py
@@ -81,7 +81,7 @@
 
 
 def full(seed: int, routers: int = 200) -> Iterator[Scenario]:
-    """Return runs for each source of recovered state, then runs with faulty disks and crashed workers."""
+    """Return runs for each source of state to recover from, then with faulty disks and crashed workers."""
     without_replication: ScenarioTable = {"seed": seed, "routers": routers} | FULL_SIZE
     without_stores = without_replication | _replication_keys(has_store=False)
     with_stores = without_replication | _replication_keys(has_store=True)
--- a/cedarthread/testing/cluster/scenarios/restart_measurements.py
+++ b/cedarthread/testing/cluster/scenarios/restart_measurements.py
@@ -123,7 +123,7 @@
 
 
 def stale_attempts(result: Result) -> int:
-    """Return the number of attempts to a worker long after it disappeared from the router's endpoint list."""
+    """Return the number of attempts to a worker that was missing from the router's list for long enough."""
     faults = result.scenario.faults
     hide_faults = [fault for fault in faults if fault.kind is FaultKind.HIDE_WORKER]
     kill_faults = [fault for fault in faults if fault.kind is FaultKind.KILL_ROUTER]
--- a/cedarthread/testing/invariants.py
+++ b/cedarthread/testing/invariants.py
@@ -167,7 +167,7 @@
     def on_call_submitted(
         self, at_ms: float, call: str, guarantees: CallGuarantees, deadline_ms: float
     ) -> None:
-        """Record that a client sent a complete request; ``call`` must be unique."""
+        """Record that a client sent a complete request, with a unique name of the call and its deadline."""
         if call in self._calls:
             self._report("harness", at_ms, f"call {call} was recorded twice")
             return
@@ -295,7 +295,9 @@
         age_ms = at_ms - executed[0].started_at_ms
         if at_ms > executed[0].started_at_ms + guarantees.retry_window_ms:
             self._report(
-                "effects", at_ms, f"dedup call {call} retried {age_ms:.0f} ms after its first attempt"
+                "effects",
+                at_ms,
+                f"dedup call {call} retried {age_ms:.0f} ms after an attempt that may have been executed",
             )
         if any(earlier.is_outside(guarantees.retry_scope, attempt) for earlier in executed):
             self._report("effects", at_ms, f"dedup call {call} retried outside its {guarantees.retry_scope}")
