--- a/cedarthread/testing/cluster/cli.py
+++ b/cedarthread/testing/cluster/cli.py
@@ -73,7 +73,7 @@
         print(f"cedarthread: {error}", file=sys.stderr)
         return EXIT_USAGE
     except asyncio.CancelledError:
-        print("cedarthread: told to stop; all processes have been ended", file=sys.stderr)
+        print("cedarthread: interrupted; all processes have been stopped", file=sys.stderr)
         return EXIT_INTERRUPTED
 
 
@@ -90,39 +90,39 @@
         scenarios = (replace(scenario, is_gossip_enabled=False) for scenario in scenarios)
     if options["--defect"] is not None:
         if options["--defect"] not in DEFECTS:
-            raise ValueError(f"--defect: none of {', '.join(DEFECTS)}")
+            raise ValueError(f"--defect: must be one of {', '.join(DEFECTS)}")
         scenarios = (replace(scenario, injected_defect=options["--defect"]) for scenario in scenarios)
     results = run_scenarios(scenario_set, scenarios, options["--out"])
     has_failed = False
     for index, result in enumerate(results):
-        for failing in scenario_set.failings(result, results[:index]):
+        for failed_check in scenario_set.failed_checks(result, results[:index]):
             has_failed = True
-            print(f"{result.scenario_name}: {failing}")
+            print(f"{result.scenario_name}: {failed_check}")
     if any(result.is_void for result in results):
-        print("the harness was late: no run counts in which it was")
+        print("the harness was late: the results of runs in which it was late are void")
         return EXIT_FAILED if has_failed else EXIT_USAGE
     print("FAILED" if has_failed else "held")
     return EXIT_FAILED if has_failed else 0
 
 
 def _with_seconds(make: MakeScenarios, seconds: float) -> MakeScenarios:
-    """Return the same set with runs of another length.
+    """Return the same set with runs of another duration.
 
     Raises:
-        ValueError: All runs of the set have one fixed length.
+        ValueError: The runs of the set have a fixed duration.
     """
     if "seconds" not in inspect.signature(make).parameters:
-        raise ValueError("--seconds: the runs of this drill have one length")
+        raise ValueError("--seconds: the runs of this drill have a fixed duration")
     return cast("MakeScenarios", functools.partial(cast("Any", make), seconds=seconds))
 
 
 def run_scenarios(scenario_set: ScenarioSet, scenarios: Iterable[Scenario], out: str | None) -> list[Result]:
     """Run scenarios one after another, and print a line of the table after each."""
-    print(scenario_set.HEAD, scenario_set.RULE, sep="\n", flush=True)
+    print(scenario_set.TABLE_HEADER, scenario_set.TABLE_SEPARATOR, sep="\n", flush=True)
     results = []
     for scenario in scenarios:
         result = asyncio.run(_run_until_interrupted(scenario))
-        print(scenario_set.row(result), flush=True)
+        print(scenario_set.table_row(result), flush=True)
         results.append(result)
         if out is not None:
             _write_result(result, Path(out))
@@ -139,8 +139,8 @@
     """Run one scenario; an interrupt at any moment ends every process that the run has started."""
     loop = asyncio.get_running_loop()
     task = asyncio.ensure_future(run_scenario(scenario))
-    # The event loop handles the signals between its steps, so that a signal never interrupts the start of a
-    # process midway.
+    # The event loop handles signals between callbacks, so that a signal never interrupts the start of a
+    # process.
     for signal_number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(signal_number, task.cancel)
     return await task
--- a/cedarthread/testing/cluster/endpoint_timeline.py
+++ b/cedarthread/testing/cluster/endpoint_timeline.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from cedarthread.testing.cluster.scenario import Fault, FaultKind, Scenario, SubjectKind
+from cedarthread.testing.cluster.scenario import Fault, FaultKind, NodeKind, Scenario
 from cedarthread.testing.fakes.discovery_server import ListedWorker
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 
 
 class EndpointListTimeline:
-    """The endpoint lists of one scenario, which each process computes alike.
+    """The endpoint lists of one scenario, which every process computes identically.
 
     Args:
         scenario: The scenario.
@@ -50,12 +50,12 @@
         now_s = now_ms / 1000.0
         workers = range(self.scenario.worker_count)
         version = 1 + sum(at_s <= now_s for at_s in self.change_times_s)
-        hidden = self._affected(self.hide_faults, now_s, router)
-        draining = self._affected(self.drain_faults, now_s, router)
+        hidden = self._affected_workers(self.hide_faults, now_s, router)
+        draining = self._affected_workers(self.drain_faults, now_s, router)
         key = version, hidden, draining
         if key not in self._cache:
             self._cache[key] = tuple(
-                self._listed(now_s, number, is_draining=number in draining)
+                self._listed_worker(now_s, number, is_draining=number in draining)
                 for number in workers
                 if number not in hidden
             )
@@ -64,20 +64,20 @@
     def states_at(self, now_ms: float, router: int) -> dict[int, str]:
         """Return the state of each worker for a router at a time: ``gone`` if the list lacks the worker."""
         now_s = now_ms / 1000.0
-        hidden = self._affected(self.hide_faults, now_s, router)
-        draining = self._affected(self.drain_faults, now_s, router)
+        hidden = self._affected_workers(self.hide_faults, now_s, router)
+        draining = self._affected_workers(self.drain_faults, now_s, router)
         states = dict.fromkeys(range(self.scenario.worker_count), "ready")
         return states | dict.fromkeys(draining, "draining") | dict.fromkeys(hidden, "gone")
 
-    def _affected(self, faults: Sequence[Fault], now_s: float, router: int) -> frozenset[int]:
+    def _affected_workers(self, faults: Sequence[Fault], now_s: float, router: int) -> frozenset[int]:
         return frozenset(
             worker
             for fault in faults
-            if fault.is_active(now_s) and fault.affects_peer(SubjectKind.ROUTER, router)
-            for worker in fault.subjects.numbers
+            if fault.is_active(now_s) and fault.affects_peer(NodeKind.ROUTER, router)
+            for worker in fault.targets.numbers
         )
 
-    def _listed(self, now_s: float, worker: int, *, is_draining: bool) -> ListedWorker:
+    def _listed_worker(self, now_s: float, worker: int, *, is_draining: bool) -> ListedWorker:
         started_at_ms = self._started_at_ms(now_s, worker)
         name = f"s-{worker + 1:08x}"
         return ListedWorker(name, self.worker_ports[worker], is_draining, started_at_ms)
@@ -86,6 +86,6 @@
         restarts = [
             fault.end_s
             for fault in self.crash_faults
-            if fault.end_s + LISTING_DELAY_S <= now_s and fault.subjects.includes(SubjectKind.WORKER, worker)
+            if fault.end_s + LISTING_DELAY_S <= now_s and fault.targets.includes(NodeKind.WORKER, worker)
         ]
         return 1000.0 * (1.0 + max(restarts)) if restarts else 0.0
--- a/cedarthread/testing/cluster/evaluation.py
+++ b/cedarthread/testing/cluster/evaluation.py
@@ -11,7 +11,7 @@
 from cedarthread.testing.cluster.policy_replay import POLICIES, PolicyReplay
 from cedarthread.testing.cluster.recordings import Recording, merge_recordings
 from cedarthread.testing.cluster.result import DatagramCounts, FaultSpan, Result
-from cedarthread.testing.cluster.scenario import FaultKind, Scenario, SubjectKind
+from cedarthread.testing.cluster.scenario import FaultKind, NodeKind, Scenario
 from cedarthread.testing.cluster.service_levels import peak_count, value_rates
 from cedarthread.testing.load_balance import (
     LoadBalanceMetrics,
@@ -61,7 +61,7 @@
     lags_ms = [_percentile(recording.lags_ms, LAG_PERCENTILE) for recording in recordings]
     time_series = merged.time_series()
     worker_calls = sorted(merged.worker_calls, key=lambda call: call.arrived_at_ms)
-    unexpected_ends = [f"router {number} ended with {code}" for number, code in exit_codes.items()]
+    unexpected_ends = [f"router {number} exited with code {code}" for number, code in exit_codes.items()]
     return Result(
         scenario_name=scenario.name,
         seed=scenario.seed,
@@ -92,8 +92,8 @@
 
 def _check_datagrams(recording: Recording, checker: InvariantChecker) -> None:
     for datagram in recording.peer_datagrams:
-        what = f"bytes of a datagram of router {datagram.sender}"
-        checker.check_remaining(datagram.at_ms, what, datagram.length, MAX_DATAGRAM_BYTES)
+        resource = f"length in bytes of a datagram of router {datagram.sender}"
+        checker.check_remaining(datagram.at_ms, resource, datagram.length, MAX_DATAGRAM_BYTES)
 
 
 def _replay_policies(
@@ -126,7 +126,7 @@
             fault
             for fault in scenario.faults
             if fault.kind in (FaultKind.CRASH_WORKER, FaultKind.SILENCE_WORKER)
-            and fault.subjects.includes(SubjectKind.WORKER, number)
+            and fault.targets.includes(NodeKind.WORKER, number)
         ]
         ready = []
         ready_since_ms = 0.0
--- a/cedarthread/testing/cluster/fake_clients.py
+++ b/cedarthread/testing/cluster/fake_clients.py
@@ -23,7 +23,7 @@
 from cedarthread.testing.cluster.plan import CALL_DEADLINE_MS, ClusterPlan
 from cedarthread.testing.cluster.process_base import Command, FakeProcess
 from cedarthread.testing.cluster.recordings import DiscoveryQuery
-from cedarthread.testing.cluster.scenario import Fault, FaultKind, Subject, SubjectKind
+from cedarthread.testing.cluster.scenario import Fault, FaultKind, Node, NodeKind
 from cedarthread.testing.fakes.client import FakeClient, pack_call, pack_health_check
 from cedarthread.testing.fakes.discovery_server import FakeDiscoveryServer
 
@@ -31,12 +31,13 @@
     from collections.abc import Callable
 
 ZONE = "room-a"
-CALLS_PER_YIELD = 32  # Overdue calls that are sent in one iteration of the event loop.
+CALLS_PER_YIELD = 32  # Overdue calls that are sent before the event loop runs again.
 ABANDON_BEFORE_RESUME_S = 0.02  # Calls are abandoned this long before a paused router resumes and can answer.
 CONNECT_TRIES = 20
 CONNECT_RETRY_S = 0.1
-MOVED_SERVER_LINGERS_S = 0.3  # Time from a move until the server at the old address falls silent.
-# A request that was sent at most this long before its connection ended may have crossed the router's close.
+MOVED_SERVER_LINGERS_S = 0.3  # Time from a move until the server at the old address stops replying.
+# A request that was sent at most this long before its connection ended may have been in transit when the
+# router closed the connection.
 CROSSING_CLOSE_MS = 60.0
 DISCOVERY_FAULTS = (
     FaultKind.SILENCE_DISCOVERY,
@@ -102,7 +103,7 @@
     def on_discovery_query(
         self, router: int, make_reply: Callable[[], bytes], send_reply: Callable[[bytes], None]
     ) -> None:
-        """Reply to a query to a router's first discovery server, which falls silent soon after a move."""
+        """Reply to a query to a router's first discovery server, which stops replying soon after a move."""
         if not self._has_moved(router, margin_s=MOVED_SERVER_LINGERS_S):
             self._reply(router, make_reply, send_reply)
 
@@ -112,27 +113,27 @@
         return any(
             fault.start_s + margin_s <= now_s < fault.end_s
             for fault in self.discovery_faults
-            if fault.kind is FaultKind.MOVE_DISCOVERY and fault.subjects.includes(SubjectKind.ROUTER, router)
+            if fault.kind is FaultKind.MOVE_DISCOVERY and fault.targets.includes(NodeKind.ROUTER, router)
         )
 
     def _reply(
         self, router: int, make_reply: Callable[[], bytes], send_reply: Callable[[bytes], None]
     ) -> None:
-        """Send a reply as the active faults say: immediately, late, corrupted, twice or not at all."""
+        """Send a reply subject to the active faults: immediately, late, corrupted, twice or not at all."""
         now_ms = self.now_ms()
         if not self.is_recording_closed:
             self.recording.discovery_queries.append(DiscoveryQuery(now_ms, router))
         faults = [
             fault
             for fault in self.discovery_faults
-            if fault.is_active(now_ms / 1000.0) and fault.subjects.includes(SubjectKind.DISCOVERY, router)
+            if fault.is_active(now_ms / 1000.0) and fault.targets.includes(NodeKind.DISCOVERY, router)
         ]
         if any(fault.kind is FaultKind.SILENCE_DISCOVERY for fault in faults):
             return
         self.record(ListSent(now_ms, router))
-        router_subject = Subject(SubjectKind.ROUTER, router)
-        discovery_subject = Subject(SubjectKind.DISCOVERY, router)
-        for delay_ms in self.network.datagram_delays_ms(now_ms, router_subject, discovery_subject):
+        router_node = Node(NodeKind.ROUTER, router)
+        discovery_node = Node(NodeKind.DISCOVERY, router)
+        for delay_ms in self.network.datagram_delays_ms(now_ms, router_node, discovery_node):
             reply = make_reply()
             corruptions = [fault for fault in faults if fault.kind is FaultKind.CORRUPT_DISCOVERY]
             if any(self.rng.random() < fault.amount for fault in corruptions):
@@ -142,7 +143,7 @@
     async def connect_client(self, router: int) -> None:
         """Connect the client of a router.
 
-        After ``CONNECT_TRIES`` failures the router counts as down, and the client sends its calls to others.
+        After ``CONNECT_TRIES`` failures the client gives up and sends its calls to other routers.
         """
         for _ in range(CONNECT_TRIES):
             with contextlib.suppress(OSError):
@@ -154,7 +155,7 @@
 
         def on_answer(number: int, result: str, body: bytes) -> None:
             delay_ms = self.network.stream_delay_ms(
-                self.now_ms(), Subject(SubjectKind.ROUTER, router), Subject(SubjectKind.CLIENT, router)
+                self.now_ms(), Node(NodeKind.ROUTER, router), Node(NodeKind.CLIENT, router)
             )
             self.call_after(delay_ms, lambda: self._on_answer(router, number, result, body))
 
@@ -166,8 +167,9 @@
     def _on_connection_lost(self, router: int, client: FakeClient) -> None:
         """Abandon the pending calls of a router after its connection has ended.
 
-        A router that is terminating must answer all calls except those that may have crossed its close. The
-        other pending calls are not abandoned, so that the evaluation finds them without an answer.
+        A router that is terminating must answer all calls except those that may have been in transit when it
+        closed the connection. The other pending calls are not abandoned, so that the evaluation reports them
+        as calls without an answer.
         """
         if self.clients.get(router) is not client:
             return  # The client closed this connection itself and replaces it.
@@ -186,12 +188,12 @@
         now_s = self.now_ms() / 1000.0
         return any(
             fault.kind is FaultKind.TERMINATE_ROUTER
-            and fault.subjects.includes(SubjectKind.ROUTER, router)
+            and fault.targets.includes(NodeKind.ROUTER, router)
             and fault.start_s <= now_s < fault.end_s
             for fault in self.scenario.faults
         ) and not any(
             fault.kind in (FaultKind.KILL_ROUTER, FaultKind.RESTART_ROUTER)
-            and fault.subjects.includes(SubjectKind.ROUTER, router)
+            and fault.targets.includes(NodeKind.ROUTER, router)
             and fault.start_s - 1.0 <= now_s < fault.end_s
             for fault in self.scenario.faults
         )
@@ -202,7 +204,7 @@
             self.record(CallAbandoned(self.now_ms(), call_id))
         self.pending_calls[router].clear()
 
-    async def _leave(self, router: int) -> None:
+    async def _reconnect_client(self, router: int) -> None:
         """Close the connection to a router while calls are pending, and open another one."""
         client = self.clients.pop(router, None)
         if client is None or client.transport is None:
@@ -249,12 +251,12 @@
         self.pending_calls[router][number] = call_id
         self.submitted_at_ms[call_id] = now_ms
         delay_ms = self.network.stream_delay_ms(
-            now_ms, Subject(SubjectKind.CLIENT, router), Subject(SubjectKind.ROUTER, router)
+            now_ms, Node(NodeKind.CLIENT, router), Node(NodeKind.ROUTER, router)
         )
         self.call_after(delay_ms, lambda: client.send(data))
 
     def _choose_router(self, router: int) -> int | None:
-        """Return the router that a call is sent to: the client's own, else any other that is connected."""
+        """Return the router to send a call to: the client's own, else any other connected one, else None."""
         if self._is_connected(router):
             return router
         others = [other for other in self.clients if self._is_connected(other)]
@@ -265,18 +267,18 @@
         return client is not None and client.transport is not None
 
     async def run_fault(self, fault: Fault) -> None:
-        """Close connections at ``LEAVE``; abandon the calls of a paused router shortly before it resumes."""
-        if fault.kind is FaultKind.LEAVE:
+        """Reconnect clients, or abandon the calls of a paused router shortly before it resumes."""
+        if fault.kind is FaultKind.RECONNECT_CLIENT:
             await self.wait_until(fault.start_s)
-            leaving = (router for router in fault.subjects.numbers if router in self.routers)
-            await asyncio.gather(*map(self._leave, leaving))
+            leaving = (router for router in fault.targets.numbers if router in self.routers)
+            await asyncio.gather(*map(self._reconnect_client, leaving))
         if fault.kind is not FaultKind.PAUSE_ROUTER:
             return
         end_s = self.scenario.end_s
         resumes_s = fault.end_s if fault.end_s < end_s else end_s + CALL_DEADLINE_MS / 1000.0
         await self.wait_until(resumes_s - ABANDON_BEFORE_RESUME_S)
         for router in self.routers:
-            if fault.subjects.includes(SubjectKind.ROUTER, router):
+            if fault.targets.includes(NodeKind.ROUTER, router):
                 self.abandon_calls(router)
 
 
--- a/cedarthread/testing/cluster/policy_replay.py
+++ b/cedarthread/testing/cluster/policy_replay.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from cedarthread.testing.cluster.arrivals import Arrival
-from cedarthread.testing.cluster.scenario import Fault, FaultKind, Scenario, SubjectKind
+from cedarthread.testing.cluster.scenario import Fault, FaultKind, NodeKind, Scenario
 from cedarthread.testing.fakes.worker_model import PackageStore, WorkerCall, WorkerModel
 
 MAX_ATTEMPTS = 2  # The first attempt and one retry of a rejected call.
@@ -61,11 +61,11 @@
         self.router_by_call: dict[str, int] = {}
 
     def run(self, arrivals: list[Arrival]) -> list[WorkerCall]:
-        """Replay the arrivals, and return all attempts in the order in which they arrived at workers."""
+        """Replay the arrivals, and return all attempts in order of arrival at the workers."""
         events: list[_FaultEvent] = []
         for fault in self.scenario.faults:
             for number in range(self.scenario.worker_count):
-                if fault.subjects.includes(SubjectKind.WORKER, number):
+                if fault.targets.includes(NodeKind.WORKER, number):
                     events += self._fault_events(fault, number)
         heapq.heapify(events)
         for arrival in arrivals:
@@ -84,7 +84,7 @@
         def set_slowdown(factor: float) -> None:
             worker.slowdown = factor
 
-        def set_up(at_ms: float, *, is_up: bool) -> None:
+        def set_availability(at_ms: float, *, is_up: bool) -> None:
             self.is_up[number] = is_up
             if not is_up:
                 for call in worker.crash(at_ms):
@@ -100,8 +100,8 @@
             ]
         if fault.kind in (FaultKind.CRASH_WORKER, FaultKind.SILENCE_WORKER):
             return [
-                _FaultEvent(start_ms, order, lambda: set_up(start_ms, is_up=False)),
-                _FaultEvent(end_ms, order + 1, lambda: set_up(end_ms, is_up=True)),
+                _FaultEvent(start_ms, order, lambda: set_availability(start_ms, is_up=False)),
+                _FaultEvent(end_ms, order + 1, lambda: set_availability(end_ms, is_up=True)),
             ]
         return []
 
@@ -138,12 +138,12 @@
         return self.rng.choice([number for number in candidates if own_in_flight[number] == fewest])
 
     def choose_of_two(self, arrival: Arrival, candidates: list[int]) -> int:
-        """Choose two workers at random, and of these the one with fewer calls from the router itself."""
+        """Choose, of two random workers, the one with fewer calls in flight from the router itself."""
         sample = self.rng.sample(candidates, min(2, len(candidates)))
         return min(sample, key=lambda number: self.in_flight[arrival.router][number])
 
     def choose_omniscient(self, arrival: Arrival, candidates: list[int]) -> int:
-        """Choose the worker with the lowest expected wait by the true state of all workers."""
+        """Choose the worker with the shortest expected wait, computed from the true state of all workers."""
         return min(
             candidates,
             key=lambda number: (self._expected_wait_ms(arrival, self.workers[number]), self.rng.random()),
--- a/cedarthread/testing/cluster/router_processes.py
+++ b/cedarthread/testing/cluster/router_processes.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 from cedarthread.testing.cluster.router_files import RouterAddresses, RouterFiles
-from cedarthread.testing.cluster.scenario import Fault, FaultKind, Scenario, SubjectKind
+from cedarthread.testing.cluster.scenario import Fault, FaultKind, NodeKind, Scenario
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -51,16 +51,16 @@
         self.start_unix_s = 0.0  # Start of traffic; ``ClusterRun`` sets it.
         self.processes: dict[int, subprocess.Popen[bytes]] = {}  # Latest process of each router.
         self._ended_cpu_s: dict[int, float] = {}  # CPU time of a router's processes that were killed.
-        # The routers share one cache of compiled modules, because compiling costs a second of CPU a process.
+        # The routers share one cache of compiled modules, because compiling takes 1 s of CPU per process.
         self._environment = {
             name: value for name, value in os.environ.items() if name != "PYTHONDONTWRITEBYTECODE"
         }
         self._environment["PYTHONPYCACHEPREFIX"] = str(folder / "compiled")
-        faulty = {fault.subjects for fault in scenario.faults if fault.kind in CONTROL_FILE_FAULTS}
+        faulty = {fault.targets for fault in scenario.faults if fault.kind in CONTROL_FILE_FAULTS}
         self.routers_with_control_files = {
             number
             for number in numbers
-            if any(subjects.includes(SubjectKind.ROUTER, number) for subjects in faulty)
+            if any(targets.includes(NodeKind.ROUTER, number) for targets in faulty)
         }
 
     def write_config(
@@ -92,13 +92,15 @@
         """Return when a router accepts connections.
 
         Raises:
-            OSError: The process ended before; the message has the end of its log.
+            OSError: The process ended first; the message contains the end of its log.
             TimeoutError: The router did not accept connections within ``READY_TIMEOUT_S``.
         """
         async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
                 if self.processes[number].poll() is not None:
-                    raise OSError(f"router {number} ended: {self.read_log(number)[-LOG_TAIL_CHARACTERS:]}")
+                    raise OSError(
+                        f"router {number} exited early: {self.read_log(number)[-LOG_TAIL_CHARACTERS:]}"
+                    )
                 with contextlib.suppress(OSError):
                     _, writer = await asyncio.open_connection("127.0.0.1", self.ports[number])
                     writer.transport.abort()
--- a/cedarthread/testing/cluster/run.py
+++ b/cedarthread/testing/cluster/run.py
@@ -1,4 +1,4 @@
-"""A cluster run: starts routers and fakes as processes, injects router faults, evaluates the recordings."""
+"""One cluster run: starts routers and fakes as processes, injects router faults, evaluates the recordings."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from cedarthread.testing.cluster.process_handle import FakeProcessHandle
 from cedarthread.testing.cluster.router_files import RouterAddresses
 from cedarthread.testing.cluster.router_processes import RouterProcesses, reserve_port
-from cedarthread.testing.cluster.scenario import FAULT_SUBJECTS, Fault, FaultKind, Scenario, SubjectKind
+from cedarthread.testing.cluster.scenario import FAULT_TARGET_KINDS, Fault, FaultKind, NodeKind, Scenario
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -30,7 +30,7 @@
 # Time from the RUN command to the start of traffic, so that every process has received it.
 START_LEAD_S = 0.2
 LAST_RESPONSES_S = 0.3  # Wait after the last deadline, in which the last responses arrive.
-# STANDING: SIGKILL follows SIGTERM after the longest deadline, counted as 3 s at most, plus 0.7 s.
+# As STANDING specifies: the longest deadline, but at most 3 s, plus 0.7 s.
 SIGKILL_AFTER_SIGTERM_S = min(3.0, CALL_DEADLINE_MS / 1000.0) + 0.7
 
 
@@ -67,7 +67,7 @@
                 for reserved in self.moved_discovery_sockets
             ],
         )
-        shared = [
+        inherited_descriptors = [
             reserved.descriptor
             for reserved in (
                 *self.plan.peer_relays,
@@ -76,7 +76,7 @@
             )
         ]
         self.fake_processes = [  # Process 0 runs the workers.
-            FakeProcessHandle(folder, number, shared if number else [])
+            FakeProcessHandle(folder, number, inherited_descriptors if number else [])
             for number in range(1 + client_processes)
         ]
 
@@ -104,7 +104,7 @@
         return result
 
     def _logged_failures(self) -> list[str]:
-        """Return a violation for each line of a router's log that reports a broken rule or an exception."""
+        """Return a violation for each log line of a router that reports a violated rule or an exception."""
         return [
             f"log of router {number}: {line}"
             for number in range(self.scenario.router_count)
@@ -123,8 +123,8 @@
             for worker in faultless_timeline.list_at(0.0, 0).workers
         ]
         peers = [f"127.0.0.1:{relay.port}" for relay in self.plan.peer_relays]
-        every = range(self.scenario.router_count)
-        for number in every:
+        router_numbers = range(self.scenario.router_count)
+        for number in router_numbers:
             addresses = RouterAddresses(
                 discovery_port=self.plan.discovery_servers[number].port,
                 moved_discovery_port=self.plan.moved_discovery_servers[number].port,
@@ -135,8 +135,8 @@
             self.routers.start(number)
             if number == 0:  # Router 0 compiles the modules for all routers.
                 await self.routers.wait_until_ready(number)
-        await asyncio.gather(*map(self.routers.wait_until_ready, every))
-        await self.command_all(Command.CONNECT, routers=list(every))
+        await asyncio.gather(*map(self.routers.wait_until_ready, router_numbers))
+        await self.command_all(Command.CONNECT, routers=list(router_numbers))
 
     async def command_all(self, command: Command, **arguments: object) -> None:
         """Send a command to all fake processes."""
@@ -163,9 +163,9 @@
         self.cpu_at_warm_up_s = sum(map(self.routers.cpu_seconds, range(self.scenario.router_count)))
 
     async def _run_fault(self, fault: Fault) -> None:
-        if FAULT_SUBJECTS.get(fault.kind) is not SubjectKind.ROUTER:
+        if FAULT_TARGET_KINDS.get(fault.kind) is not NodeKind.ROUTER:
             return
-        numbers = fault.subjects.numbers
+        numbers = fault.targets.numbers
         await self._wait_until(fault.start_s)
         for number in numbers:
             self.routers.begin_fault(fault, number)
--- a/cedarthread/testing/cluster/scenario_file.py
+++ b/cedarthread/testing/cluster/scenario_file.py
@@ -1,4 +1,7 @@
-"""Parser of scenario files (TOML). An error names the place and the mistake: ``fault 2: cut needs `to` ``."""
+"""Parser of scenario files (TOML).
+
+An error message names the place and the mistake, for example ``fault 2: cut needs `to` ``.
+"""
 
 from __future__ import annotations
 
@@ -11,13 +14,13 @@
 from cedarthread.testing.cluster.injected_defects import DEFECTS
 from cedarthread.testing.cluster.scenario import (
     DISK_FAULTS,
-    FAULT_SUBJECTS,
+    FAULT_TARGET_KINDS,
     NETWORK_FAULTS,
     Fault,
     FaultKind,
+    NodeKind,
+    NodeRange,
     Scenario,
-    SubjectKind,
-    Subjects,
 )
 
 if TYPE_CHECKING:
@@ -65,11 +68,11 @@
 )
 FAULT_KEYS = {"kind", "at", "until", "who", "to", "figure", "one_way", "what"}
 _TYPES: dict[str, tuple[type, ...]] = {"int": (int,), "float": (int, float), "str": (str,), "bool": (bool,)}
-_SUBJECTS = re.compile(r"(router|runner|client|resolver)(?::(\d+)(?:-(\d+))?)?\Z")
+_NODE_RANGE = re.compile(r"(router|runner|client|resolver)(?::(\d+)(?:-(\d+))?)?\Z")
 
 
 class ScenarioError(CedarthreadError):
-    """An error of a scenario that cannot be run; the message names the place and the mistake."""
+    """An invalid scenario; the message names the place and the mistake."""
 
 
 def load_scenario(path: Path) -> Scenario:
@@ -96,7 +99,7 @@
         if key == "fault":
             continue
         if key not in FIELD_BY_KEY:
-            raise ScenarioError(f"{key}: no such key; there are {', '.join(FIELD_BY_KEY)} and [[fault]]")
+            raise ScenarioError(f"{key}: unknown key; valid keys are {', '.join(FIELD_BY_KEY)} and [[fault]]")
         _check_value(key, value, type_names[FIELD_BY_KEY[key]])
         values[FIELD_BY_KEY[key]] = value
     scenario = Scenario(**values)
@@ -104,7 +107,7 @@
         if float(getattr(scenario, FIELD_BY_KEY[key])) <= 0:
             raise ScenarioError(f"{key}: must be above zero")
     if scenario.injected_defect not in ("", *DEFECTS):
-        raise ScenarioError(f"plant: {scenario.injected_defect!r} is none of {', '.join(DEFECTS)}")
+        raise ScenarioError(f"plant: {scenario.injected_defect!r} is not one of {', '.join(DEFECTS)}")
     tenant_shares(scenario)
     fleet_config_routers(scenario)
     faults = tuple(
@@ -117,9 +120,9 @@
 def _check_value(key: str, value: object, type_name: str) -> None:
     is_bool = isinstance(value, bool)  # Checked apart, because bool is a subclass of int.
     if not isinstance(value, _TYPES[type_name]) or (is_bool and type_name != "bool"):
-        raise ScenarioError(f"{key}: {value!r} is no {type_name}")
+        raise ScenarioError(f"{key}: {value!r} is not of type {type_name}")
     if isinstance(value, (int, float)) and value < 0:
-        raise ScenarioError(f"{key}: {value!r} is below zero")
+        raise ScenarioError(f"{key}: {value!r} is negative")
 
 
 def tenant_shares(scenario: Scenario) -> dict[str, float]:
@@ -129,65 +132,69 @@
         pairs = map(str.split, filter(None, text.split(",")))
         shares = {name: float(share) for name, share in pairs}
     except ValueError:
-        raise ScenarioError(f"tenants: {text!r} is not like 'hydro 0.5, steel 0.3'") from None
+        raise ScenarioError(f"tenants: {text!r} must have the form 'hydro 0.5, steel 0.3'") from None
     if sum(shares.values()) > 1.0 or any(not 0.0 < share <= 1.0 for share in shares.values()):
-        raise ScenarioError(f"tenants: {text!r}: parts above 0, and 1 in all at most")
+        raise ScenarioError(f"tenants: {text!r}: each share must be above 0, and their sum at most 1")
     return shares
 
 
-def fleet_config_routers(scenario: Scenario) -> Subjects:
+def fleet_config_routers(scenario: Scenario) -> NodeRange:
     """Return the routers that have the fleet config."""
-    return parse_subjects("declares", scenario.fleet_config_routers, scenario)
+    return parse_node_range("declares", scenario.fleet_config_routers, scenario)
 
 
 def _parse_fault(where: str, fault: Mapping[str, Any], scenario: Scenario) -> Fault:
     unknown = set(fault) - FAULT_KEYS
     if unknown:
-        raise ScenarioError(f"{where}: no such key: {', '.join(sorted(unknown))}")
+        raise ScenarioError(f"{where}: unknown key: {', '.join(sorted(unknown))}")
     kind = _parse_kind(where, fault.get("kind"))
     start_s = fault.get("at", 0.0)
     end_s = fault.get("until", scenario.end_s)
     if not all(isinstance(time, (int, float)) for time in (start_s, end_s)) or not 0 <= start_s < end_s:
-        raise ScenarioError(f"{where}: at {start_s!r} and until {end_s!r} are no times in order")
-    peers = parse_subjects(f"{where}: to", fault["to"], scenario) if "to" in fault else None
+        raise ScenarioError(
+            f"{where}: at {start_s!r} and until {end_s!r} must be numbers with 0 <= at < until"
+        )
+    peers = parse_node_range(f"{where}: to", fault["to"], scenario) if "to" in fault else None
     if kind in (*NETWORK_FAULTS, FaultKind.HIDE_WORKER, FaultKind.DRAIN_WORKER) and peers is None:
         raise ScenarioError(f"{where}: {kind} needs `to`")
-    subjects = parse_subjects(f"{where}: who", fault.get("who"), scenario)
-    if kind in FAULT_SUBJECTS and subjects.kind != FAULT_SUBJECTS[kind]:
-        raise ScenarioError(f"{where}: {kind} is done at a {FAULT_SUBJECTS[kind]}, not at a {subjects.kind}")
+    targets = parse_node_range(f"{where}: who", fault.get("who"), scenario)
+    if kind in FAULT_TARGET_KINDS and targets.kind != FAULT_TARGET_KINDS[kind]:
+        raise ScenarioError(
+            f"{where}: {kind} applies to a {FAULT_TARGET_KINDS[kind]}, not to a {targets.kind}"
+        )
     text = str(fault.get("what", ""))
     if kind is FaultKind.DISK and text not in DISK_FAULTS:
-        raise ScenarioError(f"{where}: what {text!r} is none of {', '.join(DISK_FAULTS)}")
-    if kind is FaultKind.FLEET_CONFIG and not _have_fleet_config(subjects, scenario):
-        raise ScenarioError(f"{where}: {fault.get('who')} has no file of the operators to begin with")
+        raise ScenarioError(f"{where}: what {text!r} is not one of {', '.join(DISK_FAULTS)}")
+    if kind is FaultKind.FLEET_CONFIG and not _have_fleet_config(targets, scenario):
+        raise ScenarioError(f"{where}: {fault.get('who')} has no initial fleet config (`fleet`, `declares`)")
     amount = float(fault.get("figure", 0.0))
     is_one_way = bool(fault.get("one_way"))
-    return Fault(kind, float(start_s), float(end_s), subjects, peers, amount, is_one_way, text)
+    return Fault(kind, float(start_s), float(end_s), targets, peers, amount, is_one_way, text)
 
 
 def _parse_kind(where: str, text: object) -> FaultKind:
-    known = (*NETWORK_FAULTS, *FAULT_SUBJECTS)
+    known = (*NETWORK_FAULTS, *FAULT_TARGET_KINDS)
     if text not in known:
-        raise ScenarioError(f"{where}: kind {text!r} is none of {', '.join(known)}")
+        raise ScenarioError(f"{where}: kind {text!r} is not one of {', '.join(known)}")
     return FaultKind(str(text))
 
 
-def _have_fleet_config(subjects: Subjects, scenario: Scenario) -> bool:
+def _have_fleet_config(targets: NodeRange, scenario: Scenario) -> bool:
     configured = fleet_config_routers(scenario)
     return (
-        bool(scenario.fleet_config) and configured.first <= subjects.first <= subjects.last <= configured.last
+        bool(scenario.fleet_config) and configured.first <= targets.first <= targets.last <= configured.last
     )
 
 
-def parse_subjects(where: str, text: object, scenario: Scenario) -> Subjects:
-    """Return a range of routers, workers, clients or discovery servers from its form in scenario files."""
-    match = _SUBJECTS.match(text) if isinstance(text, str) else None
+def parse_node_range(where: str, text: object, scenario: Scenario) -> NodeRange:
+    """Parse a range of routers, workers, clients or discovery servers as scenario files write it."""
+    match = _NODE_RANGE.match(text) if isinstance(text, str) else None
     if match is None:
-        raise ScenarioError(f"{where}: {text!r} is not like router, runner:3 or client:0-11")
-    kind = SubjectKind(match[1])
-    count = scenario.worker_count if kind is SubjectKind.WORKER else scenario.router_count
+        raise ScenarioError(f"{where}: {text!r} must have the form router, runner:3 or client:0-11")
+    kind = NodeKind(match[1])
+    count = scenario.worker_count if kind is NodeKind.WORKER else scenario.router_count
     first = int(match[2]) if match[2] else 0
     last = int(match[3]) if match[3] else first if match[2] else count - 1
     if not first <= last < count:
         raise ScenarioError(f"{where}: {text!r} is outside 0 to {count - 1}")
-    return Subjects(kind, first, last)
+    return NodeRange(kind, first, last)
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -1,7 +1,7 @@
-"""Random faults that overlap in time, drawn by a seed; the operators' rules are the oracle.
+"""Random faults that overlap in time, generated from a seed, and checked against the operators' rules.
 
-The draw is printed as a scenario file. An engineer can remove faults from the file by hand until the smallest
-set that still fails is left (``cedarthread rig run FILE``).
+Each scenario is printed as a scenario file for ``cedarthread cluster run FILE``. To minimize a failing
+scenario, remove faults from the file while it still fails.
 """
 
 from __future__ import annotations
@@ -24,30 +24,30 @@
 WARM_UP_S = 1.5  # Traffic before the first fault.
 DEFAULT_SECONDS = 10.0
 QUIET_END_S = 0.5  # Time before the end in which no fault starts.
-PROCESS_FAULT_SHARE = 0.5  # Maximum share of the routers that have a fault of their process.
+PROCESS_FAULT_SHARE = 0.5  # Maximum share of the routers with a process fault.
 LIST_FAULT_SHARE = 0.5  # Maximum share of the workers that are drained or hidden.
-# Minimum share of the calls under any faults: a third of the possible, by STANDING.
+# Minimum share of the calls that are served under any faults: a third of the possible, as STANDING specifies.
 MIN_SERVED_FRACTION = 0.3
 
 # Shortest and longest duration in s of each fault of a router's process. A router has one such fault at most.
 PROCESS_FAULTS = {"stop": (0.2, 3.0), "kill": (0.3, 1.0), "term": (3.8, 4.5), "restart": (0.1, 0.2)}
 LIST_FAULTS = {"drain": (1.0, 5.0), "hide": (1.0, 5.0)}
 DRAIN_DURING_STOP_SHARE = 0.5  # Share of the pauses during which a worker drains.
-# Shortest and longest duration in s of a pause during which a worker drains: longer than the notice limit of
-# a drain plus the grace period.
+# Shortest and longest duration in s of a pause during which a worker drains. Both are longer than the time
+# until a router counts as knowing of the drain, plus the grace period.
 LONG_STOP_S = 2.4, 3.0
 MAX_OTHER_FAULTS = 9
 MIN_OTHER_FAULTS = 4
 
 _CALL_ID = re.compile(r"(?:call|of) ([0-9a-f]{16})")
-FaultText = dict[str, Any]  # A fault, as in scenario files.
+FaultTable = dict[str, Any]  # A fault, as a TOML table of a scenario file.
 
 
-class _Draw:
-    """A draw of faults; owns the list of faults drawn so far.
+class _FaultGenerator:
+    """A generator of random faults; owns the list of faults generated so far.
 
     Args:
-        rng: The random numbers of the draw.
+        rng: The random number generator.
         routers: The number of routers.
         end_s: The end of the run, s from the start of traffic.
     """
@@ -56,81 +56,81 @@
         self.rng = rng
         self.routers = routers
         self.end_s = end_s
-        self.faults: list[FaultText] = []
+        self.faults: list[FaultTable] = []
 
-    def add(self, kind: str, subjects: str, seconds: tuple[float, float], **other_keys: object) -> None:
-        """Add a fault of a kind, and draw when it starts and how long it lasts."""
+    def add(self, kind: str, targets: str, seconds: tuple[float, float], **other_keys: object) -> None:
+        """Add a fault of a kind with a random start and duration."""
         start_s = self.rng.uniform(WARM_UP_S, self.end_s - QUIET_END_S)
         until_s = min(start_s + self.rng.uniform(*seconds), self.end_s)
         times = {"at": round(start_s, 3), "until": round(until_s, 3)}
-        self.faults.append({"kind": kind, **times, "who": subjects, **other_keys})
+        self.faults.append({"kind": kind, **times, "who": targets, **other_keys})
 
-    def any_router(self) -> str:
-        """Draw one router or all routers."""
+    def random_router(self) -> str:
+        """Choose one router at random, or all routers."""
         return self.rng.choice(("router", f"router:{self.rng.randrange(self.routers)}"))
 
-    def any_worker(self) -> str:
-        """Draw one worker."""
+    def random_worker(self) -> str:
+        """Choose one worker at random."""
         return f"runner:{self.rng.randrange(WORKERS)}"
 
-    def any_discovery(self) -> str:
-        """Draw the discovery server of one router or those of all routers."""
-        return self.any_router().replace("router", "resolver")
+    def random_discovery(self) -> str:
+        """Choose the discovery server of one router at random, or those of all routers."""
+        return self.random_router().replace("router", "resolver")
 
-    def process_faults(self) -> None:
-        """Draw faults of processes, each at another router, because a dead process cannot be paused too."""
+    def add_process_faults(self) -> None:
+        """Add process faults, each at a different router, because a dead process cannot be paused too."""
         count = self.rng.randint(1, max(1, int(PROCESS_FAULT_SHARE * self.routers)))
         for number in self.rng.sample(range(self.routers), count):
             kind = self.rng.choice(list(PROCESS_FAULTS))
             self.add(kind, f"router:{number}", PROCESS_FAULTS[kind])
             if kind == "stop" and self.rng.random() < DRAIN_DURING_STOP_SHARE:
-                self.drain_during_stop(self.faults[-1])
+                self.add_drain_during_stop(self.faults[-1])
 
-    def drain_during_stop(self, stop: FaultText) -> None:
-        """Add a drain that starts soon after a pause, and make the pause longer than the drain's grace."""
+    def add_drain_during_stop(self, stop: FaultTable) -> None:
+        """Add a drain that starts soon after a pause, and extend the pause beyond the drain's grace."""
         stop["until"] = round(min(stop["at"] + self.rng.uniform(*LONG_STOP_S), self.end_s), 3)
         start_s = stop["at"] + self.rng.uniform(0.05, 0.3)
         if start_s < self.end_s - QUIET_END_S:
             times = {"at": round(start_s, 3), "until": round(min(start_s + 4.0, self.end_s), 3)}
-            self.faults.append({"kind": "drain", **times, "who": self.any_worker(), "to": "router"})
+            self.faults.append({"kind": "drain", **times, "who": self.random_worker(), "to": "router"})
 
-    def list_faults(self) -> None:
-        """Draw workers that drain or are missing from the lists, and return."""
+    def add_endpoint_list_faults(self) -> None:
+        """Add faults in which workers are draining in or missing from the endpoint lists for some time."""
         count = self.rng.randint(1, int(LIST_FAULT_SHARE * WORKERS))
         for number in self.rng.sample(range(WORKERS), count):
             kind = self.rng.choice(list(LIST_FAULTS))
             self.add(kind, f"runner:{number}", LIST_FAULTS[kind], to="router")
 
-    def other_faults(self) -> None:
-        """Draw faults of discovery, network, workers, clients and system calls."""
+    def add_other_faults(self) -> None:
+        """Add faults of discovery, network, workers, clients and system calls."""
         rng = self.rng
         makers = (
-            lambda: self.add("mute", self.any_discovery(), (0.3, 4.0)),
-            lambda: self.add("spoilt", self.any_discovery(), (1.0, 5.0), figure=rng.uniform(0.1, 0.6)),
+            lambda: self.add("mute", self.random_discovery(), (0.3, 4.0)),
+            lambda: self.add("spoilt", self.random_discovery(), (1.0, 5.0), figure=rng.uniform(0.1, 0.6)),
             lambda: self.add("loss", "router", (1.0, 5.0), to="resolver", figure=rng.uniform(0.1, 0.4)),
             lambda: self.add("delay", "router", (1.0, 4.0), to="resolver", figure=rng.uniform(5.0, 150.0)),
-            lambda: self.add("move", self.any_router(), (1.0, 4.0)),
-            lambda: self.add("die", self.any_worker(), (0.4, 2.0)),
-            lambda: self.add("silent", self.any_worker(), (0.5, 3.0)),
-            lambda: self.add("slow", self.any_worker(), (1.0, 4.0), figure=rng.uniform(2.0, 10.0)),
-            lambda: self.add("reset", self.any_worker(), (0.1, 0.2)),
-            lambda: self.add("cut", self.any_router(), (0.3, 2.0), to=self.any_worker()),
-            lambda: self.add("stall", self.any_router(), (0.3, 2.0), to=self.any_worker()),
-            lambda: self.add("leave", self.any_router().replace("router", "client"), (0.1, 0.2)),
+            lambda: self.add("move", self.random_router(), (1.0, 4.0)),
+            lambda: self.add("die", self.random_worker(), (0.4, 2.0)),
+            lambda: self.add("silent", self.random_worker(), (0.5, 3.0)),
+            lambda: self.add("slow", self.random_worker(), (1.0, 4.0), figure=rng.uniform(2.0, 10.0)),
+            lambda: self.add("reset", self.random_worker(), (0.1, 0.2)),
+            lambda: self.add("cut", self.random_router(), (0.3, 2.0), to=self.random_worker()),
+            lambda: self.add("stall", self.random_router(), (0.3, 2.0), to=self.random_worker()),
+            lambda: self.add("leave", self.random_router().replace("router", "client"), (0.1, 0.2)),
             lambda: self.add("burst", "router", (0.5, 2.0), figure=rng.uniform(1.5, 4.0)),
-            lambda: self.add("clock", self.any_router(), (1.0, 5.0), figure=rng.choice((-1, 1)) * 3.6e6),
-            lambda: self.add("syscalls", self.any_router(), (0.5, 2.0), figure=rng.uniform(0.01, 0.1)),
+            lambda: self.add("clock", self.random_router(), (1.0, 5.0), figure=rng.choice((-1, 1)) * 3.6e6),
+            lambda: self.add("syscalls", self.random_router(), (0.5, 2.0), figure=rng.uniform(0.01, 0.1)),
         )
         for _ in range(rng.randint(MIN_OTHER_FAULTS, MAX_OTHER_FAULTS)):
             rng.choice(makers)()
 
 
-def draw(seed: int, routers: int, seconds: float = DEFAULT_SECONDS) -> dict[str, Any]:
+def generate_scenario(seed: int, routers: int, seconds: float = DEFAULT_SECONDS) -> dict[str, Any]:
     """Return the scenario of a seed, in the form of a scenario file."""
-    drawn = _Draw(random.Random(seed), routers, WARM_UP_S + seconds)
-    drawn.process_faults()
-    drawn.list_faults()
-    drawn.other_faults()
+    generator = _FaultGenerator(random.Random(seed), routers, WARM_UP_S + seconds)
+    generator.add_process_faults()
+    generator.add_endpoint_list_faults()
+    generator.add_other_faults()
     return {
         "name": f"seed {seed}",
         "seed": seed,
@@ -142,12 +142,12 @@
         "talk": False,
         "warm_up": WARM_UP_S,
         "seconds": seconds,
-        "fault": sorted(drawn.faults, key=lambda fault: float(fault["at"])),
+        "fault": sorted(generator.faults, key=lambda fault: float(fault["at"])),
     }
 
 
 def as_toml(document: dict[str, Any]) -> str:
-    """Return a draw as a TOML file. Numbers, strings and booleans of JSON are valid in TOML too."""
+    """Encode a scenario as TOML, in which numbers, strings and booleans are written as in JSON."""
     lines = [f"{key} = {json.dumps(value)}" for key, value in document.items() if key != "fault"]
     for fault in document["fault"]:
         lines += ["", "[[fault]]", *(f"{key} = {json.dumps(value)}" for key, value in fault.items())]
@@ -155,14 +155,14 @@
 
 
 def quick(seed: int, routers: int = 10, seconds: float = DEFAULT_SECONDS) -> Iterator[Scenario]:
-    """Return one draw, and print it."""
-    document = draw(seed, routers, seconds)
+    """Return the scenario of a seed, and print it."""
+    document = generate_scenario(seed, routers, seconds)
     print(as_toml(document), flush=True)
     yield parse_scenario(document)
 
 
 def full(seed: int, routers: int = 40, seconds: float = DEFAULT_SECONDS) -> Iterator[Scenario]:
-    """Return ten draws, for this seed and the nine next ones."""
+    """Return ten scenarios, of this seed and the next nine."""
     for number in range(seed, seed + 10):
         yield from quick(number, routers, seconds)
 
@@ -172,16 +172,16 @@
     return Counter(violation.partition(" at ")[0] for violation in result.violations)
 
 
-def failings(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
+def failed_checks(result: Result, earlier: Sequence[Result] = ()) -> list[str]:
     """Return the failed checks of a run."""
-    failings = [f"{violation}{_trace(result, violation)}" for violation in result.violations]
+    failed_checks = [f"{violation}{_trace(result, violation)}" for violation in result.violations]
     if result.served_fraction < MIN_SERVED_FRACTION:
-        failings.append(f"{result.served_fraction:.2f} of the calls served")
-    return failings
+        failed_checks.append(f"{result.served_fraction:.2f} of the calls served")
+    return failed_checks
 
 
 def _trace(result: Result, violation: str) -> str:
-    """Return all facts of the call that a violation names, one a line."""
+    """Return all facts of the call that a violation names, one per line."""
     match = _CALL_ID.search(violation)
     if match is None:
         return ""
@@ -189,7 +189,7 @@
     return "".join(f"\n    {fact}" for fact in facts)
 
 
-def row(result: Result) -> str:
+def table_row(result: Result) -> str:
     """Return the line of a run in the Markdown table."""
     rules = ", ".join(f"{rule} {count}" for rule, count in sorted(violations_by_rule(result).items()))
     calls = sum(result.answers.values())
@@ -203,5 +203,5 @@
     return "| " + " | ".join(cells) + " |"
 
 
-HEAD = "| seed | calls | served | violations by rule | harness late ms |"
-RULE = "|" + " --- |" * 5
+TABLE_HEADER = "| seed | calls | served | violations by rule | harness late ms |"
+TABLE_SEPARATOR = "|" + " --- |" * 5
--- a/tests/integration/test_change_freeze_drill.py
+++ b/tests/integration/test_change_freeze_drill.py
@@ -1,4 +1,4 @@
-"""The changes that the change freeze scenarios count, and their quick form as real processes."""
+"""Placement changes as the change freeze scenarios count them, and a quick scenario with real processes."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         Placement(17_500.0, 1, 0),
     ]
     assert change_freeze.placement_changes_ms(SCENARIO, placements) == [12_000.0, 14_000.0, 17_500.0], (
-        "runner 0 died at 15 s"
+        "worker 0 crashed at 15 s"
     )
     soon_after_restart = [
         Placement(12_000.0, 1, 0),
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("defect", ["", "gate bypassed"])
 def test_real_routers_place_nothing_in_a_window_unless_the_gate_is_bypassed(defect: str) -> None:
-    """Six routers, under faults of the network, a hot function and workers that restart empty."""
+    """Six routers, with network faults, a hot function, and workers that restart without instances."""
     kinds = (
         FaultKind.LOSE,
         FaultKind.DUPLICATE,
@@ -86,6 +86,6 @@
     )
     result = asyncio.run(run_scenario(small))
     changes = change_freeze.changes_in_window(result.scenario, result.placements)
-    assert (changes.made > changes.allowed) == bool(defect), change_freeze.row(result)
+    assert (changes.made > changes.allowed) == bool(defect), change_freeze.table_row(result)
     assert not result.violations
     assert result.answers["served"] > 0
--- a/tests/unit/testing/cluster/test_evaluation.py
+++ b/tests/unit/testing/cluster/test_evaluation.py
@@ -1,4 +1,4 @@
-"""The evaluation of recordings: it finds each broken rule, and knows which lists routers had."""
+"""The evaluation of recordings: each broken rule is found, and drains count from each router's own lists."""
 
 from __future__ import annotations
 
@@ -64,16 +64,19 @@
             ],
             "",
         ),
-        ([*SUBMITTED_AND_SENT, SECOND_ATTEMPT, *EXECUTED_AND_ANSWERED], "two attempts out"),
-        ([*SUBMITTED_AND_SENT, CANCELLED, SECOND_ATTEMPT, *EXECUTED_AND_ANSWERED], "sent again though"),
+        ([*SUBMITTED_AND_SENT, SECOND_ATTEMPT, *EXECUTED_AND_ANSWERED], "two attempts in flight"),
+        (
+            [*SUBMITTED_AND_SENT, CANCELLED, SECOND_ATTEMPT, *EXECUTED_AND_ANSWERED],
+            "retried although it may have been executed",
+        ),
         (
             [*SUBMITTED_AND_SENT, *EXECUTED_AND_ANSWERED, AttemptSent(99.0, CALL_ID, 1, 97.0)],
-            "sent after its final answer",
+            "sent to a worker after its final answer",
         ),
         ([*SUBMITTED_AND_SENT, *EXECUTED_AND_ANSWERED, EXECUTED_AND_ANSWERED[1]], "2 final answers"),
-        ([*SUBMITTED_AND_SENT, EXECUTED_AND_ANSWERED[1]], "what no worker made"),
+        ([*SUBMITTED_AND_SENT, EXECUTED_AND_ANSWERED[1]], "a body that no worker produced"),
         ([*SUBMITTED_AND_SENT, EXECUTED_AND_ANSWERED[0]], "no final answer"),
-        ([*SUBMITTED_AND_SENT, EXECUTED_AND_ANSWERED[0], LATE_ANSWER], "ms late"),
+        ([*SUBMITTED_AND_SENT, EXECUTED_AND_ANSWERED[0], LATE_ANSWER], "ms after its deadline"),
     ],
 )
 def test_the_evaluation_finds_each_broken_rule_in_the_recordings(
@@ -89,7 +92,7 @@
 
 
 def test_bytes_read_in_one_loop_iteration_have_one_time() -> None:
-    """With two times, a cancelled attempt and its retry would overlap when the machine is busy."""
+    """With a time per read, a cancelled attempt would seem to overlap its retry when the machine is busy."""
 
     async def read_late(loop: VirtualLoop) -> None:
         process = FakeWorkerProcess(ClusterPlan(parse_scenario({"runners": 2}), 1, [], [], [], [], []), 0)
@@ -108,14 +111,16 @@
     run_virtual(read_late)
 
 
-def drain_violations(*sent: tuple[float, int], notices: Sequence[Fact] = (ListSent(1100.0, 0),)) -> list[str]:
+def drain_violations(
+    *sent: tuple[float, int], list_facts: Sequence[Fact] = (ListSent(1100.0, 0),)
+) -> list[str]:
     """Return the rules that attempts to a draining worker break, each sent at a time by a router.
 
     Worker 1 drains from 1 s for both routers. Router 0 is sent the list at 1.1 s.
     """
     drain = {"kind": "drain", "at": 1.0, "until": 9.0, "who": "runner:1", "to": "router"}
     scenario = parse_scenario({"routers": 2, "runners": 2, "seconds": 8.0, "fault": [drain]})
-    facts = list(notices)
+    facts = list(list_facts)
     for number, (at_ms, router) in enumerate(sent):
         call_id = f"{router:04x}{number:012x}"
         facts.append(CallSubmitted(at_ms - 10.0, call_id, "check", at_ms + 3000.0, ""))
@@ -127,12 +132,14 @@
 
 
 def test_a_drain_is_checked_by_the_lists_that_each_router_was_sent() -> None:
-    """Router 1 is sent no list and counts as notified 1.5 s after the drain."""
+    """Router 1 is sent no list and counts as knowing of the drain 1.5 s after its start."""
     assert drain_violations((1600.0, 0), (3000.0, 1)) == []
     assert drain_violations((1800.0, 0)) == ["drain"]
-    assert drain_violations((3200.0, 1)) == ["drain"], "notified by the time that has passed"
+    assert drain_violations((3200.0, 1)) == ["drain"], "router 1 counts as knowing of the drain after 1.5 s"
     restarted: tuple[Fact, ...] = (ListSent(1100.0, 0), RouterStarted(2000.0, 0))
-    assert drain_violations((2400.0, 0), notices=restarted) == [], "its configuration has the worker as ready"
+    assert drain_violations((2400.0, 0), list_facts=restarted) == [], (
+        "the configuration lists the worker as ready"
+    )
 
 
 def test_a_time_limit_longer_than_the_client_has_left_is_a_violation() -> None:
--- a/tests/unit/testing/cluster/test_network.py
+++ b/tests/unit/testing/cluster/test_network.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 from cedarthread.testing.cluster.network import MAX_REORDER_DELAY_MS, Network
-from cedarthread.testing.cluster.scenario import Subject, SubjectKind
+from cedarthread.testing.cluster.scenario import Node, NodeKind
 from cedarthread.testing.cluster.scenario_file import parse_scenario
 
 
-def router(number: int) -> Subject:
-    return Subject(SubjectKind.ROUTER, number)
+def router(number: int) -> Node:
+    return Node(NodeKind.ROUTER, number)
 
 
-def worker(number: int) -> Subject:
-    return Subject(SubjectKind.WORKER, number)
+def worker(number: int) -> Node:
+    return Node(NodeKind.WORKER, number)
 
 
 def test_the_network_follows_the_timeline_and_its_seed() -> None:
@@ -38,8 +38,10 @@
     assert max(reordered_ms) <= MAX_REORDER_DELAY_MS
     assert all(delays == [] for delays in delays_ms[400:500])
     network = Network(parse_scenario({"fault": faults}).faults, 7)
-    assert network.datagram_delays_ms(4500.0, router(1), router(0)) == [0.0], "it is cut one way only"
-    assert network.stream_delay_ms(4500.0, worker(3), router(2)) == 500.0, "bytes come once the cut is over"
+    assert network.datagram_delays_ms(4500.0, router(1), router(0)) == [0.0], "the partition is one-way"
+    assert network.stream_delay_ms(4500.0, worker(3), router(2)) == 500.0, (
+        "bytes arrive when the partition ends"
+    )
     assert network.stream_delay_ms(5000.0, router(2), worker(3)) == 0.0
 
 
