--- a/cedarthread/dispatch/send_audit.py
+++ b/cedarthread/dispatch/send_audit.py
@@ -23,11 +23,12 @@
 
 log = logging.getLogger(__name__)
 
-# An attempt may still start within this time after its client disconnects or cancels, as the document
-# STANDING specifies.
+# An attempt may still start within this time after its client disconnects or cancels, as the operators'
+# acceptance rules specify.
 CLIENT_DISCONNECTED_SLACK_MS = 100.0
 REMOVED_WORKER_RETENTION_MS = 60_000.0  # how long the audit tracks a worker that left the endpoint list
-# Tolerance on every time limit that is measured at sockets, as the document PROTOCOL specifies.
+# Tolerance on every time limit that is measured at sockets, as the platform's protocol specification
+# states.
 SOCKET_SLACK_MS = 50.0
 
 
--- a/cedarthread/testing/cluster/fact_reader.py
+++ b/cedarthread/testing/cluster/fact_reader.py
@@ -42,10 +42,10 @@
 ANSWER_SLACK_MS = 250.0  # Tolerance after the deadline, because hundreds of processes share the machine.
 HARNESS_SLACK_MS = 60.0  # Maximum delay of a fake in reading bytes that a router sent in time.
 # A change of the list counts as known to a router this long after the change, even if no reply with the
-# change arrived (PROTOCOL, figures).
+# change arrived (the platform's protocol specification, figures).
 NOTICE_LIMIT_MS = 7000.0
 # The same limit where no fault between router and discovery hampers queries. The router's process may still
-# be paused (PROTOCOL).
+# be paused (the platform's protocol specification).
 PROMPT_NOTICE_MS = 1500.0
 RESUME_S = 0.3  # Time from the end of a pause until the process has queried discovery.
 HAMPERING_FAULTS = (
--- a/cedarthread/testing/cluster/router_entry.py
+++ b/cedarthread/testing/cluster/router_entry.py
@@ -27,7 +27,7 @@
 CLOCK_CONTROL = struct.Struct("<ddd")  # Offset in ms, rate, time from which the rate applies in monotonic s.
 
 
-def faulty_clocks(control: mmap.mmap | bytearray, wall: Clock, steady: Clock) -> SimpleNamespace:
+def faulty_clocks(control: mmap.mmap | bytearray, wall: Clock, monotonic: Clock) -> SimpleNamespace:
     """Return a ``time`` module with clocks that follow the control file.
 
     The offset shifts the wall clock alone; the rate applies to both clocks.
@@ -35,11 +35,11 @@
 
     def gained_s() -> float:
         _, rate, since = CLOCK_CONTROL.unpack(control[:])
-        return float((rate - 1.0) * (steady() - since))
+        return float((rate - 1.0) * (monotonic() - since))
 
     return SimpleNamespace(
         time=lambda: wall() + float(CLOCK_CONTROL.unpack(control[:])[0]) / 1000.0 + gained_s(),
-        monotonic=lambda: steady() + gained_s(),
+        monotonic=lambda: monotonic() + gained_s(),
     )
 
 
--- a/cedarthread/testing/cluster/run.py
+++ b/cedarthread/testing/cluster/run.py
@@ -30,7 +30,8 @@
 # Time from the RUN command to the start of traffic, so that every process has received it.
 START_LEAD_S = 0.2
 LAST_RESPONSES_S = 0.3  # Wait after the last deadline, in which the last responses arrive.
-# STANDING: SIGKILL follows SIGTERM after the longest deadline, counted as 3 s at most, plus 0.7 s.
+# The operators' acceptance rules: SIGKILL follows SIGTERM after the longest deadline, counted as 3 s at most,
+# plus 0.7 s.
 SIGKILL_AFTER_SIGTERM_S = min(3.0, CALL_DEADLINE_MS / 1000.0) + 0.7
 
 
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -26,7 +26,7 @@
 QUIET_END_S = 0.5  # Time before the end in which no fault starts.
 PROCESS_FAULT_SHARE = 0.5  # Maximum share of the routers that have a fault of their process.
 LIST_FAULT_SHARE = 0.5  # Maximum share of the workers that are drained or hidden.
-# Minimum share of the calls under any faults: a third of the possible, by STANDING.
+# Minimum share of the calls under any faults: a third of the possible, by the operators' acceptance rules.
 MIN_SERVED_FRACTION = 0.3
 
 # Shortest and longest duration in s of each fault of a router's process. A router has one such fault at most.
--- a/tests/integration/test_drain_notification.py
+++ b/tests/integration/test_drain_notification.py
@@ -30,7 +30,8 @@
     from pathlib import Path
 
 DEADLINE_SLACK_S = 0.15  # by which a worker's deadline of a call may exceed the client's
-NOTICE_LIMIT_S = 1.5  # after which the router counts as notified without a reply (PROTOCOL)
+# Time after which the router counts as notified without a reply (the platform's protocol specification).
+NOTICE_LIMIT_S = 1.5
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/testing/cluster/test_router_files.py
+++ b/tests/unit/testing/cluster/test_router_files.py
@@ -18,7 +18,7 @@
     clocks = faulty_clocks(control, lambda: now_s[0], lambda: now_s[0])
     assert (clocks.time(), clocks.monotonic()) == (105.0, 105.0)
     control[:] = CLOCK_CONTROL.pack(-2000.0, 1.0, 90.0)
-    assert (clocks.time(), clocks.monotonic()) == (98.0, 100.0), "a step leaves the steady clock alone"
+    assert (clocks.time(), clocks.monotonic()) == (98.0, 100.0), "a step leaves the monotonic clock alone"
     files = RouterFiles(parse_scenario({"routers": 1}), tmp_path, 0)
     files.set_clock(rate=2.0)
     files.set_disk_fault("slow_sync", 5000.0)
