--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -132,8 +132,8 @@
         return self._drain_messages()
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """Return the figures for operators; their names are part of the operators' interface."""
-        figures = {
+        """Return the metrics for operators; their names are part of the operators' interface."""
+        metrics = {
             "freeze_wanted": str(len(self.gate.deferred_changes)),
             "freeze_denied": str(self.gate.denied_count),
             "freeze_allowance_used": str(self.gate.exceptions_used),
@@ -143,7 +143,7 @@
             "freeze_unreadable": str(len(self.registry.unreadable)),
         }
         windows = self.registry.windows.items()
-        return figures | {f"freeze_window_{name}": window.state.value for name, window in windows}
+        return metrics | {f"freeze_window_{name}": window.state.value for name, window in windows}
 
     # Calls by the host.
 
--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -244,11 +244,11 @@
     def status(self, now_ms: float) -> Mapping[str, str]:
         """Return the counters and gauges for ``INFO``."""
         rates = [pool for pool in self.pools.values() if isinstance(pool, RatePool)]
-        figures = {
+        metrics = {
             "pools": len(self.pools),
             "lent": sum(pool.amount_leased_to_peers(now_ms) for pool in rates),
             "borrowed": sum(pool.amount_borrowed(now_ms) for pool in rates),
             "asks-out": len(self.requester.outstanding),
             **self.counters,
         }
-        return {f"grants-{name}": str(figure) for name, figure in figures.items()}
+        return {f"grants-{name}": str(metric) for name, metric in metrics.items()}
--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -102,7 +102,7 @@
         return []
 
     def status(self, now_ms: float) -> dict[str, str]:
-        """Return the figures for the ``INFO`` command, under the names that operators' tools read."""
+        """Return the metrics for the ``INFO`` command, under the names that operators' tools read."""
         coverage = self.peer_coverage(now_ms)
         return {"talk.heard": f"{coverage:.2f}", "talk.unreadable": str(self.malformed_datagrams)}
 
--- a/cedarthread/lifecycle/status.py
+++ b/cedarthread/lifecycle/status.py
@@ -14,13 +14,13 @@
 
 
 class StatusReport:
-    """The replies to PING and INFO, with the figures under the names that operators use.
+    """The replies to PING and INFO, with the metrics under the names that operators use.
 
     Args:
         dispatcher: The dispatcher, which provides the call counts.
         endpoint_list: The known workers.
         state: The service state.
-        has_fleet: Whether a fleet file is configured, so that INFO includes the fleet figures.
+        has_fleet: Whether a fleet file is configured, so that INFO includes the fleet metrics.
     """
 
     def __init__(
@@ -37,11 +37,11 @@
         return ControlReply(is_ready, [])
 
     def info(self) -> ControlReply:
-        """Reply to INFO: yes, with all figures as lines."""
+        """Reply to INFO: yes, with all metrics as lines."""
         return ControlReply(is_yes=True, lines=[*self.lines(), "END"])
 
     def lines(self) -> list[str]:
-        """Return all figures as lines of the form ``name=value``."""
+        """Return all metrics as lines of the form ``name=value``."""
         lines = [*self._class_lines(), *self._router_lines()]
         if self._has_fleet:
             lines += self._fleet_lines()
@@ -56,7 +56,7 @@
 
     def _router_lines(self) -> list[str]:
         class_counters = self._dispatcher.class_counters.values()
-        figures = {
+        metrics = {
             "upstream_tries": sum(counts["upstream_tries"] for counts in class_counters),
             "in_progress": len(self._dispatcher.pending_calls),
             "known_runners": len(self._endpoint_list.records),
@@ -65,13 +65,13 @@
             "load_errors": self._state.reload_errors,
         }
         violations = self._dispatcher.send_audit.violations
-        # Without violations the line is omitted, because the platform does not know this figure.
+        # Without violations the line is omitted, because the platform does not know this metric.
         if violations:
-            figures["rule_violations"] = violations.total()
-        return [f"router.{name}={value}" for name, value in figures.items()]
+            metrics["rule_violations"] = violations.total()
+        return [f"router.{name}={value}" for name, value in metrics.items()]
 
     def _fleet_lines(self) -> list[str]:
-        figures = self._dispatcher.node.status(self._dispatcher.clock())
+        metrics = self._dispatcher.node.status(self._dispatcher.clock())
         if self._state.event_loop_store is not None:
-            figures |= self._state.event_loop_store.figures()
-        return [f"fleet.{name}={value}" for name, value in figures.items()]
+            metrics |= self._state.event_loop_store.metrics()
+        return [f"fleet.{name}={value}" for name, value in metrics.items()]
--- a/cedarthread/membership/swim.py
+++ b/cedarthread/membership/swim.py
@@ -85,7 +85,7 @@
         return []
 
     def status(self, now_ms: float) -> dict[str, str]:
-        """Return the figures for the ``INFO`` command, under the names that operators' tools read."""
+        """Return the metrics for the ``INFO`` command, under the names that operators' tools read."""
         return {"members.present": str(self.alive_count()), "members.configured": str(self.router_count)}
 
     def record_activity(self, now_ms: float, sender_index: int) -> None:
--- a/cedarthread/persistence/event_loop_store.py
+++ b/cedarthread/persistence/event_loop_store.py
@@ -78,7 +78,7 @@
     def _on_write_completed(self, write: PendingWrite, fault: StoreFault | None) -> None:
         self.persister.on_write_completed(self.clock(), write, fault, self.store.generation)
 
-    def figures(self) -> dict[str, str]:
+    def metrics(self) -> dict[str, str]:
         """Return the store's metrics for operators, by their published names."""
         statistics = self.store.statistics
         fault = self.store.fault
--- a/cedarthread/priority/component.py
+++ b/cedarthread/priority/component.py
@@ -112,19 +112,19 @@
         return ()
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """Return the figures for operators; their names are part of the operators' interface."""
+        """Return the metrics for operators; their names are part of the operators' interface."""
         pressure = self.pressure_gossip.fleet_pressure(now_ms)
         gossip = self.pressure_gossip
         unreadable = self.contracts.unreadable_count + gossip.unreadable_count + gossip.invalid_count
         contracts = self.contracts.effective
-        figures = {
+        metrics = {
             "tiers_level": str(self.overload_level(now_ms)),
             "tiers_pressure": "unknown" if pressure is None else f"{pressure:.2f}",
             "tiers_contracts": str(len(contracts)),
             "tiers_not_sure": str(sum(not contract.is_converged for contract in contracts.values())),
             "tiers_unreadable": str(unreadable),
         }
-        return figures | {
+        return metrics | {
             f"tiers_{event.value}": str(count) for event, count in self.preemptor.counters.items()
         }
 
--- a/cedarthread/priority/preemptor.py
+++ b/cedarthread/priority/preemptor.py
@@ -30,7 +30,7 @@
 
 
 class PreemptionEvent(StrEnum):
-    """An event that is counted; the values are part of the names of the figures for operators."""
+    """An event that is counted; the values are part of the names of the metrics for operators."""
 
     QUEUED_PREEMPTED = "waiting"
     RUNNING_PREEMPTED = "running"
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -233,7 +233,7 @@
         return self.replica.freshness.fresh_since(now_ms)
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """Return the figures of the store for ``INFO``."""
+        """Return the metrics of the store for ``INFO``."""
         freshness = self.replica.freshness
         records = self.replica.state.records.values()
         since = freshness.fresh_since(now_ms)
--- a/tests/integration/test_control.py
+++ b/tests/integration/test_control.py
@@ -17,7 +17,7 @@
     serve_uppercase,
     service,
 )
-from tests.unit.lifecycle.builders import info_figures
+from tests.unit.lifecycle.builders import info_metrics
 
 
 def test_ping_replies_yes_while_serving_and_no_while_draining() -> None:
@@ -51,7 +51,7 @@
                 answer = await caller.call(number, "confirm", b"x")
                 kind = "passed" if answer[2] is None else {"Lost": "bad_gateway"}.get(answer[2][0], "dropped")
                 seen[kind] += 1
-            info = info_figures(await ask_control(running, b"INFO\n"))
+            info = info_metrics(await ask_control(running, b"INFO\n"))
             assert {name: info[f"router.handled.confirm.{name}"] for name in seen} == seen
             assert info["router.handled.confirm.upstream_tries"] == len(worker.calls) == 12
             assert info["router.upstream_tries"] == 12
@@ -73,7 +73,7 @@
             for number in range(1, 34):  # one more than a connection may have open
                 caller.writer.write(pack_call(number, "check", b"x"))
             assert (await caller.read())[1:3] == [33, ["Backoff", {"later": "500"}]]
-            info = info_figures(await ask_control(running, b"INFO\n"))
+            info = info_metrics(await ask_control(running, b"INFO\n"))
             assert info["router.handled.check.dropped"] == 1
             assert info["router.in_progress"] == 32
 
--- a/tests/simulation/test_priority_fleet.py
+++ b/tests/simulation/test_priority_fleet.py
@@ -1,6 +1,6 @@
 """Priority tiers in a simulated fleet: value served, preemptions, floors and the overload level.
 
-The checks read the records of clients and workers, and no figure of the components. Each injected defect must
+The checks read the records of clients and workers, and no metric of the components. Each injected defect must
 be found by a check.
 """
 
--- a/tests/unit/lifecycle/builders.py
+++ b/tests/unit/lifecycle/builders.py
@@ -25,8 +25,8 @@
     return changed
 
 
-def info_figures(lines: list[str]) -> dict[str, int]:
-    """Return the figures of an INFO reply by name, and check that each line is well-formed."""
+def info_metrics(lines: list[str]) -> dict[str, int]:
+    """Return the metrics of an INFO reply by name, and check that each line is well-formed."""
     assert lines[0] == "YES"
     assert lines[-1] == "END"
     pairs = [re.fullmatch(r"(router\.[\w.]+)=(\d+)", line) for line in lines[1:-1]]
--- a/tests/unit/lifecycle/test_settings_reload.py
+++ b/tests/unit/lifecycle/test_settings_reload.py
@@ -13,7 +13,7 @@
 from cedarthread.model.settings import Idempotency
 from cedarthread.testing.fakes.scripted import ScriptedWorker, ask_control, client, pack_call, service
 from cedarthread.testing.fakes.settings import SETTINGS
-from tests.unit.lifecycle.builders import changed_settings, file_with, info_figures
+from tests.unit.lifecycle.builders import changed_settings, file_with, info_metrics
 
 # The logged problem, by the change that makes the file invalid.
 PROBLEM_BY_CHANGE = {
@@ -50,7 +50,7 @@
             assert (await caller.call(3, "check", b"y"))[2] == ["BadRequest", {"why": "no such method"}]
             silent_worker.answer(silent_worker.calls[0], {"op": "HIT", "fields": {}, "body": ""})
             assert (await caller.read())[1:3] == [1, None]
-            info = info_figures(await ask_control(running, b"INFO\n"))
+            info = info_metrics(await ask_control(running, b"INFO\n"))
             assert info["router.loads"] == 1
             assert info["router.load_errors"] == 0
             assert info["router.handled.audit.passed"] == 1
@@ -91,7 +91,7 @@
             running.reload()
             assert running.dispatcher.settings is before
             assert running.dispatcher.current_class_index["check"] == 0
-            info = info_figures(await ask_control(running, b"INFO\n"))
+            info = info_metrics(await ask_control(running, b"INFO\n"))
             assert info["router.load_errors"] == 1
             assert info["router.loads"] == 0
             assert (await caller.call(1, "check", b"x"))[2] is None
