--- a/cedarthread/change_freeze/admission_gate.py
+++ b/cedarthread/change_freeze/admission_gate.py
@@ -52,13 +52,13 @@
 
     Args:
         escrow: Contains the exception budgets of the windows in force.
-        acquire_release: Returns whether one deferred change may be released now; consumes a release token if
-            so.
+        try_acquire_release: Returns whether one deferred change may be released now; consumes a release token
+            if so.
     """
 
-    def __init__(self, escrow: QuotaEscrow, acquire_release: Callable[[float], bool]) -> None:
+    def __init__(self, escrow: QuotaEscrow, try_acquire_release: Callable[[float], bool]) -> None:
         self.escrow = escrow
-        self.acquire_release = acquire_release
+        self.try_acquire_release = try_acquire_release
         self.is_active = False
         self.rules: tuple[FreezeRule, ...] = ()
         self.is_uncertain = False  # a window may not have been received, so all changes count as frozen
@@ -251,7 +251,7 @@
 
     def release(self, now_ms: float) -> list[DeferredChange]:
         """Remove and return the deferred changes that are no longer frozen, as many as the rate permits."""
-        released = self.deferred_changes.release(now_ms, self.is_frozen, self.acquire_release)
+        released = self.deferred_changes.release(now_ms, self.is_frozen, self.try_acquire_release)
         for deferred in released:
             if deferred.kind is PlacementChangeKind.HOME_WORKERS and deferred.function_id is not None:
                 self.retained_homes.pop(deferred.function_id, None)
@@ -296,7 +296,7 @@
             self.deferred_changes.add(change)
 
     def _try_release(self, now_ms: float, change: PlacementChange) -> bool:
-        if not self.acquire_release(now_ms):
+        if not self.try_acquire_release(now_ms):
             return False
         self.deferred_changes.discard(change.kind, change.function_id)
         return True
--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -59,11 +59,11 @@
         replicated_state: Contains the entries that declare, revoke and lift windows.
         escrow: Contains the exception budgets of the windows.
         now_ms: The time on the monotonic clock.
-        has_read_enough_peers: Returns whether the entries of several peers were read completely in this
+        has_completed_bootstrap: Returns whether the entries of several peers were read completely in this
             incarnation. If so, the entries known at the start count even without confirmation by a
             majority (docs/design/change-freeze.md, step 21).
-        acquire_release: Returns whether one deferred change may be released at a time on the monotonic clock,
-            and consumes a token if so; None: a ``ReleaseRateLimiter`` of this component.
+        try_acquire_release: Returns whether one deferred change may be released at a time on the monotonic
+            clock, and consumes a token if so; None: a ``ReleaseRateLimiter`` of this component.
     """
 
     message_types: frozenset[int] = frozenset()
@@ -76,15 +76,15 @@
         escrow: QuotaEscrow,
         *,
         now_ms: float = 0.0,
-        has_read_enough_peers: Callable[[], bool] = bool,
-        acquire_release: Callable[[float], bool] | None = None,
+        has_completed_bootstrap: Callable[[], bool] = bool,
+        try_acquire_release: Callable[[float], bool] | None = None,
     ) -> None:
         self.replicated_state = replicated_state
         self.settings = settings
         self.wall_clock = WallClock(max(1, settings.router_count), sharing.clock_error, sharing.clock_rate)
-        self.gate = AdmissionGate(escrow, acquire_release or ReleaseRateLimiter(refilled_at_ms=now_ms))
+        self.gate = AdmissionGate(escrow, try_acquire_release or ReleaseRateLimiter(refilled_at_ms=now_ms))
         self.registry = WindowRegistry()
-        self.stale_hold = StaleHold(now_ms, has_read_enough_peers)
+        self.stale_hold = StaleHold(now_ms, has_completed_bootstrap)
         self.exception_pools = ExceptionPools(escrow, self.wall_clock.max_error_ms + WINDOW_LEAD_MS)
         self.last_expiry_at_ms = now_ms
         self.reported_deviation_ms = 0.0
--- a/cedarthread/change_freeze/deferred_changes.py
+++ b/cedarthread/change_freeze/deferred_changes.py
@@ -102,7 +102,7 @@
         self,
         now_ms: float,
         is_frozen: Callable[[PlacementChange], bool],
-        acquire_release: Callable[[float], bool],
+        try_acquire_release: Callable[[float], bool],
     ) -> list[DeferredChange]:
         """Remove and return the changes that are no longer frozen, as many as the rate permits.
 
@@ -111,12 +111,13 @@
         Args:
             now_ms: The time on the monotonic clock.
             is_frozen: Returns whether a rule in force freezes a change.
-            acquire_release: Returns whether one change may be released now; consumes a release token if so.
+            try_acquire_release: Returns whether one change may be released now; consumes a release token
+                if so.
         """
         due = [deferred for deferred in self.changes.values() if not is_frozen(deferred.as_change())]
         due.sort(key=lambda deferred: (not deferred.is_emergency, -deferred.request_count))
         released: list[DeferredChange] = []
-        while due and acquire_release(now_ms):
+        while due and try_acquire_release(now_ms):
             deferred = due.pop(0)
             del self.changes[deferred.kind, deferred.function_id]
             released.append(deferred)
--- a/cedarthread/change_freeze/stale_hold.py
+++ b/cedarthread/change_freeze/stale_hold.py
@@ -29,7 +29,7 @@
 
     started_at_ms: float
     # Whether the entries of several peers were read completely since the start:
-    has_read_enough_peers: Callable[[], bool]
+    has_completed_bootstrap: Callable[[], bool]
     last_fresh_at_ms: float | None = None  # in this incarnation; None: never
 
     def is_uncertain(self, now_ms: float, *, is_fresh: bool, has_entries: bool) -> bool:
@@ -48,5 +48,5 @@
         else:
             since_ms = self.started_at_ms
             hold_ms = RESTART_HOLD_MS if has_entries else FIRST_START_HOLD_MS
-        has_initial_entries = self.last_fresh_at_ms is None and self.has_read_enough_peers()
+        has_initial_entries = self.last_fresh_at_ms is None and self.has_completed_bootstrap()
         return not is_fresh and not has_initial_entries and now_ms - since_ms < hold_ms
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -85,7 +85,7 @@
         self._executor = ActionExecutor(self.context, self.calls, self.completion, self.node_timers)
         self.send_guard = SendGuard()
         self.send_audit = SendAudit()
-        send_gate.add_waiter(self.resume)
+        send_gate.add_reopen_callback(self.resume)
         self._send_gate = send_gate
         self._event_queue: list[Event] = []
         self._has_endpoint_update = False  # whether the queue contains an ``EndpointUpdate``
--- a/cedarthread/dispatch/send_gate.py
+++ b/cedarthread/dispatch/send_gate.py
@@ -17,7 +17,7 @@
     def input_delay_ms(self) -> float:
         """Return how long the input that is read now may have waited unread, in ms."""
 
-    def add_waiter(self, resume: Callable[[], None]) -> None:
+    def add_reopen_callback(self, resume: Callable[[], None]) -> None:
         """Register ``resume`` to be called whenever the gate reopens; callbacks run in registration order."""
 
 
@@ -32,7 +32,7 @@
         """Return 0."""
         return 0.0
 
-    def add_waiter(self, resume: Callable[[], None]) -> None:
+    def add_reopen_callback(self, resume: Callable[[], None]) -> None:
         """Do nothing, because this gate never closes."""
 
 
--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -54,9 +54,9 @@
         seed: Seed of all random decisions.
         clock_rate: Fraction by which a router's monotonic clock may run fast or slow.
         now_ms: Start of this incarnation.
-        has_memory: Whether this router knows all units that its earlier incarnations used or granted of
-            counts, because there was no earlier incarnation or because ``restore`` supplies their image. If
-            False, this router's allotment of each count is lost.
+        has_complete_history: Whether this router knows all units that its earlier incarnations used or
+            granted of counts, because there was no earlier incarnation or because ``restore`` supplies their
+            image. If False, this router's allotment of each count is lost.
         is_durable: Whether units of a count may be used or granted only after they are recorded as
             written off on disk (``image_to_write``, ``mark_written``).
     """
@@ -74,7 +74,7 @@
         *,
         clock_rate: float,
         now_ms: float = 0.0,
-        has_memory: bool = False,
+        has_complete_history: bool = False,
         is_durable: bool = False,
     ) -> None:
         self.router_index = router_index
@@ -86,7 +86,7 @@
         self.pools: dict[int, QuotaPool] = {}  # by key
         self.keys_by_name: dict[str, int] = {}
         self.counters = dict.fromkeys(COUNTERS, 0)
-        self.image = EscrowImage(has_memory=has_memory, is_durable=is_durable)
+        self.image = EscrowImage(has_complete_history=has_complete_history, is_durable=is_durable)
         self.requester = self.requester_type(
             router_index, router_count, self.incarnation, rng=self.rng, counters=self.counters, now_ms=now_ms
         )
@@ -105,7 +105,7 @@
             is_consumable: Whether the pool is a count; otherwise the pool is a rate.
             ends_at_ms: When the pool ends, or None if it never ends.
             is_new: Whether the pool is new, so that no earlier incarnation used it. Then this router's
-                allotment of a count is usable even without memory (docs/design/escrow.md, 12).
+                allotment of a count is usable even without a complete history (docs/design/escrow.md, 12).
         """
         key = pool_key(name)
         total = max(0, min(total, MAX_AMOUNT))
@@ -129,7 +129,7 @@
             count = CountPool(
                 name, key, self.router_index, self.router_count, is_durable=self.image.is_durable
             )
-            is_allotment_lost = not (self.image.has_memory or is_new)
+            is_allotment_lost = not (self.image.has_complete_history or is_new)
             count.initialize(
                 total, is_allotment_lost=is_allotment_lost, persisted=self.image.take_restored(key)
             )
@@ -179,7 +179,8 @@
     def restore(self, data: bytes) -> bool:
         """Load the last image of an earlier incarnation. Must be called before any pool is opened.
 
-        Return False if the image is invalid. Then no balance is restored, and the router has no memory.
+        Return False if the image is invalid. Then no balance is restored, and the router has no
+        complete history.
         """
         return self.image.restore(data)
 
--- a/cedarthread/escrow/image.py
+++ b/cedarthread/escrow/image.py
@@ -25,13 +25,14 @@
     """The restored balances of an earlier incarnation, and the image write in progress.
 
     Args:
-        has_memory: Whether this router knows all units that its earlier incarnations used or granted of
-            counts, because there was no earlier incarnation or because ``restore`` supplies their image.
+        has_complete_history: Whether this router knows all units that its earlier incarnations used or
+            granted of counts, because there was no earlier incarnation or because ``restore`` supplies their
+            image.
         is_durable: Whether units must be written off on disk before use.
     """
 
-    def __init__(self, *, has_memory: bool, is_durable: bool) -> None:
-        self.has_memory = has_memory
+    def __init__(self, *, has_complete_history: bool, is_durable: bool) -> None:
+        self.has_complete_history = has_complete_history
         self.is_durable = is_durable
         self.restored_balances: dict[int, CountBalance] = {}  # by pool key
         self.pending_write_offs: dict[int, int] | None = None  # by pool key; None if no write is in progress
@@ -49,14 +50,14 @@
         """Load the last image of an earlier incarnation. Must be called before any pool is opened.
 
         Return False if the image cannot be decoded or contradicts itself. Then no balance is restored and
-        ``has_memory`` becomes False.
+        ``has_complete_history`` becomes False.
         """
         try:
             balances = msgspec.msgpack.decode(data, type=list[CountBalance])
         except msgspec.MsgspecError:
             balances = None
         if balances is None or not all(map(_is_valid, balances)):
-            self.has_memory = False
+            self.has_complete_history = False
             return False
         self.restored_balances = {balance.key: balance for balance in balances}
         return True
--- a/cedarthread/lifecycle/freshness_gate.py
+++ b/cedarthread/lifecycle/freshness_gate.py
@@ -40,15 +40,15 @@
     def __init__(self, schedule: PollSchedule, queries: QueryTracker) -> None:
         self._schedule = schedule
         self._queries = queries
-        self._waiters: list[Callable[[], None]] = []
+        self._reopen_callbacks: list[Callable[[], None]] = []
         self._suspension = StallSuspension()
         self._stalled_since_s = -math.inf
         self._resumed_at_s = -math.inf
         self._loop = asyncio.get_running_loop()
 
-    def add_waiter(self, resume: Callable[[], None]) -> None:
+    def add_reopen_callback(self, resume: Callable[[], None]) -> None:
         """Register ``resume`` to be called whenever the gate reopens; callbacks run in registration order."""
-        self._waiters.append(resume)
+        self._reopen_callbacks.append(resume)
 
     def is_open(self) -> bool:
         """Return whether events may be processed and requests may be sent now.
@@ -94,11 +94,11 @@
         self._loop.call_later(suspension_s, self._open)
         return True
 
-    def on_fresh(self) -> None:
+    def on_list_confirmed(self) -> None:
         """Open the gate if the endpoint list has been confirmed since the stall."""
         if self._suspension.end_if_fresh(self._queries.fresh_as_of_s):
             self._open()
 
     def _open(self) -> None:
-        for resume in self._waiters:
+        for resume in self._reopen_callbacks:
             resume()
--- a/cedarthread/node/fleet_components.py
+++ b/cedarthread/node/fleet_components.py
@@ -87,7 +87,7 @@
         self.router_count = self._identity.router_count
         self.wall_clock_ms = wall_clock_ms
         self.store = self._new_store(now_ms, sharing)
-        self.escrow = self._new_escrow(now_ms, has_memory=self.router_count == 1, is_durable=False)
+        self.escrow = self._new_escrow(now_ms, has_complete_history=self.router_count == 1, is_durable=False)
         self.escrow_pools = EscrowPools(self.escrow, self.store)
         self.priority = PriorityComponent(self.store, self.escrow_pools, settings, seed)
         self.recovery = RecoveryComponent(settings, seed ^ incarnation, now_ms)
@@ -97,8 +97,8 @@
             self.store,
             self.escrow_pools,
             now_ms=now_ms,
-            has_read_enough_peers=self.store.has_read_enough_peers,
-            acquire_release=self.recovery.admission.try_acquire_release,
+            has_completed_bootstrap=self.store.has_completed_bootstrap,
+            try_acquire_release=self.recovery.admission.try_acquire_release,
         )
         self.constraints = FleetConstraints(self.priority, self.change_freeze.gate, self.recovery)
         self.persister = self._new_persister(now_ms) if fleet_config.disk else None
@@ -117,7 +117,7 @@
             now_ms=now_ms,
         )
 
-    def _new_escrow(self, now_ms: float, *, has_memory: bool, is_durable: bool) -> Escrow:
+    def _new_escrow(self, now_ms: float, *, has_complete_history: bool, is_durable: bool) -> Escrow:
         identity = self._identity
         return Escrow(
             identity.router_index,
@@ -126,7 +126,7 @@
             identity.seed,
             clock_rate=identity.clock_rate,
             now_ms=now_ms,
-            has_memory=has_memory,
+            has_complete_history=has_complete_history,
             is_durable=is_durable,
         )
 
@@ -137,8 +137,10 @@
         """Replace the escrow by one with the persisted image; None: no image could be recovered."""
         persister = self.persister
         is_durable = persister is not None and not persister.is_degraded
-        has_memory = escrow_image is not None or self.router_count == 1
-        self.escrow = self._new_escrow(now_ms, has_memory=has_memory, is_durable=is_durable)
+        has_complete_history = escrow_image is not None or self.router_count == 1
+        self.escrow = self._new_escrow(
+            now_ms, has_complete_history=has_complete_history, is_durable=is_durable
+        )
         if escrow_image is not None:
             self.escrow.restore(escrow_image)
         self.escrow_pools.escrow = self.escrow
@@ -160,7 +162,7 @@
             proposed = self.store.propose(now_ms, kind, name, body)
             if isinstance(proposed, RejectedEntry):
                 self.rejected_entries += 1
-                error = f"{proposed.location}: {proposed.problem}"
+                error = f"{proposed.location}: {proposed.reason}"
                 line = format_event("entry_rejected", kind=kind, name=name, error=error)
                 messages.append(LogMessage(line))
         return messages + list(self.on_entries_changed(now_ms))
--- a/cedarthread/protocols/discovery/client.py
+++ b/cedarthread/protocols/discovery/client.py
@@ -208,7 +208,7 @@
         self.queries.on_usable_reply(query_id, now_s)
         if self._transport is not None:
             self._schedule_poll()
-        self._observer.on_fresh()
+        self._observer.on_list_confirmed()
 
     def _handle_reply(self, reply: dns.Reply | dns.UnusableReply, query_id: int, payload: bytes) -> bool:
         """Process the parsed reply to a query.
--- a/cedarthread/protocols/discovery/poll_schedule.py
+++ b/cedarthread/protocols/discovery/poll_schedule.py
@@ -21,7 +21,7 @@
     def on_poll_due(self, due_at_s: float) -> None:
         """Handle a scheduled query that was due at that time; the client sends the query right afterwards."""
 
-    def on_fresh(self) -> None:
+    def on_list_confirmed(self) -> None:
         """Handle a reply which shows that the endpoint list is up to date."""
 
 
@@ -31,7 +31,7 @@
     def on_poll_due(self, due_at_s: float) -> None:
         """Do nothing."""
 
-    def on_fresh(self) -> None:
+    def on_list_confirmed(self) -> None:
         """Do nothing."""
 
 
--- a/cedarthread/protocols/worker/connections.py
+++ b/cedarthread/protocols/worker/connections.py
@@ -72,7 +72,7 @@
         self._clients = clients
         self.pools: dict[int, WorkerConnectionPool] = {}  # by worker id
         self.class_names_json: list[str] = []  # by class index
-        send_gate.add_waiter(self.flush_held)
+        send_gate.add_reopen_callback(self.flush_held)
         self.may_send: Callable[[], bool] = send_gate.is_open  # if False, output waits until ``flush_held``
         self._held: list[BufferedConnection] = []  # their output is suspended until ``flush_held``
         self.preloads = PreloadRequests(dispatcher)
--- a/cedarthread/replication/entry.py
+++ b/cedarthread/replication/entry.py
@@ -33,7 +33,7 @@
     """The reason why a proposal or an encoding of an entry is not accepted."""
 
     location: str  # the entry, and its field if one is wrong
-    problem: str
+    reason: str
 
 
 class EntryOrder(NamedTuple):
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -183,9 +183,9 @@
         """
         return self.replica.take_changes()
 
-    def has_read_enough_peers(self) -> bool:
+    def has_completed_bootstrap(self) -> bool:
         """Return whether this incarnation has read several peers completely."""
-        return self.exchange.has_read_enough_peers()
+        return self.exchange.has_completed_bootstrap()
 
     @property
     def store_generation(self) -> int:
--- a/cedarthread/replication/sync_exchange.py
+++ b/cedarthread/replication/sync_exchange.py
@@ -66,7 +66,7 @@
         self.store_generation = 0  # of this router's disk; the host sets it
         self.unix_ms = math.nan  # the wall clock that responses carry; the host sets it
 
-    def has_read_enough_peers(self) -> bool:
+    def has_completed_bootstrap(self) -> bool:
         """Return whether this incarnation has read several peers completely.
 
         Callers use this when a majority are not voters, so that no router can become fresh. If one half of
@@ -79,7 +79,7 @@
         messages: list[SendToPeer] = []
         if (peer := self.requests.next_due_peer(now_ms)) is not None:
             messages.append(self.request_sync(now_ms, peer))
-        if not self.replica.freshness.is_voter and not self.has_read_enough_peers():
+        if not self.replica.freshness.is_voter and not self.has_completed_bootstrap():
             peers = self.requests.bootstrap_peers(self.sessions.fully_read_peers)
             messages += [self.request_sync(now_ms, peer) for peer in peers]
         messages += self.sessions.on_tick(now_ms)
--- a/cedarthread/testing/escrow_model.py
+++ b/cedarthread/testing/escrow_model.py
@@ -88,7 +88,7 @@
         return self.now_ms * (1 + CLOCK_RATE_ERROR if router_index == 0 else 1 - CLOCK_RATE_ERROR)
 
     def start_router(self, router_index: int, *, is_first: bool) -> Escrow:
-        """Return the escrow of a new incarnation of a router, which has memory only if it is the first."""
+        """Return the escrow of a new incarnation, which has a complete history only if it is the first."""
         self.last_incarnation += 1
         escrow = self.escrow_type(
             router_index,
@@ -97,7 +97,7 @@
             1,
             clock_rate=CLOCK_RATE_ERROR,
             now_ms=self.clock_ms(router_index),
-            has_memory=is_first,
+            has_complete_history=is_first,
         )
         self._open_pool(escrow, self.totals[router_index])
         return escrow
--- a/cedarthread/testing/escrow_simulation.py
+++ b/cedarthread/testing/escrow_simulation.py
@@ -62,7 +62,7 @@
     def start(self, *, is_first: bool = False) -> None:
         """Start an incarnation; a later one than the first restores the image on the disk, if any."""
         simulation = self.simulation
-        has_memory = is_first or self.persisted_image is not None
+        has_complete_history = is_first or self.persisted_image is not None
         self.escrow = simulation.escrow_type(
             self.router_index,
             simulation.router_count,
@@ -70,7 +70,7 @@
             simulation.rng.getrandbits(30),
             clock_rate=simulation.clock_rate_error,
             now_ms=self.clock_ms(),
-            has_memory=has_memory,
+            has_complete_history=has_complete_history,
             is_durable=simulation.is_durable,
         )
         if self.persisted_image is not None:
--- a/tests/golden_builders/replicated_entries.py
+++ b/tests/golden_builders/replicated_entries.py
@@ -98,7 +98,7 @@
 def _decode_entry(data: bytes) -> Entry:
     entry = entry_codec.decode(data)
     if isinstance(entry, entry_codec.RejectedEntry):
-        raise ValueError(entry.problem)
+        raise ValueError(entry.reason)
     return entry
 
 
--- a/tests/golden_builders/stored_values.py
+++ b/tests/golden_builders/stored_values.py
@@ -68,7 +68,9 @@
 
 
 def _escrow(incarnation: int) -> Escrow:
-    return Escrow(0, 1, incarnation, incarnation, clock_rate=0.001, has_memory=True, is_durable=True)
+    return Escrow(
+        0, 1, incarnation, incarnation, clock_rate=0.001, has_complete_history=True, is_durable=True
+    )
 
 
 def _escrow_image() -> bytes:
--- a/tests/simulation/test_escrow_fleet.py
+++ b/tests/simulation/test_escrow_fleet.py
@@ -100,7 +100,7 @@
     """Defect: a router that restarts without memory uses its allotment."""
 
     def __init__(self, *args: Any, **settings: Any) -> None:
-        super().__init__(*args, **(settings | {"has_memory": True}))
+        super().__init__(*args, **(settings | {"has_complete_history": True}))
         self.ready_at_ms = 0.0
 
 
--- a/tests/unit/escrow/builders.py
+++ b/tests/unit/escrow/builders.py
@@ -29,7 +29,7 @@
             50 + router_index,
             router_index,
             clock_rate=CLOCK_RATE,
-            has_memory=True,
+            has_complete_history=True,
             is_durable=is_durable,
         )
         for router_index in range(2)
--- a/tests/unit/escrow/test_count_pool.py
+++ b/tests/unit/escrow/test_count_pool.py
@@ -73,7 +73,7 @@
     free = escrow.available(0.0, POOL)
     assert 4 <= free <= 8
     assert escrow.consume(0.0, POOL, 4)
-    later = Escrow(0, 2, 9, 9, clock_rate=CLOCK_RATE, has_memory=True, is_durable=False)
+    later = Escrow(0, 2, 9, 9, clock_rate=CLOCK_RATE, has_complete_history=True, is_durable=False)
     assert later.restore(image)
     later.open_pool(POOL, 100, is_consumable=True, ends_at_ms=None)
     assert later.available(0.0, POOL) == 50 - free, "free units count as used after a restart"
@@ -81,7 +81,7 @@
 
 @given(st.binary(max_size=60))
 def test_an_invalid_image_does_not_raise_and_leaves_no_memory(data: bytes) -> None:
-    escrow = Escrow(0, 2, 1, 1, clock_rate=CLOCK_RATE, has_memory=True)
+    escrow = Escrow(0, 2, 1, 1, clock_rate=CLOCK_RATE, has_complete_history=True)
     if not escrow.restore(data):
         escrow.open_pool(POOL, 10, is_consumable=True, ends_at_ms=None)
         assert escrow.available(0.0, POOL) == 0
--- a/tests/unit/escrow/test_escrow.py
+++ b/tests/unit/escrow/test_escrow.py
@@ -73,7 +73,7 @@
 
 
 def test_requests_and_responses_are_rate_limited_and_only_alive_peers_are_sent_requests() -> None:
-    escrow = Escrow(0, 200, 1, 1, clock_rate=CLOCK_RATE, has_memory=True)
+    escrow = Escrow(0, 200, 1, 1, clock_rate=CLOCK_RATE, has_complete_history=True)
     for number in range(40):
         escrow.open_pool(f"p{number}", 2000, is_consumable=True, ends_at_ms=None)
         escrow.request(0.0, f"p{number}", 500)
@@ -87,7 +87,7 @@
 
 
 def test_a_denial_hints_at_a_peer_that_may_have_units() -> None:
-    escrow = Escrow(0, 3, 1, 1, clock_rate=CLOCK_RATE, has_memory=True)
+    escrow = Escrow(0, 3, 1, 1, clock_rate=CLOCK_RATE, has_complete_history=True)
     escrow.open_pool(POOL, 3, is_consumable=True, ends_at_ms=None)
     for nonce, (sender, hinted_peer) in enumerate([(2, codec.NO_HINT), (1, 2), (2, codec.NO_HINT)]):
         request = codec.encode(EscrowRequest(codec.pool_key(POOL), 5, nonce, 1))
@@ -96,7 +96,7 @@
 
 
 def test_fluctuating_demand_does_not_cancel_every_backoff() -> None:
-    escrow = Escrow(0, 50, 1, 1, clock_rate=CLOCK_RATE, has_memory=True)
+    escrow = Escrow(0, 50, 1, 1, clock_rate=CLOCK_RATE, has_complete_history=True)
     escrow.open_pool(POOL, 50_000, is_consumable=False, ends_at_ms=None)
     sent_by_tick: list[int] = []
     for tick in range(480):
--- a/tests/unit/lifecycle/test_freshness_gate.py
+++ b/tests/unit/lifecycle/test_freshness_gate.py
@@ -27,8 +27,8 @@
         self.gate = FreshnessGate(self.schedule, self.queries)
         self.sent_query_count = 0
         self.resumed: list[str] = []
-        self.gate.add_waiter(lambda: self.resumed.append("dispatcher"))
-        self.gate.add_waiter(lambda: self.resumed.append("workers"))
+        self.gate.add_reopen_callback(lambda: self.resumed.append("dispatcher"))
+        self.gate.add_reopen_callback(lambda: self.resumed.append("workers"))
 
     def send_query(self) -> None:
         self.sent_query_count += 1
@@ -82,10 +82,10 @@
         case.start_polling()
         time.sleep(STALL_S)
         assert not case.gate.is_open()
-        case.gate.on_fresh()
+        case.gate.on_list_confirmed()
         assert case.resumed == [], "the list is older than the stall"
         case.queries.fresh_as_of_s = asyncio.get_running_loop().time()
-        case.gate.on_fresh()
+        case.gate.on_list_confirmed()
         assert case.resumed == ["dispatcher", "workers"]
 
     run(scenario)
--- a/tests/unit/replication/test_store.py
+++ b/tests/unit/replication/test_store.py
@@ -16,7 +16,7 @@
         rejected = store.propose(0.0, EntryKind.FREEZE, name, body)
         assert isinstance(rejected, RejectedEntry)
         assert location in rejected.location
-        assert "bytes" in rejected.problem
+        assert "bytes" in rejected.reason
     for number in range(entries.MAX_PROPOSED_ENTRIES):
         assert isinstance(store.propose(0.0, EntryKind.FREEZE, f"{number}", b"x" * 2048), Entry)
     assert isinstance(store.propose(0.0, EntryKind.FREEZE, "one more", b""), RejectedEntry)
