--- a/cedarthread/change_freeze/placement_paths.py
+++ b/cedarthread/change_freeze/placement_paths.py
@@ -44,7 +44,7 @@
     ),
     PlacementPath(
         "routing.preloading",
-        "warm_worker",
+        "select_warm_worker",
         "PreloadFunction",
         "may_start_instance",
         "admit(first-copy) before the worker is asked to load",
--- a/cedarthread/dispatch/actions.py
+++ b/cedarthread/dispatch/actions.py
@@ -93,7 +93,7 @@
         max_attempts = self._context.settings.limits.max_attempts
         # The client may have disconnected, or the deadline may have passed, earlier in this batch of events.
         # The attempt is still recorded, and ended as NOT_SENT, because the router has already counted it.
-        is_too_late = call.is_complete or call.is_client_closing or now_ms >= call.deadline_ms
+        is_too_late = call.is_complete or call.is_client_half_closed or now_ms >= call.deadline_ms
         if is_too_late or has_other_in_flight or len(call.attempts) > max_attempts:
             self._completion.end_attempt(attempt, AttemptResult(Outcome.NOT_SENT, is_local=True))
         else:
--- a/cedarthread/dispatch/calls.py
+++ b/cedarthread/dispatch/calls.py
@@ -84,7 +84,8 @@
     memory_mb: float | None = None  # of one instance of the function
     is_client_retry: bool = False
     caller_identity: str | None = None  # for example a SPIFFE ID; None: unknown
-    # Processes pending input of the client, so that ``is_client_closing`` and ``is_complete`` are up to date.
+    # Processes pending input of the client, so that ``is_client_half_closed`` and ``is_complete`` are up to
+    # date.
     refresh_client_state: Callable[[], None] = _nothing_to_refresh
     # The following fields are set by the dispatcher.
     request_id: int = 0
@@ -92,7 +93,8 @@
     accepted_at_ms: float = 0.0
     attempts: list[Attempt] = field(default_factory=list)
     is_complete: bool = False
-    is_client_closing: bool = False  # the client has closed its sending side, so no further attempt starts
+    # Whether the client has closed its sending side, so that no further attempt starts.
+    is_client_half_closed: bool = False
     is_expired: bool = False  # the deadline has passed and the attempts were ended as timed out
     client_disconnected_at_ms: float = math.inf  # when the client was found to have closed or cancelled
 
--- a/cedarthread/dispatch/completion.py
+++ b/cedarthread/dispatch/completion.py
@@ -115,15 +115,15 @@
             self.complete(call, CallFailed())
             self._enqueue_event(ClientDisconnected(call.request_id))
 
-    def on_client_closing(self, call: Call) -> None:
+    def on_client_half_closed(self, call: Call) -> None:
         """Record that the client has closed its sending side; the client may still read the result.
 
         An attempt that has been written at least in part may still provide the result, but no further attempt
         starts. A call without such an attempt is completed immediately.
         """
-        if call.is_complete or call.is_client_closing:
+        if call.is_complete or call.is_client_half_closed:
             return
-        call.is_client_closing = True
+        call.is_client_half_closed = True
         call.client_disconnected_at_ms = self._context.clock()
         for attempt in call.attempts:
             self._context.workers().refresh_progress(attempt)
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -179,9 +179,9 @@
         """End a call without a result, because its client has disconnected."""
         self.completion.abandon(call)
 
-    def client_closing(self, call: Call) -> None:
+    def client_half_closed(self, call: Call) -> None:
         """Record that the client has closed its sending side; the client may still read the result."""
-        self.completion.on_client_closing(call)
+        self.completion.on_client_half_closed(call)
 
     def may_start_attempt(self, attempt: Attempt) -> bool:
         """Return whether an attempt may be sent; called immediately before its first byte is written.
--- a/cedarthread/dispatch/send_guard.py
+++ b/cedarthread/dispatch/send_guard.py
@@ -63,7 +63,7 @@
             return SendRefusal.ATTEMPT_ENDED
         if call.is_complete:
             return SendRefusal.CALL_COMPLETE
-        if call.is_client_closing:
+        if call.is_client_half_closed:
             return SendRefusal.CLIENT_DISCONNECTED
         if now_ms >= call.deadline_ms:
             return SendRefusal.DEADLINE_PASSED
--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -131,7 +131,7 @@
         if is_known and is_loaded is False:
             self.peer_views.discard_instance(worker_id, function_hash)
 
-    def forget_worker(self, worker_id: int) -> None:
+    def remove_worker(self, worker_id: int) -> None:
         """Drop all warm instances of a worker that was removed or restarted."""
         self.local.forget_warm_instances(worker_id)
         self.peer_views.forget_warm_instances(worker_id)
--- a/cedarthread/lifecycle/status.py
+++ b/cedarthread/lifecycle/status.py
@@ -38,7 +38,7 @@
 
     def info(self) -> ControlReply:
         """Reply to INFO: yes, with all metrics as lines."""
-        return ControlReply(is_yes=True, lines=[*self.lines(), "END"])
+        return ControlReply(is_success=True, lines=[*self.lines(), "END"])
 
     def lines(self) -> list[str]:
         """Return all metrics as lines of the form ``name=value``."""
--- a/cedarthread/protocols/control.py
+++ b/cedarthread/protocols/control.py
@@ -27,7 +27,7 @@
 class ControlReply(NamedTuple):
     """The reply to one command."""
 
-    is_yes: bool  # whether the first line is YES; otherwise it is NO
+    is_success: bool  # whether the first line is YES; otherwise it is NO
     lines: list[str]  # the lines after the first
 
 
@@ -83,7 +83,7 @@
             self.reply_no(f"unknown command {command[:MAX_ECHOED_CHARACTERS]!r}")
             return
         command_reply = handler()
-        first_line = "YES" if command_reply.is_yes else "NO"
+        first_line = "YES" if command_reply.is_success else "NO"
         self.reply("".join(f"{line}\n" for line in (first_line, *command_reply.lines)))
 
     def reply_no(self, reason: str) -> None:
--- a/cedarthread/protocols/platform/calls.py
+++ b/cedarthread/protocols/platform/calls.py
@@ -80,17 +80,17 @@
         call.refresh_client_state = self.connection.refresh_client_state
         dispatcher.submit(call)
         if self.connection.is_half_closed:
-            dispatcher.client_closing(call)
+            dispatcher.client_half_closed(call)
 
     def _send_call_result(self, message_id: int, result: CallResult) -> None:
         self.open.pop(message_id, None)
         if not self.connection.is_closed:
             self.connection.write(encode_call_result(message_id, result))
 
-    def on_client_closing(self) -> None:
+    def on_client_half_closed(self) -> None:
         """Reject the calls without an attempt in flight, because the client has closed its sending side."""
         for call in list(self.open.values()):
-            self.server.dispatcher.client_closing(call)
+            self.server.dispatcher.client_half_closed(call)
 
     def fail_all(self) -> None:
         """Fail the open calls, so that each gets a response."""
--- a/cedarthread/protocols/platform/connection.py
+++ b/cedarthread/protocols/platform/connection.py
@@ -147,7 +147,7 @@
         Attempts in flight may still be answered. Returns whether the connection stays open for responses.
         """
         self.is_half_closed = True
-        self.calls.on_client_closing()
+        self.calls.on_client_half_closed()
         return self.discard_budget is None and bool(
             self.calls.open or self.write_queue or self.has_unprocessed_messages
         )
--- a/cedarthread/routing/collaborators.py
+++ b/cedarthread/routing/collaborators.py
@@ -30,7 +30,7 @@
     def instances(self, now_ms: float, function_id: int) -> dict[int, InstanceLoad]:
         """Return a function's load and warm instances by worker id, from own attempts and peers' reports."""
 
-    def forget_worker(self, worker_id: int) -> None:
+    def remove_worker(self, worker_id: int) -> None:
         """Drop all instances of a worker that was removed or restarted."""
 
 
--- a/cedarthread/routing/preloading.py
+++ b/cedarthread/routing/preloading.py
@@ -38,7 +38,7 @@
         if settings.rules.preload_window_ms > 0 and settings.allows_preloading:
             self.state.preload_budget.on_request(now_ms, settings.rules)
 
-    def warm_worker(
+    def select_warm_worker(
         self, now_ms: float, pending: PendingRequest, chosen: WorkerRecord
     ) -> WorkerRecord | None:
         """Return the worker to send to now; None: none is warm.
--- a/cedarthread/routing/router.py
+++ b/cedarthread/routing/router.py
@@ -188,7 +188,7 @@
             return
         worker = self.selector.select(now_ms, pending)
         if worker is not None:
-            worker = self.preloads.warm_worker(now_ms, pending, worker)
+            worker = self.preloads.select_warm_worker(now_ms, pending, worker)
         if (preempted := self.admission.choose_preemption_victim(now_ms, pending, worker)) is not None:
             self._reject_or_fail(now_ms, preempted)
         if (
--- a/cedarthread/routing/router_state.py
+++ b/cedarthread/routing/router_state.py
@@ -101,5 +101,5 @@
     def remove_instances(self, worker_id: int) -> None:
         """Remove all instances at a worker that restarted or left."""
         if self.gossip is not None:
-            self.gossip.forget_worker(worker_id)
+            self.gossip.remove_worker(worker_id)
         self.functions.remove_worker(worker_id)
--- a/cedarthread/testing/cluster/injected_defects.py
+++ b/cedarthread/testing/cluster/injected_defects.py
@@ -207,4 +207,4 @@
     from cedarthread.dispatch.dispatcher import Dispatcher
 
     Dispatcher.abandon_call = lambda self, call: None  # type: ignore[method-assign]
-    Dispatcher.client_closing = lambda self, call: None  # type: ignore[method-assign]
+    Dispatcher.client_half_closed = lambda self, call: None  # type: ignore[method-assign]
--- a/cedarthread/testing/fuzzing/injected_defects.py
+++ b/cedarthread/testing/fuzzing/injected_defects.py
@@ -182,7 +182,7 @@
         1500,
         (
             Patch(Dispatcher, "may_start_attempt", return_true),
-            Patch(Dispatcher, "client_closing", do_nothing),
+            Patch(Dispatcher, "client_half_closed", do_nothing),
         ),
     ),
     Defect(
--- a/tests/unit/dispatch/test_send_guard.py
+++ b/tests/unit/dispatch/test_send_guard.py
@@ -40,7 +40,7 @@
         SendRefusal.CLIENT_DISCONNECTED,
         1,
         0,
-        lambda attempts: setattr(attempts[-1].call, "is_client_closing", True),
+        lambda attempts: setattr(attempts[-1].call, "is_client_half_closed", True),
     ),
     Violation(
         SendRefusal.DEADLINE_PASSED, 1, 0, lambda attempts: setattr(attempts[-1].call, "deadline_ms", NOW_MS)
--- a/tests/unit/routing/test_policies.py
+++ b/tests/unit/routing/test_policies.py
@@ -215,18 +215,20 @@
     state = policies.state
     selected = state.workers.by_id[2]
     for _ in range(2):
-        assert policies.preloads.warm_worker(0.0, pending, selected) is None, "no worker is warm"
+        assert policies.preloads.select_warm_worker(0.0, pending, selected) is None, "no worker is warm"
     assert state.actions == [PreloadFunction(2, 7, 1)]
     assert state.functions.preloads_in_flight == 1
     assert policies.feedback.record_preload(50.0, PreloadEnded(2, 7, Outcome.TIMEOUT, 0, 50.0))
     assert pending.function.preload_not_before_ms > 50.0
-    assert policies.preloads.warm_worker(50.0, pending, selected) is None
+    assert policies.preloads.select_warm_worker(50.0, pending, selected) is None
     assert len(state.actions) == 1
-    assert policies.preloads.warm_worker(60.0, pending, selected) is None
+    assert policies.preloads.select_warm_worker(60.0, pending, selected) is None
     assert len(state.actions) == 2
     assert policies.feedback.record_preload(90.0, PreloadEnded(2, 7, Outcome.OK, 1, 30.0))
-    assert policies.preloads.warm_worker(90.0, pending, selected) is selected
-    assert policies.preloads.warm_worker(90.0, pending, state.workers.by_id[3]) is selected, "the warm worker"
+    assert policies.preloads.select_warm_worker(90.0, pending, selected) is selected
+    assert policies.preloads.select_warm_worker(90.0, pending, state.workers.by_id[3]) is selected, (
+        "the warm worker"
+    )
     assert not policies.feedback.record_preload(99.0, PreloadEnded(1, 7, Outcome.OK, 1, 30.0)), (
         "no such preload is in flight"
     )
