--- a/cedarthread/change_freeze/placement_settings.py
+++ b/cedarthread/change_freeze/placement_settings.py
@@ -16,7 +16,7 @@
         new,
         prices=prices,
         weight_meaning=old.weight_meaning,
-        keep_alive_ms=old.keep_alive_ms,
+        instance_keep_alive_ms=old.instance_keep_alive_ms,
         when_not_loaded=old.when_not_loaded,
         allows_preloading=old.allows_preloading,
     )
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -145,7 +145,7 @@
                 class_index=call.class_index,
                 deadline_ms=call.deadline_ms,
                 concurrency=call.concurrency,
-                memory=call.memory_mb,
+                memory_mb=call.memory_mb,
                 is_client_retry=call.is_client_retry,
                 caller=call.caller_identity,
             )
--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -58,7 +58,7 @@
             granted of counts, because there was no earlier incarnation or because ``restore`` supplies their
             image. If False, this router's allotment of each count is lost.
         is_durable: Whether units of a count may be used or granted only after they are recorded as
-            written off on disk (``image_to_write``, ``mark_written``).
+            written off on disk (``take_due_image``, ``mark_written``).
     """
 
     message_types = frozenset((int(MessageType.ESCROW),))
@@ -184,7 +184,7 @@
         """
         return self.image.restore(data)
 
-    def image_to_write(self, now_ms: float) -> bytes | None:
+    def take_due_image(self, now_ms: float) -> bytes | None:
         """Return the image that the host must persist next, or None.
 
         The host reports the end of the write by ``mark_written`` or ``mark_write_failed``.
--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -71,7 +71,7 @@
         self.router_index = settings.router_index
         self.peers = [index for index in range(settings.router_count) if index != settings.router_index]
         self.fanout = min(MAX_FANOUT, len(self.peers))
-        self.keep_alive_ms = min(settings.keep_alive_ms, codec.MAX_AGE_MS)
+        self.keep_alive_ms = min(settings.instance_keep_alive_ms, codec.MAX_AGE_MS)
 
     def on_notification(self, now_ms: float, notification: Notification) -> list[OutboundMessage]:
         """Apply a new set of alive peers, unless the set is empty, or new settings."""
--- a/cedarthread/lifecycle/composition.py
+++ b/cedarthread/lifecycle/composition.py
@@ -170,7 +170,7 @@
     )
     budget = _compute_descriptor_budget(config, invoke_config)
     platform = PlatformServer(
-        dispatcher, budget.client_connections, flusher, memory.queued_output, budget.accepts_per_pass
+        dispatcher, budget.client_connections, flusher, memory.queued_output, budget.accepts_per_iteration
     )
     workers = WorkerConnections(
         config.settings, dispatcher, budget.worker_connections, flusher, clients=platform, send_gate=gate
--- a/cedarthread/model/events.py
+++ b/cedarthread/model/events.py
@@ -16,7 +16,7 @@
 class RequestArrived:
     """The arrival of a client's request, to which the router must give exactly one final answer.
 
-    The platform's hints are ``concurrency`` (requests that one instance serves at a time), ``memory`` (MB)
+    The platform's hints are ``concurrency`` (requests that one instance serves at a time), ``memory_mb``
     and ``load_time_ms`` of the function, and ``work``, to which the service time of the request is expected
     to be proportional.
     """
@@ -27,7 +27,7 @@
     deadline_ms: float
     tenant_index: int | None = None
     concurrency: float | None = None
-    memory: float | None = None
+    memory_mb: float | None = None
     load_time_ms: float | None = None
     work: float | None = None
     is_client_retry: bool = False
--- a/cedarthread/model/settings.py
+++ b/cedarthread/model/settings.py
@@ -147,14 +147,14 @@
     discovery_mode: DiscoveryMode
     when_not_loaded: NotLoadedBehavior
     allows_preloading: bool
-    keep_alive_ms: float  # time after its last call for which an idle instance stays loaded
+    instance_keep_alive_ms: float  # time after its last call for which an idle instance stays loaded
     preload_timeout_ms: float
     reports_start_kind: bool
     reports_concurrency: bool
     over_quota_weight: float
     load_report_source: LoadReportSource = LoadReportSource.NONE
     load_report_columns: tuple[str, ...] = ()
-    memory_by_kind: tuple[float, ...] = ()  # MB
+    memory_mb_by_kind: tuple[float, ...] = ()
     weight_meaning: WeightMeaning = WeightMeaning.NONE
     zones: tuple[str, ...] = ()
     worker_kinds: tuple[str, ...] = ()
--- a/cedarthread/persistence/persisted_components.py
+++ b/cedarthread/persistence/persisted_components.py
@@ -70,7 +70,7 @@
 class PersistedEscrow(Protocol):
     """The escrow, as persistence uses it."""
 
-    def image_to_write(self, now_ms: float) -> bytes | None:
+    def take_due_image(self, now_ms: float) -> bytes | None:
         """Return the encoded state to write, or None if no write is due."""
 
     def mark_written(self, now_ms: float) -> None:
--- a/cedarthread/persistence/state_persister.py
+++ b/cedarthread/persistence/state_persister.py
@@ -190,7 +190,7 @@
         self.queued_writes.append(PendingWrite(key, value, WriteKind.INCARNATION))
 
     def _queue_escrow(self, now_ms: float) -> None:
-        if self.escrow is not None and (value := self.escrow.image_to_write(now_ms)) is not None:
+        if self.escrow is not None and (value := self.escrow.take_due_image(now_ms)) is not None:
             self.queued_writes.append(PendingWrite(recovered_image.ESCROW_KEY, value, WriteKind.ESCROW))
 
     def _queue_warm_state(self, now_ms: float) -> None:
--- a/cedarthread/protocols/control.py
+++ b/cedarthread/protocols/control.py
@@ -10,7 +10,7 @@
 
 from cedarthread.transport.acceptor import Acceptor, create_listener
 from cedarthread.transport.connection import BufferedConnection
-from cedarthread.transport.descriptor_budget import MAX_OPERATOR_CONNECTIONS, SMALL_ACCEPTS_PER_PASS
+from cedarthread.transport.descriptor_budget import MAX_OPERATOR_CONNECTIONS, SECONDARY_ACCEPTS_PER_ITERATION
 
 if TYPE_CHECKING:
     import asyncio
@@ -153,7 +153,7 @@
         self._acceptor = Acceptor(
             "operators",
             create_listener(host, port, LISTEN_BACKLOG),
-            max_accepts_per_pass=SMALL_ACCEPTS_PER_PASS,
+            max_accepts_per_iteration=SECONDARY_ACCEPTS_PER_ITERATION,
             create_protocol=self._create_connection,
             on_setup_failed=self._on_setup_failed,
             release_descriptor=self.release_descriptor,
--- a/cedarthread/protocols/invoke/connection.py
+++ b/cedarthread/protocols/invoke/connection.py
@@ -164,5 +164,5 @@
             self.keep_alive = False
             self.has_unparsed_input = True
             self.respond(problem_response(408, "the request took too long to arrive"))
-        elif self.request_started_at is None and now_s - self.last_read_at > IDLE_TIMEOUT_S:
+        elif self.request_started_at is None and now_s - self.last_read_at_s > IDLE_TIMEOUT_S:
             self.close()
--- a/cedarthread/protocols/invoke/server.py
+++ b/cedarthread/protocols/invoke/server.py
@@ -19,7 +19,7 @@
 from cedarthread.protocols.invoke.calls import InvokeCalls
 from cedarthread.protocols.invoke.connection import InvokeConnection
 from cedarthread.transport.acceptor import Acceptor, create_listener_with_retries
-from cedarthread.transport.descriptor_budget import SMALL_ACCEPTS_PER_PASS
+from cedarthread.transport.descriptor_budget import SECONDARY_ACCEPTS_PER_ITERATION
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -105,7 +105,7 @@
         self._acceptor = Acceptor(
             "callers",
             listening_socket,
-            max_accepts_per_pass=SMALL_ACCEPTS_PER_PASS,
+            max_accepts_per_iteration=SECONDARY_ACCEPTS_PER_ITERATION,
             create_protocol=self._create_connection,
             on_setup_failed=self._on_setup_failed,
             release_descriptor=self._release_descriptor,
--- a/cedarthread/protocols/platform/connection.py
+++ b/cedarthread/protocols/platform/connection.py
@@ -46,7 +46,7 @@
             log.warning(format_event("connection_limit_reached", listener="clients", rejected=1, limit=limit))
             self.abort()
             return
-        self.message_started_at = self.last_read_at
+        self.message_started_at = self.last_read_at_s
 
     def _log_truncated_message(self, truncated_bytes: int) -> None:
         if log.isEnabledFor(logging.INFO):
@@ -114,7 +114,7 @@
             self.message_started_at = None
             self.server.mark_validated(self)
         if offset < len(data) and self.message_started_at is None:
-            self.message_started_at = self.last_read_at
+            self.message_started_at = self.last_read_at_s
         if processed == MESSAGES_PER_PASS and offset < len(data):
             self.has_unprocessed_messages = True
             self._update_reading()
--- a/cedarthread/protocols/platform/server.py
+++ b/cedarthread/protocols/platform/server.py
@@ -8,7 +8,7 @@
 from cedarthread.logs import format_event
 from cedarthread.protocols.platform.connection import PlatformConnection
 from cedarthread.transport.acceptor import Acceptor, create_listener_with_retries
-from cedarthread.transport.descriptor_budget import CLIENT_ACCEPTS_PER_PASS
+from cedarthread.transport.descriptor_budget import CLIENT_ACCEPTS_PER_ITERATION
 
 if TYPE_CHECKING:
     from cedarthread.dispatch.dispatcher import Dispatcher
@@ -34,7 +34,7 @@
         max_connections: The maximum number of client connections.
         flusher: Flushes the output once per iteration of the event loop.
         max_queued_bytes: Calls are rejected while more bytes than this are queued.
-        accepts_per_pass: Maximum number of connections accepted per iteration of the event loop.
+        accepts_per_iteration: Maximum number of connections accepted per iteration of the event loop.
     """
 
     def __init__(
@@ -43,10 +43,10 @@
         max_connections: int,
         flusher: Flusher,
         max_queued_bytes: int = DEFAULT_MAX_QUEUED_BYTES,
-        accepts_per_pass: int = CLIENT_ACCEPTS_PER_PASS,
+        accepts_per_iteration: int = CLIENT_ACCEPTS_PER_ITERATION,
     ) -> None:
         self.dispatcher = dispatcher
-        self.accepts_per_pass = accepts_per_pass
+        self.accepts_per_iteration = accepts_per_iteration
         self.max_queued_bytes = max_queued_bytes
         self.flusher = flusher
         self.max_connections = max_connections
@@ -102,7 +102,7 @@
         self._acceptor = Acceptor(
             "clients",
             listening_socket,
-            max_accepts_per_pass=self.accepts_per_pass,
+            max_accepts_per_iteration=self.accepts_per_iteration,
             create_protocol=self._create_connection,
             on_setup_failed=self.unregister,
             release_descriptor=self.evict_idle,
@@ -141,7 +141,7 @@
         for connection in [*self.unvalidated_connections, *self.connections]:
             started_at = connection.message_started_at
             is_late = started_at is not None and now_s - started_at > MESSAGE_TIMEOUT_S
-            is_silent = now_s - connection.last_read_at > IDLE_CLIENT_TIMEOUT_S
+            is_silent = now_s - connection.last_read_at_s > IDLE_CLIENT_TIMEOUT_S
             is_established = connection.transport is not None and connection.discard_budget is None
             if (
                 is_established
--- a/cedarthread/protocols/worker/connection.py
+++ b/cedarthread/protocols/worker/connection.py
@@ -31,7 +31,7 @@
 
     # asyncio pauses writing above this limit. With 0, each line is passed on only after the previous line was
     # written, so the number of written bytes is always known.
-    high_water = 0
+    write_high_water_bytes = 0
 
     def __init__(self, pool: ConnectionPool[WorkerConnection]) -> None:
         self.worker_connections = pool.worker_connections
--- a/cedarthread/protocols/worker/connections.py
+++ b/cedarthread/protocols/worker/connections.py
@@ -171,7 +171,7 @@
             self.dispatcher.attempt_ended(attempt, connection_lost_result(attempt))
             return
         # A connection to a crashed host stays open without input: the next attempt needs a new connection.
-        is_unresponsive = self._loop.time() - connection.last_read_at > UNRESPONSIVE_AFTER_S
+        is_unresponsive = self._loop.time() - connection.last_read_at_s > UNRESPONSIVE_AFTER_S
         connection.is_retired = connection.is_retired or is_unresponsive
         if not self.settings.limits.can_cancel:  # the worker continues the attempt, whose response is ignored
             connection.abandon(attempt.call.call_id)
--- a/cedarthread/recovery/component.py
+++ b/cedarthread/recovery/component.py
@@ -70,7 +70,7 @@
     message_types: frozenset[int] = frozenset({MessageType.RECOVERY})
 
     def __init__(self, settings: RouterSettings, seed: int, now_ms: float = 0.0) -> None:
-        self.warm_state = WarmState(settings.keep_alive_ms)
+        self.warm_state = WarmState(settings.instance_keep_alive_ms)
         self.state_machine = RecoveryStateMachine(PhaseTimeouts.from_settings(settings), now_ms)
         self.fleet_view = FleetView(settings.router_count)
         self.worker_reports = WorkerReportView(settings.router_count)
@@ -291,7 +291,7 @@
         )
 
     def _on_settings_changed(self, settings: RouterSettings) -> None:
-        self.warm_state.keep_alive_ms = settings.keep_alive_ms
+        self.warm_state.keep_alive_ms = settings.instance_keep_alive_ms
         self.peer_exchange.on_settings_changed(settings)
         self.state_machine.timeouts = PhaseTimeouts.from_settings(settings)
         self.fleet_view.router_count = settings.router_count
--- a/cedarthread/recovery/state_machine.py
+++ b/cedarthread/recovery/state_machine.py
@@ -75,11 +75,11 @@
             starting_ms=STARTING_TIMEOUT_PERIODS * MEMBERSHIP_PERIOD_MS,
             peer_query_ms=max(
                 MIN_PHASE_TIMEOUT_MS,
-                min(settings.keep_alive_ms / 2, shortest_deadline_ms / 2, MAX_PEER_QUERY_MS),
+                min(settings.instance_keep_alive_ms / 2, shortest_deadline_ms / 2, MAX_PEER_QUERY_MS),
             ),
             warming_ms=max(
                 2 * MIN_PHASE_TIMEOUT_MS,
-                min(WARMING_TIMEOUT_KEEP_ALIVES * settings.keep_alive_ms, MAX_WARMING_MS),
+                min(WARMING_TIMEOUT_KEEP_ALIVES * settings.instance_keep_alive_ms, MAX_WARMING_MS),
             ),
         )
 
--- a/cedarthread/routing/admission.py
+++ b/cedarthread/routing/admission.py
@@ -131,7 +131,7 @@
             return False
         worker_id = worker.endpoint.worker_id
         workers = state.workers.by_id
-        is_warm = function.read_affinity(now_ms, worker_id, state.settings.keep_alive_ms) > 0.0
+        is_warm = function.read_affinity(now_ms, worker_id, state.settings.instance_keep_alive_ms) > 0.0
         instances = {
             other_id: instance
             for other_id, instance in function.gossiped_instances.items()
@@ -159,7 +159,7 @@
         constraints = self.state.constraints
         if constraints is None or not constraints.limits_loading:
             return True
-        keep_alive_ms = self.state.settings.keep_alive_ms
+        keep_alive_ms = self.state.settings.instance_keep_alive_ms
         if pending.function.has_instance(now_ms, worker.endpoint.worker_id, keep_alive_ms):
             return True
         is_idempotent = pending.request_class.idempotency is Idempotency.IDEMPOTENT
--- a/cedarthread/routing/attempt_tracker.py
+++ b/cedarthread/routing/attempt_tracker.py
@@ -41,7 +41,7 @@
         request = pending.request
         worker_id = worker.endpoint.worker_id
         service_times = state.service_times
-        is_cold = not function.has_seen_instance(now_ms, worker_id, state.settings.keep_alive_ms)
+        is_cold = not function.has_seen_instance(now_ms, worker_id, state.settings.instance_keep_alive_ms)
         warm_ms = service_times.expected_ms(pending)
         attempt = Attempt(
             endpoint=worker.endpoint,
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -214,7 +214,7 @@
         else:
             shortest_ms = max(cold_start_ms.mean, MIN_PRELOAD_BACKOFF_MS)
             backoff_ms = max(2 * function.preload_backoff_ms, shortest_ms)
-            function.preload_backoff_ms = min(backoff_ms, state.settings.keep_alive_ms)
+            function.preload_backoff_ms = min(backoff_ms, state.settings.instance_keep_alive_ms)
             jitter = state.rng.uniform(*PRELOAD_BACKOFF_JITTER)
             function.preload_not_before_ms = now_ms + function.preload_backoff_ms * jitter
         return True
--- a/cedarthread/routing/preloading.py
+++ b/cedarthread/routing/preloading.py
@@ -52,7 +52,7 @@
         settings = state.settings
         if settings.when_not_loaded is not NotLoadedBehavior.REJECT or not settings.allows_preloading:
             return chosen
-        if function.read_affinity(now_ms, worker_id, settings.keep_alive_ms) > 0:
+        if function.read_affinity(now_ms, worker_id, settings.instance_keep_alive_ms) > 0:
             return chosen
         if (
             worker_id not in function.preloading_workers
--- a/cedarthread/routing/router_state.py
+++ b/cedarthread/routing/router_state.py
@@ -82,7 +82,7 @@
     def record_request(self, now_ms: float, request: RequestArrived) -> PendingRequest:
         """Add a new request to the tables and the call rates, and return its record."""
         settings = self.settings
-        expiry_ms = 2 * max(settings.keep_alive_ms, self.traffic.popularity.window_ms)
+        expiry_ms = 2 * max(settings.instance_keep_alive_ms, self.traffic.popularity.window_ms)
         concurrency = max(request.concurrency or 1.0, 1.0)
         function = self.functions.on_call(now_ms, request.function_id, concurrency, expiry_ms)
         self.traffic.on_call(now_ms, function, len(self.workers.by_id))
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -145,7 +145,7 @@
         now_ms = search.now_ms
         pending = search.pending
         if search.constraints is not None:
-            keep_alive_ms = self.state.settings.keep_alive_ms
+            keep_alive_ms = self.state.settings.instance_keep_alive_ms
             has_instance = pending.function.has_instance(now_ms, worker.endpoint.worker_id, keep_alive_ms)
             if not search.constraints.may_route(
                 now_ms, pending, worker, is_loaded=has_instance, has_alternative=search.has_spare_instance
@@ -170,7 +170,7 @@
         state = self.state
         function = pending.function
         workers = state.workers.by_id
-        keep_alive_ms = state.settings.keep_alive_ms
+        keep_alive_ms = state.settings.instance_keep_alive_ms
         if function.placement_epoch != state.workers.placement_epoch:
             function.placement_epoch = state.workers.placement_epoch
             function.placement_order = placement_order(
@@ -205,7 +205,7 @@
         if state.gossip is not None:  # gossip reports instances, so that fewer homes are needed
             fraction *= 1.0 - state.gossip.peer_coverage(now_ms)
         fleet_calls_per_ms = state.traffic.calls_per_ms * state.live_router_count
-        max_retained = fleet_calls_per_ms * state.settings.keep_alive_ms / MIN_CALLS_PER_HOME
+        max_retained = fleet_calls_per_ms * state.settings.instance_keep_alive_ms / MIN_CALLS_PER_HOME
         return 1 + int(fraction * min(self.homes_per_worker * len(state.workers.by_id), max_retained))
 
     def is_eligible(self, pending: PendingRequest, worker: WorkerRecord) -> bool:
@@ -266,7 +266,7 @@
     def has_spare_instance(self, now_ms: float, pending: PendingRequest, *, is_idempotent: bool) -> bool:
         """Return whether an eligible worker has an instance with under 4 requests per concurrency unit."""
         function = pending.function
-        keep_alive_ms = self.state.settings.keep_alive_ms
+        keep_alive_ms = self.state.settings.instance_keep_alive_ms
         max_in_flight = function.concurrency * LOAD_PER_AFFINITY
         return any(
             self.is_eligible(pending, worker)
@@ -281,7 +281,7 @@
         """Return the cheapest eligible warm worker, without regard to zones and constraints."""
         function = pending.function
         class_and_tenant = pending.class_and_tenant
-        keep_alive_ms = self.state.settings.keep_alive_ms
+        keep_alive_ms = self.state.settings.instance_keep_alive_ms
         work_ms = self.state.service_times.class_ms(pending.request.class_index)
         warm = [
             worker
--- a/cedarthread/routing/worker_table.py
+++ b/cedarthread/routing/worker_table.py
@@ -13,7 +13,7 @@
 from cedarthread.routing import outlier_detection
 from cedarthread.routing.records import WorkerRecord
 from cedarthread.routing.rendezvous import hash64
-from cedarthread.statistics import WindowedMaximum
+from cedarthread.statistics import DecayingMaximum
 
 if TYPE_CHECKING:
     import random
@@ -38,7 +38,7 @@
         self.by_id: dict[int, WorkerRecord] = {}
         self.placement_epoch = 0  # rises with each added or removed worker, which changes placement orders
         self.ready_count = 0  # READY workers in reachable zones, or all READY ones if no zone is reachable
-        self.ready_peak = WindowedMaximum()  # recent peak of ready_count
+        self.ready_peak = DecayingMaximum()  # recent peak of ready_count
         self.is_every_zone_unreachable = True
         self.update_settings(settings)
 
--- a/cedarthread/settings_parser.py
+++ b/cedarthread/settings_parser.py
@@ -72,7 +72,7 @@
     specifics = top.optional_section("specifics")
     report = top.optional_section("report")
     tenants = top.optional("tenants", ()).entries() if top.has("tenants") else ()
-    memory_by_kind = specifics.optional("memory-mb-by-kind", ())
+    memory_mb_by_kind = specifics.optional("memory-mb-by-kind", ())
     return RouterSettings(
         classes=tuple(_parse_request_class(entry.section()) for entry in top.required("classes").entries()),
         tenants=tuple(_parse_tenant(entry.section()) for entry in tenants),
@@ -86,14 +86,14 @@
         discovery_mode=top.optional("membership-mode", "push").member_of(DiscoveryMode),
         when_not_loaded=specifics.optional("on-miss", "load").member_of(NotLoadedBehavior),
         allows_preloading=specifics.flag("may-order"),
-        keep_alive_ms=specifics.number("keep-alive"),
+        instance_keep_alive_ms=specifics.number("keep-alive"),
         preload_timeout_ms=specifics.number("order-limit"),
         reports_start_kind=specifics.flag("says-warm"),
         reports_concurrency=specifics.flag("notes-peers-in-hand"),
         over_quota_weight=top.number("over-share-worth", 1),
         load_report_source=report.optional("how", "none").member_of(LoadReportSource),
         load_report_columns=report.strings("columns"),
-        memory_by_kind=tuple(memory_mb.number() for memory_mb in memory_by_kind.entries()),
+        memory_mb_by_kind=tuple(memory_mb.number() for memory_mb in memory_mb_by_kind.entries()),
         weight_meaning=top.optional("weight-source", "none").member_of(WeightMeaning),
         zones=top.strings("localities"),
         worker_kinds=top.strings("kinds"),
--- a/cedarthread/statistics.py
+++ b/cedarthread/statistics.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class WindowedMaximum:
+class DecayingMaximum:
     """The recent peak of a quantity, which decays exponentially after the quantity falls.
 
     The current value of the quantity is not part of the peak.
--- a/cedarthread/testing/escrow_simulation.py
+++ b/cedarthread/testing/escrow_simulation.py
@@ -183,7 +183,7 @@
     def write_image(self, router: SimulatedRouter) -> None:
         """Start the write of an image that is due; a crash before the write ends loses the image."""
         escrow = router.escrow
-        if (image := escrow.image_to_write(router.clock_ms())) is not None:
+        if (image := escrow.take_due_image(router.clock_ms())) is not None:
 
             def finish() -> None:
                 if router.escrow is escrow and router.is_running:
--- a/cedarthread/transport/acceptor.py
+++ b/cedarthread/transport/acceptor.py
@@ -96,7 +96,7 @@
     Args:
         name: The name of the listener in log lines.
         listening_socket: The socket, which must be non-blocking.
-        max_accepts_per_pass: Connections accepted per iteration of the event loop.
+        max_accepts_per_iteration: Connections accepted per iteration of the event loop.
         create_protocol: Counts a connection and returns its protocol; None at the connection limit, and then
             the connection is closed.
         on_setup_failed: Called with the protocol of a connection that was not established.
@@ -109,7 +109,7 @@
         name: str,
         listening_socket: socket.socket,
         *,
-        max_accepts_per_pass: int,
+        max_accepts_per_iteration: int,
         create_protocol: Callable[[], ProtocolT | None],
         on_setup_failed: Callable[[ProtocolT], None],
         release_descriptor: Callable[[], bool] = lambda: False,
@@ -117,7 +117,7 @@
     ) -> None:
         self.name = name
         self.listening_socket = listening_socket
-        self.max_accepts_per_pass = max_accepts_per_pass
+        self.max_accepts_per_iteration = max_accepts_per_iteration
         self.tls_context = tls_context
         self.create_protocol = create_protocol
         self.on_setup_failed = on_setup_failed
@@ -141,7 +141,7 @@
             )
 
     def _accept_batch(self) -> BacklogState:
-        """Accept up to ``max_accepts_per_pass`` connections."""
+        """Accept up to ``max_accepts_per_iteration`` connections."""
         # At the connection limit, ``create_protocol`` may evict an idle connection. Only established
         # connections can be evicted, so earlier ones must be established first, which takes two iterations.
         # With TLS this is skipped, because a handshake may take seconds.
@@ -149,7 +149,7 @@
             return BacklogState.MAY_HAVE_MORE
         rejected_count = 0
         backlog = BacklogState.MAY_HAVE_MORE
-        for _ in range(self.max_accepts_per_pass):
+        for _ in range(self.max_accepts_per_iteration):
             try:
                 connection, _ = self.listening_socket.accept()
             except (ConnectionAbortedError, InterruptedError):  # the peer closed a queued connection
--- a/cedarthread/transport/connection.py
+++ b/cedarthread/transport/connection.py
@@ -31,7 +31,7 @@
         flusher: Writes the output of each iteration.
     """
 
-    high_water = 64 * 1024  # bytes in the transport's write buffer above which writing pauses
+    write_high_water_bytes = 64 * 1024  # bytes in the transport's write buffer above which writing pauses
 
     def __init__(self, max_buffer_bytes: int, flusher: Flusher) -> None:
         self.buffer = ReadBuffer(max_buffer_bytes)
@@ -40,7 +40,7 @@
         self.write_queue: list[bytes] = []
         self.is_write_paused = False
         self.is_closed = False
-        self.last_read_at = 0.0  # loop time in s
+        self.last_read_at_s = 0.0  # loop time in s
         self.discard_budget: int | None = None  # bytes that may still be discarded; None: input is processed
         self._is_flush_scheduled = False
         self._linger_timer: asyncio.TimerHandle | None = None
@@ -71,9 +71,9 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and call ``on_connected`` (called by asyncio)."""
         self.transport = cast("asyncio.Transport", transport)
-        self.transport.set_write_buffer_limits(high=self.high_water)
+        self.transport.set_write_buffer_limits(high=self.write_high_water_bytes)
         disable_nagle(self.transport)
-        self.last_read_at = self._loop.time()
+        self.last_read_at_s = self._loop.time()
         self.on_connected()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -92,7 +92,7 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         """Process input that was read into the buffer (called by asyncio)."""
-        self.last_read_at = self._loop.time()
+        self.last_read_at_s = self._loop.time()
         if self.discard_budget is not None:
             self._discard(nbytes)
             return
--- a/cedarthread/transport/descriptor_budget.py
+++ b/cedarthread/transport/descriptor_budget.py
@@ -14,8 +14,8 @@
 CLIENT_FRACTION = 0.5  # fraction of all descriptors for client connections
 INVOKE_FRACTION = 0.5  # maximum for invoke API callers, of the descriptors that they share with workers
 MAX_OPERATOR_CONNECTIONS = 16
-CLIENT_ACCEPTS_PER_PASS = 16  # client connections accepted per iteration of the event loop
-SMALL_ACCEPTS_PER_PASS = 4  # connections of operators, and of invoke callers, per iteration
+CLIENT_ACCEPTS_PER_ITERATION = 16  # client connections accepted per iteration of the event loop
+SECONDARY_ACCEPTS_PER_ITERATION = 4  # connections of operators, and of invoke callers, per iteration
 # Under a small limit, operator connections and accepts per iteration are each capped at one for every
 # ``DESCRIPTORS_PER_CAPPED_CONNECTION`` descriptors, but not below ``MIN_CONNECTION_CAP``.
 DESCRIPTORS_PER_CAPPED_CONNECTION = 32
@@ -45,7 +45,7 @@
     invoke_connections: int
     worker_connections: int
     operator_connections: int  # part of ``reserved``
-    accepts_per_pass: int  # of client connections; evicted connections close one iteration later
+    accepts_per_iteration: int  # of client connections; evicted connections close one iteration later
 
 
 def soft_limit() -> int:
@@ -79,12 +79,12 @@
     limit = min(configured_limit, process_limit)
     connection_cap = max(MIN_CONNECTION_CAP, limit // DESCRIPTORS_PER_CAPPED_CONNECTION)
     operator_connections = min(MAX_OPERATOR_CONNECTIONS, connection_cap)
-    accepts_per_pass = min(CLIENT_ACCEPTS_PER_PASS, connection_cap)
-    small_accepts_per_pass = min(SMALL_ACCEPTS_PER_PASS, connection_cap)
+    accepts_per_iteration = min(CLIENT_ACCEPTS_PER_ITERATION, connection_cap)
+    secondary_accepts_per_iteration = min(SECONDARY_ACCEPTS_PER_ITERATION, connection_cap)
     # An evicted connection closes one iteration after the new one is accepted; until then both are open.
-    evicted_connections = accepts_per_pass + small_accepts_per_pass
+    evicted_connections = accepts_per_iteration + secondary_accepts_per_iteration
     if invoke_connections:
-        evicted_connections += small_accepts_per_pass
+        evicted_connections += secondary_accepts_per_iteration
     fixed_descriptors = LISTENING_SOCKETS + DISCOVERY_SOCKETS + PEER_SOCKETS + OPEN_FILES
     reserved = already_open + fixed_descriptors + operator_connections + evicted_connections
     client_connections = int(limit * CLIENT_FRACTION)
@@ -100,5 +100,5 @@
         invoke_connections,
         worker_connections,
         operator_connections,
-        accepts_per_pass,
+        accepts_per_iteration,
     )
--- a/tests/golden_builders/fleet.py
+++ b/tests/golden_builders/fleet.py
@@ -148,7 +148,7 @@
             deadline_ms=self.now_ms + 1000.0,
             tenant_index=step // 2 % 2,
             concurrency=1.0,
-            memory=128.0,
+            memory_mb=128.0,
             load_time_ms=300.0,
             work=20.0,
         )
--- a/tests/golden_builders/stored_values.py
+++ b/tests/golden_builders/stored_values.py
@@ -78,7 +78,7 @@
     escrow = _escrow(9)
     escrow.open_pool(POOL, POOL_SIZE, is_consumable=True, ends_at_ms=None)
     escrow.request(0.0, POOL, 3)
-    image = escrow.image_to_write(0.0)
+    image = escrow.take_due_image(0.0)
     if image is None:
         raise ValueError("the escrow has no image to write")
     return image
@@ -102,7 +102,7 @@
     escrow.open_pool(POOL, POOL_SIZE, is_consumable=True, ends_at_ms=None)
     available_at_once = escrow.available(0.0, POOL)
     escrow.request(0.0, POOL, 3)
-    next_image = escrow.image_to_write(0.0) or b""
+    next_image = escrow.take_due_image(0.0) or b""
     escrow.mark_written(0.0)
     return [available_at_once, next_image.hex(), escrow.available(0.0, POOL)]
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -59,7 +59,7 @@
         discovery_mode=DiscoveryMode.PUSH,
         when_not_loaded=NotLoadedBehavior.LOAD,
         allows_preloading=True,
-        keep_alive_ms=10000.0,
+        instance_keep_alive_ms=10000.0,
         preload_timeout_ms=5000.0,
         reports_start_kind=True,
         reports_concurrency=True,
--- a/tests/integration/test_descriptor_exhaustion.py
+++ b/tests/integration/test_descriptor_exhaustion.py
@@ -45,14 +45,14 @@
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         async with service(ScriptedWorker()) as running:
-            running.control.max_connections = descriptor_budget.SMALL_ACCEPTS_PER_PASS
+            running.control.max_connections = descriptor_budget.SECONDARY_ACCEPTS_PER_ITERATION
             count_before = len(open_descriptors())
             connections = [socket.create_connection(("127.0.0.1", running.control_port)) for _ in range(61)]
             connections[-1].sendall(b"PING\n")
             connections[-1].setblocking(False)
             async with asyncio.timeout(10):
                 assert await loop.sock_recv(connections[-1], 64) == b"YES\n"
-            max_accepted = running.control.max_connections + descriptor_budget.SMALL_ACCEPTS_PER_PASS
+            max_accepted = running.control.max_connections + descriptor_budget.SECONDARY_ACCEPTS_PER_ITERATION
             assert len(open_descriptors()) - count_before - len(connections) <= max_accepted
             close_all(connections)
 
@@ -220,7 +220,7 @@
         async with service(ScriptedWorker()) as running:
             connections = [
                 socket.create_connection(("127.0.0.1", running.port))
-                for _ in range(3 * descriptor_budget.CLIENT_ACCEPTS_PER_PASS)
+                for _ in range(3 * descriptor_budget.CLIENT_ACCEPTS_PER_ITERATION)
             ]
             for connection in connections:
                 connection.sendall(HEALTH_CHECK)
--- a/tests/simulation/recovery_fleet.py
+++ b/tests/simulation/recovery_fleet.py
@@ -124,7 +124,7 @@
         router_settings = settings(
             router_count=self.router_count,
             router_index=index,
-            keep_alive_ms=KEEP_ALIVE_MS,
+            instance_keep_alive_ms=KEEP_ALIVE_MS,
             limits=self.limits,
         )
         recovery = RecoveryComponent(router_settings, self.rng.getrandbits(30), self.now_ms)
--- a/tests/simulation/slow_start_fleet.py
+++ b/tests/simulation/slow_start_fleet.py
@@ -74,7 +74,7 @@
             classes=CLASSES,
             router_count=scenario.router_count if scenario.is_fleet_size_known else 1,
             rules=RULES,
-            keep_alive_ms=8700.0,
+            instance_keep_alive_ms=8700.0,
             limits=dataclasses.replace(settings().limits, allows_hedging=False, allows_gossip=False),
         )
         self.workers = {
--- a/tests/simulation/test_escrow_fleet.py
+++ b/tests/simulation/test_escrow_fleet.py
@@ -120,11 +120,11 @@
 class UseBeforeWriteOff(Escrow):
     """Defect: units are used before they are written off on the disk."""
 
-    def image_to_write(self, now_ms: float) -> bytes | None:
+    def take_due_image(self, now_ms: float) -> bytes | None:
         for pool in self.pools.values():
             if isinstance(pool, CountPool):
                 pool.free = pool.balance
-        return super().image_to_write(now_ms)
+        return super().take_due_image(now_ms)
 
 
 class TotalPerRouter(Escrow):
--- a/tests/simulation/test_fleet_components.py
+++ b/tests/simulation/test_fleet_components.py
@@ -59,10 +59,10 @@
     fleet.run(35_000.0)
     node = fleet.routers[1]
     old_settings = fleet.router_settings[1]
-    node.update_settings(dataclasses.replace(old_settings, keep_alive_ms=99_000.0), fleet.now_ms)
-    assert node.router.state.settings.keep_alive_ms == old_settings.keep_alive_ms
+    node.update_settings(dataclasses.replace(old_settings, instance_keep_alive_ms=99_000.0), fleet.now_ms)
+    assert node.router.state.settings.instance_keep_alive_ms == old_settings.instance_keep_alive_ms
     fleet.run(40_000.0)
-    assert node.router.state.settings.keep_alive_ms == 99_000.0
+    assert node.router.state.settings.instance_keep_alive_ms == 99_000.0
 
 
 def test_without_gossip_each_router_applies_only_its_own_fleet_file() -> None:
--- a/tests/simulation/test_recovery_exploration.py
+++ b/tests/simulation/test_recovery_exploration.py
@@ -25,7 +25,7 @@
 MAX_IN_FLIGHT = 2
 SETTINGS = {
     (router_count, index): settings(
-        router_count=router_count, router_index=index, keep_alive_ms=KEEP_ALIVE_MS
+        router_count=router_count, router_index=index, instance_keep_alive_ms=KEEP_ALIVE_MS
     )
     for router_count in (2, 3)
     for index in range(router_count)
--- a/tests/simulation/test_slow_start_fleet.py
+++ b/tests/simulation/test_slow_start_fleet.py
@@ -11,7 +11,7 @@
 from cedarthread.model.events import AttemptEnded, PreloadEnded
 from cedarthread.model.outcomes import Outcome
 from cedarthread.model.settings import NotLoadedBehavior
-from cedarthread.statistics import WindowedMaximum
+from cedarthread.statistics import DecayingMaximum
 from tests.helpers import CLASSES, RouterDriver, sends, settings, worker
 from tests.simulation.slow_start_fleet import Fleet
 from tests.simulation.slow_start_scenarios import SCENARIOS, Scenario
@@ -152,8 +152,8 @@
     assert sends(driver.send_request()) == [1]
 
 
-def test_a_windowed_maximum_is_constant_while_its_input_is_and_decays_after_it_falls() -> None:
-    peak = WindowedMaximum(1000.0)
+def test_a_decaying_maximum_is_constant_while_its_input_is_and_decays_after_it_falls() -> None:
+    peak = DecayingMaximum(1000.0)
     peak.on_change(0.0, 6.0, 0.0)
     peak.on_change(50000.0, 6.0, 0.0)
     assert peak.read(50000.0) == 6.0
--- a/tests/unit/escrow/test_count_pool.py
+++ b/tests/unit/escrow/test_count_pool.py
@@ -59,16 +59,16 @@
 def test_with_a_disk_no_unit_is_used_before_it_is_written_off(write_failed: bool) -> None:
     escrow, _ = two_escrows(100, is_consumable=True, is_durable=True)
     assert escrow.available(0.0, POOL) == 0
-    assert escrow.image_to_write(0.0) is None
+    assert escrow.take_due_image(0.0) is None
     assert not escrow.consume(0.0, POOL, 4)
-    image = escrow.image_to_write(0.0)
+    image = escrow.take_due_image(0.0)
     assert image is not None
-    assert escrow.image_to_write(0.0) is None
+    assert escrow.take_due_image(0.0) is None
     assert escrow.available(0.0, POOL) == 0
     if write_failed:
         escrow.mark_write_failed()
         assert escrow.available(0.0, POOL) == 0
-        assert escrow.image_to_write(0.0) == image
+        assert escrow.take_due_image(0.0) == image
     escrow.mark_written(0.0)
     free = escrow.available(0.0, POOL)
     assert 4 <= free <= 8
@@ -92,11 +92,11 @@
     request = request_from(requesting, READY_MS, 60)
     requested_at_ms = READY_MS + TICK_DELAY_MS
     assert not granting.on_message(requested_at_ms, 1, request)
-    assert granting.image_to_write(requested_at_ms) is not None
+    assert granting.take_due_image(requested_at_ms) is not None
     granting.mark_written(READY_MS + 310.0)
     response = decoded_response(response_of(granting, READY_MS + 800.0, 1, request))
     assert response.amount == 10, "without the units that the requesting router has yet to write off"
     requesting.on_message(READY_MS + 900.0, 0, codec.encode(response))
-    assert requesting.image_to_write(READY_MS + 900.0) is not None
+    assert requesting.take_due_image(READY_MS + 900.0) is not None
     requesting.mark_written(READY_MS + 910.0)
     assert requesting.available(READY_MS + 910.0, POOL) == 50 + response.amount
--- a/tests/unit/gossip/test_gossip_in_routers.py
+++ b/tests/unit/gossip/test_gossip_in_routers.py
@@ -105,7 +105,7 @@
         dataclasses.replace(request_class, latency_objective_ms=2.0 * request_class.latency_objective_ms)
         for request_class in settings().classes
     )
-    node.update_settings(settings(prices=prices, classes=classes, keep_alive_ms=3000.0))
+    node.update_settings(settings(prices=prices, classes=classes, instance_keep_alive_ms=3000.0))
     assert admission.mean_objective_ms == 2.0 * objective_before_ms
     assert selector.homes_per_worker < homes_before
     assert node.load_gossip is gossip
--- a/tests/unit/recovery/test_component.py
+++ b/tests/unit/recovery/test_component.py
@@ -111,10 +111,10 @@
 
 def test_new_settings_apply_to_the_warm_state_and_the_peer_query() -> None:
     recovery = component_in_service()
-    changed = settings(router_count=1, keep_alive_ms=50.0)
+    changed = settings(router_count=1, instance_keep_alive_ms=50.0)
     recovery.on_notification(41_000.0, SettingsChanged(changed))
     assert not recovery.warm_instances(41_000.0, FUNCTION)
     assert not recovery.peer_exchange.can_query_peers
     assert set(recovery.status(41_000.0)) >= {"return_phase", "return_mass", "return_places"}
-    timeouts = PhaseTimeouts.from_settings(settings(keep_alive_ms=1e6))
+    timeouts = PhaseTimeouts.from_settings(settings(instance_keep_alive_ms=1e6))
     assert timeouts.peer_query_ms <= state_machine.MAX_PEER_QUERY_MS
--- a/tests/unit/routing/test_router_placement.py
+++ b/tests/unit/routing/test_router_placement.py
@@ -72,7 +72,7 @@
     (home,) = sends(driver.send_request())
     driver.end_attempt(1, home)
     function = driver.router.functions[FUNCTION_ID]
-    keep_alive_ms = driver.router.state.settings.keep_alive_ms
+    keep_alive_ms = driver.router.state.settings.instance_keep_alive_ms
     assert function.read_affinity(driver.now_ms, home, keep_alive_ms) == 1.0
     assert function.read_affinity(driver.now_ms + 10001.0, home, keep_alive_ms) == 0.0
 
@@ -185,7 +185,7 @@
     router_count: int, worker_count: int, interval_ms: float
 ) -> None:
     """Guards against homes that multiply with the fleet: at 40 routers a function had 28, some idle."""
-    driver = RouterDriver(*workers(worker_count), router_count=router_count, keep_alive_ms=4700.0)
+    driver = RouterDriver(*workers(worker_count), router_count=router_count, instance_keep_alive_ms=4700.0)
     for number in range(300):
         function_id = FUNCTION_ID if number % 4 == 0 else 1000 + number % 50
         driver.send_request(function_id, after_ms=interval_ms)
--- a/tests/unit/simulator/test_decoder.py
+++ b/tests/unit/simulator/test_decoder.py
@@ -56,7 +56,7 @@
     record = struct.pack("<BIfdQHffdHH", 3, 9, float("nan"), 1.0, 77, 0, -1.0, float("inf"), 12.0, 3, 0xFFF2)
     event = decode_event(record)
     assert isinstance(event, RequestArrived)
-    assert (event.concurrency, event.memory, event.load_time_ms, event.work) == (None, None, None, None)
+    assert (event.concurrency, event.memory_mb, event.load_time_ms, event.work) == (None, None, None, None)
     assert event.is_client_retry
     assert not event.is_write
     assert event.tenant_index is None
--- a/tests/unit/transport/test_descriptor_budget.py
+++ b/tests/unit/transport/test_descriptor_budget.py
@@ -22,10 +22,10 @@
         connections = budget.client_connections + budget.invoke_connections + budget.worker_connections
         assert connections + budget.reserved == limit
         assert budget.client_connections >= limit // 3, "clients may use a third of the limit"
-        assert min(budget.worker_connections, budget.operator_connections, budget.accepts_per_pass) >= 1
+        assert min(budget.worker_connections, budget.operator_connections, budget.accepts_per_iteration) >= 1
         assert budget.reserved >= (
             6
-            + budget.accepts_per_pass
+            + budget.accepts_per_iteration
             + budget.operator_connections
             + descriptor_budget.DISCOVERY_SOCKETS
             + descriptor_budget.PEER_SOCKETS
