--- a/cedarthread/priority/codec.py
+++ b/cedarthread/priority/codec.py
@@ -43,9 +43,7 @@
         ValueError: More than ``MAX_ENTRIES`` reports, which do not fit in a datagram.
     """
     if len(reports) > MAX_ENTRIES:
-        raise ValueError(
-            f"{len(reports)} reports do not fit in a datagram, which holds at most {MAX_ENTRIES}"
-        )
+        raise ValueError(f"too many records: {len(reports)}, maximum {MAX_ENTRIES}")
     return bytes((MessageType.LOAD_PRESSURE,)) + b"".join(
         _ENTRY_FORMAT.pack(
             report.router_index,
