--- a/tests/contracts/socket_harness.py
+++ b/tests/contracts/socket_harness.py
@@ -19,7 +19,7 @@
 )
 from tests.contracts.router_harness import Answer, AnswerKind, Attempt, RouterHarness, WorkerAction
 from tests.integration.invoke_caller import (
-    DESK_ID,
+    ALLOWED_CALLER_ID,
     FUNCTION_PATH,
     Authority,
     Caller,
@@ -116,7 +116,7 @@
 
     async def open(self, stack: AsyncExitStack, authority: Authority) -> None:
         await super().open(stack, authority)
-        self.context = authority.caller(DESK_ID)
+        self.context = authority.caller(ALLOWED_CALLER_ID)
         self.tasks: dict[int, asyncio.Task[None]] = {}  # by the number of the call
         stack.callback(lambda: [task.cancel() for task in self.tasks.values()])
 
--- a/tests/golden_builders/invoke_front.py
+++ b/tests/golden_builders/invoke_front.py
@@ -11,7 +11,7 @@
 from tests.golden_builders.invoke import FUNCTION_PATH
 from tests.golden_builders.local_service import RESPONSE_TIMEOUT_S
 from tests.golden_builders.sample import Sample
-from tests.integration.invoke_caller import DESK_ID, Authority, Caller, read_invoke_config
+from tests.integration.invoke_caller import ALLOWED_CALLER_ID, Authority, Caller, read_invoke_config
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -63,7 +63,7 @@
     deferred_path = ""
     samples: list[Sample] = []
     async with service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running:
-        async with Caller(running, authority.caller(DESK_ID)) as allowed_caller:
+        async with Caller(running, authority.caller(ALLOWED_CALLER_ID)) as allowed_caller:
             for exchange in EXCHANGES:
                 allowed_caller.send(
                     exchange.method, exchange.target or deferred_path, b"body", **exchange.fields
@@ -76,7 +76,7 @@
         async with Caller(running, authority.caller("spiffe://gaz.example/other")) as unauthorized_caller:
             unauthorized_caller.send("GET", "/v1/ready")
             samples.append(Sample("invoke not let in", await _read_response(unauthorized_caller.reader)))
-        async with Caller(running, authority.caller(DESK_ID)) as allowed_caller:
+        async with Caller(running, authority.caller(ALLOWED_CALLER_ID)) as allowed_caller:
             if running.invoke is not None:
                 running.invoke.is_ready = False
             allowed_caller.send("GET", "/v1/ready")
--- a/tests/integration/invoke_caller.py
+++ b/tests/integration/invoke_caller.py
@@ -22,7 +22,7 @@
     from cedarthread.service import Service
 
 # SPIFFE IDs of two callers that the configuration of ``authority`` allows.
-DESK_ID = "spiffe://gaz.example/desk/1"
+ALLOWED_CALLER_ID = "spiffe://gaz.example/desk/1"
 PORTAL_ID = "spiffe://gaz.example/portal"
 FUNCTION_PATH = f"/v1/functions/{FUNCTION}/"
 RESPOND_ASYNC = {"Prefer": "respond-async"}
--- a/tests/integration/test_descriptor_exhaustion.py
+++ b/tests/integration/test_descriptor_exhaustion.py
@@ -25,7 +25,13 @@
 from cedarthread.transport import descriptor_budget
 from tests.integration import invoke_caller
 from tests.integration.client_sockets import HEALTH_CHECK, close_all
-from tests.integration.invoke_caller import DESK_ID, FUNCTION_PATH, Authority, Caller, read_invoke_config
+from tests.integration.invoke_caller import (
+    ALLOWED_CALLER_ID,
+    FUNCTION_PATH,
+    Authority,
+    Caller,
+    read_invoke_config,
+)
 from tests.integration.scenario_runner import run_scenario
 
 if TYPE_CHECKING:
@@ -202,7 +208,7 @@
             assert running.invoke is not None
             count_before = len(open_descriptors())
             silent_callers = [socket.create_connection(("127.0.0.1", running.invoke_port)) for _ in range(40)]
-            async with Caller(running, authority.caller(DESK_ID)) as caller:
+            async with Caller(running, authority.caller(ALLOWED_CALLER_ID)) as caller:
                 response = await caller.request("POST", FUNCTION_PATH + "check", b"a")
                 assert response.body == b"A"
                 # Beside the sockets of the silent callers: four accepted, and both ends to the worker.
--- a/tests/integration/test_invoke.py
+++ b/tests/integration/test_invoke.py
@@ -23,7 +23,7 @@
 )
 from tests.integration import invoke_caller
 from tests.integration.invoke_caller import (
-    DESK_ID,
+    ALLOWED_CALLER_ID,
     FUNCTION_PATH,
     PORTAL_ID,
     RESPOND_ASYNC,
@@ -43,7 +43,7 @@
     async def scenario() -> None:
         worker = ScriptedWorker()
         async with service(worker, invoke=read_invoke_config(authority)) as running:
-            async with Caller(running, authority.caller(DESK_ID)) as desk:
+            async with Caller(running, authority.caller(ALLOWED_CALLER_ID)) as desk:
                 status, _, body = await desk.request("POST", FUNCTION_PATH + "check", b"abc", Call_Lanes="4")
                 assert (status, body) == (200, b"ABC")
                 status, fields, _ = await desk.request(
@@ -128,7 +128,7 @@
         second = ScriptedWorker(leave_pending)
         async with (
             service(first, second, invoke=read_invoke_config(authority)) as running,
-            Caller(running, authority.caller(DESK_ID)) as desk,
+            Caller(running, authority.caller(ALLOWED_CALLER_ID)) as desk,
             client(running) as other,
         ):
             desk.send("POST", FUNCTION_PATH + "check", b"x")
@@ -162,7 +162,7 @@
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
         async with service(worker, invoke=read_invoke_config(authority)) as running:
-            async with Caller(running, authority.caller(DESK_ID)) as desk:
+            async with Caller(running, authority.caller(ALLOWED_CALLER_ID)) as desk:
                 desk.send("POST", FUNCTION_PATH + "check", b"x")
                 await worker.wait_until(lambda: len(worker.calls) == 1)
             await worker.wait_until(lambda: len(worker.cancelled_ids) == 1)
@@ -185,7 +185,7 @@
     async def scenario() -> None:
         async with (
             service(ScriptedWorker(behavior), invoke=read_invoke_config(authority)) as running,
-            Caller(running, authority.caller(DESK_ID)) as desk,
+            Caller(running, authority.caller(ALLOWED_CALLER_ID)) as desk,
         ):
             status, fields, body = await desk.request(
                 "POST", FUNCTION_PATH + "confirm", b"x", Call_Timeout_Ms="300"
@@ -204,7 +204,7 @@
     async def scenario() -> None:
         worker = ScriptedWorker(leave_unanswered)
         async with service(worker, invoke=read_invoke_config(authority)) as running:
-            context = authority.caller(DESK_ID)
+            context = authority.caller(ALLOWED_CALLER_ID)
             async with Caller(running, context) as desk, Caller(running, context) as other:
                 _, fields, _ = await other.request("POST", FUNCTION_PATH + "confirm", b"b", **RESPOND_ASYNC)
                 desk.send("POST", FUNCTION_PATH + "check", b"a")
@@ -233,7 +233,7 @@
     async def served_share(running: Service, *, is_deferred: bool) -> float:
         sent_weight = 0
         served_weight = 0
-        async with Caller(running, authority.caller(DESK_ID)) as desk:
+        async with Caller(running, authority.caller(ALLOWED_CALLER_ID)) as desk:
             for number in range(60):
                 class_name = ("check", "revise", "confirm")[number % 3]
                 fields = {"Idempotency-Key": f"{is_deferred}-{number}"}
@@ -272,7 +272,7 @@
             service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running,
             client(running) as platform,
         ):
-            async with Caller(running, authority.caller(DESK_ID)) as desk:
+            async with Caller(running, authority.caller(ALLOWED_CALLER_ID)) as desk:
                 assert (await platform.call(1, "check", b"x"))[3] == [b"X", {}]
                 assert (await desk.request("POST", FUNCTION_PATH + "check", b"y")).body == b"Y"
             assert running.dispatcher.result_counts["served"] == 2
--- a/tests/integration/test_invoke_connections.py
+++ b/tests/integration/test_invoke_connections.py
@@ -9,7 +9,13 @@
 
 from cedarthread.testing.fakes.scripted import ScriptedWorker, service
 from tests.integration import invoke_caller
-from tests.integration.invoke_caller import DESK_ID, FUNCTION_PATH, Authority, Caller, read_invoke_config
+from tests.integration.invoke_caller import (
+    ALLOWED_CALLER_ID,
+    FUNCTION_PATH,
+    Authority,
+    Caller,
+    read_invoke_config,
+)
 
 authority = invoke_caller.authority
 
@@ -35,7 +41,7 @@
     async def scenario() -> None:
         worker = ScriptedWorker()
         async with service(worker, invoke=read_invoke_config(authority)) as running:
-            async with Caller(running, authority.caller(DESK_ID)) as desk:
+            async with Caller(running, authority.caller(ALLOWED_CALLER_ID)) as desk:
                 assert (await desk.request(method, path, b"", **fields)).status == expected_status
             assert not worker.calls
 
@@ -46,7 +52,7 @@
     async def scenario() -> None:
         async with (
             service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running,
-            Caller(running, authority.caller(DESK_ID)) as desk,
+            Caller(running, authority.caller(ALLOWED_CALLER_ID)) as desk,
         ):
             desk.send("POST", FUNCTION_PATH + "check", b"a")
             desk.send("POST", FUNCTION_PATH + "check", b"b")  # pipelined on the same connection
@@ -70,7 +76,7 @@
     async def scenario() -> None:
         async with service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running:
             assert running.invoke is not None
-            async with Caller(running, authority.caller(DESK_ID)) as desk:
+            async with Caller(running, authority.caller(ALLOWED_CALLER_ID)) as desk:
                 desk.writer.write(b"POST /v1")  # an incomplete head
                 while not any(
                     connection.request_started_at is not None for connection in running.invoke.connections
@@ -88,7 +94,7 @@
     async def scenario() -> None:
         async with (
             service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running,
-            Caller(running, authority.caller(DESK_ID)) as caller,
+            Caller(running, authority.caller(ALLOWED_CALLER_ID)) as caller,
         ):
             head = b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n"
             caller.writer.write(head + b"x" * 500_000)
@@ -102,7 +108,7 @@
 def test_an_idle_caller_is_evicted_at_the_limit(authority: Authority) -> None:
     async def scenario() -> None:
         config = dataclasses.replace(read_invoke_config(authority), max_connections=2)
-        context = authority.caller(DESK_ID)
+        context = authority.caller(ALLOWED_CALLER_ID)
         async with (
             service(ScriptedWorker(), invoke=config) as running,
             Caller(running, context) as first,
--- a/tests/integration/test_invoke_identities.py
+++ b/tests/integration/test_invoke_identities.py
@@ -11,7 +11,7 @@
 from cedarthread.testing.fakes.scripted import ScriptedWorker, service
 from tests.integration import invoke_caller
 from tests.integration.invoke_caller import (
-    DESK_ID,
+    ALLOWED_CALLER_ID,
     FUNCTION_PATH,
     PORTAL_ID,
     RESPOND_ASYNC,
@@ -28,11 +28,11 @@
     [
         (("spiffe://gaz.example/stranger",), False),
         (("spiffe://other.example/desk/1",), False),
-        ((DESK_ID, PORTAL_ID), False),
+        ((ALLOWED_CALLER_ID, PORTAL_ID), False),
         ((), False),
         (("https://gaz.example/desk/1",), False),
         (("spiffe://gaz.example/desk/../portal",), False),
-        ((DESK_ID,), True),
+        ((ALLOWED_CALLER_ID,), True),
     ],
 )
 def test_a_caller_without_an_allowed_identity_is_rejected_and_nothing_is_forwarded(
@@ -55,7 +55,7 @@
         worker = ScriptedWorker()
         async with service(worker, invoke=read_invoke_config(authority)) as running:
             keyed = RESPOND_ASYNC | {"Idempotency-Key": "1"}
-            async with Caller(running, authority.caller(DESK_ID)) as desk:
+            async with Caller(running, authority.caller(ALLOWED_CALLER_ID)) as desk:
                 _, fields, _ = await desk.request("POST", FUNCTION_PATH + "revise", b"x", **keyed)
             async with Caller(running, authority.caller(PORTAL_ID)) as portal:
                 assert (await portal.request("GET", fields["location"])).status == 404
@@ -84,7 +84,7 @@
     async def scenario() -> None:
         async with (
             service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running,
-            Caller(running, authority.caller(DESK_ID)) as desk,
+            Caller(running, authority.caller(ALLOWED_CALLER_ID)) as desk,
         ):
             assert (await desk.request("GET", "/v1/ready")).status == 200
             assert running.invoke is not None
@@ -100,7 +100,7 @@
     async def scenario() -> None:
         async with service(ScriptedWorker(), invoke=read_invoke_config(authority)) as running:
             assert running.invoke is not None
-            old_context = authority.caller(DESK_ID)
+            old_context = authority.caller(ALLOWED_CALLER_ID)
             async with Caller(running, old_context) as desk:
                 config_path = authority.folder / "invoke.toml"
                 config_path.write_text(config_path.read_text().replace("desk/*", "office/*"))
@@ -121,7 +121,7 @@
 
 
 def test_a_spiffe_id_needs_a_valid_trust_domain_and_path() -> None:
-    assert spiffe.parse_trust_domain(DESK_ID) == "gaz.example"
+    assert spiffe.parse_trust_domain(ALLOWED_CALLER_ID) == "gaz.example"
     for invalid_id in (
         "spiffe://gaz.example",
         "spiffe://gaz.example/",
--- a/tests/simulation/component_fleet.py
+++ b/tests/simulation/component_fleet.py
@@ -94,9 +94,9 @@
         self.log_lines: list[str] = []
         for index in range(router_count):
             self.handle(index, ENDPOINT_LIST)
-            self.declare(index, EMPTY_FLEET_FILE)
+            self.apply_fleet_file(index, EMPTY_FLEET_FILE)
 
-    def declare(self, index: int, text: bytes) -> None:
+    def apply_fleet_file(self, index: int, text: bytes) -> None:
         """Apply a fleet file at a router."""
         config = parse_fleet_config(text)
         node = self.routers[index]
--- a/tests/simulation/test_fleet_components.py
+++ b/tests/simulation/test_fleet_components.py
@@ -25,7 +25,7 @@
     fleet.run(3_000.0)
     assert all(components.store.is_fresh(fleet.now_ms) for components in fleet.all_components())
     assert len(fleet.cold_starts) == 3
-    fleet.declare(4, freeze_window(50.0, 90.0))
+    fleet.apply_fleet_file(4, freeze_window(50.0, 90.0))
     fleet.call_all(8, 3)  # the instances stay in use
     cold_starts = len(fleet.cold_starts)
     request_ids = fleet.call_all(1, 5)
@@ -44,7 +44,7 @@
 def test_the_exception_budget_belongs_to_the_fleet_not_to_a_router() -> None:
     fleet = Fleet(7, 3)
     fleet.run(30_000.0)
-    fleet.declare(0, freeze_window(60.0, 120.0, allowance=2))
+    fleet.apply_fleet_file(0, freeze_window(60.0, 120.0, allowance=2))
     fleet.run(35_000.0)
     for round_number in range(8):
         for index in range(7):
@@ -55,7 +55,7 @@
 
 def test_settings_that_move_instances_are_deferred_until_the_window_ends() -> None:
     fleet = Fleet(3, 4)
-    fleet.declare(0, freeze_window(30.0, 60.0))
+    fleet.apply_fleet_file(0, freeze_window(30.0, 60.0))
     fleet.run(35_000.0)
     node = fleet.routers[1]
     old_settings = fleet.router_settings[1]
@@ -67,7 +67,7 @@
 
 def test_without_gossip_each_router_applies_only_its_own_fleet_file() -> None:
     fleet = Fleet(2, 5, allows_gossip=False)
-    fleet.declare(0, freeze_window(10.0, 60.0))
+    fleet.apply_fleet_file(0, freeze_window(10.0, 60.0))
     fleet.run(15_000.0)
     request_ids = [fleet.call(index, 3) for index in range(2)]
     fleet.run(4_000.0)
@@ -110,7 +110,7 @@
     """A router that stalls past the start of a window must not place requests buffered during the stall."""
     fleet = Fleet(3, 6)
     fleet.run(30_000.0)
-    fleet.declare(0, freeze_window(60.0, 120.0))
+    fleet.apply_fleet_file(0, freeze_window(60.0, 120.0))
     fleet.run(20_000.0)
     fleet.timers = [timer for timer in fleet.timers if timer[0] < fleet.now_ms]  # all routers stall
     fleet.run(20_000.0)
@@ -124,7 +124,7 @@
     fleet.run(30_000.0)
     fleet.call(0, 5)
     fleet.run(1_000.0)
-    fleet.declare(0, freeze_window(50.0, 90.0))
+    fleet.apply_fleet_file(0, freeze_window(50.0, 90.0))
     fleet.run(5_000.0)
     request_id = fleet.call(0, 5)
     worker_id = fleet.cold_starts[0].worker_id
@@ -144,7 +144,7 @@
     contract += f'[[contract]]\ntenant = "{tenant}"\ntier = "firm"\nrate = 70\n'
     fleet = Fleet(7, 8)
     fleet.run(30_000.0)
-    fleet.declare(4, EMPTY_FLEET_FILE + contract.encode())
+    fleet.apply_fleet_file(4, EMPTY_FLEET_FILE + contract.encode())
     priorities = []
     for wait_ms in (3_000.0, 12_000.0):
         fleet.run(wait_ms)
@@ -166,12 +166,12 @@
         for components in fleet.all_components()
     )
     fleet.run(27_000.0)
-    fleet.declare(0, freeze_window(50.0, 600.0))
+    fleet.apply_fleet_file(0, freeze_window(50.0, 600.0))
     fleet.run(40_000.0)
     for index in range(1, 9):  # all routers but one restart with no stored state
         fleet.routers[index] = RoutingNode(fleet.router_settings[index], index, 1000 + index)
         fleet.handle(index, ENDPOINT_LIST)
-        fleet.declare(index, EMPTY_FLEET_FILE)
+        fleet.apply_fleet_file(index, EMPTY_FLEET_FILE)
     for round_number in range(10):
         for index in range(9):
             fleet.call(index, 10 * round_number + index)
--- a/tests/simulation/test_persistence_restarts.py
+++ b/tests/simulation/test_persistence_restarts.py
@@ -48,7 +48,7 @@
         node = self.routers[index] = RoutingNode(self.router_settings[index], index, self.serial)
         endpoints = tuple(worker(number) for number in range(1, 7))
         self.handle(index, EndpointUpdate(EndpointUpdateKind.CACHED, 1, endpoints))
-        self.declare(index, b"[sharing]\nperiod = 200\n" + DISK_CONFIG)
+        self.apply_fleet_file(index, b"[sharing]\nperiod = 200\n" + DISK_CONFIG)
         loaded = load_result or self.disks[index].open()
         persister = self.persister(index)
         image = recovered_image.decode_image(loaded.values)
@@ -99,7 +99,7 @@
     """Return a fleet in which all routers are voters and have one change freeze window."""
     fleet = FleetWithDisks(ROUTER_COUNT, 1)
     fleet.run(20_000.0)
-    fleet.declare(2, freeze_window(600.0, 700.0, allowance=1) + DISK_CONFIG)
+    fleet.apply_fleet_file(2, freeze_window(600.0, 700.0, allowance=1) + DISK_CONFIG)
     fleet.run(20_000.0)
     assert fleet.voters() == [True] * ROUTER_COUNT
     assert fleet.entry_counts() == [1] * ROUTER_COUNT
@@ -135,7 +135,7 @@
 def test_without_its_disk_a_router_stays_a_voter_and_at_the_next_start_the_disk_is_stale() -> None:
     fleet = settled_fleet()
     fleet.routers_with_faulty_disk.add(3)
-    fleet.declare(1, freeze_window(600.0, 690.0, allowance=1) + DISK_CONFIG)
+    fleet.apply_fleet_file(1, freeze_window(600.0, 690.0, allowance=1) + DISK_CONFIG)
     fleet.run(8_000.0)
     assert fleet.has_logged("store_degraded")
     assert fleet.voters()[3], "the router still has all entries in memory"
