--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -85,7 +85,7 @@
         self._executor = ActionExecutor(self.context, self.calls, self.completion, self.node_timers)
         self.send_guard = SendGuard()
         self.send_audit = SendAudit()
-        send_gate.add_waiter(self.resume)
+        send_gate.add_reopen_callback(self.resume)
         self._send_gate = send_gate
         self._event_queue: list[Event] = []
         self._has_endpoint_update = False  # whether the queue contains an ``EndpointUpdate``
@@ -145,7 +145,7 @@
                 class_index=call.class_index,
                 deadline_ms=call.deadline_ms,
                 concurrency=call.concurrency,
-                memory=call.memory_mb,
+                memory_mb=call.memory_mb,
                 is_client_retry=call.is_client_retry,
                 caller=call.caller_identity,
             )
@@ -179,9 +179,9 @@
         """End a call without a result, because its client has disconnected."""
         self.completion.abandon(call)
 
-    def client_closing(self, call: Call) -> None:
+    def client_half_closed(self, call: Call) -> None:
         """Record that the client has closed its sending side; the client may still read the result."""
-        self.completion.on_client_closing(call)
+        self.completion.on_client_half_closed(call)
 
     def may_start_attempt(self, attempt: Attempt) -> bool:
         """Return whether an attempt may be sent; called immediately before its first byte is written.
--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -71,7 +71,7 @@
         self.router_index = settings.router_index
         self.peers = [index for index in range(settings.router_count) if index != settings.router_index]
         self.fanout = min(MAX_FANOUT, len(self.peers))
-        self.keep_alive_ms = min(settings.keep_alive_ms, codec.MAX_AGE_MS)
+        self.keep_alive_ms = min(settings.instance_keep_alive_ms, codec.MAX_AGE_MS)
 
     def on_notification(self, now_ms: float, notification: Notification) -> list[OutboundMessage]:
         """Apply a new set of alive peers, unless the set is empty, or new settings."""
@@ -102,7 +102,7 @@
         return []
 
     def status(self, now_ms: float) -> dict[str, str]:
-        """Return the figures for the ``INFO`` command, under the names that operators' tools read."""
+        """Return the metrics for the ``INFO`` command, under the names that operators' tools read."""
         coverage = self.peer_coverage(now_ms)
         return {"talk.heard": f"{coverage:.2f}", "talk.unreadable": str(self.malformed_datagrams)}
 
@@ -131,7 +131,7 @@
         if is_known and is_loaded is False:
             self.peer_views.discard_instance(worker_id, function_hash)
 
-    def forget_worker(self, worker_id: int) -> None:
+    def remove_worker(self, worker_id: int) -> None:
         """Drop all warm instances of a worker that was removed or restarted."""
         self.local.forget_warm_instances(worker_id)
         self.peer_views.forget_warm_instances(worker_id)
--- a/cedarthread/protocols/control.py
+++ b/cedarthread/protocols/control.py
@@ -10,7 +10,7 @@
 
 from cedarthread.transport.acceptor import Acceptor, create_listener
 from cedarthread.transport.connection import BufferedConnection
-from cedarthread.transport.descriptor_budget import MAX_OPERATOR_CONNECTIONS, SMALL_ACCEPTS_PER_PASS
+from cedarthread.transport.descriptor_budget import MAX_OPERATOR_CONNECTIONS, SECONDARY_ACCEPTS_PER_ITERATION
 
 if TYPE_CHECKING:
     import asyncio
@@ -27,7 +27,7 @@
 class ControlReply(NamedTuple):
     """The reply to one command."""
 
-    is_yes: bool  # whether the first line is YES; otherwise it is NO
+    is_success: bool  # whether the first line is YES; otherwise it is NO
     lines: list[str]  # the lines after the first
 
 
@@ -83,7 +83,7 @@
             self.reply_no(f"unknown command {command[:MAX_ECHOED_CHARACTERS]!r}")
             return
         command_reply = handler()
-        first_line = "YES" if command_reply.is_yes else "NO"
+        first_line = "YES" if command_reply.is_success else "NO"
         self.reply("".join(f"{line}\n" for line in (first_line, *command_reply.lines)))
 
     def reply_no(self, reason: str) -> None:
@@ -153,7 +153,7 @@
         self._acceptor = Acceptor(
             "operators",
             create_listener(host, port, LISTEN_BACKLOG),
-            max_accepts_per_pass=SMALL_ACCEPTS_PER_PASS,
+            max_accepts_per_iteration=SECONDARY_ACCEPTS_PER_ITERATION,
             create_protocol=self._create_connection,
             on_setup_failed=self._on_setup_failed,
             release_descriptor=self.release_descriptor,
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -183,9 +183,9 @@
         """
         return self.replica.take_changes()
 
-    def has_read_enough_peers(self) -> bool:
+    def has_completed_bootstrap(self) -> bool:
         """Return whether this incarnation has read several peers completely."""
-        return self.exchange.has_read_enough_peers()
+        return self.exchange.has_completed_bootstrap()
 
     @property
     def store_generation(self) -> int:
@@ -233,7 +233,7 @@
         return self.replica.freshness.fresh_since(now_ms)
 
     def status(self, now_ms: float) -> Mapping[str, str]:
-        """Return the figures of the store for ``INFO``."""
+        """Return the metrics of the store for ``INFO``."""
         freshness = self.replica.freshness
         records = self.replica.state.records.values()
         since = freshness.fresh_since(now_ms)
--- a/cedarthread/routing/preloading.py
+++ b/cedarthread/routing/preloading.py
@@ -38,7 +38,7 @@
         if settings.rules.preload_window_ms > 0 and settings.allows_preloading:
             self.state.preload_budget.on_request(now_ms, settings.rules)
 
-    def warm_worker(
+    def select_warm_worker(
         self, now_ms: float, pending: PendingRequest, chosen: WorkerRecord
     ) -> WorkerRecord | None:
         """Return the worker to send to now; None: none is warm.
@@ -52,7 +52,7 @@
         settings = state.settings
         if settings.when_not_loaded is not NotLoadedBehavior.REJECT or not settings.allows_preloading:
             return chosen
-        if function.read_affinity(now_ms, worker_id, settings.keep_alive_ms) > 0:
+        if function.read_affinity(now_ms, worker_id, settings.instance_keep_alive_ms) > 0:
             return chosen
         if (
             worker_id not in function.preloading_workers
--- a/cedarthread/testing/cluster/fact_reader.py
+++ b/cedarthread/testing/cluster/fact_reader.py
@@ -42,10 +42,10 @@
 ANSWER_SLACK_MS = 250.0  # Tolerance after the deadline, because hundreds of processes share the machine.
 HARNESS_SLACK_MS = 60.0  # Maximum delay of a fake in reading bytes that a router sent in time.
 # A router counts as knowing a change of its endpoint list this long after the change, even if no reply with
-# the change arrived, as the figures of PROTOCOL specify.
+# the change arrived, as the platform's protocol specification requires.
 MAX_PROPAGATION_MS = 7000.0
-# The same limit if no fault disturbs the router's discovery queries, as PROTOCOL specifies. The router's
-# process may still be paused.
+# The same limit if no fault disturbs the router's discovery queries, as that specification requires. The
+# router's process may still be paused.
 MAX_UNDISTURBED_PROPAGATION_MS = 1500.0
 RESUME_TO_QUERY_S = 0.3  # Time from the end of a pause until the process has queried discovery.
 DISCOVERY_DISTURBANCES = (
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -26,7 +26,8 @@
 QUIET_END_S = 0.5  # Time before the end in which no fault starts.
 PROCESS_FAULT_SHARE = 0.5  # Maximum share of the routers with a process fault.
 LIST_FAULT_SHARE = 0.5  # Maximum share of the workers that are drained or hidden.
-# Minimum share of the calls that are served under any faults: a third of the possible, as STANDING specifies.
+# Minimum share of the calls that are served under any faults: a third of the possible, by the operators'
+# acceptance rules.
 MIN_SERVED_FRACTION = 0.3
 
 # Shortest and longest duration in s of each fault of a router's process. A router has one such fault at most.
--- a/tests/integration/test_descriptor_exhaustion.py
+++ b/tests/integration/test_descriptor_exhaustion.py
@@ -25,7 +25,13 @@
 from cedarthread.transport import descriptor_budget
 from tests.integration import invoke_caller
 from tests.integration.client_sockets import HEALTH_CHECK, close_all
-from tests.integration.invoke_caller import DESK_ID, FUNCTION_PATH, Authority, Caller, read_invoke_config
+from tests.integration.invoke_caller import (
+    ALLOWED_CALLER_ID,
+    FUNCTION_PATH,
+    Authority,
+    Caller,
+    read_invoke_config,
+)
 from tests.integration.scenario_runner import run_scenario
 
 if TYPE_CHECKING:
@@ -45,14 +51,14 @@
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         async with service(ScriptedWorker()) as running:
-            running.control.max_connections = descriptor_budget.SMALL_ACCEPTS_PER_PASS
+            running.control.max_connections = descriptor_budget.SECONDARY_ACCEPTS_PER_ITERATION
             count_before = len(open_descriptors())
             connections = [socket.create_connection(("127.0.0.1", running.control_port)) for _ in range(61)]
             connections[-1].sendall(b"PING\n")
             connections[-1].setblocking(False)
             async with asyncio.timeout(10):
                 assert await loop.sock_recv(connections[-1], 64) == b"YES\n"
-            max_accepted = running.control.max_connections + descriptor_budget.SMALL_ACCEPTS_PER_PASS
+            max_accepted = running.control.max_connections + descriptor_budget.SECONDARY_ACCEPTS_PER_ITERATION
             assert len(open_descriptors()) - count_before - len(connections) <= max_accepted
             close_all(connections)
 
@@ -202,7 +208,7 @@
             assert running.invoke is not None
             count_before = len(open_descriptors())
             silent_callers = [socket.create_connection(("127.0.0.1", running.invoke_port)) for _ in range(40)]
-            async with Caller(running, authority.caller(DESK_ID)) as caller:
+            async with Caller(running, authority.caller(ALLOWED_CALLER_ID)) as caller:
                 response = await caller.request("POST", FUNCTION_PATH + "check", b"a")
                 assert response.body == b"A"
                 # Besides the silent callers' sockets: four accepted, and both ends of a worker connection.
@@ -220,7 +226,7 @@
         async with service(ScriptedWorker()) as running:
             connections = [
                 socket.create_connection(("127.0.0.1", running.port))
-                for _ in range(3 * descriptor_budget.CLIENT_ACCEPTS_PER_PASS)
+                for _ in range(3 * descriptor_budget.CLIENT_ACCEPTS_PER_ITERATION)
             ]
             for connection in connections:
                 connection.sendall(HEALTH_CHECK)
--- a/tests/simulation/test_escrow_fleet.py
+++ b/tests/simulation/test_escrow_fleet.py
@@ -100,7 +100,7 @@
     """Defect: a router that restarts without memory uses its allotment."""
 
     def __init__(self, *args: Any, **settings: Any) -> None:
-        super().__init__(*args, **(settings | {"has_memory": True}))
+        super().__init__(*args, **(settings | {"has_complete_history": True}))
         self.ready_at_ms = 0.0
 
 
@@ -120,11 +120,11 @@
 class UseBeforeWriteOff(Escrow):
     """Defect: units are used before they are written off on the disk."""
 
-    def image_to_write(self, now_ms: float) -> bytes | None:
+    def take_due_image(self, now_ms: float) -> bytes | None:
         for pool in self.pools.values():
             if isinstance(pool, CountPool):
                 pool.free = pool.balance
-        return super().image_to_write(now_ms)
+        return super().take_due_image(now_ms)
 
 
 class TotalPerRouter(Escrow):
