--- a/tests/unit/test_cli.py
+++ b/tests/unit/test_cli.py
@@ -86,7 +86,7 @@
     assert main([command, "run", str(scenario)]) == 2
     assert str(scenario) in capsys.readouterr().err
     assert main([command, "report", str(tmp_path)]) == 2
-    assert f"no results in {tmp_path}" in capsys.readouterr().err
+    assert f"no result files in {tmp_path}" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize("arguments", [["--help"], ["cluster", "--help"], ["rig", "--help"]])
