--- a/cedarthread/model/call_priority.py
+++ b/cedarthread/model/call_priority.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 MAX_TIERS = 63  # a tier index and its over-quota offset fit in 7 bits
-OVER_QUOTA_OFFSET = MAX_TIERS + 1  # added to the tier's index for a call over quota
+OVER_QUOTA_OFFSET = MAX_TIERS + 1  # number added to the tier's index for a call over quota
 LOWEST_PRIORITY = OVER_QUOTA_OFFSET + MAX_TIERS
 
 
--- a/cedarthread/model/endpoints.py
+++ b/cedarthread/model/endpoints.py
@@ -17,10 +17,10 @@
 class EndpointUpdateKind(Enum):
     """The content of an update of the endpoint list."""
 
-    DELTA = "delta"  # only changed entries
-    SNAPSHOT = "full"  # all workers; one that is absent has been removed
-    CACHED = "cached"  # all workers as last known to this process; may be stale
-    FAILED = "failed"  # polling failed or the subscription was lost; no endpoints
+    DELTA = "delta"  # the update contains only changed entries
+    SNAPSHOT = "full"  # the update contains all workers; one that is absent has been removed
+    CACHED = "cached"  # the update contains all workers as last known to this process; may be stale
+    FAILED = "failed"  # polling failed or the subscription was lost; the update contains no endpoints
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
     cell: int
     state: EndpointState
     weight: float | None
-    started_at_ms: float | None  # on the router's monotonic clock; None: long ago
+    started_at_ms: float | None  # time on the router's monotonic clock; None: long ago
 
 
 @dataclass(frozen=True, slots=True)
--- a/cedarthread/model/events.py
+++ b/cedarthread/model/events.py
@@ -32,7 +32,7 @@
     work: float | None = None
     is_client_retry: bool = False
     is_write: bool = False
-    caller: str | None = None  # the authenticated identity, if the front end knows one
+    caller: str | None = None  # authenticated identity of the caller, if the front end knows one
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
     latency_ms: float
     is_final: bool  # the client has received its response
     start_kind: StartKind = StartKind.UNKNOWN
-    reported_concurrency: int | None = None  # requests of the function in flight at the worker at that time
+    reported_concurrency: int | None = None  # requests of the function in flight at the worker, as reported
     load_report: tuple[float | None, ...] = ()
     is_unreachable: bool = True  # for CONNECT_FAILED: no connection was established; the worker may be down
     is_local: bool = False  # not sent, for a reason in this process, so not a failure of the worker
--- a/cedarthread/model/settings.py
+++ b/cedarthread/model/settings.py
@@ -51,10 +51,10 @@
 class WeightMeaning(Enum):
     """The meaning of an endpoint's weight."""
 
-    NONE = "none"  # nothing
-    NOMINAL = "nominal"  # its registered capacity
-    APPROXIMATE = "rough"  # its capacity, approximately
-    LIVE = "live"  # its capacity over its requests in flight, sampled earlier
+    NONE = "none"  # the weight has no meaning
+    NOMINAL = "nominal"  # the worker's registered capacity
+    APPROXIMATE = "rough"  # the worker's capacity, approximately
+    LIVE = "live"  # the worker's capacity over its requests in flight, sampled earlier
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,14 +108,15 @@
 
     answer_slack_ms: float  # how long after its deadline a request may still get its final answer
     drain_grace_ms: float  # how long after a worker starts to drain it may still receive calls
-    slow_start_min_capacity: float  # guaranteed fraction of its capacity at the start of a worker
-    slow_start_ms: float  # time from its start after which a worker has its full capacity
+    slow_start_min_capacity: float  # guaranteed fraction of a worker's capacity at its start
+    slow_start_ms: float  # time after its start from which a worker has its full capacity
     collapse_multiple: float  # a cold worker collapses above this multiple of its capacity
     collapse_window_ms: float  # window over which the load of a cold worker is measured
     max_poll_delay_ms: float
-    preload_allowance: float  # preloads allowed in each window...
-    preload_share: float  # ...in addition to this fraction of the requests in the window
-    preload_window_ms: float  # 0: preloads are unlimited
+    preload_allowance: float  # preloads allowed in each window, in addition to preload_share
+    # Preloads allowed in addition to preload_allowance, as a fraction of the requests in the window.
+    preload_share: float
+    preload_window_ms: float  # length of the window for the preload limits; 0: preloads are unlimited
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,7 +155,7 @@
     over_quota_weight: float
     load_report_source: LoadReportSource = LoadReportSource.NONE
     load_report_columns: tuple[str, ...] = ()
-    memory_by_kind: tuple[float, ...] = ()  # MB
+    memory_by_kind: tuple[float, ...] = ()  # memory in MB, by worker kind
     weight_meaning: WeightMeaning = WeightMeaning.NONE
     zones: tuple[str, ...] = ()
     worker_kinds: tuple[str, ...] = ()
--- a/cedarthread/routing/estimators.py
+++ b/cedarthread/routing/estimators.py
@@ -44,7 +44,7 @@
         self.classes: tuple[RequestClass, ...] = ()
         self.by_class: list[Ewma] = []
         self.per_work: list[Ewma] = []  # ms per unit of the work hint of a request
-        self.cold_start_ms = Ewma()  # in addition to the service time of a warm call
+        self.cold_start_ms = Ewma()  # latency of a cold start in addition to the service time of a warm call
         self.update_settings(settings)
 
     def update_settings(self, settings: RouterSettings) -> None:
@@ -103,7 +103,8 @@
         self.calls_per_ms = 0.0
         self.load_decay_ms = MIN_LOAD_DECAY_MS  # time constant of a worker's load observations
         self.sparse_traffic_factor = 1.0  # load_decay_ms over its minimum, 1 to 3; 3: rare calls
-        self.reported_in_flight = DecayingMean(RATE_WINDOW_MS)  # of other routers, over all workers
+        # Requests of other routers in flight, from load reports, over all workers.
+        self.reported_in_flight = DecayingMean(RATE_WINDOW_MS)
         self.mean_reported_in_flight = 0.0
         self.by_tenant = [DecayingCounter(RATE_WINDOW_MS) for _ in settings.tenants]
         self.admitted_by_class: list[DecayingCounter] = []  # first attempts that were not shed
--- a/cedarthread/routing/feedback.py
+++ b/cedarthread/routing/feedback.py
@@ -25,11 +25,13 @@
     from cedarthread.routing.records import Attempt, PendingRequest, WorkerRecord
     from cedarthread.routing.router_state import RouterState
 
-REPORT_DECAY_FRACTION = 0.25  # of load_decay_ms, because reports change with each call
-CONCURRENCY_WEIGHT = 0.25  # of another request in flight; below 1, because a worker has several cores
+# Time constant of load reports, as a fraction of load_decay_ms, because reports change with each call.
+REPORT_DECAY_FRACTION = 0.25
+CONCURRENCY_WEIGHT = 0.25  # excess load per other request; below 1, because a worker has several cores
 REJECTION_TIME_CONSTANT_MS = 3000.0  # time constant of a worker's rejections of a class and tenant
-REJECTION_GAIN = 0.5  # gain of one response on the rejection penalty of a class and tenant...
-REJECTION_PENALTY = 2.0  # ...which moves towards this placement cost after a rejection, else towards 0
+REJECTION_GAIN = 0.5  # gain of one response on the rejection penalty of a class and tenant
+# Placement cost towards which the rejection penalty moves after a rejection; otherwise it moves towards 0.
+REJECTION_PENALTY = 2.0
 
 MIN_PRELOAD_BACKOFF_MS = 1.0  # backoff after a failed preload if no load time is known
 PRELOAD_BACKOFF_JITTER = 0.5, 1.0  # fractions of the backoff between which the delay is drawn
--- a/cedarthread/routing/instance_queue.py
+++ b/cedarthread/routing/instance_queue.py
@@ -14,25 +14,25 @@
 if TYPE_CHECKING:
     from cedarthread.model.instance_load import InstanceLoad
 
-MAX_AHEAD_FRACTION = 0.3  # of the load time: maximum total service time of the calls ahead
-MAX_BUSY_WAIT_FRACTION = 0.3  # of the load time: maximum wait for a busy instance
-MAX_LOADING_WAIT_FRACTION = 2.0  # of the load time: maximum wait for a loading instance
+MAX_AHEAD_FRACTION = 0.3  # maximum total service time of the calls ahead, as a fraction of the load time
+MAX_BUSY_WAIT_FRACTION = 0.3  # maximum wait for a busy instance, as a fraction of the load time
+MAX_LOADING_WAIT_FRACTION = 2.0  # maximum wait for a loading instance, as a fraction of the load time
 MAX_INSTANCES = 8  # upper bound of the known instances of a function at one worker
 
 
 class WaitTimes(NamedTuple):
     """The durations, in ms, that determine whether a call waits."""
 
-    waited_ms: float  # since the request arrived
-    service_ms: float  # of a warm call
-    load_ms: float  # of one load of an instance
+    waited_ms: float  # time since the request arrived
+    service_ms: float  # service time of a warm call
+    load_ms: float  # time of one load of an instance
 
 
 @dataclass(slots=True)
 class InstanceQueue:
     """The calls of one function that wait in this router, and its known instances by worker."""
 
-    instances: dict[int, int] = field(default_factory=dict)  # count by worker id, from own responses
+    instances: dict[int, int] = field(default_factory=dict)  # known instances by worker, from own responses
     waiting_requests: dict[int, None] = field(default_factory=dict)  # request ids in queue order
 
     def on_response(self, worker_id: int, *, was_cold: bool) -> None:
--- a/cedarthread/routing/outlier_detection.py
+++ b/cedarthread/routing/outlier_detection.py
@@ -18,12 +18,16 @@
 
     from cedarthread.model.events import AttemptEnded
 
-FAILURE_GAIN = 0.3  # if own calls to the worker are frequent: two failures in a row eject it, one does not
-MAX_FAILURE_GAIN = 0.6  # if they are rare: one failure ejects it, because the next call is seconds away
+# Score gain of a failure if own calls to the worker are frequent: two in a row eject it, one does not.
+FAILURE_GAIN = 0.3
+# Score gain of a failure if own calls to the worker are rare: one failure ejects it, because the next call is
+# seconds away.
+MAX_FAILURE_GAIN = 0.6
 EJECTION_THRESHOLD = 0.5  # a worker with a higher score is ejected
 RECOVERY_THRESHOLD = EJECTION_THRESHOLD / 2  # the ejection ends below this score
-MAX_EJECTED_FRACTION = 0.4  # maximum ejected fraction: if more workers fail, they share the cause
-MAX_UNRESPONSIVE_EJECTED_FRACTION = 0.8  # the same for unresponsive workers, where no call succeeds
+MAX_EJECTED_FRACTION = 0.4  # maximum fraction of ejected workers: if more workers fail, they share the cause
+# Maximum fraction of ejected workers if they are unresponsive, where no call succeeds.
+MAX_UNRESPONSIVE_EJECTED_FRACTION = 0.8
 MAX_EJECTION_MS = 12000.0  # maximum time until the half-open trial; it doubles with each ejection
 EJECTION_JITTER = 0.75, 1.25  # range of the random factor of the ejection time
 OVERDUE_MULTIPLE = 4.0  # an attempt is overdue after this multiple of its expected time
@@ -109,7 +113,7 @@
         return None
     if outcome is Outcome.ERROR and not (attempt.is_function_known or attempt.is_trial):
         attempt.has_suspect_error = True
-        return None  # the client may have caused it, unless another worker serves the request
+        return None  # the client may have caused the error, unless another worker serves the request
     if outcome is Outcome.CONNECT_FAILED and event.is_unreachable:
         # Set only here, because a broken connection does not indicate a restart: some break every day.
         worker.unreachable_at_ms = now_ms
--- a/cedarthread/routing/overload.py
+++ b/cedarthread/routing/overload.py
@@ -16,10 +16,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-OVERLOAD_START = 0.25  # an overload starts when latency reaches this fraction of the latency objective...
-OVERLOAD_SPAN = 0.2  # ...and all calls are shed when it exceeds that by this fraction of the objective
+OVERLOAD_START = 0.25  # an overload starts when latency reaches this fraction of the latency objective
+# All calls are shed when latency exceeds the start of the overload by this fraction of the latency objective.
+OVERLOAD_SPAN = 0.2
 NOISE_DEVIATIONS = 1.0  # standard deviations of the calls in flight that count as random variation
-TYPICAL_WORKER_FRACTION = 0.75  # the least loaded workers; the others may be slow or unresponsive at any time
+# Fraction of the workers that count, the least loaded; the others may be slow or unresponsive at any time.
+TYPICAL_WORKER_FRACTION = 0.75
 RATE_WINDOW_MS = 2000.0  # time constant of the counts of calls and completions
 MIN_RATE_PER_MS = 1e-6  # lower bound of completions, so that no completions means a very long latency
 
@@ -31,7 +33,7 @@
         self.arrivals = DecayingCounter(RATE_WINDOW_MS)
         self.completions = DecayingCounter(RATE_WINDOW_MS)
         self.first_call_at_ms = math.inf
-        self.in_flight: dict[int, int] = {}  # by worker id
+        self.in_flight: dict[int, int] = {}  # number of calls in flight by worker id
         self.total_in_flight = 0
 
     def on_call(self, now_ms: float) -> None:
--- a/cedarthread/routing/popularity.py
+++ b/cedarthread/routing/popularity.py
@@ -14,7 +14,7 @@
 CALLS_IN_WINDOW = 80.0  # target number of own calls in the window, within its bounds
 MIN_WINDOW_MS = 5000.0
 MAX_WINDOW_MS = 30_000.0
-MIN_CALL_COUNT = 40.0  # lower bound of the call count; missing calls count as other functions'
+MIN_CALL_COUNT = 40.0  # lower bound of the count of all calls; missing calls count as other functions'
 
 
 class Popularity:
--- a/cedarthread/routing/records.py
+++ b/cedarthread/routing/records.py
@@ -31,7 +31,7 @@
 BASE_EJECTION_MS = 1500.0  # ms until the first half-open trial of an ejected worker
 MIN_AFFINITY = 0.01  # an affinity below this is dropped
 
-ClassAndTenant = tuple[int, int | None]  # indexes into the settings; None: no tenant
+ClassAndTenant = tuple[int, int | None]  # class index and tenant index in the settings; None: no tenant
 
 
 @dataclass(slots=True)
@@ -60,18 +60,19 @@
     hash: int
     jitter: float  # random, 0 to 1: spreads routers over cold workers and over several homes
     in_flight: int = 0
-    peers_in_flight: float = 0.0  # attempts of other routers at the worker, by gossip
+    peers_in_flight: float = 0.0  # attempts of other routers in flight at the worker, from gossip
     slow_start_sends: deque[slow_start.SlowStartSend] = field(default_factory=deque)
     outlier_score: float = 0.0  # 0 healthy to 1 failed
     is_ejected: bool = False
-    ejected_until_ms: float = 0.0  # a half-open trial may be sent from then on
+    ejected_until_ms: float = 0.0  # time from which a half-open trial may be sent
     ejection_ms: float = BASE_EJECTION_MS  # duration of the next ejection
     has_trial_in_flight: bool = False
     last_response_at_ms: float = -math.inf
-    unreachable_at_ms: float = -math.inf  # last failed connect; the worker may have restarted since
-    connection_broken_at_ms: float = -math.inf  # attempts that fail with one connection count as one failure
+    unreachable_at_ms: float = -math.inf  # when a connect last failed; the worker may have restarted since
+    # Time of the last broken connection; attempts that fail with one connection count as one failure.
+    connection_broken_at_ms: float = -math.inf
     excess_load: DecayingMean = field(default_factory=lambda: DecayingMean(MIN_LOAD_DECAY_MS))
-    reported_in_flight: DecayingMean = field(  # requests of other routers, by load reports
+    reported_in_flight: DecayingMean = field(  # requests of other routers in flight there, from load reports
         default_factory=lambda: DecayingMean(MIN_LOAD_DECAY_MS)
     )
     rejections: dict[ClassAndTenant, DecayingCounter] = field(default_factory=dict)
@@ -100,9 +101,10 @@
     concurrency: float = 1.0  # requests that one instance serves at a time
     last_used_at_ms: float = 0.0
     recent_calls: DecayingCounter = field(default_factory=lambda: DecayingCounter(MIN_WINDOW_MS))
-    affinity: dict[int, float] = field(default_factory=dict)  # 0 cold to 1 warm
+    affinity: dict[int, float] = field(default_factory=dict)  # 0 cold to 1 warm, by worker id
     last_sent_at_ms: dict[int, float] = field(default_factory=dict)
-    instance_seen_at_ms: dict[int, float] = field(default_factory=dict)  # last response to this router
+    # Time of the last response of an instance to this router, by worker id.
+    instance_seen_at_ms: dict[int, float] = field(default_factory=dict)
     service_ms: Ewma = field(default_factory=Ewma)
     placement_order: list[WorkerRecord] = field(default_factory=list)  # all workers by rendezvous score
     placement_epoch: int = -1  # epoch of the worker table for which placement_order was computed
@@ -180,7 +182,7 @@
     is_streaming: bool = False
     last_replaced_attempt: int = -1  # index of the last attempt hedged or cancelled to be retried; -1: none
     next_attempt_cost: float = 0.0  # retry budget already spent on the next attempt
-    call_priority: CallPriority | None = None  # by the contract of its tenant
+    call_priority: CallPriority | None = None  # priority under the contract of the request's tenant
     preemption_reason: str = ""  # reason for the client; "": the request was not preempted
 
     def possibly_executed(self) -> list[Attempt]:
--- a/cedarthread/routing/request_table.py
+++ b/cedarthread/routing/request_table.py
@@ -20,7 +20,8 @@
     def __init__(self) -> None:
         self.pending: dict[int, PendingRequest] = {}
         self.queued: dict[int, PendingRequest] = {}  # in the order in which they were queued
-        self.orphaned: dict[tuple[int, int], Attempt] = {}  # in flight, by request id and attempt index
+        # Attempts in flight of closed requests, by request id and attempt index.
+        self.orphaned: dict[tuple[int, int], Attempt] = {}
         self.check_queue_at_ms = math.inf
 
     def enqueue(self, now_ms: float, pending: PendingRequest, timers: TimerSchedule) -> None:
@@ -44,7 +45,7 @@
         result is a plain tuple for speed, because this runs for each attempt.
         """
         pending = self.pending.get(event.request_id)
-        if pending is None:  # closed, but the outcome still updates the worker
+        if pending is None:  # the request is closed, but the outcome still updates the worker
             attempt = self.orphaned.pop((event.request_id, event.attempt_index), None)
         elif event.attempt_index < len(pending.attempts):
             attempt = pending.attempts[event.attempt_index]
--- a/cedarthread/routing/router.py
+++ b/cedarthread/routing/router.py
@@ -123,7 +123,7 @@
         if self.admission.should_shed(now_ms, pending, quota_use):
             self._reject_or_fail(now_ms, pending)
             return
-        if not request.is_client_retry:  # its retries would consume the retry budget of others
+        if not request.is_client_retry:  # a client's retries would consume the retry budget of others
             state.retry_budget.earn()
             state.traffic.on_admitted(now_ms, request.class_index)
         self._dispatch(now_ms, pending)
@@ -148,7 +148,7 @@
     def _on_stream_started(self, now_ms: float, event: StreamStarted) -> None:
         """Use the first stream of a request as its response and cancel the other attempts."""
         pending = self.pending_requests.get(event.request_id)
-        if pending is not None and not pending.is_streaming:  # else: another stream was first
+        if pending is not None and not pending.is_streaming:  # otherwise another stream was first
             pending.is_streaming = True
             self.retries.cancel_attempts(pending, excluded_index=event.attempt_index)
         self.tracker.on_stream_started(now_ms, event)
--- a/cedarthread/routing/router_state.py
+++ b/cedarthread/routing/router_state.py
@@ -51,7 +51,7 @@
     logs: LogThrottle = field(default_factory=LogThrottle)
     preload_budget: PreloadBudget = field(default_factory=PreloadBudget)
     gossip: PeerLoad | None = None
-    constraints: RoutingConstraints | None = None  # contracts, change freezes, restart recovery
+    constraints: RoutingConstraints | None = None  # limits of contracts, change freezes and restart recovery
     event_at_ms: float = 0.0  # time of the last event
     stalled_at_ms: float = -math.inf  # time of the last event that found the timer overdue
     actions: list[Action] = field(default_factory=list)  # actions of the event being handled
--- a/cedarthread/routing/selection.py
+++ b/cedarthread/routing/selection.py
@@ -28,7 +28,7 @@
 
 # Home workers.
 MAX_HOMES_PER_WORKER = 10.0  # all workers are homes of a function with 1/10 of the calls
-MIN_CALLS_PER_HOME = 14.0  # of the function, fleet-wide in a keep-alive time, because loading is expensive
+MIN_CALLS_PER_HOME = 14.0  # calls of a function per home in a keep-alive time, because loading is expensive
 IDLE_MEMORY_WEIGHT = 10.0  # weight of the price of idle memory: a price of 0.1 halves the number of homes
 EXTRA_CANDIDATES = 2  # candidates after the homes that are considered even if a worker was found
 HOME_JITTER = 0.1  # maximum cost difference between homes by jitter; at most 1 - HOME_AFFINITY
@@ -70,7 +70,7 @@
     def __init__(self, state: RouterState, retries: RetryPolicy) -> None:
         self.state = state
         self.retries = retries
-        self.homes_per_worker = 0.0  # for a function with all the calls; scaled by its fraction of the calls
+        self.homes_per_worker = 0.0  # homes of a function with all calls; scaled by its fraction of the calls
         self.cross_zone_penalty = 0.0
         self.update_settings(state.settings)
 
--- a/cedarthread/routing/slow_start.py
+++ b/cedarthread/routing/slow_start.py
@@ -13,7 +13,8 @@
 
     from cedarthread.model.settings import RuleParameters
 
-BUDGET_FRACTION = 0.6  # of the work at which a cold worker collapses: all routers together send no more
+# Fraction of the work at which a cold worker collapses: all routers together send no more than this.
+BUDGET_FRACTION = 0.6
 
 
 class SlowStartSend(NamedTuple):
--- a/cedarthread/routing/timers.py
+++ b/cedarthread/routing/timers.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-NO_REQUEST = -1  # the request id of a due time that belongs to no request
+NO_REQUEST = -1  # request id of a due time that belongs to no request
 MIN_DELAY_MS = 1.0  # minimum delay of the timer, also for an overdue entry
 ROUNDING_MS = 0.5  # the host rounds due times, so a time this close counts as due
 TOKENS = 2**31  # tokens wrap around below this; the timer of the node's components has a larger token
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self.entries: list[DueTime] = []
         self.serial = 0
-        self.token = 0  # of the armed timer; a timer with another token is obsolete
+        self.token = 0  # token of the armed timer; a timer with another token is obsolete
         self.armed_at_ms = math.inf
 
     def schedule(self, at_ms: float, request_id: int = NO_REQUEST, attempt_index: int = 0) -> None:
--- a/cedarthread/routing/zone_reachability.py
+++ b/cedarthread/routing/zone_reachability.py
@@ -19,10 +19,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-SUSPICION_THRESHOLD = 6.0  # natural logarithm: a reachable zone exceeds it by chance once in 400
-MAX_WORKER_SUSPICION = 3.0  # upper bound for one worker, because the fault may be its own
-MIN_SHARED_SUSPICION = 1.0  # lower bound for a zone to count among zones that are unresponsive together
-CONNECT_FAILURE_SUSPICION = 3.0  # added by one failed connect
+# Negative natural logarithm of a probability: a reachable zone exceeds it by chance once in 400.
+SUSPICION_THRESHOLD = 6.0
+MAX_WORKER_SUSPICION = 3.0  # upper bound of one worker's suspicion, because the fault may be its own
+# Lower bound of the suspicion of a zone to count among zones that are unresponsive together.
+MIN_SHARED_SUSPICION = 1.0
+CONNECT_FAILURE_SUSPICION = 3.0  # suspicion added by one failed connect
 DEVIATION_MULTIPLE = 1.0  # mean deviations added to the expected time, because cold starts cause a long tail
 MIN_EXPECTED_MS = 100.0  # lower bound of the expected time: a shorter gap may be a pause of this process
 MIN_RESPONSES = 10  # responses needed before any zone counts as unreachable
@@ -40,7 +42,7 @@
     worker_id: int
     zone: int
     started_at_ms: float
-    expected_ms: float  # with a warm instance
+    expected_ms: float  # expected response time with a warm instance
     ended_at_ms: float = math.inf
     has_connect_failed: bool = False
 
@@ -49,7 +51,7 @@
 class _UnreachableZone:
     """An unreachable zone and its trials."""
 
-    trial_at_ms: float  # a trial may be sent from then on
+    trial_at_ms: float  # time from which a trial may be sent
     trial_delay_ms: float = BASE_TRIAL_DELAY_MS
     trial_attempt: AttemptId | None = None  # the trial in flight; None: no trial
 
@@ -67,8 +69,8 @@
         self.lost_attempts: deque[_TrackedAttempt] = deque(maxlen=MAX_LOST_ATTEMPTS)
         self.last_response_at_ms: dict[int, float] = {}
         self.unreachable: dict[int, _UnreachableZone] = {}
-        self.mean_ratio = Ewma()  # of response times over expected times...
-        self.ratio_deviation = Ewma()  # ...and the absolute deviation from the mean
+        self.mean_ratio = Ewma()  # mean ratio of response times to expected times
+        self.ratio_deviation = Ewma()  # mean absolute deviation of the ratio from mean_ratio
 
     def on_attempt_started(
         self, now_ms: float, attempt: AttemptId, worker_id: int, zone: int, expected_ms: float
