--- a/cedarthread/node/attempt_observer.py
+++ b/cedarthread/node/attempt_observer.py
@@ -46,7 +46,7 @@
     def __init__(self, router: Router, components: ComponentSet) -> None:
         self._router = router
         self._components = components
-        self._in_flight: dict[tuple[int, int], _InFlightAttempt] = {}  # by request id and worker id
+        self._in_flight: dict[tuple[int, int], _InFlightAttempt] = {}  # attempts by request id and worker id
 
     def record_started(self, actions: list[Action]) -> None:
         """Record the attempts that the router's actions start."""
--- a/cedarthread/node/escrow_pools.py
+++ b/cedarthread/node/escrow_pools.py
@@ -29,7 +29,7 @@
         self.escrow = escrow  # ``FleetComponents`` replaces it after recovery of persisted state
         self.now_ms = 0.0  # time of the current notification; ``FleetComponents`` sets it
         self._store = store
-        self._is_new_pool: dict[str, bool] = {}  # by name, consumable pools only
+        self._is_new_pool: dict[str, bool] = {}  # whether each pool is new, by name; consumable pools only
 
     def open_pool(self, name: str, total: int, *, is_consumable: bool, ends_at_ms: float | None) -> None:
         """Open or change a pool, as ``QuotaEscrow.open_pool`` describes."""
--- a/cedarthread/recovery/codec.py
+++ b/cedarthread/recovery/codec.py
@@ -33,7 +33,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-HEADER_BYTES = 2  # message type and kind
+HEADER_BYTES = 2  # size of the message type and the kind
 AGE_UNIT_MS = 50.0
 """Ages are rounded up to multiples of this unit, which also covers clocks of slightly different rates."""
 MAX_AGE_UNITS = 65535
@@ -84,13 +84,14 @@
 class Response:
     """A part of a response; each part is one datagram."""
 
-    nonce: int  # of the query
+    nonce: int  # nonce of the query
     part: int
     part_count: int
-    warm_fraction: float | None  # of the sender's calls; None while the sender is not in service
-    uptime_ms: float  # of the sender
+    # Warm fraction of the sender's calls; None while the sender is not in service.
+    warm_fraction: float | None
+    uptime_ms: float  # uptime of the sender
     observations: tuple[AgedObservation, ...] = ()
-    baseline_rates: BaselineRates | None = None  # of the sender
+    baseline_rates: BaselineRates | None = None  # baseline rates of the sender
 
 
 @dataclass(frozen=True, slots=True)
--- a/cedarthread/recovery/connection_turns.py
+++ b/cedarthread/recovery/connection_turns.py
@@ -28,9 +28,9 @@
 class FleetDemand:
     """The inputs of the connection schedule that are the same for all workers."""
 
-    router_count: int  # routers that recover at once
+    router_count: int  # number of routers that recover at once
     worker_count: int
-    connections_per_window: float  # that one worker can accept from all routers together
+    connections_per_window: float  # connections that one worker can accept from all routers together
 
 
 class ConnectionScheduler:
--- a/cedarthread/recovery/fleet_view.py
+++ b/cedarthread/recovery/fleet_view.py
@@ -94,8 +94,8 @@
 
     router_count: int
     reported_calls: float = 0.0  # decayed sum of the calls in flight that workers reported
-    own_calls: float = 0.0  # decayed sum of those that this router had sent
-    report_count: float = 0.0  # decayed
+    own_calls: float = 0.0  # decayed sum of the reported calls that this router had sent
+    report_count: float = 0.0  # decayed number of load reports
 
     def on_load_report(self, reported_calls: float, own_calls: float) -> None:
         """Record a load report of a worker.
--- a/cedarthread/recovery/pacing.py
+++ b/cedarthread/recovery/pacing.py
@@ -82,7 +82,8 @@
         self.connection_scheduler = ConnectionScheduler(self.phase_offset, now_ms)
         self.buckets = {action: self._new_bucket(now_ms, action) for action in PacedAction}
         self.ramp_levels = dict.fromkeys(PacedAction, INITIAL_RAMP_LEVEL)
-        self.ramp_levels[PacedAction.LOAD] = 1.0  # because the load probability already limits loads at first
+        # Not ramped, because the load probability already limits loads at first.
+        self.ramp_levels[PacedAction.LOAD] = 1.0
         self._last_growth_ms = now_ms
         self._start_round(now_ms)
 
@@ -210,7 +211,7 @@
         """
         may_be_too_low = self.baseline.per_second(PacedAction.LOAD) is None or self.baseline.is_in_service
         if may_be_too_low and now_ms >= self._last_growth_ms + GROWTH_INTERVAL_MS:
-            self._refilled_bucket(now_ms, PacedAction.LOAD)  # at the rate before the change
+            self._refilled_bucket(now_ms, PacedAction.LOAD)  # refilled at the rate before the change
             self.ramp_levels[PacedAction.LOAD] *= GROWTH_FACTOR
             self._last_growth_ms = now_ms
 
@@ -224,7 +225,7 @@
         if now_ms < self._round_ends_at_ms:
             return
         for action in PacedAction:
-            self._refilled_bucket(now_ms, action)  # at the rate before the change
+            self._refilled_bucket(now_ms, action)  # refilled at the rate before the change
             successes = self._success_counts[action]
             failures = self._failure_counts[action]
             level = self.ramp_levels[action]
--- a/cedarthread/recovery/pacing_limits.py
+++ b/cedarthread/recovery/pacing_limits.py
@@ -27,22 +27,25 @@
 class PacedAction(IntEnum):
     """An action that a recovery paces. The numbers spread the first tokens of the actions over time."""
 
-    LOAD = 0  # of a function, from the package store
-    CONNECT = 1  # to a worker, with the handshake
+    LOAD = 0  # a load of a function, from the package store
+    CONNECT = 1  # a connection to a worker, with the handshake
     DISCOVERY_QUERY = 2
     PEER_QUERY = 3
-    RELEASE = 4  # of a change that a change freeze deferred
+    RELEASE = 4  # the release of a change that a change freeze deferred
 
 
 @dataclass(frozen=True, slots=True)
 class PacingLimits:
     """Default limits: events in a window of ``WINDOW_MS``."""
 
-    loads: float  # of all routers together
-    connections_per_worker: float = MIN_WORKER_CONNECTIONS_PER_WINDOW  # of all routers together
-    discovery_queries: float = 2.0  # of one router, which sends about five per second in normal operation
-    peer_queries: float = 6.0  # of one router
-    connections: float = 16.0  # of one router to all workers, because handshakes use its own CPU time too
+    loads: float  # loads of functions by all routers together
+    # Connections to one worker by all routers together.
+    connections_per_worker: float = MIN_WORKER_CONNECTIONS_PER_WINDOW
+    # Queries by one router, which sends about five per second in normal operation.
+    discovery_queries: float = 2.0
+    peer_queries: float = 6.0  # queries by one router
+    # Connections by one router to all workers; limited, because handshakes use its own CPU time too.
+    connections: float = 16.0
 
     @staticmethod
     def for_fleet(worker_count: int, load_time_ms: float) -> PacingLimits:
--- a/cedarthread/recovery/peer_query.py
+++ b/cedarthread/recovery/peer_query.py
@@ -121,8 +121,8 @@
     segment: int
     sent_at_ms: float
     received_parts: set[int] = field(default_factory=set)
-    received_count: int = 0  # observations
-    new_count: int = 0  # observations that were new to this router
+    received_count: int = 0  # number of received observations
+    new_count: int = 0  # number of received observations that were new to this router
 
 
 class PeerQueryClient:
--- a/cedarthread/recovery/state_machine.py
+++ b/cedarthread/recovery/state_machine.py
@@ -47,10 +47,10 @@
 class TransitionCause(IntEnum):
     """The cause of the last phase transition."""
 
-    START = 0  # of the process
+    START = 0  # the process started
     EVIDENCE = 1  # the condition of the previous phase was satisfied
     TIMEOUT = 2
-    PAUSE = 3  # of the process
+    PAUSE = 3  # the process paused
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,8 +101,8 @@
     has_majority: bool  # more than half of the configured routers are known to be alive
     is_peer_query_complete: bool
     recent_calls: float  # decayed number of calls that reported whether they found a warm instance
-    warm_fraction: float  # of the recent calls
-    baseline_warm_fraction: float | None  # reported by peers, or measured before the restart
+    warm_fraction: float  # fraction of the recent calls that found a warm instance
+    baseline_warm_fraction: float | None  # warm fraction reported by peers, or measured before the restart
     has_deferred_loads: bool
 
 
@@ -117,7 +117,7 @@
         self.phase = RecoveryPhase.STARTING
         self.cause = TransitionCause.START
         self.entered_at_ms = now_ms
-        self.restarted_at_ms = now_ms  # start of the process, or end of its last pause
+        self.restarted_at_ms = now_ms  # time of the start of the process, or of the end of its last pause
         self.last_event_ms = now_ms
 
     def detect_pause(self, now_ms: float) -> bool:
--- a/cedarthread/recovery/status.py
+++ b/cedarthread/recovery/status.py
@@ -43,7 +43,7 @@
     """The current values of all metrics."""
 
     phase: RecoveryPhase
-    cause: TransitionCause  # of the transition to the phase
+    cause: TransitionCause  # cause of the transition to the phase
     in_phase_ms: float
     is_paced: bool
     is_mass_restart: bool
@@ -52,10 +52,10 @@
     baseline_warm_fraction: float | None
     sent_queries: int
     answered_queries: int
-    rejected_queries: int  # of peers, with a busy reply or without any
+    rejected_queries: int  # peers' queries that this router answered as busy or not at all
     deferred_loads: int
     deferred_connections: int
-    unreadable_count: int  # rejected datagrams and snapshots
+    unreadable_count: int  # number of rejected datagrams and snapshots
 
 
 def phase_log_line(change: PhaseChange) -> str:
--- a/cedarthread/recovery/warm_state.py
+++ b/cedarthread/recovery/warm_state.py
@@ -40,10 +40,10 @@
 class Observation:
     """An observation of a function at one incarnation of a worker."""
 
-    observed_at_ms: float  # on this process's monotonic clock
+    observed_at_ms: float  # time of the observation on this process's monotonic clock
     is_warm: bool  # whether a warm instance was found
     source: ObservationSource
-    hops: int  # routers that forwarded the observation
+    hops: int  # number of routers that forwarded the observation
 
     def supersedes(self, other: Observation) -> bool:
         """Return whether this observation replaces another.
@@ -62,7 +62,7 @@
     """An observation as it is sent and stored: with an age, because the clocks of processes differ."""
 
     worker_id: int
-    start_tag: int  # identifies the incarnation of the worker
+    start_tag: int  # tag of the worker's start, which identifies its incarnation
     function_hash: int  # the function id folded to 32 bits
     age_ms: float  # time since the observation
     is_warm: bool
@@ -75,7 +75,7 @@
 
     start_tag: int
     is_ready: bool
-    first_listed_at_ms: float  # when this router's list first contained this incarnation
+    first_listed_at_ms: float  # time at which this router's list first contained this incarnation
 
 
 def start_tag(started_at_ms: float | None) -> int:
