--- a/cedarthread/components/datagram_fields.py
+++ b/cedarthread/components/datagram_fields.py
@@ -30,7 +30,7 @@
 class RecordGroup(NamedTuple):
     """A group header and the records that follow it."""
 
-    header: RecordFields  # the last field is the number of records
+    header: RecordFields  # fields before the records; the last one is the number of records
     records: tuple[RecordFields, ...]
 
 
--- a/cedarthread/components/messages.py
+++ b/cedarthread/components/messages.py
@@ -14,8 +14,8 @@
     MEMBERSHIP = 0xC2
     REPLICATION = 0xC3
     ESCROW = 0xC4
-    RECOVERY = 0xC5  # queries for warm instances by recovering routers, and the responses
-    LOAD_PRESSURE = 0xC6  # how overloaded a router is, and the usage of tenants
+    RECOVERY = 0xC5  # queries by recovering routers for warm instances, and the responses
+    LOAD_PRESSURE = 0xC6  # reports of how overloaded a router is and how much its tenants use
 
 
 OutboundMessage = SendToPeer | LogMessage
--- a/cedarthread/components/notifications.py
+++ b/cedarthread/components/notifications.py
@@ -41,7 +41,7 @@
 class WallClockRead:
     """The wall clock was read."""
 
-    unix_ms: float  # Unix time
+    unix_ms: float  # wall clock in ms since the Unix epoch
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,8 +57,8 @@
 
     worker_id: int
     function_id: int
-    tenant_index: int | None  # None: of no tenant
-    work_ms: float  # from the start to the end of the attempt
+    tenant_index: int | None  # index of the call's tenant; None: the call has no tenant
+    work_ms: float  # time from the start to the end of the attempt
     outcome: Outcome
     was_warm: bool | None  # whether an instance was loaded before the attempt; None: not reported
 
--- a/cedarthread/components/replicated_state.py
+++ b/cedarthread/components/replicated_state.py
@@ -11,9 +11,9 @@
 class Version:
     """The version of an entry. The greater of two versions wins."""
 
-    counter: int  # a Lamport clock
+    counter: int  # value of a Lamport clock
     author: int  # index of the router that wrote the version
-    incarnation: int  # of the author's process
+    incarnation: int  # incarnation of the author's process
 
 
 class EntryKind(StrEnum):
@@ -22,8 +22,8 @@
     TIERS = "tiers"  # the order of priority tiers, and the overload thresholds
     CONTRACT = "contract"  # the tier, rate and floor of one tenant
     FREEZE = "freeze"  # one change freeze window
-    REVOKE = "revoke"  # ends a window early, which relaxes the restriction
-    BREAK_GLASS = "break"  # break-glass exception in a window, which relaxes the restriction
+    REVOKE = "revoke"  # the revocation of a window, which ends it early and so relaxes the restriction
+    BREAK_GLASS = "break"  # a break-glass exception in a window, which relaxes the restriction
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,8 +42,9 @@
     """An entry as stored at one router. Times are on the monotonic clock of that router."""
 
     entry: Entry
-    received_at_ms: float  # when this router first received it
-    replicated_at_ms: float | None  # when this router first knew that a majority stores it; None: not yet
+    received_at_ms: float  # time at which this router first received the entry
+    # Time at which this router first knew that a majority stores the entry; None: not yet.
+    replicated_at_ms: float | None
 
 
 class ReplicatedState(Protocol):
--- a/cedarthread/escrow/codec.py
+++ b/cedarthread/escrow/codec.py
@@ -48,9 +48,9 @@
     incarnation: int
     serial: int
     requester_incarnation: int
-    nonce: int  # of the request
+    nonce: int  # nonce of the request
     amount: int
-    term_ms: int  # counted from when the request was sent; 0 if the units are transferred permanently
+    term_ms: int  # term from when the request was sent; 0 if the units are transferred permanently
     total: int
     available: int
     hinted_peer: int = NO_HINT
--- a/cedarthread/escrow/escrow.py
+++ b/cedarthread/escrow/escrow.py
@@ -92,7 +92,7 @@
         )
         self.grantor = self.grantor_type(self.incarnation, self.rng, self.counters, now_ms)
 
-    # For other components.
+    # Methods for other components.
 
     def open_pool(
         self, name: str, total: int, *, is_consumable: bool, ends_at_ms: float | None, is_new: bool = False
@@ -198,7 +198,7 @@
         """End the write of the last returned image without freeing units."""
         self.image.mark_write_failed()
 
-    # The component interface.
+    # Methods of the component interface.
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
         """Handle a peer's request or response. Malformed datagrams are counted; the method never raises."""
--- a/cedarthread/escrow/grantor.py
+++ b/cedarthread/escrow/grantor.py
@@ -19,7 +19,8 @@
 
 RESPONSES_PER_SECOND = 100.0  # limits the load on the remaining routers after others have failed
 RESPONSE_BURST = 50.0
-MAX_REMEMBERED_GRANTS = 1024  # grants of counts to repeat after a lost response; the oldest are dropped first
+# Grants of counts that are repeated after a lost response; the oldest are dropped first.
+MAX_REMEMBERED_GRANTS = 1024
 SERIAL_MODULUS = 2**32
 
 
@@ -36,7 +37,7 @@
 
     amount: int  # units granted
     available: int  # units that this router could still grant
-    term_ms: int  # 0 if the units are transferred permanently
+    term_ms: int  # term of the lease; 0 if the units are transferred permanently
 
 
 class EscrowGrantor:
--- a/cedarthread/escrow/image.py
+++ b/cedarthread/escrow/image.py
@@ -33,8 +33,9 @@
     def __init__(self, *, has_memory: bool, is_durable: bool) -> None:
         self.has_memory = has_memory
         self.is_durable = is_durable
-        self.restored_balances: dict[int, CountBalance] = {}  # by pool key
-        self.pending_write_offs: dict[int, int] | None = None  # by pool key; None if no write is in progress
+        self.restored_balances: dict[int, CountBalance] = {}  # balances by pool key
+        # Units to be written off by pool key; None if no write is in progress.
+        self.pending_write_offs: dict[int, int] | None = None
 
     def encode(self, pools: Mapping[int, QuotaPool], write_offs: Mapping[int, int]) -> bytes:
         """Return the image of the pools with the units of ``write_offs`` (by pool key) written off."""
--- a/cedarthread/escrow/quota_pool.py
+++ b/cedarthread/escrow/quota_pool.py
@@ -31,12 +31,12 @@
 class RequestRounds:
     """The outcome of recent request rounds for one pool, which determines when the next round starts."""
 
-    is_open: bool = False  # requests were sent; their outcome decides whether to back off
+    is_open: bool = False  # requests of the round were sent; their outcome decides whether to back off
     has_gained: bool = False  # a response in this round added units
     consecutive_failures: int = 0  # consecutive rounds that added no units
     hints_followed: int = 0  # consecutive rounds that started without backoff because of a hint
-    next_at_ms: float = -math.inf  # the next round starts no earlier
-    backoff_shortened_at_ms: float = -math.inf  # when growing demand last shortened a backoff
+    next_at_ms: float = -math.inf  # earliest time at which the next round may start
+    backoff_shortened_at_ms: float = -math.inf  # time at which growing demand last shortened a backoff
 
 
 class QuotaPool:
@@ -58,7 +58,7 @@
         self.ends_at_ms: float | None = None
         self.demand = 0  # total units that this router's users want
         self.rounds = RequestRounds()
-        self.peer_available: dict[int, PeerAvailability] = {}  # by router index
+        self.peer_available: dict[int, PeerAvailability] = {}  # availability at each peer by router index
 
     def own_allotment(self) -> int:
         """Return this router's allotment of the total."""
--- a/cedarthread/escrow/rate_pool.py
+++ b/cedarthread/escrow/rate_pool.py
@@ -50,7 +50,7 @@
     """
 
     nonce: int = 0  # lender's copy: nonce of the latest request; an older one is late or duplicated
-    requested_at_ms: float = -math.inf  # borrower's copy: when the latest answered request was sent
+    requested_at_ms: float = -math.inf  # borrower's copy: time at which the latest answered request was sent
     grants: list[LeaseGrant] = field(default_factory=list)
 
     def amount_at(self, now_ms: float) -> int:
@@ -90,8 +90,8 @@
         self.clock_drift_factor = clock_drift_factor
         self.ready_at_ms = ready_at_ms
         self.leases_given: dict[Borrower, Lease] = {}
-        self.leases_taken: dict[int, Lease] = {}  # by peer
-        self.unmet_requests: dict[int, UnmetRequest] = {}  # by peer
+        self.leases_taken: dict[int, Lease] = {}  # leases from peers, by peer
+        self.unmet_requests: dict[int, UnmetRequest] = {}  # latest unmet request of each peer
 
     def own_rate(self, now_ms: float) -> int:
         """Return this router's own units, including those that are leased to peers."""
--- a/cedarthread/escrow/requester.py
+++ b/cedarthread/escrow/requester.py
@@ -25,8 +25,9 @@
 
 REQUESTS_PER_SECOND = 40.0
 REQUEST_BURST = 20.0
-MAX_ATTEMPTS = 4  # of a request for a count, because a lost response would lose its units permanently
-LATE_RESPONSE_LIMIT_MS = 30_000.0  # responses to older requests for a count are rejected
+# Maximum attempts of a request for a count, because a lost response would lose its units permanently.
+MAX_ATTEMPTS = 4
+LATE_RESPONSE_LIMIT_MS = 30_000.0  # age of a request for a count beyond which its response is rejected
 RENEW_AFTER_FRACTION = 0.6  # fraction of its term after which a lease is renewed
 
 
@@ -37,8 +38,8 @@
     pool: QuotaPool
     peer: int
     requested: int
-    sent_at_ms: float  # of the first attempt; the term of a granted lease starts here
-    timeout_at_ms: float  # until then the response is pending; then the request may be retried
+    sent_at_ms: float  # time of the first attempt; the term of a granted lease starts here
+    timeout_at_ms: float  # time until which the response is pending; after it the request may be retried
     attempts: int = 1
     was_denied: bool = False  # a denied request for a count stays open: an earlier grant may arrive
 
@@ -74,7 +75,7 @@
         self.alive_peers: Sequence[int] = tuple(
             router for router in range(router_count) if router != router_index
         )
-        self.outstanding: dict[int, OutstandingRequest] = {}  # by nonce
+        self.outstanding: dict[int, OutstandingRequest] = {}  # outstanding requests by nonce
         self.last_nonce = rng.randrange(NONCE_MODULUS)
         self.planner = RoundPlanner(rng)
         self.request_budget = TokenBucket(REQUESTS_PER_SECOND, REQUEST_BURST, REQUEST_BURST, now_ms)
--- a/cedarthread/replication/codec.py
+++ b/cedarthread/replication/codec.py
@@ -75,7 +75,7 @@
     FRAGMENT = 6
 
 
-HEADER_BYTES = 2  # message type, kind
+HEADER_BYTES = 2  # size of the message type and the kind
 BUCKET_SUM_BYTES = 6
 _SYNC_REQUEST = struct.Struct("<BBQQQHQ")
 _SYNC_RESPONSE = struct.Struct("<BBQQQBHHQd")
--- a/cedarthread/replication/entry.py
+++ b/cedarthread/replication/entry.py
@@ -19,8 +19,8 @@
 # MAX_PROPOSED_ENTRIES together.
 MAX_ENTRIES = 1024
 MAX_BODY_BYTES = 2048
-MAX_NAME_BYTES = 64  # in UTF-8
-VERSION_COUNTER_LIMIT = 2**48  # exclusive
+MAX_NAME_BYTES = 64  # length limit of a name in UTF-8
+VERSION_COUNTER_LIMIT = 2**48  # exclusive upper limit of a version's counter
 _HEADER = struct.Struct("<BBQHQQ")  # kind, name length, counter, author, incarnation, replaced digest
 MAX_ENTRY_BYTES = _HEADER.size + MAX_NAME_BYTES + MAX_BODY_BYTES
 ENTRY_KINDS = tuple(EntryKind)
@@ -40,7 +40,7 @@
     """The position of an entry in the total order of all entries with the same kind and name."""
 
     version: Version
-    digest: int  # decides between equal versions
+    digest: int  # digest of the entry, which decides between equal versions
 
 
 class EncodedEntry(NamedTuple):
--- a/cedarthread/replication/fragments.py
+++ b/cedarthread/replication/fragments.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from cedarthread.replication.state import ReplicaState
 
-MAX_PARTIAL_ENTRIES = 64  # the oldest partial entries are dropped first
+MAX_PARTIAL_ENTRIES = 64  # most partial entries that are kept; the oldest are dropped first
 
 
 class PartialEntry:
@@ -35,7 +35,7 @@
 
     def __init__(self, entry_bytes: int) -> None:
         self.entry_bytes = entry_bytes
-        self.fragments: dict[int, bytes] = {}  # by index
+        self.fragments: dict[int, bytes] = {}  # fragments of the entry by index
 
     def missing_bits(self) -> int:
         """Return a bit mask of the fragments that have not arrived; 0 if the entry is complete."""
@@ -56,8 +56,8 @@
 
     def __init__(self, state: ReplicaState) -> None:
         self.state = state
-        self.partial_entries: dict[int, PartialEntry] = {}  # by digest
-        # Fragments of the wrong length; complete entries that are malformed or exceed MAX_ENTRIES.
+        self.partial_entries: dict[int, PartialEntry] = {}  # partial entries by digest
+        # Count of fragments of the wrong length, and of entries that are malformed or exceed MAX_ENTRIES.
         self.invalid_count = 0
 
     def add(self, fragment: EntryFragment) -> EncodedEntry | None:
--- a/cedarthread/replication/freshness.py
+++ b/cedarthread/replication/freshness.py
@@ -62,15 +62,16 @@
         self.clock_drift_factor = (1.0 + clock_rate) / (1.0 - clock_rate)
         self.age_step_ms = max(1, math.ceil(window_ms / AGE_STEPS_PER_WINDOW))
         self.started_at_ms = now_ms
-        # Until this time peers may count confirmations of this router's earlier incarnation.
+        # Time until which peers may count confirmations of this router's earlier incarnation.
         self.earlier_incarnation_expires_at_ms = now_ms + window_ms * self.clock_drift_factor
         self.is_voter = router_count == 1
-        # By router: last read of the router, voter or not.
+        # Time of the last read of each router, by index, whether or not it was a voter.
         self.read_at_ms = [NEVER_MS] * router_count
-        # By router: last read of the router while it was a voter.
+        # Time of the last read of each router, by index, while it was a voter.
         self.read_as_voter_at_ms = [NEVER_MS] * router_count
         self.majority = MajorityTracker(router_count, window_ms, root_digest)
-        self.fresh_until_ms = math.inf if router_count == 1 else NEVER_MS  # advanced by reads of voters
+        # Time until which this router is fresh; advanced by reads of voters.
+        self.fresh_until_ms = math.inf if router_count == 1 else NEVER_MS
         self.fresh_since_ms: float | None = now_ms if router_count == 1 else None
 
     # Recording of reads and changes.
--- a/cedarthread/replication/local_replica.py
+++ b/cedarthread/replication/local_replica.py
@@ -48,8 +48,8 @@
         self.state = ReplicaState()
         self.freshness = freshness
         self.is_durable = is_durable
-        self.revision = 0  # counts changes of the state
-        self.persisted_revision = 0  # the latest revision on disk
+        self.revision = 0  # number of changes of the state
+        self.persisted_revision = 0  # latest revision that is on disk
         self._changed_keys: dict[EntryKey, None] = {}
         self._pending_logs: list[OutboundMessage] = []
 
--- a/cedarthread/replication/majority.py
+++ b/cedarthread/replication/majority.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from cedarthread.replication.entry import EntryKey
 
-MAX_COHORTS = 8  # changes that are tracked separately until each is replicated
+MAX_COHORTS = 8  # most changes that are tracked separately until each is replicated
 NEVER_MS = -math.inf
 
 
@@ -30,9 +30,10 @@
 
     def __init__(self, root_digest: int, router_count: int) -> None:
         self.root_digest = root_digest
-        # By router: when the router was last known to have the root digest.
+        # When each router, by index, was last known to have the root digest.
         self.confirmed_at_ms = [NEVER_MS] * router_count
-        self.pending_digests: dict[EntryKey, int] = {}  # entries that are not known to be replicated yet
+        # Digests, by key, of entries that are not known to be replicated yet.
+        self.pending_digests: dict[EntryKey, int] = {}
 
 
 class MajorityTracker:
--- a/cedarthread/replication/messages.py
+++ b/cedarthread/replication/messages.py
@@ -61,7 +61,7 @@
     root_digest: int
     incarnation: int
     is_voter: bool  # whether the responder is a voter
-    age_step_ms: int  # unit of the ages
+    age_step_ms: int  # unit of the ages in ms
     first_router: int
     ages: bytes
     remembered_generation: int = 0  # the greatest store generation that the requester reported
@@ -73,7 +73,7 @@
     """A request for the refs in the buckets whose sums differ from the requester's."""
 
     nonce: int
-    bucket_sums: tuple[int, ...]  # of the requester, modulo BUCKET_SUM_MODULUS
+    bucket_sums: tuple[int, ...]  # bucket sums of the requester, modulo BUCKET_SUM_MODULUS
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
     nonce: int
     root_digest: int
     incarnation: int
-    bucket_bits: int  # a bit for each listed bucket
+    bucket_bits: int  # bit set of the listed buckets
     part_index: int
     part_count: int
     refs: tuple[EntryRef, ...]
--- a/cedarthread/replication/peer_records.py
+++ b/cedarthread/replication/peer_records.py
@@ -24,12 +24,13 @@
 
     def __init__(self) -> None:
         self.incarnations: dict[int, int] = {}
-        self.restart_count = 0  # changes of a peer's incarnation
-        # Of the peers' disks: the greatest generation that each peer has reported.
+        self.restart_count = 0  # number of changes of a peer's incarnation
+        # Greatest generation of its disk that each peer has reported.
         self.generations: dict[int, int] = {}
-        # Of this router's disk: the greatest generation that each peer remembers.
+        # Greatest generation of this router's disk that each peer remembers.
         self.generation_known_to_peer: dict[int, int] = {}
-        self.clock_samples: dict[int, PeerClockSample] = {}  # since the host last cleared them
+        # Clock samples by peer since the host last cleared them.
+        self.clock_samples: dict[int, PeerClockSample] = {}
 
     def record_incarnation(self, peer: int, incarnation: int) -> None:
         """Record a peer's incarnation, and count a restart if the incarnation has changed."""
--- a/cedarthread/replication/state.py
+++ b/cedarthread/replication/state.py
@@ -20,8 +20,8 @@
 )
 
 DIGEST_MODULUS = 2**64
-MAX_SUPERSEDED_DIGESTS = 4096  # the oldest are dropped first
-MAX_COVERED_ROOTS = 256  # the least recently confirmed are dropped first
+MAX_SUPERSEDED_DIGESTS = 4096  # most digests that are kept; the oldest are dropped first
+MAX_COVERED_ROOTS = 256  # most roots that are kept; the least recently confirmed are dropped first
 
 
 @dataclass(slots=True)
@@ -30,9 +30,9 @@
 
     entry: Entry
     digest: int
-    data: bytes  # canonical
+    data: bytes  # canonical encoding of the entry
     received_at_ms: float
-    replicated_at_ms: float | None = None  # when a majority was first known to have the entry
+    replicated_at_ms: float | None = None  # time at which a majority was first known to have the entry
 
     def to_replicated_entry(self) -> ReplicatedEntry:
         """Return the record as other components read it."""
@@ -56,14 +56,15 @@
 
     def __init__(self) -> None:
         self.records: dict[EntryKey, EntryRecord] = {}  # in order of reception
-        self.keys_by_ref: dict[EntryRef, EntryKey] = {}  # of the stored entries
-        self.superseded_digests: dict[EntryRef, int] = {}  # the oldest first
-        self.known_digests: set[int] = set()  # of stored and superseded entries
+        self.keys_by_ref: dict[EntryRef, EntryKey] = {}  # keys of the stored entries
+        self.superseded_digests: dict[EntryRef, int] = {}  # digests of superseded entries, the oldest first
+        self.known_digests: set[int] = set()  # digests of stored and superseded entries
         self.bucket_sums = [0] * BUCKET_COUNT
         self.root_digest = 0
         self.covered_roots: dict[int, None] = {0: None}  # root digests of states that this state includes
-        self.highest_counter = 0  # of all versions seen
-        self._entries_by_kind: dict[EntryKind, tuple[ReplicatedEntry, ...]] = {}  # cache
+        self.highest_counter = 0  # highest counter of all versions seen
+        # Cache of the entries by kind.
+        self._entries_by_kind: dict[EntryKind, tuple[ReplicatedEntry, ...]] = {}
 
     def merge(self, now_ms: float, encoded: EncodedEntry) -> MergeResult:
         """Join one entry into the state.
--- a/cedarthread/replication/store.py
+++ b/cedarthread/replication/store.py
@@ -104,7 +104,7 @@
         self.exchange = SyncExchange(self.replica, self.requests, self.sessions, self.server, now_ms)
         self.undecodable_count = 0
 
-    # For operators and the host.
+    # Methods for operators and the host.
 
     def propose(
         self,
@@ -215,7 +215,7 @@
         """Wall clocks read from peers, by router index; the host clears them after use."""
         return self.exchange.peers.clock_samples
 
-    # For other components.
+    # Methods for other components.
 
     def entries(self, kind: EntryKind) -> tuple[ReplicatedEntry, ...]:
         """Return all entries of a kind, sorted by name."""
@@ -250,7 +250,7 @@
             "register_unanswered": str(self.server.unanswered_count),
         }
 
-    # The component interface.
+    # Methods of the component interface.
 
     def on_notification(self, now_ms: float, notification: Notification) -> Sequence[OutboundMessage]:
         """Restrict sync requests to alive peers when the alive peers change."""
--- a/cedarthread/replication/sync_exchange.py
+++ b/cedarthread/replication/sync_exchange.py
@@ -63,8 +63,8 @@
         self.server = server
         self.peers = PeerRecords()
         self.last_active_at_ms = now_ms
-        self.store_generation = 0  # of this router's disk; the host sets it
-        self.unix_ms = math.nan  # the wall clock that responses carry; the host sets it
+        self.store_generation = 0  # generation of this router's disk; the host sets it
+        self.unix_ms = math.nan  # wall clock that responses carry; the host sets it
 
     def has_read_enough_peers(self) -> bool:
         """Return whether this incarnation has read several peers completely.
--- a/cedarthread/replication/sync_requests.py
+++ b/cedarthread/replication/sync_requests.py
@@ -19,7 +19,7 @@
     import random
     from collections.abc import Collection
 
-MAX_OPEN_REQUESTS = 16  # the oldest are dropped first
+MAX_OPEN_REQUESTS = 16  # most open requests; the oldest are dropped first
 # Every 8th request may go to a peer that is not alive, so that partitions heal.
 REQUESTS_PER_UNRESTRICTED_REQUEST = 8
 BOOTSTRAP_REQUESTS_PER_TICK = 4  # extra requests until enough peers are read after a start
@@ -64,7 +64,7 @@
         self.rng = rng
         self.all_peers = [router for router in range(router_count) if router != router_index]
         self.alive_peers = list(self.all_peers)
-        self.open_requests: dict[int, OpenRequest] = {}  # by nonce
+        self.open_requests: dict[int, OpenRequest] = {}  # open requests by nonce
         self.next_request_at_ms = now_ms + rng.uniform(0.0, period_ms)
         self.next_reverse_request_at_ms = now_ms
         self.request_count = 0
--- a/cedarthread/replication/sync_server.py
+++ b/cedarthread/replication/sync_server.py
@@ -37,17 +37,19 @@
 
 RESPONSES_PER_SECOND = 20.0  # limits the responses to a flood of requests
 RESPONSE_BURST = 20.0
-BYTES_PER_SECOND = 16_000.0  # of summaries and fragments; limits the load when many routers start together
+# Bytes of summaries and fragments; limits the load when many routers start together.
+BYTES_PER_SECOND = 16_000.0
 BYTE_BURST = 16_384.0
-MAX_UNSOLICITED_FRAGMENTS = 4  # of the newest entry, sent before a response to a peer whose state differs
+# Fragments of the newest entry that are sent before a response to a peer whose state differs.
+MAX_UNSOLICITED_FRAGMENTS = 4
 
 
 class SummaryPart(NamedTuple):
     """The content of one summary datagram: whole buckets, or one part of a bucket that needs several."""
 
-    bucket_bits: int  # a bit for each listed bucket
+    bucket_bits: int  # bit set of the listed buckets
     part_index: int
-    part_count: int  # 1 unless one bucket needs several datagrams
+    part_count: int  # number of parts; 1 unless one bucket needs several datagrams
     refs: tuple[EntryRef, ...]
 
 
--- a/cedarthread/replication/sync_session.py
+++ b/cedarthread/replication/sync_session.py
@@ -36,14 +36,14 @@
 MAX_RETRIES = 8  # retries without an arriving entry, after which the session is aborted
 RETRIES_PER_SUMMARY_REQUEST = 4  # every 4th retry requests the summaries too, not only entries
 MAX_PENDING_FETCHES = 8  # with more pending fetches, no further session is started
-MAX_SESSIONS = 4  # the oldest are dropped first
+MAX_SESSIONS = 4  # most concurrent sessions; the oldest are dropped first
 
 
 class CompleteBucket(NamedTuple):
     """A bucket of which all parts have arrived."""
 
     bucket: int
-    refs: list[EntryRef]  # all the peer's entries in the bucket
+    refs: list[EntryRef]  # refs of all the peer's entries in the bucket
 
 
 class SyncSession:
@@ -63,12 +63,12 @@
         self.peer = peer
         self.sent_at_ms = sent_at_ms
         self.response = response
-        self.root_digest = response.root_digest  # of the state that the summaries describe
-        # By bucket: the sum of this router's entries, or of the peer's entries once all those are known here.
+        self.root_digest = response.root_digest  # root digest of the state that the summaries describe
+        # Sum of each bucket: this router's entries, or the peer's entries once all those are known here.
         self.bucket_sums = list(bucket_sums)
-        # The peer's refs by bucket and part.
+        # Refs of the peer by bucket and part.
         self.refs_by_bucket: dict[int, dict[int, tuple[EntryRef, ...]]] = {}
-        self.part_counts: dict[int, int] = {}  # by bucket
+        self.part_counts: dict[int, int] = {}  # number of summary parts by bucket
         self.progress_at_ms = now_ms
         self.retries = 0
 
@@ -123,7 +123,7 @@
     def __init__(self, replica: LocalReplica, rng: random.Random) -> None:
         self.replica = replica
         self.rng = rng
-        self.sessions: dict[int, SyncSession] = {}  # by nonce
+        self.sessions: dict[int, SyncSession] = {}  # open sessions by nonce
         self.pending_fetches: dict[EntryRef, float] = {}  # time of the last fetch request, in ms
         self.fragments = FragmentAssembler(replica.state)
         self.fully_read_peers: set[int] = set()  # peers whose state was once included in this router's
