--- a/cedarthread/change_freeze/call_routing.py
+++ b/cedarthread/change_freeze/call_routing.py
@@ -19,10 +19,11 @@
 class RoutingVerdict(Enum):
     """The kind of a routing decision for one call."""
 
-    SEND = "send"  # to a permitted worker, which has capacity
-    LOAD = "place"  # to a worker that is not permitted and must load the function, by exception
-    WAIT = "wait"  # for a permitted worker, which has no capacity yet
-    REJECT = "refuse"  # no worker is permitted, and no exception permits a load
+    SEND = "send"  # the call is sent to a permitted worker, which has capacity
+    # The call is sent to a worker that is not permitted and must load the function, by exception.
+    LOAD = "place"
+    WAIT = "wait"  # the call waits for a permitted worker, which has no capacity yet
+    REJECT = "refuse"  # the call is rejected: no worker is permitted, and no exception permits a load
 
 
 class RoutingDecision(NamedTuple):
@@ -39,8 +40,8 @@
     worker_id: int
     is_ready: bool  # False while the worker drains or is absent from the endpoint list
     is_permitted: bool  # the function is placed at the worker, or no rule freezes a load there
-    has_capacity: bool  # by the router's count of calls in flight to the worker
-    distance: float = 0.0  # the router prefers the smallest
+    has_capacity: bool  # whether the worker has capacity, by the router's count of calls in flight to it
+    distance: float = 0.0  # distance to the worker; the router prefers the smallest
     zone_index: int | None = None
 
 
--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -41,10 +41,11 @@
     from cedarthread.fleet_config import SharingConfig
     from cedarthread.model.settings import RouterSettings
 
-WINDOW_LEAD_MS = 500.0  # how early windows start; twice the longest interval between ticks
-PLACEMENT_EXPIRY_INTERVAL_MS = 5000.0  # between removals of expired placements
-BUDGETED_STATES = (WindowState.PENDING, WindowState.IN_FORCE)  # a window's exception pool is open
-ACTIVE_STATES = (*BUDGETED_STATES, WindowState.LIFTED)  # placements are tracked
+WINDOW_LEAD_MS = 500.0  # lead of windows before their start: twice the longest interval between ticks
+PLACEMENT_EXPIRY_INTERVAL_MS = 5000.0  # time between removals of expired placements
+# States in which a window's exception pool is open.
+BUDGETED_STATES = (WindowState.PENDING, WindowState.IN_FORCE)
+ACTIVE_STATES = (*BUDGETED_STATES, WindowState.LIFTED)  # states of a window in which placements are tracked
 
 
 class ChangeFreezeComponent:
@@ -91,7 +92,7 @@
         self.pending_messages: list[OutboundMessage] = []
         self._update_gate(now_ms)
 
-    # The component interface.
+    # Methods of the component interface.
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
         """Ignore the datagram: the component has no message type."""
@@ -145,7 +146,7 @@
         windows = self.registry.windows.items()
         return figures | {f"freeze_window_{name}": window.state.value for name, window in windows}
 
-    # Calls by the host.
+    # Methods for the host.
 
     def release_deferred_changes(self, now_ms: float) -> list[DeferredChange]:
         """Return the deferred changes that the host must make now, at the gate's release rate."""
@@ -228,7 +229,7 @@
             WINDOW_LEAD_MS,
         )
 
-    # The gate.
+    # Updates of the admission gate.
 
     def _update_uncertainty(self, now_ms: float) -> None:
         is_fresh = self.replicated_state.is_fresh(now_ms)
--- a/cedarthread/change_freeze/deferred_changes.py
+++ b/cedarthread/change_freeze/deferred_changes.py
@@ -17,7 +17,7 @@
 
 MAX_DEFERRED_CHANGES = 512  # after an overflow, every change counts as deferred until all are released
 RELEASES_PER_MS = 0.004  # 4 per second: the default if the host passes no limiter of its own
-RELEASE_BURST = 4.0  # releases
+RELEASE_BURST = 4.0  # releases that may be made at once
 
 
 @dataclass(slots=True)
--- a/cedarthread/change_freeze/placement_changes.py
+++ b/cedarthread/change_freeze/placement_changes.py
@@ -38,7 +38,7 @@
     """The answer of the admission gate to a placement change."""
 
     PERMITTED = "yes"
-    PERMITTED_BY_EXCEPTION = "under the allowance"  # consumes one exception of each window
+    PERMITTED_BY_EXCEPTION = "under the allowance"  # permitted, and consumes one exception of each window
     DENIED = "no"
 
 
--- a/cedarthread/change_freeze/placement_paths.py
+++ b/cedarthread/change_freeze/placement_paths.py
@@ -27,7 +27,7 @@
 class PlacementPath:
     """A function that changes placements, and the name through which the function queries the gate."""
 
-    module: str  # dotted name below the package
+    module: str  # dotted name of the module below the package
     function: str
     operation: str
     gate_name: str  # a name in the function through which the function queries the gate
--- a/cedarthread/change_freeze/placement_table.py
+++ b/cedarthread/change_freeze/placement_table.py
@@ -13,8 +13,9 @@
 # How long a function counts as placed on a worker after an instance was last known there. Placements expire
 # only while no window is in force.
 PLACEMENT_MEMORY_MS = 1_800_000.0
-MAX_PLACEMENTS = 20_000  # pairs of function and worker
-MAX_REMOVED_WORKERS = 4096  # workers that left the endpoint list, with their placements
+MAX_PLACEMENTS = 20_000  # most pairs of function and worker that are kept
+# Most workers that are kept, with their placements, after they left the endpoint list.
+MAX_REMOVED_WORKERS = 4096
 
 
 @dataclass(slots=True)
@@ -33,12 +34,13 @@
     at its worker. All times are ms on the monotonic clock.
     """
 
-    # Time by function id and worker id; the function that was recorded least recently is first.
+    # Time of the last sighting by function id and worker id; the least recently recorded function is first.
     last_seen_by_function: dict[int, dict[int, float]] = field(default_factory=dict)
     endpoints: dict[int, Endpoint] = field(default_factory=dict)
     removed_workers: dict[int, _RemovedWorker] = field(default_factory=dict)
-    lost_placements: dict[int, int] = field(default_factory=dict)  # count by function, reset by ``expire``
-    placement_count: int = 0  # pairs of function and worker
+    # Number of lost placements by function, reset by ``expire``.
+    lost_placements: dict[int, int] = field(default_factory=dict)
+    placement_count: int = 0  # number of pairs of function and worker
     is_frozen: bool = False  # whether a window is in force or may be
 
     def record(self, now_ms: float, function_id: int, worker_id: int) -> None:
--- a/cedarthread/change_freeze/stale_hold.py
+++ b/cedarthread/change_freeze/stale_hold.py
@@ -13,11 +13,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Counted from when the router was last fresh in this incarnation. The time is limited so that windows end
-# even if no peer responds.
+# Duration of the hold since the router was last fresh in this incarnation. The time is limited so that
+# windows end even if no peer responds.
 STALE_HOLD_MS = 60_000.0
-RESTART_HOLD_MS = 600_000.0  # counted from the start of a router that stores an entry about windows
-FIRST_START_HOLD_MS = 60_000.0  # counted from the start of a router that stores no such entry
+# Duration of the hold since the start of a router that stores an entry about windows.
+RESTART_HOLD_MS = 600_000.0
+FIRST_START_HOLD_MS = 60_000.0  # duration of the hold since the start of a router that stores no such entry
 
 
 @dataclass(slots=True)
@@ -30,7 +31,8 @@
     started_at_ms: float
     # Whether the entries of several peers were read completely since the start:
     has_read_enough_peers: Callable[[], bool]
-    last_fresh_at_ms: float | None = None  # in this incarnation; None: never
+    # Last time in this incarnation at which the router was fresh; None: never.
+    last_fresh_at_ms: float | None = None
 
     def is_uncertain(self, now_ms: float, *, is_fresh: bool, has_entries: bool) -> bool:
         """Return whether all placements must stay frozen, because this router may not have received a window.
--- a/cedarthread/change_freeze/wall_clock.py
+++ b/cedarthread/change_freeze/wall_clock.py
@@ -20,8 +20,10 @@
 from cedarthread.change_freeze.window_entries import MAX_WINDOW_MS
 from cedarthread.logs import format_event
 
-STEP_THRESHOLD_MS = 100.0  # a smaller difference is no step, because the clocks are read in turn
-SAMPLE_LIFETIME_MS = 120_000.0  # limits the drift of the other clock since the comparison
+# A smaller difference of the clocks is no step, because the clocks are read in turn.
+STEP_THRESHOLD_MS = 100.0
+# Age at which a sample expires, which limits the drift of the other clock since the comparison.
+SAMPLE_LIFETIME_MS = 120_000.0
 MAX_QUORUM = 9  # clocks, including this router's, that suffice for a median in a large fleet
 MAX_ROUND_TRIP_MS = 60_000.0  # a comparison with a longer round trip is too inaccurate
 
@@ -68,8 +70,9 @@
         self.max_drift_rate = max_drift_rate
         self.applied_offset_ms: float | None = None  # wall clock minus monotonic clock; None: no reading yet
         self.read_at_ms = 0.0  # time of the last host reading
-        self.unconfirmed_offset_ms: float | None = None  # of the host's clock after an unconfirmed step
-        self.stepped_at_ms = 0.0  # when the unconfirmed step was first seen
+        # Offset of the host's clock after an unconfirmed step.
+        self.unconfirmed_offset_ms: float | None = None
+        self.stepped_at_ms = 0.0  # time at which the unconfirmed step was first seen
         self.samples: dict[int, _OffsetSample] = {}  # latest sample by router index
         self.step_count = 0
         self.invalid_sample_count = 0
--- a/cedarthread/change_freeze/window.py
+++ b/cedarthread/change_freeze/window.py
@@ -26,16 +26,17 @@
 if TYPE_CHECKING:
     from cedarthread.components.replicated_state import ReplicatedEntry
 
-MAX_VERSIONS = 8  # in effect together for one window; the two oldest are merged if there are more
+# Most versions in effect together for one window; the two oldest are merged if there are more.
+MAX_VERSIONS = 8
 
 
 class WindowState(StrEnum):
     """The state of a window at one router; the values are shown to operators."""
 
     DECLARED = "declared"
-    PENDING = "due"  # starts within the staleness bound
+    PENDING = "due"  # the window starts within the staleness bound
     IN_FORCE = "in force"
-    LIFTED = "broken open"  # by break-glass
+    LIFTED = "broken open"  # lifted by break-glass
     ENDED = "ended"
     REVOKED = "revoked"
 
@@ -47,7 +48,7 @@
 class ClockReading:
     """A reading of the monotonic clock, and of the wall clock as a range in Unix ms."""
 
-    now_ms: float  # monotonic clock
+    now_ms: float  # time on the monotonic clock
     earliest_unix_ms: float
     latest_unix_ms: float
     # How long after an entry is on a majority it is on all fresh routers; B in docs/design/replication.md:
@@ -64,7 +65,7 @@
 
     replicated: ReplicatedEntry
     body: _BodyT
-    is_predecessor_unknown: bool = False  # replaces a version that this router never received
+    is_predecessor_unknown: bool = False  # whether the version replaces one that this router never received
 
     def is_effective(self, reading: ClockReading) -> bool:
         """Return whether all fresh routers have this version, so that its relaxations are in effect."""
@@ -83,7 +84,7 @@
     break_glass: list[_StoredVersion[BreakGlass]] = field(default_factory=list)
     revocation: _StoredVersion[Revocation] | None = None
     state: WindowState = WindowState.DECLARED
-    was_declared_late: bool = False  # less than the staleness bound before its start
+    was_declared_late: bool = False  # whether it was declared less than the staleness bound before its start
 
     def add(self, replicated: ReplicatedEntry, body: WindowBody) -> bool:
         """Add an entry, or update its replication time; return whether the entry is new."""
--- a/cedarthread/change_freeze/window_entries.py
+++ b/cedarthread/change_freeze/window_entries.py
@@ -22,12 +22,12 @@
     from cedarthread import fleet_config
 
 MAX_WINDOW_MS = MAX_WINDOW_SECONDS * 1000.0
-MAX_NAMES = 256  # zones, functions or tenants in one body
-MAX_TEXT_BYTES = 512  # of a reason or an author
+MAX_NAMES = 256  # most zones, functions or tenants in one body
+MAX_TEXT_BYTES = 512  # longest reason or author
 MAX_NAME_BYTES = 64
-MAX_EXCEPTION_BUDGET = 10_000  # placement changes per window
-MAX_UNIX_MS = 2**53  # a float represents no greater whole number exactly
-ALL_CHANGE_KINDS = tuple(PlacementChangeKind)  # in the canonical order of a body
+MAX_EXCEPTION_BUDGET = 10_000  # most placement changes by exception per window
+MAX_UNIX_MS = 2**53  # greatest Unix time; a float represents no greater whole number exactly
+ALL_CHANGE_KINDS = tuple(PlacementChangeKind)  # all kinds in the canonical order of a body
 
 
 class _EntryBody(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
--- a/cedarthread/change_freeze/window_registry.py
+++ b/cedarthread/change_freeze/window_registry.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MAX_UNREADABLE_ENTRIES = 256  # retained so that each is logged once
+MAX_UNREADABLE_ENTRIES = 256  # most unreadable entries that are retained so that each is logged once
 WINDOW_ENTRY_KINDS = (EntryKind.FREEZE, EntryKind.REVOKE, EntryKind.BREAK_GLASS)
 
 
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self.windows: dict[str, FreezeWindow] = {}
         self.last_entries: dict[tuple[EntryKind, str], ReplicatedEntry] = {}
-        self.unreadable: dict[Entry, str] = {}  # reason by entry
+        self.unreadable: dict[Entry, str] = {}  # reasons by unreadable entry
 
     @property
     def has_entries(self) -> bool:
--- a/cedarthread/persistence/database_folder.py
+++ b/cedarthread/persistence/database_folder.py
@@ -81,7 +81,7 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._locked_descriptor: int | None = None  # of the open and locked folder
+        self._locked_descriptor: int | None = None  # descriptor of the open and locked folder
 
     def acquire_lock(self) -> None:
         """Lock the folder. If another folder has replaced the locked one at the same path, lock that one.
--- a/cedarthread/persistence/disk_worker.py
+++ b/cedarthread/persistence/disk_worker.py
@@ -73,8 +73,9 @@
         self._group_commit_s = group_commit_ms / 1000.0
         self._clock = clock
         self._wake = wake
-        self._is_writable = False  # used by the thread only
-        self._completions: deque[Completion] = deque()  # filled by the thread, emptied by the host's thread
+        self._is_writable = False  # whether the disk is writable; used by the thread only
+        # Completions, added by the thread and removed by the host's thread.
+        self._completions: deque[Completion] = deque()
         # Written only while the condition's lock is held:
         self._condition = threading.Condition()
         self._queue = WriteQueue()
--- a/cedarthread/persistence/fault_switch.py
+++ b/cedarthread/persistence/fault_switch.py
@@ -30,7 +30,7 @@
     DISK_FULL = 5
     EIO_WRITE = 6  # writes fail
     EIO_SYNC = 7  # syncs fail, and lose their writes for good; parameter: number of syncs that succeed first
-    SLOW_SYNC = 8  # parameter: duration of each sync in ms
+    SLOW_SYNC = 8  # each sync takes longer; parameter: its duration in ms
     READ_ONLY = 9
     FOLDER_MISSING = 10
 
--- a/cedarthread/persistence/faulty_disk.py
+++ b/cedarthread/persistence/faulty_disk.py
@@ -70,7 +70,7 @@
         self.record = record
         self.cached_files: dict[str, _CachedFile] = {}
         self.operations: list[DiskOperation] = []
-        self.failing_sync_count = 0  # syncs since EIO_SYNC became active
+        self.failing_sync_count = 0  # number of syncs since EIO_SYNC became active
 
     def is_fault_active(self, *faults: InjectedFault) -> bool:
         """Return whether one of these faults is active."""
--- a/cedarthread/persistence/recovered_image.py
+++ b/cedarthread/persistence/recovered_image.py
@@ -69,9 +69,9 @@
 
     incarnation: RouterIncarnation | None = None
     entries: tuple[Entry, ...] = ()
-    warm_state: bytes | None = None  # encoded; RecoveryComponent verifies it
-    escrow: bytes | None = None  # encoded; Escrow verifies it
-    rejected_count: int = 0  # values that did not decode
+    warm_state: bytes | None = None  # encoded warm state; RecoveryComponent verifies it
+    escrow: bytes | None = None  # encoded escrow; Escrow verifies it
+    rejected_count: int = 0  # number of values that did not decode
 
 
 class StoredRecord(NamedTuple):
@@ -141,9 +141,10 @@
 class ContentVerdict(Enum):
     """The part of a store's content that the router uses after a restart."""
 
-    TRUSTED = "trusted"  # all; the router is a voter again if it was one
+    TRUSTED = "trusted"  # all values are used; the router is a voter again if it was one
     PARTIAL = "partial"  # values may be missing, so the router uses the others without a vote or the escrow
-    REJECTED = "rejected"  # nothing; the store must be reset above the generation that peers remember
+    # No values are used; the store must be reset above the generation that peers remember.
+    REJECTED = "rejected"
 
 
 def assess_content(loaded: LoadResult, peer_generations: Iterable[int]) -> ContentVerdict:
--- a/cedarthread/persistence/reopen_policy.py
+++ b/cedarthread/persistence/reopen_policy.py
@@ -52,11 +52,11 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed ^ RNG_SALT)
-        self.state = StoreState.REOPENING  # the first opening
+        self.state = StoreState.REOPENING  # state during the first opening
         self.fault: StoreFault | None = None
         self.faulted_since_ms = 0.0
         self.next_attempt_at_ms = 0.0
-        self.failed_attempts = 0  # consecutive
+        self.failed_attempts = 0  # number of consecutive failed attempts
 
     def take_due_attempt(self, now_ms: float) -> bool:
         """Return whether a reopening attempt is due now, and if so enter REOPENING."""
--- a/cedarthread/persistence/sqlite_store.py
+++ b/cedarthread/persistence/sqlite_store.py
@@ -46,7 +46,8 @@
         self._database_folder = DatabaseFolder(folder)
         self._database: SqliteDatabase | None = None
         self._database_path = folder
-        self._acknowledged: dict[str, bytes] | None = None  # None until a file has been read or created
+        # Acknowledged content; None until a file has been read or created.
+        self._acknowledged: dict[str, bytes] | None = None
         self._row_checksums: dict[str, bytes] = {}
 
     def open(self) -> LoadResult:
@@ -130,7 +131,7 @@
                 self._database_folder.sync()
             self._database_folder.delete_databases_except(number)
         except (apsw.Error, OSError):
-            self._acknowledged = acknowledged  # for the next attempt
+            self._acknowledged = acknowledged  # kept for the next attempt
             self.generation = generation
             raise
 
--- a/cedarthread/persistence/state_persister.py
+++ b/cedarthread/persistence/state_persister.py
@@ -56,7 +56,7 @@
     key: str
     value: bytes
     kind: WriteKind
-    revision: int = 0  # of the replicated store; for entries only
+    revision: int = 0  # revision of the replicated store; for entries only
 
 
 RESET_WRITE = PendingWrite("", b"", WriteKind.RESET)
@@ -84,7 +84,7 @@
         self.replicated_store = replicated_store
         self.recovery = recovery
         self.start_escrow = start_escrow
-        self.escrow: PersistedEscrow | None = None  # set by start_escrow
+        self.escrow: PersistedEscrow | None = None  # persisted escrow, set by start_escrow
         self.started_at_ms = now_ms
         self.has_started = False  # whether the use of the stored content has been decided
         self.is_degraded = False  # the disk has a fault, so that changes are not persisted
@@ -93,7 +93,8 @@
         self.queued_writes: list[PendingWrite] = []
         self.last_snapshot_at_ms = now_ms
         self.last_recorded_is_voter = False  # is_voter of the last incarnation record written
-        self.reset_above_generation: int | None = None  # set to request a reset; the host clears it
+        # Generation above which to reset; set to request a reset, and cleared by the host.
+        self.reset_above_generation: int | None = None
         self.log_messages: list[OutboundMessage] = []
         replicated_store.set_durable(is_durable=True)
 
--- a/cedarthread/persistence/write_queue.py
+++ b/cedarthread/persistence/write_queue.py
@@ -32,7 +32,8 @@
     def __init__(self) -> None:
         self.pending_bytes = 0
         self._values: dict[str, bytes | None] = {}
-        self._callbacks: list[tuple[str | None, WriteCallback]] = []  # each with its key; None for a reset
+        # Callbacks, each with its key; None for a reset.
+        self._callbacks: list[tuple[str | None, WriteCallback]] = []
         self._reset_above: int | None = None
 
     def __len__(self) -> int:
--- a/cedarthread/priority/body_history.py
+++ b/cedarthread/priority/body_history.py
@@ -19,7 +19,7 @@
 
     from cedarthread.components.replicated_state import Entry, EntryKind, ReplicatedEntry, ReplicatedState
 
-MAX_PENDING_BODIES = 8  # of one entry; above this count the stable body counts as unknown
+MAX_PENDING_BODIES = 8  # most pending bodies of one entry; above this count the stable body counts as unknown
 
 
 @dataclass(slots=True)
@@ -32,14 +32,15 @@
     entry: Entry
     value: BodyT
     received_at_ms: float
-    replicated_at_ms: float | None  # when a majority was first known to have the entry; None: not yet
+    # Time at which a majority was first known to have the entry; None: not yet.
+    replicated_at_ms: float | None
 
 
 @dataclass(slots=True)
 class BodyHistory(Generic[BodyT]):
     """The versions of one entry that may be in effect at some router, oldest first."""
 
-    stable_body: BodyT | None = None  # None: unknown at this router
+    stable_body: BodyT | None = None  # oldest body that may be in effect; None: unknown at this router
     pending: list[_PendingBody[BodyT]] = field(default_factory=list)
 
     def add(self, replicated: ReplicatedEntry, value: BodyT) -> None:
@@ -88,7 +89,7 @@
         self.entry_kind = entry_kind
         self.decode: Callable[[Entry], BodyT | MalformedDatagram] = decode
         self.histories: dict[str, BodyHistory[BodyT]] = {}
-        self.last_entries: dict[str, Entry] = {}  # by name, readable or not
+        self.last_entries: dict[str, Entry] = {}  # last entry by name, readable or not
         self.unreadable_count = 0
 
     def refresh(self, replicated_state: ReplicatedState) -> None:
--- a/cedarthread/priority/codec.py
+++ b/cedarthread/priority/codec.py
@@ -19,10 +19,11 @@
 _ENTRY_FORMAT = struct.Struct("<HBBB")
 ENTRY_BYTES = _ENTRY_FORMAT.size
 MAX_ENTRIES = (MAX_DATAGRAM_BYTES - 1) // ENTRY_BYTES
-PRESSURE_STEPS_PER_UNIT = 32.0  # so that a byte represents a pressure of up to 8
+PRESSURE_STEPS_PER_UNIT = 32.0  # steps per unit of pressure, so that a byte represents a pressure of up to 8
 AGE_STEP_MS = 50.0
-MAX_AGE_MS = 254 * AGE_STEP_MS  # an age of 255 steps means 255 steps or more
-CALL_RATE_LOG_BASE = 1.05  # so that a byte represents 1 to 240,000 calls per second
+MAX_AGE_MS = 254 * AGE_STEP_MS  # greatest age in a report: an age of 255 steps means 255 steps or more
+# Base of the logarithmic code, so that a byte represents 1 to 240,000 calls per second.
+CALL_RATE_LOG_BASE = 1.05
 MAX_BYTE = 255
 
 
@@ -33,7 +34,7 @@
     router_index: int
     pressure: float
     calls_per_second: float
-    age_ms: float  # since the measurement
+    age_ms: float  # time since the measurement
 
 
 def encode(reports: list[RouterPressure]) -> bytes:
--- a/cedarthread/priority/component.py
+++ b/cedarthread/priority/component.py
@@ -43,7 +43,7 @@
     from cedarthread.priority.preemption import PreemptionCandidate, PreemptionClaim
 
 SHEDDING_LEVEL = 1  # overload level from which load shedding is weighted by priority
-MIN_DIVISOR = 1e-9  # avoids a division by zero
+MIN_DIVISOR = 1e-9  # lower bound of a divisor, which avoids a division by zero
 SEED_SALT = 0x7469_6572  # makes these random draws independent of others from the router's seed
 
 
@@ -75,7 +75,7 @@
         self.preemption_budget = PreemptionBudget(escrow, random.Random(seed ^ SEED_SALT))
         self.preemptor = Preemptor(self.contracts, self.usage, self.preemption_budget)
 
-    # The component interface.
+    # Methods of the component interface.
 
     def on_message(self, now_ms: float, sender: int, data: bytes) -> Sequence[OutboundMessage]:
         """Store the reports of a load pressure datagram."""
@@ -128,7 +128,7 @@
             f"tiers_{event.value}": str(count) for event, count in self.preemptor.counters.items()
         }
 
-    # Calls by the router.
+    # Methods for the router.
 
     def on_arrival(
         self,
--- a/cedarthread/priority/contracts.py
+++ b/cedarthread/priority/contracts.py
@@ -30,10 +30,10 @@
 class EffectiveContract:
     """A tenant's contract as in effect at this router: the strictest of the versions in effect."""
 
-    tier_index: int  # the greatest of all versions; 0 is preempted last
-    rate_milli_per_second: int  # the least of all versions
-    floor_permille: int  # of the calls within quota; the greatest of all versions
-    tier_name: str  # of the newest version, for messages
+    tier_index: int  # greatest tier index of all versions; 0 is preempted last
+    rate_milli_per_second: int  # least rate of all versions
+    floor_permille: int  # protected share of the calls within quota; the greatest of all versions
+    tier_name: str  # name of the tier in the newest version, for messages
     is_converged: bool  # whether no other version may be in effect at a fresh router
 
 
--- a/cedarthread/priority/load_pressure.py
+++ b/cedarthread/priority/load_pressure.py
@@ -7,11 +7,11 @@
 
 from cedarthread.statistics import DecayingCounter
 
-PRESSURE_TIME_CONSTANT_MS = 2000.0  # over which arrivals and completions decay
+PRESSURE_TIME_CONSTANT_MS = 2000.0  # time constant over which arrivals and completions decay
 # Utilization from which a router counts as overloaded. The value is below 1 because calls of high weight are
 # rejected only at a longer wait.
 OVERLOAD_UTILIZATION = 0.5
-PRIOR_CALLS = 3.0  # added to numerator and denominator, because a ratio of few calls is unreliable
+PRIOR_CALLS = 3.0  # calls added to numerator and denominator, because a ratio of few calls is unreliable
 MS_PER_SECOND = 1000.0
 
 
--- a/cedarthread/priority/load_shedding.py
+++ b/cedarthread/priority/load_shedding.py
@@ -16,7 +16,7 @@
 from cedarthread.model.call_priority import OVER_QUOTA_OFFSET, CallPriority
 
 SAMPLE_CALLS = 400  # recent calls that represent the distribution of scores
-RESORT_INTERVAL_CALLS = 40  # calls between sorts of the sample
+RESORT_INTERVAL_CALLS = 40  # number of calls between sorts of the sample
 TIER_FACTOR = 0.8  # factor on a call's value for each tier below the first
 MAX_TIER_STEPS = 3  # tiers below the first after which the factor is constant
 OVER_QUOTA_FACTOR = 0.7  # factor on the value of a call over quota
--- a/cedarthread/priority/overload_level.py
+++ b/cedarthread/priority/overload_level.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from cedarthread.priority.contracts import OverloadParameters
 
-LEVEL_MULTIPLES = (1.0, 1.2, 1.4)  # of the onset: the load pressures at which levels 1 to 3 start
+LEVEL_MULTIPLES = (1.0, 1.2, 1.4)  # load pressures at which levels 1 to 3 start, as multiples of the onset
 
 
 class OverloadStateMachine:
@@ -30,7 +30,8 @@
 
     def __init__(self) -> None:
         self.level = 0
-        self.requested_since_ms: float | None = None  # start of the current ``requested_step``
+        # Time at which the current ``requested_step`` was first requested.
+        self.requested_since_ms: float | None = None
         self.requested_step = 0  # -1, 0 or 1: the change of level for which the dwell time runs
 
     def update(self, now_ms: float, pressure: float | None, parameters: OverloadParameters | None) -> int:
--- a/cedarthread/priority/preemption.py
+++ b/cedarthread/priority/preemption.py
@@ -19,7 +19,7 @@
 
     from cedarthread.model.call_priority import CallPriority
 
-CANCELLATION_DELAY_MS = 10.0  # until a cancellation frees the concurrency slot at the worker
+CANCELLATION_DELAY_MS = 10.0  # time until a cancellation frees the concurrency slot at the worker
 # A running call that has completed more than this share of its work is not preempted, because the call soon
 # frees its slot itself.
 MAX_COMPLETED_SHARE = 0.5
@@ -28,7 +28,7 @@
 class CallStage(IntEnum):
     """The progress of an open call."""
 
-    QUEUED = 0  # in the router
+    QUEUED = 0  # the call waits in the router
     UNWRITTEN = 1  # an attempt is in flight of which no byte has been written
     WRITTEN = 2  # a byte has been written, or may have been, so the worker may run the call
     STREAMING = 3  # the response has started
@@ -39,19 +39,23 @@
     """An open call that may be preempted."""
 
     request_id: int
-    retry_identity: int  # the same for a call and its client's retries of it
+    retry_identity: int  # identity that a call and its client's retries share
     priority: CallPriority
     stage: CallStage
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
     priority_weight: float
     arrived_at_ms: float
-    worker_id: int | None  # that runs the call, or for a queued call the next worker to run it; None: unknown
-    time_to_free_ms: float  # until the call frees its slot, or for a queued call until the call gets a slot
-    deduplication_remaining_ms: float = 0.0  # for which workers still reject a retry with the same key
-    consumed_work_ms: float = 0.0  # of the worker for the call
-    is_client_retry: bool = False  # if so, the first call may have been preempted, here or at another router
-    attempts_in_flight: int = 1  # with several hedged attempts, no single cancellation frees the call's slots
+    # Worker that runs the call, or for a queued call the next worker to run it; None: unknown.
+    worker_id: int | None
+    # Time until the call frees its slot, or for a queued call until the call gets a slot.
+    time_to_free_ms: float
+    deduplication_remaining_ms: float = 0.0  # time for which workers still reject a retry with the same key
+    consumed_work_ms: float = 0.0  # work of the worker for the call so far
+    # Whether the call is a retry; if so, the first call may have been preempted, here or at another router.
+    is_client_retry: bool = False
+    # Number of attempts in flight; with several hedged ones, no single cancellation frees the call's slots.
+    attempts_in_flight: int = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,10 +63,11 @@
     """A call that would miss its latency objective without preemption."""
 
     priority: CallPriority
-    service_time_ms: float  # from a free slot to the response
-    remaining_ms: float  # until the latency objective is missed
-    expected_wait_ms: float  # until the call gets a slot if no call is preempted
-    wait_by_worker_ms: Mapping[int, float]  # by eligible worker, the wait with one call less in flight
+    service_time_ms: float  # time from a free slot to the response
+    remaining_ms: float  # time until the latency objective is missed
+    expected_wait_ms: float  # time until the call gets a slot if no call is preempted
+    # Wait at each eligible worker, by id, with one call less in flight.
+    wait_by_worker_ms: Mapping[int, float]
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,9 +75,9 @@
     """The limits on which call may be preempted now."""
 
     allows_running: bool  # whether running calls may be preempted too
-    waste_budget_ms: float  # completed work that may be wasted
-    max_retry_after_ms: float  # the latest time at which a rejected client retries
-    is_allowed: Callable[[PreemptionCandidate], bool]  # checks the tenant's floor and earlier preemptions
+    waste_budget_ms: float  # completed work that preemptions may waste
+    max_retry_after_ms: float  # longest time until a rejected client retries
+    is_allowed: Callable[[PreemptionCandidate], bool]  # check of the tenant's floor and earlier preemptions
 
 
 def is_safe_to_reject(candidate: PreemptionCandidate, max_retry_after_ms: float) -> bool:
--- a/cedarthread/priority/preemption_budget.py
+++ b/cedarthread/priority/preemption_budget.py
@@ -16,7 +16,7 @@
     from cedarthread.priority.contracts import OverloadParameters
 
 PREEMPTION_POOL = "preempts"  # the escrow pool of the fleet's preemptions per second
-MAX_WASTED_SHARE = 0.02  # of the completed work that preemptions may waste
+MAX_WASTED_SHARE = 0.02  # share of the completed work that preemptions may waste
 BUDGET_WINDOW_MS = 10_000.0  # time constant of the wasted share and of the demand for preemptions
 MS_PER_SECOND = 1000.0
 
--- a/cedarthread/priority/preemptor.py
+++ b/cedarthread/priority/preemptor.py
@@ -26,7 +26,8 @@
 PREEMPT_QUEUED_LEVEL = 2  # overload level from which queued calls are preempted
 PREEMPT_RUNNING_LEVEL = 3  # overload level from which running calls are preempted too
 PREEMPTED_RETENTION_MS = 120_000.0  # how long a preempted call is remembered; its client retries sooner
-MAX_REMEMBERED_PREEMPTIONS = 8192  # at this count no call is preempted, so that none is preempted twice
+# Most preemptions that are remembered; at this count no call is preempted, so that none is preempted twice.
+MAX_REMEMBERED_PREEMPTIONS = 8192
 
 
 class PreemptionEvent(StrEnum):
@@ -52,7 +53,7 @@
         self.contracts = contracts
         self.usage = usage
         self.budget = budget
-        self.preempted_at_ms: dict[int, float] = {}  # by the call's retry identity
+        self.preempted_at_ms: dict[int, float] = {}  # time of the preemption by the call's retry identity
         self.counters = dict.fromkeys(PreemptionEvent, 0)
 
     def on_tick(self, now_ms: float, overload_level: int) -> None:
--- a/cedarthread/priority/pressure_gossip.py
+++ b/cedarthread/priority/pressure_gossip.py
@@ -16,13 +16,14 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MAX_REPORT_AGE_MS = 8000.0  # older reports are ignored
-MAX_FORWARDED_AGE_MS = MAX_REPORT_AGE_MS / 2  # older reports would expire before they reach all routers
+MAX_REPORT_AGE_MS = 8000.0  # age beyond which reports are ignored
+# Age beyond which reports are not forwarded; they would expire before they reach all routers.
+MAX_FORWARDED_AGE_MS = MAX_REPORT_AGE_MS / 2
 GOSSIP_INTERVAL_MS = 500.0
 GOSSIP_JITTER = (0.8, 1.2)  # range of the factor on the interval, so that routers do not send simultaneously
-GOSSIP_FANOUT = 2  # peers per interval
-MAX_REPORTS_PER_MESSAGE = 50  # 251 bytes of the 256 that a datagram may have
-ROUNDING_TOLERANCE = 1e-9  # relative, because the sum of weights depends on their order
+GOSSIP_FANOUT = 2  # number of peers to which reports are sent per interval
+MAX_REPORTS_PER_MESSAGE = 50  # most reports in a message: 251 bytes of the 256 that a datagram may have
+ROUNDING_TOLERANCE = 1e-9  # relative tolerance, because the sum of weights depends on their order
 SEED_SALT = 0x50_52_45_53  # makes these random draws independent of others from the router's seed
 
 
--- a/cedarthread/priority/usage.py
+++ b/cedarthread/priority/usage.py
@@ -20,12 +20,12 @@
     from cedarthread.components.quota_escrow import QuotaEscrow
     from cedarthread.priority.contracts import EffectiveContract
 
-BUCKET_DEPTH_MS = 1000.0  # time in which the rate fills a bucket
+BUCKET_DEPTH_MS = 1000.0  # depth of a bucket, as the time in which the rate fills it
 DEMAND_TIME_CONSTANT_MS = 3000.0
 DEMAND_HEADROOM = 1.25  # factor on the requested demand, so that growth needs no new grant
 REQUEST_STEPS = 20  # a lower demand is requested only if it is lower by more than 1/20
 FLOOR_WINDOW_MS = 10_000.0  # time constant over which a floor is measured
-IDLE_TENANT_TIMEOUT_MS = 600_000.0  # after which a tenant without calls is removed
+IDLE_TENANT_TIMEOUT_MS = 600_000.0  # time without calls after which a tenant is removed
 MS_PER_SECOND = 1000.0
 
 
@@ -73,7 +73,7 @@
     demand: DecayingCounter = field(default_factory=lambda: DecayingCounter(DEMAND_TIME_CONSTANT_MS))
     calls: DecayingCounter = field(default_factory=lambda: DecayingCounter(FLOOR_WINDOW_MS))
     calls_within_quota: DecayingCounter = field(default_factory=lambda: DecayingCounter(FLOOR_WINDOW_MS))
-    rejected_calls: DecayingCounter = field(  # rejected or preempted
+    rejected_calls: DecayingCounter = field(  # calls rejected or preempted
         default_factory=lambda: DecayingCounter(FLOOR_WINDOW_MS)
     )
     bucket: QuotaBucket = field(default_factory=QuotaBucket)
@@ -86,7 +86,7 @@
     def __init__(self, escrow: QuotaEscrow) -> None:
         self.escrow = escrow
         self.tenants: dict[str, _TenantCounters] = {}
-        self.pool_totals: dict[str, int] = {}  # milli-calls per second of the open pools, by tenant
+        self.pool_totals: dict[str, int] = {}  # total of each open pool in milli-calls per second, by tenant
 
     def record_call(
         self, now_ms: float, tenant_name: str, contract: EffectiveContract, *, is_client_retry: bool
