--- a/cedarthread/gossip/codec.py
+++ b/cedarthread/gossip/codec.py
@@ -26,7 +26,7 @@
 MESSAGE_TYPE = MessageType.GOSSIP
 FLAG_REQUEST_FULL_STATE = 1  # set by a router that has just started and has no reports from its peers
 AGE_UNIT_MS = 100.0
-AGE_UNKNOWN = 255  # the sender found no warm instance, or found one more than MAX_AGE_MS ago
+AGE_UNKNOWN = 255  # age sent if the sender found no warm instance, or found one more than MAX_AGE_MS ago
 MAX_AGE_MS = (AGE_UNKNOWN - 1) * AGE_UNIT_MS
 MAX_COUNT = 255  # largest encodable number of in-flight calls; larger numbers are clamped
 
@@ -42,7 +42,7 @@
 class InstanceUpdate:
     """The sender's view of one function at one worker."""
 
-    function_hash: int  # see ``fold_function_id``
+    function_hash: int  # function id folded by ``fold_function_id``
     in_flight: int  # calls of the function that the sender has in flight at the worker
     # Time since the sender last found a warm instance; None: unknown, or over ``MAX_AGE_MS``.
     warm_age_ms: float | None
--- a/cedarthread/gossip/local_load.py
+++ b/cedarthread/gossip/local_load.py
@@ -20,7 +20,7 @@
     """This router's view of one function at one worker."""
 
     in_flight: int = 0
-    warm_at_ms: float | None = None  # when this router last found a warm instance there
+    warm_at_ms: float | None = None  # time at which this router last found a warm instance there
 
 
 class LocalLoadTable:
@@ -33,7 +33,8 @@
     def __init__(self) -> None:
         self.in_flight_by_worker: dict[int, int] = {}
         self.instances: dict[InstanceKey, LocalInstance] = {}
-        self.workers_by_function: dict[int, set[int]] = {}  # workers with in-flight calls of this router
+        # Ids of workers with in-flight calls of this router, by function hash.
+        self.workers_by_function: dict[int, set[int]] = {}
         self.dirty: dict[int, dict[int, None]] = {}
 
     def record_start(self, worker_id: int, function_hash: int) -> None:
--- a/cedarthread/gossip/peer_views.py
+++ b/cedarthread/gossip/peer_views.py
@@ -17,7 +17,8 @@
     from cedarthread.gossip import codec
 
 REFRESH_INTERVAL_MS = 1000.0  # interval at which a router resends unchanged entries with in-flight calls
-IN_FLIGHT_EXPIRY_MS = 2.5 * REFRESH_INTERVAL_MS  # so that one lost refresh does not expire an entry
+# Age at which an in-flight entry expires, so that one lost refresh does not expire it.
+IN_FLIGHT_EXPIRY_MS = 2.5 * REFRESH_INTERVAL_MS
 MAX_IN_FLIGHT_PER_PEER = 64  # cap on one peer's reported calls at one worker, against false reports
 FULL_STATE_INTERVAL_MS = 1000.0  # shortest interval between two full states sent to one peer
 COVERAGE_CACHE_MS = 50.0  # lifetime of a computed peer coverage, because each call reads it several times
@@ -52,7 +53,7 @@
     """The reports of one peer in its current incarnation."""
 
     incarnation: int
-    received_at_ms: float  # of its last datagram
+    received_at_ms: float  # time at which its last datagram arrived
     workers: dict[int, WorkerReport] = field(default_factory=dict)
     # Reports by function hash and then by worker id.
     instances_by_function: dict[int, dict[int, InstanceReport]] = field(default_factory=dict)
--- a/cedarthread/membership/codec.py
+++ b/cedarthread/membership/codec.py
@@ -62,7 +62,7 @@
 
     kind: MessageKind
     incarnation: int
-    nonce: int = 0  # of a ping or a ping request; an acknowledgement repeats the nonce of its ping
+    nonce: int = 0  # nonce of a ping or a ping request; an acknowledgement repeats the nonce of its ping
     target_index: int = 0
     updates: tuple[MemberUpdate, ...] = ()
 
--- a/cedarthread/membership/dissemination.py
+++ b/cedarthread/membership/dissemination.py
@@ -14,8 +14,8 @@
 from cedarthread.membership import codec
 
 RETRANSMIT_MULTIPLIER = 3.0  # transmissions of an update, divided by the binary logarithm of the group size
-BUDGET_BYTES_PER_MS = 0.5  # refill rate of the budget for updates
-BURST_BYTES = 1000.0  # capacity of the budget
+BUDGET_BYTES_PER_MS = 0.5  # refill rate of the byte budget for updates
+BURST_BYTES = 1000.0  # capacity of the byte budget for updates
 MIN_BATCH_UPDATES = 8  # a separate message is sent only if the budget covers this many updates
 
 
--- a/cedarthread/membership/failure_detector.py
+++ b/cedarthread/membership/failure_detector.py
@@ -21,10 +21,11 @@
 
 PROBE_INTERVAL_MS = 500.0  # SWIM's protocol period; a member that sent a datagram within it is not probed
 PROBE_JITTER = (0.8, 1.2)  # range of the random factor on the interval, so that routers do not synchronize
-ACK_TIMEOUT_MS = 500.0  # for the acknowledgement of a direct ping, and again for a relayed one
-INDIRECT_PROBES = 3  # members that are requested to ping the unresponsive member
+ACK_TIMEOUT_MS = 500.0  # time limit for the acknowledgement of a direct ping, and again for a relayed one
+INDIRECT_PROBES = 3  # number of members that are requested to ping the unresponsive member
 PROBES_PER_DEAD_PROBE = 8  # one in eight probes is sent to a member with status dead
-STARTUP_GRACE_MS = 10_000.0  # from its start, a router does not suspect members that never sent a datagram
+# Time from its start for which a router does not suspect members that never sent a datagram.
+STARTUP_GRACE_MS = 10_000.0
 RELAY_EXPIRY_MS = 4 * ACK_TIMEOUT_MS  # an acknowledgement of a relayed ping is dropped after this time
 
 
@@ -73,7 +74,7 @@
         self._probe_order: list[int] = []
         self._probes_started = 0
         self._last_nonce = 0
-        self._relayed: dict[int, RelayedPing] = {}  # by the nonce of this router's ping
+        self._relayed: dict[int, RelayedPing] = {}  # relayed pings by the nonce of this router's ping
 
     def on_activity(self, member_index: int) -> None:
         """End the probe of a member that sent a datagram."""
--- a/cedarthread/membership/member_table.py
+++ b/cedarthread/membership/member_table.py
@@ -27,9 +27,9 @@
     incarnation: int = 0
     status: MemberStatus = MemberStatus.ALIVE
     status_since_ms: float = 0.0
-    incarnation_since_ms: float = 0.0  # when this router first received the incarnation
-    received_at_ms: float = -math.inf  # when the member itself last sent a datagram
-    corrected_at_ms: float = -math.inf  # when the member was last sent a correction (see ``swim``)
+    incarnation_since_ms: float = 0.0  # time at which this router first received the incarnation
+    received_at_ms: float = -math.inf  # time at which the member itself last sent a datagram
+    corrected_at_ms: float = -math.inf  # time at which the member was last sent a correction (see ``swim``)
 
 
 @dataclass(frozen=True, slots=True)
--- a/cedarthread/membership/swim.py
+++ b/cedarthread/membership/swim.py
@@ -29,7 +29,7 @@
 # Duration of a suspicion in probe intervals. It is multiplied by log10 of the group size, but at least by 1.
 SUSPICION_INTERVALS = 6.0
 PAUSE_THRESHOLD_MS = 2000.0  # a longer time between two ticks or messages counts as a pause of this router
-DISSEMINATION_FANOUT = 1  # separate messages with updates at each tick
+DISSEMINATION_FANOUT = 1  # number of separate messages with updates at each tick
 CORRECTION_INTERVAL_MS = 1000.0  # shortest interval between two corrections to one member
 _RNG_SALT = 0x5357_494D  # makes this component's random sequence differ from others with the same seed
 
--- a/cedarthread/protocols/discovery/client.py
+++ b/cedarthread/protocols/discovery/client.py
@@ -25,7 +25,7 @@
 
 SERVICE_NAME = "_back._tcp.pool.lan"
 CONNECT_RETRY_S = MAX_POLL_INTERVAL_S
-QUERY_ID_BYTES = 2  # the first field of a message
+QUERY_ID_BYTES = 2  # size of the query id, the first field of a message
 QUERY_ID_COUNT = 1 << 16
 
 
@@ -86,10 +86,10 @@
         self._observer = observer if observer is not None else NoPollObserver()
         self._schedule = schedule if schedule is not None else PollSchedule()
         self.acceptance = ListAcceptance()
-        self.last_usable_reply_at = 0.0  # loop time in s
+        self.last_usable_reply_at = 0.0  # loop time in s of the last usable reply
         self._random = random.SystemRandom()
         self.queries = queries if queries is not None else QueryTracker(self._random_fraction)
-        self._address: tuple[str, int] | None = None  # of the server to poll
+        self._address: tuple[str, int] | None = None  # address of the server to poll
         self._connect_task: asyncio.Task[None] | None = None
         self._last_payload = b""  # the last reply with the list in use, without its query id
         self._is_list_confirmed = False  # the latest received list is the one in use, without demotions
--- a/cedarthread/protocols/discovery/endpoint_list.py
+++ b/cedarthread/protocols/discovery/endpoint_list.py
@@ -21,7 +21,7 @@
 
 MAX_PORT = 65535
 MAX_PORT_DIGITS = 5
-MAX_ECHOED_CHARACTERS = 80  # of an invalid address, in the error message
+MAX_ECHOED_CHARACTERS = 80  # most characters of an invalid address in an error message
 _NUMBERED_NAME = re.compile(r"[a-z]+-([0-9a-f]{8})\Z")
 
 
@@ -64,7 +64,7 @@
     def __init__(self, settings: RouterSettings) -> None:
         self.settings = settings
         self.version = -1
-        self.records: dict[str, EndpointRecord] = {}  # by name
+        self.records: dict[str, EndpointRecord] = {}  # endpoints by worker name
         self._must_reapply = False  # a list of the same version must be applied again, as after a demotion
 
     def apply_update(
--- a/cedarthread/protocols/discovery/endpoint_records.py
+++ b/cedarthread/protocols/discovery/endpoint_records.py
@@ -13,7 +13,7 @@
     from cedarthread.protocols import dns
 
 SRV_WEIGHT_SCALE = 10  # an SRV weight is the endpoint's weight in tenths, as an integer
-READY_PRIORITY = 0  # of an SRV record; any other priority means draining
+READY_PRIORITY = 0  # priority of an SRV record of a ready worker; any other priority means draining
 
 
 @dataclass(frozen=True, slots=True)
--- a/cedarthread/protocols/discovery/list_acceptance.py
+++ b/cedarthread/protocols/discovery/list_acceptance.py
@@ -25,9 +25,9 @@
 class ListVerdict(Enum):
     """The verdict on the list of a reply."""
 
-    KNOWN = auto()  # equal to the list in use
-    NEW = auto()  # confirmed, so it becomes (or remains) the list in use
-    UNCONFIRMED = auto()  # not accepted yet: it may be new or old
+    KNOWN = auto()  # the list is equal to the list in use
+    NEW = auto()  # the list is confirmed, so it becomes (or remains) the list in use
+    UNCONFIRMED = auto()  # the list is not accepted yet: it may be new or old
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
     """The list in use, and the candidate that may replace it."""
 
     def __init__(self) -> None:
-        self.serial = -1  # of the list in use
+        self.serial = -1  # serial of the list in use
         self.must_confirm_again = False  # True after an unconfirmed list demoted workers of the list in use
         self._records: frozenset[EndpointRecord] | None = None  # None until a list is confirmed
         self._candidate: _Candidate | None = None
--- a/cedarthread/protocols/discovery/query_tracker.py
+++ b/cedarthread/protocols/discovery/query_tracker.py
@@ -16,18 +16,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MAX_POLL_INTERVAL_S = 0.2  # between regular polls
-DEFAULT_DRAIN_GRACE_S = 0.5  # if the settings specify none
+MAX_POLL_INTERVAL_S = 0.2  # longest time between regular polls
+DEFAULT_DRAIN_GRACE_S = 0.5  # drain grace period if the settings specify none
 # Fractions of the drain grace period: two regular polls and their retries fit into it.
 POLL_GRACE_FRACTION = 0.4
-RETRY_GRACE_FRACTION = 0.06  # between retries, so that more than a dozen fit into the grace period
-MIN_RETRY_INTERVAL_S = 0.01  # applies however short the grace period is
+RETRY_GRACE_FRACTION = 0.06  # interval between retries, so that more than a dozen fit into the grace period
+MIN_RETRY_INTERVAL_S = 0.01  # lower bound of the retry interval, however short the grace period is
 RETRY_JITTER = 0.2  # random fraction of a retry interval, so that routers do not retry in lockstep
 # Usable replies after a failed query until the regular interval applies again. A single one may be outdated.
 CONFIRMING_REPLIES = 2
-MAX_OUTSTANDING_QUERIES = 64  # latest queries whose replies are still accepted: 12 s at the regular interval
+# Number of latest queries whose replies are still accepted: 12 s at the regular interval.
+MAX_OUTSTANDING_QUERIES = 64
 
-# RFC 6298, section 2.
+# Constants of RFC 6298, section 2.
 RTT_GAIN = 1 / 8
 RTT_DEVIATION_GAIN = 1 / 4
 RTT_DEVIATIONS = 4.0
@@ -74,7 +75,7 @@
         self, random_fraction: Callable[[], float], drain_grace_s: float = DEFAULT_DRAIN_GRACE_S
     ) -> None:
         self._random_fraction = random_fraction
-        self.fresh_as_of_s = -math.inf  # the list in use was up to date at this time
+        self.fresh_as_of_s = -math.inf  # time at which the list in use was up to date
         self.last_sent_at_s = -math.inf
         self._queries: deque[_Query] = deque(maxlen=MAX_OUTSTANDING_QUERIES)
         self._round_trip_time = RoundTripTime()
--- a/cedarthread/protocols/discovery/start_times.py
+++ b/cedarthread/protocols/discovery/start_times.py
@@ -14,12 +14,12 @@
 if TYPE_CHECKING:
     from cedarthread.protocols.discovery.endpoint_list import EndpointRecord
 
-# From the start of a worker until discovery lists it: a few seconds at the operators' sites, including late
-# lists.
+# Longest time from the start of a worker until discovery lists it: a few seconds at the operators' sites,
+# including late lists.
 MAX_LISTING_DELAY_MS = 8_000.0
 # Maximum difference between synchronized clocks; a start may appear to be this far in the future.
 MAX_CLOCK_DIFFERENCE_MS = 1_000.0
-USUAL_LISTING_DELAY_MS = 1_500.0  # assumed if only the time of the listing is known
+USUAL_LISTING_DELAY_MS = 1_500.0  # listing delay that is assumed if only the time of the listing is known
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         self._known: dict[str, _KnownStart] = {}
-        self._offset_ms = 0.0  # from the reported times to this router's clock
+        self._offset_ms = 0.0  # offset from the reported times to this router's clock
 
     def correct_list(
         self, records: list[EndpointRecord], now_ms: float, fresh_as_of_ms: float | None
--- a/cedarthread/protocols/dns.py
+++ b/cedarthread/protocols/dns.py
@@ -13,16 +13,16 @@
 TYPE_TXT = 16
 TYPE_SRV = 33
 CLASS_IN = 1
-IPV4_BYTES = 4  # the data of an A record
-MAX_NAME_BYTES = 255  # RFC 1035, section 2.3.4
-MAX_LABEL_BYTES = 63  # RFC 1035, section 2.3.4
-MAX_POINTERS = 16  # in one name; long chains in many records took seconds to parse
+IPV4_BYTES = 4  # size of the data of an A record
+MAX_NAME_BYTES = 255  # longest name, from RFC 1035, section 2.3.4
+MAX_LABEL_BYTES = 63  # longest label, from RFC 1035, section 2.3.4
+MAX_POINTERS = 16  # most pointers in one name; long chains in many records took seconds to parse
 _POINTER = 0xC0  # if the two high bits of a length byte are set, the name continues at another offset
 _POINTER_HIGH_BITS = 0x3F
 _HEADER = struct.Struct(">6H")
 _RECORD_HEADER = struct.Struct(">HHIH")
 _SRV_DATA = struct.Struct(">3H")
-_QUESTION_TAIL_BYTES = 4  # type and class, after the name
+_QUESTION_TAIL_BYTES = 4  # size of the type and class after the name of a question
 _FLAG_RECURSION_DESIRED = 0x0100
 _FLAG_TRUNCATED = 0x0200
 _FLAG_RESPONSE = 0x8000
@@ -44,9 +44,9 @@
     """The records of a reply; names are in lower case."""
 
     query_id: int
-    serial: int | None = None  # of the zone, from its SOA record
+    serial: int | None = None  # serial of the zone, from its SOA record
     srv_records: list[SrvRecord] = field(default_factory=list)
-    addresses: dict[str, str] = field(default_factory=dict)  # by host name, from A records
+    addresses: dict[str, str] = field(default_factory=dict)  # addresses by host name, from A records
     texts: dict[str, dict[str, str]] = field(
         default_factory=dict
     )  # key=value strings by name, from TXT records
@@ -57,7 +57,7 @@
     """An unusable reply and the reason why it is unusable."""
 
     reason: str
-    partial: Reply | None = None  # the records before the error
+    partial: Reply | None = None  # records before the error
     is_answer_complete: bool = False  # whether `partial` has the complete answer section
 
 
--- a/cedarthread/protocols/http.py
+++ b/cedarthread/protocols/http.py
@@ -8,8 +8,8 @@
 from http import HTTPStatus
 
 MAX_HEAD_BYTES = 8 * 1024
-REQUEST_LINE_PARTS = 3  # method, target, version
-MAX_LENGTH_DIGITS = 12  # of Content-Length; a number with more digits exceeds any limit
+REQUEST_LINE_PARTS = 3  # number of parts of a request line: method, target, version
+MAX_LENGTH_DIGITS = 12  # most digits of Content-Length; a number with more digits exceeds any limit
 _HEAD_END = b"\r\n\r\n"
 _TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
 _TARGET = re.compile(rb"[\x21-\x7e]+\Z")
@@ -44,9 +44,9 @@
 
     method: str
     target: str
-    headers: dict[str, str]  # names in lower case; repeated values are joined by commas
-    content_length: int  # bytes of the body
-    head_bytes: int  # of the head itself
+    headers: dict[str, str]  # values by name in lower case; repeated values are joined by commas
+    content_length: int  # length of the body in bytes
+    head_bytes: int  # length of the head in bytes
     keep_alive: bool
 
     def preferences(self) -> dict[str, str]:
--- a/cedarthread/protocols/invoke/connection.py
+++ b/cedarthread/protocols/invoke/connection.py
@@ -22,7 +22,7 @@
 log = logging.getLogger(__name__)
 
 IDLE_TIMEOUT_S = 30.0  # a connection without a request for this time is closed
-REQUEST_TIMEOUT_S = 10.0  # from the first to the last byte of a request
+REQUEST_TIMEOUT_S = 10.0  # time limit from the first to the last byte of a request
 
 
 def _is_disconnected(transport: asyncio.Transport) -> bool:
--- a/cedarthread/protocols/invoke/server.py
+++ b/cedarthread/protocols/invoke/server.py
@@ -53,8 +53,10 @@
         self.is_ready = True
         # The descriptor budget may allow fewer connections than the configuration.
         self.max_connections = max_connections if max_connections is not None else config.max_connections
-        self._release_descriptor = release_descriptor  # frees one if none is left; False if it cannot
-        self.connections: dict[InvokeConnection, None] = {}  # in order of use, least recent first
+        # Callback that frees a descriptor if none is left; returns False if it cannot.
+        self._release_descriptor = release_descriptor
+        # Open connections in order of use, least recent first.
+        self.connections: dict[InvokeConnection, None] = {}
         self._acceptor: Acceptor[InvokeConnection] | None = None
         self._file_times = config.file_times()
 
--- a/cedarthread/protocols/invoke/spiffe.py
+++ b/cedarthread/protocols/invoke/spiffe.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-MAX_ID_LENGTH = 2048  # SPIFFE-ID, section 2.3
+MAX_ID_LENGTH = 2048  # longest id, from SPIFFE-ID, section 2.3
 _DOMAIN = re.compile(r"[a-z0-9._-]{1,255}\Z")
 _SEGMENT = re.compile(r"[A-Za-z0-9._-]+\Z")
 _UNREADABLE_ERRORS = (x509.DuplicateExtension, x509.UnsupportedGeneralNameType, x509.InvalidVersion)
--- a/cedarthread/protocols/msgpack.py
+++ b/cedarthread/protocols/msgpack.py
@@ -9,9 +9,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-MAX_DEPTH = 4  # message, parameters, fields, a field
-MAX_ITEMS = 32  # of one array or map
-MAX_CONTENT_BYTES = 64 * 1024  # of one string or binary value; a longer one is rejected without reading it
+MAX_DEPTH = 4  # nesting levels: message, parameters, fields, a field
+MAX_ITEMS = 32  # most items of one array or map
+# Most bytes of one string or binary value; a longer one is rejected without reading it.
+MAX_CONTENT_BYTES = 64 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +33,7 @@
 class ParsedValue:
     """A complete value and the offset of its end. Binary values are slices of the input."""
 
-    value: Any  # of any type that MessagePack has
+    value: Any  # value of any type that MessagePack has
     end: int
 
 
@@ -59,7 +60,8 @@
 _FIXARRAY = 0x90
 _FIXSTR = 0xA0
 _SMALL_VALUES_END = 0xC0
-MAX_FIXSTR_BYTES = 31  # a longer string has a separate length byte
+# Longest string whose length is in the first byte; a longer string has a separate length byte.
+MAX_FIXSTR_BYTES = 31
 _NEGATIVE_FIXINT = 0xE0
 _BIN8 = 0xC4
 _BIN16 = 0xC5
--- a/cedarthread/protocols/platform/calls.py
+++ b/cedarthread/protocols/platform/calls.py
@@ -17,8 +17,8 @@
 if TYPE_CHECKING:
     from cedarthread.protocols.platform.owners import CallConnection
 
-CALL_PARAMETERS = 2  # fields and body
-MAX_OPEN_CALLS = 32  # per connection; further calls are rejected
+CALL_PARAMETERS = 2  # number of parameters of a call: fields and body
+MAX_OPEN_CALLS = 32  # most open calls per connection; further calls are rejected
 
 
 def _is_message_id(value: int) -> bool:
@@ -33,7 +33,7 @@
         # buffer until the garbage collector runs: 26 MB were measured on a long day with little traffic.
         self.connection: CallConnection = weakref.proxy(connection)
         self.server = connection.server
-        self.open: dict[int, Call] = {}  # by message id
+        self.open: dict[int, Call] = {}  # open calls by message id
 
     def handle_message(self, message: object) -> bool:
         """Process one message; return False if it is invalid and has no message id for a response."""
--- a/cedarthread/protocols/platform/codec.py
+++ b/cedarthread/protocols/platform/codec.py
@@ -16,12 +16,12 @@
 from cedarthread.protocols import msgpack
 
 MAX_BODY_BYTES = 16 * 1024
-MAX_LIMIT_DIGITS = 9  # of a time limit in ms; allows up to 11 days
+MAX_LIMIT_DIGITS = 9  # most digits of a time limit in ms; allows up to 11 days
 _HEX_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
-_RESPONSE_START = b"\x94\x01"  # an array of four items: 1, id, error, result
-_RESULT_START = b"\xc0\x92"  # no error (nil); the result is an array of two
-_ERROR_START = b"\x92"  # the error is an array of two
-_NO_RESULT = b"\xc0"  # nil
+_RESPONSE_START = b"\x94\x01"  # start of a response: an array of four items: 1, id, error, result
+_RESULT_START = b"\xc0\x92"  # start of a result: no error (nil), then the result as an array of two
+_ERROR_START = b"\x92"  # start of an error, which is an array of two
+_NO_RESULT = b"\xc0"  # nil in place of a result
 _EMPTY_MAP = b"\x80"
 _TRUE = b"\xc3"
 _FALSE = b"\xc2"
--- a/cedarthread/protocols/platform/server.py
+++ b/cedarthread/protocols/platform/server.py
@@ -17,9 +17,9 @@
 log = logging.getLogger(__name__)
 
 LISTEN_BACKLOG = 512
-# Applies to the first complete message of a connection, and to each message from its first to its last byte.
+# Time limit for a connection's first complete message, and for each message from first to last byte.
 MESSAGE_TIMEOUT_S = 2.0
-# After this time without input and without an open call, the client counts as disconnected.
+# Time without input and without an open call after which the client counts as disconnected.
 IDLE_CLIENT_TIMEOUT_S = 120.0
 DEFAULT_MAX_QUEUED_BYTES = 32 * 2**20  # the service passes a value derived from the memory limit
 
@@ -50,7 +50,7 @@
         self.max_queued_bytes = max_queued_bytes
         self.flusher = flusher
         self.max_connections = max_connections
-        self.is_ready = True  # reported to health checks
+        self.is_ready = True  # readiness that health checks report
         self.is_draining = False  # connections close once they are idle
         self.queued_bytes = 0
         # Both in order of use, least recent first. A connection is unvalidated until its first valid message.
--- a/cedarthread/protocols/worker/codec.py
+++ b/cedarthread/protocols/worker/codec.py
@@ -14,8 +14,9 @@
 from cedarthread.dispatch.calls import AttemptResult, Call
 from cedarthread.model.outcomes import Outcome, StartKind
 
-MAX_LINE_BYTES = 384 * 1024  # of a response: a 256 KiB body is 349,528 bytes in base64, plus the fields
-MAX_REPORTED_CONCURRENCY = 30  # concurrent calls of one function; larger counts in a response are capped
+# Longest line of a response: a 256 KiB body is 349,528 bytes in base64, plus the fields.
+MAX_LINE_BYTES = 384 * 1024
+MAX_REPORTED_CONCURRENCY = 30  # most concurrent calls of one function; larger counts in a response are capped
 _OUTCOME_BY_OP = {
     "HIT": Outcome.OK,
     "NONE": Outcome.NOT_LOADED,
@@ -35,7 +36,7 @@
     """A worker's response to a preload request."""
 
     outcome: Outcome
-    instances: int  # loaded instances of the function
+    instances: int  # number of loaded instances of the function
 
 
 def encode_call(call: Call, class_name_json: str, timeout_ms: float) -> bytes:
--- a/cedarthread/protocols/worker/connection.py
+++ b/cedarthread/protocols/worker/connection.py
@@ -23,7 +23,8 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ABANDONED_IDS = 512  # per connection; with more, no request is accepted and the next sweep closes it
+# Most abandoned ids per connection; with more, no request is accepted and the next sweep closes it.
+MAX_ABANDONED_IDS = 512
 
 
 class WorkerConnection(BufferedConnection):
@@ -41,10 +42,11 @@
         self.line_queue = LineQueue(
             self.dispatcher.count_attempt_written, self.worker_connections.on_first_byte
         )
-        self.in_flight: dict[str, WorkerRequest] = {}  # by message id
-        self.abandoned_ids: set[str] = set()  # never used again: a late response must not end another request
-        self.is_retired = False  # it accepts no more requests
-        self.connect_timeout: asyncio.Timeout | None = None  # disabled once connected
+        self.in_flight: dict[str, WorkerRequest] = {}  # requests in flight by message id
+        # Message ids never used again: a late response must not end another request.
+        self.abandoned_ids: set[str] = set()
+        self.is_retired = False  # the connection accepts no more requests
+        self.connect_timeout: asyncio.Timeout | None = None  # timeout of the connect, disabled once connected
         self.is_unreachable = False  # the connect failed because of the worker or the network
         self.is_local_failure = False  # the connect failed because this host lacks a descriptor or port
         self.last_used_at = self._loop.time()
--- a/cedarthread/protocols/worker/connections.py
+++ b/cedarthread/protocols/worker/connections.py
@@ -41,8 +41,10 @@
 
 # Time from writing CANCEL until the attempt counts as cancelled; by then the worker has received the line.
 CANCEL_SETTLE_S = 0.010
-UNRESPONSIVE_AFTER_S = 1.0  # after this time without input, cancelling an attempt also retires its connection
-IDLE_CLOSE_FRACTION = 0.8  # of the worker's idle timeout; the router closes before the worker does
+UNRESPONSIVE_AFTER_S = 1.0  # time without input after which cancelling an attempt also retires its connection
+# Idle time after which the router closes, as a fraction of the worker's idle timeout; the router closes
+# before the worker does.
+IDLE_CLOSE_FRACTION = 0.8
 
 
 class IdleClients(Protocol):
@@ -70,11 +72,13 @@
         self.dispatcher = dispatcher
         self.max_connections = max_connections
         self._clients = clients
-        self.pools: dict[int, WorkerConnectionPool] = {}  # by worker id
-        self.class_names_json: list[str] = []  # by class index
+        self.pools: dict[int, WorkerConnectionPool] = {}  # connection pools by worker id
+        self.class_names_json: list[str] = []  # class names in JSON, by class index
         send_gate.add_waiter(self.flush_held)
-        self.may_send: Callable[[], bool] = send_gate.is_open  # if False, output waits until ``flush_held``
-        self._held: list[BufferedConnection] = []  # their output is suspended until ``flush_held``
+        # Callback that returns whether output may be sent; if not, it waits until ``flush_held``.
+        self.may_send: Callable[[], bool] = send_gate.is_open
+        # Connections whose output is suspended until ``flush_held``.
+        self._held: list[BufferedConnection] = []
         self.preloads = PreloadRequests(dispatcher)
         self.update_settings(settings)
         self._connection_by_attempt: dict[Attempt, WorkerConnection] = {}
--- a/cedarthread/protocols/worker/line_queue.py
+++ b/cedarthread/protocols/worker/line_queue.py
@@ -32,8 +32,8 @@
     ) -> None:
         self._on_written = on_written
         self._on_first_byte = on_first_byte
-        self.queued: list[OutboundLine] = []  # not passed to the transport yet
-        self.buffered: list[OutboundLine] = []  # in the transport's buffer, at least in part
+        self.queued: list[OutboundLine] = []  # lines that have not been passed to the transport yet
+        self.buffered: list[OutboundLine] = []  # lines that are in the transport's buffer, at least in part
 
     def __bool__(self) -> bool:
         return bool(self.queued or self.buffered)
--- a/cedarthread/simulator/decoder.py
+++ b/cedarthread/simulator/decoder.py
@@ -151,7 +151,7 @@
 
     def __init__(self) -> None:
         self.endpoint_tables: dict[int, tuple[Endpoint, ...]] = {}
-        self.has_tenants: dict[int, bool] = {}  # by instance id
+        self.has_tenants: dict[int, bool] = {}  # whether each instance has tenants, by instance id
         self._decoders: dict[int, Callable[[_FrameReader, int], HostEvent]] = {
             RecordCode.INSTANCE_STARTED: self._instance_started,
             RecordCode.ENDPOINT_UPDATE: self._endpoint_update,
--- a/cedarthread/simulator/host.py
+++ b/cedarthread/simulator/host.py
@@ -52,7 +52,7 @@
 
     def __init__(self) -> None:
         self.decoder = Decoder()
-        self.nodes: dict[int, RoutingNode] = {}  # by instance id
+        self.nodes: dict[int, RoutingNode] = {}  # nodes by instance id
 
     def handle_frame(self, frame: bytes) -> bytes:
         """Pass the events of a frame to their instances, and return the reply frame with the actions.
--- a/cedarthread/transport/acceptor.py
+++ b/cedarthread/transport/acceptor.py
@@ -23,8 +23,8 @@
 log = logging.getLogger(__name__)
 
 ACCEPT_PAUSE_S = 0.05  # pause in accepting when no descriptor is free
-LISTEN_RETRY_S = 0.05  # between attempts to listen while the host is short of descriptors
-LISTEN_RETRY_LIMIT_S = 5.0  # then listening fails; a router must be ready within 30 s
+LISTEN_RETRY_S = 0.05  # time between attempts to listen while the host is short of descriptors
+LISTEN_RETRY_LIMIT_S = 5.0  # time after which listening fails; a router must be ready within 30 s
 MAX_DRAIN_PASSES = 256  # most iterations in which the backlog is accepted before the socket is closed
 TLS_HANDSHAKE_TIMEOUT_S = 5.0
 TLS_SHUTDOWN_TIMEOUT_S = 1.0
@@ -32,7 +32,7 @@
     "ssl_handshake_timeout": TLS_HANDSHAKE_TIMEOUT_S,
     "ssl_shutdown_timeout": TLS_SHUTDOWN_TIMEOUT_S,
 }
-_NO_TIMEOUTS: dict[str, float] = {}  # asyncio rejects TLS timeouts without TLS
+_NO_TIMEOUTS: dict[str, float] = {}  # no timeouts, because asyncio rejects TLS timeouts without TLS
 
 ProtocolT = TypeVar("ProtocolT", bound=asyncio.BaseProtocol)
 
--- a/cedarthread/transport/descriptor_budget.py
+++ b/cedarthread/transport/descriptor_budget.py
@@ -12,18 +12,19 @@
 from dataclasses import dataclass
 
 CLIENT_FRACTION = 0.5  # fraction of all descriptors for client connections
-INVOKE_FRACTION = 0.5  # maximum for invoke API callers, of the descriptors that they share with workers
+# Maximum fraction for invoke API callers, of the descriptors that they share with workers.
+INVOKE_FRACTION = 0.5
 MAX_OPERATOR_CONNECTIONS = 16
 CLIENT_ACCEPTS_PER_PASS = 16  # client connections accepted per iteration of the event loop
-SMALL_ACCEPTS_PER_PASS = 4  # connections of operators, and of invoke callers, per iteration
+SMALL_ACCEPTS_PER_PASS = 4  # connections of operators, and of invoke callers, accepted per iteration
 # Under a small limit, operator connections and accepts per iteration are each capped at one for every
 # ``DESCRIPTORS_PER_CAPPED_CONNECTION`` descriptors, but not below ``MIN_CONNECTION_CAP``.
 DESCRIPTORS_PER_CAPPED_CONNECTION = 32
 MIN_CONNECTION_CAP = 2
-LISTENING_SOCKETS = 3  # for clients, operators and invoke API callers
+LISTENING_SOCKETS = 3  # sockets that listen for clients, operators and invoke API callers
 DISCOVERY_SOCKETS = 2  # the current socket, and a second one while the address changes
 PEER_SOCKETS = 1
-OPEN_FILES = 4  # configuration, certificates or store, during a reload
+OPEN_FILES = 4  # files of the configuration, certificates or store that are open during a reload
 # Used if counting fails: standard input, output and error, the event loop's epoll and its socket pair.
 ASSUMED_OPEN_DESCRIPTORS = 6
 UNLIMITED = 2**31
@@ -40,12 +41,13 @@
     """
 
     limit: int
-    reserved: int  # open at the start, or for purposes that must always be available
+    reserved: int  # descriptors open at the start, or for purposes that must always be available
     client_connections: int
     invoke_connections: int
     worker_connections: int
     operator_connections: int  # part of ``reserved``
-    accepts_per_pass: int  # of client connections; evicted connections close one iteration later
+    # Client connections accepted per iteration; evicted connections close one iteration later.
+    accepts_per_pass: int
 
 
 def soft_limit() -> int:
