--- a/cedarthread/change_freeze/component.py
+++ b/cedarthread/change_freeze/component.py
@@ -41,7 +41,7 @@
     from cedarthread.fleet_config import SharingConfig
     from cedarthread.model.settings import RouterSettings
 
-WINDOW_LEAD_MS = 500.0  # lead of windows before their start: twice the longest interval between ticks
+WINDOW_LEAD_MS = 500.0  # how early windows start; twice the longest interval between ticks
 PLACEMENT_EXPIRY_INTERVAL_MS = 5000.0  # time between removals of expired placements
 # States in which a window's exception pool is open.
 BUDGETED_STATES = (WindowState.PENDING, WindowState.IN_FORCE)
--- a/cedarthread/change_freeze/placement_table.py
+++ b/cedarthread/change_freeze/placement_table.py
@@ -13,8 +13,8 @@
 # How long a function counts as placed on a worker after an instance was last known there. Placements expire
 # only while no window is in force.
 PLACEMENT_MEMORY_MS = 1_800_000.0
-MAX_PLACEMENTS = 20_000  # most pairs of function and worker that are kept
-# Most workers that are kept, with their placements, after they left the endpoint list.
+MAX_PLACEMENTS = 20_000  # maximum number of pairs of function and worker that are kept
+# Maximum number of workers that are kept, with their placements, after they left the endpoint list.
 MAX_REMOVED_WORKERS = 4096
 
 
--- a/cedarthread/change_freeze/window.py
+++ b/cedarthread/change_freeze/window.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from cedarthread.components.replicated_state import ReplicatedEntry
 
-# Most versions in effect together for one window; the two oldest are merged if there are more.
+# Maximum number of versions in effect together for one window; the two oldest are merged if there are more.
 MAX_VERSIONS = 8
 
 
--- a/cedarthread/change_freeze/window_entries.py
+++ b/cedarthread/change_freeze/window_entries.py
@@ -22,10 +22,10 @@
     from cedarthread import fleet_config
 
 MAX_WINDOW_MS = MAX_WINDOW_SECONDS * 1000.0
-MAX_NAMES = 256  # most zones, functions or tenants in one body
+MAX_NAMES = 256  # maximum number of zones, functions or tenants in one body
 MAX_TEXT_BYTES = 512  # longest reason or author
 MAX_NAME_BYTES = 64
-MAX_EXCEPTION_BUDGET = 10_000  # most placement changes by exception per window
+MAX_EXCEPTION_BUDGET = 10_000  # maximum number of placement changes by exception per window
 MAX_UNIX_MS = 2**53  # greatest Unix time; a float represents no greater whole number exactly
 ALL_CHANGE_KINDS = tuple(PlacementChangeKind)  # all kinds in the canonical order of a body
 
--- a/cedarthread/change_freeze/window_registry.py
+++ b/cedarthread/change_freeze/window_registry.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MAX_UNREADABLE_ENTRIES = 256  # most unreadable entries that are retained so that each is logged once
+MAX_UNREADABLE_ENTRIES = 256  # maximum unreadable entries that are retained so that each is logged once
 WINDOW_ENTRY_KINDS = (EntryKind.FREEZE, EntryKind.REVOKE, EntryKind.BREAK_GLASS)
 
 
--- a/cedarthread/config_section.py
+++ b/cedarthread/config_section.py
@@ -23,7 +23,7 @@
 EnumT = TypeVar("EnumT", bound=Enum)
 ParsedT = TypeVar("ParsedT")
 
-MAX_QUOTED_CHARACTERS = 80  # most characters of a value that an error message quotes
+MAX_QUOTED_CHARACTERS = 80  # maximum number of characters of a value that an error message quotes
 
 # The exceptions that the conversions raise for a value of the wrong type or out of range.
 _CONVERSION_ERRORS = (TypeError, ValueError, ArithmeticError)
--- a/cedarthread/dispatch/dispatcher.py
+++ b/cedarthread/dispatch/dispatcher.py
@@ -71,7 +71,7 @@
         self.node = RoutingNode(settings, seed, incarnation)
         self.router = self.node.router
         self.flush_output = flush_output
-        self.shutdown_deadline_ms: float | None = None  # deadline of all calls; None: no shutdown has started
+        self.shutdown_deadline_ms: float | None = None  # cap on all deadlines; None: no shutdown has started
         self.current_class_index = {
             request_class.name: index for index, request_class in enumerate(settings.classes)
         }
--- a/cedarthread/escrow/request_rounds.py
+++ b/cedarthread/escrow/request_rounds.py
@@ -25,7 +25,7 @@
 RATE_BACKOFF_MAX_MS = 2000.0
 COUNT_BACKOFF_MAX_MS = 4000.0
 MAX_FAILED_ROUNDS = 16  # upper limit of the count of failed rounds
-MAX_FAILED_ROUNDS_AFTER_SHORTENING = 3  # the same limit once growing demand has shortened a backoff
+MAX_FAILED_ROUNDS_AFTER_SHORTENING = 3  # limit of failed rounds once growing demand has shortened a backoff
 # Minimum time between two shortened backoffs, because fluctuating demand must not defeat the backoff.
 MIN_BACKOFF_SHORTENING_INTERVAL_MS = 5000.0
 MAX_HINTS_FOLLOWED = 2  # consecutive rounds that may start without backoff because of a hint
--- a/cedarthread/gossip/load_gossip.py
+++ b/cedarthread/gossip/load_gossip.py
@@ -27,9 +27,9 @@
 
     from cedarthread.model.settings import RouterSettings
 
-MIN_SEND_INTERVAL_MS = 25.0  # between two batches of datagrams, so that several changes share one datagram
+MIN_SEND_INTERVAL_MS = 25.0  # minimum time between two batches, so that several changes share one datagram
 MAX_FANOUT = 4  # most peers to which each datagram is sent; with more peers, one at random receives it
-MAX_FULL_STATE_DATAGRAMS = 6  # most datagrams in response to one request for the full state
+MAX_FULL_STATE_DATAGRAMS = 6  # maximum number of datagrams in response to one request for the full state
 _RNG_SALT = 0x7461_6C6B  # makes this component's random sequence differ from others with the same seed
 _NO_LOAD = InstanceLoad(0, None)
 
--- a/cedarthread/node/routing_node.py
+++ b/cedarthread/node/routing_node.py
@@ -31,7 +31,7 @@
 COMPONENT_TIMER_TOKEN = 2**32 - 1  # token of the components' timer; tokens of the router are below 2^31
 TICK_PERIOD_MS = 250.0  # time between ticks of the components
 TICK_STALLED_MS = 500.0  # time without a tick after which the next event is preceded by a tick
-MAX_LOGGED_MEMBERS = 8  # most membership changes in one log line
+MAX_LOGGED_MEMBERS = 8  # maximum number of membership changes in one log line
 
 
 class RoutingNode:
--- a/cedarthread/priority/body_history.py
+++ b/cedarthread/priority/body_history.py
@@ -19,7 +19,7 @@
 
     from cedarthread.components.replicated_state import Entry, EntryKind, ReplicatedEntry, ReplicatedState
 
-MAX_PENDING_BODIES = 8  # most pending bodies of one entry; above this count the stable body counts as unknown
+MAX_PENDING_BODIES = 8  # maximum per entry; above this count the stable body counts as unknown
 
 
 @dataclass(slots=True)
--- a/cedarthread/priority/contract_entries.py
+++ b/cedarthread/priority/contract_entries.py
@@ -21,8 +21,8 @@
 TIER_ORDER_NAME = "order"  # the name of the only entry of EntryKind.TIERS
 FIXED_POINT_SCALE = 1000  # integer units that represent one call per second, the whole capacity or one second
 MAX_RATE_MILLI_PER_SECOND = 10**9  # a million calls per second, more than any fleet serves
-MAX_NAME_BYTES = 64  # the same limit as in ``fleet_config``
-MAX_ERROR_CHARACTERS = 80  # most characters of a decoder's message, which may quote hostile input
+MAX_NAME_BYTES = 64  # limit for names, the same as in ``fleet_config``
+MAX_ERROR_CHARACTERS = 80  # maximum characters of a decoder's message, which may quote hostile input
 
 # The ranges of a tier order's values in fixed point; ``fleet_config`` checks the fleet file against them.
 ONSET_PERMILLE_RANGE = (500, 10_000)
--- a/cedarthread/priority/preemptor.py
+++ b/cedarthread/priority/preemptor.py
@@ -26,7 +26,7 @@
 PREEMPT_QUEUED_LEVEL = 2  # overload level from which queued calls are preempted
 PREEMPT_RUNNING_LEVEL = 3  # overload level from which running calls are preempted too
 PREEMPTED_RETENTION_MS = 120_000.0  # how long a preempted call is remembered; its client retries sooner
-# Most preemptions that are remembered; at this count no call is preempted, so that none is preempted twice.
+# Maximum remembered preemptions; at this count no call is preempted, so that none is preempted twice.
 MAX_REMEMBERED_PREEMPTIONS = 8192
 
 
--- a/cedarthread/priority/pressure_gossip.py
+++ b/cedarthread/priority/pressure_gossip.py
@@ -22,7 +22,7 @@
 GOSSIP_INTERVAL_MS = 500.0
 GOSSIP_JITTER = (0.8, 1.2)  # range of the factor on the interval, so that routers do not send simultaneously
 GOSSIP_FANOUT = 2  # number of peers to which reports are sent per interval
-MAX_REPORTS_PER_MESSAGE = 50  # most reports in a message: 251 bytes of the 256 that a datagram may have
+MAX_REPORTS_PER_MESSAGE = 50  # maximum reports in a message: 251 bytes of the 256 that a datagram may have
 ROUNDING_TOLERANCE = 1e-9  # relative tolerance, because the sum of weights depends on their order
 SEED_SALT = 0x50_52_45_53  # makes these random draws independent of others from the router's seed
 
--- a/cedarthread/protocols/control.py
+++ b/cedarthread/protocols/control.py
@@ -21,7 +21,7 @@
 LINE_TIMEOUT_S = 1.0  # time limit from the start of the connection to its complete line
 MAX_CONNECTIONS = MAX_OPERATOR_CONNECTIONS  # a further connection closes the oldest one
 LISTEN_BACKLOG = 64
-MAX_ECHOED_CHARACTERS = 32  # most characters of an unknown command that a reply repeats
+MAX_ECHOED_CHARACTERS = 32  # maximum number of characters of an unknown command that a reply repeats
 
 
 class ControlReply(NamedTuple):
--- a/cedarthread/protocols/discovery/endpoint_list.py
+++ b/cedarthread/protocols/discovery/endpoint_list.py
@@ -21,7 +21,7 @@
 
 MAX_PORT = 65535
 MAX_PORT_DIGITS = 5
-MAX_ECHOED_CHARACTERS = 80  # most characters of an invalid address in an error message
+MAX_ECHOED_CHARACTERS = 80  # maximum number of characters of an invalid address in an error message
 _NUMBERED_NAME = re.compile(r"[a-z]+-([0-9a-f]{8})\Z")
 
 
--- a/cedarthread/protocols/http.py
+++ b/cedarthread/protocols/http.py
@@ -9,7 +9,7 @@
 
 MAX_HEAD_BYTES = 8 * 1024
 REQUEST_LINE_PARTS = 3  # number of parts of a request line: method, target, version
-MAX_LENGTH_DIGITS = 12  # most digits of Content-Length; a number with more digits exceeds any limit
+MAX_LENGTH_DIGITS = 12  # maximum digits of Content-Length; a number with more digits exceeds any limit
 _HEAD_END = b"\r\n\r\n"
 _TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
 _TARGET = re.compile(rb"[\x21-\x7e]+\Z")
--- a/cedarthread/protocols/invoke/config.py
+++ b/cedarthread/protocols/invoke/config.py
@@ -15,7 +15,7 @@
 
 DEFAULT_MAX_CONNECTIONS = 128
 MAX_CONNECTIONS = 65535
-MAX_ECHOED_CHARACTERS = 80  # most characters of an invalid pattern in an error message
+MAX_ECHOED_CHARACTERS = 80  # maximum number of characters of an invalid pattern in an error message
 
 
 @dataclass(frozen=True, slots=True)
--- a/cedarthread/protocols/invoke/requests.py
+++ b/cedarthread/protocols/invoke/requests.py
@@ -18,8 +18,8 @@
 
 MAX_BODY_BYTES = 16 * 1024
 MAX_WAIT_S = 30.0  # longest wait that a request may prefer
-MAX_TIMEOUT_DIGITS = 9  # most digits of Call-Timeout-Ms; allows up to 11 days
-MAX_WAIT_DIGITS = 5  # most digits of the wait preference in s; a wait over MAX_WAIT_S counts as MAX_WAIT_S
+MAX_TIMEOUT_DIGITS = 9  # maximum number of digits of Call-Timeout-Ms; allows up to 11 days
+MAX_WAIT_DIGITS = 5  # maximum digits of the wait preference in s; a wait over MAX_WAIT_S counts as MAX_WAIT_S
 READY_PATH = "/v1/ready"
 _CALL_PATH = re.compile(r"/v1/functions/([0-9a-f]{16})/([^/]+)\Z")
 _DEFERRED_CALL_PATH = re.compile(r"/v1/calls/([A-Za-z0-9_-]+)\Z")
--- a/cedarthread/protocols/msgpack.py
+++ b/cedarthread/protocols/msgpack.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 MAX_DEPTH = 4  # nesting levels: message, parameters, fields, a field
-MAX_ITEMS = 32  # most items of one array or map
-# Most bytes of one string or binary value; a longer one is rejected without reading it.
+MAX_ITEMS = 32  # maximum number of items of one array or map
+# Maximum number of bytes of one string or binary value; a longer one is rejected without reading it.
 MAX_CONTENT_BYTES = 64 * 1024
 
 
--- a/cedarthread/protocols/platform/calls.py
+++ b/cedarthread/protocols/platform/calls.py
@@ -18,7 +18,7 @@
     from cedarthread.protocols.platform.owners import CallConnection
 
 CALL_PARAMETERS = 2  # number of parameters of a call: fields and body
-MAX_OPEN_CALLS = 32  # most open calls per connection; further calls are rejected
+MAX_OPEN_CALLS = 32  # maximum number of open calls per connection; further calls are rejected
 
 
 def _is_message_id(value: int) -> bool:
--- a/cedarthread/protocols/platform/codec.py
+++ b/cedarthread/protocols/platform/codec.py
@@ -16,7 +16,7 @@
 from cedarthread.protocols import msgpack
 
 MAX_BODY_BYTES = 16 * 1024
-MAX_LIMIT_DIGITS = 9  # most digits of a time limit in ms; allows up to 11 days
+MAX_LIMIT_DIGITS = 9  # maximum number of digits of a time limit in ms; allows up to 11 days
 _HEX_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
 _RESPONSE_START = b"\x94\x01"  # start of a response: an array of four items: 1, id, error, result
 _RESULT_START = b"\xc0\x92"  # start of a result: no error (nil), then the result as an array of two
--- a/cedarthread/protocols/platform/connection.py
+++ b/cedarthread/protocols/platform/connection.py
@@ -22,7 +22,7 @@
 log = logging.getLogger(__name__)
 
 MAX_MESSAGE_BYTES = 64 * 1024  # leaves ample space for the fields beside a body of 16 KiB
-MESSAGES_PER_PASS = 32  # most messages of one connection that are processed before other connections
+MESSAGES_PER_PASS = 32  # maximum messages of one connection that are processed before other connections
 
 
 class PlatformConnection(BufferedConnection):
--- a/cedarthread/protocols/worker/codec.py
+++ b/cedarthread/protocols/worker/codec.py
@@ -16,7 +16,7 @@
 
 # Longest line of a response: a 256 KiB body is 349,528 bytes in base64, plus the fields.
 MAX_LINE_BYTES = 384 * 1024
-MAX_REPORTED_CONCURRENCY = 30  # most concurrent calls of one function; larger counts in a response are capped
+MAX_REPORTED_CONCURRENCY = 30  # concurrent calls of one function; larger counts in a response are capped
 _OUTCOME_BY_OP = {
     "HIT": Outcome.OK,
     "NONE": Outcome.NOT_LOADED,
--- a/cedarthread/protocols/worker/connection.py
+++ b/cedarthread/protocols/worker/connection.py
@@ -23,7 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-# Most abandoned ids per connection; with more, no request is accepted and the next sweep closes it.
+# Maximum abandoned ids per connection; with more, no request is accepted and the next sweep closes it.
 MAX_ABANDONED_IDS = 512
 
 
--- a/cedarthread/recovery/admission.py
+++ b/cedarthread/recovery/admission.py
@@ -92,7 +92,7 @@
         self.pacer = pacer
         self.is_paced = True
         self.pending_loads: dict[int, PendingLoad] = {}
-        """By function id. One per function, because one new instance can serve all waiting calls."""
+        """Loads by function id. One per function, because one new instance can serve all waiting calls."""
         self.deferrals = DeferralTracker()
 
     def restart(self, now_ms: float) -> None:
--- a/cedarthread/recovery/load_probability.py
+++ b/cedarthread/recovery/load_probability.py
@@ -9,10 +9,10 @@
 from cedarthread.statistics import DecayingCounter
 
 TIME_CONSTANT_MS = 5000.0
-"""Time constant of the decay of the outcomes of such calls."""
+"""Time constant of the decay of the outcomes of calls to workers without a known warm instance."""
 MIN_PROBABILITY = 0.1
 PRIOR_LOADS = 1.0
-"""Weight, in outcomes, of the prior assumption that every such call starts a load."""
+"""Weight, in outcomes, of the prior assumption that each of these calls starts a load."""
 
 
 class LoadProbability:
@@ -23,11 +23,11 @@
         self._cold_starts = DecayingCounter(TIME_CONSTANT_MS)
 
     def record(self, now_ms: float, *, was_warm: bool) -> None:
-        """Count the outcome of one such call: whether it found a warm instance."""
+        """Count whether a call to a worker without a known warm instance found one."""
         (self._warm_starts if was_warm else self._cold_starts).add(now_ms, 1.0)
 
     def read(self, now_ms: float) -> float:
-        """Return the probability for the next such call."""
+        """Return the probability that the next call without a known warm instance starts a load."""
         warm_starts = self._warm_starts.read(now_ms)
         cold_starts = self._cold_starts.read(now_ms)
         return max(MIN_PROBABILITY, (cold_starts + PRIOR_LOADS) / (warm_starts + cold_starts + PRIOR_LOADS))
--- a/cedarthread/recovery/pacing.py
+++ b/cedarthread/recovery/pacing.py
@@ -42,7 +42,7 @@
 GROWTH_FACTOR = 1.5
 """Factor by which the load rate grows while there are long deferrals."""
 GROWTH_INTERVAL_MS = 2000.0
-"""Minimum time between two such increases."""
+"""Minimum time between two increases of the load rate by ``GROWTH_FACTOR``."""
 MAX_TOKEN_DEFICIT = 3.0
 """Maximum token deficit of the load bucket, when more calls started loads than the estimate implied."""
 MAX_ISOLATED_RESTART_FACTOR = 4.0
--- a/cedarthread/recovery/peer_query.py
+++ b/cedarthread/recovery/peer_query.py
@@ -141,7 +141,7 @@
         """Start the peer query from the beginning, after a start or a pause of the process."""
         self.segments = [SegmentProgress() for _ in range(SEGMENT_COUNT)]
         self.pending: dict[int, _PendingQuery] = {}
-        """By nonce."""
+        """Pending queries by nonce."""
         self.backoffs = PeerBackoffs(self.rng)
         self.suggested_peers: set[int] = set()
         self.reports = PeerReports()
--- a/cedarthread/recovery/retry_after.py
+++ b/cedarthread/recovery/retry_after.py
@@ -14,5 +14,5 @@
 
 RETRY_AFTER_FRACTIONS = RetryAfterFractions(0.05, 0.15)
 MASS_RESTART_RETRY_AFTER_FRACTION = 0.6
-"""The upper bound while a recovering router detects a mass restart, to spread retries over more time."""
+"""Upper fraction while a recovering router detects a mass restart, to spread retries over more time."""
 MASS_RESTART_RETRY_AFTER_FRACTIONS = RETRY_AFTER_FRACTIONS._replace(upper=MASS_RESTART_RETRY_AFTER_FRACTION)
--- a/cedarthread/recovery/warm_fraction.py
+++ b/cedarthread/recovery/warm_fraction.py
@@ -6,9 +6,9 @@
 from cedarthread.statistics import DecayingCounter
 
 RECENT_TIME_CONSTANT_MS = 2500.0
-"""Short enough that the fraction shows the end of a recovery that lasts some seconds."""
+"""Time constant short enough that the fraction shows the end of a recovery that lasts some seconds."""
 BASELINE_TIME_CONSTANT_MS = 20_000.0
-"""Long enough that one burst of cold starts changes the baseline only slightly."""
+"""Time constant long enough that one burst of cold starts changes the baseline only slightly."""
 MIN_CALLS = 1e-9
 """Minimum divisor, so that the fraction is 0 without any calls."""
 
--- a/cedarthread/recovery/warm_state.py
+++ b/cedarthread/recovery/warm_state.py
@@ -103,7 +103,7 @@
         """No observation is usable before this time, because the endpoint list may precede a pause."""
         self.workers: dict[int, _ListedWorker] = {}
         self.observations: dict[int, dict[tuple[int, int], Observation]] = {}
-        """By function hash, then by worker id and start tag."""
+        """Observations by function hash, then by worker id and start tag."""
         self.observation_count = 0
 
     def on_endpoint_update(self, now_ms: float, update: EndpointUpdate) -> None:
--- a/cedarthread/replication/fragments.py
+++ b/cedarthread/replication/fragments.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from cedarthread.replication.state import ReplicaState
 
-MAX_PARTIAL_ENTRIES = 64  # most partial entries that are kept; the oldest are dropped first
+MAX_PARTIAL_ENTRIES = 64  # maximum number of partial entries that are kept; the oldest are dropped first
 
 
 class PartialEntry:
--- a/cedarthread/replication/majority.py
+++ b/cedarthread/replication/majority.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from cedarthread.replication.entry import EntryKey
 
-MAX_COHORTS = 8  # most changes that are tracked separately until each is replicated
+MAX_COHORTS = 8  # maximum number of changes that are tracked separately until each is replicated
 NEVER_MS = -math.inf
 
 
--- a/cedarthread/replication/state.py
+++ b/cedarthread/replication/state.py
@@ -20,8 +20,8 @@
 )
 
 DIGEST_MODULUS = 2**64
-MAX_SUPERSEDED_DIGESTS = 4096  # most digests that are kept; the oldest are dropped first
-MAX_COVERED_ROOTS = 256  # most roots that are kept; the least recently confirmed are dropped first
+MAX_SUPERSEDED_DIGESTS = 4096  # maximum number of digests that are kept; the oldest are dropped first
+MAX_COVERED_ROOTS = 256  # maximum roots that are kept; the least recently confirmed are dropped first
 
 
 @dataclass(slots=True)
--- a/cedarthread/replication/sync_requests.py
+++ b/cedarthread/replication/sync_requests.py
@@ -19,7 +19,7 @@
     import random
     from collections.abc import Collection
 
-MAX_OPEN_REQUESTS = 16  # most open requests; the oldest are dropped first
+MAX_OPEN_REQUESTS = 16  # maximum number of open requests; the oldest are dropped first
 # Every 8th request may go to a peer that is not alive, so that partitions heal.
 REQUESTS_PER_UNRESTRICTED_REQUEST = 8
 BOOTSTRAP_REQUESTS_PER_TICK = 4  # extra requests until enough peers are read after a start
--- a/cedarthread/replication/sync_session.py
+++ b/cedarthread/replication/sync_session.py
@@ -35,8 +35,8 @@
 RETRY_INTERVAL_MS = 300.0  # a request without a response is retried after this time
 MAX_RETRIES = 8  # retries without an arriving entry, after which the session is aborted
 RETRIES_PER_SUMMARY_REQUEST = 4  # every 4th retry requests the summaries too, not only entries
-MAX_PENDING_FETCHES = 8  # with more pending fetches, no further session is started
-MAX_SESSIONS = 4  # most concurrent sessions; the oldest are dropped first
+MAX_PENDING_FETCHES = 8  # limit of pending fetches above which no further session is started
+MAX_SESSIONS = 4  # maximum number of concurrent sessions; the oldest are dropped first
 
 
 class CompleteBucket(NamedTuple):
--- a/cedarthread/transport/connection.py
+++ b/cedarthread/transport/connection.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 LINGER_S = 1.0  # time for which input is discarded after the last response
-LINGER_MAX_BYTES = 4 * 2**20  # most bytes of input that are discarded
+LINGER_MAX_BYTES = 4 * 2**20  # maximum number of bytes of input that are discarded
 _DISCARD_BUFFER = bytearray(64 * 1024)  # receives discarded input of all connections
 
 
