--- a/cedarthread/escrow/image.py
+++ b/cedarthread/escrow/image.py
@@ -34,8 +34,9 @@
     def __init__(self, *, has_complete_history: bool, is_durable: bool) -> None:
         self.has_complete_history = has_complete_history
         self.is_durable = is_durable
-        self.restored_balances: dict[int, CountBalance] = {}  # by pool key
-        self.pending_write_offs: dict[int, int] | None = None  # by pool key; None if no write is in progress
+        self.restored_balances: dict[int, CountBalance] = {}  # balances by pool key
+        # Units to be written off by pool key; None if no write is in progress.
+        self.pending_write_offs: dict[int, int] | None = None
 
     def encode(self, pools: Mapping[int, QuotaPool], write_offs: Mapping[int, int]) -> bytes:
         """Return the image of the pools with the units of ``write_offs`` (by pool key) written off."""
--- a/cedarthread/recovery/peer_query.py
+++ b/cedarthread/recovery/peer_query.py
@@ -121,8 +121,8 @@
     segment: int
     sent_at_ms: float
     received_parts: set[int] = field(default_factory=set)
-    received_count: int = 0  # observations
-    new_count: int = 0  # observations that were new to this router
+    received_count: int = 0  # number of received observations
+    new_count: int = 0  # number of received observations that were new to this router
 
 
 class PeerQueryClient:
@@ -141,7 +141,7 @@
         """Start the peer query from the beginning, after a start or a pause of the process."""
         self.segments = [SegmentProgress() for _ in range(SEGMENT_COUNT)]
         self.pending: dict[int, _PendingQuery] = {}
-        """By nonce."""
+        """Pending queries by nonce."""
         self.backoffs = PeerBackoffs(self.rng)
         self.suggested_peers: set[int] = set()
         self.reports = PeerReports()
