--- a/tests/contracts/test_paths.py
+++ b/tests/contracts/test_paths.py
@@ -131,7 +131,10 @@
 
 
 def check_datagrams(kind: PathKind, sent: ReceivedDatagrams, received: ReceivedDatagrams) -> None:
-    """Check rules 1 to 3 at one end, to which each datagram was sent once; no two datagrams are equal."""
+    """Check rules 1 to 3 of ``PeerDatagramTransport`` at one end.
+
+    Each datagram was sent to this end once, and no two datagrams are equal.
+    """
     arrivals = Counter(received)
     assert set(arrivals) <= set(sent)
     assert not kind.is_reliable or set(arrivals) == set(sent)
--- a/tests/integration/test_drain_notification.py
+++ b/tests/integration/test_drain_notification.py
@@ -31,7 +31,7 @@
     from pathlib import Path
 
 DEADLINE_TOLERANCE_S = 0.15  # how much later than the client's a worker's deadline of a call may be
-PROMPT_NOTICE_S = 1.5  # after which the router counts as notified without a reply (PROTOCOL)
+PROMPT_NOTICE_S = 1.5  # after which the router counts as notified without a reply (document PROTOCOL)
 
 
 @pytest.mark.parametrize(
--- a/tests/integration/test_process.py
+++ b/tests/integration/test_process.py
@@ -57,7 +57,7 @@
         discovery_port = discovery_server.getsockname()[1]
         config_path.write_text(json.dumps(valid_config | {"dns": f"127.0.0.1:{discovery_port}"}))
         process.send_signal(signal.SIGHUP)
-        assert b"_back" in discovery_server.recv(512)
+        assert b"_back" in discovery_server.recv(512)  # the query contains the service name
         assert terminate(process) == 0
 
 
--- a/tests/integration/test_termination_bad_input.py
+++ b/tests/integration/test_termination_bad_input.py
@@ -186,7 +186,7 @@
 
 @pytest.mark.parametrize("full_list_serial", [1, 2])
 def test_two_empty_lists_with_a_full_one_between_are_not_applied(full_list_serial: int) -> None:
-    """The full list has the applied serial, is repeated byte for byte, or has a newer serial."""
+    """The full list has the applied serial or a newer one, and is later repeated byte for byte."""
 
     async def scenario() -> None:
         worker = ScriptedWorker()
--- a/tests/integration/test_termination_worker_connections.py
+++ b/tests/integration/test_termination_worker_connections.py
@@ -37,7 +37,7 @@
 ) -> None:
     """If the connection closes before or within the response, the call may have run.
 
-    If the connection closes after the response, which is still in the same write, the call is served.
+    If the connection closes right after the response, before the router has read it, the call is served.
     """
     caplog.set_level("INFO", "cedarthread.protocols")
 
