--- a/tests/contracts/store_rules.py
+++ b/tests/contracts/store_rules.py
@@ -168,7 +168,9 @@
     assert test.write("key 1", b"during the fault" * 500) is case.reported
     test.switch.fault = InjectedFault.NONE
     generation = test.store.generation
-    assert test.write("key 2", b"before the reopening") is case.reported, "only an opening ends a fault"
+    assert test.write("key 2", b"before the reopening") is case.reported, (
+        "a fault must last until the store is reopened"
+    )
     assert test.store.fault is case.reported
     assert test.store.generation == generation
     since = len(test.disk.operations)
@@ -223,7 +225,7 @@
             check_content(test.writes, test.marks(), load_result)
         for write in load_result.values.items():
             assert write in test.writes, "a value that was never written"
-        assert load_result.is_writable, "the valid rows stay usable"
+        assert load_result.is_writable, "the valid rows must stay usable"
     assert reported > flip_count // 4
 
 
@@ -261,7 +263,7 @@
     test.switch.fault = injected if is_stale else InjectedFault.NONE
     load_result = test.open().load()
     test.switch.fault = InjectedFault.NONE
-    assert load_result.fault is None and load_result.values, "the disk alone does not show the content stale"
+    assert load_result.fault is None and load_result.values, "the disk alone must not reveal stale content"
     assert recovered_image.assess_content(load_result, [3, peer_generation]) is ContentVerdict.REJECTED
     results: list[StoreFault | None] = []
     test.store.reset(peer_generation, results.append)
--- a/tests/integration/test_descriptor_exhaustion.py
+++ b/tests/integration/test_descriptor_exhaustion.py
@@ -74,7 +74,7 @@
             loop.create_connection = fail  # type: ignore[method-assign]
             for number in range(1, 5):
                 response = await caller.call(number, "confirm", b"x")
-                assert response[2][0] == "Backoff", "the call never ran"
+                assert response[2][0] == "Backoff", "a call that never ran must be rejected"
             [view] = running.dispatcher.router.workers.values()
             assert view.outlier_score == 0.0
             assert not view.is_ejected
@@ -105,7 +105,7 @@
             loop.create_connection = fail_once  # type: ignore[method-assign]
             assert await caller.call(1, "confirm", b"x") == [1, 1, None, [b"X", {}]]
             assert failure_count == 1
-            assert await idle_client.read() is None, "the idle client is evicted"
+            assert await idle_client.read() is None, "the idle client must be evicted"
             info = await ask_control(running, b"INFO\n")
             assert "router.upstream_tries=1" in info
 
@@ -181,14 +181,14 @@
             while not any(has_only_unread_responses(connection) for connection in platform.connections):
                 await asyncio.sleep(0)
             async with client(running) as rejected_client:
-                assert await rejected_client.read() is None, "the new connection is closed"
+                assert await rejected_client.read() is None, "the new connection must be closed"
             assert len(platform.connections) == 1
             slow_client.reader._transport.resume_reading()  # type: ignore[attr-defined]
             result = CallSucceeded(b"ABC" * 65536)
             total_bytes = sum(len(encode_call_result(number, result)) for number in range(1, 33))
             async with asyncio.timeout(10):
                 received = await slow_client.reader.readexactly(total_bytes)
-                assert len(received) == total_bytes, "every response is delivered"
+                assert len(received) == total_bytes, "every response must be delivered"
 
     run_scenario(scenario)
 
@@ -226,10 +226,10 @@
                 connection.sendall(HEALTH_CHECK)
                 connection.setblocking(False)
             running.platform.stop_listening()
-            assert not running.platform.is_drained(), "the backlog is not accepted yet"
+            assert not running.platform.is_drained(), "the backlog must not be accepted all at once"
             async with asyncio.timeout(10):
                 responses = [await loop.sock_recv(connection, 64) for connection in connections]
-                assert all(responses), "each connection is answered"
+                assert all(responses), "each connection must be answered"
                 while not running.platform.is_drained():
                     await asyncio.sleep(0)
             with pytest.raises(ConnectionRefusedError):
--- a/tests/integration/test_descriptor_limit_process.py
+++ b/tests/integration/test_descriptor_limit_process.py
@@ -114,7 +114,7 @@
             await wait_until_accepted(connections)
 
             lowered_limit = max(running.open_descriptors()) + 1
-            assert lowered_limit == len(running.open_descriptors()), "no lower number is free"
+            assert lowered_limit == len(running.open_descriptors()), "no lower descriptor may be free"
             _, hard_limit = resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE)
             resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE, (lowered_limit, hard_limit))
 
--- a/tests/integration/test_discovery_client.py
+++ b/tests/integration/test_discovery_client.py
@@ -33,7 +33,7 @@
         receive(9, query_id=8)
         receive(8)
         receive(8, query_id=8)
-        assert applied_serials == [9], "a list with a lower serial is outdated"
+        assert applied_serials == [9], "a list with a lower serial must not be applied"
         receive(9)
         receive(10)
         receive(10, query_id=8)
--- a/tests/integration/test_platform.py
+++ b/tests/integration/test_platform.py
@@ -199,7 +199,7 @@
             later_start = dataclasses.replace(earlier_start, started_at_ms=created_at_ms + 60_000.0)
             running.update_endpoints(3, [later_start], is_complete=True)
             assert (await caller.read())[2][0] == "Lost", (
-                "the process that executed the call has ended, so the call is lost"
+                "the process that executed the call has ended, so the call must be answered as lost"
             )
 
     asyncio.run(scenario())
--- a/tests/integration/test_termination_accounting.py
+++ b/tests/integration/test_termination_accounting.py
@@ -192,7 +192,7 @@
             await wait_until(lambda: opened_ports == [last_server.port], "the last socket is open")
             may_open[first_server.port].set()
             await asyncio.sleep(0)
-            assert opened_ports == [last_server.port], "the first change of the address is abandoned"
+            assert opened_ports == [last_server.port], "the first address must not be connected"
             polled_servers.clear()
             await wait_until(lambda: polled_servers, "the next query has arrived")
             assert set(polled_servers) == {"last"}
--- a/tests/integration/test_termination_endpoint_updates.py
+++ b/tests/integration/test_termination_endpoint_updates.py
@@ -73,7 +73,7 @@
             states = [DRAINING if number == chosen_number else READY for number in (1, 2)]
             if first == "update":
                 update_endpoint_list(running, workers, *states)
-                assert not pool.connections, "a connect that no call waits for is aborted"
+                assert not pool.connections, "a connect that no call waits for must be aborted"
                 assert await caller.read() == [1, 1, None, [b"X", {}]]
                 delayed_connects.resume_events[0].set()
                 await wait_until(lambda: not pool.connecting, "the connect has ended")
--- a/tests/integration/test_termination_worker_connections.py
+++ b/tests/integration/test_termination_worker_connections.py
@@ -64,7 +64,7 @@
     truncated = [message for message in messages if message.startswith("worker_response_truncated ")]
     assert len(truncated) == (0 if position != "middle" else 1 if class_name == "confirm" else 2)
     assert all(line.startswith("worker_response_truncated worker=s-0000000") for line in truncated), (
-        "the log line names the worker"
+        "the log line must name the worker"
     )
 
 
--- a/tests/integration/test_termination_worker_connects.py
+++ b/tests/integration/test_termination_worker_connects.py
@@ -119,7 +119,7 @@
             running.workers.max_connections = max_connections
             monkeypatch.setattr(loop, "create_connection", create_connection)
             assert running.dispatcher.router.workers[1].unreachable_at_ms < 0.0, (
-                "the worker does not count as unreachable"
+                "the worker must not count as unreachable"
             )
             assert await caller.call(3, "confirm", b"x") == [1, 3, None, [b"X", {}]]
 
--- a/tests/integration/worker_harness.py
+++ b/tests/integration/worker_harness.py
@@ -36,7 +36,7 @@
         self.written = b""  # all bytes from the connection; some may still be in the buffer
 
     def set_write_buffer_limits(self, high: int) -> None:
-        assert high == 0, "only then does a connection that is not paused have an empty buffer"
+        assert high == 0, "high must be 0, so that a connection that is not paused has an empty buffer"
 
     def write(self, data: bytes) -> None:
         self.written += data
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -38,7 +38,7 @@
             raise KnownRedError(f"line {number}: expected 'test | cause | issue N', got {line[:80]!r}")
         found.append(KnownRed(*parts))
     if len(found) > MAX_LINES:
-        raise KnownRedError(f"line {MAX_LINES + 1}: {len(found)} lines, at most {MAX_LINES} may stand")
+        raise KnownRedError(f"line {MAX_LINES + 1}: {len(found)} lines, at most {MAX_LINES} are allowed")
     if len({entry.test for entry in found}) < len(found):
         raise KnownRedError("a test is listed twice")
     return found
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -57,7 +57,7 @@
         (LINE, "pass", 1, "XPASS"),  # the fault is corrected, so the line must be removed
         ("", "assert False", 1, "1 failed"),
         (LINE.replace("red", "gone"), "pass", 4, "no test is named"),
-        ("".join(LINE.replace("red", f"red{n}") for n in range(4)), "pass", 4, "at most 3 may stand"),
+        ("".join(LINE.replace("red", f"red{n}") for n in range(4)), "pass", 4, "at most 3 are allowed"),
     ],
 )
 def test_only_listed_tests_may_fail_and_they_must_fail(
