--- a/tests/integration/test_termination_worker_connections.py
+++ b/tests/integration/test_termination_worker_connections.py
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("close_method", list(CLOSE_METHODS))
 @pytest.mark.parametrize("class_name", ["check", "confirm"])
 @pytest.mark.parametrize("position", ["before", "middle", "after"])
-def test_a_workers_connection_ends_before_during_or_after_its_response(
+def test_a_call_is_served_if_its_response_is_complete_when_the_connection_ends(
     close_method: str, class_name: str, position: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """If the connection closes before or within the response, the call may have run.
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("first", ["sweep", "call"])
-def test_a_call_completes_before_or_after_the_routers_idle_close(first: str) -> None:
+def test_an_idle_close_fails_no_call_and_closes_no_connection_in_use(first: str) -> None:
     async def scenario() -> None:
         worker = ScriptedWorker()
         async with running_router(worker) as (running, caller):
