--- a/tests/contracts/store_fixtures.py
+++ b/tests/contracts/store_fixtures.py
@@ -107,7 +107,7 @@
     Args:
         tmp_path: parent of all folders.
         backend: a key of ``BACKENDS``.
-        host: a key of ``HOSTS``.
+        host: a key of ``HOSTS``, which is the kind of store.
     """
 
     def __init__(self, tmp_path: Path, backend: str, host: str) -> None:
@@ -191,6 +191,8 @@
     "sqlite": lambda test: SqliteBackend(test.folder),
     FAULTY_DISK: lambda test: SqliteBackend(test.folder, vfs=test.vfs),
 }
+# The kinds of store: one commits in the calling thread, two in a thread of their own. In sync mode "each",
+# each key has its own transaction; otherwise pending writes share transactions.
 HOSTS: dict[str, Callable[[StoreUnderTest], Store]] = {
     "synchronous": lambda test: SynchronousStore(test.make_backend(test)),
     "thread": lambda test: open_store_thread(test.make_backend(test)),
--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -1,4 +1,4 @@
-"""The contract of a store, checked with each backend on each host and against injected defects."""
+"""The contract of a store, checked with each backend and kind of store, and against injected defects."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class ContractCase(NamedTuple):
-    """A rule, and the backends and hosts with which it is checked."""
+    """A rule, and the backends and kinds of store (``HOSTS``) with which it is checked."""
 
     rule: Rule
     backends: tuple[str, ...]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -129,7 +129,10 @@
         start_kind: StartKind = StartKind.WARM,
         is_final: bool | None = None,
     ) -> list[Action]:
-        """End an attempt ``after_ms`` after the last event, which is also its latency; return the actions."""
+        """End an attempt ``after_ms`` after the last event, which is also its latency; return the actions.
+
+        ``is_final`` says whether the client has received its response; by default, if the outcome is OK.
+        """
         is_last = outcome is Outcome.OK if is_final is None else is_final
         return self.feed(
             AttemptEnded(request_id, attempt_index, worker_id, outcome, after_ms, is_last, start_kind, 0),
