--- a/cedarthread/dispatch/calls.py
+++ b/cedarthread/dispatch/calls.py
@@ -84,7 +84,8 @@
     memory_mb: float | None = None  # memory of one instance of the function
     is_client_retry: bool = False
     caller_identity: str | None = None  # identity of the caller, for example a SPIFFE ID; None: unknown
-    # Processes pending input of the client, so that ``is_client_half_closed`` and ``is_complete`` are up to date.
+    # Processes pending input of the client, so that ``is_client_half_closed`` and ``is_complete`` are up to
+    # date.
     refresh_client_state: Callable[[], None] = _nothing_to_refresh
     # The following fields are set by the dispatcher.
     request_id: int = 0
