--- a/cedarthread/testing/fuzzing/cli.py
+++ b/cedarthread/testing/fuzzing/cli.py
@@ -185,6 +185,7 @@
     if fault is None:
         print(f"fuzz minimise: FAILED, {path} shows no finding")
         return EXIT_FINDING
+    # A smaller input shows the same fault if its verdict begins with the same word.
     kind = fault.split(" ")[0]
     smaller = corpus.minimise(data, lambda shorter: (verdict(target, shorter) or "").startswith(kind))
     path.with_suffix(".min").write_bytes(smaller)
@@ -211,6 +212,7 @@
 
 def _inject_defects(options: Options) -> int:
     names = {options["DEFECT"]} if options["DEFECT"] else None
+    # 1 is the default of --seed; the command then uses its own default.
     seed = injected_defects.SEED if options["--seed"] == "1" else int(options["--seed"])
     missed = injected_defects.undetected_defects(print, names, seed)
     count = sum(names is None or defect.name in names for defect in injected_defects.DEFECTS)
--- a/cedarthread/testing/fuzzing/corpus.py
+++ b/cedarthread/testing/fuzzing/corpus.py
@@ -45,7 +45,7 @@
 
 
 def minimise(data: bytes, still_fails: Callable[[bytes], bool], max_trials: int = MAX_TRIALS) -> bytes:
-    """Return the input reduced to the bytes with which ``still_fails`` holds, other bytes removed or zeroed.
+    """Return a reduced input for which ``still_fails`` still holds, with other bytes removed or set to zero.
 
     The function removes smaller and smaller pieces, as delta debugging does (Zeller and Hildebrandt 2002).
     """
--- a/cedarthread/testing/fuzzing/discovery_target.py
+++ b/cedarthread/testing/fuzzing/discovery_target.py
@@ -92,6 +92,7 @@
         self.updates = updates
         self.observed = _ObservedReplies(updates)
         self.client = DiscoveryClient(self.observed.on_update)
+        # A fixed seed, so that the query IDs are the same in every run of an input.
         self.client._random = cast("Any", random.Random(1))
         self.transport = _RecordingDatagramTransport()
         self.client.connection_made(self.transport)
--- a/cedarthread/testing/fuzzing/injected_defects.py
+++ b/cedarthread/testing/fuzzing/injected_defects.py
@@ -149,8 +149,8 @@
         6000,
         (Patch(WorkerConnections, "_finish_cancel", defective_calls.cancel_as_not_executed),),
     ),
-    # Progress can only be wrong for a line behind a partly written line. The program never writes a line
-    # there, so the defect also writes such lines.
+    # Without a refresh, an attempt's progress can only be wrong if its line follows a partly written line.
+    # The program never writes a line there, so the defect also writes such lines.
     Defect(
         "half-written-unseen",
         "calls",
--- a/cedarthread/testing/fuzzing/script.py
+++ b/cedarthread/testing/fuzzing/script.py
@@ -53,7 +53,8 @@
 }
 STEPS: tuple[Step, ...] = tuple(step for step, weight in _WEIGHTS.items() for _ in range(weight))
 
-# Number of bytes that a step reads after the byte that selects it; 1 for a step that is not listed.
+# Number of random bytes that ``generate_script`` appends after a step and its prefix; 1 for a step that is
+# not listed. A step that reads more bytes than that also consumes bytes of the steps after it.
 _INPUT_BYTES = {
     Step.CALL: 6,
     Step.ANSWER: 5,
--- a/cedarthread/testing/fuzzing/stream_target.py
+++ b/cedarthread/testing/fuzzing/stream_target.py
@@ -49,7 +49,7 @@
         """Do nothing because an attempt's progress never changes after ``send``."""
 
     def withdraw_unsent(self, attempt: Attempt) -> None:
-        """Do nothing because ``send`` sends every attempt at once."""
+        """Do nothing because ``send`` sends every attempt immediately."""
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt."""
--- a/cedarthread/testing/fuzzing/target.py
+++ b/cedarthread/testing/fuzzing/target.py
@@ -1,6 +1,7 @@
 """The base class of every fuzz target, and the function that runs one input through a target.
 
-Every sequence of bytes is an input, so that each corpus file and each mutation of an input is an input.
+A target accepts every sequence of bytes as its input, so that it can check each corpus file and each mutation
+of an input.
 """
 
 from __future__ import annotations
--- a/cedarthread/testing/fuzzing/worker_lines_target.py
+++ b/cedarthread/testing/fuzzing/worker_lines_target.py
@@ -39,7 +39,7 @@
 
 
 class _RecordingPoolOwner:
-    """The owner of the pool and the dispatcher, which records the notifications of a worker connection."""
+    """A fake of the pool's owner and of the dispatcher, which records what a worker connection reports."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.settings = settings_from_object(fuzz_settings.settings())
