--- a/cedarthread/testing/fuzzing/msgpack_target.py
+++ b/cedarthread/testing/fuzzing/msgpack_target.py
@@ -37,12 +37,12 @@
     if isinstance(value, _MapItems):
         keys = [key for key, _ in value]
         if not all(isinstance(key, str) for key in keys) or len(set(keys)) < len(keys):
-            raise ValueError("keys")
+            raise ValueError("map with a repeated key or a key that is not a string")
         return {key: _expected(item) for key, item in value}
     if isinstance(value, list):
         return [_expected(item) for item in value]
     if isinstance(value, (reference.ExtType, reference.Timestamp)):
-        raise ValueError("extension")
+        raise ValueError("value of an extension type")
     return value
 
 
