--- a/cedarthread/testing/fuzzing/discovery_target.py
+++ b/cedarthread/testing/fuzzing/discovery_target.py
@@ -121,9 +121,9 @@
             case 1:
                 self._deliver_truncated(reply)
             case 2:
-                foreign_id = (reply.query_id + 1 + choices.consume_byte()) % 2**16
-                is_recent = foreign_id in query_ids[-MAX_OUTSTANDING_QUERIES:]
-                self._deliver_foreign(struct.pack(">H", foreign_id) + data[2:], is_recent=is_recent)
+                other_id = (reply.query_id + 1 + choices.consume_byte()) % 2**16
+                is_recent = other_id in query_ids[-MAX_OUTSTANDING_QUERIES:]
+                self._deliver_with_other_id(struct.pack(">H", other_id) + data[2:], is_recent=is_recent)
             case 3 if self.delivered:
                 self._deliver(choices.pick(self.delivered))
             case 4:
@@ -143,7 +143,7 @@
         self._deliver(pack_reply(reply, flags=AUTHORITATIVE_ANSWER | TRUNCATED))
         require(len(self.updates) == count, "a truncated reply was accepted")
 
-    def _deliver_foreign(self, datagram: bytes, *, is_recent: bool) -> None:
+    def _deliver_with_other_id(self, datagram: bytes, *, is_recent: bool) -> None:
         count = len(self.updates)
         self._deliver(datagram)
         is_unchanged = len(self.updates) == count
--- a/cedarthread/testing/fuzzing/memory_transport.py
+++ b/cedarthread/testing/fuzzing/memory_transport.py
@@ -87,16 +87,16 @@
         )
         self._flush()
 
-    def deliver(self, *, paused: bool = False) -> None:
+    def deliver(self, *, ignores_pause: bool = False) -> None:
         """Pass the bytes that the peer has sent to the program's protocol.
 
         Args:
-            paused: Whether to pass the bytes even if the program has paused reading.
+            ignores_pause: Whether to pass the bytes even if the program has paused reading.
         """
-        while self._unread_input and (paused or not self._is_reading_paused) and not self._is_closing:
+        while self._unread_input and (ignores_pause or not self._is_reading_paused) and not self._is_closing:
             data = self._unread_input.pop(0)
             buffer = self.protocol.get_buffer(-1)
-            if not len(buffer) and paused:
+            if not len(buffer) and ignores_pause:
                 self._unread_input.insert(0, data)
                 return
             if not len(buffer):
@@ -109,7 +109,7 @@
         if (
             self._is_peer_eof
             and not self._unread_input
-            and (paused or not self._is_reading_paused)
+            and (ignores_pause or not self._is_reading_paused)
             and not self._is_closing
         ):
             self._is_peer_eof = False
--- a/cedarthread/testing/fuzzing/router_under_test.py
+++ b/cedarthread/testing/fuzzing/router_under_test.py
@@ -85,7 +85,7 @@
         if not super().read_available():
             return False
         if self.discard_budget is None and isinstance(self.transport, MemoryTransport):
-            self.transport.deliver(paused=True)
+            self.transport.deliver(ignores_pause=True)
         return True
 
 
--- a/cedarthread/testing/fuzzing/script.py
+++ b/cedarthread/testing/fuzzing/script.py
@@ -55,7 +55,7 @@
 
 # Number of random bytes that ``generate_script`` appends after a step and its prefix; 1 for a step that is
 # not listed. A step that reads more bytes than that also consumes bytes of the steps after it.
-_INPUT_BYTES = {
+_RANDOM_BYTES = {
     Step.CALL: 6,
     Step.ANSWER: 5,
     Step.INVOKE_CALLER: 4,
@@ -128,7 +128,7 @@
     script = rng.randbytes(2)
     for _ in range(rng.choice((4, 10, 20))):
         step, prefix = rng.choice(scenario)
-        rest = rng.randbytes(_INPUT_BYTES.get(step, 1))
+        rest = rng.randbytes(_RANDOM_BYTES.get(step, 1))
         if step is Step.BURST:
             rest = rng.randbytes(1)
             rest += rng.randbytes(_BYTES_PER_BURST_CALL * burst_size(rest[0]))
--- a/cedarthread/testing/fuzzing/simulator_target.py
+++ b/cedarthread/testing/fuzzing/simulator_target.py
@@ -58,18 +58,18 @@
         class_index = rng.choice((0, 1, 2, 9))
         key = rng.choice((5, 2**40 - 1, 2**64 - 1))
         outcome = rng.choice((200, 502, 429, 408, 521, 520, 444, 409, 204, 7))
-        small = rng.choice((0.0, 1.0, NOT_A_NUMBER, INFINITY))
+        float32 = rng.choice((0.0, 1.0, NOT_A_NUMBER, INFINITY))
         return rng.choice(
             (
                 b"\x03"
                 + struct.pack(
-                    "<IfdQHffdHH", number, small, time_ms, key, class_index, small, small, time_ms, 0, 3
+                    "<IfdQHffdHH", number, float32, time_ms, key, class_index, float32, float32, time_ms, 0, 3
                 ),
                 b"\x04" + struct.pack("<IHId", number, 0, number, time_ms),
                 b"\x05" + struct.pack("<IIdIHHB", number, 1, time_ms, 9, 0, outcome, 0) + b"\0",
                 b"\x06" + struct.pack("<I", number),
                 b"\x07" + struct.pack("<I", number),
-                b"\x08" + struct.pack("<dIH", time_ms, 1, outcome) + b"\x01" + struct.pack("<f", small),
+                b"\x08" + struct.pack("<dIH", time_ms, 1, outcome) + b"\x01" + struct.pack("<f", float32),
                 b"\x09" + struct.pack("<IH", 1, 2) + b"ab",
                 b"\x0b" + struct.pack("<BIQHd", 1, 1, key, outcome, time_ms),
                 b"\x0a",
