--- a/cedarthread/testing/cluster/evaluation.py
+++ b/cedarthread/testing/cluster/evaluation.py
@@ -43,7 +43,7 @@
         scenario: The scenario of the run.
         recordings: The recordings of all fake processes, the workers' first.
         cpu_s: CPU time of all routers after the warm-up.
-        exit_codes: Exit codes by router number, of routers that ended otherwise than the run made them end.
+        exit_codes: Unexpected exit codes, neither 0 nor that of SIGKILL, by router number.
         router_starts: Starts of routers after the first start of each.
     """
     merged = merge_recordings(recordings)
--- a/cedarthread/testing/cluster/fact_reader.py
+++ b/cedarthread/testing/cluster/fact_reader.py
@@ -42,10 +42,10 @@
 ANSWER_SLACK_MS = 250.0  # Tolerance after the deadline, because hundreds of processes share the machine.
 HARNESS_SLACK_MS = 60.0  # Maximum delay of a fake in reading bytes that a router sent in time.
 # A router counts as knowing a change of its endpoint list this long after the change, even if no reply with
-# the change arrived, as the figures of PROTOCOL specify.
+# the change arrived, as the figures of the document PROTOCOL specify.
 MAX_PROPAGATION_MS = 7000.0
-# The same limit if no fault disturbs the router's discovery queries, as PROTOCOL specifies. The router's
-# process may still be paused.
+# The same limit if no fault disturbs the router's discovery queries, as the document PROTOCOL specifies. The
+# router's process may still be paused.
 MAX_UNDISTURBED_PROPAGATION_MS = 1500.0
 RESUME_TO_QUERY_S = 0.3  # Time from the end of a pause until the process has queried discovery.
 DISCOVERY_DISTURBANCES = (
@@ -69,6 +69,7 @@
     "check": CallGuarantees(Idempotency.IDEMPOTENT),
     "confirm": CallGuarantees(Idempotency.NOT_IDEMPOTENT),
 }
+# Value of a served call by class, the same as in ``router_files.router_settings``.
 CLASS_VALUE = {"check": 2.0, "confirm": 3.0}
 UNANSWERED_REMARKS = ("shed", "spawn_failed", "lost")  # Remarks of attempts that produced no body.
 
@@ -167,7 +168,10 @@
         self._end_attempts(fact.call_id, fact.worker, may_have_executed=True)
 
     def _mark_list_known(self, at_ms: float, as_of_ms: float, router: int) -> None:
-        """Report to the invariant checker that a router knows the endpoint list as of a time."""
+        """Report to the invariant checker that a router knows the endpoint list as of a time.
+
+        The checker identifies a worker by its worker id, which is the worker's number plus 1.
+        """
         self._list_known_as_of_ms[router] = as_of_ms
         for worker, state in self.list_timeline.states_at(as_of_ms, router).items():
             self.checker.on_worker_state(at_ms, worker + 1, state, router=router)
--- a/cedarthread/testing/cluster/facts.py
+++ b/cedarthread/testing/cluster/facts.py
@@ -9,7 +9,7 @@
 
 
 class CallSubmitted(NamedTuple):
-    """The submission of a call by a client; ``deadline_ms`` is a time."""
+    """The submission of a call by a client; ``deadline_ms`` is a point in time, not a duration."""
 
     at_ms: float
     call_id: str
--- a/cedarthread/testing/cluster/run.py
+++ b/cedarthread/testing/cluster/run.py
@@ -30,7 +30,7 @@
 # Time from the RUN command to the start of traffic, so that every process has received it.
 START_LEAD_S = 0.2
 LAST_RESPONSES_S = 0.3  # Wait after the last deadline, in which the last responses arrive.
-# As STANDING specifies: the longest deadline, but at most 3 s, plus 0.7 s.
+# As the document STANDING specifies: the longest deadline, but at most 3 s, plus 0.7 s.
 SIGKILL_AFTER_SIGTERM_S = min(3.0, CALL_DEADLINE_MS / 1000.0) + 0.7
 
 
--- a/cedarthread/testing/cluster/scenario.py
+++ b/cedarthread/testing/cluster/scenario.py
@@ -33,7 +33,7 @@
     # Faults at routers.
     KILL_ROUTER = "kill"  # SIGKILL; the router is started again at the end.
     PAUSE_ROUTER = "stop"  # SIGSTOP; SIGCONT at the end.
-    # SIGTERM, then SIGKILL after ``SIGKILL_AFTER_SIGTERM_S``; started again at the end.
+    # SIGTERM, then SIGKILL after ``run.SIGKILL_AFTER_SIGTERM_S``; the router is started again at the end.
     TERMINATE_ROUTER = "term"
     # Discovery moves to another server address, which the router reads on SIGHUP; the server at the old
     # address stops replying. The move is reverted at the end.
@@ -94,19 +94,20 @@
     FaultKind.SILENCE_DISCOVERY: NodeKind.DISCOVERY,
     FaultKind.CORRUPT_DISCOVERY: NodeKind.DISCOVERY,
 }
-# Faults of a disk. The index is the number in the control file, which persistence/fault_switch.py reads.
+# Faults of a disk. The index is the number in the control file: that of ``InjectedFault`` in
+# persistence/fault_switch.py.
 DISK_FAULTS = (
     "none",
-    "unsynced",
-    "torn",
-    "flipped",
-    "older",
+    "unsynced",  # Syncs report success and write nothing.
+    "torn",  # Syncs report success, but lose the second half of the last write.
+    "flipped",  # One bit of a write is flipped. ``amount``: probability for each write.
+    "older",  # The next opening returns the content of an earlier opening.
     "full",
-    "eio_write",
-    "eio_sync",
-    "slow_sync",
+    "eio_write",  # Writes fail.
+    "eio_sync",  # Syncs fail, and lose their writes for good. ``amount``: number of syncs that succeed first.
+    "slow_sync",  # ``amount``: duration of each sync in ms.
     "read_only",
-    "gone",
+    "gone",  # The folder is missing.
 )
 
 
--- a/cedarthread/testing/cluster/scenarios/change_freeze.py
+++ b/cedarthread/testing/cluster/scenarios/change_freeze.py
@@ -4,6 +4,9 @@
 
 A window is in effect from the later of its start and its declaration plus the staleness bound, until its end.
 A revoked window ends at the latest at the revocation plus the staleness bound.
+
+The staleness bound is that of ``ReplicatedStore``: a router that acts on its replicated state lacks no entry
+that a majority of the routers had that long ago.
 """
 
 from __future__ import annotations
@@ -31,7 +34,9 @@
 # - the calls to instances on a quarter of the workers, for 2 s (2%);
 # - the calls of four routers, for 7 s (5%).
 MIN_SERVED_FRACTION = 0.85
-RESTART_LISTING_MS = 500.0  # Time until routers know of a worker's restart; outside the design's guarantee.
+# Time until routers know of a worker's restart. Until then the design does not guarantee the freeze at that
+# worker.
+RESTART_LISTING_MS = 500.0
 MIN_VALUE_FRACTION = 0.98  # Minimum share of the value per second of a run without a window.
 VALUE_FROM_S = 18  # Start of the time in which the value per second is compared.
 VALUE_TO_S = 30  # End of the time in which the value per second is compared.
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -26,7 +26,8 @@
 QUIET_END_S = 0.5  # Time before the end in which no fault starts.
 PROCESS_FAULT_SHARE = 0.5  # Maximum share of the routers with a process fault.
 LIST_FAULT_SHARE = 0.5  # Maximum share of the workers that are drained or hidden.
-# Minimum share of the calls that are served under any faults: a third of the possible, as STANDING specifies.
+# Minimum share of the calls that are served under any faults: a third of the calls that can be served, as the
+# document STANDING specifies.
 MIN_SERVED_FRACTION = 0.3
 
 # Shortest and longest duration in s of each fault of a router's process. A router has one such fault at most.
@@ -87,7 +88,7 @@
                 self.add_drain_during_stop(self.faults[-1])
 
     def add_drain_during_stop(self, stop: FaultTable) -> None:
-        """Add a drain that starts soon after a pause, and extend the pause beyond the drain's grace."""
+        """Add a drain that starts soon after a pause begins, and end the pause after the drain's grace."""
         stop["until"] = round(min(stop["at"] + self.rng.uniform(*LONG_STOP_S), self.end_s), 3)
         start_s = stop["at"] + self.rng.uniform(0.05, 0.3)
         if start_s < self.end_s - QUIET_END_S:
--- a/cedarthread/testing/cluster/scenarios/mass_restart.py
+++ b/cedarthread/testing/cluster/scenarios/mass_restart.py
@@ -27,9 +27,9 @@
 UNDISTURBED = "undisturbed"
 DOWNTIME_S = 0.6  # Time from a router's kill to its start; the process needs more time until it serves.
 MAX_PEAK_RATIO = 1.5  # Maximum ratio of a peak in 250 ms to the peak of the undisturbed run.
-MIN_SERVED_FRACTION = (
-    0.9  # Minimum share of the value before the kill; with less, full service counts as missed.
-)
+# Minimum share of the submitted value that is served before the kill. If less is served, a return to that
+# level does not count as full service.
+MIN_SERVED_FRACTION = 0.9
 MAX_RECOVERY_S = 5.0  # Maximum time from the last kill to full service, in the quick form.
 
 ScenarioTable = dict[str, object]  # A scenario or a fault, as a TOML table of a scenario file.
--- a/cedarthread/testing/cluster/scenarios/restart_measurements.py
+++ b/cedarthread/testing/cluster/scenarios/restart_measurements.py
@@ -101,14 +101,17 @@
 
 
 def time_to_recover_s(result: Result) -> float | None:
-    """Return the time from the last kill until the share is as before it; None if it does not recover."""
+    """Return the time from the last kill until the served share is stable near the share before the kill.
+
+    None means that it does not recover.
+    """
     return time_to_full_service(
         served_value_shares(result), last_kill_s(result), undisturbed_rate=undisturbed_share(result)
     )
 
 
 def peak_counts(result: Result, since_s: float = 0.0) -> dict[str, int]:
-    """Return the peak in 250 ms after a time, for each shared service that a restart loads."""
+    """Return the peak in 250 ms after a time, for each shared resource on which a restart puts load."""
     peaks = {
         name: peak_count([at_ms for at_ms in times if at_ms >= 1000.0 * since_s])
         for name, times in result.time_series.items()
--- a/cedarthread/testing/invariants.py
+++ b/cedarthread/testing/invariants.py
@@ -2,8 +2,21 @@
 
 The facts are those that can be observed outside the router: requests and answers of clients, attempts and
 answers of workers, and endpoint lists. ``InvariantChecker`` owns all state. Times are ms of one monotonic
-clock. Violations contain the rule by name: harness, answers, deadline, served, effects, attempts, gone,
-drain, time limit, orders and rest.
+clock. Each violation carries the name of its rule:
+
+- answers: each submitted call gets exactly one final answer, unless its client abandoned it.
+- deadline: a final answer arrives at most the answer slack after the call's deadline.
+- served: the body of a served answer was produced by a worker for this call.
+- attempts: an attempt is of a submitted call, and before its final answer; the number of attempts is limited,
+  and two are in flight only if hedging is allowed.
+- effects: a call that may have been executed is retried or refused only if its class allows it.
+- gone: no attempt starts after the client disconnected.
+- drain: no request goes to a worker that was never in the endpoint list, or that has been draining or gone
+  for longer than the drain slack.
+- time limit: a worker's time limit does not exceed the time to the client's deadline.
+- orders: the number of preload requests in a window is limited.
+- rest: a resource is released at the end, or a quantity is at most the expected one.
+- harness: the harness records each call once.
 """
 
 from __future__ import annotations
@@ -271,6 +284,7 @@
     def _check_attempt_is_allowed(
         self, at_ms: float, call: str, record: _CallRecord, first_byte_at_ms: float, handed_over_at_ms: float
     ) -> None:
+        # Equal times do not tell the order; an answer that is already recorded came before this attempt.
         is_same_time = handed_over_at_ms == at_ms and record.answer_count > 0
         if handed_over_at_ms > record.answered_at_ms or is_same_time:
             self._report("attempts", at_ms, f"call {call} sent to a worker after its final answer")
@@ -351,7 +365,7 @@
     def check_remaining(
         self, at_ms: float, resource: str, remaining: float, expected_at_most: float = 0.0
     ) -> None:
-        """Report a resource that was not released by the end of a run, beyond the expected remainder."""
+        """Report a resource of which more than expected remains at the end, or a quantity above its limit."""
         if remaining > expected_at_most:
             detail = f"{resource}: {remaining:g} left, at most {expected_at_most:g} expected"
             self._report("rest", at_ms, detail)
--- a/tests/unit/testing/cluster/test_evaluation.py
+++ b/tests/unit/testing/cluster/test_evaluation.py
@@ -132,7 +132,7 @@
 
 
 def test_a_drain_is_checked_by_the_lists_that_each_router_was_sent() -> None:
-    """Router 1 is sent no list and counts as knowing of the drain 1.5 s after its start."""
+    """Router 1 is sent no list and counts as knowing of the drain 1.5 s after the drain's start."""
     assert drain_violations((1600.0, 0), (3000.0, 1)) == []
     assert drain_violations((1800.0, 0)) == ["drain"]
     assert drain_violations((3200.0, 1)) == ["drain"], "router 1 counts as knowing of the drain after 1.5 s"
--- a/tests/unit/testing/test_worker_model.py
+++ b/tests/unit/testing/test_worker_model.py
@@ -1,4 +1,4 @@
-"""The worker model: loads, queues, eviction, rejection and crashes, on a clock that the test passes."""
+"""The worker model: loads, queues, eviction, rejection and crashes, at times that the test passes."""
 
 from __future__ import annotations
 
