--- a/cedarthread/testing/cluster/scenarios/change_freeze.py
+++ b/cedarthread/testing/cluster/scenarios/change_freeze.py
@@ -272,13 +272,13 @@
     if changes.made > changes.allowed:
         failed_checks.append(f"{changes.made} placement changes in the window, {changes.allowed} allowed")
     if result.served_fraction < MIN_SERVED_FRACTION:
-        failed_checks.append(f"{result.served_fraction:.3f} of the calls served")
+        failed_checks.append(f"{result.served_fraction:.3f} of the calls served, below the minimum")
     if result.scenario_name == "calm" and earlier:
         rate = _value_rate(result)
         rate_without_window = _value_rate(earlier[0])
         if rate < MIN_VALUE_FRACTION * rate_without_window:
             failed_checks.append(
-                f"value served per second {rate:.0f}, {rate_without_window:.0f} without a window"
+                f"value served per second only {rate:.0f}, but {rate_without_window:.0f} without a window"
             )
     return failed_checks
 
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -177,7 +177,7 @@
     """Return the failed checks of a run."""
     failed_checks = [f"{violation}{_trace(result, violation)}" for violation in result.violations]
     if result.served_fraction < MIN_SERVED_FRACTION:
-        failed_checks.append(f"{result.served_fraction:.2f} of the calls served")
+        failed_checks.append(f"{result.served_fraction:.2f} of the calls served, below the minimum")
     return failed_checks
 
 
--- a/cedarthread/testing/cluster/scenarios/load_spread.py
+++ b/cedarthread/testing/cluster/scenarios/load_spread.py
@@ -108,10 +108,11 @@
         )
     if metrics.peak_to_mean > MAX_PEAK_TO_MEAN_RATIO * omniscient.peak_to_mean:
         failed_checks.append(
-            f"peak-to-mean {metrics.peak_to_mean:.2f}, omniscient policy {omniscient.peak_to_mean:.2f}"
+            f"peak-to-mean {metrics.peak_to_mean:.2f}, too far above {omniscient.peak_to_mean:.2f} of the "
+            "omniscient policy"
         )
     if result.served_fraction < MIN_SERVED_FRACTION:
-        failed_checks.append(f"{result.served_fraction:.2f} of the calls served")
+        failed_checks.append(f"{result.served_fraction:.2f} of the calls served, below the minimum")
     return failed_checks
 
 
--- a/cedarthread/testing/cluster/scenarios/mass_restart.py
+++ b/cedarthread/testing/cluster/scenarios/mass_restart.py
@@ -160,7 +160,7 @@
     share = undisturbed_share(result)
     if result.scenario_name == UNDISTURBED:
         if share < MIN_SERVED_FRACTION:
-            failed_checks.append(f"{share:.2f} of the calls served")
+            failed_checks.append(f"{share:.2f} of the submitted value served in time, below the minimum")
         return failed_checks
     failed_checks += _failed_peak_checks(result, earlier)
     if (count := stale_attempts(result)) > 0:
@@ -169,7 +169,7 @@
     if recovery_s is None or share < MIN_SERVED_FRACTION:
         failed_checks.append("full service was not reached")
     elif result.scenario_name == "quick" and recovery_s > MAX_RECOVERY_S:
-        failed_checks.append(f"full service {recovery_s:.1f} s after the last kill")
+        failed_checks.append(f"full service too late, {recovery_s:.1f} s after the last kill")
     return failed_checks
 
 
--- a/cedarthread/testing/invariants.py
+++ b/cedarthread/testing/invariants.py
@@ -367,7 +367,7 @@
     ) -> None:
         """Report a resource of which more than expected remains at the end, or a quantity above its limit."""
         if remaining > expected_at_most:
-            detail = f"{resource}: {remaining:g} left, at most {expected_at_most:g} expected"
+            detail = f"{resource}: {remaining:g}, at most {expected_at_most:g} expected"
             self._report("rest", at_ms, detail)
 
     def check_all_answered(self, at_ms: float) -> None:
--- a/tests/unit/testing/cluster/test_evaluation.py
+++ b/tests/unit/testing/cluster/test_evaluation.py
@@ -85,7 +85,7 @@
     too_long = PeerDatagram(1.0, 0, 0xC1, 257)
     recordings = [Recording(facts=facts[::2]), Recording(facts=facts[1::2], peer_datagrams=[too_long])]
     violations = evaluate(parse_scenario({"routers": 2, "runners": 2}), recordings, 0.0, {}).violations
-    assert "257 left" in violations[0]
+    assert "257, at most 256 expected" in violations[0]
     has_expected = any(expected_violation in violation for violation in violations[1:])
     assert has_expected == bool(expected_violation)
     assert expected_violation or len(violations) == 1
