--- a/cedarthread/testing/cluster/scenarios/mass_restart.py
+++ b/cedarthread/testing/cluster/scenarios/mass_restart.py
@@ -29,7 +29,7 @@
 MAX_PEAK_RATIO = 1.5  # Maximum ratio of a peak in 250 ms to the peak of the undisturbed run.
 # Minimum share of the submitted value that is served before the kill. If less is served, a return to that
 # level does not count as full service.
-MIN_SERVED_FRACTION = 0.9
+MIN_VALUE_FRACTION = 0.9
 MAX_RECOVERY_S = 5.0  # Maximum time from the last kill to full service, in the quick form.
 
 ScenarioTable = dict[str, object]  # A scenario or a fault, as a TOML table of a scenario file.
@@ -159,14 +159,14 @@
         failed_checks.append(f"void: the harness itself was {result.lag_ms:.0f} ms late")
     share = undisturbed_share(result)
     if result.scenario_name == UNDISTURBED:
-        if share < MIN_SERVED_FRACTION:
+        if share < MIN_VALUE_FRACTION:
             failed_checks.append(f"{share:.2f} of the submitted value served in time, below the minimum")
         return failed_checks
     failed_checks += _failed_peak_checks(result, earlier)
     if (count := stale_attempts(result)) > 0:
         failed_checks.append(f"stale: {count} attempts at a runner that was missing from the endpoint list")
     recovery_s = time_to_recover_s(result)
-    if recovery_s is None or share < MIN_SERVED_FRACTION:
+    if recovery_s is None or share < MIN_VALUE_FRACTION:
         failed_checks.append("full service was not reached")
     elif result.scenario_name == "quick" and recovery_s > MAX_RECOVERY_S:
         failed_checks.append(f"full service too late, {recovery_s:.1f} s after the last kill")
--- a/cedarthread/testing/invariants.py
+++ b/cedarthread/testing/invariants.py
@@ -285,8 +285,8 @@
         self, at_ms: float, call: str, record: _CallRecord, first_byte_at_ms: float, handed_over_at_ms: float
     ) -> None:
         # Equal times do not tell the order; an answer that is already recorded came before this attempt.
-        is_same_time = handed_over_at_ms == at_ms and record.answer_count > 0
-        if handed_over_at_ms > record.answered_at_ms or is_same_time:
+        is_after_recorded_answer = handed_over_at_ms == at_ms and record.answer_count > 0
+        if handed_over_at_ms > record.answered_at_ms or is_after_recorded_answer:
             self._report("attempts", at_ms, f"call {call} sent to a worker after its final answer")
         late_ms = first_byte_at_ms - record.client_disconnected_at_ms
         if first_byte_at_ms > record.client_disconnected_at_ms + self.limits.client_disconnected_slack_ms:
--- a/tests/unit/testing/cluster/test_scenario_sets.py
+++ b/tests/unit/testing/cluster/test_scenario_sets.py
@@ -49,7 +49,7 @@
     return dataclasses.replace(good, **changes)
 
 
-def test_a_scenario_set_or_defect_is_added_by_one_line() -> None:
+def test_every_registered_scenario_set_and_defect_can_be_loaded() -> None:
     for name in SCENARIO_MODULES:
         scenario_set = load_scenario_set(name)
         assert all(list(make(1, 24)) for make in (scenario_set.quick, scenario_set.full))
