--- a/cedarthread/testing/cluster/scenarios/restart_measurements.py
+++ b/cedarthread/testing/cluster/scenarios/restart_measurements.py
@@ -41,7 +41,7 @@
 CONNECTION_PEAK_FLOOR = 24
 QUERY_PEAK_FLOOR = 1.25  # Queries per router in 250 ms that do no harm: a router queries five times a second.
 # Recovery datagrams per router in 250 ms that do no harm: six queries, and the responses that both full
-# token buckets allow.
+# token buckets of ``recovery/peer_query.py`` allow (complete and busy responses).
 PEER_DATAGRAM_FLOOR = 45
 
 
--- a/cedarthread/testing/load_balance.py
+++ b/cedarthread/testing/load_balance.py
@@ -216,7 +216,7 @@
         }
         for worker_id, count in arrivals.items():
             share = sum(arrivals.values()) * cores.get(worker_id, 0) / max(1, sum(cores.values()))
-            # With fewer workers of equal size, even all arrivals together are no more than the ratio.
+            # With at most HOTSPOT_RATIO equal workers, even all arrivals do not exceed that many shares.
             if len(cores) > HOTSPOT_RATIO and _is_hotspot(count, share):
                 if window_start_ms - last_seen_ms.get(worker_id, -math.inf) > WINDOW_MS:
                     yield Hotspot(window_start_ms, worker_id, count, share)
