--- a/cedarthread/testing/cluster/fact_reader.py
+++ b/cedarthread/testing/cluster/fact_reader.py
@@ -69,6 +69,7 @@
     "check": CallGuarantees(Idempotency.IDEMPOTENT),
     "confirm": CallGuarantees(Idempotency.NOT_IDEMPOTENT),
 }
+# Value of a served call by class, the same as in ``router_files.router_settings``.
 CLASS_VALUE = {"check": 2.0, "confirm": 3.0}
 UNANSWERED_REMARKS = ("shed", "spawn_failed", "lost")  # Remarks of attempts that produced no body.
 
@@ -167,7 +168,10 @@
         self._end_attempts(fact.call_id, fact.worker, may_have_executed=True)
 
     def _mark_list_known(self, at_ms: float, as_of_ms: float, router: int) -> None:
-        """Report to the invariant checker that a router knows the endpoint list as of a time."""
+        """Report to the invariant checker that a router knows the endpoint list as of a time.
+
+        The checker identifies a worker by its worker id, which is the worker's number plus 1.
+        """
         self._list_known_as_of_ms[router] = as_of_ms
         for worker, state in self.list_timeline.states_at(as_of_ms, router).items():
             self.checker.on_worker_state(at_ms, worker + 1, state, router=router)
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -26,8 +26,8 @@
 QUIET_END_S = 0.5  # Time before the end in which no fault starts.
 PROCESS_FAULT_SHARE = 0.5  # Maximum share of the routers with a process fault.
 LIST_FAULT_SHARE = 0.5  # Maximum share of the workers that are drained or hidden.
-# Minimum share of the calls that are served under any faults: a third of the possible, by the operators'
-# acceptance rules.
+# Minimum share of the calls that are served under any faults: a third of the calls that can be served, by the
+# operators' acceptance rules.
 MIN_SERVED_FRACTION = 0.3
 
 # Shortest and longest duration in s of each fault of a router's process. A router has one such fault at most.
@@ -88,7 +88,7 @@
                 self.add_drain_during_stop(self.faults[-1])
 
     def add_drain_during_stop(self, stop: FaultTable) -> None:
-        """Add a drain that starts soon after a pause, and extend the pause beyond the drain's grace."""
+        """Add a drain that starts soon after a pause begins, and end the pause after the drain's grace."""
         stop["until"] = round(min(stop["at"] + self.rng.uniform(*LONG_STOP_S), self.end_s), 3)
         start_s = stop["at"] + self.rng.uniform(0.05, 0.3)
         if start_s < self.end_s - QUIET_END_S:
@@ -177,7 +177,7 @@
     """Return the failed checks of a run."""
     failed_checks = [f"{violation}{_trace(result, violation)}" for violation in result.violations]
     if result.served_fraction < MIN_SERVED_FRACTION:
-        failed_checks.append(f"{result.served_fraction:.2f} of the calls served")
+        failed_checks.append(f"{result.served_fraction:.2f} of the calls served, below the minimum")
     return failed_checks
 
 
--- a/tests/unit/testing/cluster/test_evaluation.py
+++ b/tests/unit/testing/cluster/test_evaluation.py
@@ -85,7 +85,7 @@
     too_long = PeerDatagram(1.0, 0, 0xC1, 257)
     recordings = [Recording(facts=facts[::2]), Recording(facts=facts[1::2], peer_datagrams=[too_long])]
     violations = evaluate(parse_scenario({"routers": 2, "runners": 2}), recordings, 0.0, {}).violations
-    assert "257 left" in violations[0]
+    assert "257, at most 256 expected" in violations[0]
     has_expected = any(expected_violation in violation for violation in violations[1:])
     assert has_expected == bool(expected_violation)
     assert expected_violation or len(violations) == 1
@@ -132,7 +132,7 @@
 
 
 def test_a_drain_is_checked_by_the_lists_that_each_router_was_sent() -> None:
-    """Router 1 is sent no list and counts as knowing of the drain 1.5 s after its start."""
+    """Router 1 is sent no list and counts as knowing of the drain 1.5 s after the drain's start."""
     assert drain_violations((1600.0, 0), (3000.0, 1)) == []
     assert drain_violations((1800.0, 0)) == ["drain"]
     assert drain_violations((3200.0, 1)) == ["drain"], "router 1 counts as knowing of the drain after 1.5 s"
