--- a/tests/simulation/change_freeze_fleet.py
+++ b/tests/simulation/change_freeze_fleet.py
@@ -258,7 +258,8 @@
         self.workers = [SimulatedWorker(worker_id) for worker_id in range(WORKER_COUNT)]
         self.placements: list[Placement] = []  # as recorded by the workers
         self.rejections_at_ms: list[float] = []
-        self.needless_rejections_at_ms: list[float] = []  # although a placed worker had capacity
+        # Times of rejections although a worker on which the function is placed had capacity.
+        self.needless_rejections_at_ms: list[float] = []
         self.unloads_at_ms: list[float] = []
         self.served_count = 0
         self.entry_count = 0
--- a/tests/simulation/change_freeze_world.py
+++ b/tests/simulation/change_freeze_world.py
@@ -28,7 +28,7 @@
 END_STEP = 7
 SHORTENED_END_STEP = 5
 LAST_STEP = 9
-CHANGE_STEPS = (1, START_STEP + 1)  # at which the environment changes
+CHANGE_STEPS = (1, START_STEP + 1)  # steps at which the environment changes
 NEVER = 99  # later than the last step
 MS_PER_HOUR = 3_600_000.0
 
--- a/tests/simulation/contract_edits.py
+++ b/tests/simulation/contract_edits.py
@@ -24,7 +24,7 @@
 )
 
 ROUTER_COUNT = 5
-STEP_COUNT = 4000  # of 100 ms
+STEP_COUNT = 4000  # number of simulated steps, of 100 ms each
 
 
 class PullingReplicatedState(FakeReplicatedState):
--- a/tests/simulation/priority_fleet.py
+++ b/tests/simulation/priority_fleet.py
@@ -244,7 +244,7 @@
         self.never_sheds = never_sheds
         self.requests: dict[str, dict[int, int]] = defaultdict(dict)
         self.pool_totals: dict[str, int] = {}
-        self.forced_shed_probability: dict[int, float] = {}  # by router, replaces its own estimate
+        self.forced_shed_probability: dict[int, float] = {}  # by router; replaces the router's own estimate
         self.partitioned: set[int] = set()
         self.calls: dict[int, SimulatedCall] = {}
         self.preemptions: list[Preemption] = []
--- a/tests/simulation/priority_records.py
+++ b/tests/simulation/priority_records.py
@@ -43,7 +43,7 @@
 ROUTER_COUNT = 6
 WORKER_COUNT = 8
 CONCURRENCY = 4
-CAPACITY_PER_SECOND = WORKER_COUNT * CONCURRENCY / 200.0 * 1000.0  # calls
+CAPACITY_PER_SECOND = WORKER_COUNT * CONCURRENCY / 200.0 * 1000.0  # calls per second, at 200 ms of work each
 MAX_IN_FLIGHT_PER_WORKER = 3  # calls of one router at one worker
 STRICTEST_OBJECTIVE_MS = 500.0  # the least latency objective of all classes
 FLEET_FILE = b"""
@@ -71,7 +71,7 @@
 rate = 60
 floor = 0.5
 """
-PREEMPTIONS_PER_SECOND = 6.0  # ``preempts`` in the fleet file
+PREEMPTIONS_PER_SECOND = 6.0  # equal to ``preempts`` in the fleet file
 TENANTS = ("mill", "town", "bulk")
 EDITED_TENANTS = TENANTS[:2]
 
--- a/tests/simulation/slow_start_fleet.py
+++ b/tests/simulation/slow_start_fleet.py
@@ -90,7 +90,7 @@
         self.request_ids = itertools.count(1)
         self.calls: dict[int, Call] = {}  # by request id
         self.first_requests = 0  # requests after the transition, without client retries
-        self.rejected_requests = 0  # of the first requests
+        self.rejected_requests = 0  # those of ``first_requests`` that were rejected
         self.cold_calls = 0  # calls that count against a budget
         self.function_weights = [1.0 / (rank + 3.0) ** 1.3 for rank in range(len(FUNCTIONS))]
         self.incarnations = [0] * scenario.router_count
--- a/tests/simulation/slow_start_scenarios.py
+++ b/tests/simulation/slow_start_scenarios.py
@@ -64,10 +64,10 @@
 class Result:
     """The fullest window of any late-started worker, and the fraction of rejected requests."""
 
-    fullest_window: float  # load of the window over its upper bound
+    fullest_window: float  # load of the window divided by its upper bound
     total: float  # load of the window in calls of mean work
     budget: float  # budget of the window
-    budget_used: float  # total work received by late-started workers, over the sum of their budgets
+    budget_used: float  # work received by late-started workers, divided by the sum of their budgets
     rejected_fraction: float  # fraction of the first requests after the transition
 
 
--- a/tests/simulation/test_escrow_fleet.py
+++ b/tests/simulation/test_escrow_fleet.py
@@ -139,7 +139,7 @@
 
     def __init__(self, *args: Any, **settings: Any) -> None:
         super().__init__(*args, **settings)
-        self.deferred_leases: list[Any] = []  # pool and lease
+        self.deferred_leases: list[Any] = []  # pairs of a pool and its withheld lease, or None
 
     def on_request(self, now_ms: float, sender: int, pool: QuotaPool, request: EscrowRequest) -> Any:
         if not isinstance(pool, RatePool):
@@ -181,7 +181,8 @@
 def test_the_simulation_finds_injected_defects(defect: type[Escrow]) -> None:
     settings = {
         "is_durable": defect is UseBeforeWriteOff,
-        "is_demand_only": defect is NoDriftMargin,  # units lost elsewhere would hide a small overlap
+        # Units lost to other faults would hide that lender and borrower briefly use the same units.
+        "is_demand_only": defect is NoDriftMargin,
     }
     assert any(simulate_faults(defect, seed, **settings).violations for seed in range(4))
     assert not simulate_faults(Escrow, 0, **settings).violations
--- a/tests/simulation/test_fleet_components.py
+++ b/tests/simulation/test_fleet_components.py
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_window_declared_at_one_router_freezes_placement_at_all(seed: int) -> None:
     fleet = Fleet(7, seed)
-    fleet.run(30_000.0)  # by then the restart recovery, which limits loads, is over
+    fleet.run(30_000.0)  # until restart recovery ends, which limits the loading of instances
     for function_id in range(3):
         fleet.call(function_id, function_id)
     fleet.run(3_000.0)
@@ -112,7 +112,8 @@
     fleet.run(30_000.0)
     fleet.apply_fleet_file(0, freeze_window(60.0, 120.0))
     fleet.run(20_000.0)
-    fleet.timers = [timer for timer in fleet.timers if timer[0] < fleet.now_ms]  # all routers stall
+    # All routers stall, because their pending timers are removed.
+    fleet.timers = [timer for timer in fleet.timers if timer[0] < fleet.now_ms]
     fleet.run(20_000.0)
     request_id = fleet.call(2, 77)
     assert not fleet.cold_starts
--- a/tests/simulation/test_persistence_restarts.py
+++ b/tests/simulation/test_persistence_restarts.py
@@ -62,7 +62,7 @@
 
     def tick(self, index: int, node: RoutingNode) -> None:
         if self.routers[index] is not node:
-            return  # this incarnation has ended
+            return  # the router has restarted, and its new incarnation has its own ticks
         persister = self.persister(index)
         disk = self.disks[index]
         is_disk_faulty = index in self.routers_with_faulty_disk
@@ -151,7 +151,7 @@
 ) -> None:
     """A complete disk records the used part; with a corrupted disk the router loses its reserved amount."""
     fleet = settled_fleet()
-    fleet.run(560_000.0)  # inside the window
+    fleet.run(560_000.0)  # to a time inside the change freeze window
     fleet.call_from_all(0)
     assert len(fleet.cold_starts) == 1
     for index in range(ROUTER_COUNT):
--- a/tests/simulation/test_priority_fleet.py
+++ b/tests/simulation/test_priority_fleet.py
@@ -42,7 +42,7 @@
 
 
 def burst(now_ms: float) -> tuple[float, float, float]:
-    """Return 2.4 times the usual rates for 7 s, which the fleet can serve."""
+    """Return rates that rise to 2.4 times the usual for 7 s; the fleet has capacity for the burst."""
     factor = 2.4 if 10_000.0 < now_ms < 17_000.0 else 1.0
     return (18.0 * factor, 18.0 * factor, 18.0 * factor)
 
@@ -65,7 +65,7 @@
 
 
 def _local_overload(seed: int) -> str | None:
-    """Overload one router and partition another, which is no overload of the cluster."""
+    """Overload one router and partition another; neither is an overload of the cluster."""
     fleet = SimulatedFleet(seed, lambda now_ms: (20.0, 20.0, 20.0))
     fleet.forced_shed_probability[2] = 0.8
     fleet.routers[2].component.pressure_estimator.pressure = lambda now_ms: 3.0  # type: ignore[method-assign]
--- a/tests/simulation/test_recovery_exploration.py
+++ b/tests/simulation/test_recovery_exploration.py
@@ -34,7 +34,7 @@
 
 class EventKind(Enum):
     TICK = auto()
-    PAUSE = auto()  # of all processes
+    PAUSE = auto()  # a pause of all processes
     DELIVER = auto()
     LOSE = auto()
     DUPLICATE = auto()
@@ -44,7 +44,7 @@
 
 class Event(NamedTuple):
     kind: EventKind
-    number: int = 0  # of the datagram or the router
+    number: int = 0  # index of the datagram in flight, or of the router
 
 
 class Datagram(NamedTuple):
@@ -131,7 +131,7 @@
         for message in messages:
             if isinstance(message, SendToPeer) and message.peer_index is not None:
                 self.in_flight.append(Datagram(message.peer_index, sender, message.data))
-        del self.in_flight[MAX_IN_FLIGHT:]  # the others are lost
+        del self.in_flight[MAX_IN_FLIGHT:]  # datagrams beyond the limit are lost
 
     def check(self) -> None:
         """Assert the invariants that must hold in each state."""
@@ -146,7 +146,8 @@
             if machine.phase is RecoveryPhase.PEER_QUERY and machine.cause is TransitionCause.EVIDENCE:
                 alive_count = 1 + len(recovery.fleet_view.peer_uptimes_ms(self.now_ms))
                 assert 2 * alive_count > len(self.routers)
-            if machine.phase is RecoveryPhase.IN_SERVICE:  # by timeouts alone, because there are no calls
+            # Only timeouts lead to this phase here, because the model has no calls.
+            if machine.phase is RecoveryPhase.IN_SERVICE:
                 assert self.now_ms - machine.restarted_at_ms >= machine.timeouts.warming_ms
 
     def key(self) -> object:
--- a/tests/simulation/test_replication_fleet.py
+++ b/tests/simulation/test_replication_fleet.py
@@ -19,7 +19,7 @@
     simulate_restart_during_sync,
 )
 
-MAX_STATES = 12_000  # to explore in the small model
+MAX_STATES = 12_000  # limit for the exploration of the small model
 
 
 def test_a_router_that_lost_an_entry_does_not_count_as_its_holder() -> None:
--- a/tests/simulation/test_slow_start_fleet.py
+++ b/tests/simulation/test_slow_start_fleet.py
@@ -54,7 +54,8 @@
     assert warming_worker.window_weight == pytest.approx(2.0)
     assert warming_worker.received_work == pytest.approx(2.0)
     warming_worker.record_send(7000.0, 0.7)
-    assert warming_worker.window_weight == pytest.approx(1.4)  # the window of 2 s excludes its start
+    # The window of 2 s excludes its start, so the call sent at 5000 ms no longer counts.
+    assert warming_worker.window_weight == pytest.approx(1.4)
 
 
 def idle_router() -> RouterDriver:
