--- a/tests/unit/change_freeze/test_admission_gate.py
+++ b/tests/unit/change_freeze/test_admission_gate.py
@@ -53,7 +53,7 @@
     answers = [gate.admit(2.0, change).answer for change in changes]
     assert answers == [
         AdmissionAnswer.PERMITTED_BY_EXCEPTION,
-        AdmissionAnswer.PERMITTED,  # the placement has consumed its exception already
+        AdmissionAnswer.PERMITTED,  # the same placement has already consumed its exception
         AdmissionAnswer.DENIED,
     ]
 
--- a/tests/unit/dispatch/builders.py
+++ b/tests/unit/dispatch/builders.py
@@ -18,7 +18,7 @@
 
 ROUTER_SETTINGS = settings_from_object(SETTINGS)
 
-# For the tests of the sending rules.
+# The values below are for the tests of the sending rules.
 NOW_MS = 10_000.0
 WORKER = 5
 RULE_SETTINGS = settings()
--- a/tests/unit/dispatch/test_calls.py
+++ b/tests/unit/dispatch/test_calls.py
@@ -17,5 +17,6 @@
 
 def test_a_tenth_of_the_time_limit_is_reserved_as_margin() -> None:
     assert call_deadline_ms(1000.0, 2000.0) == 2800.0
-    assert call_deadline_ms(1000.0, 100.0) == 1060.0  # at least 40 ms, but at most half of the limit
+    # The margin is at least 40 ms, but at most half of the time limit.
+    assert call_deadline_ms(1000.0, 100.0) == 1060.0
     assert call_deadline_ms(1000.0, 20.0) == 1010.0
--- a/tests/unit/dispatch/test_deferred.py
+++ b/tests/unit/dispatch/test_deferred.py
@@ -60,7 +60,8 @@
     assert store.add("a", None, REQUEST, 1.0) is None
     store.remove(first)
     store.complete(other, CallSucceeded(b"x" * 70))
-    assert store.add("a", None, REQUEST, 1.0) is None  # 70 and 40 bytes are more than 100
+    # The result of 70 bytes and the reserve of 40 bytes exceed the limit of 100 bytes.
+    assert store.add("a", None, REQUEST, 1.0) is None
     store.remove(other)
     store.remove(other)
     assert store.reserved_bytes == 0
--- a/tests/unit/escrow/builders.py
+++ b/tests/unit/escrow/builders.py
@@ -16,8 +16,8 @@
 
 POOL = "p"
 CLOCK_RATE = 0.001
-READY_MS = 5000.0  # a router's own units of a rate are usable from then on
-TICK_DELAY_MS = 300.0  # from the demand to the tick that sends the request
+READY_MS = 5000.0  # time from which a router may use its own units of a rate
+TICK_DELAY_MS = 300.0  # time from the demand to the tick that sends the request
 
 
 def two_escrows(total: int, *, is_consumable: bool, is_durable: bool = False) -> list[Escrow]:
--- a/tests/unit/gossip/test_load_gossip.py
+++ b/tests/unit/gossip/test_load_gossip.py
@@ -142,7 +142,7 @@
     for incarnation in (7, 8):
         sender = LoadGossip(sender_settings, 9, incarnation)
         sender.has_started = True
-        for _ in range(10 - incarnation):  # the first incarnation sent more
+        for _ in range(10 - incarnation):  # the first incarnation sends more datagrams
             sender.on_attempt_sent(4, 42)
             now_ms = 1000.0 * incarnation
             for datagram in sender.collect_due_datagrams(now_ms + 100.0 * sender.sequence_number):
--- a/tests/unit/gossip/test_restarting_routers.py
+++ b/tests/unit/gossip/test_restarting_routers.py
@@ -23,7 +23,7 @@
 STEP_MS = 10.0
 STEPS = 1000
 STEPS_WITH_REQUESTS = 900
-RESTART_STEPS = (400, 550, 700)  # of routers 0, 1 and 2
+RESTART_STEPS = (400, 550, 700)  # steps at which routers 0, 1 and 2 restart
 DELIVERED_FRACTION = 0.9
 
 
@@ -35,7 +35,7 @@
 
 class AttemptStart(NamedTuple):
     step: int
-    known_load: InstanceLoad | None  # of the function at the selected worker, as the router knew it
+    known_load: InstanceLoad | None  # what the router knew of the function's load at the worker
 
 
 class RestartingRouters:
--- a/tests/unit/membership/test_dissemination.py
+++ b/tests/unit/membership/test_dissemination.py
@@ -7,7 +7,7 @@
 
 
 def test_updates_are_sent_a_limited_number_of_times_the_least_sent_update_first() -> None:
-    buffer = DisseminationBuffer(3, 0.0)  # 3 * log2(4) = 6 times
+    buffer = DisseminationBuffer(3, 0.0)  # sends each update 3 * log2(4) = 6 times
     buffer.add(1)
     assert buffer.take() == (1,)
     buffer.add(2)
--- a/tests/unit/node/test_component_set.py
+++ b/tests/unit/node/test_component_set.py
@@ -59,7 +59,7 @@
 def test_each_datagram_reaches_the_component_of_its_type() -> None:
     node, component = node_with_component()
     assert LogMessage("received") in node.handle(1.0, PeerMessageReceived(2, b"\xc6word"))
-    for data in (b"", b"\x00", b"\xc1", b"\xc2" + bytes(300)):  # of unknown types, or of other components
+    for data in (b"", b"\x00", b"\xc1", b"\xc2" + bytes(300)):  # unknown types, or types of other components
         node.handle(2.0, PeerMessageReceived(2, data))
     assert component.received == ["message 2 word"]
     # Gossip counts its own malformed datagrams and those of unknown types.
--- a/tests/unit/priority/contract_world.py
+++ b/tests/unit/priority/contract_world.py
@@ -21,7 +21,7 @@
 
 BOUND_TICKS = 2.0  # the staleness bound
 LAST_TICK = 4
-INITIAL_TICK = -99.0  # of the initial entries, long before the first edit
+INITIAL_TICK = -99.0  # tick of the initial entries, long before the first edit
 
 
 class FakeReplicatedState:
--- a/tests/unit/priority/test_usage.py
+++ b/tests/unit/priority/test_usage.py
@@ -6,7 +6,7 @@
 
 from cedarthread.priority.usage import QuotaBucket
 
-MAX_DEPTH_TOKENS = 50.0  # at the highest rate
+MAX_DEPTH_TOKENS = 50.0  # depth of the bucket at the highest rate
 
 
 def test_quota_bucket_never_exceeds_its_rate_by_more_than_its_depth() -> None:
@@ -15,7 +15,7 @@
     consumed_tokens = 0
     earned_tokens = 0.0
     now_ms = 0.0
-    rate = 5000  # 1/1000 call per second
+    rate = 5000  # in units of 1/1000 call per second
     for _ in range(5000):
         step_ms = rng.uniform(0.0, 400.0)
         next_rate = rng.choice([0, 500, 5000, 50_000])
--- a/tests/unit/protocols/dns_replies.py
+++ b/tests/unit/protocols/dns_replies.py
@@ -6,7 +6,7 @@
 
 from cedarthread.protocols import dns
 
-QUERY_ID = 7  # of the replies that ``discovery_reply`` returns
+QUERY_ID = 7  # query id of the replies that ``discovery_reply`` returns
 RESPONSE_FLAGS = 0x8400  # a response, authoritative
 TRUNCATED_FLAGS = 0x8600
 NAME_ERROR_FLAGS = 0x8403
--- a/tests/unit/protocols/worker/test_line_queue.py
+++ b/tests/unit/protocols/worker/test_line_queue.py
@@ -15,8 +15,8 @@
     """A line queue of an established connection."""
 
     queue: LineQueue
-    attempts: list[Attempt]  # whose lines are in the queue
-    written: list[Attempt]  # reported as written
+    attempts: list[Attempt]  # attempts whose lines are in the queue
+    written: list[Attempt]  # attempts whose lines were reported as written
 
 
 def queue_with(*call_ids: str) -> ConnectedQueue:
--- a/tests/unit/recovery/test_component.py
+++ b/tests/unit/recovery/test_component.py
@@ -45,7 +45,7 @@
     for alive_for_ms, alive_peers, is_mass_restart in (
         ({1: 9e4, 2: 9e4, 3: 10.0, 4: 9e4}, (1, 2, 3, 4), False),
         ({1: 9e4, 2: 50.0, 3: 10.0, 4: 9e4}, (1, 2, 3, 4), True),
-        ({1: 9e4, 2: 9e4}, (1, 2), True),  # the others are not alive
+        ({1: 9e4, 2: 9e4}, (1, 2), True),  # two of the four peers are not alive
     ):
         recovery.on_notification(0.0, PeersChanged(alive_peers, 5, alive_for_ms))
         assert recovery.is_mass_restart(0.0) is is_mass_restart
--- a/tests/unit/recovery/test_pacing.py
+++ b/tests/unit/recovery/test_pacing.py
@@ -50,7 +50,7 @@
         if was_warm:
             assert sum(granted_by_step[-20:]) >= 190
         else:
-            assert sum(granted_by_step) <= 4 * 10 + 1  # the limit, because all calls start loads
+            assert sum(granted_by_step) <= 4 * 10 + 1  # limited by pacing, because all calls start loads
 
 
 def test_recovering_routers_share_the_connections_to_one_worker() -> None:
--- a/tests/unit/recovery/test_state_machine.py
+++ b/tests/unit/recovery/test_state_machine.py
@@ -23,7 +23,7 @@
     baseline_warm_fraction=0.9,
     has_deferred_loads=False,
 )
-# Each phase, with evidence that satisfies the conditions of the earlier phases, but not its own.
+# Pairs of a phase and evidence that ends all earlier phases, but not this phase.
 INCOMPLETE_EVIDENCE = [
     (RecoveryPhase.STARTING, dataclasses.replace(ALL_EVIDENCE, has_endpoint_list=False)),
     (RecoveryPhase.STARTING, dataclasses.replace(ALL_EVIDENCE, has_majority=False)),
--- a/tests/unit/routing/test_router_outliers.py
+++ b/tests/unit/routing/test_router_outliers.py
@@ -39,7 +39,8 @@
     driver = RouterDriver(*workers(3))
     driver.send_request()
     home = attempted_worker_ids(driver.actions)[0]
-    driver.end_attempt(1, home)  # after a response of the function, an error counts against the worker
+    # An error counts against the worker only after the function has sent a response.
+    driver.end_attempt(1, home)
     driver.actions.clear()
     driver.send_request()
     for request_id in range(2, 5):
@@ -119,7 +120,7 @@
                 driver.now_ms, by_id[worker_id], 1.0, outlier_detection.MAX_UNRESPONSIVE_EJECTED_FRACTION
             )
     assert sum(record.is_ejected for record in by_id.values()) == 4
-    for worker_id in (5, 6):  # the others fail, and the limit for errors is already reached
+    for worker_id in (5, 6):  # failing workers, not ejected because the limit for errors is reached
         for _ in range(3):
             observe_health(driver.now_ms, by_id[worker_id], 1.0)
     assert sum(record.is_ejected for record in by_id.values()) == 4
--- a/tests/unit/routing/test_router_overload.py
+++ b/tests/unit/routing/test_router_overload.py
@@ -15,7 +15,8 @@
     """Response times alone detect an overload too late: shedding oscillates between almost none and all."""
     driver = RouterDriver(*workers(3))
     serve_calls(driver)
-    answers = [final_failures(driver.send_request(after_ms=1.0)) for _ in range(200)]  # no attempt ends
+    # The workers become overloaded, because no attempt ends.
+    answers = [final_failures(driver.send_request(after_ms=1.0)) for _ in range(200)]
     first_shed = next(number for number, answer in enumerate(answers) if answer)
     assert 20 < first_shed < 100
     assert 20 < sum(map(bool, answers[first_shed:])) < len(answers) - first_shed
