--- a/tests/simulation/change_freeze_world.py
+++ b/tests/simulation/change_freeze_world.py
@@ -66,7 +66,8 @@
     known_replicated_at: dict[int, int] = field(default_factory=dict)
     reaches_majority: bool = True
     wall_clock_step_ms: float = 0.0
-    stepped_before_window: bool = False  # if so, the clock applied the step
+    # Whether the wall clock stepped before the router received an entry; if so, the clock applied the step.
+    stepped_before_window: bool = False
     has_restarted: bool = False
     staleness_bound_ms: float = BOUND_STEPS * STEP_MS
     component: ChangeFreezeComponent | None = None
--- a/tests/simulation/recovery_fleet.py
+++ b/tests/simulation/recovery_fleet.py
@@ -99,9 +99,9 @@
         self.limits = dataclasses.replace(LIMITS, allows_gossip=allows_gossip)
         self.worker_started_at_ms = dict.fromkeys(self.worker_ids, WORKER_START_MS)
         self.last_used_ms: dict[int, dict[int, float]] = {worker_id: {} for worker_id in self.worker_ids}
-        """By worker, then by function."""
+        """Time of the last use of an instance, by worker, then by function."""
         self.load_ends_ms: dict[tuple[int, int], float] = {}
-        """By worker and function."""
+        """Time at which the load of an instance ends, by worker and function."""
         self.draining: set[int] = set()
         self.snapshots: dict[int, bytes] = {}
         self.down: set[int] = set()
--- a/tests/simulation/recovery_records.py
+++ b/tests/simulation/recovery_records.py
@@ -18,11 +18,11 @@
 
     load_times: list[float] = field(default_factory=list)
     connection_times: dict[int, list[float]] = field(default_factory=lambda: defaultdict(list))
-    """By worker."""
+    """Times of new connections, by worker."""
     sent_datagrams: dict[int, list[float]] = field(default_factory=lambda: defaultdict(list))
-    """Times, by sender."""
+    """Times at which datagrams were sent, by sender."""
     call_values: dict[int, list[float]] = field(default_factory=lambda: defaultdict(list))
-    """By the tenth of a second in which the call arrived: 1 if answered in time, 0.2 if late, 0 if lost."""
+    """Values of calls, by the tenth of a second of arrival: 1 if answered in time, 0.2 if late, 0 if lost."""
     stale_decisions: int = 0
     """Calls that were expected warm at a worker that has since restarted or is draining."""
     last_seen_warm_ms: dict[tuple[int, int], float] = field(default_factory=dict)
--- a/tests/simulation/test_priority_fleet.py
+++ b/tests/simulation/test_priority_fleet.py
@@ -86,12 +86,12 @@
 
 
 def _queued_preempted(seed: int) -> str | None:
-    """Queue all calls and reject none, so that only preemption frees capacity: here of queued calls."""
+    """Queue all calls and reject none, so that only the preemption of queued calls frees capacity."""
     return _check_preemptions(SimulatedFleet(seed, double_capacity, never_sheds=True), were_running=False)
 
 
 def _running_preempted(seed: int) -> str | None:
-    """Preempt running calls instead, because the next worker of a queued call is unknown."""
+    """Preempt running instead of queued calls, because the next worker of a queued call is unknown."""
     fleet = SimulatedFleet(seed, double_capacity, never_sheds=True, hides_queued_workers=True)
     return _check_preemptions(fleet, were_running=True)
 
--- a/tests/unit/priority/contract_world.py
+++ b/tests/unit/priority/contract_world.py
@@ -128,7 +128,7 @@
         latest = own_edits[-1]
         if latest.known_replicated_at is None and state.replicated_at[latest.edit] is not None:
             yield with_known_edits((*own_edits[:-1], latest._replace(known_replicated_at=now_ms)))
-        if state.replicated_at[latest.edit] is None:  # the majority includes this router
+        if state.replicated_at[latest.edit] is None:  # a majority that includes this router receives the edit
             before = state.replicated_at[: latest.edit]
             after = state.replicated_at[latest.edit + 1 :]
             yield state._replace(replicated_at=(*before, now_ms, *after))
