--- a/cedarthread/testing/cluster/endpoint_timeline.py
+++ b/cedarthread/testing/cluster/endpoint_timeline.py
@@ -42,7 +42,7 @@
             at_s for fault in (*self.hide_faults, *self.drain_faults) for at_s in (fault.start_s, fault.end_s)
         ]
         self.change_times_s += [fault.end_s + LISTING_DELAY_S for fault in self.crash_faults]
-        # Lists by version, hidden workers and draining workers.
+        # Endpoint lists. Keys: (version, hidden workers, draining workers).
         self._cache: dict[tuple[int, frozenset[int], frozenset[int]], tuple[ListedWorker, ...]] = {}
 
     def list_at(self, now_ms: float, router: int) -> VersionedList:
--- a/cedarthread/testing/cluster/fact_reader.py
+++ b/cedarthread/testing/cluster/fact_reader.py
@@ -39,13 +39,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
 
-ANSWER_SLACK_MS = 250.0  # Tolerance after the deadline, because hundreds of processes share the machine.
+ANSWER_SLACK_MS = 250.0  # Tolerance after a call's deadline, because hundreds of processes share the machine.
 HARNESS_SLACK_MS = 60.0  # Maximum delay of a fake in reading bytes that a router sent in time.
 # A router counts as knowing a change of its endpoint list this long after the change, even if no reply with
 # the change arrived, as the platform's protocol specification requires.
 MAX_PROPAGATION_MS = 7000.0
-# The same limit if no fault disturbs the router's discovery queries, as that specification requires. The
-# router's process may still be paused.
+# The same limit as ``MAX_PROPAGATION_MS``, if no fault disturbs the router's discovery queries, as the
+# platform's protocol specification requires. The router's process may still be paused.
 MAX_UNDISTURBED_PROPAGATION_MS = 1500.0
 RESUME_TO_QUERY_S = 0.3  # Time from the end of a pause until the process has queried discovery.
 DISCOVERY_DISTURBANCES = (
@@ -111,16 +111,16 @@
         )
         self.checker = InvariantChecker(limits)
         self.list_timeline = EndpointListTimeline(scenario, [0] * scenario.worker_count)
-        self._list_known_as_of_ms = [-math.inf] * scenario.router_count  # Time of the latest list, by router.
+        self._list_known_as_of_ms = [-math.inf] * scenario.router_count  # Time of the list each router knows.
         self.scenario = scenario
         self._pending_deadlines = self._propagation_deadlines()
         self.answers: Counter[str] = Counter()
         self.answers_by_tenant: defaultdict[str, Counter[str]] = defaultdict(Counter)
         self.served: list[ServedValue] = []
         self.latency_us = HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
-        self._attempts: defaultdict[str, list[_WorkerAttempt]] = defaultdict(list)  # By call id.
-        self._submitted: dict[str, CallSubmitted] = {}  # By call id.
-        self._cancelled_at_ms: dict[tuple[str, int], float] = {}  # Latest, by call id and worker.
+        self._attempts: defaultdict[str, list[_WorkerAttempt]] = defaultdict(list)  # Keys: call ids.
+        self._submitted: dict[str, CallSubmitted] = {}  # Keys: call ids.
+        self._cancelled_at_ms: dict[tuple[str, int], float] = {}  # Last cancellation by (call id, worker).
         for router in range(scenario.router_count):
             self._mark_list_known(-math.inf, 0.0, router)
         self._handlers: dict[type, Callable[[Any], None]] = {
--- a/cedarthread/testing/cluster/fake_clients.py
+++ b/cedarthread/testing/cluster/fake_clients.py
@@ -31,7 +31,7 @@
     from collections.abc import Callable
 
 ZONE = "room-a"
-CALLS_PER_YIELD = 32  # Overdue calls that are sent before the event loop runs again.
+CALLS_PER_YIELD = 32  # An overdue call whose number is a multiple of this lets the event loop run first.
 ABANDON_BEFORE_RESUME_S = 0.02  # Calls are abandoned this long before a paused router resumes and can answer.
 CONNECT_TRIES = 20
 CONNECT_RETRY_S = 0.1
@@ -62,10 +62,10 @@
         self.rng = random.Random(1000 * plan.scenario.seed + number)
         self.list_timeline = EndpointListTimeline(plan.scenario, plan.worker_ports)
         self.discovery_faults = [fault for fault in plan.scenario.faults if fault.kind in DISCOVERY_FAULTS]
-        self.clients: dict[int, FakeClient] = {}  # By router.
-        # Call ids by router, then by the number of the call on its connection.
+        self.clients: dict[int, FakeClient] = {}  # Keys: router numbers.
+        # Ids of pending calls. Keys: the router number, then the call's number on its connection.
         self.pending_calls: dict[int, dict[int, str]] = {router: {} for router in self.routers}
-        self.submitted_at_ms: dict[str, float] = {}  # By call id.
+        self.submitted_at_ms: dict[str, float] = {}  # Keys: call ids. Times are ms from the start of traffic.
         self.relays = PeerRelays(self)
 
     async def start(self) -> None:
--- a/cedarthread/testing/cluster/plan.py
+++ b/cedarthread/testing/cluster/plan.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from cedarthread.testing.cluster.scenario import Scenario
 
-CALL_DEADLINE_MS = 3000.0  # Deadline of every call, from its submission.
+CALL_DEADLINE_MS = 3000.0  # Time from the submission of every call to its deadline.
 
 
 class InheritedSocket(NamedTuple):
--- a/cedarthread/testing/cluster/policy_replay.py
+++ b/cedarthread/testing/cluster/policy_replay.py
@@ -14,7 +14,7 @@
 from cedarthread.testing.cluster.scenario import Fault, FaultKind, NodeKind, Scenario
 from cedarthread.testing.fakes.worker_model import PackageStore, WorkerCall, WorkerModel
 
-MAX_ATTEMPTS = 2  # The first attempt and one retry of a rejected call.
+MAX_ATTEMPTS = 2  # Maximum attempts per call: the first attempt and one retry if it is rejected.
 DRAIN_MS = 10_000.0  # Time after the last arrival in which all calls end.
 REPLAY_SEED = 0x5EED  # Makes the random numbers of a replay differ from those of the arrivals.
 
@@ -36,7 +36,7 @@
     """The start or the end of a fault at a worker."""
 
     at_ms: float
-    order: int  # Order of events with the same time.
+    order: int  # Events with the same ``at_ms`` are applied in ascending ``order``.
     apply: Callable[[], None]
 
 
@@ -161,7 +161,7 @@
         return queue_ms + (0.0 if is_slot_free else load_ms / 2 if instances.loading else load_ms)
 
 
-POLICIES: dict[str, Policy] = {  # By name in result files.
+POLICIES: dict[str, Policy] = {  # Keys: names of the policies in result files.
     "random": PolicyReplay.choose_random,
     "own": PolicyReplay.choose_lowest_own_load,
     "two": PolicyReplay.choose_of_two,
--- a/cedarthread/testing/cluster/recordings.py
+++ b/cedarthread/testing/cluster/recordings.py
@@ -19,8 +19,8 @@
 LOADS = "loads"
 DISCOVERY_QUERIES = "questions"
 PLACEMENTS = "placements"
-CONNECTIONS_PREFIX = "connections:"  # Followed by the worker's number.
-PEER_DATAGRAMS_PREFIX = "peers:"  # Followed by the message type (the first byte) in hexadecimal.
+CONNECTIONS_PREFIX = "connections:"  # In names of time series, followed by the worker's number.
+PEER_DATAGRAMS_PREFIX = "peers:"  # Followed in series names by the message type (first byte) in hex.
 
 
 class AcceptedConnection(NamedTuple):
--- a/cedarthread/testing/cluster/result.py
+++ b/cedarthread/testing/cluster/result.py
@@ -37,15 +37,15 @@
     scenario_name: str
     seed: int
     load_balance: LoadBalanceMetrics
-    # Load balance of other policies for the same arrivals, by policy.
+    # Load balance of other policies for the same arrivals. Keys: names of the policies.
     replayed: dict[str, LoadBalanceMetrics]
-    answers: dict[str, int]  # Numbers of calls by result.
+    answers: dict[str, int]  # Number of calls with each result.
     violations: list[str]
     lag_ms: float  # 99th percentile of the harness's own delay, in the process where it is highest.
-    cpu_ms_per_call: float  # CPU time of the routers per call.
-    peer_bytes_per_second: float  # Bytes that a router sent to other routers, the mean of all.
+    cpu_ms_per_call: float  # CPU time of all routers after the warm-up, per call that arrived then.
+    peer_bytes_per_second: float  # Bytes sent to other routers, mean over all routers.
     datagrams: DatagramCounts
-    # By worker, then by second from the start of traffic.
+    # Work per core, indexed by worker, then by second from the start of traffic.
     work_per_core: list[list[float]] = field(default_factory=list)
     faults: list[FaultSpan] = field(default_factory=list)
     latency_ms: dict[str, float] = field(default_factory=dict)  # Latency of served calls by percentile.
@@ -56,7 +56,7 @@
     answers_by_tenant: dict[str, dict[str, int]] = field(default_factory=dict)
     time_series: dict[str, list[float]] = field(default_factory=dict)
     placements: list[Placement] = field(default_factory=list)
-    facts: list[Fact] = field(default_factory=list)  # In order of time.
+    facts: list[Fact] = field(default_factory=list)  # All facts in order of time.
     scenario: Scenario = field(default_factory=Scenario)
 
     @property
--- a/cedarthread/testing/cluster/router_processes.py
+++ b/cedarthread/testing/cluster/router_processes.py
@@ -48,8 +48,8 @@
         self._reserved_sockets = [reserve_port() for _ in numbers]
         self.ports = [int(reserved.getsockname()[1]) for reserved in self._reserved_sockets]
         self.files = [RouterFiles(scenario, folder, number) for number in numbers]
-        self.start_unix_s = 0.0  # Start of traffic; ``ClusterRun`` sets it.
-        self.processes: dict[int, subprocess.Popen[bytes]] = {}  # Latest process of each router.
+        self.start_unix_s = 0.0  # Start of traffic as Unix time in s; ``ClusterRun`` sets it.
+        self.processes: dict[int, subprocess.Popen[bytes]] = {}  # Latest process by router number.
         self._ended_cpu_s: dict[int, float] = {}  # CPU time of a router's processes that were killed.
         # The routers share one cache of compiled modules, because compiling takes 1 s of CPU per process.
         self._environment = {
--- a/cedarthread/testing/cluster/run.py
+++ b/cedarthread/testing/cluster/run.py
@@ -29,7 +29,7 @@
 ROUTERS_PER_PROCESS = 50  # Maximum routers per fake process for clients, peer relays and discovery servers.
 # Time from the RUN command to the start of traffic, so that every process has received it.
 START_LEAD_S = 0.2
-LAST_RESPONSES_S = 0.3  # Wait after the last deadline, in which the last responses arrive.
+LAST_RESPONSES_S = 0.3  # Time after the last call's deadline in which the last responses arrive.
 # By the operators' acceptance rules: the longest deadline, but at most 3 s, plus 0.7 s.
 SIGKILL_AFTER_SIGTERM_S = min(3.0, CALL_DEADLINE_MS / 1000.0) + 0.7
 
--- a/cedarthread/testing/cluster/scenario.py
+++ b/cedarthread/testing/cluster/scenario.py
@@ -28,15 +28,16 @@
     DELAY = "delay"  # ``amount``: delay in ms.
     DUPLICATE = "double"  # ``amount``: share of datagrams that arrive twice.
     REORDER = "reorder"  # Datagrams are delayed at random, so that they overtake each other.
-    PARTITION = "cut"  # Datagrams are lost, and streams are delayed until the end.
+    PARTITION = "cut"  # Datagrams are lost, and streams are delayed until the fault ends.
     STALL = "stall"  # Like a partition: connections stay open, and no byte passes.
     # Faults at routers.
-    KILL_ROUTER = "kill"  # SIGKILL; the router is started again at the end.
-    PAUSE_ROUTER = "stop"  # SIGSTOP; SIGCONT at the end.
-    # SIGTERM, then SIGKILL after ``run.SIGKILL_AFTER_SIGTERM_S``; the router is started again at the end.
+    KILL_ROUTER = "kill"  # SIGKILL; the router is started again when the fault ends.
+    PAUSE_ROUTER = "stop"  # SIGSTOP; SIGCONT when the fault ends.
+    # SIGTERM, then SIGKILL after ``run.SIGKILL_AFTER_SIGTERM_S``; the router is started again when the
+    # fault ends.
     TERMINATE_ROUTER = "term"
     # Discovery moves to another server address, which the router reads on SIGHUP; the server at the old
-    # address stops replying. The move is reverted at the end.
+    # address stops replying. The move is reverted when the fault ends.
     MOVE_DISCOVERY = "move"
     SYSTEM_CALLS = "syscalls"  # ``amount``: share of the system calls on sockets that fail.
     RESTART_ROUTER = "restart"  # SIGKILL, and started again immediately.
@@ -49,7 +50,7 @@
     HOT_FUNCTION = "hot"  # ``amount``: share of the routers' calls that go to the least popular function.
     BURST = "burst"  # ``amount``: factor of the call rate.
     # Faults at workers.
-    CRASH_WORKER = "die"  # The worker is started again at the end, without instances.
+    CRASH_WORKER = "die"  # The worker is started again when the fault ends, without instances.
     SLOW_WORKER = "slow"  # ``amount``: factor of the service time.
     SILENCE_WORKER = "silent"  # Connections stay open, and calls get no answer.
     HIDE_WORKER = "hide"  # The worker is missing from the endpoint lists of the peers.
@@ -177,8 +178,8 @@
     store_full_speed_loads: int = 16  # Concurrent loads that the package store serves at full speed.
     store_max_loads: int = 120  # Concurrent loads beyond which the package store refuses.
     settle_s: float = 0.0  # Time from when routers are ready until traffic starts.
-    warm_up_s: float = 4.0  # Traffic that is not measured.
-    duration_s: float = 12.0  # Traffic that is measured, after the warm-up.
+    warm_up_s: float = 4.0  # Duration of the traffic that is not measured.
+    duration_s: float = 12.0  # Duration of the measured traffic, after the warm-up.
     not_idempotent_share: float = 0.2  # Share of the calls that are not idempotent.
     is_gossip_enabled: bool = True  # False: routers send no datagrams of any kind to each other.
     has_load_reports: bool = True
--- a/cedarthread/testing/cluster/scenarios/__init__.py
+++ b/cedarthread/testing/cluster/scenarios/__init__.py
@@ -11,7 +11,7 @@
     from cedarthread.testing.cluster.result import Result
     from cedarthread.testing.cluster.scenario import Scenario
 
-SCENARIO_MODULES = {  # By the set's name on the command line.
+SCENARIO_MODULES = {  # Keys: names of the scenario sets on the command line.
     "faults": "cedarthread.testing.cluster.scenarios.faults",
     "freeze": "cedarthread.testing.cluster.scenarios.change_freeze",
     "spread": "cedarthread.testing.cluster.scenarios.load_spread",
--- a/cedarthread/testing/cluster/scenarios/change_freeze.py
+++ b/cedarthread/testing/cluster/scenarios/change_freeze.py
@@ -38,8 +38,8 @@
 # worker.
 RESTART_LISTING_MS = 500.0
 MIN_VALUE_FRACTION = 0.98  # Minimum share of the value per second of a run without a window.
-VALUE_FROM_S = 18  # Start of the time in which the value per second is compared.
-VALUE_TO_S = 30  # End of the time in which the value per second is compared.
+VALUE_FROM_S = 18  # Start of the comparison of the value per second, s from the start of traffic.
+VALUE_TO_S = 30  # End of the comparison of the value per second, s from the start of traffic.
 RATE_WINDOWS_PER_S = 4
 INTERVAL_WITHOUT_WINDOW_MS = (16_000.0, 28_000.0)  # Interval that the table shows for a run without a window.
 
@@ -219,7 +219,7 @@
         for fault in scenario.faults
         if fault.kind is FaultKind.CRASH_WORKER
     ]
-    # Function, worker, and incarnation of the worker: the number of its restarts.
+    # Known instances as (function, worker, incarnation of the worker, which is the number of its restarts).
     known: set[tuple[int, int, int]] = set()
     changes_ms = []
     for at_ms, function, worker in sorted(placements):
--- a/cedarthread/testing/cluster/scenarios/faults.py
+++ b/cedarthread/testing/cluster/scenarios/faults.py
@@ -21,9 +21,9 @@
     from cedarthread.testing.cluster.scenario import Scenario
 
 WORKERS = 8
-WARM_UP_S = 1.5  # Traffic before the first fault.
+WARM_UP_S = 1.5  # Duration of the traffic before the first fault.
 DEFAULT_SECONDS = 10.0
-QUIET_END_S = 0.5  # Time before the end in which no fault starts.
+QUIET_END_S = 0.5  # Duration before the end of traffic in which no fault starts.
 PROCESS_FAULT_SHARE = 0.5  # Maximum share of the routers with a process fault.
 LIST_FAULT_SHARE = 0.5  # Maximum share of the workers that are drained or hidden.
 # Minimum share of the calls that are served under any faults: a third of the calls that can be served, by the
--- a/cedarthread/testing/cluster/scenarios/mass_restart.py
+++ b/cedarthread/testing/cluster/scenarios/mass_restart.py
@@ -34,7 +34,7 @@
 
 ScenarioTable = dict[str, object]  # A scenario or a fault, as a TOML table of a scenario file.
 
-# The full form.
+# Scenario keys that give the full form its size.
 FULL_SIZE: ScenarioTable = {
     "warm_up": 6.0,
     "seconds": 26.0,
@@ -44,7 +44,7 @@
     "store_at_once": 40,
     "store_most": 300,
 }
-KILLED_AT_S = 12.0  # When the routers are killed.
+KILLED_AT_S = 12.0  # Time at which the routers are killed, s from the start of traffic.
 WORKER_CRASH: ScenarioTable = {
     "kind": "die",
     "at": KILLED_AT_S,
