--- a/cedarthread/testing/cluster/result.py
+++ b/cedarthread/testing/cluster/result.py
@@ -45,7 +45,7 @@
     cpu_ms_per_call: float  # CPU time of all routers after the warm-up, per call that arrived then.
     peer_bytes_per_second: float  # Bytes sent to other routers, mean over all routers.
     datagrams: DatagramCounts
-    # Work per core, indexed by worker, then by second from the start of traffic.
+    # Mean calls per core in each second, indexed by worker, then by second from the start of traffic.
     work_per_core: list[list[float]] = field(default_factory=list)
     faults: list[FaultSpan] = field(default_factory=list)
     latency_ms: dict[str, float] = field(default_factory=dict)  # Latency of served calls by percentile.
--- a/cedarthread/testing/escrow_measurements.py
+++ b/cedarthread/testing/escrow_measurements.py
@@ -15,7 +15,7 @@
 
 MEASURED_NETWORK: dict[str, Any] = {
     "duplication_rate": 0.02,
-    "tail_latency_factor": 1,  # latencies of 1 to 60 ms
+    "tail_latency_factor": 1,  # no slower datagrams: all latencies are 1 to 60 ms
     "clock_rate_error": 0.001,
 }
 
@@ -23,7 +23,7 @@
 class SentDatagrams(NamedTuple):
     """Datagrams that the routers sent in one second."""
 
-    mean: float  # over the routers
+    mean: float  # mean number of datagrams per router
     most_by_one_router: int
 
 
--- a/cedarthread/testing/escrow_model.py
+++ b/cedarthread/testing/escrow_model.py
@@ -42,7 +42,7 @@
     CONSUME = "consume"
 
 
-Event = tuple[Any, ...]  # the kind, then the routers or the datagram of the event
+Event = tuple[Any, ...]  # (kind, then the routers or the datagram of the event)
 
 
 class SmallEscrowModel:
@@ -73,8 +73,8 @@
         self.last_incarnation = 0
         self.consumed = 0
         self.consumed_when_all_knew = -1  # units consumed when the last router received the lowered total
-        self.in_flight: frozenset[tuple[int, int, bytes]] = frozenset()  # sender, receiver, data
-        self.totals = [total] * router_count  # the total that each router has received
+        self.in_flight: frozenset[tuple[int, int, bytes]] = frozenset()  # (sender, receiver, data)
+        self.totals = [total] * router_count  # pool total that each router received last
         self.routers = [self.start_router(index, is_first=True) for index in range(router_count)]
         self.now_ms = 6 * STEP_MS  # after the time in which a router may not use its own allotment of a rate
 
--- a/cedarthread/testing/escrow_simulation.py
+++ b/cedarthread/testing/escrow_simulation.py
@@ -46,8 +46,8 @@
         self.persisted_image: bytes | None = None
         self.is_running = True
         self.is_paused = False
-        self.consumed = 0  # units of the pool "count"
-        self.queued_datagrams: list[tuple[int, bytes]] = []  # sender, data
+        self.consumed = 0  # units that the router consumed of the pool "count"
+        self.queued_datagrams: list[tuple[int, bytes]] = []  # (sender, data) received during a pause
         self.totals = dict(simulation.totals)
         self.start(is_first=True)
 
@@ -146,15 +146,15 @@
         self.is_demand_only = is_demand_only
         self.now_ms = 0.0
         self.longest_datagram_bytes = 0
-        self.sequence = itertools.count()  # orders events of the same time
-        self.bytes_sent: Counter[int] = Counter()  # by router
-        self.datagrams_sent: Counter[int] = Counter()  # by router
+        self.sequence = itertools.count()  # serial numbers that order events of the same time
+        self.bytes_sent: Counter[int] = Counter()  # keys: router indexes
+        self.datagrams_sent: Counter[int] = Counter()  # keys: router indexes
         self.totals = dict(totals)
-        self.limits = dict(totals)  # by pool name: the most units in use (rates) or consumed (counts)
-        self.cut_links: set[tuple[int, int]] = set()  # sender, receiver
-        self.events: list[tuple[float, int, Callable[[], None]]] = []  # a heap
+        self.limits = dict(totals)  # most units in use (rates) or consumed (counts); keys: pool names
+        self.cut_links: set[tuple[int, int]] = set()  # (sender, receiver)
+        self.events: list[tuple[float, int, Callable[[], None]]] = []  # heap of (time in ms, serial, event)
         self.violations: list[str] = []
-        self.transfer_checks = 0  # checks at which some router used more than twice an even share of a rate
+        self.transfer_checks = 0  # number of checks at which a router used over twice an even share of a rate
         speeds = 1 - clock_rate_error, 1 + clock_rate_error
         self.routers = [SimulatedRouter(self, index, speeds[index % 2]) for index in range(router_count)]
         for router in self.routers:
--- a/cedarthread/testing/invariants.py
+++ b/cedarthread/testing/invariants.py
@@ -44,8 +44,8 @@
     """The rules for retries of one class of calls."""
 
     idempotency: Idempotency
-    retry_scope: str = "all"  # for calls with a key: all, zone or cell
-    retry_window_ms: float = 0.0  # for calls with a key: since the first attempt that may have been executed
+    retry_scope: str = "all"  # where a call with a key may be retried: all, zone or cell
+    retry_window_ms: float = 0.0  # retry time for keyed calls, from the first possibly executed attempt
 
     @property
     def allows_any_retry(self) -> bool:
@@ -62,20 +62,20 @@
     max_attempts: int = 4
     allows_hedging: bool = False
     answer_slack_ms: float = (
-        58.0  # after the deadline: 8 ms by the default settings, plus 50 ms for the sockets
+        58.0  # tolerance after a call's deadline: 8 ms by the default settings, plus 50 ms for the sockets
     )
     drain_slack_ms: float = (
-        550.0  # after a list with the worker draining or absent: 500 ms by the settings, plus 50 ms
+        550.0  # tolerance after a list with the worker draining or absent: 500 ms by the settings, plus 50 ms
     )
-    # After a client closed its connection or cancelled its request.
+    # Time for which attempts are tolerated after a client closed its connection or cancelled its request.
     client_disconnected_slack_ms: float = 100.0
     # A time limit that a worker receives may exceed the time to the client's deadline by this much.
     time_limit_slack_ms: float = 150.0
-    preload_window_ms: float = 0.0  # 0: preloads are not limited
+    preload_window_ms: float = 0.0  # length of the window of the preload limit; 0: preloads are not limited
     preload_allowance: float = 0.0  # preload requests allowed in each window
     preload_share: float = 0.0  # preload requests allowed in addition for each call submitted in the window
-    preload_tolerance: float = 1.0  # preload requests tolerated beyond the limit
-    preload_tolerance_factor: float = 1.15  # the limit is multiplied by this factor first
+    preload_tolerance: float = 1.0  # preload requests tolerated in each window beyond the limit
+    preload_tolerance_factor: float = 1.15  # factor on the limit before ``preload_tolerance`` is added
 
 
 @dataclass(frozen=True, slots=True)
@@ -132,7 +132,7 @@
     """The state of one worker in one router's endpoint list."""
 
     state: str  # ready, draining or gone
-    since_ms: float  # since when the worker is ready, or since when it is draining or gone
+    since_ms: float  # time from which the worker is ready, or from which it is draining or gone
     zone: int
     cell: int
 
@@ -148,7 +148,7 @@
         self.limits = limits
         self.violations: list[Violation] = []
         self._calls: dict[str, _CallRecord] = {}
-        self._workers: dict[tuple[int, int], _WorkerListing] = {}  # by router and worker
+        self._workers: dict[tuple[int, int], _WorkerListing] = {}  # keys: (router, worker id)
         self._submitted_at_ms: deque[float] = deque()
         self._preloaded_at_ms: deque[float] = deque()
 
--- a/cedarthread/testing/load_balance.py
+++ b/cedarthread/testing/load_balance.py
@@ -18,8 +18,8 @@
     from collections.abc import Iterable, Iterator, Mapping
 
 WINDOW_MS = 1000.0  # work and arrivals are averaged over windows of this length
-HOTSPOT_RATIO = 3.0  # a hotspot gets more arrivals than this many times its fair share,
-HOTSPOT_DEVIATIONS = 4.0  # and exceeds the share by this many standard deviations of a Poisson count
+HOTSPOT_RATIO = 3.0  # a hotspot gets more arrivals than this many times its fair share
+HOTSPOT_DEVIATIONS = 4.0  # a hotspot exceeds its fair share by this many Poisson standard deviations
 
 
 class CallRecord(Protocol):
@@ -62,7 +62,7 @@
     start_ms: float
     worker_id: int
     arrivals: int
-    fair_share: float  # arrivals of all workers, times the worker's part of the cores
+    fair_share: float  # arrivals at all workers in the window, times the worker's part of the cores
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
     """The load balance figures of one run."""
 
     peak_to_mean: float  # maximum over mean of the workers' work per core; averaged over the windows
-    coefficient_of_variation: float  # of the workers' work per core; averaged over the windows
+    coefficient_of_variation: float  # deviation over mean of the work per core; averaged over the windows
     longest_idle_ms: float  # longest time that a ready worker was empty while a call waited elsewhere
     hotspots: tuple[Hotspot, ...]
     loads_per_1000_calls: float
--- a/cedarthread/testing/replication_model.py
+++ b/cedarthread/testing/replication_model.py
@@ -29,7 +29,7 @@
     from cedarthread.replication.messages import EntryRef
 
 WINDOW_MS = 1000.0
-_unique_numbers = itertools.count(1)  # incarnations and nonces
+_unique_numbers = itertools.count(1)  # source of unique incarnations and nonces
 
 
 class ConstantRandom:
@@ -107,8 +107,8 @@
     now_ms: float
     stores: tuple[ModelStore, ...]
     late: LateResponse | None = None
-    acts_from_ms: float = math.inf  # from when any router acts on the entry as replicated
-    window_count: int = 0  # windows that have passed
+    acts_from_ms: float = math.inf  # time from which any router acts on the entry as replicated
+    window_count: int = 0  # number of freshness windows that have passed
     restart_count: int = 0
 
     def key(self) -> object:
@@ -151,7 +151,7 @@
     """The result of an exploration."""
 
     state_count: int
-    violations: list[ModelState]  # a fresh router lacks an entry on which others act
+    violations: list[ModelState]  # states in which a fresh router lacks an entry on which others act
 
 
 def successors(state: ModelState, max_windows: int, max_restarts: int) -> Iterator[ModelState]:
@@ -186,7 +186,7 @@
         yield replace(requested, late=sent_response)
 
 
-_pickled = functools.lru_cache(pickle.dumps)  # the stores of one state are copied many times
+_pickled = functools.lru_cache(pickle.dumps)  # cached, because the stores of one state are copied many times
 
 
 def _copy(store: ModelStore) -> ModelStore:
--- a/cedarthread/testing/replication_observer.py
+++ b/cedarthread/testing/replication_observer.py
@@ -17,7 +17,7 @@
     from cedarthread.replication.store import ReplicatedStore
 
 Orders = dict[EntryKey, EntryOrder]
-BEFORE_START_MS = -1e9  # earlier than every event
+BEFORE_START_MS = -1e9  # time of the empty state of each router, earlier than every event
 
 
 class ScheduledAction(NamedTuple):
@@ -56,9 +56,9 @@
         self.history: dict[int, list[ObservedState]] = {
             router: [ObservedState(BEFORE_START_MS, {})] for router in range(router_count)
         }
-        # By version of an entry: the routers that have stored this version, each with the true time.
+        # Routers that have stored a version of an entry, each with the true time. Keys: (entry key, version).
         self.holders: dict[tuple[EntryKey, EntryOrder], dict[int, float]] = {}
-        self.scheduled_actions: list[ScheduledAction] = []  # a heap
+        self.scheduled_actions: list[ScheduledAction] = []  # heap, ordered by time
         self.acted_on: dict[EntryKey, ActedEntry] = {}
         self.incarnations: dict[int, int] = {}
         self.started_at_ms: dict[int, float] = {}
--- a/cedarthread/testing/replication_simulation.py
+++ b/cedarthread/testing/replication_simulation.py
@@ -23,7 +23,7 @@
 
     from cedarthread.components.messages import OutboundMessage
 
-CLOCK_OFFSET_MS = 1e6  # between the monotonic clocks of routers with consecutive indexes
+CLOCK_OFFSET_MS = 1e6  # difference between the monotonic clocks of routers with consecutive indexes
 NO_SENDER = -1  # sender of a tick
 STORE_SEED = 7
 
@@ -90,10 +90,10 @@
         self.serial = 0
         self.observer = Observer(router_count)
         self.cut_links: set[Link] = set()
-        self.events: list[Event] = []  # a heap
-        self.paused: dict[int, list[QueuedDatagram]] = {}  # by router
+        self.events: list[Event] = []  # heap, ordered by time
+        self.paused: dict[int, list[QueuedDatagram]] = {}  # keys: router indexes
         self.logs: list[str] = []
-        # By router: the true time at which the router first concluded that an entry is replicated.
+        # True times at which a router first concluded that an entry is replicated. Keys: router, entry key.
         self.replicated_at_ms: dict[int, dict[EntryKey, float]] = {
             router: {} for router in range(router_count)
         }
