--- a/cedarthread/testing/fakes/client.py
+++ b/cedarthread/testing/fakes/client.py
@@ -10,7 +10,7 @@
 
 HEALTH_CHECK_NUMBER = 2**32 - 1  # message number of health checks; no call has this number
 
-OnAnswer = Callable[[int, str, bytes], None]  # message number, answer kind and body
+OnAnswer = Callable[[int, str, bytes], None]  # (message number, answer kind, body)
 
 
 def pack_call(number: int, class_name: str, body: bytes, fields: dict[str, str]) -> bytes:
--- a/cedarthread/testing/fakes/discovery_server.py
+++ b/cedarthread/testing/fakes/discovery_server.py
@@ -16,13 +16,13 @@
     import socket
 
 HEADER_BYTES = 12
-AUTHORITATIVE_ANSWER = 0x8400  # the flags QR and AA
+AUTHORITATIVE_ANSWER = 0x8400  # the DNS flags QR and AA
 CLASS_IN = 1
 TTL_S = 1
 DRAINING_PRIORITY = 10  # SRV priority of a draining worker; a ready worker has priority 0
 WEIGHT = 10  # SRV weight of every worker
 
-CurrentList = Callable[[], tuple[int, tuple["ListedWorker", ...]] | None]  # serial of the list, and workers
+CurrentList = Callable[[], tuple[int, tuple["ListedWorker", ...]] | None]  # (list serial, workers) or None
 Deliver = Callable[[Callable[[], bytes], Callable[[bytes], None]], None]  # (create a reply, send a reply)
 
 
--- a/cedarthread/testing/fakes/scripted.py
+++ b/cedarthread/testing/fakes/scripted.py
@@ -23,7 +23,7 @@
 
 FUNCTION = "7f3a9c21e0b4d655"
 TIMEOUT_S = 10  # longest wait for a message, after which the test fails
-Behavior = Callable[["ScriptedWorker", dict[str, Any]], dict[str, Any] | None]  # call to answer or None
+Behavior = Callable[["ScriptedWorker", dict[str, Any]], dict[str, Any] | None]  # (worker, call) -> answer
 
 
 def serve_uppercase(_: ScriptedWorker, message: dict[str, Any]) -> dict[str, Any]:
--- a/cedarthread/testing/fakes/worker_model.py
+++ b/cedarthread/testing/fakes/worker_model.py
@@ -30,9 +30,9 @@
     worker: int
     function: int
     arrived_at_ms: float
-    service_ms: float  # time on a core
-    queued_at_ms: float = math.inf  # when the call started to wait for a slot or a core, not for a load
-    started_at_ms: float = math.inf  # when the call got a core, and so an instance and a slot
+    service_ms: float  # time that the execution takes on a core
+    queued_at_ms: float = math.inf  # start of the wait for a slot or a core, not for a load
+    started_at_ms: float = math.inf  # time at which the call got a core, and so an instance and a slot
     ended_at_ms: float = math.inf
     remark: str = "hit"
 
@@ -77,7 +77,7 @@
     """The future end of the execution of a call, or of a load if ``call`` is None."""
 
     at_ms: float
-    serial: int  # orders completions at the same time
+    serial: int  # completions at the same time are processed in ascending ``serial``
     function: int
     call: WorkerCall | None
 
@@ -113,10 +113,10 @@
         self.instances_by_function: dict[int, _FunctionInstances] = {}
         self.completion_queue: list[_Completion] = []
         self.core_queue: deque[WorkerCall] = deque()  # calls with a slot that wait for a core
-        self.running_count = 0  # calls on a core
-        self.in_flight = 0  # accepted calls that have not ended
+        self.running_count = 0  # number of calls that run on a core
+        self.in_flight = 0  # number of accepted calls that have not ended
         self.completion_serial = 0
-        self.instance_count = 0  # ready and loading instances of all functions
+        self.instance_count = 0  # number of ready and loading instances of all functions
         # (time in ms, function) of each load that started while the function had no instance.
         self.placements: list[tuple[float, int]] = []
 
--- a/cedarthread/testing/fakes/worker_server.py
+++ b/cedarthread/testing/fakes/worker_server.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-LISTEN_BACKLOG = 1024  # so that hundreds of routers can connect at the same time
+LISTEN_BACKLOG = 1024  # enough for hundreds of routers to connect at the same time
 
 
 class Deliver(Protocol):
@@ -45,7 +45,7 @@
 
     def __init__(self, server: FakeWorkerServer) -> None:
         self.server = server
-        self.buffer = b""  # incomplete line
+        self.buffer = b""  # received bytes of an incomplete line
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast("asyncio.Transport", transport)
@@ -84,7 +84,7 @@
         self._connection_by_call: dict[str, _Connection] = {}
         self.connections: set[_Connection] = set()
         self.accepted_at_ms: list[float] = []  # times at which connections were accepted
-        self.timer_lags_ms: list[float] = []  # how late each timer fired
+        self.timer_lags_ms: list[float] = []  # lateness of each timer when it fired
         self._timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
