--- a/cedarthread/testing/fuzzing/call_machine.py
+++ b/cedarthread/testing/fuzzing/call_machine.py
@@ -28,12 +28,12 @@
     from cedarthread.testing.fuzzing.memory_transport import MemoryTransport
 
 MAX_SCRIPT_BYTES = 400
-PIPELINED_ROUNDS = 4  # more than one, because the router serves pipelined requests one after another
+PIPELINED_ROUNDS = 4  # rounds of waiting; several, because the router serves pipelined requests one by one
 PIPELINED_ROUND_MS = 3000.0
-COLLECT_ROUNDS = 400  # many, because a stopping invoke server closes the connection after each response
+COLLECT_ROUNDS = 400  # maximum rounds; many, because a stopping invoke server closes after each response
 COLLECT_ROUND_MS = 50.0
-RETENTION_S = 125.0  # longer than the router stores any answer
-RECLAIM_S = 20.0  # after the last sweep; the timers of closed connections expire within this time
+RETENTION_S = 125.0  # waiting time that is longer than the router stores any answer
+RECLAIM_S = 20.0  # time after the last sweep within which the timers of closed connections expire
 
 
 class CallMachine:
--- a/cedarthread/testing/fuzzing/deferred_target.py
+++ b/cedarthread/testing/fuzzing/deferred_target.py
@@ -19,7 +19,7 @@
     max_calls=6, max_bytes=4000, retention_s=60.0, retry_retention_s=5.0, reserve_bytes=500
 )
 MAX_ANSWER_BYTES = 2500
-OVERSHOOT_BYTES = 3000  # allowed beyond the limit, because a result may be larger than its reservation
+OVERSHOOT_BYTES = 3000  # bytes allowed beyond the limit, because a result may exceed its reservation
 PAST_RETENTION_S = 1000.0
 
 
--- a/cedarthread/testing/fuzzing/discovery_target.py
+++ b/cedarthread/testing/fuzzing/discovery_target.py
@@ -97,7 +97,7 @@
         self.transport = _RecordingDatagramTransport()
         self.client.connection_made(self.transport)
         self.serial = 0
-        self.delivered: list[bytes] = []  # complete replies, which may be delivered again
+        self.delivered: list[bytes] = []  # complete replies that were delivered and may be delivered again
 
     async def run(self) -> None:
         """Deliver replies until the end of the input, then stop the client."""
--- a/cedarthread/testing/fuzzing/invoke_caller.py
+++ b/cedarthread/testing/fuzzing/invoke_caller.py
@@ -17,7 +17,7 @@
 RESULT_BY_STATUS = {200: "served", 503: "refused", 502: "failed", 504: "failed"}
 CALL_TIMEOUT_MS = 3000
 NO_DEADLINE_MS = 1e9
-MAX_PIPELINED = 3  # number of unanswered requests on one connection
+MAX_PIPELINED = 3  # maximum number of unanswered requests on one connection
 
 
 class RequestKind(Enum):
@@ -66,8 +66,8 @@
         self.identity = identity
         self.deferred_calls: dict[str, str] = {}  # call keys by the call ID in the URL
         self.posts_by_key: dict[str, CallPost] = {}
-        self.final_answers: dict[str, FinalAnswer] = {}  # by the call's key
-        self.pending_requests: list[PendingRequest] = []  # on this connection, oldest first
+        self.final_answers: dict[str, FinalAnswer] = {}  # keys: call keys
+        self.pending_requests: list[PendingRequest] = []  # requests on this connection, oldest first
         self._connect()
 
     def _connect(self) -> None:
--- a/cedarthread/testing/fuzzing/invoke_target.py
+++ b/cedarthread/testing/fuzzing/invoke_target.py
@@ -23,7 +23,7 @@
 
     from cedarthread.testing.fuzzing.virtual_loop import VirtualLoop
 
-PAST_RETENTION_S = 400  # longer than any result is stored
+PAST_RETENTION_S = 400  # waiting time that is longer than any result is stored
 
 
 class InvokeTarget(StreamTarget):
--- a/cedarthread/testing/fuzzing/memory_client.py
+++ b/cedarthread/testing/fuzzing/memory_client.py
@@ -40,7 +40,7 @@
         self.last_number = 0
         self.is_open = True
         self.is_reading_paused = False
-        self.is_write_closed = False  # after a half-close or a malformed request
+        self.is_write_closed = False  # whether the client half-closed or sent a malformed request
         self._unpacker = msgpack.Unpacker(raw=False, strict_map_key=True)
         self.transport.connect(protocol)
 
--- a/cedarthread/testing/fuzzing/memory_worker.py
+++ b/cedarthread/testing/fuzzing/memory_worker.py
@@ -28,7 +28,7 @@
     message_id: str
     call_key: str
     connection: MemoryWorkerConnection
-    attempt: AttemptRecord | None = None  # None for a preload request
+    attempt: AttemptRecord | None = None  # record of the attempt; None for a preload request
     function: str = ""
 
 
@@ -43,8 +43,8 @@
         self.worker = worker
         self.transport = MemoryTransport(worker.loop, self.on_bytes, self.on_close)
         self.buffer = b""
-        self.line_start_byte = 0  # position of the incomplete line in the stream
-        self.first_byte_at_ms = 0.0  # when the first byte of the incomplete line arrived
+        self.line_start_byte = 0  # offset in bytes from the start of the stream to the incomplete line
+        self.first_byte_at_ms = 0.0  # time at which the first byte of the incomplete line arrived
         self.unanswered_requests: list[UnansweredRequest] = []
         self.is_open = True
 
@@ -93,7 +93,7 @@
         self.name = f"s-{number:08x}"
         self.refuses_connections = False
         self.hangs_connections = False
-        self.window_bytes: int | None = None  # bytes that it reads from a new connection; None for all
+        self.window_bytes: int | None = None  # bytes that the worker reads from a new connection; None: all
         self.started_at_ms = 0.0
         self.connections: list[MemoryWorkerConnection] = []
 
--- a/cedarthread/testing/fuzzing/model_checking.py
+++ b/cedarthread/testing/fuzzing/model_checking.py
@@ -55,8 +55,8 @@
     """The state at the end of a path."""
 
     digest: bytes
-    choices: list[EventChoice]  # the events that are possible in this state
-    violation: str | None  # the first violation on the path
+    choices: list[EventChoice]  # events that are possible in the state at the end
+    violation: str | None  # first violation on the path; None if there is none
 
 
 def run_path(model: SmallModel, path: Path, *, runs_to_end: bool = False) -> PathEnd:
--- a/cedarthread/testing/fuzzing/model_run.py
+++ b/cedarthread/testing/fuzzing/model_run.py
@@ -22,7 +22,7 @@
     from cedarthread.testing.fuzzing.virtual_loop import VirtualLoop
 
 FUNCTION_ID = 7
-LOOP_ITERATIONS = 4  # enough to run every callback that an event schedules without a delay
+LOOP_ITERATIONS = 4  # iterations that run every callback that an event schedules without a delay
 INTERNAL_DEADLINE_SHARE = 0.9  # share of a client's timeout within which the dispatcher must answer
 WAIT_S = 0.6  # duration of the event WAIT
 SHUTDOWN_MS = 700.0  # time from the event SHUTDOWN until every call must be answered
--- a/cedarthread/testing/fuzzing/resource_meter.py
+++ b/cedarthread/testing/fuzzing/resource_meter.py
@@ -15,7 +15,7 @@
     from _typeshed import TraceFunction
 
 PACKAGE = "cedarthread"
-UNMETERED = ".fuzz"  # modules whose names contain this are not counted
+UNMETERED = ".fuzz"  # lines of modules whose names contain this are not counted
 
 
 class Budget(NamedTuple):
--- a/cedarthread/testing/fuzzing/router_under_test.py
+++ b/cedarthread/testing/fuzzing/router_under_test.py
@@ -34,7 +34,7 @@
 FUNCTIONS = ("00000000000000a1", "00000000000000b2", "00000000000000c3")
 MAX_DEADLINE_MS = 5000.0  # longest deadline of the request classes in the fuzzing settings
 TIME_LIMIT_TOLERANCE_MS = 50.0  # added to the time limit of each invariant, for bytes that wait in a socket
-SWEEP_PERIOD_MS = 250.0  # as in the service
+SWEEP_PERIOD_MS = 250.0  # time between two periodic sweeps, as in the service
 MAX_TIMER_DELAY_S = 0.015  # maximum lateness of a timer in the mode LATE_TIMERS
 TRUST_DOMAIN = "gaz.example"
 
--- a/cedarthread/testing/fuzzing/script_steps.py
+++ b/cedarthread/testing/fuzzing/script_steps.py
@@ -20,7 +20,7 @@
     from cedarthread.testing.fuzzing.worker_steps import WorkerSteps
 
 PAUSES_MS = (0.0, 1.0, 5.0, 12.0, 40.0, 60.0, 250.0, 600.0, 1500.0, 3000.0)
-LOOP_ITERATIONS = 4  # enough for callbacks that schedule one another without a delay
+LOOP_ITERATIONS = 4  # iterations that suffice for callbacks that schedule one another without a delay
 
 StepAction = Callable[[], None] | Callable[[], Awaitable[None]]
 
--- a/cedarthread/testing/fuzzing/scripted_transport.py
+++ b/cedarthread/testing/fuzzing/scripted_transport.py
@@ -35,7 +35,7 @@
         self.now_ms = loop.unix_ms
         self.in_flight: dict[Attempt, AttemptRecord] = {}
         self.cancelled: list[Attempt] = []
-        self.preloads: list[PendingPreload] = []  # oldest first
+        self.preloads: list[PendingPreload] = []  # unanswered preload requests, oldest first
         self.crashed_workers: set[int] = set()
 
     def send(self, attempt: Attempt) -> None:
--- a/cedarthread/testing/fuzzing/simulator_target.py
+++ b/cedarthread/testing/fuzzing/simulator_target.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     import random
 
-HEADER_BYTES = 16  # frame length, time and number of records
+HEADER_BYTES = 16  # length of a frame's header: frame length, time and number of records
 
 
 class SimulatorTarget(Target):
--- a/cedarthread/testing/fuzzing/small_models.py
+++ b/cedarthread/testing/fuzzing/small_models.py
@@ -14,7 +14,7 @@
     """An event of a model; counterexamples print the value."""
 
     CALL = "call"  # a client submits the next call of the model
-    SERVED = "hit"  # an attempt ends with this outcome; the same for the next four
+    SERVED = "hit"  # an attempt ends with this outcome; the next four are other outcomes
     OVERLOADED = "full"
     FAILED = "fault"
     RESET = "reset"
@@ -46,10 +46,10 @@
     """A model: its calls, workers and events, and the expected number of its states."""
 
     name: str
-    calls: tuple[int, ...]  # the class index of each call
+    calls: tuple[int, ...]  # index of the request class of each call
     workers: int
     events: tuple[Event, ...]  # each entry occurs at most once; an event may be listed several times
-    expected_states: int  # explore() reports any other number as a fault
+    expected_states: int  # number of states that explore() must reach; any other number is a fault
     preloads_on_miss: bool = False
     call_timeout_ms: float = 2000.0
 
--- a/cedarthread/testing/fuzzing/state_digest.py
+++ b/cedarthread/testing/fuzzing/state_digest.py
@@ -18,7 +18,7 @@
 
 # Fields that do not distinguish states: counters, logs, callbacks, back references and settings.
 SKIPPED_FIELDS = {"token", "serial", "actions", "settings", "logs", "call", "on_result"}
-# Counts that follow from the attempts in flight.
+# Further fields that do not distinguish states, by class: counts that follow from the attempts in flight.
 SKIPPED_FIELDS_BY_CLASS: dict[type, set[str]] = {
     OverloadEstimator: {"in_flight"},
     ZoneReachability: {"in_flight"},
--- a/cedarthread/testing/fuzzing/target.py
+++ b/cedarthread/testing/fuzzing/target.py
@@ -55,7 +55,7 @@
     """
 
     name = ""
-    modules: tuple[str, ...] = ()  # modules in the coverage report
+    modules: tuple[str, ...] = ()  # names of the modules in the coverage report
     line_budget = Budget(20_000, 400)  # maximum lines of the program that one input may execute
     byte_budget = Budget(2**20, 200)  # maximum peak memory in bytes for one input
     test_runs = 400  # number of generated inputs that the tests check
