--- a/cedarthread/testing/cluster/scenario.py
+++ b/cedarthread/testing/cluster/scenario.py
@@ -53,8 +53,8 @@
     CRASH_WORKER = "die"  # The worker is started again when the fault ends, without instances.
     SLOW_WORKER = "slow"  # ``amount``: factor of the service time.
     SILENCE_WORKER = "silent"  # Connections stay open, and calls get no answer.
-    HIDE_WORKER = "hide"  # The worker is missing from the endpoint lists of the peers.
-    DRAIN_WORKER = "drain"  # The endpoint lists of the peers show the worker as draining.
+    HIDE_WORKER = "hide"  # The worker is missing from the endpoint lists of the routers in ``peers``.
+    DRAIN_WORKER = "drain"  # The endpoint lists of the routers in ``peers`` show the worker as draining.
     RESET_CONNECTIONS = "reset"  # All open connections are reset at the start of the fault.
     # Faults at clients.
     RECONNECT_CLIENT = "leave"  # The client closes its connection and opens another one.
@@ -108,7 +108,7 @@
     "eio_sync",  # Syncs fail, and lose their writes for good. ``amount``: number of syncs that succeed first.
     "slow_sync",  # ``amount``: duration of each sync in ms.
     "read_only",
-    "gone",  # The folder is missing.
+    "gone",  # The store's folder is missing.
 )
 
 
--- a/cedarthread/testing/cluster/scenario_file.py
+++ b/cedarthread/testing/cluster/scenario_file.py
@@ -27,7 +27,7 @@
     from collections.abc import Mapping
     from pathlib import Path
 
-FIELD_BY_KEY = {  # Fields of ``Scenario`` by key of the file.
+FIELD_BY_KEY = {  # Keys: keys of scenario files. Values: fields of ``Scenario``.
     "name": "name",
     "seed": "seed",
     "routers": "router_count",
--- a/cedarthread/testing/cluster/scenarios/restart_measurements.py
+++ b/cedarthread/testing/cluster/scenarios/restart_measurements.py
@@ -131,7 +131,7 @@
     hide_faults = [fault for fault in faults if fault.kind is FaultKind.HIDE_WORKER]
     kill_faults = [fault for fault in faults if fault.kind is FaultKind.KILL_ROUTER]
     hidden_at_ms = 1000.0 * max((fault.start_s for fault in hide_faults), default=0.0)
-    first_call_at_ms: dict[int, float] = {}  # First call after a kill, by router.
+    first_call_at_ms: dict[int, float] = {}  # Time of the first call after a kill, by router number.
     count = 0
     for fact in result.facts:
         if not isinstance(fact, CallSubmitted | AttemptSent):
